--- a/adapter/src/main.rs
+++ b/adapter/src/main.rs
@@ -43,10 +43,17 @@
                         self.pools.insert(number, entries);
                     }
                     Incoming::Spawn(seed, settings) => {
-                        self.decide(who, read::clock(&batch)?, &mut events, &mut orders, &mut broken);
+                        self.decide(
+                            who,
+                            read::clock(&batch)?,
+                            &mut events,
+                            &mut orders,
+                            &mut broken,
+                        );
                         let names = read::Names::of(&settings);
                         let balancer = Balancer::new(settings.settings, seed);
-                        self.instances.insert(who.to_string(), Instance { balancer, names });
+                        self.instances
+                            .insert(who.to_string(), Instance { balancer, names });
                     }
                     Incoming::Exit => {
                         events.clear();
@@ -63,7 +70,13 @@
                     }
                 }
             }
-            self.decide(who, read::clock(&batch)?, &mut events, &mut orders, &mut broken);
+            self.decide(
+                who,
+                read::clock(&batch)?,
+                &mut events,
+                &mut orders,
+                &mut broken,
+            );
             write::orders(reply, who, &orders, broken.as_deref());
         }
         reply.push_str("]}\n");
@@ -72,7 +85,11 @@
 
     /// Hands the gathered events to the instance; a panic in it is kept for the reply.
     fn decide(
-        &mut self, who: &str, now: u64, events: &mut Vec<Event>, orders: &mut Vec<Action>,
+        &mut self,
+        who: &str,
+        now: u64,
+        events: &mut Vec<Event>,
+        orders: &mut Vec<Action>,
         broken: &mut Option<String>,
     ) {
         let Some(instance) = self.instances.get_mut(who) else {
@@ -82,7 +99,9 @@
         if taken.is_empty() {
             return;
         }
-        let run = catch_unwind(AssertUnwindSafe(|| instance.balancer.handle(now, taken, orders)));
+        let run = catch_unwind(AssertUnwindSafe(|| {
+            instance.balancer.handle(now, taken, orders)
+        }));
         if let Err(cause) = run {
             let text = cause.downcast_ref::<String>().map(String::as_str);
             let text = text.or_else(|| cause.downcast_ref::<&str>().copied());
@@ -100,12 +119,17 @@
         line.clear();
         reply.clear();
         let at = format!("line {number}");
-        let got = input.read_line(&mut line).map_err(|e| Fault::new(e.to_string()).within(&at))?;
+        let got = input
+            .read_line(&mut line)
+            .map_err(|e| Fault::new(e.to_string()).within(&at))?;
         if got == 0 {
             break;
         }
-        host.answer(&line, &mut reply).map_err(|fault| fault.within(&at))?;
-        let sent = output.write_all(reply.as_bytes()).and_then(|()| output.flush());
+        host.answer(&line, &mut reply)
+            .map_err(|fault| fault.within(&at))?;
+        let sent = output
+            .write_all(reply.as_bytes())
+            .and_then(|()| output.flush());
         sent.map_err(|e| Fault::new(format!("cannot write the reply: {e}")))?;
     }
     Ok(())
--- a/adapter/src/read.rs
+++ b/adapter/src/read.rs
@@ -23,7 +23,11 @@
     /// The names that the settings bring.
     pub fn of(spawned: &Spawned) -> Self {
         let known = settings::Names::of(&spawned.settings);
-        Names { known, zero: spawned.zero, report: spawned.report.clone() }
+        Names {
+            known,
+            zero: spawned.zero,
+            report: spawned.report.clone(),
+        }
     }
 }
 
@@ -37,7 +41,8 @@
 
 /// Reads one batch line.
 pub fn batch(line: &str) -> Read<Value> {
-    let value = settings::parse(line.as_bytes().to_vec()).map_err(|fault| fault.within("not a batch"))?;
+    let value =
+        settings::parse(line.as_bytes().to_vec()).map_err(|fault| fault.within("not a batch"))?;
     if !value.is_object() {
         return Err(bad("batch", "an object", &value));
     }
@@ -58,7 +63,8 @@
         let who = text(group.get("Who").unwrap_or(&NOTHING), "Who")?;
         found.push((
             who,
-            list(group.get("input").unwrap_or(&NOTHING), "input").map_err(|fault| fault.within(who))?,
+            list(group.get("input").unwrap_or(&NOTHING), "input")
+                .map_err(|fault| fault.within(who))?,
         ));
     }
     Ok(found)
@@ -72,16 +78,26 @@
 
 impl<'a> Fields<'a> {
     fn at(&self, place: usize, name: &str) -> Read<&'a Value> {
-        self.values.get(place).ok_or_else(|| Fault::new(format!("{}: {name} is missing", self.kind)))
+        self.values
+            .get(place)
+            .ok_or_else(|| Fault::new(format!("{}: {name} is missing", self.kind)))
     }
 
-    fn get<T>(&self, place: usize, name: &str, as_kind: impl Fn(&'a Value, &str) -> Read<T>) -> Read<T> {
+    fn get<T>(
+        &self,
+        place: usize,
+        name: &str,
+        as_kind: impl Fn(&'a Value, &str) -> Read<T>,
+    ) -> Read<T> {
         as_kind(self.at(place, name)?, &format!("{} {name}", self.kind))
     }
 
     /// A field that may be null or left out.
     fn maybe<T>(
-        &self, place: usize, name: &str, as_kind: impl Fn(&'a Value, &str) -> Read<T>,
+        &self,
+        place: usize,
+        name: &str,
+        as_kind: impl Fn(&'a Value, &str) -> Read<T>,
     ) -> Read<Option<T>> {
         match self.values.get(place) {
             None | Some(Value::Static(StaticNode::Null)) => Ok(None),
@@ -92,21 +108,33 @@
 
 /// Reads one message of an instance.
 pub fn message(
-    value: &Value, names: Option<&Names>, pools: &BTreeMap<u64, Vec<NodeEntry>>,
+    value: &Value,
+    names: Option<&Names>,
+    pools: &BTreeMap<u64, Vec<NodeEntry>>,
 ) -> Read<Incoming> {
     let values = list(value, "message")?;
     let kind = text(values.first().unwrap_or(&NOTHING), "message name")?;
-    let f = Fields { kind, values: &values[1..] };
+    let f = Fields {
+        kind,
+        values: &values[1..],
+    };
     Ok(match kind {
         "Pool" => {
-            let entries = f.get(1, "MembersList", list)?.iter().map(entry).collect::<Read<_>>()?;
+            let entries = f
+                .get(1, "MembersList", list)?
+                .iter()
+                .map(entry)
+                .collect::<Read<_>>()?;
             Incoming::Pool(f.get(0, "SetId", whole)?, entries)
         }
         "Spawn" => {
             let facts = f.get(1, "Facts", |v, what| {
-                v.is_object().then_some(v).ok_or_else(|| bad(what, "an object", v))
+                v.is_object()
+                    .then_some(v)
+                    .ok_or_else(|| bad(what, "an object", v))
             })?;
-            let spawned = settings::settings(facts, "").map_err(|fault| fault.within("Spawn Facts"))?;
+            let spawned =
+                settings::settings(facts, "").map_err(|fault| fault.within("Spawn Facts"))?;
             Incoming::Spawn(f.get(0, "InitSeed", whole)?, Box::new(spawned))
         }
         "Exit" => Incoming::Exit,
@@ -114,12 +142,20 @@
     })
 }
 
-fn event(f: &Fields<'_>, names: Option<&Names>, pools: &BTreeMap<u64, Vec<NodeEntry>>) -> Read<Event> {
+fn event(
+    f: &Fields<'_>,
+    names: Option<&Names>,
+    pools: &BTreeMap<u64, Vec<NodeEntry>>,
+) -> Read<Event> {
     let Some(names) = names else {
         return Err(Fault::new(format!("{}: no Spawn came before it", f.kind)));
     };
-    let stranger =
-        |name: &str, what: &str| Fault::new(format!("{} {what}: {name:?} is not in the settings", f.kind));
+    let stranger = |name: &str, what: &str| {
+        Fault::new(format!(
+            "{} {what}: {name:?} is not in the settings",
+            f.kind
+        ))
+    };
     Ok(match f.kind {
         "Members" => {
             let pool = || -> Read<Vec<NodeEntry>> {
@@ -147,12 +183,23 @@
             let age = f.maybe(7, "TokenMs", number)?.unwrap_or(0.0);
             Event::Request(Demand {
                 id: f.get(0, "Xid", whole)?,
-                class: names.known.class(class).ok_or_else(|| stranger(class, "Qos"))?,
+                class: names
+                    .known
+                    .class(class)
+                    .ok_or_else(|| stranger(class, "Qos"))?,
                 tenant: match tenant {
                     None | Some("") => None,
-                    Some(name) => Some(names.known.tenant(name).ok_or_else(|| stranger(name, "Party"))?),
+                    Some(name) => Some(
+                        names
+                            .known
+                            .tenant(name)
+                            .ok_or_else(|| stranger(name, "Party"))?,
+                    ),
                 },
-                session: f.maybe(3, "Sess", text)?.filter(|s| !s.is_empty()).map(Arc::from),
+                session: f
+                    .maybe(3, "Sess", text)?
+                    .filter(|s| !s.is_empty())
+                    .map(Arc::from),
                 left: f.get(4, "Left", whole)?,
                 cost_hint: f.maybe(5, "Expected", whole)?.filter(|_| bits & 1 != 0),
                 group: f.get(6, "DbNo", whole)?,
@@ -160,7 +207,9 @@
                 repeat: bits & 2 != 0,
             })
         }
-        "Accepted" => Event::Started { request: f.get(0, "Xid", whole)? },
+        "Accepted" => Event::Started {
+            request: f.get(0, "Xid", whole)?,
+        },
         "Verdict" => Event::Outcome {
             request: f.get(0, "Xid", whole)?,
             attempt: f.get(1, "Hop", whole)? as u32,
@@ -170,7 +219,9 @@
             note: note(f.maybe(6, "Stand", whole)?.unwrap_or(0), names.zero),
             report: report(f.maybe(7, "Gauge", list)?, names)?,
         },
-        "Abandoned" => Event::Abandoned { request: f.get(0, "Xid", whole)? },
+        "Abandoned" => Event::Abandoned {
+            request: f.get(0, "Xid", whole)?,
+        },
         "Elapsed" => {
             f.get(0, "Ref", text)?;
             Event::Timer
@@ -180,17 +231,25 @@
             answered: f.get(1, "Status", text)? == "success",
             report: report(f.maybe(3, "Gauge", list)?, names)?,
         },
-        "FromPeer" => {
-            Event::Peer { from: f.get(0, "SrcPeer", whole)? as u32, payload: f.get(1, "Payload", hex)? }
-        }
+        "FromPeer" => Event::Peer {
+            from: f.get(0, "SrcPeer", whole)? as u32,
+            payload: f.get(1, "Payload", hex)?,
+        },
         other => return Err(Fault::new(format!("message {other:?} is unknown"))),
     })
 }
 
 fn hex(value: &Value, what: &str) -> Read<Vec<u8>> {
     let digits = text(value, what)?.as_bytes();
-    let pair = |two: &[u8]| std::str::from_utf8(two).ok().and_then(|s| u8::from_str_radix(s, 16).ok());
-    let bytes: Option<Vec<u8>> = digits.chunks(2).map(|two| (two.len() == 2).then(|| pair(two))?).collect();
+    let pair = |two: &[u8]| {
+        std::str::from_utf8(two)
+            .ok()
+            .and_then(|s| u8::from_str_radix(s, 16).ok())
+    };
+    let bytes: Option<Vec<u8>> = digits
+        .chunks(2)
+        .map(|two| (two.len() == 2).then(|| pair(two))?)
+        .collect();
     bytes.ok_or_else(|| bad(what, "pairs of hex digits", value))
 }
 
@@ -219,7 +278,13 @@
 
 fn note(stand: u64, zero: u64) -> Standing {
     let position = (stand / 4 > 0).then(|| zero + stand / 4 * 1000);
-    Standing { position, role: role(stand % 4), held: None, busy: None, age: 0 }
+    Standing {
+        position,
+        role: role(stand % 4),
+        held: None,
+        busy: None,
+        age: 0,
+    }
 }
 
 fn report(row: Option<&Vec<Value>>, names: &Names) -> Read<Standing> {
@@ -231,11 +296,16 @@
         match name.as_str() {
             "x0" if !value.is_null() => {
                 let seconds = number(value, "Gauge x0")?;
-                standing.position = (seconds > 0.0).then_some(names.zero + (seconds * 1e6).floor() as u64);
+                standing.position =
+                    (seconds > 0.0).then_some(names.zero + (seconds * 1e6).floor() as u64);
             }
             "x1" if !value.is_null() => {
                 let primary = number(value, "Gauge x1")? == 1.0;
-                standing.role = Some(if primary { Role::Primary } else { Role::Replica });
+                standing.role = Some(if primary {
+                    Role::Primary
+                } else {
+                    Role::Replica
+                });
             }
             "outstanding" if !value.is_null() => {
                 standing.held = Some(number(value, "Gauge outstanding")?.max(0.0) as u32)
@@ -250,7 +320,10 @@
 }
 
 fn entry(value: &Value) -> Read<NodeEntry> {
-    let f = Fields { kind: "Pool entry", values: list(value, "Pool entry")? };
+    let f = Fields {
+        kind: "Pool entry",
+        values: list(value, "Pool entry")?,
+    };
     Ok(NodeEntry {
         node: Arc::from(f.get(0, "Node", text)?),
         zone: f.maybe(1, "RackZone", text)?.unwrap_or("").to_string(),
@@ -261,7 +334,11 @@
             "SERVING" => Listed::Serving,
             "DRAINING" => Listed::Draining,
             "DELETED" => Listed::Gone,
-            other => return Err(Fault::new(format!("Pool entry Status: {other:?} is unknown"))),
+            other => {
+                return Err(Fault::new(format!(
+                    "Pool entry Status: {other:?} is unknown"
+                )));
+            }
         },
         weight: f.maybe(6, "Size", number)?.unwrap_or(1.0),
         started: f.maybe(7, "BootTime", whole)?.filter(|t| *t > 0),
--- a/adapter/src/write.rs
+++ b/adapter/src/write.rs
@@ -32,14 +32,24 @@
 
 fn order(reply: &mut String, action: &Action) {
     let done = match action {
-        Action::Send { request, node, timeout } => {
+        Action::Send {
+            request,
+            node,
+            timeout,
+        } => {
             write!(reply, "[\"Send\",{request},{},{timeout}]", quoted(node))
         }
         Action::Cancel { request, attempt } => write!(reply, "[\"Retract\",{request},{attempt}]"),
-        Action::Refuse { request, retry_after: Some(wait) } => {
+        Action::Refuse {
+            request,
+            retry_after: Some(wait),
+        } => {
             write!(reply, "[\"OverloadReply\",{request},{wait}]")
         }
-        Action::Refuse { request, retry_after: None } => write!(reply, "[\"OverloadReply\",{request},null]"),
+        Action::Refuse {
+            request,
+            retry_after: None,
+        } => write!(reply, "[\"OverloadReply\",{request},null]"),
         Action::Fail { request } => write!(reply, "[\"DropRequest\",{request}]"),
         Action::Wake(delay) => write!(reply, "[\"WakeAt\",{delay},\"wake\"]"),
         Action::Probe(node) => write!(reply, "[\"Check\",{}]", quoted(node)),
--- a/adapter/tests/wire.rs
+++ b/adapter/tests/wire.rs
@@ -16,7 +16,11 @@
         .spawn()
         .expect("the adapter starts");
     // It may stop reading at the first bad line.
-    let _ = child.stdin.take().expect("piped").write_all(lines.as_bytes());
+    let _ = child
+        .stdin
+        .take()
+        .expect("piped")
+        .write_all(lines.as_bytes());
     child.wait_with_output().expect("the adapter ends")
 }
 
@@ -27,10 +31,14 @@
 
 #[test]
 fn a_request_is_answered_and_unknown_settings_are_ignored() {
-    let pool = r#"["Pool",0,[["10.0.0.1:1","z","k",0,1,"SERVING",1,null]]],["Members",0,"restored",1]"#;
+    let pool =
+        r#"["Pool",0,[["10.0.0.1:1","z","k",0,1,"SERVING",1,null]]],["Members",0,"restored",1]"#;
     let demand = r#"["Demand",9,"a",null,null,400000,null,1,0,0]"#;
     let spawn = SPAWN.replace('\n', "");
-    let out = run(&format!("{{\"Wall\":1,\"routers\":[]}}\n{}", batch(&format!("{spawn},{pool},{demand}"))));
+    let out = run(&format!(
+        "{{\"Wall\":1,\"routers\":[]}}\n{}",
+        batch(&format!("{spawn},{pool},{demand}"))
+    ));
     let text = String::from_utf8(out.stdout).expect("text");
     assert!(out.status.success() && out.stderr.is_empty());
     assert!(text.starts_with("{\"routers\":[]}\n"), "{text}");
@@ -44,15 +52,33 @@
     let cases = [
         ("nonsense\n".to_string(), "line 1: not a batch"),
         ("[]\n".to_string(), "line 1: batch: expected an object"),
-        ("{\"routers\":[]}\n".to_string(), "Wall: expected a whole number"),
+        (
+            "{\"routers\":[]}\n".to_string(),
+            "Wall: expected a whole number",
+        ),
         (batch(r#"["Elapsed","x"]"#), "no Spawn came before it"),
         (after(r#"["Demand",9]"#), "Demand: Qos is missing"),
-        (after(r#"["Demand","x","a",null,null,4,null,1]"#), "Demand Xid: expected a whole number, got \"x\""),
-        (after(r#"["Demand",9,"b",null,null,4,null,1]"#), "\"b\" is not in the settings"),
-        (after(r#"["Members",3,"restored",1]"#), "no Pool has number 3"),
+        (
+            after(r#"["Demand","x","a",null,null,4,null,1]"#),
+            "Demand Xid: expected a whole number, got \"x\"",
+        ),
+        (
+            after(r#"["Demand",9,"b",null,null,4,null,1]"#),
+            "\"b\" is not in the settings",
+        ),
+        (
+            after(r#"["Members",3,"restored",1]"#),
+            "no Pool has number 3",
+        ),
         (after(r#"["Whatever"]"#), "message \"Whatever\" is unknown"),
-        (batch(&spawn.replace("\"MaxAttempts\":3", "")), "Spawn Facts: Limits.MaxAttempts is missing"),
-        (batch(&spawn.replace("\"Tick\":5000", "\"Tick\":true")), "Tick: expected a whole number, got true"),
+        (
+            batch(&spawn.replace("\"MaxAttempts\":3", "")),
+            "Spawn Facts: Limits.MaxAttempts is missing",
+        ),
+        (
+            batch(&spawn.replace("\"Tick\":5000", "\"Tick\":true")),
+            "Tick: expected a whole number, got true",
+        ),
     ];
     for (lines, complaint) in cases {
         let out = run(&lines);
--- a/core/src/backoff.rs
+++ b/core/src/backoff.rs
@@ -19,7 +19,12 @@
 impl Backoff {
     /// Pauses in microseconds; routers need different seeds.
     pub fn new(first: Span, longest: Span, seed: u64) -> Self {
-        Backoff { first, longest, next: first, state: seed }
+        Backoff {
+            first,
+            longest,
+            next: first,
+            state: seed,
+        }
     }
 
     /// A call failed at this time. Returns when to make the next.
--- a/core/src/core.rs
+++ b/core/src/core.rs
@@ -98,7 +98,10 @@
 
 /// Whether what ended so may have had an effect.
 fn may_have_run(ending: Ending) -> bool {
-    !matches!(ending, Ending::Overloaded | Ending::Unreachable | Ending::Void | Ending::Missed)
+    !matches!(
+        ending,
+        Ending::Overloaded | Ending::Unreachable | Ending::Void | Ending::Missed
+    )
 }
 
 /// The decisions, and the books that they are carried out by.
@@ -159,7 +162,11 @@
         self.balancer.zoning = zoning;
         if let Some(zoning) = &mut self.balancer.zoning {
             let known = self.members.values().cloned().collect();
-            let update = if self.listed { ListUpdate::Full(known) } else { ListUpdate::Restored(known) };
+            let update = if self.listed {
+                ListUpdate::Full(known)
+            } else {
+                ListUpdate::Restored(known)
+            };
             zoning.listed(now, &update);
         }
         // Requests that wait are decided anew.
@@ -195,10 +202,17 @@
         self.listed |= matches!(update, ListUpdate::Changes(_) | ListUpdate::Full(_));
         if let ListUpdate::Full(all) | ListUpdate::Restored(all) = &update {
             let named: BTreeSet<&NodeId> = all.iter().map(|entry| &entry.node).collect();
-            let absent: Vec<NodeId> = self.members.keys().filter(|id| !named.contains(id)).cloned().collect();
+            let absent: Vec<NodeId> = self
+                .members
+                .keys()
+                .filter(|id| !named.contains(id))
+                .cloned()
+                .collect();
             absent.iter().for_each(|node| self.dropped(node));
         }
-        if let ListUpdate::Changes(all) | ListUpdate::Full(all) | ListUpdate::Restored(all) = &update {
+        if let ListUpdate::Changes(all) | ListUpdate::Full(all) | ListUpdate::Restored(all) =
+            &update
+        {
             for entry in all {
                 if entry.state == Listed::Gone {
                     self.dropped(&entry.node);
@@ -213,7 +227,10 @@
 
     /// The list names a node no more. Where that closes no node, one that drained stays closed all the same.
     fn dropped(&mut self, node: &NodeId) {
-        let drained = self.members.remove(node).is_some_and(|entry| entry.state == Listed::Draining);
+        let drained = self
+            .members
+            .remove(node)
+            .is_some_and(|entry| entry.state == Listed::Draining);
         if drained && self.dropped_stay_open {
             self.dropped_draining.insert(node.clone());
             if self.dropped_draining.len() > DRAINED_MOST {
@@ -251,8 +268,14 @@
 
     /// The client has gone; nothing is owed any more.
     pub fn gone(&mut self, request: Key) {
-        if self.requests.get_mut(request).is_some_and(|r| std::mem::take(&mut r.open)) {
-            self.events.push(Event::Abandoned { request: request.number() });
+        if self
+            .requests
+            .get_mut(request)
+            .is_some_and(|r| std::mem::take(&mut r.open))
+        {
+            self.events.push(Event::Abandoned {
+                request: request.number(),
+            });
             self.closed.push(request);
             self.forget(request);
         }
@@ -263,10 +286,18 @@
     fn stop_unwritten(&mut self, now: Time) {
         for request in std::mem::take(&mut self.closed) {
             let attempts = self.requests.get(request).map_or(&[][..], |r| &r.attempts);
-            let unwritten = attempts.iter().enumerate().filter(|(_, a)| a.out() && !a.written);
+            let unwritten = attempts
+                .iter()
+                .enumerate()
+                .filter(|(_, a)| a.out() && !a.written);
             let unwritten: Vec<u32> = unwritten.map(|(number, _)| number as u32).collect();
             for number in unwritten {
-                self.stop(AttemptId { request, number }, now, Ending::Cancelled, Ending::Void);
+                self.stop(
+                    AttemptId { request, number },
+                    now,
+                    Ending::Cancelled,
+                    Ending::Void,
+                );
             }
         }
     }
@@ -274,9 +305,17 @@
     /// The client wants it ended, and has been told that it is: what is out is stopped too.
     pub fn cancel(&mut self, request: Key, now: Time) {
         self.gone(request);
-        let attempts = self.requests.get(request).map_or(0, |r| r.attempts.len() as u32);
+        let attempts = self
+            .requests
+            .get(request)
+            .map_or(0, |r| r.attempts.len() as u32);
         for number in 0..attempts {
-            self.stop(AttemptId { request, number }, now, Ending::Cancelled, Ending::Void);
+            self.stop(
+                AttemptId { request, number },
+                now,
+                Ending::Cancelled,
+                Ending::Void,
+            );
         }
     }
 
@@ -297,10 +336,13 @@
         };
         let waits = |id: AttemptId| {
             let r = self.requests.get(id.request).filter(|r| r.open);
-            r.and_then(|r| r.attempts.get(id.number as usize)).is_some_and(|a| a.out() && a.node == *node)
+            r.and_then(|r| r.attempts.get(id.number as usize))
+                .is_some_and(|a| a.out() && a.node == *node)
         };
         let fits = |id: AttemptId| {
-            waits(id) && self.may_repeat(id, now) && self.balancer.still_fits(now, id.request.number(), node)
+            waits(id)
+                && self.may_repeat(id, now)
+                && self.balancer.still_fits(now, id.request.number(), node)
         };
         listed && attempt.is_none_or(fits)
     }
@@ -308,10 +350,19 @@
     /// Whether an attempt may run beside the others of its request that may have run by now. Their window is counted from
     /// the decision on the first of them: its bytes left then, or later.
     fn may_repeat(&self, id: AttemptId, now: Time) -> bool {
-        let Some(r) = self.requests.get(id.request) else { return false };
+        let Some(r) = self.requests.get(id.request) else {
+            return false;
+        };
         let class = &self.classes[r.class];
-        let others = r.attempts.iter().enumerate().filter(|(number, _)| *number != id.number as usize);
-        let first = others.filter(|(_, a)| a.ended.is_none_or(may_have_run)).map(|(_, a)| a.sent).min();
+        let others = r
+            .attempts
+            .iter()
+            .enumerate()
+            .filter(|(number, _)| *number != id.number as usize);
+        let first = others
+            .filter(|(_, a)| a.ended.is_none_or(may_have_run))
+            .map(|(_, a)| a.sent)
+            .min();
         first.is_none_or(|first| match class.effect {
             Effect::Idempotent => true,
             Effect::Deduplicated => now < first + class.window,
@@ -321,19 +372,30 @@
 
     /// `may_begin` for an attempt at the node that it was decided for.
     pub fn still_fits(&self, id: AttemptId, now: Time) -> bool {
-        let attempt = self.requests.get(id.request).and_then(|r| r.attempts.get(id.number as usize));
+        let attempt = self
+            .requests
+            .get(id.request)
+            .and_then(|r| r.attempts.get(id.number as usize));
         attempt.is_some_and(|a| self.may_begin(Some(id), &a.node, now))
     }
 
     /// How long an attempt will be waited for from now on.
     pub fn patience(&self, id: AttemptId, now: Time) -> Span {
-        let attempt = self.requests.get(id.request).and_then(|r| r.attempts.get(id.number as usize));
+        let attempt = self
+            .requests
+            .get(id.request)
+            .and_then(|r| r.attempts.get(id.number as usize));
         attempt.map_or(0, |a| a.until.saturating_sub(now))
     }
 
     /// An attempt ended. Returns the client that its answer is to be passed on to, if it is the final one.
     pub fn ended(
-        &mut self, now: Time, id: AttemptId, ending: Ending, note: Standing, report: Standing,
+        &mut self,
+        now: Time,
+        id: AttemptId,
+        ending: Ending,
+        note: Standing,
+        report: Standing,
     ) -> Option<Key> {
         let r = self.requests.get_mut(id.request)?;
         let attempt = r.attempts.get_mut(id.number as usize).filter(|a| a.out())?;
@@ -341,7 +403,10 @@
         let elapsed = now.saturating_sub(attempt.sent);
         self.deadlines.remove(attempt.until, Due::Attempt(id));
         r.may_have_run |= may_have_run(ending);
-        let zone = self.members.get(&attempt.node).map_or("", |entry| &entry.zone);
+        let zone = self
+            .members
+            .get(&attempt.node)
+            .map_or("", |entry| &entry.zone);
         debug!(request = id.request.number(), attempt = id.number, node = %attempt.node, zone, reason = ending.word(), elapsed, "ended");
         let served = ending == Ending::Success && std::mem::take(&mut r.open);
         if served {
@@ -349,7 +414,15 @@
         }
         let (over, origin) = (!r.open, r.origin);
         let (request, attempt) = (id.request.number(), id.number);
-        self.events.push(Event::Outcome { request, attempt, ending, elapsed, over, note, report });
+        self.events.push(Event::Outcome {
+            request,
+            attempt,
+            ending,
+            elapsed,
+            over,
+            note,
+            report,
+        });
         self.forget(id.request);
         served.then_some(origin)
     }
@@ -357,7 +430,11 @@
     /// A probe ended.
     pub fn probed(&mut self, node: NodeId, answer: Option<Standing>) {
         let (answered, report) = (answer.is_some(), answer.unwrap_or_default());
-        self.events.push(Event::Probed { node, answered, report });
+        self.events.push(Event::Probed {
+            node,
+            answered,
+            report,
+        });
     }
 
     /// A deadline of the module or of an attempt fell due.
@@ -372,7 +449,13 @@
 
     /// An attempt that can't be carried out: its client has gone in this very turn.
     pub fn unsent(&mut self, id: AttemptId, now: Time) {
-        self.ended(now, id, Ending::Void, Standing::default(), Standing::default());
+        self.ended(
+            now,
+            id,
+            Ending::Void,
+            Standing::default(),
+            Standing::default(),
+        );
     }
 
     /// Whether something has come that the module has not been told.
@@ -382,10 +465,18 @@
 
     /// Ends an attempt from this side: what has not been written whole never ran.
     fn stop(&mut self, id: AttemptId, now: Time, written: Ending, unwritten: Ending) {
-        let attempt = self.requests.get(id.request).and_then(|r| r.attempts.get(id.number as usize));
-        let Some(attempt) = attempt.filter(|a| a.out()) else { return };
+        let attempt = self
+            .requests
+            .get(id.request)
+            .and_then(|r| r.attempts.get(id.number as usize));
+        let Some(attempt) = attempt.filter(|a| a.out()) else {
+            return;
+        };
         let ending = if attempt.written { written } else { unwritten };
-        self.commands.push(Command::GiveUp { attempt: id, node: attempt.node.clone() });
+        self.commands.push(Command::GiveUp {
+            attempt: id,
+            node: attempt.node.clone(),
+        });
         self.ended(now, id, ending, Standing::default(), Standing::default());
     }
 
@@ -394,7 +485,8 @@
         self.stop_unwritten(now);
         if !self.events.is_empty() {
             let mut actions = std::mem::take(&mut self.actions);
-            self.balancer.handle(now, std::mem::take(&mut self.events), &mut actions);
+            self.balancer
+                .handle(now, std::mem::take(&mut self.events), &mut actions);
             for action in actions.drain(..) {
                 self.act(action, now);
             }
@@ -406,23 +498,39 @@
 
     fn act(&mut self, action: Action, now: Time) {
         match action {
-            Action::Send { request, node, timeout } => {
-                self.send(Key::from_number(request), node, now, timeout)
-            }
+            Action::Send {
+                request,
+                node,
+                timeout,
+            } => self.send(Key::from_number(request), node, now, timeout),
             Action::Cancel { request, attempt } => {
-                let id = AttemptId { request: Key::from_number(request), number: attempt };
+                let id = AttemptId {
+                    request: Key::from_number(request),
+                    number: attempt,
+                };
                 self.stop(id, now, Ending::Cancelled, Ending::Void);
             }
-            Action::Refuse { request, retry_after } => {
+            Action::Refuse {
+                request,
+                retry_after,
+            } => {
                 self.answer(Key::from_number(request), Answer::Refused(retry_after));
             }
             Action::Fail { request } => self.answer(Key::from_number(request), Answer::Failed),
             Action::Wake(after) => self.deadlines.add(now + after, Due::Wake),
             Action::Probe(node) => self.commands.push(Command::Probe(node)),
             Action::Close(node) => self.commands.push(Command::CloseIdle(node)),
-            Action::Log(News { node, zone, reason, text }) => {
+            Action::Log(News {
+                node,
+                zone,
+                reason,
+                text,
+            }) => {
                 let zone = zone.as_deref().or(node.as_ref().map(|n| self.zone_of(n)));
-                info!(node = node.as_ref().map(tracing::field::display), zone, reason, "{text}");
+                info!(
+                    node = node.as_ref().map(tracing::field::display),
+                    zone, reason, "{text}"
+                );
             }
             // The watch is always on.
             Action::Subscribe => {}
@@ -430,32 +538,58 @@
     }
 
     fn send(&mut self, request: Key, node: NodeId, now: Time, timeout: Span) {
-        let Some(r) = self.requests.get_mut(request).filter(|r| r.open) else { return };
-        let attempt = AttemptId { request, number: r.attempts.len() as u32 };
+        let Some(r) = self.requests.get_mut(request).filter(|r| r.open) else {
+            return;
+        };
+        let attempt = AttemptId {
+            request,
+            number: r.attempts.len() as u32,
+        };
         let until = now + timeout;
-        let reason = r.attempts.last().map_or("first", |a| a.ended.map_or("second copy", Ending::word));
+        let reason = r
+            .attempts
+            .last()
+            .map_or("first", |a| a.ended.map_or("second copy", Ending::word));
         let zone = self.members.get(&node).map_or("", |entry| &entry.zone);
         let class = &self.classes[r.class].name;
         debug!(request = request.number(), attempt = attempt.number, class, %node, zone, reason, "sent");
-        r.attempts.push(Attempt { node: node.clone(), sent: now, until, written: false, ended: None });
+        r.attempts.push(Attempt {
+            node: node.clone(),
+            sent: now,
+            until,
+            written: false,
+            ended: None,
+        });
         self.deadlines.add(until, Due::Attempt(attempt));
-        self.commands.push(Command::Send { attempt, origin: r.origin, node });
+        self.commands.push(Command::Send {
+            attempt,
+            origin: r.origin,
+            node,
+        });
     }
 
     fn answer(&mut self, request: Key, answer: Answer) {
-        let Some(r) = self.requests.get_mut(request).filter(|r| r.open) else { return };
+        let Some(r) = self.requests.get_mut(request).filter(|r| r.open) else {
+            return;
+        };
         r.open = false;
         // The last guard of the rule on refusals: what may have run, and must not run twice, is never called harmless.
-        let risky = r.binds_refusals && (r.may_have_run || r.attempts.iter().any(|a| a.out() && a.written));
+        let risky =
+            r.binds_refusals && (r.may_have_run || r.attempts.iter().any(|a| a.out() && a.written));
         let answer = if risky && answer != Answer::Failed {
-            warn!(request = request.number(), "a refusal was turned into a failure: the write may have run");
+            warn!(
+                request = request.number(),
+                "a refusal was turned into a failure: the write may have run"
+            );
             Answer::Failed
         } else {
             answer
         };
         let last = r.attempts.last();
         let node = last.map(|a| tracing::field::display(&a.node));
-        let zone = last.and_then(|a| self.members.get(&a.node)).map(|entry| entry.zone.as_str());
+        let zone = last
+            .and_then(|a| self.members.get(&a.node))
+            .map(|entry| entry.zone.as_str());
         let reason = last.map_or("not placed", |a| a.ended.map_or("still out", Ending::word));
         debug!(
             request = request.number(),
@@ -467,14 +601,22 @@
             ?answer,
             "given up"
         );
-        self.commands.push(Command::Answer { request, origin: r.origin, answer });
+        self.commands.push(Command::Answer {
+            request,
+            origin: r.origin,
+            answer,
+        });
         self.closed.push(request);
         self.forget(request);
     }
 
     /// Gives a request's slot back once nothing is owed and no attempt is out.
     fn forget(&mut self, request: Key) {
-        if self.requests.get(request).is_some_and(|r| !r.open && r.attempts.iter().all(|a| !a.out())) {
+        if self
+            .requests
+            .get(request)
+            .is_some_and(|r| !r.open && r.attempts.iter().all(|a| !a.out()))
+        {
             self.requests.remove(request);
         }
     }
--- a/core/src/core/tests.rs
+++ b/core/src/core/tests.rs
@@ -24,21 +24,46 @@
         window: 0,
         stream: false,
     };
-    let mut core = Core::new(Settings { classes: vec![class], may_cancel: true, ..Settings::default() }, 1);
-    let primary =
-        NodeEntry { node: "p".into(), primary: true, group: 1, weight: 1.0, ..NodeEntry::default() };
+    let mut core = Core::new(
+        Settings {
+            classes: vec![class],
+            may_cancel: true,
+            ..Settings::default()
+        },
+        1,
+    );
+    let primary = NodeEntry {
+        node: "p".into(),
+        primary: true,
+        group: 1,
+        weight: 1.0,
+        ..NodeEntry::default()
+    };
     core.list(ListUpdate::Full(vec![primary]));
-    let demand = Demand { group: 1, left: 5_000_000, ..Demand::default() };
+    let demand = Demand {
+        group: 1,
+        left: 5_000_000,
+        ..Demand::default()
+    };
     core.request(Key::from_number(7), demand);
-    let sent = core.decide(NOW).into_iter().find_map(|command| match command {
-        Command::Send { attempt, .. } => Some(attempt),
-        _ => None,
-    });
+    let sent = core
+        .decide(NOW)
+        .into_iter()
+        .find_map(|command| match command {
+            Command::Send { attempt, .. } => Some(attempt),
+            _ => None,
+        });
     (core, sent.expect("the primary is known"))
 }
 
 fn answers(commands: &[Command]) -> Vec<Answer> {
-    let answer = |c: &Command| if let Command::Answer { answer, .. } = c { Some(*answer) } else { None };
+    let answer = |c: &Command| {
+        if let Command::Answer { answer, .. } = c {
+            Some(*answer)
+        } else {
+            None
+        }
+    };
     commands.iter().filter_map(answer).collect()
 }
 
@@ -49,7 +74,11 @@
     core.written(attempt);
     core.answer(attempt.request, Answer::Refused(None));
     core.answer(attempt.request, Answer::Failed);
-    assert_eq!(answers(&core.commands), [Answer::Failed], "one answer, and no refusal");
+    assert_eq!(
+        answers(&core.commands),
+        [Answer::Failed],
+        "one answer, and no refusal"
+    );
 }
 
 #[test]
@@ -67,7 +96,11 @@
         let (mut core, attempt) = writing_of(effect, scope);
         core.written(attempt);
         core.answer(attempt.request, Answer::Refused(None));
-        let want = if harmless { Answer::Refused(None) } else { Answer::Failed };
+        let want = if harmless {
+            Answer::Refused(None)
+        } else {
+            Answer::Failed
+        };
         assert_eq!(answers(&core.commands), [want], "{effect:?} {scope:?}");
         let (mut core, attempt) = writing_of(effect, scope);
         core.answer(attempt.request, Answer::Refused(None));
@@ -96,9 +129,16 @@
     let (mut core, attempt) = writing();
     core.written(attempt);
     core.gone(attempt.request);
-    assert_eq!((answers(&core.decide(NOW + 1)).len(), core.held()), (0, 1), "its attempt is still out");
+    assert_eq!(
+        (answers(&core.decide(NOW + 1)).len(), core.held()),
+        (0, 1),
+        "its attempt is still out"
+    );
     let said = Standing::default();
-    assert_eq!(core.ended(NOW + 2, attempt, Ending::Success, said, said), None);
+    assert_eq!(
+        core.ended(NOW + 2, attempt, Ending::Success, said, said),
+        None
+    );
     assert_eq!(core.held(), 0);
 }
 
@@ -109,7 +149,9 @@
     core.written(attempt);
     core.cancel(attempt.request, NOW + 1);
     let commands = core.decide(NOW + 1);
-    assert!(matches!(commands[..], [Command::GiveUp { attempt: stopped, .. }] if stopped == attempt));
+    assert!(
+        matches!(commands[..], [Command::GiveUp { attempt: stopped, .. }] if stopped == attempt)
+    );
     assert_eq!((answers(&core.decide(NOW + 2)).len(), core.held()), (0, 0));
 }
 
@@ -117,13 +159,22 @@
 fn what_the_list_no_longer_names_is_forgotten() {
     // Danger: each replaced node would leave something behind, and its group would be asked for in vain.
     let mut core = writing().0;
-    let listed = |state| NodeEntry { node: "r".into(), group: 2, state, ..NodeEntry::default() };
+    let listed = |state| NodeEntry {
+        node: "r".into(),
+        group: 2,
+        state,
+        ..NodeEntry::default()
+    };
     core.list(ListUpdate::Changes(vec![listed(Listed::Serving)]));
     assert!(core.knows_group(1) && core.knows_group(2));
     core.list(ListUpdate::Changes(vec![listed(Listed::Gone)]));
     assert!(core.knows_group(1) && !core.knows_group(2));
     core.list(ListUpdate::Full(vec![listed(Listed::Serving)]));
-    assert_eq!(core.members.len(), 1, "a whole list replaces what was known");
+    assert_eq!(
+        core.members.len(),
+        1,
+        "a whole list replaces what was known"
+    );
 }
 
 fn listed(node: &str, state: Listed) -> NodeEntry {
@@ -146,12 +197,24 @@
         ListUpdate::Full(vec![listed("r", Listed::Serving)]),
     ] {
         let (mut core, attempt) = writing();
-        assert!(core.may_begin(Some(attempt), &"p".into(), NOW + 1) && core.still_fits(attempt, NOW + 1));
+        assert!(
+            core.may_begin(Some(attempt), &"p".into(), NOW + 1)
+                && core.still_fits(attempt, NOW + 1)
+        );
         core.list(update.clone());
-        assert!(!core.still_fits(attempt, NOW + 1), "an attempt after {update:?}");
-        assert!(!core.may_begin(None, &"p".into(), NOW + 1), "a question after {update:?}");
+        assert!(
+            !core.still_fits(attempt, NOW + 1),
+            "an attempt after {update:?}"
+        );
+        assert!(
+            !core.may_begin(None, &"p".into(), NOW + 1),
+            "a question after {update:?}"
+        );
         core.decide(NOW + 1);
-        assert!(!core.still_fits(attempt, NOW + 2), "an attempt once the module has heard {update:?}");
+        assert!(
+            !core.still_fits(attempt, NOW + 2),
+            "an attempt once the module has heard {update:?}"
+        );
     }
 }
 
@@ -167,29 +230,53 @@
 #[test]
 fn a_new_process_is_bound_by_the_list_it_was_given_from_its_first_moment() {
     let mut core = Core::new(Settings::default(), 1);
-    core.list(ListUpdate::Restored(vec![listed("p", Listed::Draining), listed("r", Listed::Serving)]));
+    core.list(ListUpdate::Restored(vec![
+        listed("p", Listed::Draining),
+        listed("r", Listed::Serving),
+    ]));
     assert!(!core.may_begin(None, &"p".into(), NOW) && core.may_begin(None, &"r".into(), NOW));
     assert!(!core.may_begin(None, &"unknown".into(), NOW));
 }
 
 #[test]
 fn where_dropped_nodes_stay_open_only_a_drain_closes_one_and_outlives_its_entry() {
-    let settings = Settings { dropped_stay_open: true, ..Settings::default() };
+    let settings = Settings {
+        dropped_stay_open: true,
+        ..Settings::default()
+    };
     let mut core = Core::new(settings, 1);
-    core.list(ListUpdate::Full(vec![listed("p", Listed::Serving), listed("r", Listed::Serving)]));
+    core.list(ListUpdate::Full(vec![
+        listed("p", Listed::Serving),
+        listed("r", Listed::Serving),
+    ]));
     core.list(ListUpdate::Full(vec![listed("p", Listed::Draining)]));
-    assert!(core.may_begin(None, &"r".into(), NOW), "it was dropped, and never drained");
+    assert!(
+        core.may_begin(None, &"r".into(), NOW),
+        "it was dropped, and never drained"
+    );
     core.list(ListUpdate::Changes(vec![listed("p", Listed::Gone)]));
-    assert!(!core.may_begin(None, &"p".into(), NOW), "it drained before it was dropped");
+    assert!(
+        !core.may_begin(None, &"p".into(), NOW),
+        "it drained before it was dropped"
+    );
     core.decide(NOW);
-    assert!(!core.may_begin(None, &"p".into(), NOW + 1), "it drained before it was dropped");
+    assert!(
+        !core.may_begin(None, &"p".into(), NOW + 1),
+        "it drained before it was dropped"
+    );
     core.list(ListUpdate::Changes(vec![listed("p", Listed::Serving)]));
     assert!(core.may_begin(None, &"p".into(), NOW + 1));
 }
 
 /// The attempts that these commands stop.
 fn stopped(commands: &[Command]) -> Vec<AttemptId> {
-    let stop = |c: &Command| if let Command::GiveUp { attempt, .. } = c { Some(*attempt) } else { None };
+    let stop = |c: &Command| {
+        if let Command::GiveUp { attempt, .. } = c {
+            Some(*attempt)
+        } else {
+            None
+        }
+    };
     commands.iter().filter_map(stop).collect()
 }
 
@@ -198,7 +285,10 @@
     // Danger: connections come up as late as 1.5 s after the client has gone, and the request was sent on then.
     let (mut core, attempt) = writing();
     core.gone(attempt.request);
-    assert!(!core.still_fits(attempt, NOW + 1), "not even before the next decision");
+    assert!(
+        !core.still_fits(attempt, NOW + 1),
+        "not even before the next decision"
+    );
     let commands = core.decide(NOW + 1);
     assert_eq!((stopped(&commands), core.held()), (vec![attempt], 0));
     assert!(core.decide(NOW + 2).is_empty(), "it is stopped once");
@@ -212,13 +302,20 @@
         core.answer(attempt.request, answer);
         assert!(!core.still_fits(attempt, NOW + 1));
         let commands = core.decide(NOW + 1);
-        assert_eq!((answers(&commands), stopped(&commands)), (vec![answer], vec![attempt]));
+        assert_eq!(
+            (answers(&commands), stopped(&commands)),
+            (vec![answer], vec![attempt])
+        );
         assert_eq!(core.held(), 0);
     }
     let (mut core, attempt) = writing();
     core.written(attempt);
     core.answer(attempt.request, Answer::Failed);
-    assert_eq!(stopped(&core.decide(NOW + 1)), [], "what has been written whole is left to its end");
+    assert_eq!(
+        stopped(&core.decide(NOW + 1)),
+        [],
+        "what has been written whole is left to its end"
+    );
 }
 
 /// A write of this effect with a window of 300 ms, whose first attempt has been written, and a second one.
@@ -246,7 +343,16 @@
 fn an_attempt_that_never_ran_opens_no_window() {
     let (mut core, second) = repeated(Effect::Deduplicated);
     let said = Standing::default();
-    core.ended(NOW + 1, AttemptId { number: 0, ..second }, Ending::Unreachable, said, said);
+    core.ended(
+        NOW + 1,
+        AttemptId {
+            number: 0,
+            ..second
+        },
+        Ending::Unreachable,
+        said,
+        said,
+    );
     assert!(core.still_fits(second, NOW + 300_000));
 }
 
@@ -254,8 +360,17 @@
 fn an_answer_stops_the_copy_that_has_not_left() {
     let (mut core, second) = repeated(Effect::Idempotent);
     let said = Standing::default();
-    let first = AttemptId { number: 0, ..second };
-    assert!(core.ended(NOW + 200_000, first, Ending::Success, said, said).is_some());
+    let first = AttemptId {
+        number: 0,
+        ..second
+    };
+    assert!(
+        core.ended(NOW + 200_000, first, Ending::Success, said, said)
+            .is_some()
+    );
     assert!(!core.still_fits(second, NOW + 200_001));
-    assert_eq!((stopped(&core.decide(NOW + 200_001)), core.held()), (vec![second], 0));
+    assert_eq!(
+        (stopped(&core.decide(NOW + 200_001)), core.held()),
+        (vec![second], 0)
+    );
 }
--- a/core/src/table.rs
+++ b/core/src/table.rs
@@ -32,7 +32,10 @@
 
 impl<T> Default for Table<T> {
     fn default() -> Self {
-        Table { slots: Slab::new(), serial: 0 }
+        Table {
+            slots: Slab::new(),
+            serial: 0,
+        }
     }
 }
 
@@ -58,12 +61,18 @@
 
     /// The entry, while it is there.
     pub fn get(&self, key: Key) -> Option<&T> {
-        self.slots.get(key.slot()).filter(|(k, _)| *k == key).map(|(_, entry)| entry)
+        self.slots
+            .get(key.slot())
+            .filter(|(k, _)| *k == key)
+            .map(|(_, entry)| entry)
     }
 
     /// The entry, to be changed.
     pub fn get_mut(&mut self, key: Key) -> Option<&mut T> {
-        self.slots.get_mut(key.slot()).filter(|(k, _)| *k == key).map(|(_, entry)| entry)
+        self.slots
+            .get_mut(key.slot())
+            .filter(|(k, _)| *k == key)
+            .map(|(_, entry)| entry)
     }
 
     /// Takes the entry out.
@@ -95,6 +104,9 @@
         assert_eq!(table.remove(old), Some("old"));
         let Ok(new) = table.insert_with(|_| Ok::<_, std::convert::Infallible>("new"));
         assert_eq!(old.slot(), new.slot());
-        assert_eq!((table.get(old).copied(), table.remove(old), table.get(new)), (None, None, Some(&"new")));
+        assert_eq!(
+            (table.get(old).copied(), table.remove(old), table.get(new)),
+            (None, None, Some(&"new"))
+        );
     }
 }
--- a/core/src/watch_schedule.rs
+++ b/core/src/watch_schedule.rs
@@ -122,7 +122,11 @@
         // News comes to all watches at one moment. Danger: their next calls would end together, too, over and over.
         let drawn = whole - self.backoff.below(whole / JITTER);
         // Connecting has had its part; what it took is no part of the draw, so that equal seeds give equal waits.
-        let wait = if news { drawn.min(end.saturating_sub(now).saturating_sub(patience)) } else { 0 };
+        let wait = if news {
+            drawn.min(end.saturating_sub(now).saturating_sub(patience))
+        } else {
+            0
+        };
         (self.called, self.waits) = (now, wait);
         (wait, end.min(now + wait + patience))
     }
@@ -147,7 +151,11 @@
         }
         self.spoilt = false;
         self.backoff.answered();
-        if news || took >= self.waits / 2 { now } else { now + FOLLOWS.min(self.rest) }
+        if news || took >= self.waits / 2 {
+            now
+        } else {
+            now + FOLLOWS.min(self.rest)
+        }
     }
 
     /// No answer came in time. Returns when to call again.
@@ -160,13 +168,18 @@
     /// The answer was spoilt, or none to be followed. Returns when to call again: at once, since news may stand in it.
     pub fn spoilt(&mut self, now: Time) -> Time {
         // Danger: a service that has nothing else to say would be called without end.
-        if std::mem::replace(&mut self.spoilt, true) { self.failed(now) } else { now }
+        if std::mem::replace(&mut self.spoilt, true) {
+            self.failed(now)
+        } else {
+            now
+        }
     }
 
     /// The connection did not come up, or broke, or the call was refused. Returns when to call again.
     pub fn failed(&mut self, now: Time) -> Time {
         self.connecting = false;
-        self.backoff.failed_within(now, (self.began + self.turn).saturating_sub(now))
+        self.backoff
+            .failed_within(now, (self.began + self.turn).saturating_sub(now))
     }
 
     /// The next call goes to another service, or to one that is said to be well: what failed before counts no more. Returns
@@ -175,6 +188,9 @@
         (self.late, self.connecting, self.spoilt) = (0, false, false);
         self.backoff.answered();
         // Danger: all routers are told in one instant, and would call a service that they share in it.
-        now + self.backoff.below(self.spread).min((self.began + self.turn).saturating_sub(now))
+        now + self
+            .backoff
+            .below(self.spread)
+            .min((self.began + self.turn).saturating_sub(now))
     }
 }
--- a/core/tests/backoff.rs
+++ b/core/tests/backoff.rs
@@ -10,7 +10,10 @@
     let mut backoff = Backoff::new(S, 8 * S, 7);
     for (longest, round) in [S, 2 * S, 4 * S, 8 * S, 8 * S, 8 * S].into_iter().zip(0..) {
         let pause = backoff.failed(100 * S) - 100 * S;
-        assert!((longest / 2..=longest).contains(&pause), "failure {round}: {pause} us");
+        assert!(
+            (longest / 2..=longest).contains(&pause),
+            "failure {round}: {pause} us"
+        );
     }
     backoff.answered();
     assert!(backoff.failed(0) <= S);
@@ -26,8 +29,15 @@
         backoff.failed_within(7, S / 2) - 7
     };
     let (least, most) = ((0..300).map(pause).min(), (0..300).map(pause).max());
-    assert!(least >= Some(S / 4) && most <= Some(S / 2), "{least:?} to {most:?}");
-    assert!(most.zip(least).is_some_and(|(most, least)| most - least > S / 5), "{least:?} to {most:?}");
+    assert!(
+        least >= Some(S / 4) && most <= Some(S / 2),
+        "{least:?} to {most:?}"
+    );
+    assert!(
+        most.zip(least)
+            .is_some_and(|(most, least)| most - least > S / 5),
+        "{least:?} to {most:?}"
+    );
     assert_eq!(Backoff::new(S, S, 1).failed_within(9, 0), 9);
 }
 
@@ -45,5 +55,8 @@
     }
     assert!(calls[1..4].iter().all(|n| *n <= 300), "{calls:?}");
     let settled = &calls[20..];
-    assert!(settled.iter().all(|n| (25..=90).contains(n)), "50 a second, give or take: {settled:?}");
+    assert!(
+        settled.iter().all(|n| (25..=90).contains(n)),
+        "50 a second, give or take: {settled:?}"
+    );
 }
--- a/core/tests/watch_schedule.rs
+++ b/core/tests/watch_schedule.rs
@@ -20,14 +20,18 @@
         assert!(until <= 5 * S);
         let (_, until) = schedule.call(1_000, true);
         let again = schedule.silent(until);
-        assert!(again <= 5 * S + 1_000, "seed {seed}: called again at {again}");
+        assert!(
+            again <= 5 * S + 1_000,
+            "seed {seed}: called again at {again}"
+        );
     }
 }
 
 #[test]
 fn patience_grows_while_answers_are_late_and_shrinks_when_they_are_prompt_again() {
     // Waits of up to 20 s, which late answers led to, were past the clock: patience grows in the place of waits now.
-    let (mut schedule, mut now, mut patience) = (WatchSchedule::new(Lists::Asked, 1), 0, Vec::new());
+    let (mut schedule, mut now, mut patience) =
+        (WatchSchedule::new(Lists::Asked, 1), 0, Vec::new());
     for late in [0, 0, S, S, S, S, 0, 0, 0, 0, 0, 0, 0] {
         let (wait, until) = schedule.call(now, true);
         patience.push((until - now - wait) / MS);
@@ -36,7 +40,10 @@
         schedule.answered(now, false);
     }
     assert!(patience[..3].iter().all(|p| *p <= 1_500), "{patience:?}");
-    assert!(patience[6] >= 1_800 && patience[12] <= 1_500, "{patience:?}");
+    assert!(
+        patience[6] >= 1_800 && patience[12] <= 1_500,
+        "{patience:?}"
+    );
 }
 
 #[test]
@@ -48,21 +55,31 @@
         schedule.failed(0)
     };
     let pauses = [refused(), refused(), refused(), refused()];
-    assert!(pauses[0] <= S && pauses[3] > 5 * S / 2 && pauses[3] <= 5 * S, "{pauses:?}");
+    assert!(
+        pauses[0] <= S && pauses[3] > 5 * S / 2 && pauses[3] <= 5 * S,
+        "{pauses:?}"
+    );
     let mut schedule = WatchSchedule::new(Lists::Asked, 2);
     let mut patience = || {
         let (wait, until) = schedule.call(0, true);
         schedule.silent(until);
         until - wait
     };
-    assert_eq!([patience(), patience(), patience()], [1_500 * MS, 3_000 * MS, 3_375 * MS]);
+    assert_eq!(
+        [patience(), patience(), patience()],
+        [1_500 * MS, 3_000 * MS, 3_375 * MS]
+    );
 }
 
 #[test]
 fn calls_of_many_routers_do_not_end_together() {
     let ends = |seed| WatchSchedule::new(Lists::Asked, seed).call(0, true).0;
     let (least, most) = ((0..300).map(ends).min(), (0..300).map(ends).max());
-    assert!(most.zip(least).is_some_and(|(most, least)| most - least > 400_000), "{least:?} to {most:?}");
+    assert!(
+        most.zip(least)
+            .is_some_and(|(most, least)| most - least > 400_000),
+        "{least:?} to {most:?}"
+    );
 }
 
 #[test]
@@ -75,7 +92,11 @@
         for _ in 0..50 {
             schedule.call(now, false);
             let next = schedule.spoilt(now + 10);
-            assert!(next >= now + 50 * MS, "{lists:?}: again after {} us", next - now);
+            assert!(
+                next >= now + 50 * MS,
+                "{lists:?}: again after {} us",
+                next - now
+            );
             now = next;
         }
         schedule.call(now, false);
@@ -94,20 +115,33 @@
         // 200 ms are what a watch allows for.
         assert!((50 * MS..200 * MS).contains(&next), "{lists:?}: {next}");
         schedule.call(next, true);
-        assert_eq!(schedule.answered(next + 10, true), next + 10, "news is followed at once");
+        assert_eq!(
+            schedule.answered(next + 10, true),
+            next + 10,
+            "news is followed at once"
+        );
     }
 }
 
 #[test]
 fn a_connection_that_comes_up_late_does_not_prolong_the_turn() {
-    for (lists, turn) in [(Lists::Asked, 5 * S), (Lists::Pushed { grace: 800 * MS }, 700 * MS)] {
+    for (lists, turn) in [
+        (Lists::Asked, 5 * S),
+        (Lists::Pushed { grace: 800 * MS }, 700 * MS),
+    ] {
         for seed in 0..200 {
             let mut schedule = WatchSchedule::new(lists, seed);
             let up = schedule.connect(0);
-            assert!(up <= turn / 4, "{lists:?}: a connection is waited for up to {up}");
+            assert!(
+                up <= turn / 4,
+                "{lists:?}: a connection is waited for up to {up}"
+            );
             let (_, until) = schedule.call(up, true);
             let again = schedule.silent(until);
-            assert!(again <= turn, "{lists:?}, seed {seed}: called again at {again}");
+            assert!(
+                again <= turn,
+                "{lists:?}, seed {seed}: called again at {again}"
+            );
         }
     }
 }
@@ -157,7 +191,11 @@
         schedule.connect(first);
         let (_, until) = schedule.call(first + 50 * MS, false);
         let again = schedule.silent(until);
-        assert!(again + 500 * MS <= now + MOVED, "the second call comes {} us after the move", again - now);
+        assert!(
+            again + 500 * MS <= now + MOVED,
+            "the second call comes {} us after the move",
+            again - now
+        );
     }
     println!("{:?}", &calls[..10]);
     assert!(calls.iter().all(|n| *n <= ROUTERS / 3), "{calls:?}");
@@ -170,7 +208,11 @@
         schedule.connect(7 * S);
         schedule.call(7 * S, true);
         let next = schedule.moved(12 * S - 100 * MS);
-        assert!(next <= 12 * S, "seed {seed}: called {} us after the last call", next - 7 * S);
+        assert!(
+            next <= 12 * S,
+            "seed {seed}: called {} us after the last call",
+            next - 7 * S
+        );
         assert_eq!(schedule.moved(13 * S), 13 * S, "the turn is over");
         for grace in GRACES {
             let mut schedule = WatchSchedule::new(Lists::Pushed { grace }, seed);
@@ -237,7 +279,13 @@
 
 /// Plays one router against drawn weather. For each change: from when on discovery had it and could be reached for longer
 /// than it may take, and when the router knew it.
-fn play(lists: Lists, seed: u64, near: &Near, within: Span, end: Time) -> Vec<(Time, Option<Time>)> {
+fn play(
+    lists: Lists,
+    seed: u64,
+    near: &Near,
+    within: Span,
+    end: Time,
+) -> Vec<(Time, Option<Time>)> {
     let mut dice = Dice(seed * 2 + 1);
     // Spans of weather, fine ones between others; the last lasts to the end.
     let (mut spans, mut at) = (vec![], 0);
@@ -251,13 +299,23 @@
         at += dice.between(20 * MS, 9 * S);
     }
     spans.push((at, Weather::Fine));
-    let weather =
-        |now: Time| spans.iter().rev().find(|(from, _)| *from <= now).map_or(Weather::Fine, |w| w.1);
+    let weather = |now: Time| {
+        spans
+            .iter()
+            .rev()
+            .find(|(from, _)| *from <= now)
+            .map_or(Weather::Fine, |w| w.1)
+    };
     // Calls that are out when fine weather begins may be answered then, or have fallen silent for good.
     let fine_until = |now: Time| {
-        spans.iter().find(|(from, kind)| *from > now && *kind != Weather::Fine).map_or(end, |w| w.0)
+        spans
+            .iter()
+            .find(|(from, kind)| *from > now && *kind != Weather::Fine)
+            .map_or(end, |w| w.0)
     };
-    let mut changes: Vec<Time> = (0..dice.between(3, 12)).map(|_| dice.under(end - 10 * S)).collect();
+    let mut changes: Vec<Time> = (0..dice.between(3, 12))
+        .map(|_| dice.under(end - 10 * S))
+        .collect();
     changes.sort_unstable();
     let version = |now: Time| changes.iter().filter(|c| **c <= now).count();
     let mut heard: Vec<(usize, Time)> = vec![(0, 0)];
@@ -292,7 +350,9 @@
         if came != Weather::Fine || matches!(weather(begun), Weather::Silent | Weather::Late) {
             connected = false;
             now = match came {
-                Weather::Overbooked | Weather::Refuses => schedule.failed(now + dice.between(1, near.answer)),
+                Weather::Overbooked | Weather::Refuses => {
+                    schedule.failed(now + dice.between(1, near.answer))
+                }
                 Weather::Breaks => schedule.failed(dice.between(now, until)),
                 Weather::Spoils => {
                     whole = true;
@@ -303,8 +363,17 @@
             continue;
         }
         // In fine weather: news at once, or when it comes, or nothing when the wait is over.
-        let next = changes.iter().copied().find(|c| *c > now).unwrap_or(end).min(now + wait);
-        let told = if whole || version(now) > known { now } else { next };
+        let next = changes
+            .iter()
+            .copied()
+            .find(|c| *c > now)
+            .unwrap_or(end)
+            .min(now + wait);
+        let told = if whole || version(now) > known {
+            now
+        } else {
+            next
+        };
         let ends = fine_until(now);
         if told >= ends {
             // The weather changes under the watch.
@@ -334,8 +403,14 @@
     }
     for (number, change) in changes.iter().enumerate() {
         // From when on it could be reached, up to when the router knew it: the last time that it became fine by then.
-        let knew = heard.iter().find(|(version, _)| *version > number).map(|h| h.1);
-        let fine = spans.iter().enumerate().filter(|(_, (_, kind))| *kind == Weather::Fine);
+        let knew = heard
+            .iter()
+            .find(|(version, _)| *version > number)
+            .map(|h| h.1);
+        let fine = spans
+            .iter()
+            .enumerate()
+            .filter(|(_, (_, kind))| *kind == Weather::Fine);
         let mut due = None;
         for (place, (from, _)) in fine {
             let from = (*from).max(*change);
@@ -357,7 +432,10 @@
     for seed in 0..4_000 {
         for (due, knew) in play(lists, seed, near, within, 90 * S) {
             let late = knew.map_or(Span::MAX, |knew| knew.saturating_sub(due));
-            assert!(late <= within, "{lists:?}, seed {seed}: due from {due}, known {late} us later");
+            assert!(
+                late <= within,
+                "{lists:?}, seed {seed}: due from {due}, known {late} us later"
+            );
             (judged, worst) = (judged + 1, worst.max(late));
         }
     }
@@ -368,22 +446,43 @@
 #[test]
 fn whatever_failed_before_a_change_is_known_within_the_clock_where_lists_are_asked_for() {
     // Of the second that is left for it, connecting takes up to 400 ms and an answer up to 500.
-    holds(Lists::Asked, &Near { up: 400 * MS, answer: 500 * MS, kinds: &ALL }, TOLD);
+    holds(
+        Lists::Asked,
+        &Near {
+            up: 400 * MS,
+            answer: 500 * MS,
+            kinds: &ALL,
+        },
+        TOLD,
+    );
 }
 
 #[test]
 fn whatever_failed_before_a_change_is_known_within_the_grace_where_lists_are_pushed() {
     // Also where the call that is out has fallen silent. On the router's own machine all is quick.
     for grace in GRACES {
-        holds(Lists::Pushed { grace }, &Near { up: 5 * MS, answer: 20 * MS, kinds: &ALL }, grace);
+        holds(
+            Lists::Pushed { grace },
+            &Near {
+                up: 5 * MS,
+                answer: 20 * MS,
+                kinds: &ALL,
+            },
+            grace,
+        );
     }
 }
 
 #[test]
-fn after_a_failure_that_shows_a_change_is_known_within_a_quarter_of_the_grace_where_lists_are_pushed() {
+fn after_a_failure_that_shows_a_change_is_known_within_a_quarter_of_the_grace_where_lists_are_pushed()
+ {
     const SHOWN: [Weather; 3] = [Weather::Refuses, Weather::Overbooked, Weather::Spoils];
     for grace in GRACES {
-        let near = Near { up: 2 * MS, answer: 10 * MS, kinds: &SHOWN };
+        let near = Near {
+            up: 2 * MS,
+            answer: 10 * MS,
+            kinds: &SHOWN,
+        };
         holds(Lists::Pushed { grace }, &near, grace / 4);
     }
 }
@@ -407,15 +506,29 @@
     let seconds: Vec<u64> = calls.windows(10).map(|w| w.iter().sum()).collect();
     let worst = seconds.iter().copied().max().unwrap_or(0);
     let settled = &seconds[200..];
-    println!("worst {worst} a second, settled {:?} to {:?}", settled.iter().min(), settled.iter().max());
+    println!(
+        "worst {worst} a second, settled {:?} to {:?}",
+        settled.iter().min(),
+        settled.iter().max()
+    );
     assert!(worst <= 2 * ROUTERS, "{seconds:?}");
-    assert!(settled.iter().all(|n| (ROUTERS / 6..=ROUTERS * 2 / 5).contains(n)), "{settled:?}");
+    assert!(
+        settled
+            .iter()
+            .all(|n| (ROUTERS / 6..=ROUTERS * 2 / 5).contains(n)),
+        "{settled:?}"
+    );
     // Broken in one instant, they don't come back in one: no tenth of a second sees more than a third of them.
-    assert!(calls.iter().all(|n| *n <= ROUTERS / 3), "{:?}", &calls[..40]);
+    assert!(
+        calls.iter().all(|n| *n <= ROUTERS / 3),
+        "{:?}",
+        &calls[..40]
+    );
 }
 
 #[test]
-fn where_lists_are_pushed_a_silent_agent_is_called_again_before_the_grace_is_over_and_not_without_end() {
+fn where_lists_are_pushed_a_silent_agent_is_called_again_before_the_grace_is_over_and_not_without_end()
+ {
     for grace in [0, 1, 500 * MS, S, 1_500 * MS, 3_600 * S] {
         let mut schedule = WatchSchedule::new(Lists::Pushed { grace }, 6);
         let mut now = 0;
--- a/dialect/src/cancel.rs
+++ b/dialect/src/cancel.rs
@@ -30,7 +30,10 @@
 impl<S: Copy> Keys<S> {
     /// No keys.
     pub fn new() -> Self {
-        Keys { out: HashMap::new(), last: 0 }
+        Keys {
+            out: HashMap::new(),
+            last: 0,
+        }
     }
 
     /// A key for a session. `random` is as many random bytes as the longest secret has.
@@ -45,7 +48,10 @@
         let length = if version >= Version::V32 { 32 } else { 4 };
         let secret = random[..length].to_vec();
         self.out.insert(self.last, (secret.clone(), session));
-        CancelKey { id: self.last, secret }
+        CancelKey {
+            id: self.last,
+            secret,
+        }
     }
 
     /// The session that a key belongs to. A wrong one takes as long as a right one.
@@ -84,7 +90,13 @@
         for secret in [vec![], vec![7; 3], vec![7; 5], vec![8; 4]] {
             assert_eq!(keys.find(&CancelKey { id: old.id, secret }), None);
         }
-        assert_eq!(keys.find(&CancelKey { id: new.id, secret: old.secret.clone() }), None);
+        assert_eq!(
+            keys.find(&CancelKey {
+                id: new.id,
+                secret: old.secret.clone()
+            }),
+            None
+        );
         keys.withdraw(old.id);
         assert_eq!((keys.find(&old), keys.len()), (None, 1));
         assert_eq!(format!("{new:?}"), "CancelKey(2)", "no secret in a log");
@@ -92,8 +104,13 @@
 
     #[test]
     fn numbers_are_used_again_only_when_they_are_free() {
-        let mut keys = Keys { out: HashMap::new(), last: i32::MAX as u32 - 1 };
-        let ids: Vec<u32> = (0..3).map(|n| keys.issue(n, Version::V30, [1; 32]).id).collect();
+        let mut keys = Keys {
+            out: HashMap::new(),
+            last: i32::MAX as u32 - 1,
+        };
+        let ids: Vec<u32> = (0..3)
+            .map(|n| keys.issue(n, Version::V30, [1; 32]).id)
+            .collect();
         assert_eq!(ids, [i32::MAX as u32, 1, 2]);
         keys.last = 0;
         assert_eq!(keys.issue(3, Version::V30, [1; 32]).id, 3);
--- a/dialect/src/catalogue.rs
+++ b/dialect/src/catalogue.rs
@@ -68,10 +68,21 @@
 const ALL: &[Version] = &[Version::V2, Version::V30, Version::V32];
 
 const fn of(
-    side: Side, tag: u8, name: &'static str, versions: &'static [Version], treatment: Treatment,
+    side: Side,
+    tag: u8,
+    name: &'static str,
+    versions: &'static [Version],
+    treatment: Treatment,
     why: &'static str,
 ) -> Entry {
-    Entry { side, tag: if tag == 0 { None } else { Some(tag) }, name, versions, treatment, why }
+    Entry {
+        side,
+        tag: if tag == 0 { None } else { Some(tag) },
+        name,
+        versions,
+        treatment,
+        why,
+    }
 }
 
 /// The catalogue.
@@ -92,8 +103,22 @@
         Answer,
         "the session ends at the router; texts of fixed width, without options",
     ),
-    of(Client, 0, "SSLRequest", ALL, Answer, "N: no encryption on this listener"),
-    of(Client, 0, "GSSENCRequest", V3, Answer, "N: no encryption on this listener"),
+    of(
+        Client,
+        0,
+        "SSLRequest",
+        ALL,
+        Answer,
+        "N: no encryption on this listener",
+    ),
+    of(
+        Client,
+        0,
+        "GSSENCRequest",
+        V3,
+        Answer,
+        "N: no encryption on this listener",
+    ),
     of(
         Client,
         0,
@@ -102,12 +127,54 @@
         Answer,
         "the key is the router's own; the request under way is ended, and its server asked to stop",
     ),
-    of(Client, b'p', "PasswordMessage", V3, Answer, "checked against the verifiers; no server ever sees it"),
-    of(Client, 0, "PasswordPacket", V2, Answer, "checked against the verifiers; no server ever sees it"),
-    of(Client, b'p', "SASLInitialResponse", V3, Answer, "SCRAM-SHA-256 ends at the router"),
-    of(Client, b'p', "SASLResponse", V3, Answer, "SCRAM-SHA-256 ends at the router"),
-    of(Client, b'p', "GSSResponse", V3, Refuse, "GSSAPI is never asked for"),
-    of(Client, b'Q', "Query", ALL, Rewrite, "labels go in front, then it is a request like any other"),
+    of(
+        Client,
+        b'p',
+        "PasswordMessage",
+        V3,
+        Answer,
+        "checked against the verifiers; no server ever sees it",
+    ),
+    of(
+        Client,
+        0,
+        "PasswordPacket",
+        V2,
+        Answer,
+        "checked against the verifiers; no server ever sees it",
+    ),
+    of(
+        Client,
+        b'p',
+        "SASLInitialResponse",
+        V3,
+        Answer,
+        "SCRAM-SHA-256 ends at the router",
+    ),
+    of(
+        Client,
+        b'p',
+        "SASLResponse",
+        V3,
+        Answer,
+        "SCRAM-SHA-256 ends at the router",
+    ),
+    of(
+        Client,
+        b'p',
+        "GSSResponse",
+        V3,
+        Refuse,
+        "GSSAPI is never asked for",
+    ),
+    of(
+        Client,
+        b'Q',
+        "Query",
+        ALL,
+        Rewrite,
+        "labels go in front, then it is a request like any other",
+    ),
     of(
         Client,
         b'F',
@@ -116,13 +183,62 @@
         Refuse,
         "nothing says whether a function writes; 0A000, and the session stays",
     ),
-    of(Client, b'P', "Parse", V3, Refuse, "extended queries: 0A000, and all up to Sync is skipped"),
-    of(Client, b'B', "Bind", V3, Refuse, "extended queries: 0A000, and all up to Sync is skipped"),
-    of(Client, b'D', "Describe", V3, Refuse, "extended queries: 0A000, and all up to Sync is skipped"),
-    of(Client, b'E', "Execute", V3, Refuse, "extended queries: 0A000, and all up to Sync is skipped"),
-    of(Client, b'C', "Close", V3, Refuse, "extended queries: 0A000, and all up to Sync is skipped"),
-    of(Client, b'H', "Flush", V3, Refuse, "extended queries: 0A000, and all up to Sync is skipped"),
-    of(Client, b'S', "Sync", V3, Answer, "ReadyForQuery ends the skipping"),
+    of(
+        Client,
+        b'P',
+        "Parse",
+        V3,
+        Refuse,
+        "extended queries: 0A000, and all up to Sync is skipped",
+    ),
+    of(
+        Client,
+        b'B',
+        "Bind",
+        V3,
+        Refuse,
+        "extended queries: 0A000, and all up to Sync is skipped",
+    ),
+    of(
+        Client,
+        b'D',
+        "Describe",
+        V3,
+        Refuse,
+        "extended queries: 0A000, and all up to Sync is skipped",
+    ),
+    of(
+        Client,
+        b'E',
+        "Execute",
+        V3,
+        Refuse,
+        "extended queries: 0A000, and all up to Sync is skipped",
+    ),
+    of(
+        Client,
+        b'C',
+        "Close",
+        V3,
+        Refuse,
+        "extended queries: 0A000, and all up to Sync is skipped",
+    ),
+    of(
+        Client,
+        b'H',
+        "Flush",
+        V3,
+        Refuse,
+        "extended queries: 0A000, and all up to Sync is skipped",
+    ),
+    of(
+        Client,
+        b'S',
+        "Sync",
+        V3,
+        Answer,
+        "ReadyForQuery ends the skipping",
+    ),
     of(
         Client,
         b'd',
@@ -133,8 +249,22 @@
     ),
     of(Client, b'c', "CopyDone", V3, Absorb, "see CopyData"),
     of(Client, b'f', "CopyFail", V3, Absorb, "see CopyData"),
-    of(Client, b'X', "Terminate", ALL, Answer, "the session ends; pooled connections to servers stay"),
-    of(Server, b'R', "AuthenticationOk", V3, Absorb, "the router's own login"),
+    of(
+        Client,
+        b'X',
+        "Terminate",
+        ALL,
+        Answer,
+        "the session ends; pooled connections to servers stay",
+    ),
+    of(
+        Server,
+        b'R',
+        "AuthenticationOk",
+        V3,
+        Absorb,
+        "the router's own login",
+    ),
     of(
         Server,
         b'R',
@@ -143,8 +273,22 @@
         Refuse,
         "the connection ends, and the log names what both sides can do",
     ),
-    of(Server, b'R', "AuthenticationCleartextPassword", V3, Absorb, "the router's own login"),
-    of(Server, b'R', "AuthenticationMD5Password", V3, Absorb, "the router's own login"),
+    of(
+        Server,
+        b'R',
+        "AuthenticationCleartextPassword",
+        V3,
+        Absorb,
+        "the router's own login",
+    ),
+    of(
+        Server,
+        b'R',
+        "AuthenticationMD5Password",
+        V3,
+        Absorb,
+        "the router's own login",
+    ),
     of(
         Server,
         b'R',
@@ -153,7 +297,14 @@
         Refuse,
         "the connection ends, and the log names what both sides can do",
     ),
-    of(Server, b'R', "AuthenticationGSSContinue", V3, Refuse, "GSSAPI is never begun"),
+    of(
+        Server,
+        b'R',
+        "AuthenticationGSSContinue",
+        V3,
+        Refuse,
+        "GSSAPI is never begun",
+    ),
     of(
         Server,
         b'R',
@@ -170,7 +321,14 @@
         Absorb,
         "the router's own login, where SCRAM-SHA-256 is among the methods",
     ),
-    of(Server, b'R', "AuthenticationSASLContinue", V3, Absorb, "the router's own login"),
+    of(
+        Server,
+        b'R',
+        "AuthenticationSASLContinue",
+        V3,
+        Absorb,
+        "the router's own login",
+    ),
     of(
         Server,
         b'R',
@@ -203,7 +361,14 @@
         Absorb,
         "a pooled connection's settings are no client's; each client was told its own at the start",
     ),
-    of(Server, b'T', "RowDescription", V3, Rewrite, "2.0 has neither table, column number nor format"),
+    of(
+        Server,
+        b'T',
+        "RowDescription",
+        V3,
+        Rewrite,
+        "2.0 has neither table, column number nor format",
+    ),
     of(
         Server,
         b'D',
@@ -212,8 +377,22 @@
         Rewrite,
         "2.0 marks NULL in a bitmap; bytea and dates are written as the client's settings say",
     ),
-    of(Server, b'C', "CommandComplete", V3, Rewrite, "2.0 knows SELECT and FETCH without a count"),
-    of(Server, b'I', "EmptyQueryResponse", V3, Pass, "2.0 has an empty text with it"),
+    of(
+        Server,
+        b'C',
+        "CommandComplete",
+        V3,
+        Rewrite,
+        "2.0 knows SELECT and FETCH without a count",
+    ),
+    of(
+        Server,
+        b'I',
+        "EmptyQueryResponse",
+        V3,
+        Pass,
+        "2.0 has an empty text with it",
+    ),
     of(
         Server,
         b'E',
@@ -222,7 +401,14 @@
         Rewrite,
         "2.0 has one text; fields that 3.0 did not have are left out",
     ),
-    of(Server, b'N', "NoticeResponse", V3, Rewrite, "as ErrorResponse; it is no part of the outcome"),
+    of(
+        Server,
+        b'N',
+        "NoticeResponse",
+        V3,
+        Rewrite,
+        "as ErrorResponse; it is no part of the outcome",
+    ),
     of(
         Server,
         b'A',
@@ -255,10 +441,31 @@
         Pass,
         "2.0 sends bare lines; held whole, and bounded, like any answer",
     ),
-    of(Server, b'W', "CopyBothResponse", V3, Refuse, "replication is no request; the attempt fails"),
+    of(
+        Server,
+        b'W',
+        "CopyBothResponse",
+        V3,
+        Refuse,
+        "replication is no request; the attempt fails",
+    ),
     of(Server, b'd', "CopyData", V3, Pass, "within a copy out only"),
-    of(Server, b'c', "CopyDone", V3, Pass, "within a copy out only; 2.0 ends with a line of its own"),
-    of(Server, b'V', "FunctionCallResponse", V3, Refuse, "no function is ever called; the attempt fails"),
+    of(
+        Server,
+        b'c',
+        "CopyDone",
+        V3,
+        Pass,
+        "within a copy out only; 2.0 ends with a line of its own",
+    ),
+    of(
+        Server,
+        b'V',
+        "FunctionCallResponse",
+        V3,
+        Refuse,
+        "no function is ever called; the attempt fails",
+    ),
     of(
         Server,
         b'1',
@@ -267,11 +474,39 @@
         Refuse,
         "answers an extended query, and none was asked; the attempt fails",
     ),
-    of(Server, b'2', "BindComplete", V3, Refuse, "see ParseComplete"),
-    of(Server, b'3', "CloseComplete", V3, Refuse, "see ParseComplete"),
+    of(
+        Server,
+        b'2',
+        "BindComplete",
+        V3,
+        Refuse,
+        "see ParseComplete",
+    ),
+    of(
+        Server,
+        b'3',
+        "CloseComplete",
+        V3,
+        Refuse,
+        "see ParseComplete",
+    ),
     of(Server, b'n', "NoData", V3, Refuse, "see ParseComplete"),
-    of(Server, b's', "PortalSuspended", V3, Refuse, "see ParseComplete"),
-    of(Server, b't', "ParameterDescription", V3, Refuse, "see ParseComplete"),
+    of(
+        Server,
+        b's',
+        "PortalSuspended",
+        V3,
+        Refuse,
+        "see ParseComplete",
+    ),
+    of(
+        Server,
+        b't',
+        "ParameterDescription",
+        V3,
+        Refuse,
+        "see ParseComplete",
+    ),
 ];
 
 /// What is done with a message that is not in the catalogue.
@@ -280,7 +515,9 @@
 
 /// The entries for a tag.
 pub fn find(side: Side, tag: u8, version: Version) -> impl Iterator<Item = &'static Entry> {
-    ENTRIES.iter().filter(move |e| e.side == side && e.tag == Some(tag) && e.versions.contains(&version))
+    ENTRIES
+        .iter()
+        .filter(move |e| e.side == side && e.tag == Some(tag) && e.versions.contains(&version))
 }
 
 /// The table for the operators' page.
@@ -289,8 +526,14 @@
         "| from | message | versions | what becomes of it | why |\n| --- | --- | --- | --- | --- |\n",
     );
     for entry in ENTRIES {
-        let from = if entry.side == Client { "client" } else { "server" };
-        let tag = entry.tag.map_or(String::new(), |tag| format!(" `{}`", tag as char));
+        let from = if entry.side == Client {
+            "client"
+        } else {
+            "server"
+        };
+        let tag = entry
+            .tag
+            .map_or(String::new(), |tag| format!(" `{}`", tag as char));
         let versions: Vec<&str> = entry.versions.iter().map(|v| v.name()).collect();
         let _ = writeln!(
             out,
@@ -301,7 +544,10 @@
             entry.why
         );
     }
-    let _ = writeln!(out, "\nA message of a kind that is not in the table: {UNKNOWN}.");
+    let _ = writeln!(
+        out,
+        "\nA message of a kind that is not in the table: {UNKNOWN}."
+    );
     out
 }
 
@@ -313,7 +559,9 @@
     fn no_message_stands_twice_and_every_line_says_why() {
         for (n, a) in ENTRIES.iter().enumerate() {
             assert!(!a.why.is_empty() && !a.versions.is_empty(), "{}", a.name);
-            let twice = ENTRIES[n + 1..].iter().any(|b| (a.side, a.name) == (b.side, b.name));
+            let twice = ENTRIES[n + 1..]
+                .iter()
+                .any(|b| (a.side, a.name) == (b.side, b.name));
             assert!(!twice, "{} stands twice", a.name);
         }
     }
--- a/dialect/src/door.rs
+++ b/dialect/src/door.rs
@@ -65,11 +65,18 @@
 impl Rules {
     /// Those of the platform: 3.0, and everyone is welcome.
     pub fn open() -> Self {
-        Rules { versions: vec![Version::V30], methods: vec![Method::Trust] }
+        Rules {
+            versions: vec![Version::V30],
+            methods: vec![Method::Trust],
+        }
     }
 
     fn newest_minor(&self) -> Option<Version> {
-        self.versions.iter().copied().filter(|v| *v > Version::V2).max()
+        self.versions
+            .iter()
+            .copied()
+            .filter(|v| *v > Version::V2)
+            .max()
     }
 }
 
@@ -165,7 +172,11 @@
     /// # Errors
     /// What the client is told before its connection ends.
     pub fn take(
-        &mut self, rules: &Rules, bytes: &[u8], nonce: &str, out: &mut Vec<u8>,
+        &mut self,
+        rules: &Rules,
+        bytes: &[u8],
+        nonce: &str,
+        out: &mut Vec<u8>,
     ) -> Result<Option<(usize, Step)>, Fault> {
         let wrong = |Malformed| Fault::new(code::PROTOCOL, "the first packet is not understood");
         if let State::Opening = self.state {
@@ -176,32 +187,46 @@
             let asked = fields.uint32().map_err(wrong)?;
             return Ok(Some((length, self.open(rules, asked, fields, out)?)));
         }
-        let wrong =
-            |Malformed| Fault::new(code::PROTOCOL, "a password was waited for, and something else came");
+        let wrong = |Malformed| {
+            Fault::new(
+                code::PROTOCOL,
+                "a password was waited for, and something else came",
+            )
+        };
         let (body, length) = if self.version == Version::V2 {
             let Some((body, length)) = wire::packet(bytes, LONGEST.1).map_err(wrong)? else {
                 return Ok(None);
             };
             (body, length)
         } else {
-            let Some(message) = wire::message(bytes, LONGEST.1).map_err(wrong)? else { return Ok(None) };
+            let Some(message) = wire::message(bytes, LONGEST.1).map_err(wrong)? else {
+                return Ok(None);
+            };
             if message.kind != b'p' {
                 return Err(wrong(Malformed));
             }
             (message.body, message.raw.len())
         };
-        self.prove(body, nonce, out).map(|step| Some((length, step)))
+        self.prove(body, nonce, out)
+            .map(|step| Some((length, step)))
     }
 
     fn open(
-        &mut self, rules: &Rules, asked: u32, mut fields: Fields<'_>, out: &mut Vec<u8>,
+        &mut self,
+        rules: &Rules,
+        asked: u32,
+        mut fields: Fields<'_>,
+        out: &mut Vec<u8>,
     ) -> Result<Step, Fault> {
         let wrong = |Malformed| Fault::new(code::PROTOCOL, "the first packet is not understood");
         match asked {
             SSL_REQUEST | GSS_REQUEST => {
                 self.plain += 1;
                 if self.plain > MOST_PLAIN {
-                    return Err(Fault::new(code::PROTOCOL, "encryption was asked for over and over"));
+                    return Err(Fault::new(
+                        code::PROTOCOL,
+                        "encryption was asked for over and over",
+                    ));
                 }
                 out.push(b'N');
                 return Ok(Step::Goes);
@@ -212,7 +237,10 @@
                 if !(4..=256).contains(&secret.len()) {
                     return Err(wrong(Malformed));
                 }
-                return Ok(Step::Cancel(CancelKey { id, secret: secret.to_vec() }));
+                return Ok(Step::Cancel(CancelKey {
+                    id,
+                    secret: secret.to_vec(),
+                }));
             }
             _ => {}
         }
@@ -228,9 +256,15 @@
                 [self.database, self.user, ..] = texts;
             }
             (3, Some(newest)) => {
-                self.version = if newest.code() <= asked { newest } else { Version::V30 };
-                self.newer = minor > newest.code() & 0xffff || (minor != 0 && self.version == Version::V30);
-                self.read_parameters(fields, rules.methods == [Method::Trust]).map_err(wrong)?;
+                self.version = if newest.code() <= asked {
+                    newest
+                } else {
+                    Version::V30
+                };
+                self.newer =
+                    minor > newest.code() & 0xffff || (minor != 0 && self.version == Version::V30);
+                self.read_parameters(fields, rules.methods == [Method::Trust])
+                    .map_err(wrong)?;
             }
             _ => {
                 let spoken: Vec<&str> = rules.versions.iter().map(|v| v.name()).collect();
@@ -277,7 +311,11 @@
     /// # Errors
     /// No method fits: the text names what both sides can do.
     pub fn identify(
-        &mut self, rules: &Rules, verifier: Option<&Verifier>, secret: &[u8], salt: [u8; 4],
+        &mut self,
+        rules: &Rules,
+        verifier: Option<&Verifier>,
+        secret: &[u8],
+        salt: [u8; 4],
         out: &mut Vec<u8>,
     ) -> Result<Step, Fault> {
         debug_assert!(matches!(self.state, State::Named));
@@ -285,7 +323,9 @@
             put(out, b'v', |out| {
                 out.extend_from_slice(&(self.version.code() & 0xffff).to_be_bytes());
                 out.extend_from_slice(&(self.unknown.len() as u32).to_be_bytes());
-                self.unknown.iter().for_each(|name| wire::put_text(out, name.as_bytes()));
+                self.unknown
+                    .iter()
+                    .for_each(|name| wire::put_text(out, name.as_bytes()));
             });
         }
         if rules.methods.first() == Some(&Method::Trust) {
@@ -298,10 +338,18 @@
         self.real = verifier.is_some();
         let nobody = || {
             let scram = rules.methods.contains(&Method::Scram) && self.version > Version::V2;
-            Verifier::nobodys(&self.user, secret, scram || !rules.methods.contains(&Method::Md5))
+            Verifier::nobodys(
+                &self.user,
+                secret,
+                scram || !rules.methods.contains(&Method::Md5),
+            )
         };
         let verifier = verifier.cloned().unwrap_or_else(nobody);
-        let Some(method) = rules.methods.iter().find(|m| m.fits(self.version, &verifier)) else {
+        let Some(method) = rules
+            .methods
+            .iter()
+            .find(|m| m.fits(self.version, &verifier))
+        else {
             let asked: Vec<&str> = rules.methods.iter().map(|m| m.name()).collect();
             let text = format!(
                 "no way to log in: this listener takes {} from clients of version {}, and what is kept of the user is {}",
@@ -315,7 +363,9 @@
             let number = number.to_be_bytes();
             match self.version {
                 Version::V2 => out.extend_from_slice(&[b"R", &number[..], rest].concat()),
-                _ => put(out, b'R', |out| out.extend_from_slice(&[&number[..], rest].concat())),
+                _ => put(out, b'R', |out| {
+                    out.extend_from_slice(&[&number[..], rest].concat())
+                }),
             }
         };
         match method {
@@ -340,9 +390,18 @@
     }
 
     fn prove(&mut self, body: &[u8], nonce: &str, out: &mut Vec<u8>) -> Result<Step, Fault> {
-        let refused = || Fault::new(code::WRONG_PASSWORD, "the login failed: the user or the proof is wrong");
-        let wrong =
-            |Malformed| Fault::new(code::PROTOCOL, "a password was waited for, and something else came");
+        let refused = || {
+            Fault::new(
+                code::WRONG_PASSWORD,
+                "the login failed: the user or the proof is wrong",
+            )
+        };
+        let wrong = |Malformed| {
+            Fault::new(
+                code::PROTOCOL,
+                "a password was waited for, and something else came",
+            )
+        };
         // Old clients send the zero byte or leave it out.
         let text = body.strip_suffix(&[0]).unwrap_or(body);
         let proved = match std::mem::take(&mut self.state) {
@@ -370,7 +429,9 @@
                 }
                 None => false,
             },
-            State::Opening | State::Named | State::In | State::Scram(_) => return Err(wrong(Malformed)),
+            State::Opening | State::Named | State::In | State::Scram(_) => {
+                return Err(wrong(Malformed));
+            }
         };
         // A verifier that nobody's password meets is met by nobody; the flag stands for a change that would forget it.
         if !(proved && self.real) {
--- a/dialect/src/error.rs
+++ b/dialect/src/error.rs
@@ -3,7 +3,9 @@
 use crate::verifier::MOST_USERS;
 
 /// What is wrong with a file of users, or with the limit on logins that fail.
-#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error, strum::IntoStaticStr, strum::VariantNames)]
+#[derive(
+    Clone, Debug, PartialEq, Eq, thiserror::Error, strum::IntoStaticStr, strum::VariantNames,
+)]
 pub enum Error {
     /// A line that is no user and verifier.
     #[error("line {0}: expected a user and a verifier")]
@@ -37,9 +39,13 @@
             Error::NoVerifier(_) => {
                 "copy the verifier from rolpassword in pg_authid of a server that knows this user"
             }
-            Error::Twice(_) => "leave one line for each user: which of two would hold is nobody's guess",
+            Error::Twice(_) => {
+                "leave one line for each user: which of two would hold is nobody's guess"
+            }
             Error::TooMany(_) => "split the users over several fronts, each with a file of its own",
-            Error::Limit { .. } => "set this limit within its bounds, or leave it out for the default",
+            Error::Limit { .. } => {
+                "set this limit within its bounds, or leave it out for the default"
+            }
         }
     }
 }
--- a/dialect/src/lib.rs
+++ b/dialect/src/lib.rs
@@ -80,7 +80,10 @@
 impl Fault {
     /// A fault with this code and text.
     pub fn new(code: &'static str, text: impl Into<String>) -> Self {
-        Fault { code, text: text.into() }
+        Fault {
+            code,
+            text: text.into(),
+        }
     }
 }
 
--- a/dialect/src/login.rs
+++ b/dialect/src/login.rs
@@ -27,12 +27,20 @@
 /// It shows no password.
 impl fmt::Debug for Credentials {
     fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(to, "{} at {} over {}", self.user, self.database, self.version.name())
+        write!(
+            to,
+            "{} at {} over {}",
+            self.user,
+            self.database,
+            self.version.name()
+        )
     }
 }
 
 /// Why a login fails.
-#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error, strum::IntoStaticStr, strum::VariantNames)]
+#[derive(
+    Clone, Debug, PartialEq, Eq, thiserror::Error, strum::IntoStaticStr, strum::VariantNames,
+)]
 pub enum Refused {
     /// The server said so, with this code.
     #[error("the server refused the login with {0}")]
@@ -95,7 +103,11 @@
                 put_text(out, text.as_bytes());
             }
         });
-        Login { proof: Proof::None, key: None, version: who.version }
+        Login {
+            proof: Proof::None,
+            key: None,
+            version: who.version,
+        }
     }
 
     /// The version that is spoken after all.
@@ -113,7 +125,10 @@
     /// # Errors
     /// The connection is no good.
     pub fn take(
-        &mut self, who: &Credentials, message: &Message<'_>, out: &mut Vec<u8>,
+        &mut self,
+        who: &Credentials,
+        message: &Message<'_>,
+        out: &mut Vec<u8>,
     ) -> Result<bool, Refused> {
         let mut fields = Fields(message.body);
         match message.kind {
@@ -121,7 +136,11 @@
             b'R' => self.asked(who, fields.uint32()?, fields, out)?,
             b'v' => {
                 let minor = fields.uint32()? & 0xffff;
-                let version = if minor >= 2 { Version::V32 } else { Version::V30 };
+                let version = if minor >= 2 {
+                    Version::V32
+                } else {
+                    Version::V30
+                };
                 if version > self.version {
                     return Err(Refused::Malformed);
                 }
@@ -138,7 +157,9 @@
             b'S' => drop(wire::status(message.body)?),
             b'N' => {}
             b'E' => {
-                return Err(Refused::Server(wire::error_code(message.body).ok_or(Malformed)?.to_string()));
+                return Err(Refused::Server(
+                    wire::error_code(message.body).ok_or(Malformed)?.to_string(),
+                ));
             }
             b'Z' if (who.welcome || matches!(self.proof, Proof::In)) && message.body == b"I" => {
                 return Ok(true);
@@ -149,7 +170,11 @@
     }
 
     fn asked(
-        &mut self, who: &Credentials, what: u32, mut fields: Fields<'_>, out: &mut Vec<u8>,
+        &mut self,
+        who: &Credentials,
+        what: u32,
+        mut fields: Fields<'_>,
+        out: &mut Vec<u8>,
     ) -> Result<(), Refused> {
         let password = || {
             let none = || {
@@ -173,7 +198,10 @@
             }
             (5, Proof::None) => {
                 let salt = fields.take(4)?.try_into().map_err(|_| Malformed)?;
-                say(out, md5_hash(who.user.as_bytes(), password()?.as_bytes(), salt).as_bytes());
+                say(
+                    out,
+                    md5_hash(who.user.as_bytes(), password()?.as_bytes(), salt).as_bytes(),
+                );
                 self.proof = Proof::Sent;
             }
             (10, Proof::None) => {
@@ -185,8 +213,10 @@
                     }
                 }
                 if !methods.contains(&SCRAM_SHA_256) {
-                    let text =
-                        format!("the server takes {}, and the router {SCRAM_SHA_256}", methods.join(" and "));
+                    let text = format!(
+                        "the server takes {}, and the router {SCRAM_SHA_256}",
+                        methods.join(" and ")
+                    );
                     return Err(Refused::CannotMeet(text));
                 }
                 let scram = ScramSha256::new(password()?.as_bytes(), ChannelBinding::unsupported());
@@ -207,7 +237,9 @@
                 self.proof = Proof::Done;
             }
             (2 | 7 | 9, Proof::None) => {
-                let name = [(2, "Kerberos"), (7, "GSSAPI"), (9, "SSPI")].iter().find(|(n, _)| *n == what);
+                let name = [(2, "Kerberos"), (7, "GSSAPI"), (9, "SSPI")]
+                    .iter()
+                    .find(|(n, _)| *n == what);
                 let name = name.map_or("", |(_, name)| name);
                 let text = format!(
                     "the server takes {name}, and the router trust, password, md5 and {SCRAM_SHA_256}"
--- a/dialect/src/render.rs
+++ b/dialect/src/render.rs
@@ -33,7 +33,9 @@
 impl Speech {
     /// Whether a reply goes on just as it came, so that nothing needs to be written anew.
     pub fn passes(&self, messages: &[u8]) -> bool {
-        self.version != Version::V2 && self.forms == Forms::default() && self.only_known_fields(messages)
+        self.version != Version::V2
+            && self.forms == Forms::default()
+            && self.only_known_fields(messages)
     }
 
     /// Appends a whole reply, given in messages of version 3 without ReadyForQuery.
@@ -77,21 +79,28 @@
     }
 
     fn only_known_fields(&self, messages: &[u8]) -> bool {
-        wire::messages(messages).filter(|m| b"EN".contains(&m.kind)).all(|m| {
-            wire::error_fields(m.body)
-                .is_ok_and(|fields| fields.iter().all(|(kind, _)| OLD_FIELDS.contains(kind)))
-        })
+        wire::messages(messages)
+            .filter(|m| b"EN".contains(&m.kind))
+            .all(|m| {
+                wire::error_fields(m.body)
+                    .is_ok_and(|fields| fields.iter().all(|(kind, _)| OLD_FIELDS.contains(kind)))
+            })
     }
 
     fn description(
-        &self, message: &Message<'_>, columns: &[Column<'_>], out: &mut Vec<u8>,
+        &self,
+        message: &Message<'_>,
+        columns: &[Column<'_>],
+        out: &mut Vec<u8>,
     ) -> Result<(), Unsayable> {
         if self.version != Version::V2 {
             out.extend_from_slice(message.raw);
             return Ok(());
         }
         if columns.len() > V2_COLUMNS {
-            return Err(Unsayable("the answer has more columns than version 2.0 can number"));
+            return Err(Unsayable(
+                "the answer has more columns than version 2.0 can number",
+            ));
         }
         // A cursor's name comes before its rows; that of a simple query is `blank`.
         out.extend_from_slice(b"Pblank\0T");
@@ -105,7 +114,12 @@
         Ok(())
     }
 
-    fn row(&self, message: &Message<'_>, columns: &[Column<'_>], out: &mut Vec<u8>) -> Result<(), Unsayable> {
+    fn row(
+        &self,
+        message: &Message<'_>,
+        columns: &[Column<'_>],
+        out: &mut Vec<u8>,
+    ) -> Result<(), Unsayable> {
         let v2 = self.version == Version::V2;
         if !v2 && !columns.iter().any(|column| self.forms.changes(column.kind)) {
             out.extend_from_slice(message.raw);
@@ -118,7 +132,9 @@
         // 2.0 has one form for a whole row: `D` for texts, whose lengths count themselves, and `B` for binary values.
         let binary = columns.iter().filter(|column| column.binary).count();
         if v2 && binary != 0 && binary != columns.len() {
-            return Err(Unsayable("the answer mixes texts and binary values, which version 2.0 cannot"));
+            return Err(Unsayable(
+                "the answer mixes texts and binary values, which version 2.0 cannot",
+            ));
         }
         let more = if v2 && binary == 0 { 4 } else { 0 };
         let start = out.len();
@@ -139,7 +155,11 @@
             if v2 {
                 out[start + 1 + n / 8] |= 0x80 >> (n % 8);
             }
-            let new = if column.binary { None } else { self.forms.rewrite(column.kind, value) };
+            let new = if column.binary {
+                None
+            } else {
+                self.forms.rewrite(column.kind, value)
+            };
             let text = new.as_deref().unwrap_or(value);
             out.extend_from_slice(&(text.len() as u32 + more).to_be_bytes());
             out.extend_from_slice(text);
@@ -165,8 +185,17 @@
             });
             return Ok(());
         }
-        let of = |wanted: u8| fields.iter().find(|(kind, _)| *kind == wanted).map(|(_, text)| *text);
-        let severity = of(b'S').unwrap_or(if message.kind == b'E' { b"ERROR" } else { b"NOTICE" });
+        let of = |wanted: u8| {
+            fields
+                .iter()
+                .find(|(kind, _)| *kind == wanted)
+                .map(|(_, text)| *text)
+        };
+        let severity = of(b'S').unwrap_or(if message.kind == b'E' {
+            b"ERROR"
+        } else {
+            b"NOTICE"
+        });
         let mut text = [severity, b":  ", of(b'M').unwrap_or_default(), b"\n"].concat();
         for (kind, name) in [(b'D', "DETAIL"), (b'H', "HINT")] {
             if let Some(more) = of(kind) {
@@ -179,19 +208,33 @@
     }
 
     /// Appends an error that the router words itself. `detail`: when to come back, in milliseconds.
-    pub fn error(&self, fatal: bool, code: &str, text: &str, detail: Option<u64>, out: &mut Vec<u8>) {
+    pub fn error(
+        &self,
+        fatal: bool,
+        code: &str,
+        text: &str,
+        detail: Option<u64>,
+        out: &mut Vec<u8>,
+    ) {
         if self.version != Version::V2 {
             return wire::put_error(out, fatal, code, text, detail);
         }
         // 2.0 has no codes: what a program must know stands in the text.
         let severity = if fatal { "FATAL" } else { "ERROR" };
         let again = match (code, detail) {
-            (code::TURNED_AWAY | code::NOT_NOW, Some(wait)) => format!("HINT:  Try again after {wait} ms.\n"),
-            (code::TURNED_AWAY | code::NOT_NOW, None) => "HINT:  Trying again is harmless.\n".into(),
+            (code::TURNED_AWAY | code::NOT_NOW, Some(wait)) => {
+                format!("HINT:  Try again after {wait} ms.\n")
+            }
+            (code::TURNED_AWAY | code::NOT_NOW, None) => {
+                "HINT:  Trying again is harmless.\n".into()
+            }
             _ => String::new(),
         };
         out.push(b'E');
-        put_text(out, format!("{severity}:  {text} ({code})\n{again}").as_bytes());
+        put_text(
+            out,
+            format!("{severity}:  {text} ({code})\n{again}").as_bytes(),
+        );
     }
 
     /// Appends ReadyForQuery.
@@ -229,8 +272,16 @@
     }
 
     /// Appends what a client is greeted with once it is in.
-    pub fn greet(&self, parameters: &[(String, String)], key: Option<&CancelKey>, out: &mut Vec<u8>) {
-        let none = CancelKey { id: 0, secret: vec![0; 4] };
+    pub fn greet(
+        &self,
+        parameters: &[(String, String)],
+        key: Option<&CancelKey>,
+        out: &mut Vec<u8>,
+    ) {
+        let none = CancelKey {
+            id: 0,
+            secret: vec![0; 4],
+        };
         let key = key.unwrap_or(&none);
         let mut id = key.id.to_be_bytes().to_vec();
         id.extend_from_slice(&key.secret);
@@ -241,7 +292,9 @@
             }
             _ => {
                 put(out, b'R', |out| out.extend_from_slice(&[0; 4]));
-                parameters.iter().for_each(|(name, value)| wire::put_status(out, name, value));
+                parameters
+                    .iter()
+                    .for_each(|(name, value)| wire::put_status(out, name, value));
                 put(out, b'K', |out| out.extend_from_slice(&id));
             }
         }
--- a/dialect/src/reply.rs
+++ b/dialect/src/reply.rs
@@ -81,7 +81,10 @@
 impl Reply {
     /// A reply of which nothing has come.
     pub fn new(shape: Shape) -> Self {
-        Reply { shape, stage: Stage::Start }
+        Reply {
+            shape,
+            stage: Stage::Start,
+        }
     }
 
     /// Takes in what follows: any message but ReadyForQuery.
@@ -94,14 +97,20 @@
         let next = match (&self.stage, message.kind) {
             (_, b'N') => return Ok(if any { Taken::Keep } else { Taken::Skip }),
             (_, b'A') if any => return Ok(Taken::Skip),
-            (_, b'S') => return Ok(wire::status(body).map(|(name, value)| Taken::Told(name, value))?),
+            (_, b'S') => {
+                return Ok(wire::status(body).map(|(name, value)| Taken::Told(name, value))?);
+            }
             (Stage::Start, b'T') if !any && describes_one_column(body) => Stage::Rows(1, 0),
-            (Stage::Rows(..), b'D') if !any && self.stage != Stage::Rows(1, 0) => return Err(Spoilt),
+            (Stage::Rows(..), b'D') if !any && self.stage != Stage::Rows(1, 0) => {
+                return Err(Spoilt);
+            }
             (Stage::Rows(1, 0), b'D') if !any => {
                 wire::single_value(body).ok_or(Spoilt)?;
                 Stage::Rows(1, 1)
             }
-            (Stage::Start | Stage::Complete(_), b'T') if any => Stage::Rows(wire::columns(body)?.len(), 0),
+            (Stage::Start | Stage::Complete(_), b'T') if any => {
+                Stage::Rows(wire::columns(body)?.len(), 0)
+            }
             (Stage::Rows(columns, rows), b'D') => {
                 if wire::row(body)?.len() != *columns {
                     return Err(Spoilt);
@@ -110,8 +119,12 @@
             }
             (Stage::Rows(_, rows), b'C') if is_tag(body) => Stage::Complete(*rows > 0),
             (Stage::Start, b'C') if is_tag(body) => Stage::Complete(false),
-            (Stage::Complete(_) | Stage::CopyEnded, b'C') if any && is_tag(body) => Stage::Complete(true),
-            (Stage::Start | Stage::Complete(_), b'I') if any && body.is_empty() => Stage::Complete(false),
+            (Stage::Complete(_) | Stage::CopyEnded, b'C') if any && is_tag(body) => {
+                Stage::Complete(true)
+            }
+            (Stage::Start | Stage::Complete(_), b'I') if any && body.is_empty() => {
+                Stage::Complete(false)
+            }
             (Stage::Start | Stage::Complete(_), b'H') if any => Stage::CopyOut,
             (Stage::CopyOut, b'd') => Stage::CopyOut,
             (Stage::CopyOut, b'c') if body.is_empty() => Stage::CopyEnded,
@@ -119,9 +132,15 @@
                 self.stage = Stage::CopyRefused;
                 return Ok(Taken::FailCopy);
             }
-            (Stage::Start, b'E') => Stage::Refused(wire::error_code(body).ok_or(Spoilt)?.to_string(), false),
+            (Stage::Start, b'E') => {
+                Stage::Refused(wire::error_code(body).ok_or(Spoilt)?.to_string(), false)
+            }
             (
-                Stage::Rows(..) | Stage::CopyOut | Stage::CopyEnded | Stage::CopyRefused | Stage::Complete(_),
+                Stage::Rows(..)
+                | Stage::CopyOut
+                | Stage::CopyEnded
+                | Stage::CopyRefused
+                | Stage::Complete(_),
                 b'E',
             ) if any => Stage::Refused(wire::error_code(body).ok_or(Spoilt)?.to_string(), true),
             _ => return Err(Spoilt),
@@ -184,14 +203,16 @@
 /// Classes of errors that blame the statement or its data: it was undone, wherever it ran. Not among them: 08 and 40003 (the
 /// outcome is unknown), 53 and 57 (the server is short of something, or stops), 58, F0 and XX (the server is at fault).
 const BLAME: [&str; 19] = [
-    "0A", "21", "22", "23", "24", "25", "26", "2B", "2F", "34", "38", "39", "3B", "3D", "3F", "40", "42",
-    "44", "P0",
+    "0A", "21", "22", "23", "24", "25", "26", "2B", "2F", "34", "38", "39", "3B", "3D", "3F", "40",
+    "42", "44", "P0",
 ];
 
 /// A description of one column: its name, and 18 bytes on where it comes from and how it is written. On the platform
 /// nothing is made of those, so they are not looked at: the value is what counts.
 fn describes_one_column(body: &[u8]) -> bool {
-    let name = body.strip_prefix(&[0, 1]).and_then(|rest| rest.iter().position(|byte| *byte == 0));
+    let name = body
+        .strip_prefix(&[0, 1])
+        .and_then(|rest| rest.iter().position(|byte| *byte == 0));
     name.is_some_and(|name| body.len() == 2 + name + 1 + 18)
 }
 
@@ -199,7 +220,9 @@
 fn is_tag(body: &[u8]) -> bool {
     let tag = body.strip_suffix(&[0]).unwrap_or_default();
     tag.first().is_some_and(u8::is_ascii_uppercase)
-        && tag.iter().all(|byte| byte.is_ascii_alphanumeric() || *byte == b' ')
+        && tag
+            .iter()
+            .all(|byte| byte.is_ascii_alphanumeric() || *byte == b' ')
 }
 
 #[cfg(test)]
@@ -213,7 +236,11 @@
     fn of(shape: Shape, messages: &[(u8, &[u8])]) -> Result<Outcome, Spoilt> {
         let mut reply = Reply::new(shape);
         for (kind, body) in messages {
-            reply.take(&Message { kind: *kind, body, raw: body })?;
+            reply.take(&Message {
+                kind: *kind,
+                body,
+                raw: body,
+            })?;
         }
         Ok(reply.outcome())
     }
@@ -267,7 +294,12 @@
             &[empty],
             &[column, row, tag, column, tag],
             &[(b'C', b"INSERT 0 1\0")],
-            &[(b'H', b"\0\0\0"), (b'd', b"1\n"), (b'c', b""), (b'C', b"COPY 1\0")],
+            &[
+                (b'H', b"\0\0\0"),
+                (b'd', b"1\n"),
+                (b'c', b""),
+                (b'C', b"COPY 1\0"),
+            ],
         ] {
             assert_eq!(any(served), Ok(Outcome::Served), "{served:?}");
         }
@@ -282,9 +314,15 @@
             Ok(Outcome::Failed),
             "the platform's table knows no such thing"
         );
-        for code in ["XX000", "40003", "57P01", "53200", "58030", "08006", "99999"] {
+        for code in [
+            "XX000", "40003", "57P01", "53200", "58030", "08006", "99999",
+        ] {
             let text = format!("SERROR\0C{code}\0Mno\0\0");
-            assert_eq!(any(&[(b'E', text.as_bytes())]), Ok(Outcome::Failed), "{code} may have had an effect");
+            assert_eq!(
+                any(&[(b'E', text.as_bytes())]),
+                Ok(Outcome::Failed),
+                "{code} may have had an effect"
+            );
         }
         for failed in [
             &[column, row, no][..],
@@ -310,8 +348,17 @@
     #[test]
     fn a_transaction_left_open_has_failed_and_its_connection_ends() {
         let mut reply = Reply::new(Shape::Any);
-        reply.take(&Message { kind: b'C', body: b"BEGIN\0", raw: b"" }).expect("a tag");
-        assert_eq!((reply.ready(b"T"), reply.outcome()), (Ok(false), Outcome::Failed));
+        reply
+            .take(&Message {
+                kind: b'C',
+                body: b"BEGIN\0",
+                raw: b"",
+            })
+            .expect("a tag");
+        assert_eq!(
+            (reply.ready(b"T"), reply.outcome()),
+            (Ok(false), Outcome::Failed)
+        );
         let mut early = Reply::new(Shape::Any);
         assert_eq!(early.ready(b"I"), Err(Spoilt));
     }
--- a/dialect/src/session.rs
+++ b/dialect/src/session.rs
@@ -17,8 +17,11 @@
     "work_mem",
 ];
 /// Settings whose value is the same for all, as the installation has it.
-const FIXED: [(&str, &str); 3] =
-    [("client_encoding", "UTF8"), ("standard_conforming_strings", "on"), ("integer_datetimes", "on")];
+const FIXED: [(&str, &str); 3] = [
+    ("client_encoding", "UTF8"),
+    ("standard_conforming_strings", "on"),
+    ("integer_datetimes", "on"),
+];
 
 /// One session's settings.
 #[derive(Clone, Debug, PartialEq)]
@@ -33,24 +36,34 @@
 impl Session {
     /// One whose values have these forms unless it sets others.
     pub fn new(start: Forms) -> Self {
-        Session { start, forms: start, timeout_ms: None }
+        Session {
+            start,
+            forms: start,
+            timeout_ms: None,
+        }
     }
 
     /// Sets something, or sets it back; what the client is to be told of settings that changed.
     ///
     /// # Errors
     /// The router cannot keep that setting, or the value is none.
-    pub fn set(&mut self, name: &str, value: Option<&str>) -> Result<Option<(&'static str, String)>, Fault> {
+    pub fn set(
+        &mut self,
+        name: &str,
+        value: Option<&str>,
+    ) -> Result<Option<(&'static str, String)>, Fault> {
         let name = name.to_ascii_lowercase();
         let value = value.filter(|v| !v.eq_ignore_ascii_case("default"));
-        let wrong = |value: &str| Fault::new("22023", format!("{name}: {value:?} is no value for it"));
+        let wrong =
+            |value: &str| Fault::new("22023", format!("{name}: {value:?} is no value for it"));
         match name.as_str() {
             "all" => {
                 *self = Session::new(self.start);
                 Ok(None)
             }
             "datestyle" => {
-                let dates = value.map_or(Some(self.start.dates), |v| Dates::set(self.forms.dates, v));
+                let dates =
+                    value.map_or(Some(self.start.dates), |v| Dates::set(self.forms.dates, v));
                 self.forms.dates = dates.ok_or_else(|| wrong(value.unwrap_or_default()))?;
                 Ok(Some(("DateStyle", self.forms.dates.told())))
             }
@@ -65,8 +78,10 @@
             }
             "statement_timeout" => {
                 let ms = |text: &str| {
-                    let (digits, unit) =
-                        text.split_at(text.find(|c: char| !c.is_ascii_digit()).unwrap_or(text.len()));
+                    let (digits, unit) = text.split_at(
+                        text.find(|c: char| !c.is_ascii_digit())
+                            .unwrap_or(text.len()),
+                    );
                     let times = match unit.trim() {
                         "" | "ms" => 1,
                         "s" => 1_000,
@@ -82,9 +97,10 @@
             _ if HARMLESS.contains(&name.as_str()) => Ok(None),
             _ => match FIXED.iter().find(|(known, _)| *known == name) {
                 Some((_, fixed)) if value.is_none_or(|v| same(v, fixed)) => Ok(None),
-                Some((_, fixed)) => {
-                    Err(Fault::new(code::UNSUPPORTED, format!("{name}: only {fixed} is offered here")))
-                }
+                Some((_, fixed)) => Err(Fault::new(
+                    code::UNSUPPORTED,
+                    format!("{name}: only {fixed} is offered here"),
+                )),
                 None => Err(Fault::new(
                     code::UNSUPPORTED,
                     format!(
@@ -100,7 +116,9 @@
 fn same(a: &str, b: &str) -> bool {
     let plain = |text: &str| text.replace(['-', '_', '\''], "").to_ascii_lowercase();
     let (a, b) = (plain(a), plain(b));
-    a == b || (b == "utf8" && a == "unicode") || (b == "on" && ["true", "yes", "1"].contains(&a.as_str()))
+    a == b
+        || (b == "utf8" && a == "unicode")
+        || (b == "on" && ["true", "yes", "1"].contains(&a.as_str()))
 }
 
 #[cfg(test)]
@@ -110,23 +128,32 @@
 
     #[test]
     fn what_the_router_keeps_is_set_and_set_back() {
-        let start = Forms { bytea: Bytea::Escape, ..Forms::default() };
+        let start = Forms {
+            bytea: Bytea::Escape,
+            ..Forms::default()
+        };
         let mut session = Session::new(start);
         let told = session.set("DateStyle", Some("German")).expect("known");
         assert_eq!(told, Some(("DateStyle", "German, DMY".into())));
         session.set("bytea_output", Some("hex")).expect("known");
         session.set("statement_timeout", Some("2s")).expect("known");
         assert_eq!(
-            (session.forms.dates.style, session.forms.bytea, session.timeout_ms),
+            (
+                session.forms.dates.style,
+                session.forms.bytea,
+                session.timeout_ms
+            ),
             (Style::German, Bytea::Hex, Some(2_000))
         );
         session.set("bytea_output", None).expect("known");
         assert_eq!(session.forms.bytea, Bytea::Escape, "as the listener has it");
         session.set("all", None).expect("known");
         assert_eq!(session, Session::new(start));
-        for (name, value) in
-            [("client_encoding", "UTF-8"), ("client_encoding", "unicode"), ("application_name", "x")]
-        {
+        for (name, value) in [
+            ("client_encoding", "UTF-8"),
+            ("client_encoding", "unicode"),
+            ("application_name", "x"),
+        ] {
             assert_eq!(session.set(name, Some(value)), Ok(None), "{name}");
         }
     }
--- a/dialect/src/statement.rs
+++ b/dialect/src/statement.rs
@@ -26,7 +26,9 @@
     let meant = tokens.iter().filter(|t| !matches!(t, Token::Whitespace(_)));
     meant
         .filter_map(|token| match token {
-            Token::Word(word) if word.quote_style.is_none() => Some(word.value.to_ascii_uppercase()),
+            Token::Word(word) if word.quote_style.is_none() => {
+                Some(word.value.to_ascii_uppercase())
+            }
             Token::Word(_) => Some("\"".into()),
             Token::LParen => Some("(".into()),
             _ => None,
@@ -68,17 +70,25 @@
     let words = words(tokens);
     let has = |wanted: &[&str]| words.iter().any(|word| wanted.contains(&word.as_str()));
     let mut rest = words.iter().map(String::as_str).filter(|word| *word != "(");
-    let (first, second) = (rest.next().unwrap_or_default(), rest.next().unwrap_or_default());
+    let (first, second) = (
+        rest.next().unwrap_or_default(),
+        rest.next().unwrap_or_default(),
+    );
     let called = words.windows(2).filter(|pair| pair[1] == "(");
     let function = |pair: &[String]| {
-        let known = FUNCTIONS.iter().find(|(name, _)| *name == pair[0]).map(|(_, kind)| kind.clone());
+        let known = FUNCTIONS
+            .iter()
+            .find(|(name, _)| *name == pair[0])
+            .map(|(_, kind)| kind.clone());
         known.unwrap_or(match HARMLESS.contains(&format!(" {} ", pair[0])) {
             true => Kind::Reads,
             false => Kind::Writes,
         })
     };
     match first {
-        "" if words.is_empty() && tokens.iter().all(|t| matches!(t, Token::Whitespace(_))) => Kind::Empty,
+        "" if words.is_empty() && tokens.iter().all(|t| matches!(t, Token::Whitespace(_))) => {
+            Kind::Empty
+        }
         "SET"
             if second == "TRANSACTION"
                 || second == "SESSION"
@@ -99,10 +109,13 @@
         "CREATE" if ["TEMP", "TEMPORARY", "LOCAL", "GLOBAL"].contains(&second) => {
             Kind::Session("a temporary table")
         }
-        "SELECT" if has(&["TEMP", "TEMPORARY"]) && has(&["INTO"]) => Kind::Session("a temporary table"),
+        "SELECT" if has(&["TEMP", "TEMPORARY"]) && has(&["INTO"]) => {
+            Kind::Session("a temporary table")
+        }
         "SELECT" | "WITH" | "VALUES" | "TABLE" | "SHOW" | "EXPLAIN" => {
-            let writes = has(&["INSERT", "UPDATE", "DELETE", "MERGE", "INTO", "ANALYZE", "ANALYSE"])
-                || (has(&["FOR"]) && has(&["SHARE", "NO", "KEY"]));
+            let writes = has(&[
+                "INSERT", "UPDATE", "DELETE", "MERGE", "INTO", "ANALYZE", "ANALYSE",
+            ]) || (has(&["FOR"]) && has(&["SHARE", "NO", "KEY"]));
             let start = if writes { Kind::Writes } else { Kind::Reads };
             called.map(function).fold(start, both)
         }
@@ -115,7 +128,9 @@
     match (a, b) {
         (Kind::Empty, other) | (other, Kind::Empty) => other,
         (session @ Kind::Session(_), _) | (_, session @ Kind::Session(_)) => session,
-        (Kind::Sets(..), _) | (_, Kind::Sets(..)) => Kind::Session("a setting amid other statements"),
+        (Kind::Sets(..), _) | (_, Kind::Sets(..)) => {
+            Kind::Session("a setting amid other statements")
+        }
         (Kind::Reads, Kind::Reads) => Kind::Reads,
         _ => Kind::Writes,
     }
@@ -123,38 +138,51 @@
 
 /// `SET name = value`, `SET name TO value`, `SET TIME ZONE value`, `SET NAMES value`, `RESET name`.
 fn setting(tokens: &[Token]) -> Kind {
-    let mut parts = tokens.iter().filter(|t| !matches!(t, Token::Whitespace(_))).map(|token| match token {
-        Token::Word(word) => word.value.clone(),
-        Token::SingleQuotedString(text) => text.clone(),
-        other => other.to_string(),
-    });
+    let mut parts = tokens
+        .iter()
+        .filter(|t| !matches!(t, Token::Whitespace(_)))
+        .map(|token| match token {
+            Token::Word(word) => word.value.clone(),
+            Token::SingleQuotedString(text) => text.clone(),
+            other => other.to_string(),
+        });
     let command = parts.next().unwrap_or_default().to_ascii_uppercase();
     let name = parts.next().unwrap_or_default();
     if command == "RESET" {
         return Kind::Sets(name, None);
     }
     let mut rest: Vec<String> = parts.collect();
-    let name =
-        match (name.to_ascii_uppercase().as_str(), rest.first().map(|r| r.to_ascii_uppercase()).as_deref()) {
-            ("TIME", Some("ZONE")) => {
+    let name = match (
+        name.to_ascii_uppercase().as_str(),
+        rest.first().map(|r| r.to_ascii_uppercase()).as_deref(),
+    ) {
+        ("TIME", Some("ZONE")) => {
+            rest.remove(0);
+            "TimeZone".into()
+        }
+        ("NAMES", _) => "client_encoding".into(),
+        _ => {
+            if rest
+                .first()
+                .is_some_and(|word| word == "=" || word.eq_ignore_ascii_case("to"))
+            {
                 rest.remove(0);
-                "TimeZone".into()
-            }
-            ("NAMES", _) => "client_encoding".into(),
-            _ => {
-                if rest.first().is_some_and(|word| word == "=" || word.eq_ignore_ascii_case("to")) {
-                    rest.remove(0);
-                }
-                name
             }
-        };
+            name
+        }
+    };
     Kind::Sets(name, Some(rest.join(" ").replace(" ,", ",")))
 }
 
 /// What a query text needs. One that cannot be taken apart counts as a write: the primary will say what is wrong with it.
 pub fn kind(text: &str) -> Kind {
-    let Ok(tokens) = Tokenizer::new(&PostgreSqlDialect {}, text).tokenize() else { return Kind::Writes };
-    tokens.split(|token| *token == Token::SemiColon).map(one).fold(Kind::Empty, both)
+    let Ok(tokens) = Tokenizer::new(&PostgreSqlDialect {}, text).tokenize() else {
+        return Kind::Writes;
+    };
+    tokens
+        .split(|token| *token == Token::SemiColon)
+        .map(one)
+        .fold(Kind::Empty, both)
 }
 
 #[cfg(test)]
@@ -241,13 +269,21 @@
             ("SET DateStyle TO 'German'", "DateStyle", Some("German")),
             ("set datestyle = iso, mdy", "datestyle", Some("iso, mdy")),
             ("SET bytea_output=escape;", "bytea_output", Some("escape")),
-            ("SET TIME ZONE 'Asia/Ho_Chi_Minh'", "TimeZone", Some("Asia/Ho_Chi_Minh")),
+            (
+                "SET TIME ZONE 'Asia/Ho_Chi_Minh'",
+                "TimeZone",
+                Some("Asia/Ho_Chi_Minh"),
+            ),
             ("SET NAMES 'UTF8'", "client_encoding", Some("UTF8")),
             ("RESET DateStyle", "DateStyle", None),
             ("RESET ALL", "ALL", None),
             ("DISCARD ALL", "ALL", None),
         ] {
-            assert_eq!(kind(text), Kind::Sets(name.into(), value.map(Into::into)), "{text}");
+            assert_eq!(
+                kind(text),
+                Kind::Sets(name.into(), value.map(Into::into)),
+                "{text}"
+            );
         }
     }
 }
--- a/dialect/src/throttle.rs
+++ b/dialect/src/throttle.rs
@@ -29,7 +29,12 @@
 
 impl Default for Rules {
     fn default() -> Self {
-        Rules { address: 10, user: 10, forgive_ms: 3_000, most: 10_000 }
+        Rules {
+            address: 10,
+            user: 10,
+            forgive_ms: 3_000,
+            most: 10_000,
+        }
     }
 }
 
@@ -58,14 +63,19 @@
 
 impl<K: Hash + Eq + Clone> Debts<K> {
     fn new(most: usize) -> Self {
-        Debts { until: HashMap::new(), most }
+        Debts {
+            until: HashMap::new(),
+            most,
+        }
     }
 
     /// How long until fewer than `most` failures stand against it.
     fn wait(&self, now: Time, key: &K, most: u32, each: Time) -> Time {
         let until = self.until.get(key).copied().unwrap_or(0);
         // One more must fit under the limit.
-        until.saturating_sub(now).saturating_sub(each * u64::from(most - 1))
+        until
+            .saturating_sub(now)
+            .saturating_sub(each * u64::from(most - 1))
     }
 
     fn add(&mut self, now: Time, key: K, most: u32, each: Time) {
@@ -74,7 +84,11 @@
         }
         if self.until.len() >= self.most && !self.until.contains_key(&key) {
             // The one that owes least gives way.
-            let least = self.until.iter().min_by_key(|(_, until)| **until).map(|(key, _)| key.clone());
+            let least = self
+                .until
+                .iter()
+                .min_by_key(|(_, until)| **until)
+                .map(|(key, _)| key.clone());
             least.map(|key| self.until.remove(&key));
         }
         let until = self.until.entry(key).or_insert(now);
@@ -98,7 +112,12 @@
     /// One that has seen nothing.
     pub fn new(rules: Rules) -> Self {
         let most = rules.most;
-        Throttle { rules, addresses: Debts::new(most), users: Debts::new(most), known: HashMap::new() }
+        Throttle {
+            rules,
+            addresses: Debts::new(most),
+            users: Debts::new(most),
+            known: HashMap::new(),
+        }
     }
 
     fn each(&self) -> Time {
@@ -106,7 +125,9 @@
     }
 
     fn speaks(&self, now: Time, address: IpAddr, user: &str) -> bool {
-        self.known.get(&(address, user.to_string())).is_some_and(|until| now < *until)
+        self.known
+            .get(&(address, user.to_string()))
+            .is_some_and(|until| now < *until)
     }
 
     /// Whether a login may be tried now.
@@ -118,9 +139,15 @@
         let from = self.addresses.wait(now, &address, self.rules.address, each);
         let whose = match self.speaks(now, address, user) {
             true => 0,
-            false => self.users.wait(now, &user.to_string(), self.rules.user, each),
+            false => self
+                .users
+                .wait(now, &user.to_string(), self.rules.user, each),
         };
-        if from.max(whose) == 0 { Ok(()) } else { Err(from.max(whose)) }
+        if from.max(whose) == 0 {
+            Ok(())
+        } else {
+            Err(from.max(whose))
+        }
     }
 
     /// A login failed.
@@ -138,13 +165,18 @@
             self.known.retain(|_, until| *until > now);
         }
         if self.known.len() < self.rules.most {
-            self.known.insert((address, user.to_string()), now + SPEAKS_FOR);
+            self.known
+                .insert((address, user.to_string()), now + SPEAKS_FOR);
         }
     }
 
     /// How many entries are held, of addresses, users and pairs.
     pub fn held(&self) -> [usize; 3] {
-        [self.addresses.until.len(), self.users.until.len(), self.known.len()]
+        [
+            self.addresses.until.len(),
+            self.users.until.len(),
+            self.known.len(),
+        ]
     }
 }
 
@@ -166,7 +198,11 @@
             throttle.failed(SECOND, at(1), &format!("u{n}"));
         }
         assert_eq!(throttle.may(SECOND, at(1), "other"), Err(3 * SECOND));
-        assert_eq!(throttle.may(SECOND, at(2), "other"), Ok(()), "another address is not held back");
+        assert_eq!(
+            throttle.may(SECOND, at(2), "other"),
+            Ok(()),
+            "another address is not held back"
+        );
         assert_eq!(throttle.may(4 * SECOND, at(1), "other"), Ok(()));
     }
 
@@ -178,17 +214,27 @@
         for n in 0..1_000 {
             throttle.failed(SECOND, at(100 + n), "app");
         }
-        assert!(throttle.may(SECOND, at(2), "app").is_err(), "a stranger waits");
+        assert!(
+            throttle.may(SECOND, at(2), "app").is_err(),
+            "a stranger waits"
+        );
         assert_eq!(throttle.may(SECOND, at(1), "app"), Ok(()));
     }
 
     #[test]
     fn a_flood_of_names_and_addresses_does_not_grow_without_bound() {
-        let mut throttle = Throttle::new(Rules { most: 100, ..Rules::default() });
+        let mut throttle = Throttle::new(Rules {
+            most: 100,
+            ..Rules::default()
+        });
         for n in 0..10_000 {
             throttle.failed(SECOND + u64::from(n), at(n), &format!("u{n}"));
             throttle.succeeded(SECOND, at(n), &format!("u{n}"));
         }
-        assert!(throttle.held().iter().all(|held| *held <= 100), "{:?}", throttle.held());
+        assert!(
+            throttle.held().iter().all(|held| *held <= 100),
+            "{:?}",
+            throttle.held()
+        );
     }
 }
--- a/dialect/src/values.rs
+++ b/dialect/src/values.rs
@@ -115,7 +115,9 @@
 
 /// From hex to escapes: zero, bytes over 126 and under 32 in octal, the backslash twice.
 fn escape(value: &[u8]) -> Option<Vec<u8>> {
-    let digits = value.strip_prefix(b"\\x").filter(|digits| digits.len() % 2 == 0)?;
+    let digits = value
+        .strip_prefix(b"\\x")
+        .filter(|digits| digits.len() % 2 == 0)?;
     let digit = |byte: u8| match byte {
         b'0'..=b'9' => Some(byte - b'0'),
         b'a'..=b'f' => Some(byte - b'a' + 10),
@@ -128,29 +130,38 @@
         match byte {
             b'\\' => out.extend_from_slice(b"\\\\"),
             0x20..=0x7e => out.push(byte),
-            _ => {
-                out.extend_from_slice(&[b'\\', b'0' + (byte >> 6), b'0' + (byte >> 3 & 7), b'0' + (byte & 7)])
-            }
+            _ => out.extend_from_slice(&[
+                b'\\',
+                b'0' + (byte >> 6),
+                b'0' + (byte >> 3 & 7),
+                b'0' + (byte & 7),
+            ]),
         }
     }
     Some(out)
 }
 
 const DAYS: [&str; 7] = ["Sun", "Mon", "Tue", "Wed", "Thu", "Fri", "Sat"];
-const MONTHS: [&str; 12] =
-    ["Jan", "Feb", "Mar", "Apr", "May", "Jun", "Jul", "Aug", "Sep", "Oct", "Nov", "Dec"];
+const MONTHS: [&str; 12] = [
+    "Jan", "Feb", "Mar", "Apr", "May", "Jun", "Jul", "Aug", "Sep", "Oct", "Nov", "Dec",
+];
 
 /// The day of the week, 0 for Sunday, of a day in the Gregorian calendar (Sakamoto's rule).
 fn weekday(year: i64, month: usize, day: i64) -> usize {
     const SHIFT: [i64; 12] = [0, 3, 2, 5, 0, 3, 5, 1, 4, 6, 2, 4];
     let year = if month < 3 { year - 1 } else { year };
-    (year + year.div_euclid(4) - year.div_euclid(100) + year.div_euclid(400) + SHIFT[month - 1] + day)
+    (year + year.div_euclid(4) - year.div_euclid(100)
+        + year.div_euclid(400)
+        + SHIFT[month - 1]
+        + day)
         .rem_euclid(7) as usize
 }
 
 fn dated(dates: Dates, kind: u32, text: &str) -> Option<String> {
     // Before Christ stands at the end whatever the style.
-    let (text, era) = text.strip_suffix(" BC").map_or((text, ""), |rest| (rest, " BC"));
+    let (text, era) = text
+        .strip_suffix(" BC")
+        .map_or((text, ""), |rest| (rest, " BC"));
     let (date, time) = match text.split_once(' ') {
         Some((date, time)) if kind != kind::DATE => (date, Some(time)),
         None if kind == kind::DATE => (text, None),
@@ -158,12 +169,18 @@
         _ => return None,
     };
     let mut parts = date.split('-');
-    let (Some(y), Some(m), Some(d), None) = (parts.next(), parts.next(), parts.next(), parts.next()) else {
+    let (Some(y), Some(m), Some(d), None) =
+        (parts.next(), parts.next(), parts.next(), parts.next())
+    else {
         return None;
     };
     let digits = |text: &str| text.bytes().all(|b| b.is_ascii_digit());
     let fits = y.len() >= 4 && m.len() == 2 && d.len() == 2 && digits(y) && digits(m) && digits(d);
-    let (month, day, year) = (m.parse::<usize>().ok()?, d.parse::<i64>().ok()?, y.parse::<i64>().ok()?);
+    let (month, day, year) = (
+        m.parse::<usize>().ok()?,
+        d.parse::<i64>().ok()?,
+        y.parse::<i64>().ok()?,
+    );
     if !fits || !(1..=12).contains(&month) {
         return None;
     }
@@ -174,7 +191,9 @@
         Style::Postgres => format!("{first}-{second}-{y}"),
         Style::German => format!("{d}.{m}.{y}"),
     };
-    let Some(time) = time else { return Some(short + era) };
+    let Some(time) = time else {
+        return Some(short + era);
+    };
     if dates.style != Style::Postgres {
         return Some(format!("{short} {time}{era}"));
     }
@@ -198,10 +217,19 @@
 
     #[test]
     fn bytea_is_escaped_as_before_9_0() {
-        let forms = Forms { bytea: Bytea::Escape, ..Forms::default() };
-        let said =
-            |value: &[u8]| forms.rewrite(kind::BYTEA, value).map(|v| String::from_utf8(v).expect("ASCII"));
-        assert_eq!(said(b"\\x9f0041205c7e7f").as_deref(), Some("\\237\\000A \\\\~\\177"));
+        let forms = Forms {
+            bytea: Bytea::Escape,
+            ..Forms::default()
+        };
+        let said = |value: &[u8]| {
+            forms
+                .rewrite(kind::BYTEA, value)
+                .map(|v| String::from_utf8(v).expect("ASCII"))
+        };
+        assert_eq!(
+            said(b"\\x9f0041205c7e7f").as_deref(),
+            Some("\\237\\000A \\\\~\\177")
+        );
         assert_eq!(said(b"\\x").as_deref(), Some(""));
         for odd in [&b"\\x9"[..], b"\\xzz", b"plain", b""] {
             assert_eq!(said(odd), None, "{odd:?} stays as it came");
@@ -214,30 +242,83 @@
     fn dates_are_written_in_every_style() {
         let said = |style: &str, kind: u32, text: &str| {
             let dates = Dates::default().set(style).expect("a style");
-            let new = Forms { dates, ..Forms::default() }.rewrite(kind, text.as_bytes());
+            let new = Forms {
+                dates,
+                ..Forms::default()
+            }
+            .rewrite(kind, text.as_bytes());
             new.map(|v| String::from_utf8(v).expect("text"))
         };
         for (style, date, stamp, zoned) in [
-            ("SQL, MDY", "12/01/2026", "12/01/2026 17:20:00.5", "12/01/2026 17:20:00+07"),
-            ("SQL, DMY", "01/12/2026", "01/12/2026 17:20:00.5", "01/12/2026 17:20:00+07"),
-            ("Postgres", "12-01-2026", "Tue Dec 01 17:20:00.5 2026", "Tue Dec 01 17:20:00 2026 +07"),
-            ("postgres, dmy", "01-12-2026", "Tue 01 Dec 17:20:00.5 2026", "Tue 01 Dec 17:20:00 2026 +07"),
-            ("German", "01.12.2026", "01.12.2026 17:20:00.5", "01.12.2026 17:20:00+07"),
+            (
+                "SQL, MDY",
+                "12/01/2026",
+                "12/01/2026 17:20:00.5",
+                "12/01/2026 17:20:00+07",
+            ),
+            (
+                "SQL, DMY",
+                "01/12/2026",
+                "01/12/2026 17:20:00.5",
+                "01/12/2026 17:20:00+07",
+            ),
+            (
+                "Postgres",
+                "12-01-2026",
+                "Tue Dec 01 17:20:00.5 2026",
+                "Tue Dec 01 17:20:00 2026 +07",
+            ),
+            (
+                "postgres, dmy",
+                "01-12-2026",
+                "Tue 01 Dec 17:20:00.5 2026",
+                "Tue 01 Dec 17:20:00 2026 +07",
+            ),
+            (
+                "German",
+                "01.12.2026",
+                "01.12.2026 17:20:00.5",
+                "01.12.2026 17:20:00+07",
+            ),
         ] {
             assert_eq!(said(style, kind::DATE, "2026-12-01").as_deref(), Some(date));
-            assert_eq!(said(style, kind::TIMESTAMP, "2026-12-01 17:20:00.5").as_deref(), Some(stamp));
-            assert_eq!(said(style, kind::TIMESTAMPTZ, "2026-12-01 17:20:00+07").as_deref(), Some(zoned));
+            assert_eq!(
+                said(style, kind::TIMESTAMP, "2026-12-01 17:20:00.5").as_deref(),
+                Some(stamp)
+            );
+            assert_eq!(
+                said(style, kind::TIMESTAMPTZ, "2026-12-01 17:20:00+07").as_deref(),
+                Some(zoned)
+            );
         }
-        assert_eq!(said("SQL", kind::DATE, "0044-03-15 BC").as_deref(), Some("03/15/0044 BC"));
+        assert_eq!(
+            said("SQL", kind::DATE, "0044-03-15 BC").as_deref(),
+            Some("03/15/0044 BC")
+        );
         assert_eq!(
             said("Postgres", kind::TIMESTAMP, "2000-02-29 00:00:00").as_deref(),
             Some("Tue Feb 29 00:00:00 2000")
         );
-        for odd in ["infinity", "-infinity", "2026-13-01", "2026-1-1", "12/01/2026", "", "2026-12-01-01"] {
-            assert_eq!(said("SQL", kind::DATE, odd), None, "{odd:?} stays as it came");
+        for odd in [
+            "infinity",
+            "-infinity",
+            "2026-13-01",
+            "2026-1-1",
+            "12/01/2026",
+            "",
+            "2026-12-01-01",
+        ] {
+            assert_eq!(
+                said("SQL", kind::DATE, odd),
+                None,
+                "{odd:?} stays as it came"
+            );
         }
         assert_eq!(said("ISO", kind::DATE, "2026-12-01"), None);
         assert_eq!(Dates::default().set("nonsense"), None);
-        assert_eq!(Dates::default().set("German").map(Dates::told).as_deref(), Some("German, DMY"));
+        assert_eq!(
+            Dates::default().set("German").map(Dates::told).as_deref(),
+            Some("German, DMY")
+        );
     }
 }
--- a/dialect/src/verifier.rs
+++ b/dialect/src/verifier.rs
@@ -97,8 +97,16 @@
         let (stored, server) = keys.split_once(':')?;
         let key = |text: &str| <[u8; 32]>::try_from(STANDARD.decode(text).ok()?).ok();
         let iterations = iterations.parse().ok().filter(|n| ITERATIONS.contains(n))?;
-        let salt = STANDARD.decode(salt).ok().filter(|salt| (8..=64).contains(&salt.len()))?;
-        Some(Verifier::Scram(Scram { iterations, salt, stored: key(stored)?, server: key(server)? }))
+        let salt = STANDARD
+            .decode(salt)
+            .ok()
+            .filter(|salt| (8..=64).contains(&salt.len()))?;
+        Some(Verifier::Scram(Scram {
+            iterations,
+            salt,
+            stored: key(stored)?,
+            server: key(server)?,
+        }))
     }
 
     /// The MD5 verifier of a password, as `pg_authid` writes it.
@@ -111,7 +119,12 @@
         let salted = salted(password, salt, iterations);
         let stored = Sha256::digest(hmac(&salted, &[b"Client Key"])).into();
         let server = hmac(&salted, &[b"Server Key"]);
-        Verifier::Scram(Scram { iterations, salt: salt.to_vec(), stored, server })
+        Verifier::Scram(Scram {
+            iterations,
+            salt: salt.to_vec(),
+            stored,
+            server,
+        })
     }
 
     /// What a user who does not exist is checked by: the same for each try, so that nobody learns who exists, and met by
@@ -119,7 +132,10 @@
     pub fn nobodys(user: &str, secret: &[u8], scram: bool) -> Self {
         let mark = hmac(secret, &[b"nobody", user.as_bytes()]);
         if scram {
-            let (stored, server) = (hmac(secret, &[b"stored", &mark]), hmac(secret, &[b"server", &mark]));
+            let (stored, server) = (
+                hmac(secret, &[b"stored", &mark]),
+                hmac(secret, &[b"server", &mark]),
+            );
             return Verifier::Scram(Scram {
                 iterations: USUAL_ITERATIONS,
                 salt: mark[..16].to_vec(),
@@ -135,7 +151,10 @@
         match self {
             Verifier::Md5(kept) => same(kept, &md5_hex(&[password, user.as_bytes()])),
             Verifier::Scram(kept) => {
-                let client = hmac(&salted(password, &kept.salt, kept.iterations), &[b"Client Key"]);
+                let client = hmac(
+                    &salted(password, &kept.salt, kept.iterations),
+                    &[b"Client Key"],
+                );
                 same(&kept.stored, &Sha256::digest(client))
             }
         }
@@ -143,7 +162,9 @@
 
     /// Whether what a client made of an MD5 salt is right; never with a SCRAM verifier.
     pub fn proves_md5(&self, salt: [u8; 4], said: &[u8]) -> bool {
-        let Verifier::Md5(kept) = self else { return false };
+        let Verifier::Md5(kept) = self else {
+            return false;
+        };
         let want = md5_hex(&[kept, &salt]);
         same(&[b"md5", &want[..]].concat(), said)
     }
@@ -151,7 +172,9 @@
 
 fn salted(password: &[u8], salt: &[u8], iterations: u32) -> [u8; 32] {
     // A password that is no UTF-8, or cannot be prepared, counts as it is: so servers do.
-    let prepared = std::str::from_utf8(password).ok().and_then(|text| stringprep::saslprep(text).ok());
+    let prepared = std::str::from_utf8(password)
+        .ok()
+        .and_then(|text| stringprep::saslprep(text).ok());
     let password = prepared.as_deref().map_or(password, str::as_bytes);
     let mut out = [0; 32];
     pbkdf2::pbkdf2_hmac::<Sha256>(password, salt, iterations, &mut out);
@@ -180,16 +203,26 @@
         }
         let (user, rest) = bare.split_once(',')?;
         let theirs = rest.split(',').next()?.strip_prefix("r=")?;
-        let fits =
-            |text: &str| (8..=256).contains(&text.len()) && text.bytes().all(|b| (0x21..=0x7e).contains(&b));
+        let fits = |text: &str| {
+            (8..=256).contains(&text.len()) && text.bytes().all(|b| (0x21..=0x7e).contains(&b))
+        };
         if !user.starts_with("n=") || !fits(theirs) {
             return None;
         }
         let nonce = format!("{theirs}{nonce}");
-        let answer = format!("r={nonce},s={},i={}", STANDARD.encode(&kept.salt), kept.iterations);
+        let answer = format!(
+            "r={nonce},s={},i={}",
+            STANDARD.encode(&kept.salt),
+            kept.iterations
+        );
         let header = format!("{flag},{name},");
-        let exchange =
-            Exchange { kept: kept.clone(), header, first: bare.into(), answer: answer.clone(), nonce };
+        let exchange = Exchange {
+            kept: kept.clone(),
+            header,
+            first: bare.into(),
+            answer: answer.clone(),
+            nonce,
+        };
         Some((exchange, answer))
     }
 
@@ -205,8 +238,14 @@
         let signature = hmac(&self.kept.stored, &[all.as_bytes()]);
         let client: Vec<u8> = proof.iter().zip(signature).map(|(a, b)| a ^ b).collect();
         let right = same(&self.kept.stored, &Sha256::digest(client));
-        let bound = STANDARD.decode(binding).ok().is_some_and(|b| b == self.header.as_bytes());
-        let done = format!("v={}", STANDARD.encode(hmac(&self.kept.server, &[all.as_bytes()])));
+        let bound = STANDARD
+            .decode(binding)
+            .ok()
+            .is_some_and(|b| b == self.header.as_bytes());
+        let done = format!(
+            "v={}",
+            STANDARD.encode(hmac(&self.kept.server, &[all.as_bytes()]))
+        );
         (right && bound && nonce == self.nonce).then_some(done)
     }
 }
@@ -233,7 +272,9 @@
             if line.is_empty() || line.starts_with('#') {
                 continue;
             }
-            let (user, verifier) = line.split_once(char::is_whitespace).ok_or(Error::NoPair(number))?;
+            let (user, verifier) = line
+                .split_once(char::is_whitespace)
+                .ok_or(Error::NoPair(number))?;
             let verifier = Verifier::parse(verifier.trim()).ok_or(Error::NoVerifier(number))?;
             if users.insert(user.to_string(), verifier).is_some() {
                 return Err(Error::Twice(number));
--- a/dialect/src/wire.rs
+++ b/dialect/src/wire.rs
@@ -45,22 +45,38 @@
 
 /// The message at the front of some bytes, if it is whole. One longer than `most` is malformed.
 pub fn message(bytes: &[u8], most: usize) -> Result<Option<Message<'_>>, Malformed> {
-    let Some((&kind, rest)) = bytes.split_first() else { return Ok(None) };
-    let Some(length) = length(rest, most)? else { return Ok(None) };
+    let Some((&kind, rest)) = bytes.split_first() else {
+        return Ok(None);
+    };
+    let Some(length) = length(rest, most)? else {
+        return Ok(None);
+    };
     let raw = bytes.get(..length + 1);
-    Ok(raw.map(|raw| Message { kind, body: &raw[5..], raw }))
+    Ok(raw.map(|raw| Message {
+        kind,
+        body: &raw[5..],
+        raw,
+    }))
 }
 
 /// The packet without a kind at the front of some bytes, its length taken off, if it is whole; and how long all of it is.
 pub fn packet(bytes: &[u8], most: usize) -> Result<Option<(&[u8], usize)>, Malformed> {
-    let Some(length) = length(bytes, most)? else { return Ok(None) };
+    let Some(length) = length(bytes, most)? else {
+        return Ok(None);
+    };
     Ok(bytes.get(4..length).map(|body| (body, length)))
 }
 
 fn length(bytes: &[u8], most: usize) -> Result<Option<usize>, Malformed> {
-    let Some(field) = bytes.first_chunk::<4>() else { return Ok(None) };
+    let Some(field) = bytes.first_chunk::<4>() else {
+        return Ok(None);
+    };
     let length = u32::from_be_bytes(*field) as usize;
-    if (4..=most).contains(&length) { Ok(Some(length)) } else { Err(Malformed) }
+    if (4..=most).contains(&length) {
+        Ok(Some(length))
+    } else {
+        Err(Malformed)
+    }
 }
 
 /// The messages of some bytes that hold nothing but whole ones; it ends at the first that is not.
@@ -127,13 +143,20 @@
     pub fn value(&mut self) -> Result<Option<&'a [u8]>, Malformed> {
         match self.int32()? {
             -1 => Ok(None),
-            length => usize::try_from(length).map_err(|_| Malformed).and_then(|n| self.take(n)).map(Some),
+            length => usize::try_from(length)
+                .map_err(|_| Malformed)
+                .and_then(|n| self.take(n))
+                .map(Some),
         }
     }
 
     /// Nothing may be left.
     pub fn end(self) -> Result<(), Malformed> {
-        if self.0.is_empty() { Ok(()) } else { Err(Malformed) }
+        if self.0.is_empty() {
+            Ok(())
+        } else {
+            Err(Malformed)
+        }
     }
 }
 
@@ -185,7 +208,12 @@
 pub fn put_error(out: &mut Vec<u8>, fatal: bool, code: &str, text: &str, detail: Option<u64>) {
     let severity = if fatal { "FATAL" } else { "ERROR" };
     put(out, b'E', |out| {
-        for (field, value) in [(b'S', severity), (b'V', severity), (b'C', code), (b'M', text)] {
+        for (field, value) in [
+            (b'S', severity),
+            (b'V', severity),
+            (b'C', code),
+            (b'M', text),
+        ] {
             out.push(field);
             put_text(out, value.as_bytes());
         }
@@ -200,8 +228,12 @@
 /// The code of an ErrorResponse; none where it is not the list of fields that it should be.
 pub fn error_code(body: &[u8]) -> Option<&str> {
     let mut fields = body.strip_suffix(&[0, 0])?.split(|byte| *byte == 0);
-    let code = fields.find_map(|field| field.strip_prefix(b"C")).filter(|code| code.len() == 5)?;
-    std::str::from_utf8(code).ok().filter(|code| code.bytes().all(|byte| byte.is_ascii_alphanumeric()))
+    let code = fields
+        .find_map(|field| field.strip_prefix(b"C"))
+        .filter(|code| code.len() == 5)?;
+    std::str::from_utf8(code)
+        .ok()
+        .filter(|code| code.bytes().all(|byte| byte.is_ascii_alphanumeric()))
 }
 
 /// The fields of an ErrorResponse or a notice: kind and text. Kinds that are not known are left to the caller.
@@ -252,7 +284,13 @@
             1 => true,
             _ => return Err(Malformed),
         };
-        all.push(Column { name, kind, size, modifier, binary });
+        all.push(Column {
+            name,
+            kind,
+            size,
+            modifier,
+            binary,
+        });
     }
     fields.end().map(|()| all)
 }
--- a/dialect/tests/fuzz.rs
+++ b/dialect/tests/fuzz.rs
@@ -21,7 +21,10 @@
 
 /// Made once: hashing is what SCRAM's verifier is dear in.
 static KEPT: LazyLock<[Verifier; 2]> = LazyLock::new(|| {
-    [Verifier::md5_of("app", b"right"), Verifier::scram_of(b"right", b"0123456789abcdef", 1_024)]
+    [
+        Verifier::md5_of("app", b"right"),
+        Verifier::scram_of(b"right", b"0123456789abcdef", 1_024),
+    ]
 });
 
 fn door(bytes: &[u8]) -> usize {
@@ -36,7 +39,10 @@
         match step {
             Step::Named => {
                 let verifier = KEPT.get(bytes.len() % 3);
-                if door.identify(&rules, verifier, &[1; 32], [1; 4], &mut out).is_err() {
+                if door
+                    .identify(&rules, verifier, &[1; 32], [1; 4], &mut out)
+                    .is_err()
+                {
                     break;
                 }
             }
@@ -45,7 +51,12 @@
         }
     }
     // What it has been sent, and what it says, is bounded by what came.
-    door.user().len() + door.parameters().iter().map(|(n, v)| n.len() + v.len()).sum::<usize>()
+    door.user().len()
+        + door
+            .parameters()
+            .iter()
+            .map(|(n, v)| n.len() + v.len())
+            .sum::<usize>()
 }
 
 fn login(bytes: &[u8]) -> usize {
@@ -85,14 +96,21 @@
         // Whatever came: an error that the server worded is never served.
         assert!(!(reply.is_error() && reply.outcome() == Outcome::Served));
     }
-    let forms =
-        Forms { bytea: Bytea::Escape, dates: Dates::default().set("Postgres, DMY").expect("a style") };
+    let forms = Forms {
+        bytea: Bytea::Escape,
+        dates: Dates::default().set("Postgres, DMY").expect("a style"),
+    };
     let mut longest = held.len();
     for version in [Version::V2, Version::V30] {
         let mut out = Vec::new();
         let _ = Speech { version, forms }.reply(&held, &mut out);
         // A byte of bytea in hex is two; escaped it is four at most. An error's fields gain a word each.
-        assert!(out.len() <= held.len() * 12 + 64, "{} from {}", out.len(), held.len());
+        assert!(
+            out.len() <= held.len() * 12 + 64,
+            "{} from {}",
+            out.len(),
+            held.len()
+        );
         longest = longest.max(out.len() / 12);
     }
     longest
@@ -104,10 +122,21 @@
     if let Kind::Sets(name, value) = statement::kind(&text) {
         let _ = session.set(&name, value.as_deref());
     }
-    let _ = (Users::parse(&text), Verifier::parse(&text), Dates::default().set(&text));
-    let _ =
-        (wire::old_function_call(bytes, 100), wire::error_code(bytes), wire::status(bytes), wire::row(bytes));
-    let forms = Forms { bytea: Bytea::Escape, dates: Dates::default().set("SQL").expect("a style") };
+    let _ = (
+        Users::parse(&text),
+        Verifier::parse(&text),
+        Dates::default().set(&text),
+    );
+    let _ = (
+        wire::old_function_call(bytes, 100),
+        wire::error_code(bytes),
+        wire::status(bytes),
+        wire::row(bytes),
+    );
+    let forms = Forms {
+        bytea: Bytea::Escape,
+        dates: Dates::default().set("SQL").expect("a style"),
+    };
     [17, 1082, 1114, 1184]
         .iter()
         .filter_map(|kind| forms.rewrite(*kind, bytes))
@@ -137,9 +166,17 @@
         b"c=biws,r=0123456789abcdefghijklmn0123456789abcdef,p=AAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAA=";
     let doors = vec![
         old,
-        [start.clone(), message(b'p', b"md50123456789abcdef0123456789abcdef\0")].concat(),
+        [
+            start.clone(),
+            message(b'p', b"md50123456789abcdef0123456789abcdef\0"),
+        ]
+        .concat(),
         [start, message(b'p', scram), message(b'p', last)].concat(),
-        [packet(b"\x04\xd2\x16\x2f"), packet(b"\x04\xd2\x16\x2e\0\0\0\x07abcd")].concat(),
+        [
+            packet(b"\x04\xd2\x16\x2f"),
+            packet(b"\x04\xd2\x16\x2e\0\0\0\x07abcd"),
+        ]
+        .concat(),
     ];
     let hello = [
         message(b'v', b"\0\0\0\0\0\0\0\x01_pq_.x\0"),
@@ -158,7 +195,11 @@
             message(b'Z', b"I"),
         ]
         .concat(),
-        [message(b'R', b"\0\0\0\x03"), message(b'E', b"SFATAL\0C28P01\0Mno\0\0")].concat(),
+        [
+            message(b'R', b"\0\0\0\x03"),
+            message(b'E', b"SFATAL\0C28P01\0Mno\0\0"),
+        ]
+        .concat(),
     ];
     let mut described = b"\0\x03".to_vec();
     for kind in [17u32, 1114, 1082] {
@@ -168,7 +209,10 @@
     }
     let result = [
         message(b'T', &described),
-        message(b'D', b"\0\x03\0\0\0\x06\\x9f41\0\0\0\x132026-12-01 17:20:00\0\0\0\x0a2026-12-01"),
+        message(
+            b'D',
+            b"\0\x03\0\0\0\x06\\x9f41\0\0\0\x132026-12-01 17:20:00\0\0\0\x0a2026-12-01",
+        ),
         message(b'D', b"\0\x03\xff\xff\xff\xff\0\0\0\0\xff\xff\xff\xff"),
         message(b'C', b"SELECT 2\0"),
     ]
@@ -181,9 +225,19 @@
             message(b'E', b"SERROR\0C23505\0Mtwice\0Hask\0\0"),
         ]
         .concat(),
-        [message(b'H', b"\0\0\0"), message(b'd', b"1\n"), message(b'c', b""), message(b'C', b"COPY 1\0")]
-            .concat(),
-        [message(b'I', b""), message(b'G', b"\0\0\0"), message(b'E', b"SERROR\0C57014\0Mno\0\0")].concat(),
+        [
+            message(b'H', b"\0\0\0"),
+            message(b'd', b"1\n"),
+            message(b'c', b""),
+            message(b'C', b"COPY 1\0"),
+        ]
+        .concat(),
+        [
+            message(b'I', b""),
+            message(b'G', b"\0\0\0"),
+            message(b'E', b"SERROR\0C57014\0Mno\0\0"),
+        ]
+        .concat(),
     ];
     let texts = [
         "WITH a AS (DELETE FROM seats RETURNING *) SELECT $$x$$, E'\\'' FROM a -- b\n; /* c /* d */ */ SET DateStyle = 'SQL, DMY'",
@@ -192,7 +246,12 @@
         "\\x0123456789abcdef",
     ];
     let texts = texts.map(|t| t.as_bytes().to_vec()).to_vec();
-    vec![(door, doors), (login, logins), (reply, replies), (text, texts)]
+    vec![
+        (door, doors),
+        (login, logins),
+        (reply, replies),
+        (text, texts),
+    ]
 }
 
 fn mutate(input: &mut Vec<u8>, other: &[u8], random: &mut Pcg64Mcg) {
@@ -212,8 +271,8 @@
                 input.extend_from_slice(&other[from..]);
             }
             6 if at + 4 <= input.len() => {
-                let length =
-                    [0u32, 3, 4, 5, 255, 65_536, 0x7fff_ffff, 0xffff_ffff][random.random_range(0..8)];
+                let length = [0u32, 3, 4, 5, 255, 65_536, 0x7fff_ffff, 0xffff_ffff]
+                    [random.random_range(0..8)];
                 input[at..at + 4].copy_from_slice(&length.to_be_bytes());
             }
             _ => {}
@@ -223,7 +282,10 @@
 
 #[test]
 fn mutated_inputs_neither_panic_nor_grow() {
-    let inputs: u64 = std::env::var("PLOVERCOVE_FUZZ").ok().and_then(|n| n.parse().ok()).unwrap_or(200_000);
+    let inputs: u64 = std::env::var("PLOVERCOVE_FUZZ")
+        .ok()
+        .and_then(|n| n.parse().ok())
+        .unwrap_or(200_000);
     let corpus = corpus();
     let threads = std::thread::available_parallelism().map_or(1, |n| n.get() as u64);
     std::thread::scope(|scope| {
--- a/dialect/tests/logins.rs
+++ b/dialect/tests/logins.rs
@@ -16,7 +16,10 @@
 const NONCE: &str = "0123456789abcdef";
 
 fn rules(methods: &[Method]) -> Rules {
-    Rules { versions: vec![Version::V2, Version::V30, Version::V32], methods: methods.to_vec() }
+    Rules {
+        versions: vec![Version::V2, Version::V30, Version::V32],
+        methods: methods.to_vec(),
+    }
 }
 
 fn who(password: Option<&str>, clear: bool) -> Credentials {
@@ -33,7 +36,9 @@
 
 /// The router as a client of its own door. What the client learns, or why it is not let in.
 fn meet(
-    methods: &[Method], kept: Option<&Verifier>, who: &Credentials,
+    methods: &[Method],
+    kept: Option<&Verifier>,
+    who: &Credentials,
 ) -> Result<Result<Door, Fault>, Refused> {
     let rules = rules(methods);
     let (mut door, mut to_door, mut to_client) = (Door::default(), Vec::new(), Vec::new());
@@ -53,8 +58,15 @@
             };
             match step {
                 Ok(Step::In) => {
-                    let speech = Speech { version: door.version(), forms: Forms::default() };
-                    speech.greet(&[("server_version".into(), "18.0".into())], None, &mut to_client);
+                    let speech = Speech {
+                        version: door.version(),
+                        forms: Forms::default(),
+                    };
+                    speech.greet(
+                        &[("server_version".into(), "18.0".into())],
+                        None,
+                        &mut to_client,
+                    );
                 }
                 Ok(_) => {}
                 Err(fault) => return Ok(Err(fault)),
@@ -72,13 +84,23 @@
 
 #[test]
 fn every_method_lets_the_right_password_in_and_no_other() {
-    let (md5, scram) = (Verifier::md5_of("app", b"right"), Verifier::scram_of(b"right", &[7; 16], 4_096));
-    for (method, kept) in
-        [(Method::Password, &md5), (Method::Password, &scram), (Method::Md5, &md5), (Method::Scram, &scram)]
-    {
-        let door =
-            meet(&[method], Some(kept), &who(Some("right"), true)).expect("they agree").expect("let in");
-        assert_eq!((door.user(), door.database(), door.version()), ("app", "trips", Version::V32));
+    let (md5, scram) = (
+        Verifier::md5_of("app", b"right"),
+        Verifier::scram_of(b"right", &[7; 16], 4_096),
+    );
+    for (method, kept) in [
+        (Method::Password, &md5),
+        (Method::Password, &scram),
+        (Method::Md5, &md5),
+        (Method::Scram, &scram),
+    ] {
+        let door = meet(&[method], Some(kept), &who(Some("right"), true))
+            .expect("they agree")
+            .expect("let in");
+        assert_eq!(
+            (door.user(), door.database(), door.version()),
+            ("app", "trips", Version::V32)
+        );
         let wrong = meet(&[method], Some(kept), &who(Some("wrong"), true)).expect("they agree");
         assert!(wrong.is_err_and(|fault| Door::tried(&fault)), "{method:?}");
         // One who does not exist goes through the same steps, and no password is theirs.
@@ -96,21 +118,38 @@
         .expect("they talk")
         .err()
         .expect("no way");
-    assert!(fault.text.contains("takes md5") && fault.text.contains("a SCRAM-SHA-256 verifier"), "{fault}");
-    let refused =
-        meet(&[Method::Password], Some(&scram), &who(Some("right"), false)).err().expect("no clear text");
+    assert!(
+        fault.text.contains("takes md5") && fault.text.contains("a SCRAM-SHA-256 verifier"),
+        "{fault}"
+    );
+    let refused = meet(
+        &[Method::Password],
+        Some(&scram),
+        &who(Some("right"), false),
+    )
+    .err()
+    .expect("no clear text");
     assert!(refused.to_string().contains("clear text"), "{refused}");
-    let refused = meet(&[Method::Scram], Some(&scram), &who(None, false)).err().expect("no password");
+    let refused = meet(&[Method::Scram], Some(&scram), &who(None, false))
+        .err()
+        .expect("no password");
     assert!(refused.to_string().contains("names none"), "{refused}");
     for (what, name) in [(7u32, "GSSAPI"), (9, "SSPI"), (2, "Kerberos")] {
         let mut out = Vec::new();
         let mut login = Login::start(&who(None, false), &mut out);
         let mut asked = Vec::new();
-        wire::put(&mut asked, b'R', |out| out.extend_from_slice(&what.to_be_bytes()));
+        wire::put(&mut asked, b'R', |out| {
+            out.extend_from_slice(&what.to_be_bytes())
+        });
         let message = wire::message(&asked, 100).expect("framed").expect("whole");
-        let refused = login.take(&who(None, false), &message, &mut out).expect_err("no way");
+        let refused = login
+            .take(&who(None, false), &message, &mut out)
+            .expect_err("no way");
         let text = refused.to_string();
-        assert!(text.contains(name) && text.contains("SCRAM-SHA-256"), "{text}");
+        assert!(
+            text.contains(name) && text.contains("SCRAM-SHA-256"),
+            "{text}"
+        );
     }
 }
 
@@ -121,39 +160,63 @@
     let who = who(Some("right"), true);
     let mut login = Login::start(&who, &mut out);
     let mut said = Vec::new();
-    wire::put(&mut said, b'R', |out| out.extend_from_slice(b"\0\0\0\x0aSCRAM-SHA-256\0\0"));
+    wire::put(&mut said, b'R', |out| {
+        out.extend_from_slice(b"\0\0\0\x0aSCRAM-SHA-256\0\0")
+    });
     wire::put(&mut said, b'R', |out| out.extend_from_slice(&[0; 4]));
     let mut messages = wire::messages(&said);
     let first = login.take(&who, &messages.next().expect("one"), &mut out);
     assert_eq!(first, Ok(false));
-    assert_eq!(login.take(&who, &messages.next().expect("two"), &mut out), Err(Refused::Malformed));
+    assert_eq!(
+        login.take(&who, &messages.next().expect("two"), &mut out),
+        Err(Refused::Malformed)
+    );
 }
 
 #[test]
 fn where_everyone_is_welcome_a_spoilt_greeting_is_no_harm() {
     // Danger: on a network that spoils bytes, each connection lost to a greeting that nobody reads costs its request.
-    let who = Credentials { welcome: true, ..who(None, false) };
+    let who = Credentials {
+        welcome: true,
+        ..who(None, false)
+    };
     let mut out = Vec::new();
     let mut login = Login::start(&who, &mut out);
     let mut said = Vec::new();
-    for (kind, body) in [(b'R', &b"\xff\x7f"[..]), (b'S', b"no end"), (b'K', b""), (b'v', b"?"), (b'N', b"")]
-    {
+    for (kind, body) in [
+        (b'R', &b"\xff\x7f"[..]),
+        (b'S', b"no end"),
+        (b'K', b""),
+        (b'v', b"?"),
+        (b'N', b""),
+    ] {
         wire::put(&mut said, kind, |out| out.extend_from_slice(body));
     }
     wire::put_ready(&mut said);
-    let all: Vec<_> = wire::messages(&said).map(|m| login.take(&who, &m, &mut out)).collect();
+    let all: Vec<_> = wire::messages(&said)
+        .map(|m| login.take(&who, &m, &mut out))
+        .collect();
     assert_eq!(all.last(), Some(&Ok(true)), "{all:?}");
 }
 
 #[test]
 fn the_published_example_of_scram_is_met() {
     // RFC 7677, section 3.
-    let kept = Verifier::scram_of(b"pencil", b"[m\x99h\x9d\x125\x8e\xec\xa0K\x14\x126\xfa\x81", 4_096);
-    let Verifier::Scram(kept) = kept else { panic!("a SCRAM verifier") };
+    let kept = Verifier::scram_of(
+        b"pencil",
+        b"[m\x99h\x9d\x125\x8e\xec\xa0K\x14\x126\xfa\x81",
+        4_096,
+    );
+    let Verifier::Scram(kept) = kept else {
+        panic!("a SCRAM verifier")
+    };
     let first = b"n,,n=user,r=rOprNGfwEbeRWgbNEkqO";
-    let (exchange, answer) =
-        plovercove_dialect::verifier::Exchange::begin(&kept, first, "%hvYDpWUa2RaTCAfuxFIlj)hNlF$k0")
-            .expect("good");
+    let (exchange, answer) = plovercove_dialect::verifier::Exchange::begin(
+        &kept,
+        first,
+        "%hvYDpWUa2RaTCAfuxFIlj)hNlF$k0",
+    )
+    .expect("good");
     assert_eq!(
         answer,
         "r=rOprNGfwEbeRWgbNEkqO%hvYDpWUa2RaTCAfuxFIlj)hNlF$k0,s=W22ZaJ0SNY7soEsUEjb6gQ==,i=4096"
@@ -163,7 +226,11 @@
         exchange.end(last.as_bytes()).as_deref(),
         Some("v=6rriTRBi23WpRR/wtup+mMhUZUn/dB5nLTJRsjl95G4=")
     );
-    for spoilt in [last.replace("biws", "eSws"), last.replace("k0,p", "k1,p"), last.replace("p=dH", "p=dG")] {
+    for spoilt in [
+        last.replace("biws", "eSws"),
+        last.replace("k0,p", "k1,p"),
+        last.replace("p=dH", "p=dG"),
+    ] {
         assert_eq!(exchange.end(spoilt.as_bytes()), None, "{spoilt}");
     }
 }
@@ -174,15 +241,26 @@
                 WG5d8oPm3OtcPnkdi4Uo7BkeZkBFzpcXkuLmtbsT4qY=:wfPLwcE6nTWhTAmQ7tl2KeoiWGPlZqQxSrmfPwDl2dU=\n";
     let users = Users::parse(text).expect("good");
     assert_eq!(users.len(), 2);
-    assert!(users.get("old").is_some_and(|v| v.proves_clear("old", b"pencil")));
+    assert!(
+        users
+            .get("old")
+            .is_some_and(|v| v.proves_clear("old", b"pencil"))
+    );
     assert_eq!(
         format!("{:?} {users:?}", users.get("app")),
         "Some(an MD5 verifier) 2 users",
         "no secret in a log"
     );
-    for (wrong, line) in [("app hunter2", "line 1"), ("\napp", "line 2"), ("a md5xyz", "line 1")] {
+    for (wrong, line) in [
+        ("app hunter2", "line 1"),
+        ("\napp", "line 2"),
+        ("a md5xyz", "line 1"),
+    ] {
         let said = Users::parse(wrong).expect_err(wrong).to_string();
-        assert!(said.starts_with(line) && !said.contains("hunter2"), "{said}");
+        assert!(
+            said.starts_with(line) && !said.contains("hunter2"),
+            "{said}"
+        );
     }
     let twice = format!("{text}app md5f6d2ba4f1b0a1ee0e1c3c2c0e7a0b1c2");
     assert!(Users::parse(&twice).is_err_and(|e| e.to_string().contains("twice")));
@@ -192,7 +270,8 @@
 fn the_first_packets_of_every_version_are_understood() {
     let open = |rules: &Rules, bytes: &[u8]| {
         let (mut door, mut out) = (Door::default(), Vec::new());
-        door.take(rules, bytes, NONCE, &mut out).map(|step| (step.map(|(_, step)| step), door, out))
+        door.take(rules, bytes, NONCE, &mut out)
+            .map(|step| (step.map(|(_, step)| step), door, out))
     };
     let all = rules(&[Method::Password]);
     let mut old = vec![0u8; 296];
@@ -206,21 +285,38 @@
     );
     let (step, ..) = open(&all, &old[..295]).expect("a part");
     assert_eq!(step, None);
-    let only_new = Rules { versions: vec![Version::V30], methods: vec![Method::Trust] };
+    let only_new = Rules {
+        versions: vec![Version::V30],
+        methods: vec![Method::Trust],
+    };
     let fault = open(&only_new, &old).err().expect("not spoken");
-    assert!(fault.text.contains("version 2.0") && fault.text.contains("3.0"), "{fault}");
-    for packet in [&b"\0\0\0\x08\x04\xd2\x16\x2f"[..], b"\0\0\0\x08\x04\xd2\x16\x30"] {
+    assert!(
+        fault.text.contains("version 2.0") && fault.text.contains("3.0"),
+        "{fault}"
+    );
+    for packet in [
+        &b"\0\0\0\x08\x04\xd2\x16\x2f"[..],
+        b"\0\0\0\x08\x04\xd2\x16\x30",
+    ] {
         let (step, _, out) = open(&all, packet).expect("no encryption");
         assert_eq!((step, &out[..]), (Some(Step::Goes), &b"N"[..]));
     }
-    let (step, ..) = open(&all, b"\0\0\0\x10\x04\xd2\x16\x2e\0\0\0\x07\x01\x02\x03\x04").expect("a cancel");
+    let (step, ..) = open(
+        &all,
+        b"\0\0\0\x10\x04\xd2\x16\x2e\0\0\0\x07\x01\x02\x03\x04",
+    )
+    .expect("a cancel");
     assert!(matches!(step, Some(Step::Cancel(key)) if key.id == 7 && key.secret == [1, 2, 3, 4]));
     // A newer minor version and options that nobody knows are told what is spoken.
     let mut newer = Vec::new();
-    wire::put_packet(&mut newer, |out| out.extend_from_slice(b"\0\x03\0\x63user\0app\0_pq_.magic\0on\0\0"));
+    wire::put_packet(&mut newer, |out| {
+        out.extend_from_slice(b"\0\x03\0\x63user\0app\0_pq_.magic\0on\0\0")
+    });
     let (mut door, mut out) = (Door::default(), Vec::new());
-    door.take(&all, &newer, NONCE, &mut out).expect("understood");
-    door.identify(&all, None, &SECRET, SALT, &mut out).expect("asked");
+    door.take(&all, &newer, NONCE, &mut out)
+        .expect("understood");
+    door.identify(&all, None, &SECRET, SALT, &mut out)
+        .expect("asked");
     assert_eq!(&out[..24], b"v\0\0\0\x17\0\0\0\x02\0\0\0\x01_pq_.magic\0");
 }
 
@@ -237,31 +333,56 @@
         }
     });
     wire::put(&mut out, b'D', |out| {
-        out.extend_from_slice(b"\0\x03\0\0\0\x06\\x9f41\0\0\0\x132026-12-01 17:20:00\xff\xff\xff\xff");
+        out.extend_from_slice(
+            b"\0\x03\0\0\0\x06\\x9f41\0\0\0\x132026-12-01 17:20:00\xff\xff\xff\xff",
+        );
+    });
+    wire::put(&mut out, b'N', |out| {
+        out.extend_from_slice(b"SNOTICE\0VNOTICE\0C00000\0Mhello\0sseats\0\0")
     });
-    wire::put(&mut out, b'N', |out| out.extend_from_slice(b"SNOTICE\0VNOTICE\0C00000\0Mhello\0sseats\0\0"));
     wire::put_complete(&mut out, "SELECT 1");
     out
 }
 
 #[test]
 fn a_reply_is_said_in_both_versions_and_in_the_forms_that_the_client_wants() {
-    let forms = Forms { bytea: Bytea::Escape, dates: Dates::default().set("German").expect("a style") };
+    let forms = Forms {
+        bytea: Bytea::Escape,
+        dates: Dates::default().set("German").expect("a style"),
+    };
     let mut old = Vec::new();
-    Speech { version: Version::V2, forms }.reply(&sample(), &mut old).expect("said");
+    Speech {
+        version: Version::V2,
+        forms,
+    }
+    .reply(&sample(), &mut old)
+    .expect("said");
     let mut want = b"Pblank\0T\0\x03".to_vec();
     for (name, kind) in [(b'a', 17u32), (b'b', 1114), (b'c', 25)] {
         want.extend_from_slice(&[name, 0]);
         want.extend_from_slice(&kind.to_be_bytes());
         want.extend_from_slice(b"\xff\xff\xff\xff\xff\xff");
     }
-    want.extend_from_slice(b"D\xc0\0\0\0\x09\\237A\0\0\0\x1701.12.2026 17:20:00NNOTICE:  hello\n\0CSELECT\0");
-    assert_eq!(old.escape_ascii().to_string(), want.escape_ascii().to_string());
+    want.extend_from_slice(
+        b"D\xc0\0\0\0\x09\\237A\0\0\0\x1701.12.2026 17:20:00NNOTICE:  hello\n\0CSELECT\0",
+    );
+    assert_eq!(
+        old.escape_ascii().to_string(),
+        want.escape_ascii().to_string()
+    );
     let mut new = Vec::new();
-    Speech { version: Version::V30, forms: Forms::default() }.reply(&sample(), &mut new).expect("said");
+    Speech {
+        version: Version::V30,
+        forms: Forms::default(),
+    }
+    .reply(&sample(), &mut new)
+    .expect("said");
     let kinds: Vec<u8> = wire::messages(&new).map(|m| m.kind).collect();
     assert_eq!(kinds, b"TDNC");
-    assert!(!new.windows(7).any(|w| w == b"sseats\0"), "a field that 3.0 did not have when it was young");
+    assert!(
+        !new.windows(7).any(|w| w == b"sseats\0"),
+        "a field that 3.0 did not have when it was young"
+    );
 }
 
 proptest! {
--- a/duties/src/ballot.rs
+++ b/duties/src/ballot.rs
@@ -41,7 +41,11 @@
 impl Ballot {
     /// Nobody has it; tokens up to this may have been voted for.
     pub fn new(highest: Token) -> Self {
-        Ballot { highest, holder: None, until: 0 }
+        Ballot {
+            highest,
+            holder: None,
+            until: 0,
+        }
     }
 
     /// Whether somebody's lease runs.
@@ -53,11 +57,19 @@
     fn is(&self, rules: &Rules, who: &Holder) -> bool {
         // Against: a process that is started anew while the old one is merely stopped takes the old one's lease for its own,
         // and the old one wakes up.
-        self.holder.is_some_and(|h| h == *who || (!rules.on(Guard::Life) && h.address == who.address))
+        self.holder
+            .is_some_and(|h| h == *who || (!rules.on(Guard::Life) && h.address == who.address))
     }
 
     /// A life asks for a token, for so long on the decider's clock (us).
-    pub fn ask(&mut self, rules: &Rules, now: Time, who: &Holder, token: Token, hold: Span) -> Said {
+    pub fn ask(
+        &mut self,
+        rules: &Rules,
+        now: Time,
+        who: &Holder,
+        token: Token,
+        hold: Span,
+    ) -> Said {
         let own = self.is(rules, who);
         if token == self.highest && own && self.runs(now) {
             self.holder = Some(*who);
@@ -69,7 +81,11 @@
             return Said::Held;
         }
         // Against: two owners with one token, which no fence could tell apart; asks that come twice or late.
-        let newer = if rules.on(Guard::Once) { token > self.highest } else { token >= self.highest };
+        let newer = if rules.on(Guard::Once) {
+            token > self.highest
+        } else {
+            token >= self.highest
+        };
         if !newer || token == Token::NONE {
             return Said::Older;
         }
@@ -87,7 +103,14 @@
     }
 
     /// A holder hands its duty to another, who gets the next token. Whether that is so now.
-    pub fn pass(&mut self, now: Time, from: &Holder, token: Token, to: &Holder, hold: Span) -> bool {
+    pub fn pass(
+        &mut self,
+        now: Time,
+        from: &Holder,
+        token: Token,
+        to: &Holder,
+        hold: Span,
+    ) -> bool {
         if token == self.highest && self.holder == Some(*from) {
             (self.highest, self.holder) = (token.next(), Some(*to));
             self.until = now.saturating_add(hold);
@@ -108,7 +131,9 @@
 impl Tally {
     /// No votes of so many deciders.
     pub fn new(deciders: usize) -> Self {
-        Tally { asked: vec![None; deciders] }
+        Tally {
+            asked: vec![None; deciders],
+        }
     }
 
     /// A decider said yes to the ask that was sent then.
@@ -125,7 +150,9 @@
 
     /// Whether this decider said yes to an ask as new as this.
     pub fn has(&self, decider: usize, since: Time) -> bool {
-        self.asked.get(decider).is_some_and(|at| at.is_some_and(|at| at >= since))
+        self.asked
+            .get(decider)
+            .is_some_and(|at| at.is_some_and(|at| at >= since))
     }
 
     /// From when the lease counts: a majority has said yes to asks sent then or later. An old answer that comes late, or
--- a/duties/src/candidate.rs
+++ b/duties/src/candidate.rs
@@ -137,10 +137,18 @@
     /// A decider that started anew knows no lease, and takes renewals of no token that it may have voted for before it did.
     /// A newer token is asked for while the lease runs: else a restart of one decider after the other ends it.
     fn renumber(&mut self, rules: &Rules, now: Time) {
-        let Some(hold) = self.hold.as_ref().filter(|h| h.won && h.passing.is_none()) else { return };
-        let (older, begins) = (hold.until(rules).map(|until| (hold.token, until)), hold.work());
+        let Some(hold) = self.hold.as_ref().filter(|h| h.won && h.passing.is_none()) else {
+            return;
+        };
+        let (older, begins) = (
+            hold.until(rules).map(|until| (hold.token, until)),
+            hold.work(),
+        );
         self.older = older;
-        self.hold = Some(Hold { begins, ..Hold::new(self.known.next(), rules, now) });
+        self.hold = Some(Hold {
+            begins,
+            ..Hold::new(self.known.next(), rules, now)
+        });
         self.due = now;
     }
 
@@ -177,7 +185,12 @@
         let spread = |span: Span| (span as f64 * (0.85 + 0.15 * jitter)) as Span;
         self.due = match &self.hold {
             Some(hold) if !hold.won => now + spread(rules.ask()),
-            Some(hold) if hold.tally.since(rules.quorum()).is_none_or(|s| s < hold.sent) => {
+            Some(hold)
+                if hold
+                    .tally
+                    .since(rules.quorum())
+                    .is_none_or(|s| s < hold.sent) =>
+            {
                 now + spread(2 * rules.ask())
             }
             Some(_) => now + spread(rules.renew()),
@@ -187,7 +200,9 @@
 
     /// Between two looks of who is ranked like this: all of them together look about six times in a renewal's time.
     fn seldom(&self, rules: &Rules) -> Span {
-        rules.renew().saturating_mul((self.rank as u64 + 1).min(SELDOM))
+        rules
+            .renew()
+            .saturating_mul((self.rank as u64 + 1).min(SELDOM))
     }
 
     /// How much later than the first in rank it asks.
@@ -197,20 +212,39 @@
 
     /// Whether an item must leave now, or may leave with others.
     pub fn wants(&self, now: Time, ahead: Span) -> bool {
-        if self.hold.as_ref().is_some_and(|h| h.passing.as_ref().is_some_and(|p| p.ready.is_some())) {
+        if self
+            .hold
+            .as_ref()
+            .is_some_and(|h| h.passing.as_ref().is_some_and(|p| p.ready.is_some()))
+        {
             return false;
         }
         // What is held is renewed with others where it is due within half of that, so that they stay together.
-        let ahead = if self.hold.is_some() { ahead / 2 } else { ahead };
+        let ahead = if self.hold.is_some() {
+            ahead / 2
+        } else {
+            ahead
+        };
         self.due <= now || (self.claim.is_none() && self.due <= now + ahead)
     }
 
     /// A decider has answered.
     pub fn answer(
-        &mut self, rules: &Rules, now: Time, decider: usize, asked: Time, answer: Answer, jitter: f64,
+        &mut self,
+        rules: &Rules,
+        now: Time,
+        decider: usize,
+        asked: Time,
+        answer: Answer,
+        jitter: f64,
     ) -> Became {
         self.known = self.known.max(answer.highest);
-        let told = Told { asked, came: now, highest: answer.highest, word: answer.word };
+        let told = Told {
+            asked,
+            came: now,
+            highest: answer.highest,
+            word: answer.word,
+        };
         match self.told.get_mut(decider) {
             Some(slot) if slot.is_none_or(|t| t.asked <= asked) => *slot = Some(told),
             _ => {}
@@ -218,13 +252,22 @@
         let quorum = rules.quorum();
         if let Some(hold) = &mut self.hold {
             if answer.word == Word::Voted && answer.highest == hold.token {
-                let became = hold.voted(rules, now, decider, asked, answer.mark, &mut self.due, jitter);
+                let became = hold.voted(
+                    rules,
+                    now,
+                    decider,
+                    asked,
+                    answer.mark,
+                    &mut self.due,
+                    jitter,
+                );
                 if became == Became::Won {
                     (self.older, self.failed) = (None, 0);
                 }
                 return became;
             }
-            let anew = answer.word == Word::Free && answer.highest > hold.token && asked >= hold.since;
+            let anew =
+                answer.word == Word::Free && answer.highest > hold.token && asked >= hold.since;
             if hold.won && anew {
                 self.renumber(rules, now);
                 return Became::Nothing;
@@ -233,7 +276,11 @@
                 t.asked >= hold.since && (t.highest > hold.token || !matches!(t.word, Word::Voted))
             });
             let refused = no.count() + quorum > self.told.len();
-            return if refused { Became::Refused } else { Became::Nothing };
+            return if refused {
+                Became::Refused
+            } else {
+                Became::Nothing
+            };
         }
         self.look(rules, now, quorum, jitter);
         Became::Nothing
@@ -264,7 +311,11 @@
             }
             if self.claim.is_none() {
                 let chance = (jitter * rules.ask() as f64) as Span;
-                let wait = if self.failed == 0 { chance / 4 } else { chance << self.failed.min(4) };
+                let wait = if self.failed == 0 {
+                    chance / 4
+                } else {
+                    chance << self.failed.min(4)
+                };
                 let at = now + self.later(rules) + wait;
                 self.claim = Some(at);
                 self.due = self.due.min(at);
@@ -284,7 +335,9 @@
             }
             _ => None,
         });
-        newest.max_by_key(|(token, _, until)| (*token, *until)).map(|(token, by, until)| (by, token, until))
+        newest
+            .max_by_key(|(token, _, until)| (*token, *until))
+            .map(|(token, by, until)| (by, token, until))
     }
 
     /// Who owned it is not seen any more: look when its lease is over.
@@ -298,7 +351,10 @@
     pub fn expire(&mut self, rules: &Rules, now: Time) -> Option<Option<Why>> {
         let hold = self.hold.as_ref()?;
         if hold.won {
-            return hold.until(rules).is_none_or(|until| until <= now).then_some(Some(Why::Lapsed));
+            return hold
+                .until(rules)
+                .is_none_or(|until| until <= now)
+                .then_some(Some(Why::Lapsed));
         }
         if self.older.is_some_and(|(_, until)| until <= now) {
             self.older = None;
@@ -321,7 +377,11 @@
     pub fn drop_hold(&mut self, rules: &Rules, now: Time, jitter: f64) -> Option<Token> {
         let hold = self.hold.take()?;
         self.older = None;
-        self.failed = if hold.won { 0 } else { self.failed.saturating_add(1) };
+        self.failed = if hold.won {
+            0
+        } else {
+            self.failed.saturating_add(1)
+        };
         self.claim = None;
         self.told.iter_mut().for_each(|t| *t = None);
         let wait = (rules.ask() as f64 * jitter) as Span;
@@ -335,12 +395,19 @@
         self.due = now;
         let deciders = self.told.len();
         let hold = self.hold.as_mut()?;
-        let was = hold.won.then_some(hold.token).or(self.older.map(|(token, _)| token));
+        let was = hold
+            .won
+            .then_some(hold.token)
+            .or(self.older.map(|(token, _)| token));
         // Against: an owner whose clock stood still with it takes its lease for running.
         if rules.on(Guard::Stood) {
             self.older = None;
             let (begins, mark) = (hold.begins.take(), hold.mark.take());
-            *hold = Hold { begins, mark, ..Hold::new(hold.token, rules, now) };
+            *hold = Hold {
+                begins,
+                mark,
+                ..Hold::new(hold.token, rules, now)
+            };
             hold.tally = Tally::new(deciders);
         }
         was
@@ -348,7 +415,10 @@
 
     /// Another hands it over to this router: the next token will be passed to it, or has been.
     pub fn expect(&mut self, rules: &Rules, now: Time, token: Token, mark: Option<Mark>) {
-        let hold = Hold { begins: mark, ..Hold::new(token, rules, now) };
+        let hold = Hold {
+            begins: mark,
+            ..Hold::new(token, rules, now)
+        };
         self.hold = Some(hold);
         self.claim = None;
         // Its own ask is sent only where the votes do not come by themselves.
@@ -372,7 +442,11 @@
 
     /// When the lease ends, by the votes there are.
     fn until(&self, rules: &Rules) -> Option<Time> {
-        Some(self.tally.since(rules.quorum())?.saturating_add(rules.lease_at_owner()))
+        Some(
+            self.tally
+                .since(rules.quorum())?
+                .saturating_add(rules.lease_at_owner()),
+        )
     }
 
     /// What is finished, by this owner or else by the one before.
@@ -382,7 +456,13 @@
 
     #[expect(clippy::too_many_arguments, reason = "the parts of one answer")]
     fn voted(
-        &mut self, rules: &Rules, now: Time, decider: usize, asked: Time, mark: Option<Mark>, due: &mut Time,
+        &mut self,
+        rules: &Rules,
+        now: Time,
+        decider: usize,
+        asked: Time,
+        mark: Option<Mark>,
+        due: &mut Time,
         jitter: f64,
     ) -> Became {
         // Asks sent before a stop do not count after it.
@@ -390,11 +470,16 @@
             return Became::Nothing;
         }
         // Against: votes that were long under way make a lease that is over at the deciders.
-        self.tally.voted(decider, if rules.on(Guard::Asked) { asked } else { now });
-        if mark.as_ref().map(|m| (m.token, m.count)) > self.begins.as_ref().map(|m| (m.token, m.count)) {
+        self.tally
+            .voted(decider, if rules.on(Guard::Asked) { asked } else { now });
+        if mark.as_ref().map(|m| (m.token, m.count))
+            > self.begins.as_ref().map(|m| (m.token, m.count))
+        {
             self.begins = mark;
         }
-        let Some(since) = self.tally.since(rules.quorum()) else { return Became::Nothing };
+        let Some(since) = self.tally.since(rules.quorum()) else {
+            return Became::Nothing;
+        };
         if since >= self.sent && self.passing.is_none() {
             let spread = 0.85 + 0.15 * jitter;
             *due = self.sent + (rules.renew() as f64 * spread) as Span;
