--- a/duties/src/decider.rs
+++ b/duties/src/decider.rs
@@ -107,7 +107,10 @@
         };
         // The file of an older generation than the former says nothing that could be told to others.
         let kept = kept.filter(|k| k.generation == set.generation || Some(k.generation) == former);
-        let longest = kept.as_ref().map_or(0, |k| k.longest_ms).max(rules.lease_ms);
+        let longest = kept
+            .as_ref()
+            .map_or(0, |k| k.longest_ms)
+            .max(rules.lease_ms);
         let mut seat = Seat {
             me: me.clone(),
             stage,
@@ -130,7 +133,10 @@
             && matches!(stage, Stage::Joining | Stage::Former)
             && kept.sealed < set.generation
         {
-            seat.pending = Some(Kept { sealed: set.generation, ..kept });
+            seat.pending = Some(Kept {
+                sealed: set.generation,
+                ..kept
+            });
         }
         Some(seat)
     }
@@ -158,7 +164,9 @@
 
     /// What was handed out last is on disk.
     pub fn kept(&mut self, rules: &Rules, now: Time, out: &mut Out) {
-        let Some(flight) = self.flight.take() else { return };
+        let Some(flight) = self.flight.take() else {
+            return;
+        };
         self.disk = Some(flight);
         self.turn(rules, now, out);
         for (from, stamp, lease_ms, item) in std::mem::take(&mut self.deferred) {
@@ -170,11 +178,19 @@
     fn covered(&mut self, rules: &Rules, token: Token, lease_ms: u64) -> bool {
         let Some(disk) = &self.disk else { return false };
         let covers = token <= disk.ceiling && lease_ms <= disk.longest_ms;
-        let coming = self.pending.as_ref().or(self.flight.as_ref()).unwrap_or(disk);
+        let coming = self
+            .pending
+            .as_ref()
+            .or(self.flight.as_ref())
+            .unwrap_or(disk);
         if token.0.saturating_add(STEP / 2) > coming.ceiling.0 || lease_ms > coming.longest_ms {
             let ceiling = Token(token.0.saturating_add(STEP)).max(coming.ceiling);
             let longest_ms = coming.longest_ms.max(lease_ms).max(rules.lease_ms);
-            self.pending = Some(Kept { ceiling, longest_ms, ..coming.clone() });
+            self.pending = Some(Kept {
+                ceiling,
+                longest_ms,
+                ..coming.clone()
+            });
         }
         // Against: a decider that restarts votes again for a token that it voted for before.
         covers || !rules.on(Guard::Ceiling)
@@ -182,14 +198,18 @@
 
     /// Whether the file on disk is of the set that the settings name.
     fn is_member(&self, rules: &Rules) -> bool {
-        self.disk.as_ref().is_some_and(|k| k.generation == rules.deciders.generation)
+        self.disk
+            .as_ref()
+            .is_some_and(|k| k.generation == rules.deciders.generation)
     }
 
     pub fn next(&self) -> Time {
         match self.stage {
             Stage::Voting | Stage::Former => Time::MAX,
             // Without its file on disk it is called again by that, or when it reads.
-            Stage::Waiting if self.disk.is_some() && self.pending.is_none() && self.flight.is_none() => {
+            Stage::Waiting
+                if self.disk.is_some() && self.pending.is_none() && self.flight.is_none() =>
+            {
                 self.from.min(self.next_read)
             }
             Stage::Waiting | Stage::Blank | Stage::Joining => self.next_read,
@@ -202,9 +222,15 @@
         }
         if now >= self.next_read {
             self.next_read = now + 2 * rules.ask();
-            let read = Body::Read { generation: rules.deciders.generation, ceiling: self.ceiling() };
+            let read = Body::Read {
+                generation: rules.deciders.generation,
+                ceiling: self.ceiling(),
+            };
             let all = rules.deciders.members.iter().chain(&rules.deciders.before);
-            let mut to: Vec<_> = all.map(|d| d.address).filter(|a| *a != self.me.address).collect();
+            let mut to: Vec<_> = all
+                .map(|d| d.address)
+                .filter(|a| *a != self.me.address)
+                .collect();
             to.sort_unstable();
             to.dedup();
             to.iter().for_each(|a| out.send(*a, &read));
@@ -214,7 +240,10 @@
 
     /// It has never voted for a token over this.
     fn ceiling(&self) -> Token {
-        self.disk.as_ref().map_or(Token::NONE, |k| k.ceiling).max(self.base)
+        self.disk
+            .as_ref()
+            .map_or(Token::NONE, |k| k.ceiling)
+            .max(self.base)
     }
 
     /// Those of the others in this generation that know what they may have voted for.
@@ -224,7 +253,9 @@
         others
             .filter_map(|d| self.told.get(&d.address))
             .map(|t| &t.state)
-            .filter(|s| s.generation == set.generation && matches!(s.stage, Stage::Voting | Stage::Waiting))
+            .filter(|s| {
+                s.generation == set.generation && matches!(s.stage, Stage::Voting | Stage::Waiting)
+            })
     }
 
     fn advance(&mut self, rules: &Rules, now: Time, out: &mut Out) {
@@ -233,7 +264,9 @@
             Stage::Waiting => {
                 let (others, yours) = self
                     .knowing(rules)
-                    .fold((Token::NONE, Token::NONE), |(c, y), s| (c.max(s.ceiling), y.max(s.yours)));
+                    .fold((Token::NONE, Token::NONE), |(c, y), s| {
+                        (c.max(s.ceiling), y.max(s.yours))
+                    });
                 if yours > self.ceiling() && !self.stale {
                     // An old copy of the file was put back: what it lacks, only others know.
                     self.stale = true;
@@ -253,7 +286,9 @@
             Stage::Blank => {
                 let (count, ceiling, longest) = self
                     .knowing(rules)
-                    .fold((0, Token::NONE, 0), |(n, c, l), s| (n + 1, c.max(s.ceiling), l.max(s.longest_ms)));
+                    .fold((0, Token::NONE, 0), |(n, c, l), s| {
+                        (n + 1, c.max(s.ceiling), l.max(s.longest_ms))
+                    });
                 // Against: a decider that has forgotten what it voted for votes for it again. Those who made an owner with it
                 // are a majority without it, so a majority of all that does not count it has one of them.
                 if count >= set.majority() || !rules.on(Guard::CatchUp) {
@@ -266,8 +301,11 @@
                     .filter_map(|d| self.told.get(&d.address))
                     .filter(|t| t.state.generation == set.generation);
                 if answered.count() + 1 == set.members.len() {
-                    let before =
-                        if set.before.is_empty() { Some((Token::NONE, 0)) } else { self.sealed(rules) };
+                    let before = if set.before.is_empty() {
+                        Some((Token::NONE, 0))
+                    } else {
+                        self.sealed(rules)
+                    };
                     if let Some((sealed, long)) = before {
                         self.enter(rules, now, ceiling.max(sealed), longest.max(long), out);
                     }
@@ -293,11 +331,13 @@
             let state = &self.told.get(&d.address)?.state;
             (state.sealed >= set.generation).then_some((state.ceiling, state.longest_ms))
         });
-        let (count, ceiling, longest) = sealed.fold((0, Token::NONE, 0), |(n, c, l), (ceiling, longest)| {
-            (n + 1, c.max(ceiling), l.max(longest))
-        });
+        let (count, ceiling, longest) = sealed
+            .fold((0, Token::NONE, 0), |(n, c, l), (ceiling, longest)| {
+                (n + 1, c.max(ceiling), l.max(longest))
+            });
         // Against: two sets of deciders, each of which makes an owner.
-        (count >= majority(set.before.len()) || !rules.on(Guard::Seal)).then_some((ceiling, longest))
+        (count >= majority(set.before.len()) || !rules.on(Guard::Seal))
+            .then_some((ceiling, longest))
     }
 
     /// It knows now what it may have voted for, and waits for the leases.
@@ -320,20 +360,36 @@
             sealed: rules.deciders.generation,
         });
         self.stage = Stage::Waiting;
-        out.news.push(News::Decider { stage: self.stage, above: self.base });
+        out.news.push(News::Decider {
+            stage: self.stage,
+            above: self.base,
+        });
     }
 
     fn vote_from_now(&mut self, out: &mut Out) {
         self.stage = Stage::Voting;
-        out.news.push(News::Decider { stage: self.stage, above: self.base });
+        out.news.push(News::Decider {
+            stage: self.stage,
+            above: self.base,
+        });
     }
 
     /// The loop stood still for so long, or the clock jumped, over `was` or back: whether leases are over cannot be known, so
     /// those that ran are taken to run for as much longer.
     pub fn stood(&mut self, rules: &Rules, was: Time, now: Time, span: Span) {
-        let longest = self.disk.as_ref().map_or(0, |k| k.longest_ms).max(rules.lease_ms);
+        let longest = self
+            .disk
+            .as_ref()
+            .map_or(0, |k| k.longest_ms)
+            .max(rules.lease_ms);
         let most = now.saturating_add(rules.lease_at_decider(longest));
-        let later = |at: Time| if now < was { most } else { at.saturating_add(span).min(most) };
+        let later = |at: Time| {
+            if now < was {
+                most
+            } else {
+                at.saturating_add(span).min(most)
+            }
+        };
         for record in self.records.values_mut().filter(|r| r.ballot.runs(was)) {
             record.ballot.until = later(record.ballot.until);
         }
@@ -345,7 +401,10 @@
 
     /// Another decider asks how far this one has come.
     pub fn read(&mut self, rules: &Rules, now: Time, from: &Member, ceiling: Token, out: &mut Out) {
-        let known = self.told.get(&from.address).map_or(Token::NONE, |t| t.state.ceiling);
+        let known = self
+            .told
+            .get(&from.address)
+            .map_or(Token::NONE, |t| t.state.ceiling);
         // What is on disk is told, not what is to be: the promise must last.
         let state = State {
             generation: rules.deciders.generation,
@@ -387,10 +446,24 @@
     }
 
     /// Another decider has told how far it has come.
-    pub fn state(&mut self, rules: &Rules, now: Time, from: &Member, mut state: State, out: &mut Out) {
+    pub fn state(
+        &mut self,
+        rules: &Rules,
+        now: Time,
+        from: &Member,
+        mut state: State,
+        out: &mut Out,
+    ) {
         let set = &rules.deciders;
-        let known = set.members.iter().chain(&set.before).any(|d| d.address == from.address);
-        if !known || state.boot != self.me.boot || matches!(self.stage, Stage::Voting | Stage::Former) {
+        let known = set
+            .members
+            .iter()
+            .chain(&set.before)
+            .any(|d| d.address == from.address);
+        if !known
+            || state.boot != self.me.boot
+            || matches!(self.stage, Stage::Voting | Stage::Former)
+        {
             return;
         }
         state.longest_ms = state.longest_ms.min(LONGEST);
@@ -404,7 +477,13 @@
     /// A router asks for duties, or looks.
     #[expect(clippy::too_many_arguments, reason = "the parts of one message")]
     pub fn ask(
-        &mut self, rules: &Rules, now: Time, from: &Member, stamp: u64, lease_ms: u32, items: Vec<Item>,
+        &mut self,
+        rules: &Rules,
+        now: Time,
+        from: &Member,
+        stamp: u64,
+        lease_ms: u32,
+        items: Vec<Item>,
         out: &mut Out,
     ) {
         let who = from.holder();
@@ -427,7 +506,13 @@
             }
         }
         let (generation, boot, stage) = (rules.deciders.generation, from.boot, self.stage);
-        let make = |items| Body::Answers { generation, boot, stamp, stage, items };
+        let make = |items| Body::Answers {
+            generation,
+            boot,
+            stamp,
+            stage,
+            items,
+        };
         for bytes in bodies(&answers, &make) {
             out.sends.push((from.address, bytes));
         }
@@ -435,22 +520,40 @@
 
     #[expect(clippy::too_many_arguments, reason = "the parts of one message")]
     fn one(
-        &mut self, rules: &Rules, now: Time, from: &Member, stamp: u64, lease_ms: u64, item: Item,
+        &mut self,
+        rules: &Rules,
+        now: Time,
+        from: &Member,
+        stamp: u64,
+        lease_ms: u64,
+        item: Item,
         out: &mut Out,
     ) -> Option<Answer> {
         let (who, duty) = (from.holder(), item.duty.clone());
         let base = self.base;
-        if !self.records.contains_key(&duty) && (item.token == Token::NONE || self.records.len() >= DUTIES) {
-            let word = if self.records.len() >= DUTIES { Word::Full } else { Word::Free };
+        if !self.records.contains_key(&duty)
+            && (item.token == Token::NONE || self.records.len() >= DUTIES)
+        {
+            let word = if self.records.len() >= DUTIES {
+                Word::Full
+            } else {
+                Word::Free
+            };
             if word == Word::Full {
                 out.news.push(News::Full { duty: duty.clone() });
             }
-            return Some(Answer { duty, highest: base, word, mark: None });
+            return Some(Answer {
+                duty,
+                highest: base,
+                word,
+                mark: None,
+            });
         }
         // The disk first: what it does not cover must not be decided on yet.
         if item.token != Token::NONE && !self.covered(rules, item.token, lease_ms) {
             if self.deferred.len() < WAITING {
-                self.deferred.push((from.clone(), stamp, lease_ms as u32, item));
+                self.deferred
+                    .push((from.clone(), stamp, lease_ms as u32, item));
             }
             return None;
         }
@@ -462,7 +565,10 @@
             times: 0,
         });
         if let Some(span) = record.review(rules, now, &who) {
-            out.news.push(News::SetAside { duty: duty.clone(), span });
+            out.news.push(News::SetAside {
+                duty: duty.clone(),
+                span,
+            });
         }
         let was = record.ballot.highest;
         let left = |until: Time| u32::try_from((until - now).div_ceil(1_000)).unwrap_or(u32::MAX);
@@ -472,13 +578,17 @@
                 return Some(Answer {
                     duty,
                     highest: was,
-                    word: Word::Aside { left_ms: left(record.aside) },
+                    word: Word::Aside {
+                        left_ms: left(record.aside),
+                    },
                     mark: None,
                 });
             }
             Token::NONE if record.ballot.runs(now) => Said::Held,
             Token::NONE => Said::Older,
-            token => record.ballot.ask(rules, now, &who, token, rules.lease_at_decider(lease_ms)),
+            token => record
+                .ballot
+                .ask(rules, now, &who, token, rules.lease_at_decider(lease_ms)),
         };
         let mut mark = None;
         if said == Said::Voted {
@@ -489,10 +599,18 @@
         }
         let word = match (said, record.ballot.holder) {
             (Said::Voted, _) => Word::Voted,
-            (Said::Held, Some(by)) => Word::Held { by, left_ms: left(record.ballot.until) },
+            (Said::Held, Some(by)) => Word::Held {
+                by,
+                left_ms: left(record.ballot.until),
+            },
             _ => Word::Free,
         };
-        Some(Answer { duty, highest: record.ballot.highest, word, mark })
+        Some(Answer {
+            duty,
+            highest: record.ballot.highest,
+            word,
+            mark,
+        })
     }
 
     /// A router gives tokens back.
@@ -507,8 +625,16 @@
     /// An owner hands its duty to another.
     #[expect(clippy::too_many_arguments, reason = "the parts of one message")]
     pub fn pass(
-        &mut self, rules: &Rules, now: Time, from: &Member, duty: Duty, token: Token, to: Holder, stamp: u64,
-        lease_ms: u32, out: &mut Out,
+        &mut self,
+        rules: &Rules,
+        now: Time,
+        from: &Member,
+        duty: Duty,
+        token: Token,
+        to: Holder,
+        stamp: u64,
+        lease_ms: u32,
+        out: &mut Out,
     ) {
         let lease_ms = u64::from(lease_ms);
         if self.stage != Stage::Voting || !(1..=LONGEST).contains(&lease_ms) {
@@ -518,9 +644,22 @@
         if !self.records.contains_key(&duty) || !self.covered(rules, token.next(), lease_ms) {
             return;
         }
-        let Some(record) = self.records.get_mut(&duty) else { return };
-        if record.ballot.pass(now, &from.holder(), token, &to, rules.lease_at_decider(lease_ms)) {
-            let answer = Answer { duty, highest: token.next(), word: Word::Voted, mark: record.mark.clone() };
+        let Some(record) = self.records.get_mut(&duty) else {
+            return;
+        };
+        if record.ballot.pass(
+            now,
+            &from.holder(),
+            token,
+            &to,
+            rules.lease_at_decider(lease_ms),
+        ) {
+            let answer = Answer {
+                duty,
+                highest: token.next(),
+                word: Word::Voted,
+                mark: record.mark.clone(),
+            };
             let body = Body::Answers {
                 generation: rules.deciders.generation,
                 boot: to.boot,
@@ -535,8 +674,14 @@
 
 impl Record {
     fn take_mark(&mut self, mark: Option<Mark>, token: Token) {
-        let Some(mark) = mark.filter(|m| m.token == token) else { return };
-        if self.mark.as_ref().is_none_or(|m| (m.token, m.count) < (mark.token, mark.count)) {
+        let Some(mark) = mark.filter(|m| m.token == token) else {
+            return;
+        };
+        if self
+            .mark
+            .as_ref()
+            .is_none_or(|m| (m.token, m.count) < (mark.token, mark.count))
+        {
             self.mark = Some(mark);
         }
     }
@@ -554,7 +699,9 @@
         self.losses.push_back((lapsed, lost));
         // Each of them could be replaced only when its lease was over.
         let within = WITHIN + LOSSES as u64 * rules.lease_at_decider(rules.lease_ms);
-        while self.losses.front().is_some_and(|(at, _)| at + within < now) || self.losses.len() > LOSSES {
+        while self.losses.front().is_some_and(|(at, _)| at + within < now)
+            || self.losses.len() > LOSSES
+        {
             self.losses.pop_front();
         }
         if now.saturating_sub(self.aside) > 10 * within {
@@ -565,7 +712,9 @@
         if self.losses.len() < enough || !rules.on(Guard::Aside) {
             return None;
         }
-        let span = ms(rules.aside_ms).saturating_mul(1 << self.times.min(16)).min(LONGEST_ASIDE);
+        let span = ms(rules.aside_ms)
+            .saturating_mul(1 << self.times.min(16))
+            .min(LONGEST_ASIDE);
         (self.aside, self.times) = (now + span, self.times + 1);
         self.losses.clear();
         Some(span)
--- a/duties/src/duties.rs
+++ b/duties/src/duties.rs
@@ -73,12 +73,23 @@
 impl Duties {
     /// A router among this many. `kept` is what its file holds ([`Kept::read`]); none where there is none, or where it is
     /// no decider.
-    pub fn new(rules: Rules, me: Member, routers: u32, now: Time, seed: u64, kept: Option<Kept>) -> Self {
+    pub fn new(
+        rules: Rules,
+        me: Member,
+        routers: u32,
+        now: Time,
+        seed: u64,
+        kept: Option<Kept>,
+    ) -> Self {
         let mut dice = Pcg64Mcg::seed_from_u64(seed);
         let seat = Seat::new(&rules, &me, now, kept);
         let deciders = rules.deciders.members.len();
         // All of a fleet that starts at once must not ask at once.
-        let first = if routers > 1 { dice.random_range(0..rules.renew().max(1)) } else { 0 };
+        let first = if routers > 1 {
+            dice.random_range(0..rules.renew().max(1))
+        } else {
+            0
+        };
         let mut new = Duties {
             meter: Meter::new(rules.datagrams_per_s, now),
             reached: vec![None; deciders],
@@ -103,7 +114,10 @@
             dice,
         };
         if let Some(seat) = &new.seat {
-            new.tell(News::Decider { stage: seat.stage(), above: Token::NONE });
+            new.tell(News::Decider {
+                stage: seat.stage(),
+                above: Token::NONE,
+            });
         }
         new
     }
@@ -126,7 +140,10 @@
     /// Counts since the start.
     pub fn counts(&self) -> Counts {
         let dropped = self.counts.dropped + self.seat.as_ref().map_or(0, |s| s.dropped);
-        Counts { dropped, ..self.counts }
+        Counts {
+            dropped,
+            ..self.counts
+        }
     }
 
     /// When [`Duties::turn`] is to be called next at the latest.
@@ -179,7 +196,11 @@
             // The first asks come early, and not all at once.
             let due = now + self.dice.random_range(0..self.rules.ask().max(1));
             let new = || Chore::new(one.zone.clone(), deciders, due);
-            self.chores.entry(one.duty.clone()).or_insert_with(new).zone.clone_from(&one.zone);
+            self.chores
+                .entry(one.duty.clone())
+                .or_insert_with(new)
+                .zone
+                .clone_from(&one.zone);
         }
         self.wanted = wanted;
         self.place(now);
@@ -206,7 +227,9 @@
         let ranks = self.placement.ranks(&self.wanted, &self.members, &self.me);
         for (wanted, rank) in self.wanted.iter().zip(ranks) {
             let jitter: f64 = self.dice.random();
-            let Some(chore) = self.chores.get_mut(&wanted.duty) else { continue };
+            let Some(chore) = self.chores.get_mut(&wanted.duty) else {
+                continue;
+            };
             let (rose, sank) = (rank < chore.rank, rank > chore.rank);
             chore.rank = rank;
             if sank {
@@ -215,7 +238,9 @@
             if chore.hold.is_some() {
                 continue;
             }
-            let gone = chore.held().is_some_and(|(by, _, _)| !self.seen.contains_key(&by));
+            let gone = chore
+                .held()
+                .is_some_and(|(by, _, _)| !self.seen.contains_key(&by));
             if gone {
                 chore.vacant(&self.rules, now, jitter);
             } else if rose {
@@ -255,11 +280,18 @@
         }
         if self.rules.on(Guard::Stood) {
             for (duty, token) in lost {
-                self.tell(News::Lost { duty, token, why: Why::Stood });
+                self.tell(News::Lost {
+                    duty,
+                    token,
+                    why: Why::Stood,
+                });
             }
         }
         let clock = self.clock;
-        self.reached.iter_mut().flatten().for_each(|at| *at = (*at).min(clock).min(now));
+        self.reached
+            .iter_mut()
+            .flatten()
+            .for_each(|at| *at = (*at).min(clock).min(now));
         (self.next_ping, self.next_move) = (now, self.next_move.min(now + self.rules.renew()));
         self.clock = now;
         self.next = now;
@@ -291,7 +323,10 @@
     /// Another router was seen to act for a duty with this token, which a fence has let pass.
     pub fn heard(&mut self, duty: &Duty, from: &Member, token: Token) {
         if let Some(chore) = self.chores.get_mut(duty)
-            && chore.owner.as_ref().is_none_or(|(_, known)| *known <= token)
+            && chore
+                .owner
+                .as_ref()
+                .is_none_or(|(_, known)| *known <= token)
         {
             chore.owner = Some((from.clone(), token));
         }
@@ -299,7 +334,9 @@
 
     /// What this router owns now.
     pub fn owned(&self, now: Time) -> impl Iterator<Item = (&Duty, Token)> {
-        self.chores.keys().filter_map(move |duty| Some((duty, self.may_act(now, duty)?)))
+        self.chores
+            .keys()
+            .filter_map(move |duty| Some((duty, self.may_act(now, duty)?)))
     }
 
     /// Whether too few deciders answer: then each router does the chores by itself, as without duties.
@@ -319,16 +356,32 @@
     /// Whether it was taken.
     pub fn finished(&mut self, duty: &Duty, mark: Vec<u8>) -> bool {
         let hold = self.chores.get_mut(duty).and_then(|c| c.hold.as_mut());
-        let Some(hold) = hold.filter(|h| h.won && mark.len() <= MARK) else { return false };
+        let Some(hold) = hold.filter(|h| h.won && mark.len() <= MARK) else {
+            return false;
+        };
         let count = hold.mark.as_ref().map_or(0, |m| m.count).saturating_add(1);
-        hold.mark = Some(Mark { token: hold.token, count, what: mark });
+        hold.mark = Some(Mark {
+            token: hold.token,
+            count,
+            what: mark,
+        });
         true
     }
 
     /// What the predecessor is known to have finished; none where nothing is known.
     pub fn begins_from(&self, duty: &Duty) -> Option<Begin> {
-        let mark = self.chores.get(duty)?.hold.as_ref().filter(|h| h.won)?.begins.as_ref()?;
-        Some(Begin { token: mark.token, mark: mark.what.clone() })
+        let mark = self
+            .chores
+            .get(duty)?
+            .hold
+            .as_ref()
+            .filter(|h| h.won)?
+            .begins
+            .as_ref()?;
+        Some(Begin {
+            token: mark.token,
+            mark: mark.what.clone(),
+        })
     }
 
     /// What must be on disk before the votes that wait for it leave; call [`Duties::kept`] when it is. It must be written
@@ -350,7 +403,10 @@
         self.leaving = true;
         let all: Vec<Duty> = self.chores.keys().cloned().collect();
         for duty in all {
-            let owns = self.chores.get(&duty).is_some_and(|c| c.hold.as_ref().is_some_and(|h| h.won));
+            let owns = self
+                .chores
+                .get(&duty)
+                .is_some_and(|c| c.hold.as_ref().is_some_and(|h| h.won));
             if owns {
                 self.offer(now, &duty, 0);
             } else {
@@ -362,42 +418,78 @@
 
     /// Whether a hand-over is still under way.
     pub fn handing(&self) -> bool {
-        self.chores.values().any(|c| c.hold.as_ref().is_some_and(|h| h.passing.is_some()))
+        self.chores
+            .values()
+            .any(|c| c.hold.as_ref().is_some_and(|h| h.passing.is_some()))
     }
 
     /// Offers a duty to the next that should own it.
     fn offer(&mut self, now: Time, duty: &Duty, tries: usize) {
-        let Some(chore) = self.chores.get_mut(duty) else { return };
-        let Some(hold) = chore.hold.as_mut() else { return };
-        let wanted = Wanted { duty: duty.clone(), zone: chore.zone.clone() };
+        let Some(chore) = self.chores.get_mut(duty) else {
+            return;
+        };
+        let Some(hold) = chore.hold.as_mut() else {
+            return;
+        };
+        let wanted = Wanted {
+            duty: duty.clone(),
+            zone: chore.zone.clone(),
+        };
         let order = self.placement.order(&wanted, &self.members);
-        let to = order.into_iter().filter(|m| m.address != self.me.address).nth(tries).cloned();
+        let to = order
+            .into_iter()
+            .filter(|m| m.address != self.me.address)
+            .nth(tries)
+            .cloned();
         let Some(to) = to.filter(|_| tries < TRIES) else {
             hold.passing = None;
             if self.leaving {
                 let token = hold.token;
                 self.lose(now, duty, None);
-                self.tell(News::GivenBack { duty: duty.clone(), token });
+                self.tell(News::GivenBack {
+                    duty: duty.clone(),
+                    token,
+                });
             }
             return;
         };
-        hold.passing = Some(Passing { to, tries, since: now, sent: now, ready: None });
+        hold.passing = Some(Passing {
+            to,
+            tries,
+            since: now,
+            sent: now,
+            ready: None,
+        });
         self.send_passing(duty);
     }
 
     /// Sends what a hand-over has to send now.
     fn send_passing(&mut self, duty: &Duty) {
-        let Some(hold) = self.chores.get(duty).and_then(|c| c.hold.as_ref()) else { return };
+        let Some(hold) = self.chores.get(duty).and_then(|c| c.hold.as_ref()) else {
+            return;
+        };
         let Some(passing) = &hold.passing else { return };
         let (generation, token, duty) = (self.rules.deciders.generation, hold.token, duty.clone());
         let to = passing.to.holder();
         match passing.ready {
             None => {
-                let body = Body::Offer { generation, duty, token, mark: hold.work() };
+                let body = Body::Offer {
+                    generation,
+                    duty,
+                    token,
+                    mark: hold.work(),
+                };
                 self.send(to.address, &body);
             }
             Some((stamp, lease_ms)) => {
-                self.tell_deciders(&Body::Pass { generation, duty, token, to, stamp, lease_ms });
+                self.tell_deciders(&Body::Pass {
+                    generation,
+                    duty,
+                    token,
+                    to,
+                    stamp,
+                    lease_ms,
+                });
             }
         }
     }
@@ -405,14 +497,25 @@
     /// Gives up what is held or asked for of a duty, and tells the deciders.
     fn lose(&mut self, now: Time, duty: &Duty, why: Option<Why>) {
         let jitter: f64 = self.dice.random();
-        let Some(chore) = self.chores.get_mut(duty) else { return };
+        let Some(chore) = self.chores.get_mut(duty) else {
+            return;
+        };
         let owned = chore.owns(&self.rules).map(|(token, _)| token);
-        let Some(token) = chore.drop_hold(&self.rules, now, jitter) else { return };
+        let Some(token) = chore.drop_hold(&self.rules, now, jitter) else {
+            return;
+        };
         if let Some(why) = why.filter(|why| owned.is_some() || *why == Why::Lapsed) {
-            self.tell(News::Lost { duty: duty.clone(), token: owned.unwrap_or(token), why });
+            self.tell(News::Lost {
+                duty: duty.clone(),
+                token: owned.unwrap_or(token),
+                why,
+            });
         }
         let generation = self.rules.deciders.generation;
-        self.tell_deciders(&Body::Release { generation, items: vec![(duty.clone(), token)] });
+        self.tell_deciders(&Body::Release {
+            generation,
+            items: vec![(duty.clone(), token)],
+        });
     }
 
     fn send(&mut self, to: SocketAddr, body: &Body) {
@@ -471,44 +574,86 @@
         };
         let ours = self.rules.deciders.generation;
         match body {
-            Body::Ask { generation, stamp, lease_ms, items } => {
+            Body::Ask {
+                generation,
+                stamp,
+                lease_ms,
+                items,
+            } => {
                 // What is so late would make a lease that is almost over: it only keeps others out.
                 if late > crate::ms(u64::from(lease_ms)) / 2 {
                     return;
                 }
-                let items = if generation == ours { items } else { Vec::new() };
-                self.seated(|seat, rules, out| seat.ask(rules, now, from, stamp, lease_ms, items, out));
+                let items = if generation == ours {
+                    items
+                } else {
+                    Vec::new()
+                };
+                self.seated(|seat, rules, out| {
+                    seat.ask(rules, now, from, stamp, lease_ms, items, out)
+                });
             }
-            Body::Answers { generation, boot, stamp, stage, items }
-                if boot == self.me.boot && generation == ours && stamp <= now =>
-            {
+            Body::Answers {
+                generation,
+                boot,
+                stamp,
+                stage,
+                items,
+            } if boot == self.me.boot && generation == ours && stamp <= now => {
                 self.answers(now, from, stamp, stage, items);
             }
             Body::Release { generation, items } if generation == ours => {
                 self.seated(|seat, _, _| seat.release(from, items));
             }
-            Body::Offer { generation, duty, token, mark } if generation == ours => {
+            Body::Offer {
+                generation,
+                duty,
+                token,
+                mark,
+            } if generation == ours => {
                 self.offered(now, from, duty, token, mark);
             }
-            Body::Ready { generation, duty, token, stamp, lease_ms } if generation == ours => {
+            Body::Ready {
+                generation,
+                duty,
+                token,
+                stamp,
+                lease_ms,
+            } if generation == ours => {
                 let hold = self.chores.get_mut(&duty).and_then(|c| c.hold.as_mut());
-                let Some(hold) = hold.filter(|h| h.won && h.token == token) else { return };
-                let Some(passing) = hold.passing.as_mut() else { return };
+                let Some(hold) = hold.filter(|h| h.won && h.token == token) else {
+                    return;
+                };
+                let Some(passing) = hold.passing.as_mut() else {
+                    return;
+                };
                 if passing.to.holder() != from.holder() || passing.ready.is_some() {
                     return;
                 }
                 (passing.ready, passing.since, passing.sent) = (Some((stamp, lease_ms)), now, now);
                 self.send_passing(&duty);
             }
-            Body::Pass { generation, duty, token, to, stamp, lease_ms } if generation == ours => {
+            Body::Pass {
+                generation,
+                duty,
+                token,
+                to,
+                stamp,
+                lease_ms,
+            } if generation == ours => {
                 self.seated(|seat, rules, out| {
                     seat.pass(rules, now, from, duty, token, to, stamp, lease_ms, out);
                 });
             }
-            Body::Took { generation, duty, token } if generation == ours => {
-                self.took(now, from, &duty, token)
-            }
-            Body::Read { generation, ceiling } if generation == ours => {
+            Body::Took {
+                generation,
+                duty,
+                token,
+            } if generation == ours => self.took(now, from, &duty, token),
+            Body::Read {
+                generation,
+                ceiling,
+            } if generation == ours => {
                 self.seated(|seat, rules, out| seat.read(rules, now, from, ceiling, out));
             }
             Body::State(state) if state.generation == ours => {
@@ -519,14 +664,18 @@
     }
 
     fn answers(&mut self, now: Time, from: &Member, stamp: Time, stage: Stage, items: Vec<Answer>) {
-        let Some(decider) = self.rules.deciders.at(&from.address) else { return };
+        let Some(decider) = self.rules.deciders.at(&from.address) else {
+            return;
+        };
         if stage == Stage::Voting {
             self.reached[decider] = self.reached[decider].max(Some(stamp));
         }
         for answer in items {
             let jitter: f64 = self.dice.random();
             let duty = answer.duty.clone();
-            let Some(chore) = self.chores.get_mut(&duty) else { continue };
+            let Some(chore) = self.chores.get_mut(&duty) else {
+                continue;
+            };
             let was_aside = chore.is_aside(now);
             match chore.answer(&self.rules, now, decider, stamp, answer, jitter) {
                 Became::Nothing => {}
@@ -555,7 +704,12 @@
                     boot: by.boot,
                 };
                 let seen = self.seen.get(&by).cloned();
-                if until > now && chore.owner.as_ref().is_none_or(|(_, known)| *known <= token) {
+                if until > now
+                    && chore
+                        .owner
+                        .as_ref()
+                        .is_none_or(|(_, known)| *known <= token)
+                {
                     chore.owner = Some((seen.clone().unwrap_or_else(unknown), token));
                 }
                 if seen.is_none() {
@@ -566,26 +720,45 @@
     }
 
     fn won(&mut self, duty: &Duty) {
-        let Some(hold) = self.chores.get(duty).and_then(|c| c.hold.as_ref()) else { return };
+        let Some(hold) = self.chores.get(duty).and_then(|c| c.hold.as_ref()) else {
+            return;
+        };
         let (token, begins) = (hold.token, hold.begins.as_ref().map(|m| m.token));
-        self.tell(News::Won { duty: duty.clone(), token, begins });
+        self.tell(News::Won {
+            duty: duty.clone(),
+            token,
+            begins,
+        });
         if let Some((from, before)) = self.chores.get_mut(duty).and_then(|c| c.owner.take())
             && before.next() == token
             && from.holder() != self.me.holder()
         {
             let generation = self.rules.deciders.generation;
-            let body = Body::Took { generation, duty: duty.clone(), token };
+            let body = Body::Took {
+                generation,
+                duty: duty.clone(),
+                token,
+            };
             self.send(from.address, &body);
         }
     }
 
     /// Another would hand a duty over to this router.
     fn offered(&mut self, now: Time, from: &Member, duty: Duty, token: Token, mark: Option<Mark>) {
-        let Some(chore) = self.chores.get_mut(&duty).filter(|_| !self.leaving) else { return };
+        let Some(chore) = self.chores.get_mut(&duty).filter(|_| !self.leaving) else {
+            return;
+        };
         let generation = self.rules.deciders.generation;
         match &chore.hold {
             Some(hold) if hold.won && hold.token == token.next() => {
-                return self.send(from.address, &Body::Took { generation, duty, token: token.next() });
+                return self.send(
+                    from.address,
+                    &Body::Took {
+                        generation,
+                        duty,
+                        token: token.next(),
+                    },
+                );
             }
             Some(hold) if hold.token > token.next() || hold.won => return,
             _ => {}
@@ -593,19 +766,42 @@
         chore.expect(&self.rules, now, token.next(), mark);
         chore.owner = Some((from.clone(), token));
         let lease_ms = self.rules.lease_ms as u32;
-        self.send(from.address, &Body::Ready { generation, duty, token, stamp: now, lease_ms });
+        self.send(
+            from.address,
+            &Body::Ready {
+                generation,
+                duty,
+                token,
+                stamp: now,
+                lease_ms,
+            },
+        );
     }
 
     fn took(&mut self, now: Time, from: &Member, duty: &Duty, token: Token) {
-        let Some(chore) = self.chores.get_mut(duty) else { return };
-        let Some(hold) = chore.hold.as_ref().filter(|h| h.token.next() == token) else { return };
-        let Some(passing) = hold.passing.as_ref().filter(|p| p.to.holder() == from.holder()) else { return };
+        let Some(chore) = self.chores.get_mut(duty) else {
+            return;
+        };
+        let Some(hold) = chore.hold.as_ref().filter(|h| h.token.next() == token) else {
+            return;
+        };
+        let Some(passing) = hold
+            .passing
+            .as_ref()
+            .filter(|p| p.to.holder() == from.holder())
+        else {
+            return;
+        };
         let (to, token) = (passing.to.clone(), hold.token);
         let jitter: f64 = self.dice.random();
         chore.drop_hold(&self.rules, now, jitter);
         chore.owner = Some((to.clone(), token.next()));
         chore.due = now + self.rules.renew();
-        self.tell(News::HandedOver { duty: duty.clone(), token, to });
+        self.tell(News::HandedOver {
+            duty: duty.clone(),
+            token,
+            to,
+        });
     }
 
     /// Does what is due.
@@ -620,7 +816,11 @@
         self.settle(now);
         let majority = !self.alone(now);
         if self.had_majority.unwrap_or(false) != majority {
-            self.tell(if majority { News::Majority } else { News::NoMajority });
+            self.tell(if majority {
+                News::Majority
+            } else {
+                News::NoMajority
+            });
             self.had_majority = Some(majority);
         }
     }
@@ -641,16 +841,25 @@
         let ask = self.rules.ask();
         let due = |c: &Chore| {
             let passing = c.hold.as_ref()?.passing.as_ref()?;
-            (passing.sent + ask <= now).then(|| (passing.tries, passing.since, passing.ready.is_some()))
+            (passing.sent + ask <= now)
+                .then(|| (passing.tries, passing.since, passing.ready.is_some()))
         };
-        let all: Vec<_> = self.chores.iter().filter_map(|(d, c)| Some((d.clone(), due(c)?))).collect();
+        let all: Vec<_> = self
+            .chores
+            .iter()
+            .filter_map(|(d, c)| Some((d.clone(), due(c)?)))
+            .collect();
         for (duty, (tries, since, ready)) in all {
             if !ready && since + 2 * ask <= now {
                 self.offer(now, &duty, tries + 1);
                 continue;
             }
             if ready && since + self.rules.patience() <= now {
-                let token = self.chores.get(&duty).and_then(|c| c.hold.as_ref()).map(|h| h.token);
+                let token = self
+                    .chores
+                    .get(&duty)
+                    .and_then(|c| c.hold.as_ref())
+                    .map(|h| h.token);
                 self.lose(now, &duty, None);
                 if let Some(token) = token {
                     self.tell(News::GivenBack { duty, token });
@@ -671,8 +880,13 @@
             return;
         }
         let jitter: f64 = self.dice.random();
-        self.next_move = now + CALM * self.rules.renew() + (jitter * self.rules.renew() as f64) as Span;
-        let own = self.chores.values().filter(|c| c.hold.as_ref().is_some_and(|h| h.won)).count();
+        self.next_move =
+            now + CALM * self.rules.renew() + (jitter * self.rules.renew() as f64) as Span;
+        let own = self
+            .chores
+            .values()
+            .filter(|c| c.hold.as_ref().is_some_and(|h| h.won))
+            .count();
         if own <= self.placement.most() || self.handing() {
             return;
         }
@@ -689,15 +903,24 @@
     fn asks(&mut self, now: Time) {
         // As far ahead as the next ping: a look at what others own never costs a datagram of its own.
         let ahead = self.rules.renew();
-        let due = self.chores.values().any(|c| c.due <= now && c.wants(now, 0));
+        let due = self
+            .chores
+            .values()
+            .any(|c| c.due <= now && c.wants(now, 0));
         if (!due && now < self.next_ping) || (self.leaving && !self.handing()) {
             return;
         }
-        let owns = self.chores.values().any(|c| c.hold.as_ref().is_some_and(|h| h.won) && c.due <= now);
+        let owns = self
+            .chores
+            .values()
+            .any(|c| c.hold.as_ref().is_some_and(|h| h.won) && c.due <= now);
         if !self.meter.take(now, if owns { 0.0 } else { SPARE }) {
             self.counts.dropped += 1;
             let later = now + self.rules.ask();
-            self.chores.values_mut().filter(|c| c.due <= now).for_each(|c| c.due = later);
+            self.chores
+                .values_mut()
+                .filter(|c| c.due <= now)
+                .for_each(|c| c.due = later);
             self.next_ping = self.next_ping.max(later);
             return;
         }
@@ -708,12 +931,21 @@
             }
             let (token, mark) = chore.item(&self.rules, now);
             chore.plan(&self.rules, now, self.dice.random());
-            items.push(Item { duty: duty.clone(), token, mark });
+            items.push(Item {
+                duty: duty.clone(),
+                token,
+                mark,
+            });
         }
         let jitter: f64 = self.dice.random();
         self.next_ping = now + (self.rules.renew() as f64 * (0.9 + 0.1 * jitter)) as Span;
         let (generation, lease_ms) = (self.rules.deciders.generation, self.rules.lease_ms as u32);
-        let make = |items| Body::Ask { generation, stamp: now, lease_ms, items };
+        let make = |items| Body::Ask {
+            generation,
+            stamp: now,
+            lease_ms,
+            items,
+        };
         for bytes in bodies(&items, &make) {
             for n in 0..self.rules.deciders.members.len() {
                 self.send_bytes(self.rules.deciders.members[n].address, bytes.clone());
@@ -725,15 +957,32 @@
     fn schedule(&mut self) {
         let rules = &self.rules;
         let of = |c: &Chore| {
-            let passing = c.hold.as_ref().and_then(|h| h.passing.as_ref()).map(|p| p.sent + rules.ask());
+            let passing = c
+                .hold
+                .as_ref()
+                .and_then(|h| h.passing.as_ref())
+                .map(|p| p.sent + rules.ask());
             let ends = c.ends(rules);
-            let ready = c.hold.as_ref().and_then(|h| h.passing.as_ref()).is_some_and(|p| p.ready.is_some());
-            let due = if ready || (self.leaving && c.hold.is_none()) { Time::MAX } else { c.due };
-            due.min(passing.unwrap_or(Time::MAX)).min(ends.unwrap_or(Time::MAX))
+            let ready = c
+                .hold
+                .as_ref()
+                .and_then(|h| h.passing.as_ref())
+                .is_some_and(|p| p.ready.is_some());
+            let due = if ready || (self.leaving && c.hold.is_none()) {
+                Time::MAX
+            } else {
+                c.due
+            };
+            due.min(passing.unwrap_or(Time::MAX))
+                .min(ends.unwrap_or(Time::MAX))
         };
         let chores = self.chores.values().map(of).min().unwrap_or(Time::MAX);
         let seat = self.seat.as_ref().map_or(Time::MAX, Seat::next);
-        let ping = if self.leaving { Time::MAX } else { self.next_ping };
+        let ping = if self.leaving {
+            Time::MAX
+        } else {
+            self.next_ping
+        };
         self.next = chores.min(seat).min(ping);
     }
 }
--- a/duties/src/kept.rs
+++ b/duties/src/kept.rs
@@ -117,18 +117,24 @@
         if version != VERSION {
             return Err(KeptFault::Version { got: version });
         }
-        let (kept, rest) = postcard::take_from_bytes::<Kept>(body).map_err(|_| KeptFault::Damaged)?;
+        let (kept, rest) =
+            postcard::take_from_bytes::<Kept>(body).map_err(|_| KeptFault::Damaged)?;
         if !rest.is_empty() {
             return Err(KeptFault::Damaged);
         }
         if kept.installation != rules.installation {
-            return Err(KeptFault::Installation { got: kept.installation });
+            return Err(KeptFault::Installation {
+                got: kept.installation,
+            });
         }
         if kept.name != name {
             return Err(KeptFault::Name { got: kept.name });
         }
         if kept.generation > rules.deciders.generation {
-            return Err(KeptFault::Newer { got: kept.generation, expected: rules.deciders.generation });
+            return Err(KeptFault::Newer {
+                got: kept.generation,
+                expected: rules.deciders.generation,
+            });
         }
         Ok(kept)
     }
--- a/duties/src/meter.rs
+++ b/duties/src/meter.rs
@@ -12,7 +12,11 @@
 
 impl Meter {
     pub fn new(rate: u32, now: Time) -> Self {
-        Meter { rate: f64::from(rate), level: f64::from(rate), at: now }
+        Meter {
+            rate: f64::from(rate),
+            level: f64::from(rate),
+            at: now,
+        }
     }
 
     /// Takes one where more than this share is left.
--- a/duties/src/news.rs
+++ b/duties/src/news.rs
@@ -120,7 +120,9 @@
     /// What an operator can do.
     pub fn help(&self) -> &'static str {
         match self {
-            News::Won { .. } | News::HandedOver { .. } | News::Majority => "nothing: this is as it should be",
+            News::Won { .. } | News::HandedOver { .. } | News::Majority => {
+                "nothing: this is as it should be"
+            }
             News::Lost { .. } => {
                 "nothing where it is rare; else look at the links to the deciders and at the machine's load"
             }
@@ -133,17 +135,25 @@
             News::NoMajority => {
                 "start the deciders that are down, or mend the links to them; until then each router does all by itself"
             }
-            News::Stood { .. } => "look at the machine: it was stopped, starved or its clock was set",
+            News::Stood { .. } => {
+                "look at the machine: it was stopped, starved or its clock was set"
+            }
             News::Decider { stage, .. } => match stage {
-                Stage::Voting | Stage::Waiting => "nothing: it votes when the longest lease is over",
+                Stage::Voting | Stage::Waiting => {
+                    "nothing: it votes when the longest lease is over"
+                }
                 Stage::Blank => {
                     "nothing where a majority of the other deciders runs; else start them: it reads their tokens first"
                 }
                 Stage::Joining => "give a majority of the former deciders the new settings too",
                 Stage::Former => "nothing: keep it running until the new deciders vote",
             },
-            News::Stale => "do not restore a decider's file from a copy; it goes on as if the file were lost",
-            News::Full { .. } => "lower the number of duties, or look for a router that makes names up",
+            News::Stale => {
+                "do not restore a decider's file from a copy; it goes on as if the file were lost"
+            }
+            News::Full { .. } => {
+                "lower the number of duties, or look for a router that makes names up"
+            }
         }
     }
 }
--- a/duties/src/place.rs
+++ b/duties/src/place.rs
@@ -21,7 +21,10 @@
 impl Member {
     /// Its life, as deciders know it.
     pub fn holder(&self) -> Holder {
-        Holder { address: self.address, boot: self.boot }
+        Holder {
+            address: self.address,
+            boot: self.boot,
+        }
     }
 }
 
@@ -70,7 +73,10 @@
 
 /// How well a member suits: its zone first, then the rendezvous hash.
 fn suits(wanted: &Wanted, number: u64, member: &Member, of: u64) -> (bool, u64) {
-    (wanted.zone.as_ref().is_none_or(|z| *z == member.zone), mix(number, of))
+    (
+        wanted.zone.as_ref().is_none_or(|z| *z == member.zone),
+        mix(number, of),
+    )
 }
 
 impl Placement {
@@ -79,10 +85,15 @@
         let mean = wanted.len() as f64 / members.len().max(1) as f64;
         let limit = |share: f64| (mean * share).ceil() as usize + 1;
         let (room, most) = (limit(ROOM), limit(SPREAD));
-        let numbers: Vec<u64> = members.iter().map(|m| digest(&["member", &m.name])).collect();
+        let numbers: Vec<u64> = members
+            .iter()
+            .map(|m| digest(&["member", &m.name]))
+            .collect();
         let mut load = vec![0_usize; members.len()];
-        let mut order: Vec<(u64, &Wanted)> =
-            wanted.iter().map(|w| (digest(&["duty", w.duty.name()]), w)).collect();
+        let mut order: Vec<(u64, &Wanted)> = wanted
+            .iter()
+            .map(|w| (digest(&["duty", w.duty.name()]), w))
+            .collect();
         order.sort();
         // A zone's own routers bear what is for the zone, so that room is counted within it where it is small.
         let mut zones: HashMap<&str, (usize, usize)> = HashMap::new();
@@ -100,13 +111,21 @@
         for (number, wanted) in order {
             let best = (0..members.len())
                 .filter(|n| {
-                    let inside = wanted
-                        .zone
-                        .as_deref()
-                        .map_or(0, |z| if z == members[*n].zone { zone_room(z) } else { 0 });
+                    let inside = wanted.zone.as_deref().map_or(0, |z| {
+                        if z == members[*n].zone {
+                            zone_room(z)
+                        } else {
+                            0
+                        }
+                    });
                     load[*n] < room.max(inside)
                 })
-                .max_by_key(|n| (suits(wanted, number, &members[*n], numbers[*n]), members[*n].address));
+                .max_by_key(|n| {
+                    (
+                        suits(wanted, number, &members[*n], numbers[*n]),
+                        members[*n].address,
+                    )
+                });
             if let Some(best) = best {
                 load[best] += 1;
                 first.insert(wanted.duty.clone(), members[best].address);
@@ -147,14 +166,22 @@
 
     /// How many should own each of these rather than this one.
     pub(crate) fn ranks(&self, wanted: &[Wanted], members: &[Member], me: &Member) -> Vec<usize> {
-        let numbers: Vec<u64> = members.iter().map(|m| digest(&["member", &m.name])).collect();
+        let numbers: Vec<u64> = members
+            .iter()
+            .map(|m| digest(&["member", &m.name]))
+            .collect();
         let mine = digest(&["member", &me.name]);
         let rank = |w: &Wanted| {
             let number = digest(&["duty", w.duty.name()]);
             let first = self.first(&w.duty);
-            let of = |m: &Member, n: u64| (first == Some(m.address), suits(w, number, m, n), m.address);
+            let of =
+                |m: &Member, n: u64| (first == Some(m.address), suits(w, number, m, n), m.address);
             let own = of(me, mine);
-            members.iter().zip(&numbers).filter(|(m, n)| of(m, **n) > own).count()
+            members
+                .iter()
+                .zip(&numbers)
+                .filter(|(m, n)| of(m, **n) > own)
+                .count()
         };
         wanted.iter().map(rank).collect()
     }
--- a/duties/src/rules.rs
+++ b/duties/src/rules.rs
@@ -61,7 +61,8 @@
     /// The guard of this name, as scripts write it.
     pub fn named(name: &str) -> Option<Guard> {
         use serde::de::IntoDeserializer;
-        let name: serde::de::value::StrDeserializer<'_, serde::de::value::Error> = name.into_deserializer();
+        let name: serde::de::value::StrDeserializer<'_, serde::de::value::Error> =
+            name.into_deserializer();
         Guard::deserialize(name).ok()
     }
 }
@@ -202,7 +203,9 @@
     /// What an operator can do.
     pub fn help(&self) -> &'static str {
         match self {
-            RulesFault::Range { .. } => "set the key of the `duties` block to a number within the range",
+            RulesFault::Range { .. } => {
+                "set the key of the `duties` block to a number within the range"
+            }
             RulesFault::LeaseTooShort { .. } => {
                 "set a longer lease, or raise `duties.datagrams_per_s` and with it the budget of peers at the deciders"
             }
@@ -242,13 +245,21 @@
 
     /// The lease at its owner, on the owner's clock, from when it asked (us).
     pub fn lease_at_owner(&self) -> Span {
-        let drift = if self.on(Guard::Drift) { self.drift } else { 0.0 };
+        let drift = if self.on(Guard::Drift) {
+            self.drift
+        } else {
+            0.0
+        };
         (ms(self.lease_ms) as f64 * (1.0 - drift)) as Span
     }
 
     /// A lease of so many ms at a decider, on the decider's clock, from its vote (us).
     pub fn lease_at_decider(&self, lease_ms: u64) -> Span {
-        let drift = if self.on(Guard::Drift) { self.drift } else { 0.0 };
+        let drift = if self.on(Guard::Drift) {
+            self.drift
+        } else {
+            0.0
+        };
         (ms(lease_ms) as f64 * (1.0 + drift)).ceil() as Span
     }
 
@@ -264,7 +275,11 @@
 
     /// How many votes make an owner.
     pub(crate) fn quorum(&self) -> usize {
-        if self.on(Guard::Majority) { self.deciders.majority() } else { 1 }
+        if self.on(Guard::Majority) {
+            self.deciders.majority()
+        } else {
+            1
+        }
     }
 
     /// A claim that found no majority within this is given up (us).
@@ -296,18 +311,47 @@
             if (least..=most).contains(&got) {
                 return Ok(());
             }
-            Err(RulesFault::Range { key, least, most, got })
+            Err(RulesFault::Range {
+                key,
+                least,
+                most,
+                got,
+            })
         };
-        within("datagrams_per_s", f64::from(self.datagrams_per_s), 4.0, 100_000.0)?;
-        within("lease_ms", self.lease_ms as f64, SHORTEST as f64, LONGEST as f64)?;
+        within(
+            "datagrams_per_s",
+            f64::from(self.datagrams_per_s),
+            4.0,
+            100_000.0,
+        )?;
+        within(
+            "lease_ms",
+            self.lease_ms as f64,
+            SHORTEST as f64,
+            LONGEST as f64,
+        )?;
         let least = self.shortest_lease(routers);
         if self.lease_ms < least {
-            return Err(RulesFault::LeaseTooShort { got: self.lease_ms, least, routers });
+            return Err(RulesFault::LeaseTooShort {
+                got: self.lease_ms,
+                least,
+                routers,
+            });
         }
         within("drift", self.drift, 0.000_1, 0.2)?;
-        within("ask_ms", self.ask_ms as f64, 20.0, (self.lease_ms / 6) as f64)?;
+        within(
+            "ask_ms",
+            self.ask_ms as f64,
+            20.0,
+            (self.lease_ms / 6) as f64,
+        )?;
         within("aside_ms", self.aside_ms as f64, 1_000.0, 3_600_000.0)?;
-        within("deciders.generation", f64::from(self.deciders.generation), 1.0, f64::from(u32::MAX))?;
+        within(
+            "deciders.generation",
+            f64::from(self.deciders.generation),
+            1.0,
+            f64::from(u32::MAX),
+        )?;
         set("deciders.members", &self.deciders.members)?;
         if (self.deciders.generation == 1) != self.deciders.before.is_empty() {
             return Err(RulesFault::Before);
@@ -328,8 +372,15 @@
         if one.name.is_empty() || one.name.len() > 48 {
             return Err(RulesFault::Name { key });
         }
-        if let Some(other) = of[..n].iter().find(|d| d.name == one.name || d.address == one.address) {
-            let who = if other.name == one.name { one.name.clone() } else { one.address.to_string() };
+        if let Some(other) = of[..n]
+            .iter()
+            .find(|d| d.name == one.name || d.address == one.address)
+        {
+            let who = if other.name == one.name {
+                one.name.clone()
+            } else {
+                one.address.to_string()
+            };
             return Err(RulesFault::Twice { key, who });
         }
     }
--- a/duties/src/wire.rs
+++ b/duties/src/wire.rs
@@ -87,19 +87,55 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Body {
     /// To deciders. `stamp` is the asker's clock, and comes back as it is.
-    Ask { generation: u32, stamp: u64, lease_ms: u32, items: Vec<Item> },
+    Ask {
+        generation: u32,
+        stamp: u64,
+        lease_ms: u32,
+        items: Vec<Item>,
+    },
     /// To whom asked, or to whom something was passed.
-    Answers { generation: u32, boot: u64, stamp: u64, stage: Stage, items: Vec<Answer> },
+    Answers {
+        generation: u32,
+        boot: u64,
+        stamp: u64,
+        stage: Stage,
+        items: Vec<Answer>,
+    },
     /// To deciders: tokens that will not be used again.
-    Release { generation: u32, items: Vec<(Duty, Token)> },
+    Release {
+        generation: u32,
+        items: Vec<(Duty, Token)>,
+    },
     /// To a successor: be ready for this.
-    Offer { generation: u32, duty: Duty, token: Token, mark: Option<Mark> },
+    Offer {
+        generation: u32,
+        duty: Duty,
+        token: Token,
+        mark: Option<Mark>,
+    },
     /// To who offers: the successor's clock and lease.
-    Ready { generation: u32, duty: Duty, token: Token, stamp: u64, lease_ms: u32 },
+    Ready {
+        generation: u32,
+        duty: Duty,
+        token: Token,
+        stamp: u64,
+        lease_ms: u32,
+    },
     /// To deciders: the next token is its.
-    Pass { generation: u32, duty: Duty, token: Token, to: Holder, stamp: u64, lease_ms: u32 },
+    Pass {
+        generation: u32,
+        duty: Duty,
+        token: Token,
+        to: Holder,
+        stamp: u64,
+        lease_ms: u32,
+    },
     /// To who offered: it is done.
-    Took { generation: u32, duty: Duty, token: Token },
+    Took {
+        generation: u32,
+        duty: Duty,
+        token: Token,
+    },
     /// Between deciders. With the asker's ceiling.
     Read { generation: u32, ceiling: Token },
     /// Between deciders.
--- a/fanout/src/client.rs
+++ b/fanout/src/client.rs
@@ -151,7 +151,11 @@
 
     /// What it counted.
     pub fn counts(&self) -> ClientCounts {
-        ClientCounts { datagrams: self.mail.datagrams, bytes: self.mail.bytes, ..self.counts }
+        ClientCounts {
+            datagrams: self.mail.datagrams,
+            bytes: self.mail.bytes,
+            ..self.counts
+        }
     }
 
     /// Whether its gateway holds what it holds.
@@ -192,7 +196,10 @@
             return Ok(());
         }
         if self.topics.len() >= self.rules.topics {
-            return Err(Fault::Full { what: "topics", most: self.rules.topics });
+            return Err(Fault::Full {
+                what: "topics",
+                most: self.rules.topics,
+            });
         }
         self.topics.insert(topic.clone(), Track::default());
         self.changed(topic);
@@ -226,29 +233,50 @@
         self.gateway = Some(address);
         self.settled = false;
         self.tries = 0;
-        let within = if first { crate::ms(self.rules.answer_ms) } else { self.pause / 2 };
+        let within = if first {
+            crate::ms(self.rules.answer_ms)
+        } else {
+            self.pause / 2
+        };
         self.renew_at = now + self.draw(within);
         self.waits_since.get_or_insert(now);
     }
 
     /// A time up to a span, drawn so that subscribers do not act together.
     fn draw(&mut self, span: Span) -> Span {
-        if self.rules.on(Guard::Jitter) { self.dice.random_range(0..=span) } else { 0 }
+        if self.rules.on(Guard::Jitter) {
+            self.dice.random_range(0..=span)
+        } else {
+            0
+        }
     }
 
     fn spread(&mut self, span: Span) -> Span {
-        if self.rules.on(Guard::Jitter) { spread(&mut self.dice, span) } else { span }
+        if self.rules.on(Guard::Jitter) {
+            spread(&mut self.dice, span)
+        } else {
+            span
+        }
     }
 
     fn holds(&self) -> u64 {
-        wire::holds(self.me.boot, self.said.iter().map(|(topic, counter)| (topic, *counter)))
+        wire::holds(
+            self.me.boot,
+            self.said.iter().map(|(topic, counter)| (topic, *counter)),
+        )
     }
 
     /// Takes a body that came. `late` is how much longer it was under way than others (us).
     ///
     /// # Errors
     /// It cannot be read, or its sender has been replaced.
-    pub fn receive(&mut self, now: Time, from: SocketAddr, body: &[u8], late: Span) -> Result<(), Fault> {
+    pub fn receive(
+        &mut self,
+        now: Time,
+        from: SocketAddr,
+        body: &[u8],
+        late: Span,
+    ) -> Result<(), Fault> {
         self.now = self.now.max(now);
         let Some((head, messages)) = wire::read(body) else {
             self.counts.unread += 1;
@@ -257,36 +285,52 @@
         if !for_me(&head, &self.me.name) {
             return Ok(());
         }
-        let Head { gateway: Some((zone, token)), .. } = head else { return Ok(()) };
+        let Head {
+            gateway: Some((zone, token)),
+            ..
+        } = head
+        else {
+            return Ok(());
+        };
         let duty = crate::gateway::duty(&zone)?;
         self.admit(&duty, token)?;
         let elsewhere = self.gateway != Some(from);
         let mut result = Ok(());
         for message in messages {
             match message {
-                Message::Stands { boot, holds, standing, pause }
-                    if !elsewhere && (boot == self.me.boot || boot == 0) =>
-                {
+                Message::Stands {
+                    boot,
+                    holds,
+                    standing,
+                    pause,
+                } if !elsewhere && (boot == self.me.boot || boot == 0) => {
                     self.stands(now, holds, standing, pause);
                 }
                 Message::Item(told) => {
                     self.counts.elsewhere += u64::from(elsewhere);
-                    let taken =
-                        self.track(&told.topic.clone(), &told.duty, told.token, from, |rules, track| {
+                    let taken = self.track(
+                        &told.topic.clone(),
+                        &told.duty,
+                        told.token,
+                        from,
+                        |rules, track| {
                             track.item(rules, now, &told, late);
-                        });
+                        },
+                    );
                     result = result.and(taken);
                 }
                 Message::Heads(mark) => {
-                    let taken = self.track(&mark.topic, &mark.duty, mark.token, from, |rules, track| {
-                        track.head(rules, now, &mark);
-                    });
+                    let taken =
+                        self.track(&mark.topic, &mark.duty, mark.token, from, |rules, track| {
+                            track.head(rules, now, &mark);
+                        });
                     result = result.and(taken);
                 }
                 Message::Missed(mark) => {
-                    let taken = self.track(&mark.topic, &mark.duty, mark.token, from, |rules, track| {
-                        track.missed(rules, now, &mark);
-                    });
+                    let taken =
+                        self.track(&mark.topic, &mark.duty, mark.token, from, |rules, track| {
+                            track.missed(rules, now, &mark);
+                        });
                     result = result.and(taken);
                 }
                 _ => (),
@@ -295,8 +339,11 @@
         if elsewhere && self.settled && now >= self.moved_at && self.rules.on(Guard::Moved) {
             // It left that gateway, which has not heard of it.
             self.moved_at = now + crate::ms(self.rules.answer_ms) / 2;
-            let message =
-                Message::Moved { name: self.me.name.clone(), boot: self.me.boot, counter: self.counter };
+            let message = Message::Moved {
+                name: self.me.name.clone(),
+                boot: self.me.boot,
+                counter: self.counter,
+            };
             self.mail.put(Lane::Answers, from, For::Gateway, &message);
         }
         self.ask_for_holes(now);
@@ -317,7 +364,11 @@
     }
 
     fn track(
-        &mut self, topic: &Topic, duty: &Duty, token: Token, from: SocketAddr,
+        &mut self,
+        topic: &Topic,
+        duty: &Duty,
+        token: Token,
+        from: SocketAddr,
         take: impl FnOnce(&Rules, &mut Track),
     ) -> Result<(), Fault> {
         self.admit(duty, token)?;
@@ -337,14 +388,32 @@
     /// Tells what came out of a topic's track.
     fn comes(&mut self, topic: &Topic) {
         let now = self.now;
-        let out = self.topics.get_mut(topic).map(Track::take).unwrap_or_default();
+        let out = self
+            .topics
+            .get_mut(topic)
+            .map(Track::take)
+            .unwrap_or_default();
         for comes in out {
             let topic = topic.clone();
             self.put(match comes {
-                Comes::Item { token, number, made, body, .. } => {
-                    News::Item { topic, token, number, age: now.saturating_sub(made), body }
-                }
-                Comes::Missed { token, through, .. } => News::Missed { topic, token, through },
+                Comes::Item {
+                    token,
+                    number,
+                    made,
+                    body,
+                    ..
+                } => News::Item {
+                    topic,
+                    token,
+                    number,
+                    age: now.saturating_sub(made),
+                    body,
+                },
+                Comes::Missed { token, through, .. } => News::Missed {
+                    topic,
+                    token,
+                    through,
+                },
             });
         }
     }
@@ -359,14 +428,24 @@
             && topic.collapses()
             && self.rules.on(Guard::Collapse)
         {
-            self.news.retain(|n| !matches!(n, News::Item { topic: old, .. } if old == topic));
+            self.news
+                .retain(|n| !matches!(n, News::Item { topic: old, .. } if old == topic));
         }
         self.news.push_back(news);
         if self.news.len() > UNTAKEN && self.rules.on(Guard::Queue) {
             self.counts.untaken += 1;
             match self.news.pop_front() {
-                Some(News::Item { topic, token, number, .. }) => self.overrun(topic, token, number),
-                Some(News::Missed { topic, token, through }) => self.overrun(topic, token, through),
+                Some(News::Item {
+                    topic,
+                    token,
+                    number,
+                    ..
+                }) => self.overrun(topic, token, number),
+                Some(News::Missed {
+                    topic,
+                    token,
+                    through,
+                }) => self.overrun(topic, token, through),
                 _ => (),
             }
         }
@@ -382,7 +461,10 @@
         self.answered = Some(now);
         self.waits_since = None;
         self.silent = false;
-        self.pause = pause.clamp(crate::ms(self.rules.renew_ms), 60 * crate::ms(self.rules.renew_ms));
+        self.pause = pause.clamp(
+            crate::ms(self.rules.renew_ms),
+            60 * crate::ms(self.rules.renew_ms),
+        );
         match standing {
             Standing::Holds if current => {
                 self.unsettled.clear();
@@ -396,9 +478,14 @@
                 if self.settled || self.tries > 0 {
                     self.all = true;
                     self.counter += 1;
-                    self.said.values_mut().for_each(|counter| *counter = self.counter);
-                    let soon =
-                        if self.tries > 2 { self.pause / 2 } else { crate::ms(self.rules.answer_ms) / 2 };
+                    self.said
+                        .values_mut()
+                        .for_each(|counter| *counter = self.counter);
+                    let soon = if self.tries > 2 {
+                        self.pause / 2
+                    } else {
+                        crate::ms(self.rules.answer_ms) / 2
+                    };
                     self.renew_at = now + self.draw(soon);
                 }
             }
@@ -418,15 +505,16 @@
     fn renew(&mut self, now: Time, to: SocketAddr) {
         let (name, boot) = (self.me.name.clone(), self.me.boot);
         let mut says = Vec::new();
-        let range =
-            |from: Option<&Topic>, through: Option<&Topic>, topics: &[&Topic], counter| Message::Says {
+        let range = |from: Option<&Topic>, through: Option<&Topic>, topics: &[&Topic], counter| {
+            Message::Says {
                 name: name.clone(),
                 boot,
                 counter,
                 from: from.cloned(),
                 through: through.cloned(),
                 topics: topics.iter().map(|t| (*t).clone()).collect(),
-            };
+            }
+        };
         for (topic, counter) in &self.unsettled {
             let holds = self.topics.contains_key(topic);
             let topics: &[&Topic] = if holds { &[topic] } else { &[] };
@@ -445,7 +533,11 @@
             }
             for n in 0..chunks.len() {
                 let mut topics = chunks[n].clone();
-                let from = if n == 0 { None } else { topics.first().copied() };
+                let from = if n == 0 {
+                    None
+                } else {
+                    topics.first().copied()
+                };
                 let through = chunks.get(n + 1).and_then(|next| next.first()).copied();
                 topics.extend(through);
                 says.push(range(from, through, &topics, self.counter));
@@ -454,9 +546,16 @@
         for message in &says {
             self.mail.put(Lane::Answers, to, For::Gateway, message);
         }
-        let at =
-            self.topics.iter().filter_map(|(t, track)| track.last.map(|(token, n)| wire::at(t, token, n)));
-        let message = Message::Renew { name, boot, holds: self.holds(), at: at.fold(0, |a, b| a ^ b) };
+        let at = self
+            .topics
+            .iter()
+            .filter_map(|(t, track)| track.last.map(|(token, n)| wire::at(t, token, n)));
+        let message = Message::Renew {
+            name,
+            boot,
+            holds: self.holds(),
+            at: at.fold(0, |a, b| a ^ b),
+        };
         self.mail.put(Lane::Answers, to, For::Gateway, &message);
         self.counts.renewals += 1;
         self.waits_since.get_or_insert(now);
@@ -469,14 +568,25 @@
     fn ask_for_holes(&mut self, now: Time) {
         let Some(to) = self.gateway else { return };
         let again = crate::ms(self.rules.answer_ms);
-        let due: Vec<Topic> =
-            self.topics.iter().filter(|(_, t)| t.next() <= now).map(|(topic, _)| topic.clone()).collect();
+        let due: Vec<Topic> = self
+            .topics
+            .iter()
+            .filter(|(_, t)| t.next() <= now)
+            .map(|(topic, _)| topic.clone())
+            .collect();
         for topic in due {
             let again = spread(&mut self.dice, again);
-            let fetch = self.topics.get_mut(&topic).and_then(|t| t.fetch(&self.rules, now, again));
+            let fetch = self
+                .topics
+                .get_mut(&topic)
+                .and_then(|t| t.fetch(&self.rules, now, again));
             if let Some((token, after)) = fetch {
-                let message =
-                    Message::Fetch { name: self.me.name.clone(), topic: topic.clone(), token, after };
+                let message = Message::Fetch {
+                    name: self.me.name.clone(),
+                    topic: topic.clone(),
+                    token,
+                    after,
+                };
                 self.mail.put(Lane::Answers, to, For::Gateway, &message);
             }
             self.comes(&topic);
@@ -499,9 +609,15 @@
         } else if now >= self.renew_at {
             self.renew_at = Time::MAX;
         }
-        if !self.silent && self.waits_since.is_some_and(|since| now >= since + self.patience()) {
+        if !self.silent
+            && self
+                .waits_since
+                .is_some_and(|since| now >= since + self.patience())
+        {
             self.silent = true;
-            self.put(News::Silent { since: self.answered });
+            self.put(News::Silent {
+                since: self.answered,
+            });
         }
         self.ask_for_holes(now);
         self.pump(now);
@@ -513,9 +629,17 @@
 
     /// When it has to be driven next.
     pub fn next(&self) -> Time {
-        let renew = if self.gateway.is_some() { self.renew_at } else { Time::MAX };
+        let renew = if self.gateway.is_some() {
+            self.renew_at
+        } else {
+            Time::MAX
+        };
         let holes = if self.gateway.is_some() {
-            self.topics.values().map(Track::next).min().unwrap_or(Time::MAX)
+            self.topics
+                .values()
+                .map(Track::next)
+                .min()
+                .unwrap_or(Time::MAX)
         } else {
             Time::MAX
         };
@@ -534,7 +658,11 @@
     /// What it learnt, in order. Where nobody took the news for long, that some were missed comes first.
     pub fn news(&mut self) -> Option<News> {
         if let Some((topic, token, through)) = self.untaken.pop_first() {
-            return Some(News::Missed { topic, token, through });
+            return Some(News::Missed {
+                topic,
+                token,
+                through,
+            });
         }
         self.news.pop_front()
     }
--- a/fanout/src/fault.rs
+++ b/fanout/src/fault.rs
@@ -65,7 +65,9 @@
             Fault::Full { .. } => {
                 "raise `topics` or `subscriptions` if there are truly so many listeners, or look for one that makes names up"
             }
-            Fault::Unread { .. } => "look for a router or listener of another version at this address",
+            Fault::Unread { .. } => {
+                "look for a router or listener of another version at this address"
+            }
         }
     }
 }
--- a/fanout/src/gateway.rs
+++ b/fanout/src/gateway.rs
@@ -73,7 +73,13 @@
     ///
     /// # Errors
     /// The zone has a name that no duty can have.
-    pub fn new(rules: Rules, zone: &str, me: SocketAddr, now: Time, seed: u64) -> Result<Self, BadName> {
+    pub fn new(
+        rules: Rules,
+        zone: &str,
+        me: SocketAddr,
+        now: Time,
+        seed: u64,
+    ) -> Result<Self, BadName> {
         let mut dice = Pcg64Mcg::seed_from_u64(seed);
         Ok(Gateway {
             duty: duty(zone)?,
@@ -128,7 +134,11 @@
     /// Whether the fence lets a token pass. Off only in tests.
     pub(crate) fn admit(&mut self, duty: &Duty, token: Token) -> Result<(), Refused> {
         let passed = self.fence.admit(duty, token).map(|_| ());
-        if self.rules.on(Guard::Fence) { passed } else { Ok(()) }
+        if self.rules.on(Guard::Fence) {
+            passed
+        } else {
+            Ok(())
+        }
     }
 
     /// The token by which this router has the duty, or none. Told whenever it changes; the same again changes nothing.
@@ -165,7 +175,13 @@
     ///
     /// # Errors
     /// It cannot be read, or its sender has been replaced; nothing was taken but the requests in it.
-    pub fn receive(&mut self, now: Time, from: SocketAddr, body: &[u8], late: Span) -> Result<(), Fault> {
+    pub fn receive(
+        &mut self,
+        now: Time,
+        from: SocketAddr,
+        body: &[u8],
+        late: Span,
+    ) -> Result<(), Fault> {
         self.now = self.now.max(now);
         let Some((head, messages)) = wire::read(body) else {
             self.counts.unread += 1;
@@ -197,15 +213,26 @@
     }
 
     pub(crate) fn refuse(&mut self, to: SocketAddr, duty: &Duty, who: For) {
-        let message = Message::Refused { duty: duty.clone(), token: self.fence.newest(duty) };
+        let message = Message::Refused {
+            duty: duty.clone(),
+            token: self.fence.newest(duty),
+        };
         self.mail.put(Lane::Answers, to, who, &message);
     }
 
     /// What subscribers and publishers say.
-    fn take(&mut self, now: Time, from: SocketAddr, message: Message, late: Span) -> Result<(), Fault> {
+    fn take(
+        &mut self,
+        now: Time,
+        from: SocketAddr,
+        message: Message,
+        late: Span,
+    ) -> Result<(), Fault> {
         match message {
             Message::Item(told) => self.news(now, Some(from), &told, late)?,
-            Message::Heads(mark) | Message::Missed(mark) if self.admit(&mark.duty, mark.token).is_err() => {
+            Message::Heads(mark) | Message::Missed(mark)
+                if self.admit(&mark.duty, mark.token).is_err() =>
+            {
                 self.counts.refused += 1;
                 self.refuse(from, &mark.duty, For::Publisher);
             }
@@ -225,20 +252,49 @@
             }
             // The rest needs the duty: who has none answers nobody, and they look for the one who has.
             _ if self.token.is_none() => (),
-            Message::Renew { name, boot, holds, at } => self.renew(now, from, name, boot, holds, at),
-            Message::Says { name, boot, counter, from: first, through, topics } => {
-                let subscriber =
-                    Subscriber { name: name.clone(), boot, address: from, zone: self.zone.clone() };
+            Message::Renew {
+                name,
+                boot,
+                holds,
+                at,
+            } => self.renew(now, from, name, boot, holds, at),
+            Message::Says {
+                name,
+                boot,
+                counter,
+                from: first,
+                through,
+                topics,
+            } => {
+                let subscriber = Subscriber {
+                    name: name.clone(),
+                    boot,
+                    address: from,
+                    zone: self.zone.clone(),
+                };
                 let (from_topic, through) = (first.as_ref(), through.as_ref());
-                let says =
-                    Says { subscriber: &subscriber, counter, from: from_topic, through, topics: &topics };
+                let says = Says {
+                    subscriber: &subscriber,
+                    counter,
+                    from: from_topic,
+                    through,
+                    topics: &topics,
+                };
                 if !self.table.says(now, &says) {
                     self.stands(now, from, name.clone(), boot, 0, Standing::Full);
-                    return Err(Fault::Full { what: "subscriptions", most: self.rules.subscriptions });
+                    return Err(Fault::Full {
+                        what: "subscriptions",
+                        most: self.rules.subscriptions,
+                    });
                 }
                 self.enlist(&name);
             }
-            Message::Fetch { name, topic, token, after } => {
+            Message::Fetch {
+                name,
+                topic,
+                token,
+                after,
+            } => {
                 if let Some(person) = self.table.people.get_mut(&name)
                     && let Some(kept) = person.topics.get_mut(&topic)
                 {
@@ -246,7 +302,11 @@
                     self.enlist(&name);
                 }
             }
-            Message::Moved { name, boot, counter } => {
+            Message::Moved {
+                name,
+                boot,
+                counter,
+            } => {
                 if let Some(person) = self.table.people.get_mut(&name) {
                     person.moved = person.moved.max((boot, counter));
                 }
@@ -259,7 +319,10 @@
     fn renew(&mut self, now: Time, from: SocketAddr, name: Name, boot: u64, holds: u64, at: u64) {
         let (known, latest) = self.table.holds(&name);
         let same = self.table.people.get(&name).is_none_or(|p| {
-            p.topics.values().filter(|k| self.table.own(&k.entry)).all(|k| k.entry.subscriber.address == from)
+            p.topics
+                .values()
+                .filter(|k| self.table.own(&k.entry))
+                .all(|k| k.entry.subscriber.address == from)
         });
         let standing = if latest > boot {
             Standing::Replaced(latest)
@@ -272,19 +335,42 @@
             self.table.heard(now, &name);
             // It may have moved away and come back.
             let far = self.heads(&name);
-            if far.iter().fold(0, |sum, m| sum ^ wire::at(&m.topic, m.token, m.number)) != at {
+            if far
+                .iter()
+                .fold(0, |sum, m| sum ^ wire::at(&m.topic, m.token, m.number))
+                != at
+            {
                 for mark in far {
-                    self.mail.put(Lane::Answers, from, For::Subscriber(name.clone()), &Message::Heads(mark));
+                    self.mail.put(
+                        Lane::Answers,
+                        from,
+                        For::Subscriber(name.clone()),
+                        &Message::Heads(mark),
+                    );
                 }
             }
         }
         self.stands(now, from, name, boot, holds, standing);
     }
 
-    fn stands(&mut self, _now: Time, to: SocketAddr, name: Name, boot: u64, holds: u64, standing: Standing) {
+    fn stands(
+        &mut self,
+        _now: Time,
+        to: SocketAddr,
+        name: Name,
+        boot: u64,
+        holds: u64,
+        standing: Standing,
+    ) {
         let pause = self.rules.pause(self.subscribers);
-        let message = Message::Stands { boot, holds, standing, pause };
-        self.mail.put(Lane::Answers, to, For::Subscriber(name), &message);
+        let message = Message::Stands {
+            boot,
+            holds,
+            standing,
+            pause,
+        };
+        self.mail
+            .put(Lane::Answers, to, For::Subscriber(name), &message);
     }
 
     /// Asks a subscriber to say all that it holds anew.
@@ -295,9 +381,15 @@
 
     /// How far the topics of a subscriber are.
     fn heads(&self, name: &str) -> Vec<Mark> {
-        let Some(person) = self.table.people.get(name) else { return Vec::new() };
-        let own = person.topics.iter().filter(|(_, k)| self.table.own(&k.entry));
-        own.filter_map(|(topic, _)| self.held.get(topic).map(|h| h.mark(topic, h.head))).collect()
+        let Some(person) = self.table.people.get(name) else {
+            return Vec::new();
+        };
+        let own = person
+            .topics
+            .iter()
+            .filter(|(_, k)| self.table.own(&k.entry));
+        own.filter_map(|(topic, _)| self.held.get(topic).map(|h| h.mark(topic, h.head)))
+            .collect()
     }
 
     /// News of a topic, by the owner of its watch at this router or elsewhere.
@@ -305,20 +397,43 @@
     /// # Errors
     /// It is too large, or its publisher has been replaced.
     pub fn publish(
-        &mut self, now: Time, topic: &Topic, duty: &Duty, token: Token, number: u64, item: &[u8],
+        &mut self,
+        now: Time,
+        topic: &Topic,
+        duty: &Duty,
+        token: Token,
+        number: u64,
+        item: &[u8],
     ) -> Result<(), Fault> {
         self.now = self.now.max(now);
         if item.len() > ITEM {
-            return Err(Fault::Large { topic: topic.name().into(), bytes: item.len(), most: ITEM });
+            return Err(Fault::Large {
+                topic: topic.name().into(),
+                bytes: item.len(),
+                most: ITEM,
+            });
         }
         let body: Arc<[u8]> = item.into();
-        let told = Told { topic: topic.clone(), duty: duty.clone(), token, number, age: 0, body };
+        let told = Told {
+            topic: topic.clone(),
+            duty: duty.clone(),
+            token,
+            number,
+            age: 0,
+            body,
+        };
         self.news(now, None, &told, 0)?;
         self.pump(now);
         Ok(())
     }
 
-    fn news(&mut self, now: Time, from: Option<SocketAddr>, told: &Told, late: Span) -> Result<(), Fault> {
+    fn news(
+        &mut self,
+        now: Time,
+        from: Option<SocketAddr>,
+        told: &Told,
+        late: Span,
+    ) -> Result<(), Fault> {
         if let Err(refused) = self.admit(&told.duty, told.token) {
             self.counts.refused += 1;
             if let Some(from) = from {
@@ -328,7 +443,10 @@
         }
         let rules = self.rules.clone();
         let track = self.track(&told.topic, from);
-        let track = track.ok_or(Fault::Full { what: "topics", most: DUTIES })?;
+        let track = track.ok_or(Fault::Full {
+            what: "topics",
+            most: DUTIES,
+        })?;
         track.item(&rules, now, told, late);
         self.comes(&told.topic);
         Ok(())
@@ -345,31 +463,53 @@
 
     /// Holds what came out in order, and puts those who asked for it in line.
     fn comes(&mut self, topic: &Topic) {
-        let Some((track, _)) = self.tracks.get_mut(topic) else { return };
+        let Some((track, _)) = self.tracks.get_mut(topic) else {
+            return;
+        };
         let out = track.take();
         if out.is_empty() {
             return;
         }
-        let names: Vec<Name> = self.table.listeners.get(topic).into_iter().flatten().cloned().collect();
+        let names: Vec<Name> = self
+            .table
+            .listeners
+            .get(topic)
+            .into_iter()
+            .flatten()
+            .cloned()
+            .collect();
         // Who subscribed before this came, and was told nothing yet, begins with it.
-        if let Some(Comes::Item { token, number, .. }) = out.iter().find(|c| matches!(c, Comes::Item { .. }))
+        if let Some(Comes::Item { token, number, .. }) =
+            out.iter().find(|c| matches!(c, Comes::Item { .. }))
         {
             for name in &names {
-                if let Some(kept) = self.table.people.get_mut(name).and_then(|p| p.topics.get_mut(topic)) {
+                if let Some(kept) = self
+                    .table
+                    .people
+                    .get_mut(name)
+                    .and_then(|p| p.topics.get_mut(topic))
+                {
                     kept.place.get_or_insert((*token, number - 1));
                 }
             }
         }
         for comes in out {
             let (duty, token) = match &comes {
-                Comes::Item { duty, token, .. } | Comes::Missed { duty, token, .. } => (duty, *token),
+                Comes::Item { duty, token, .. } | Comes::Missed { duty, token, .. } => {
+                    (duty, *token)
+                }
             };
-            let held = self.held.entry(topic.clone()).or_insert_with(|| Held::new(duty.clone(), token));
+            let held = self
+                .held
+                .entry(topic.clone())
+                .or_insert_with(|| Held::new(duty.clone(), token));
             if held.token != token {
                 *held = Held::new(duty.clone(), token);
             }
             match comes {
-                Comes::Item { number, made, body, .. } => held.push(&self.rules, topic, number, made, body),
+                Comes::Item {
+                    number, made, body, ..
+                } => held.push(&self.rules, topic, number, made, body),
                 // The newest position is all that counts: nothing of it can be missed for good.
                 Comes::Missed { through, .. } if !topic.collapses() => held.lose(through),
                 Comes::Missed { .. } => (),
@@ -392,20 +532,34 @@
 
     /// Puts the next subscriber's news into the mail: as much as one body takes. False where nobody waits.
     fn tell(
-        rules: &Rules, now: Time, table: &mut Table, held: &BTreeMap<Topic, Held>, line: &mut VecDeque<Name>,
+        rules: &Rules,
+        now: Time,
+        table: &mut Table,
+        held: &BTreeMap<Topic, Held>,
+        line: &mut VecDeque<Name>,
         mail: &mut Mail,
     ) -> bool {
         while let Some(name) = line.pop_front() {
             let zone = table.zone().clone();
-            let Some(person) = table.people.get_mut(&name) else { continue };
+            let Some(person) = table.people.get_mut(&name) else {
+                continue;
+            };
             person.queued = false;
             let (mut bytes, moved) = (0, person.moved);
             for (topic, kept) in &mut person.topics {
-                let Entry { boot, counter, state, subscriber, .. } = &kept.entry;
+                let Entry {
+                    boot,
+                    counter,
+                    state,
+                    subscriber,
+                    ..
+                } = &kept.entry;
                 if *state != State::Live || subscriber.zone != zone || (*boot, *counter) <= moved {
                     continue;
                 }
-                let Some(held) = held.get(topic) else { continue };
+                let Some(held) = held.get(topic) else {
+                    continue;
+                };
                 while bytes < BODY
                     && let Some((next, place)) = held.after(rules, topic, now, kept.place)
                 {
@@ -415,7 +569,12 @@
                     };
                     bytes += wire::bytes(&message).len();
                     kept.place = Some((held.token, place));
-                    mail.put(Lane::News, subscriber.address, For::Subscriber(name.clone()), &message);
+                    mail.put(
+                        Lane::News,
+                        subscriber.address,
+                        For::Subscriber(name.clone()),
+                        &message,
+                    );
                 }
             }
             if bytes >= BODY {
@@ -433,9 +592,14 @@
     /// Sends what the budget allows.
     pub(crate) fn pump(&mut self, now: Time) {
         self.push_changes();
-        let header = self.token.map(|token| (self.zone.clone(), token)).or(self.others.old.clone());
+        let header = self
+            .token
+            .map(|token| (self.zone.clone(), token))
+            .or(self.others.old.clone());
         let (rules, table, held, line) = (&self.rules, &mut self.table, &self.held, &mut self.line);
-        self.mail.pump(now, &header, |mail| Self::tell(rules, now, table, held, line, mail));
+        self.mail.pump(now, &header, |mail| {
+            Self::tell(rules, now, table, held, line, mail)
+        });
     }
 
     /// Does what is due: ends what is too old, compares lists, fetches what is missing, and sends.
@@ -461,7 +625,12 @@
                 if let (Some((token, after)), Some(to)) = (fetch, *publisher) {
                     asks.push((
                         to,
-                        Message::Fetch { name: self.zone.clone(), topic: topic.clone(), token, after },
+                        Message::Fetch {
+                            name: self.zone.clone(),
+                            topic: topic.clone(),
+                            token,
+                            after,
+                        },
                     ));
                 }
                 due.push(topic.clone());
@@ -478,9 +647,21 @@
 
     /// When it has to be driven next.
     pub fn next(&self) -> Time {
-        let holes = self.tracks.values().map(|(track, _)| track.next()).min().unwrap_or(Time::MAX);
-        let lists = if self.token.is_some() { self.others.next() } else { Time::MAX };
-        self.tidy_at.min(holes).min(lists).min(self.mail.next(!self.line.is_empty()))
+        let holes = self
+            .tracks
+            .values()
+            .map(|(track, _)| track.next())
+            .min()
+            .unwrap_or(Time::MAX);
+        let lists = if self.token.is_some() {
+            self.others.next()
+        } else {
+            Time::MAX
+        };
+        self.tidy_at
+            .min(holes)
+            .min(lists)
+            .min(self.mail.next(!self.line.is_empty()))
     }
 
     /// What is to be sent, and to whom.
--- a/fanout/src/held.rs
+++ b/fanout/src/held.rs
@@ -28,14 +28,24 @@
 
 impl Held {
     pub fn new(duty: Duty, token: Token) -> Self {
-        Held { duty, token, head: 0, gone: 0, items: VecDeque::new() }
+        Held {
+            duty,
+            token,
+            head: 0,
+            gone: 0,
+            items: VecDeque::new(),
+        }
     }
 
     /// Takes the next one in order.
     pub fn push(&mut self, rules: &Rules, topic: &Topic, number: u64, made: Time, body: Arc<[u8]>) {
         self.head = self.head.max(number);
         self.items.push_back((number, made, body));
-        let most = if topic.collapses() && rules.on(Guard::Collapse) { 1 } else { rules.held.max(1) };
+        let most = if topic.collapses() && rules.on(Guard::Collapse) {
+            1
+        } else {
+            rules.held.max(1)
+        };
         while self.items.len() > most && rules.on(Guard::Queue) {
             if let Some((number, ..)) = self.items.pop_front() {
                 self.gone = self.gone.max(number);
@@ -55,20 +65,38 @@
     }
 
     pub fn mark(&self, topic: &Topic, number: u64) -> Mark {
-        Mark { topic: topic.clone(), duty: self.duty.clone(), token: self.token, number }
+        Mark {
+            topic: topic.clone(),
+            duty: self.duty.clone(),
+            token: self.token,
+            number,
+        }
     }
 
     fn told(&self, topic: &Topic, now: Time, item: &(u64, Time, Arc<[u8]>)) -> Told {
         let age: Span = now.saturating_sub(item.1);
         let (duty, token) = (self.duty.clone(), self.token);
-        Told { topic: topic.clone(), duty, token, number: item.0, age, body: item.2.clone() }
+        Told {
+            topic: topic.clone(),
+            duty,
+            token,
+            number: item.0,
+            age,
+            body: item.2.clone(),
+        }
     }
 
     /// What comes after a place, and the place then: one that nobody told anything has none.
     pub fn after(
-        &self, rules: &Rules, topic: &Topic, now: Time, place: Option<(Token, u64)>,
+        &self,
+        rules: &Rules,
+        topic: &Topic,
+        now: Time,
+        place: Option<(Token, u64)>,
     ) -> Option<(Next, u64)> {
-        let at = place.filter(|(token, _)| *token == self.token).map(|(_, number)| number);
+        let at = place
+            .filter(|(token, _)| *token == self.token)
+            .map(|(_, number)| number);
         if at.is_some_and(|at| at >= self.head) {
             return None;
         }
--- a/fanout/src/lists.rs
+++ b/fanout/src/lists.rs
@@ -50,13 +50,21 @@
 
     /// When the next comparison is due.
     pub fn next(&self) -> Time {
-        self.by_zone.values().map(|o| o.compare_at).min().unwrap_or(Time::MAX)
+        self.by_zone
+            .values()
+            .map(|o| o.compare_at)
+            .min()
+            .unwrap_or(Time::MAX)
     }
 }
 
 /// A part of a sum: other bits in each round, so that two that look alike once do not do so for ever.
 fn part(sum: u64, round: u32) -> u32 {
-    if round.is_multiple_of(2) { sum as u32 } else { (sum >> 32) as u32 }
+    if round.is_multiple_of(2) {
+        sum as u32
+    } else {
+        (sum >> 32) as u32
+    }
 }
 
 impl Gateway {
@@ -65,7 +73,9 @@
         self.now = self.now.max(now);
         let mut seen = Vec::new();
         for (zone, address, token) in list {
-            let Ok(duty) = crate::gateway::duty(zone) else { continue };
+            let Ok(duty) = crate::gateway::duty(zone) else {
+                continue;
+            };
             if self.admit(&duty, *token).is_err() {
                 continue;
             }
@@ -76,10 +86,18 @@
             let zone: Name = zone.as_str().into();
             seen.push(zone.clone());
             let compare_at = now + spread(&mut self.dice, crate::ms(self.rules.answer_ms));
-            let fresh = Other { address: *address, compare_at, copies: BTreeMap::new() };
+            let fresh = Other {
+                address: *address,
+                compare_at,
+                copies: BTreeMap::new(),
+            };
             let other = self.others.by_zone.entry(zone).or_insert(fresh);
             if other.address != *address {
-                *other = Other { address: *address, compare_at, copies: BTreeMap::new() };
+                *other = Other {
+                    address: *address,
+                    compare_at,
+                    copies: BTreeMap::new(),
+                };
             }
         }
         self.others.by_zone.retain(|zone, _| seen.contains(zone));
@@ -107,9 +125,12 @@
         if self.token.is_some() {
             return;
         }
-        let Some(to) = self.others.successor else { return };
+        let Some(to) = self.others.successor else {
+            return;
+        };
         for entry in std::mem::take(&mut self.others.asked) {
-            self.mail.put(Lane::Answers, to, For::Gateway, &Message::Request(entry));
+            self.mail
+                .put(Lane::Answers, to, For::Gateway, &Message::Request(entry));
         }
     }
 
@@ -121,9 +142,16 @@
         }
         let to: Vec<SocketAddr> = self.others.by_zone.values().map(|o| o.address).collect();
         for key in changed {
-            let Some(entry) = self.table.kept(key).map(|k| k.entry.clone()) else { continue };
+            let Some(entry) = self.table.kept(key).map(|k| k.entry.clone()) else {
+                continue;
+            };
             for to in &to {
-                self.mail.put(Lane::Lists, *to, For::Gateway, &Message::Entry(entry.clone()));
+                self.mail.put(
+                    Lane::Lists,
+                    *to,
+                    For::Gateway,
+                    &Message::Entry(entry.clone()),
+                );
             }
         }
     }
@@ -156,7 +184,12 @@
             names.dedup();
             for names in names.chunks(ZONES) {
                 let zones = names.iter().map(|zone| self.tells_of(now, zone)).collect();
-                self.mail.put(Lane::Lists, to, For::Gateway, &Message::Sums { round, zones });
+                self.mail.put(
+                    Lane::Lists,
+                    to,
+                    For::Gateway,
+                    &Message::Sums { round, zones },
+                );
             }
         }
     }
@@ -170,9 +203,14 @@
     /// What an old owner took from subscribers: it is asked for, and what is known to be newer stays.
     pub(crate) fn requests(&mut self, now: Time, messages: Vec<Message>) {
         for message in messages {
-            let Message::Request(entry) = message else { continue };
+            let Message::Request(entry) = message else {
+                continue;
+            };
             // That it ended by age is the old owner's own judgement.
-            if entry.state == State::Expired || entry.subscriber.zone != self.zone || self.token.is_none() {
+            if entry.state == State::Expired
+                || entry.subscriber.zone != self.zone
+                || self.token.is_none()
+            {
                 continue;
             }
             if self.table.merge(now, &entry) == Merged::Taken {
@@ -184,7 +222,12 @@
 
     /// What another gateway says, whose token passed.
     pub(crate) fn between(
-        &mut self, now: Time, from: SocketAddr, zone: &Name, messages: Vec<Message>, late: Span,
+        &mut self,
+        now: Time,
+        from: SocketAddr,
+        zone: &Name,
+        messages: Vec<Message>,
+        late: Span,
     ) {
         for message in messages {
             match message {
@@ -192,8 +235,9 @@
                     let newer = self.token.is_some_and(|mine| mine < token);
                     if newer && self.admit(&duty, token).is_ok() && self.rules.on(Guard::Fence) {
                         self.lose(now);
-                        self.others.successor =
-                            Some(from).filter(|_| *zone == self.zone).or(self.others.successor);
+                        self.others.successor = Some(from)
+                            .filter(|_| *zone == self.zone)
+                            .or(self.others.successor);
                         self.ask_successor();
                     }
                 }
@@ -209,12 +253,19 @@
                         self.compare_one(now, &name, sum, age.saturating_add(late));
                     }
                 }
-                Message::Ranges { zone, round, level, index, sums } => {
+                Message::Ranges {
+                    zone,
+                    round,
+                    level,
+                    index,
+                    sums,
+                } => {
                     self.ranges(from, &zone, round, level, index as usize, &sums);
                 }
                 Message::All { zone, level, index } => {
                     for entry in self.table.in_range(&zone, level, index as usize) {
-                        self.mail.put(Lane::Lists, from, For::Gateway, &Message::Entry(entry));
+                        self.mail
+                            .put(Lane::Lists, from, For::Gateway, &Message::Entry(entry));
                     }
                 }
                 Message::Leaf { zone, index, held } => self.leaf(from, &zone, index, &held),
@@ -226,7 +277,8 @@
                         }
                     }
                     for entry in wanted {
-                        self.mail.put(Lane::Lists, from, For::Gateway, &Message::Entry(entry));
+                        self.mail
+                            .put(Lane::Lists, from, For::Gateway, &Message::Entry(entry));
                     }
                 }
                 Message::Entry(entry) => self.entry(now, from, zone, &entry),
@@ -240,7 +292,9 @@
         if let Some(other) = self.others.by_zone.get_mut(from) {
             for (zone, _, age) in zones.iter().take(ZONES) {
                 if other.copies.len() < 8 * ZONES || other.copies.contains_key(zone) {
-                    other.copies.insert(zone.clone(), now.saturating_sub(age.saturating_add(late)));
+                    other
+                        .copies
+                        .insert(zone.clone(), now.saturating_sub(age.saturating_add(late)));
                 }
             }
         }
@@ -256,7 +310,12 @@
     }
 
     fn sums(
-        &mut self, now: Time, from: SocketAddr, other: &Name, round: u32, zones: &[(Name, u64, Span)],
+        &mut self,
+        now: Time,
+        from: SocketAddr,
+        other: &Name,
+        round: u32,
+        zones: &[(Name, u64, Span)],
         late: Span,
     ) {
         self.told_of(now, other, zones, late);
@@ -271,18 +330,39 @@
             }
         }
         // A zone that the other has never heard of.
-        let new = self.table.zones().filter(|z| !zones.iter().any(|(told, ..)| told == *z));
-        differ.extend(new.filter(|z| !self.others.by_zone.contains_key(*z) && zones.len() < ZONES).cloned());
+        let new = self
+            .table
+            .zones()
+            .filter(|z| !zones.iter().any(|(told, ..)| told == *z));
+        differ.extend(
+            new.filter(|z| !self.others.by_zone.contains_key(*z) && zones.len() < ZONES)
+                .cloned(),
+        );
         if !same.is_empty() {
-            self.mail.put(Lane::Lists, from, For::Gateway, &Message::Same { zones: same });
+            self.mail.put(
+                Lane::Lists,
+                from,
+                For::Gateway,
+                &Message::Same { zones: same },
+            );
         }
         if busy || !self.rules.on(Guard::Repair) {
             return;
         }
         // How old the copies here are goes before their entries.
-        let ages = differ.iter().map(|zone| self.tells_of(now, zone)).collect::<Vec<_>>();
+        let ages = differ
+            .iter()
+            .map(|zone| self.tells_of(now, zone))
+            .collect::<Vec<_>>();
         for ages in ages.chunks(ZONES) {
-            self.mail.put(Lane::Lists, from, For::Gateway, &Message::Same { zones: ages.to_vec() });
+            self.mail.put(
+                Lane::Lists,
+                from,
+                For::Gateway,
+                &Message::Same {
+                    zones: ages.to_vec(),
+                },
+            );
         }
         for zone in differ {
             self.send_ranges(from, &zone, round, 0, 0);
@@ -292,12 +372,24 @@
     fn send_ranges(&mut self, to: SocketAddr, zone: &Name, round: u32, level: u8, index: usize) {
         let sum = |n: usize| part(self.table.sum(zone, level + 1, index * PARTS + n), round);
         let sums = std::array::from_fn(sum);
-        let message = Message::Ranges { zone: zone.clone(), round, level, index: index as u16, sums };
+        let message = Message::Ranges {
+            zone: zone.clone(),
+            round,
+            level,
+            index: index as u16,
+            sums,
+        };
         self.mail.put(Lane::Lists, to, For::Gateway, &message);
     }
 
     fn ranges(
-        &mut self, from: SocketAddr, zone: &Name, round: u32, level: u8, index: usize, sums: &[u32; PARTS],
+        &mut self,
+        from: SocketAddr,
+        zone: &Name,
+        round: u32,
+        level: u8,
+        index: usize,
+        sums: &[u32; PARTS],
     ) {
         if level >= LEVELS || index >= PARTS.pow(u32::from(level)) {
             return;
@@ -309,7 +401,11 @@
                 continue;
             }
             if mine == 0 {
-                let all = Message::All { zone: zone.clone(), level: level + 1, index: child as u16 };
+                let all = Message::All {
+                    zone: zone.clone(),
+                    level: level + 1,
+                    index: child as u16,
+                };
                 self.mail.put(Lane::Lists, from, For::Gateway, &all);
             }
             // What the other has may have ended here: leaves tell.
@@ -324,8 +420,15 @@
                     .table
                     .in_leaf(child)
                     .filter(|k| k.entry.state == State::Live && k.entry.subscriber.zone == *zone);
-                let held = held.take(LISTED).map(|k| table::ends(k.key, &k.entry)).collect();
-                let message = Message::Leaf { zone: zone.clone(), index: child as u16, held };
+                let held = held
+                    .take(LISTED)
+                    .map(|k| table::ends(k.key, &k.entry))
+                    .collect();
+                let message = Message::Leaf {
+                    zone: zone.clone(),
+                    index: child as u16,
+                    held,
+                };
                 self.mail.put(Lane::Lists, from, For::Gateway, &message);
             }
         }
@@ -346,12 +449,22 @@
                 None => (),
             }
         }
-        let keys: Vec<_> = held.iter().map(|(key, _)| *key).filter(|key| !known.contains(key)).collect();
+        let keys: Vec<_> = held
+            .iter()
+            .map(|(key, _)| *key)
+            .filter(|key| !known.contains(key))
+            .collect();
         if !keys.is_empty() {
-            self.mail.put(Lane::Lists, from, For::Gateway, &Message::Want { index, keys });
+            self.mail.put(
+                Lane::Lists,
+                from,
+                For::Gateway,
+                &Message::Want { index, keys },
+            );
         }
         for entry in send {
-            self.mail.put(Lane::Lists, from, For::Gateway, &Message::Entry(entry));
+            self.mail
+                .put(Lane::Lists, from, For::Gateway, &Message::Entry(entry));
         }
     }
 
@@ -361,7 +474,11 @@
         let fresh = if zone == other {
             Some(now)
         } else {
-            self.others.by_zone.get(other).and_then(|o| o.copies.get(zone)).copied()
+            self.others
+                .by_zone
+                .get(other)
+                .and_then(|o| o.copies.get(zone))
+                .copied()
         };
         let oldest = now.saturating_sub(crate::ms(self.rules.forget_ms));
         let stale = entry.state == State::Live && fresh.is_none_or(|at| at < oldest);
@@ -378,7 +495,8 @@
                 }
             }
             Merged::Older(mine) => {
-                self.mail.put(Lane::Lists, from, For::Gateway, &Message::Entry(mine));
+                self.mail
+                    .put(Lane::Lists, from, For::Gateway, &Message::Entry(mine));
             }
             Merged::Contested(to, name) => self.ask_anew(now, to, name),
             Merged::Same | Merged::Full => (),
--- a/fanout/src/mail.rs
+++ b/fanout/src/mail.rs
@@ -21,8 +21,16 @@
 
 impl Pace {
     pub fn new(rules: &Rules, now: Time) -> Self {
-        let per_s = (u64::from(rules.datagrams_per_s), u64::from(rules.bytes_per_s));
-        let mut pace = Pace { datagrams: 0, bytes: 0, at: now, per_s };
+        let per_s = (
+            u64::from(rules.datagrams_per_s),
+            u64::from(rules.bytes_per_s),
+        );
+        let mut pace = Pace {
+            datagrams: 0,
+            bytes: 0,
+            at: now,
+            per_s,
+        };
         pace.fill(now + 1_000_000);
         pace.at = now;
         pace
@@ -30,7 +38,10 @@
 
     /// One of each and a whole body have to fit, whatever the budget.
     fn most(&self) -> (u64, u64) {
-        ((self.per_s.0 * 250_000).max(1_000_000), (self.per_s.1 * 250_000).max(1_200_000_000))
+        (
+            (self.per_s.0 * 250_000).max(1_000_000),
+            (self.per_s.1 * 250_000).max(1_200_000_000),
+        )
     }
 
     fn fill(&mut self, now: Time) {
@@ -56,7 +67,10 @@
     fn next(&self) -> Time {
         let wait = |lacks: u64, per_s: u64| lacks.div_ceil(per_s.max(1));
         let datagrams = wait(1_000_000u64.saturating_sub(self.datagrams), self.per_s.0);
-        let bytes = wait((BODY as u64 * 1_000_000).saturating_sub(self.bytes), self.per_s.1);
+        let bytes = wait(
+            (BODY as u64 * 1_000_000).saturating_sub(self.bytes),
+            self.per_s.1,
+        );
         self.at + datagrams.max(bytes)
     }
 }
@@ -91,11 +105,15 @@
 
     /// The next body, of as many messages to one address as fit.
     fn take(
-        &mut self, gateway: &Option<(std::sync::Arc<str>, plovercove_tokens::Token)>,
+        &mut self,
+        gateway: &Option<(std::sync::Arc<str>, plovercove_tokens::Token)>,
     ) -> Option<(To, Vec<u8>, usize)> {
         let to = self.turns.pop_front()?;
         let waits = self.waits.get_mut(&to)?;
-        let mut body = wire::head(&Head { to: to.1.clone(), gateway: gateway.clone() });
+        let mut body = wire::head(&Head {
+            to: to.1.clone(),
+            gateway: gateway.clone(),
+        });
         let mut packed = 0;
         while let Some(message) = waits.front()
             && (packed == 0 || body.len() + message.len() <= BODY)
@@ -163,12 +181,17 @@
 
     /// Whether something waits for an address in a lane.
     pub fn waits_for(&self, lane: Lane, address: SocketAddr) -> bool {
-        self.queues[lane as usize].waits.keys().any(|(to, _)| *to == address)
+        self.queues[lane as usize]
+            .waits
+            .keys()
+            .any(|(to, _)| *to == address)
     }
 
     /// Sends what may go by now; the lanes take turns. `news` puts the next news into their lane, if there are any.
     pub fn pump(
-        &mut self, now: Time, gateway: &Option<(std::sync::Arc<str>, plovercove_tokens::Token)>,
+        &mut self,
+        now: Time,
+        gateway: &Option<(std::sync::Arc<str>, plovercove_tokens::Token)>,
         mut news: impl FnMut(&mut Mail) -> bool,
     ) {
         while self.pace.may(now) {
@@ -176,13 +199,16 @@
                 return;
             }
             let lanes = self.queues.len();
-            let Some(lane) =
-                (0..lanes).map(|n| (self.turn + n) % lanes).find(|n| !self.queues[*n].turns.is_empty())
+            let Some(lane) = (0..lanes)
+                .map(|n| (self.turn + n) % lanes)
+                .find(|n| !self.queues[*n].turns.is_empty())
             else {
                 return;
             };
             self.turn = lane + 1;
-            let Some((to, body, packed)) = self.queues[lane].take(gateway) else { return };
+            let Some((to, body, packed)) = self.queues[lane].take(gateway) else {
+                return;
+            };
             self.waits -= packed;
             self.pace.spend(body.len());
             self.datagrams += 1;
@@ -196,7 +222,11 @@
 
     /// When more may go, if anything waits.
     pub fn next(&self, more: bool) -> Time {
-        if self.waits == 0 && !more { Time::MAX } else { self.pace.next() }
+        if self.waits == 0 && !more {
+            Time::MAX
+        } else {
+            self.pace.next()
+        }
     }
 
     pub fn take_out(&mut self) -> Vec<(SocketAddr, Vec<u8>)> {
--- a/fanout/src/publisher.rs
+++ b/fanout/src/publisher.rs
@@ -50,7 +50,10 @@
         self.readers.retain(|address, _| list.contains(address));
         for address in list {
             let heads_at = now + spread(&mut self.dice, crate::ms(self.rules.answer_ms));
-            self.readers.entry(*address).or_insert(Reader { heads_at, ..Reader::default() });
+            self.readers.entry(*address).or_insert(Reader {
+                heads_at,
+                ..Reader::default()
+            });
         }
         self.pump(now);
     }
@@ -60,17 +63,37 @@
     /// # Errors
     /// It is too large, or the duty was granted to another since.
     pub fn publish(
-        &mut self, now: Time, topic: &Topic, duty: &Duty, token: Token, item: &[u8],
+        &mut self,
+        now: Time,
+        topic: &Topic,
+        duty: &Duty,
+        token: Token,
+        item: &[u8],
     ) -> Result<u64, Fault> {
         if item.len() > ITEM {
-            return Err(Fault::Large { topic: topic.name().into(), bytes: item.len(), most: ITEM });
+            return Err(Fault::Large {
+                topic: topic.name().into(),
+                bytes: item.len(),
+                most: ITEM,
+            });
         }
         if self.held.len() >= DUTIES && !self.held.contains_key(topic) {
-            return Err(Fault::Full { what: "topics", most: DUTIES });
+            return Err(Fault::Full {
+                what: "topics",
+                most: DUTIES,
+            });
         }
-        let held = self.held.entry(topic.clone()).or_insert_with(|| Held::new(duty.clone(), token));
+        let held = self
+            .held
+            .entry(topic.clone())
+            .or_insert_with(|| Held::new(duty.clone(), token));
         if held.token > token && self.rules.on(Guard::Fence) {
-            return Err(Refused::Older { duty: duty.clone(), told: token, known: held.token }.into());
+            return Err(Refused::Older {
+                duty: duty.clone(),
+                told: token,
+                known: held.token,
+            }
+            .into());
         }
         if held.token != token {
             *held = Held::new(duty.clone(), token);
@@ -105,14 +128,25 @@
     ///
     /// # Errors
     /// It cannot be read.
-    pub fn receive(&mut self, now: Time, from: SocketAddr, body: &[u8], _late: Span) -> Result<(), Fault> {
+    pub fn receive(
+        &mut self,
+        now: Time,
+        from: SocketAddr,
+        body: &[u8],
+        _late: Span,
+    ) -> Result<(), Fault> {
         let (head, messages) = wire::read(body).ok_or(Fault::Unread { from })?;
         if head.to != For::Publisher {
             return Ok(());
         }
         for message in messages {
             match message {
-                Message::Fetch { topic, token, after, .. } => {
+                Message::Fetch {
+                    topic,
+                    token,
+                    after,
+                    ..
+                } => {
                     if let Some(reader) = self.readers.get_mut(&from)
                         && self.held.contains_key(&topic)
                     {
@@ -128,7 +162,11 @@
                     if let Some(told) = self.held.values().find(|h| old(h)).map(|h| h.token)
                         && self.rules.on(Guard::Fence)
                     {
-                        self.refused.push(Refused::Older { duty: duty.clone(), told, known: token });
+                        self.refused.push(Refused::Older {
+                            duty: duty.clone(),
+                            told,
+                            known: token,
+                        });
                         self.held.retain(|_, held| !old(held));
                     }
                 }
@@ -140,10 +178,13 @@
     }
 
     fn pump(&mut self, now: Time) {
-        let (rules, held, readers, line) = (&self.rules, &self.held, &mut self.readers, &mut self.line);
+        let (rules, held, readers, line) =
+            (&self.rules, &self.held, &mut self.readers, &mut self.line);
         self.mail.pump(now, &None, |mail| {
             while let Some(address) = line.pop_front() {
-                let Some(reader) = readers.get_mut(&address) else { continue };
+                let Some(reader) = readers.get_mut(&address) else {
+                    continue;
+                };
                 reader.queued = false;
                 let mut bytes = 0;
                 for (topic, held) in held {
@@ -185,7 +226,9 @@
                         &Message::Heads(held.mark(topic, held.head)),
                     );
                 }
-                reader.places.retain(|topic, _| self.held.contains_key(topic));
+                reader
+                    .places
+                    .retain(|topic, _| self.held.contains_key(topic));
             }
         }
         self.pump(now);
@@ -193,7 +236,12 @@
 
     /// When it has to be driven next.
     pub fn next(&self) -> Time {
-        let heads = self.readers.values().map(|r| r.heads_at).min().unwrap_or(Time::MAX);
+        let heads = self
+            .readers
+            .values()
+            .map(|r| r.heads_at)
+            .min()
+            .unwrap_or(Time::MAX);
         heads.min(self.mail.next(!self.line.is_empty()))
     }
 
--- a/fanout/src/rules.rs
+++ b/fanout/src/rules.rs
@@ -51,7 +51,8 @@
     /// The guard of this name, as scripts write it.
     pub fn named(name: &str) -> Option<Guard> {
         use serde::de::IntoDeserializer;
-        let name: serde::de::value::StrDeserializer<'_, serde::de::value::Error> = name.into_deserializer();
+        let name: serde::de::value::StrDeserializer<'_, serde::de::value::Error> =
+            name.into_deserializer();
         Guard::deserialize(name).ok()
     }
 }
@@ -151,13 +152,18 @@
     /// The greatest age at which a subscriber that can reach its gateway believes the newest of a topic without being told
     /// that it missed (us): the publisher's next telling of its numbers, the subscriber's next renewal, the tries of both.
     pub fn believed_within(&self, subscribers: usize) -> Span {
-        crate::ms(2 * self.heads_ms + 2 * self.gap_ms + 4 * self.answer_ms) + 2 * self.pause(subscribers)
+        crate::ms(2 * self.heads_ms + 2 * self.gap_ms + 4 * self.answer_ms)
+            + 2 * self.pause(subscribers)
     }
 
     /// For how long after a move two gateways may tell one subscriber (us): until the new one has told the old one, or the
     /// subscriber has; where neither gets through, until it has not renewed there for a lease.
     pub fn told_twice_within(&self, subscribers: usize, reached: bool) -> Span {
-        if reached { crate::ms(3 * self.answer_ms + self.compare_ms) } else { self.lease(subscribers) + TIDY }
+        if reached {
+            crate::ms(3 * self.answer_ms + self.compare_ms)
+        } else {
+            self.lease(subscribers) + TIDY
+        }
     }
 
     /// Checks what cannot be meant.
@@ -169,21 +175,41 @@
             if (least..=most).contains(&value) {
                 Ok(())
             } else {
-                Err(Fault::Setting { key, value, least, most })
+                Err(Fault::Setting {
+                    key,
+                    value,
+                    least,
+                    most,
+                })
             }
         };
         within("renew_ms", self.renew_ms, 100, 600_000)?;
         within("answer_ms", self.answer_ms, 10, self.renew_ms)?;
         within("compare_ms", self.compare_ms, 50, 60_000)?;
         // A copy has to outlive every list that is merely slow to be compared.
-        within("forget_ms", self.forget_ms, 60 * self.compare_ms.min(60_000), 86_400_000)?;
+        within(
+            "forget_ms",
+            self.forget_ms,
+            60 * self.compare_ms.min(60_000),
+            86_400_000,
+        )?;
         within("heads_ms", self.heads_ms, 50, 60_000)?;
         within("gap_ms", self.gap_ms, self.answer_ms, 600_000)?;
         within("held", self.held as u64, 1, 10_000)?;
         within("topics", self.topics as u64, 1, 10_000)?;
         within("subscriptions", self.subscriptions as u64, 1, 1_000_000)?;
-        within("datagrams_per_s", u64::from(self.datagrams_per_s), 4, 100_000)?;
-        within("bytes_per_s", u64::from(self.bytes_per_s), 2_400, 100_000_000)
+        within(
+            "datagrams_per_s",
+            u64::from(self.datagrams_per_s),
+            4,
+            100_000,
+        )?;
+        within(
+            "bytes_per_s",
+            u64::from(self.bytes_per_s),
+            2_400,
+            100_000_000,
+        )
     }
 }
 
--- a/fanout/src/table.rs
+++ b/fanout/src/table.rs
@@ -94,7 +94,8 @@
 
 impl PartialEq for Table {
     fn eq(&self, other: &Self) -> bool {
-        (&self.zone, &self.people, &self.confirmed) == (&other.zone, &other.people, &other.confirmed)
+        (&self.zone, &self.people, &self.confirmed)
+            == (&other.zone, &other.people, &other.confirmed)
     }
 }
 
@@ -117,7 +118,10 @@
 
 /// What tells an entry of a leaf from the others, and its state from another one.
 pub(crate) fn ends(key: u64, entry: &Entry) -> ([u8; 4], [u8; 4]) {
-    ((key as u32).to_le_bytes(), (sum(key, entry) as u32).to_le_bytes())
+    (
+        (key as u32).to_le_bytes(),
+        (sum(key, entry) as u32).to_le_bytes(),
+    )
 }
 
 fn sum(key: u64, entry: &Entry) -> u64 {
@@ -161,7 +165,10 @@
 
     /// All that is remembered.
     pub fn all(&self) -> impl Iterator<Item = &Entry> {
-        self.people.values().flat_map(|p| p.topics.values()).map(|k| &k.entry)
+        self.people
+            .values()
+            .flat_map(|p| p.topics.values())
+            .map(|k| &k.entry)
     }
 
     pub(crate) fn zone(&self) -> &Name {
@@ -172,17 +179,24 @@
     pub(crate) fn own_words(&self) -> Vec<Entry> {
         let people = self.people.values().filter(|p| p.own_word);
         let entries = people.flat_map(|p| p.topics.values()).map(|k| &k.entry);
-        entries.filter(|e| e.subscriber.zone == self.zone && e.state != State::Expired).cloned().collect()
+        entries
+            .filter(|e| e.subscriber.zone == self.zone && e.state != State::Expired)
+            .cloned()
+            .collect()
     }
 
     /// The other gateways are to be told of it.
     pub(crate) fn note(&mut self, entry: &Entry) {
-        self.changed.insert(key(&entry.subscriber.name, &entry.topic));
+        self.changed
+            .insert(key(&entry.subscriber.name, &entry.topic));
     }
 
     /// Subscribers that this zone's gateway tells.
     pub fn own_people(&self) -> usize {
-        self.people.values().filter(|p| p.topics.values().any(|k| self.own(&k.entry))).count()
+        self.people
+            .values()
+            .filter(|p| p.topics.values().any(|k| self.own(&k.entry)))
+            .count()
     }
 
     /// Whether this gateway tells it.
@@ -199,7 +213,9 @@
     pub(crate) fn in_leaf(&self, leaf: usize) -> impl Iterator<Item = &Kept> {
         let first = (leaf as u64) << 52;
         let last = first | ((1 << 52) - 1);
-        self.keys.range(first..=last).filter_map(|(key, _)| self.kept(*key))
+        self.keys
+            .range(first..=last)
+            .filter_map(|(key, _)| self.kept(*key))
     }
 
     /// What holds of a zone's list in a range.
@@ -208,7 +224,12 @@
         let leaves = index * wide..((index + 1) * wide).min(LEAVES);
         let holds = |k: &&Kept| k.entry.state == State::Live && *k.entry.subscriber.zone == *zone;
         leaves
-            .flat_map(|leaf| self.in_leaf(leaf).filter(holds).map(|k| k.entry.clone()).collect::<Vec<_>>())
+            .flat_map(|leaf| {
+                self.in_leaf(leaf)
+                    .filter(holds)
+                    .map(|k| k.entry.clone())
+                    .collect::<Vec<_>>()
+            })
             .collect()
     }
 
@@ -219,16 +240,25 @@
 
     /// The sum of a range of a zone's list; level 0 is all of it.
     pub(crate) fn sum(&self, zone: &str, level: u8, index: usize) -> u64 {
-        let Some(leaves) = self.leaves.get(zone) else { return 0 };
+        let Some(leaves) = self.leaves.get(zone) else {
+            return 0;
+        };
         let wide = LEAVES >> (4 * level.min(LEVELS));
-        leaves.iter().skip(index * wide).take(wide).fold(0, |all, leaf| all ^ leaf)
+        leaves
+            .iter()
+            .skip(index * wide)
+            .take(wide)
+            .fold(0, |all, leaf| all ^ leaf)
     }
 
     fn toggle(&mut self, key: u64, entry: &Entry) {
         if entry.state != State::Live {
             return;
         }
-        let leaves = self.leaves.entry(entry.subscriber.zone.clone()).or_insert_with(|| vec![0; LEAVES]);
+        let leaves = self
+            .leaves
+            .entry(entry.subscriber.zone.clone())
+            .or_insert_with(|| vec![0; LEAVES]);
         leaves[leaf(key)] ^= sum(key, entry);
         if entry.subscriber.zone == self.zone {
             let at = self.listeners.entry(entry.topic.clone()).or_default();
@@ -245,9 +275,14 @@
     fn set(&mut self, now: Time, entry: Entry) -> bool {
         let (name, topic) = (entry.subscriber.name.clone(), entry.topic.clone());
         let key = key(&name, &topic);
-        let before = self.people.get(&name).and_then(|p| p.topics.get(&topic)).cloned();
+        let before = self
+            .people
+            .get(&name)
+            .and_then(|p| p.topics.get(&topic))
+            .cloned();
         let zone = &entry.subscriber.zone;
-        let strange = !self.leaves.contains_key(zone) && *zone != self.zone && self.leaves.len() >= ZONES;
+        let strange =
+            !self.leaves.contains_key(zone) && *zone != self.zone && self.leaves.len() >= ZONES;
         if strange || (before.is_none() && self.keys.len() >= self.rules.subscriptions) {
             return false;
         }
@@ -278,7 +313,9 @@
 
     /// A later life of a subscriber ends all that an earlier one holds, also topics that it does not ask for itself.
     fn end_old_lives(&mut self, now: Time, name: &Name, boot: u64) {
-        let Some(person) = self.people.get_mut(name) else { return };
+        let Some(person) = self.people.get_mut(name) else {
+            return;
+        };
         let old = |k: &&mut Kept| k.entry.boot < boot && k.entry.state == State::Live;
         let mut ended = Vec::new();
         for kept in person.topics.values_mut().filter(old) {
@@ -292,12 +329,21 @@
 
     /// The latest life of a name, and one entry of it.
     fn latest(&self, name: &str) -> Option<&Entry> {
-        self.people.get(name)?.topics.values().map(|k| &k.entry).max_by_key(|e| e.boot)
+        self.people
+            .get(name)?
+            .topics
+            .values()
+            .map(|k| &k.entry)
+            .max_by_key(|e| e.boot)
     }
 
     fn remove(&mut self, name: &Name, topic: &Topic) {
-        let Some(person) = self.people.get_mut(name) else { return };
-        let Some(kept) = person.topics.remove(topic) else { return };
+        let Some(person) = self.people.get_mut(name) else {
+            return;
+        };
+        let Some(kept) = person.topics.remove(topic) else {
+            return;
+        };
         if person.topics.is_empty() {
             self.people.remove(name);
         }
@@ -326,11 +372,15 @@
             return true;
         }
         let mut changes = Vec::new();
-        let backwards = matches!((says.from, says.through), (Some(from), Some(through)) if from > through);
+        let backwards =
+            matches!((says.from, says.through), (Some(from), Some(through)) if from > through);
         if let Some(person) = self.people.get(&who.name).filter(|_| !backwards) {
             let gone = person.topics.range::<Topic, _>(ends).map(|(_, k)| &k.entry);
             let gone = gone.filter(|e| e.state == State::Live && !says.topics.contains(&e.topic));
-            changes.extend(gone.filter(|e| !order || !later(e)).map(|e| entry(&e.topic, State::Left)));
+            changes.extend(
+                gone.filter(|e| !order || !later(e))
+                    .map(|e| entry(&e.topic, State::Left)),
+            );
         }
         // A leave is remembered also where the subscription that it ends never came, be there nothing or an older leave:
         // it may be on its way.
@@ -352,7 +402,10 @@
         let mut all = true;
         for entry in changes {
             let key = key(&entry.subscriber.name, &entry.topic);
-            let many = self.people.get(&who.name).is_some_and(|p| p.topics.len() >= 2 * self.rules.topics);
+            let many = self
+                .people
+                .get(&who.name)
+                .is_some_and(|p| p.topics.len() >= 2 * self.rules.topics);
             let fits = (!many || self.keys.contains_key(&key)) && self.set(now, entry);
             all &= fits;
             if fits {
@@ -373,16 +426,35 @@
 
     /// The sum of what a subscriber holds here, and its latest life.
     pub(crate) fn holds(&self, name: &str) -> (u64, u64) {
-        let Some(person) = self.people.get(name) else { return (0, 0) };
-        let boot = person.topics.values().map(|k| k.entry.boot).max().unwrap_or(0);
-        let own = person.topics.values().filter(|k| self.own(&k.entry) && k.entry.boot == boot);
-        (wire::holds(boot, own.map(|k| (&k.entry.topic, k.entry.counter))), boot)
+        let Some(person) = self.people.get(name) else {
+            return (0, 0);
+        };
+        let boot = person
+            .topics
+            .values()
+            .map(|k| k.entry.boot)
+            .max()
+            .unwrap_or(0);
+        let own = person
+            .topics
+            .values()
+            .filter(|k| self.own(&k.entry) && k.entry.boot == boot);
+        (
+            wire::holds(boot, own.map(|k| (&k.entry.topic, k.entry.counter))),
+            boot,
+        )
     }
 
     /// Takes what another gateway tells.
     pub fn merge(&mut self, now: Time, entry: &Entry) -> Merged {
-        let known = self.people.get(&entry.subscriber.name).and_then(|p| p.topics.get(&entry.topic));
-        let own_word = self.people.get(&entry.subscriber.name).is_some_and(|p| p.own_word);
+        let known = self
+            .people
+            .get(&entry.subscriber.name)
+            .and_then(|p| p.topics.get(&entry.topic));
+        let own_word = self
+            .people
+            .get(&entry.subscriber.name)
+            .is_some_and(|p| p.own_word);
         if let Some(known) = known {
             let known = &known.entry;
             if known == entry {
@@ -447,7 +519,11 @@
 
     /// When a zone's gateway last confirmed the copy of its list here.
     pub(crate) fn confirmed(&self, now: Time, zone: &str) -> Time {
-        if *zone == *self.zone { now } else { self.confirmed.get(zone).copied().unwrap_or(now) }
+        if *zone == *self.zone {
+            now
+        } else {
+            self.confirmed.get(zone).copied().unwrap_or(now)
+        }
     }
 
     /// Ends what was not renewed, forgets what cannot matter any more, and throws away copies that are too old. `owner`
@@ -466,7 +542,10 @@
                     }
                 } else if *zone == self.zone {
                     if owner && expiry && person.renewed + lease < now {
-                        expired.push(Entry { state: State::Expired, ..kept.entry.clone() });
+                        expired.push(Entry {
+                            state: State::Expired,
+                            ..kept.entry.clone()
+                        });
                     }
                 } else if away && old(self.confirmed.get(zone)) {
                     forgotten.push((name.clone(), topic.clone()));
@@ -477,13 +556,15 @@
             self.remove(&name, &topic);
         }
         for entry in expired {
-            self.changed.insert(key(&entry.subscriber.name, &entry.topic));
+            self.changed
+                .insert(key(&entry.subscriber.name, &entry.topic));
             self.set(now, entry);
         }
         if away {
             // The zone's list is empty here now; what comes next begins a new copy.
             self.confirmed.retain(|_, at| *at + forget >= now);
         }
-        self.leaves.retain(|zone, leaves| *zone == self.zone || leaves.iter().any(|sum| *sum != 0));
+        self.leaves
+            .retain(|zone, leaves| *zone == self.zone || leaves.iter().any(|sum| *sum != 0));
     }
 }
--- a/fanout/src/track.rs
+++ b/fanout/src/track.rs
@@ -63,13 +63,18 @@
         self.last = Some((token, at));
         // Nobody can say how far the other numbers went, so what led here is to be asked for elsewhere.
         if !topic.collapses() && rules.on(Guard::Gap) {
-            self.out.push(Comes::Missed { duty: duty.clone(), token, through: at });
+            self.out.push(Comes::Missed {
+                duty: duty.clone(),
+                token,
+                through: at,
+            });
         }
     }
 
     /// Whether this token's numbers count: not an older one's.
     fn follows(&self, rules: &Rules, token: Token) -> bool {
-        self.last.is_none_or(|(last, _)| token >= last || !rules.on(Guard::Fence))
+        self.last
+            .is_none_or(|(last, _)| token >= last || !rules.on(Guard::Fence))
     }
 
     pub fn item(&mut self, rules: &Rules, now: Time, told: &Told, late: Span) {
@@ -77,7 +82,11 @@
             return;
         }
         if self.last.is_none_or(|(last, _)| last != told.token) {
-            let at = if told.topic.collapses() { 0 } else { told.number - 1 };
+            let at = if told.topic.collapses() {
+                0
+            } else {
+                told.number - 1
+            };
             self.turn_to(rules, &told.topic, &told.duty, told.token, at);
         }
         self.known = self.known.max(told.number);
@@ -119,7 +128,11 @@
             return;
         }
         if self.last.is_none_or(|(last, _)| last != mark.token) {
-            let at = if mark.topic.collapses() { 0 } else { mark.number };
+            let at = if mark.topic.collapses() {
+                0
+            } else {
+                mark.number
+            };
             self.turn_to(rules, &mark.topic, &mark.duty, mark.token, at);
         }
         self.known = self.known.max(mark.number);
@@ -157,16 +170,30 @@
     }
 
     fn emit(&mut self, number: u64, made: Time, body: Arc<[u8]>) {
-        let (Some((token, _)), Some(duty)) = (self.last, self.duty.clone()) else { return };
+        let (Some((token, _)), Some(duty)) = (self.last, self.duty.clone()) else {
+            return;
+        };
         self.last = Some((token, number));
-        self.out.push(Comes::Item { duty, token, number, made, body });
+        self.out.push(Comes::Item {
+            duty,
+            token,
+            number,
+            made,
+            body,
+        });
     }
 
     fn skip(&mut self, through: u64) {
-        let (Some((token, _)), Some(duty)) = (self.last, self.duty.clone()) else { return };
+        let (Some((token, _)), Some(duty)) = (self.last, self.duty.clone()) else {
+            return;
+        };
         self.last = Some((token, through));
         self.ahead.retain(|number, _| *number > through);
-        self.out.push(Comes::Missed { duty, token, through });
+        self.out.push(Comes::Missed {
+            duty,
+            token,
+            through,
+        });
     }
 
     fn drain(&mut self) {
@@ -184,11 +211,19 @@
     fn give_up(&mut self) {
         if self.collapses {
             if let (Some((token, _)), Some(duty)) = (self.last, self.duty.clone()) {
-                self.out.push(Comes::Missed { duty, token, through: self.known });
+                self.out.push(Comes::Missed {
+                    duty,
+                    token,
+                    through: self.known,
+                });
             }
             return;
         }
-        let through = self.ahead.keys().next().map_or(self.known, |first| first - 1);
+        let through = self
+            .ahead
+            .keys()
+            .next()
+            .map_or(self.known, |first| first - 1);
         self.skip(through);
         self.drain();
     }
--- a/fanout/src/wire.rs
+++ b/fanout/src/wire.rs
@@ -207,10 +207,16 @@
         | Message::Says { name, .. }
         | Message::Fetch { name, .. }
         | Message::Moved { name, .. } => names(name),
-        Message::Entry(e) | Message::Request(e) => names(&e.subscriber.name) && names(&e.subscriber.zone),
+        Message::Entry(e) | Message::Request(e) => {
+            names(&e.subscriber.name) && names(&e.subscriber.zone)
+        }
         Message::Item(told) => told.body.len() <= ITEM,
-        Message::Sums { zones, .. } | Message::Same { zones } => zones.iter().all(|(zone, ..)| names(zone)),
-        Message::Ranges { zone, .. } | Message::Leaf { zone, .. } | Message::All { zone, .. } => names(zone),
+        Message::Sums { zones, .. } | Message::Same { zones } => {
+            zones.iter().all(|(zone, ..)| names(zone))
+        }
+        Message::Ranges { zone, .. } | Message::Leaf { zone, .. } | Message::All { zone, .. } => {
+            names(zone)
+        }
         _ => true,
     });
     fits.then_some((head, messages))
@@ -231,11 +237,19 @@
 /// What a subscriber holds, and the number by which it said so, as one sum in any order.
 pub(crate) fn holds<'a>(boot: u64, topics: impl Iterator<Item = (&'a Topic, u64)>) -> u64 {
     topics.fold(0, |sum, (topic, counter)| {
-        sum ^ hash(&[&boot.to_le_bytes(), topic.name().as_bytes(), &counter.to_le_bytes()])
+        sum ^ hash(&[
+            &boot.to_le_bytes(),
+            topic.name().as_bytes(),
+            &counter.to_le_bytes(),
+        ])
     })
 }
 
 /// How far one is in a topic, to be summed likewise.
 pub(crate) fn at(topic: &Topic, token: Token, number: u64) -> u64 {
-    hash(&[topic.name().as_bytes(), &token.0.to_le_bytes(), &number.to_le_bytes()])
+    hash(&[
+        topic.name().as_bytes(),
+        &token.0.to_le_bytes(),
+        &number.to_le_bytes(),
+    ])
 }
