--- a/fleet/src/node.rs
+++ b/fleet/src/node.rs
@@ -69,7 +69,9 @@
     /// Its process is gone. Returns what waited; what ran is lost with it.
     pub fn stop(&mut self) -> impl Iterator<Item = J> + use<J> {
         self.running = 0;
-        std::mem::take(&mut self.queue).into_iter().map(|(job, _)| job)
+        std::mem::take(&mut self.queue)
+            .into_iter()
+            .map(|(job, _)| job)
     }
 
     /// It runs so many times slower from now on.
@@ -109,7 +111,9 @@
 
     /// The share of its capacity that it has now.
     pub fn warmth(&self, now: Time) -> f64 {
-        let Some(started) = self.started else { return 1.0 };
+        let Some(started) = self.started else {
+            return 1.0;
+        };
         let age = now.saturating_sub(started) as f64 / 1e6 / self.spec.cold_s;
         (self.spec.cold_from + (1.0 - self.spec.cold_from) * age).min(1.0)
     }
@@ -150,7 +154,11 @@
             return false;
         }
         let window = (self.spec.fall_s * 1e6) as Time;
-        while self.offered.front().is_some_and(|(at, _)| at + window < now) {
+        while self
+            .offered
+            .front()
+            .is_some_and(|(at, _)| at + window < now)
+        {
             self.sum -= self.offered.pop_front().map_or(0.0, |(_, work)| work);
         }
         self.offered.push_back((now, work));
--- a/fleet/src/pressure.rs
+++ b/fleet/src/pressure.rs
@@ -56,7 +56,11 @@
 impl fmt::Display for Shares {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let percent = |share: f64| (share * 100.0).round() as u32;
-        let (told, writes, again) = (percent(self.told), percent(self.writes), percent(self.again));
+        let (told, writes, again) = (
+            percent(self.told),
+            percent(self.writes),
+            percent(self.again),
+        );
         write!(
             f,
             "{told} % from routers that were told of its start, {writes} % writes, {again} % further attempts"
@@ -66,12 +70,18 @@
 
 impl Pressure {
     pub(crate) fn new(window: Span) -> Self {
-        Pressure { window, nodes: HashMap::new() }
+        Pressure {
+            window,
+            nodes: HashMap::new(),
+        }
     }
 
     pub(crate) fn add(&mut self, node: u32, press: Press) {
         let seen = self.nodes.entry(node).or_default();
-        while seen.front().is_some_and(|old| old.at + self.window < press.at) {
+        while seen
+            .front()
+            .is_some_and(|old| old.at + self.window < press.at)
+        {
             seen.pop_front();
         }
         seen.push_back(press);
@@ -85,10 +95,18 @@
     pub(crate) fn shares(&self, node: u32) -> Shares {
         let seen = self.nodes.get(&node);
         let sum = |which: fn(&Press) -> bool| -> f64 {
-            seen.iter().flat_map(|s| s.iter()).filter(|p| which(p)).map(|p| p.work).sum()
+            seen.iter()
+                .flat_map(|s| s.iter())
+                .filter(|p| which(p))
+                .map(|p| p.work)
+                .sum()
         };
         let all = sum(|_| true).max(1e-9);
-        Shares { told: sum(|p| p.told) / all, writes: sum(|p| p.write) / all, again: sum(|p| p.again) / all }
+        Shares {
+            told: sum(|p| p.told) / all,
+            writes: sum(|p| p.write) / all,
+            again: sum(|p| p.again) / all,
+        }
     }
 }
 
--- a/fleet/src/report.rs
+++ b/fleet/src/report.rs
@@ -36,7 +36,11 @@
 impl Part {
     /// The share that was answered in time.
     pub fn share(&self) -> f64 {
-        if self.asked > 0 { self.in_time as f64 / self.asked as f64 } else { 1.0 }
+        if self.asked > 0 {
+            self.in_time as f64 / self.asked as f64
+        } else {
+            1.0
+        }
     }
 }
 
@@ -101,12 +105,19 @@
 const STEADY: usize = 2;
 
 /// Seconds from `from` on until `STEADY` seconds in a row reach `goal(second)` of in-time service.
-pub(crate) fn back(seconds: &[Second], from: f64, until: f64, goal: impl Fn(usize) -> f64) -> Option<f64> {
+pub(crate) fn back(
+    seconds: &[Second],
+    from: f64,
+    until: f64,
+    goal: impl Fn(usize) -> f64,
+) -> Option<f64> {
     let first = from.ceil() as usize;
     let last = (until.floor() as usize).min(seconds.len());
     let good = |n: usize| {
         let s = &seconds[n];
         s.asked == 0.0 || s.in_time / s.asked >= goal(n)
     };
-    (first..last.saturating_sub(STEADY - 1)).find(|n| (*n..n + STEADY).all(good)).map(|n| n as f64 - from)
+    (first..last.saturating_sub(STEADY - 1))
+        .find(|n| (*n..n + STEADY).all(good))
+        .map(|n| n as f64 - from)
 }
--- a/fleet/src/rules.rs
+++ b/fleet/src/rules.rs
@@ -41,7 +41,11 @@
     pub(crate) fn add(&mut self, rule: Rule, second: f64, what: impl FnOnce() -> String) {
         match self.0.iter_mut().find(|b| b.rule == rule) {
             Some(known) => known.times += 1,
-            None => self.0.push(Breach { rule, times: 1, first: (second, what()) }),
+            None => self.0.push(Breach {
+                rule,
+                times: 1,
+                first: (second, what()),
+            }),
         }
     }
 }
--- a/fleet/src/spec.rs
+++ b/fleet/src/spec.rs
@@ -108,7 +108,13 @@
 
 impl Default for NetSpec {
     fn default() -> Self {
-        NetSpec { same_ms: 0.2, cross_ms: 0.8, pairs: Vec::new(), loss: 0.0, handshake_ms: 5.0 }
+        NetSpec {
+            same_ms: 0.2,
+            cross_ms: 0.8,
+            pairs: Vec::new(),
+            loss: 0.0,
+            handshake_ms: 5.0,
+        }
     }
 }
 
@@ -217,7 +223,11 @@
     /// How many times the usual requests of all tenants come at this second.
     pub(crate) fn tenants_ask(&self, second: f64) -> f64 {
         let usual: f64 = self.tenants.iter().map(|t| t.share).sum();
-        if usual > 0.0 { self.tenants.iter().map(|t| t.weight(second)).sum::<f64>() / usual } else { 1.0 }
+        if usual > 0.0 {
+            self.tenants.iter().map(|t| t.weight(second)).sum::<f64>() / usual
+        } else {
+            1.0
+        }
     }
 }
 
@@ -302,10 +312,37 @@
         blocks: name == "month-report",
     };
     vec![
-        class("trip-search", 0.32, 58.0, 300, 750, 1.0, 0.0, Reads::Bounded(3_000)),
-        class("my-booking", 0.28, 85.0, 400, 1_000, 1.0, 0.0, Reads::Session),
+        class(
+            "trip-search",
+            0.32,
+            58.0,
+            300,
+            750,
+            1.0,
+            0.0,
+            Reads::Bounded(3_000),
+        ),
+        class(
+            "my-booking",
+            0.28,
+            85.0,
+            400,
+            1_000,
+            1.0,
+            0.0,
+            Reads::Session,
+        ),
         class("seat-count", 0.198, 58.0, 300, 1_200, 2.0, 0.2, Reads::Any),
-        class("month-report", 0.022, 580.0, 3_000, 6_000, 6.0, 0.0, Reads::Any),
+        class(
+            "month-report",
+            0.022,
+            580.0,
+            3_000,
+            6_000,
+            6.0,
+            0.0,
+            Reads::Any,
+        ),
         class("book-seat", 0.18, 58.0, 400, 5_000, 3.0, 0.7, Reads::Write),
     ]
 }
@@ -506,7 +543,8 @@
         if !(self.clients.load > 0.0 && self.clients.load < 10.0) {
             return fault("clients.load: expected more than 0 and less than 10".into());
         }
-        let tenant = |t: &TenantSpec| t.share > 0.0 && t.flood.iter().all(|f| f.2 > 0.0 && f.2 <= 100.0);
+        let tenant =
+            |t: &TenantSpec| t.share > 0.0 && t.flood.iter().all(|f| f.2 > 0.0 && f.2 <= 100.0);
         if !self.clients.tenants.iter().all(tenant) {
             return fault(
                 "clients.tenants: expected a share over 0 and floods of over 0 to 100 times".into(),
@@ -521,11 +559,21 @@
         if !(self.list.calls_per_s >= 0.0 && self.list.call_wait_s >= 0.0) {
             return fault("list: expected calls_per_s and call_wait_s of 0 or more".into());
         }
-        if self.clients.bursts.iter().any(|b| !(b.2 > 0.0 && b.2 <= 20.0)) {
+        if self
+            .clients
+            .bursts
+            .iter()
+            .any(|b| !(b.2 > 0.0 && b.2 <= 20.0))
+        {
             return fault("clients.bursts: expected times over 0, up to 20".into());
         }
-        let positive = |c: &ClassSpec| c.share > 0.0 && c.work_ms > 0.0 && c.spread > 0.0 && c.aim_ms > 0;
-        if let Some(bad) = self.classes.iter().find(|c| !positive(c) || c.deadline_ms < c.aim_ms) {
+        let positive =
+            |c: &ClassSpec| c.share > 0.0 && c.work_ms > 0.0 && c.spread > 0.0 && c.aim_ms > 0;
+        if let Some(bad) = self
+            .classes
+            .iter()
+            .find(|c| !positive(c) || c.deadline_ms < c.aim_ms)
+        {
             return fault(format!(
                 "classes: {:?} needs a share, work, spread, an aim and a later deadline",
                 bad.name
@@ -562,7 +610,10 @@
     /// Mean work of a request (s on one core).
     pub fn mean_work(&self) -> f64 {
         let shares: f64 = self.classes.iter().map(|c| c.share).sum();
-        self.classes.iter().map(|c| c.share / shares * c.work_ms / 1e3).sum()
+        self.classes
+            .iter()
+            .map(|c| c.share / shares * c.work_ms / 1e3)
+            .sum()
     }
 
     /// First tries a second, of all clients.
@@ -575,7 +626,12 @@
     pub fn write_share(&self) -> f64 {
         let share = |c: &&ClassSpec| c.reads == Reads::Write;
         let all: f64 = self.classes.iter().map(|c| c.share).sum();
-        self.classes.iter().filter(share).map(|c| c.share).sum::<f64>() / all
+        self.classes
+            .iter()
+            .filter(share)
+            .map(|c| c.share)
+            .sum::<f64>()
+            / all
     }
 
     /// How many groups there are; nodes left over belong to the last ones.
@@ -619,12 +675,19 @@
             deadline: c.deadline_ms * 1_000,
             worth: c.worth,
             late_worth: c.late,
-            effect: if c.reads == Reads::Write { Effect::AtMostOnce } else { Effect::Idempotent },
+            effect: if c.reads == Reads::Write {
+                Effect::AtMostOnce
+            } else {
+                Effect::Idempotent
+            },
             scope: RepeatScope::Group,
             window: 0,
             stream: false,
         };
-        let tenant = |t: &TenantSpec| Tenant { name: t.name.clone(), quota_per_s: t.quota_per_s };
+        let tenant = |t: &TenantSpec| Tenant {
+            name: t.name.clone(),
+            quota_per_s: t.quota_per_s,
+        };
         Settings {
             index: index as u32,
             routers: self.zones.iter().map(|z| z.routers as u32).sum(),
@@ -667,7 +730,9 @@
 /// Deals the nodes out to groups, so that the members of each are spread over the zones.
 pub fn layout(spec: &Spec) -> Layout {
     let zones = spec.zones.iter().enumerate();
-    let zone_of: Vec<usize> = zones.flat_map(|(z, zone)| std::iter::repeat_n(z, zone.nodes)).collect();
+    let zone_of: Vec<usize> = zones
+        .flat_map(|(z, zone)| std::iter::repeat_n(z, zone.nodes))
+        .collect();
     let first: Vec<usize> = spec
         .zones
         .iter()
@@ -686,13 +751,20 @@
         // The zone that has dealt the least share of its nodes so far goes next.
         let open = (0..dealt.len()).filter(|z| dealt[*z] < spec.zones[*z].nodes);
         let share = |z: &usize| (dealt[*z] as f64 + 0.5) / spec.zones[*z].nodes as f64;
-        let Some(zone) = open.min_by(|a, b| share(a).total_cmp(&share(b))) else { break };
+        let Some(zone) = open.min_by(|a, b| share(a).total_cmp(&share(b))) else {
+            break;
+        };
         let node = first[zone] + dealt[zone];
         dealt[zone] += 1;
         let group = (turn / spec.replication.members).min(layout.groups.len() - 1);
         layout.places[node] = (zone, group, layout.groups[group].len());
         layout.groups[group].push(node);
     }
-    layout.heads = layout.groups.iter().enumerate().map(|(g, members)| g % members.len()).collect();
+    layout.heads = layout
+        .groups
+        .iter()
+        .enumerate()
+        .map(|(g, members)| g % members.len())
+        .collect();
     layout
 }
--- a/fleet/src/strict.rs
+++ b/fleet/src/strict.rs
@@ -15,13 +15,17 @@
 impl Strict {
     /// For a router of this zone.
     pub fn new(zone: &str) -> Self {
-        Strict { zone: zone.to_string(), home: BTreeSet::new() }
+        Strict {
+            zone: zone.to_string(),
+            home: BTreeSet::new(),
+        }
     }
 }
 
 impl Zoning for Strict {
     fn listed(&mut self, _: Time, update: &ListUpdate) {
-        let (ListUpdate::Changes(all) | ListUpdate::Full(all) | ListUpdate::Restored(all)) = update else {
+        let (ListUpdate::Changes(all) | ListUpdate::Full(all) | ListUpdate::Restored(all)) = update
+        else {
             return;
         };
         if !matches!(update, ListUpdate::Changes(_)) {
--- a/fleet/src/world/summary.rs
+++ b/fleet/src/world/summary.rs
@@ -17,7 +17,12 @@
             }
         }
         let seconds = std::mem::take(&mut self.seconds);
-        let first = self.spec.faults.iter().map(|f| f.at).fold(f64::INFINITY, f64::min);
+        let first = self
+            .spec
+            .faults
+            .iter()
+            .map(|f| f.at)
+            .fold(f64::INFINITY, f64::min);
         let last = self.spec.faults.iter().map(|f| f.until).fold(0.0, f64::max);
         let (mut after_loss, mut after_return) = (None, None);
         if first.is_finite() && first >= 3.0 {
@@ -47,7 +52,11 @@
             to_bad: self.counted.to_bad,
             talked: self.spec.peers.is_some().then(|| self.talked.clone()),
             fallen: self.counted.fallen,
-            cold_peak: self.nodes.iter().map(|n| n.machine.cold_peak()).fold(0.0, f64::max),
+            cold_peak: self
+                .nodes
+                .iter()
+                .map(|n| n.machine.cold_peak())
+                .fold(0.0, f64::max),
             cold: self.counted.cold,
             after_loss,
             after_return,
--- a/gather/src/answer.rs
+++ b/gather/src/answer.rs
@@ -153,16 +153,23 @@
 /// Whose parts are merged: two that speak for the same source are not added up. The one that speaks for more goes first, so
 /// that it does not depend on who came first.
 fn apart(plan: &Plan, asked: &mut [Asked]) {
-    let mut order: Vec<usize> = (0..asked.len()).filter(|i| asked[*i].partial.is_some()).collect();
+    let mut order: Vec<usize> = (0..asked.len())
+        .filter(|i| asked[*i].partial.is_some())
+        .collect();
     let origins = |a: &Asked| a.partial.as_ref().map_or(0, |p| p.origins.len());
     order.sort_by_key(|i| (std::cmp::Reverse(origins(&asked[*i])), *i));
     let mut spoken: BTreeSet<String> = BTreeSet::new();
     for i in order {
-        let Some(partial) = &asked[i].partial else { continue };
+        let Some(partial) = &asked[i].partial else {
+            continue;
+        };
         let both = partial.origins.iter().find(|o| spoken.contains(&o.name));
         if let Some(origin) = both.filter(|_| plan.rules.on(Guard::Overlap)) {
             let origin = origin.name.clone();
-            let error = Error::Overlaps { source_name: asked[i].name.clone(), origin };
+            let error = Error::Overlaps {
+                source_name: asked[i].name.clone(),
+                origin,
+            };
             (asked[i].partial, asked[i].why) = (None, Some(Why::Refused(error)));
             continue;
         }
@@ -171,7 +178,11 @@
 }
 
 /// The answer of what came.
-pub(crate) fn conclude(plan: &Plan, mut asked: Vec<Asked>, after: Option<&Cursor>) -> Result<Answer, Error> {
+pub(crate) fn conclude(
+    plan: &Plan,
+    mut asked: Vec<Asked>,
+    after: Option<&Cursor>,
+) -> Result<Answer, Error> {
     apart(plan, &mut asked);
     let mut missing = BTreeMap::new();
     let mut origins: BTreeMap<String, Source> = BTreeMap::new();
@@ -182,7 +193,9 @@
             continue;
         };
         for name in &partial.missing {
-            missing.entry(name.clone()).or_insert(Why::Below { by: one.name.clone() });
+            missing.entry(name.clone()).or_insert(Why::Below {
+                by: one.name.clone(),
+            });
         }
         origins.extend(partial.origins.iter().map(|o| (o.name.clone(), o.clone())));
         answered.push(Answered {
@@ -201,20 +214,45 @@
     let inputs = parts.into_iter().map(|partial| {
         // Names are in order in each part, so the order of its rows stays.
         let places: Vec<u32> = partial.origins.iter().map(|o| place(&o.name)).collect();
-        let rows = partial.rows.into_iter().map(|r| Row { origin: places[r.origin as usize], ..r }).collect();
-        let rows = if plan.unique.is_some() { by_key(plan, rows) } else { rows };
+        let rows = partial
+            .rows
+            .into_iter()
+            .map(|r| Row {
+                origin: places[r.origin as usize],
+                ..r
+            })
+            .collect();
+        let rows = if plan.unique.is_some() {
+            by_key(plan, rows)
+        } else {
+            rows
+        };
         let name = partial.source.name;
-        Input { name, rows: rows.into_iter(), combined: partial.combined, cut: partial.cut }
+        Input {
+            name,
+            rows: rows.into_iter(),
+            combined: partial.combined,
+            cut: partial.cut,
+        }
     });
     let from = after.map(|c| {
         let at = place(&c.source);
         let there = origins.get(at as usize).is_some_and(|o| o.name == c.source);
-        After { values: c.values.clone(), origin: at + u32::from(there) }
+        After {
+            values: c.values.clone(),
+            origin: at + u32::from(there),
+        }
     });
     let merged = merge(plan, inputs.collect(), &tokens, plan.hold, from.as_ref())?;
-    let mut tally = Tally { read: merged.read, dropped: merged.dropped, cut: merged.cut };
+    let mut tally = Tally {
+        read: merged.read,
+        dropped: merged.dropped,
+        cut: merged.cut,
+    };
     let (mut rows, mut hidden) = (merged.rows, merged.hidden);
-    let offset = usize::try_from(plan.rules.offset).unwrap_or(usize::MAX).min(rows.len());
+    let offset = usize::try_from(plan.rules.offset)
+        .unwrap_or(usize::MAX)
+        .min(rows.len());
     let fit = within_bytes(plan, &rows[offset..]) + offset;
     if fit < rows.len() {
         let edges = rows[fit..].iter().map(|row| Some(bounds::best(plan, row)));
@@ -227,7 +265,10 @@
     let listed = rows.iter().zip(certain).skip(offset);
     let placed = listed.map(|(row, certain)| Placed {
         values: row.values.clone(),
-        source: origins.get(row.origin as usize).map(|o| o.name.clone()).unwrap_or_default(),
+        source: origins
+            .get(row.origin as usize)
+            .map(|o| o.name.clone())
+            .unwrap_or_default(),
         of: row.of,
         certain,
         ranges: row.doubt.as_ref().map_or(Vec::new(), |d| d.ranges.clone()),
@@ -235,7 +276,10 @@
     });
     let placed: Vec<Placed> = placed.collect();
     let next = placed.last().filter(|_| tally.cut > 0);
-    let next = next.map(|row| Cursor { values: row.values.clone(), source: row.source.clone() });
+    let next = next.map(|row| Cursor {
+        values: row.values.clone(),
+        source: row.source.clone(),
+    });
     let enough = match plan.rules.need {
         Need::Any => true,
         Need::Least(least) => answered.len() >= least as usize,
@@ -260,9 +304,13 @@
 
 /// How many rows fit in the bytes that the answer may have.
 fn within_bytes(plan: &Plan, rows: &[Row]) -> usize {
-    let Some(most) = plan.rules.bytes else { return rows.len() };
+    let Some(most) = plan.rules.bytes else {
+        return rows.len();
+    };
     let mut left = most;
-    let size = |row: &Row| postcard::experimental::serialized_size(&row.values).unwrap_or(usize::MAX) as u64;
+    let size = |row: &Row| {
+        postcard::experimental::serialized_size(&row.values).unwrap_or(usize::MAX) as u64
+    };
     let fits = |row: &&Row| {
         let rest = left.checked_sub(size(row));
         left = rest.unwrap_or(0);
@@ -270,7 +318,10 @@
     };
     let fit = rows.iter().take_while(fits).count();
     // What ties with a row that was cut is cut with it, where ties belong together.
-    let apart = |at: &usize| plan.by_sort(&rows[*at - 1].values, &rows[*at].values).is_ne();
+    let apart = |at: &usize| {
+        plan.by_sort(&rows[*at - 1].values, &rows[*at].values)
+            .is_ne()
+    };
     if plan.rules.ties == Ties::Keep && fit < rows.len() {
         return (1..=fit).rev().find(apart).unwrap_or(0);
     }
@@ -278,27 +329,37 @@
 }
 
 /// Which rows surely stand in their place: after all before them, before all after them, and before all that is hidden.
-fn certain(plan: &Plan, rows: &[Row], passed: Option<Worst>, hidden: Option<&[Value]>) -> Vec<bool> {
+fn certain(
+    plan: &Plan,
+    rows: &[Row],
+    passed: Option<Worst>,
+    hidden: Option<&[Value]>,
+) -> Vec<bool> {
     let bests: Vec<Vec<Value>> = rows.iter().map(|row| bounds::best(plan, row)).collect();
     let worsts: Vec<Worst> = rows.iter().map(|row| bounds::worst(plan, row)).collect();
     let exact: Vec<bool> = rows.iter().map(|row| row.doubt.is_none()).collect();
     let mut sure = vec![true; rows.len()];
     let mut furthest = passed;
     for i in 0..rows.len() {
-        sure[i] &= furthest.as_ref().is_none_or(|worst| bounds::before(plan, worst, &bests[i], exact[i]));
+        sure[i] &= furthest
+            .as_ref()
+            .is_none_or(|worst| bounds::before(plan, worst, &bests[i], exact[i]));
         furthest = Some(bounds::further(plan, furthest, worsts[i].clone()));
     }
     // Of two that are equally near, the one in doubt leaves more room; hidden rows are always in doubt.
     let mut nearest = hidden.map(|edge| (edge.to_vec(), false));
     for i in (0..rows.len()).rev() {
-        sure[i] &=
-            nearest.as_ref().is_none_or(|(best, exact)| bounds::before(plan, &worsts[i], best, *exact));
+        sure[i] &= nearest
+            .as_ref()
+            .is_none_or(|(best, exact)| bounds::before(plan, &worsts[i], best, *exact));
         let own = (bests[i].clone(), exact[i]);
         nearest = Some(match nearest {
             None => own,
             Some(other) => {
                 let order = bounds::along(plan, &own.0, &other.0);
-                let order = order.then(own.0.len().cmp(&other.0.len())).then(own.1.cmp(&other.1));
+                let order = order
+                    .then(own.0.len().cmp(&other.0.len()))
+                    .then(own.1.cmp(&other.1));
                 if order.is_le() { own } else { other }
             }
         });
--- a/gather/src/error.rs
+++ b/gather/src/error.rs
@@ -26,7 +26,9 @@
         row: u64,
     },
     /// A key that was told to be there once is there twice.
-    #[error("{source_name}: a key that was told combined comes twice, the second time in row {row}")]
+    #[error(
+        "{source_name}: a key that was told combined comes twice, the second time in row {row}"
+    )]
     Colliding {
         /// Who sent it.
         source_name: String,
@@ -125,7 +127,9 @@
                 "a source sends senseless numbers in this column: find it by its rows and restart it"
             }
             Error::TooMuch { .. } => "lower `rows` or `each`, so that sources cut before they send",
-            Error::Contradicts { .. } => "look for two processes under this source's name, and stop one",
+            Error::Contradicts { .. } => {
+                "look for two processes under this source's name, and stop one"
+            }
             Error::Unexpected { .. } => {
                 "nothing, if a router joined just now; else look for a router of another installation with this key"
             }
--- a/gather/src/gathering.rs
+++ b/gather/src/gathering.rs
@@ -54,18 +54,39 @@
     /// # Errors
     /// [`Error::TooMuch`] for too many sources, [`Error::Columns`] for a cursor of other rules.
     pub fn new(
-        plan: Plan, sources: impl IntoIterator<Item = String>, after: Option<Cursor>,
+        plan: Plan,
+        sources: impl IntoIterator<Item = String>,
+        after: Option<Cursor>,
     ) -> Result<Self, Error> {
-        let sources: BTreeMap<String, Heard> =
-            sources.into_iter().take(MOST_SOURCES + 1).map(|name| (name, Heard::default())).collect();
+        let sources: BTreeMap<String, Heard> = sources
+            .into_iter()
+            .take(MOST_SOURCES + 1)
+            .map(|name| (name, Heard::default()))
+            .collect();
         if sources.len() > MOST_SOURCES {
-            return Err(Error::TooMuch { source_name: String::new(), what: "sources", most: MOST_SOURCES });
+            return Err(Error::TooMuch {
+                source_name: String::new(),
+                what: "sources",
+                most: MOST_SOURCES,
+            });
         }
         let columns = plan.rules().columns.len();
-        if let Some(got) = after.as_ref().map(|c| c.values.len()).filter(|got| *got != columns) {
-            return Err(Error::Columns { source_name: "cursor".into(), got, want: columns });
+        if let Some(got) = after
+            .as_ref()
+            .map(|c| c.values.len())
+            .filter(|got| *got != columns)
+        {
+            return Err(Error::Columns {
+                source_name: "cursor".into(),
+                got,
+                want: columns,
+            });
         }
-        Ok(Gathering { plan, after, sources })
+        Ok(Gathering {
+            plan,
+            after,
+            sources,
+        })
     }
 
     /// Takes one piece.
@@ -87,14 +108,19 @@
                 return Ok(Put::Older);
             }
             let (again, changed) = (heard.again, heard.changed);
-            *heard = Heard { again, changed, ..Heard::default() };
+            *heard = Heard {
+                again,
+                changed,
+                ..Heard::default()
+            };
         }
         heard.version = Some(piece.version());
         if let Some(refused) = &heard.refused {
             return Err(refused.clone());
         }
         let refuse = |heard: &mut Heard, error: Error| {
-            (heard.pieces, heard.whole, heard.refused) = (BTreeMap::new(), None, Some(error.clone()));
+            (heard.pieces, heard.whole, heard.refused) =
+                (BTreeMap::new(), None, Some(error.clone()));
             Err(error)
         };
         if heard.pieces.is_empty() {
@@ -104,29 +130,59 @@
             return refuse(heard, Error::Malformed { source_name: name });
         }
         if piece.of as usize > MOST_PIECES {
-            return refuse(heard, Error::TooMuch { source_name: name, what: "pieces", most: MOST_PIECES });
+            return refuse(
+                heard,
+                Error::TooMuch {
+                    source_name: name,
+                    what: "pieces",
+                    most: MOST_PIECES,
+                },
+            );
         }
         if let Some(known) = heard.pieces.get(&piece.number) {
             if *known != piece.bytes && guard(Guard::Contradict) {
-                return refuse(heard, Error::Contradicts { source_name: name, piece: piece.number });
+                return refuse(
+                    heard,
+                    Error::Contradicts {
+                        source_name: name,
+                        piece: piece.number,
+                    },
+                );
             }
             return Ok(Put::Again);
         }
         heard.bytes += piece.bytes.len();
         if heard.bytes > share && guard(Guard::Share) {
-            return refuse(heard, Error::TooMuch { source_name: name, what: "bytes", most: share });
+            return refuse(
+                heard,
+                Error::TooMuch {
+                    source_name: name,
+                    what: "bytes",
+                    most: share,
+                },
+            );
         }
         heard.pieces.insert(piece.number, piece.bytes);
         if heard.pieces.len() < heard.of as usize {
             return Ok(Put::More);
         }
         // Pieces stay where they are, so that a later one that contradicts is noticed whatever came first.
-        let bytes: Vec<u8> = heard.pieces.values().flat_map(|b| b.iter().copied()).collect();
-        let malformed = || Error::Malformed { source_name: name.clone() };
+        let bytes: Vec<u8> = heard
+            .pieces
+            .values()
+            .flat_map(|b| b.iter().copied())
+            .collect();
+        let malformed = || Error::Malformed {
+            source_name: name.clone(),
+        };
         let told = postcard::from_bytes(&bytes).map_err(|_| malformed());
         let whole = told.and_then(|partial: Partial| {
             let same = partial.source == piece.source && partial.round == piece.round;
-            if same { accept(&self.plan, count, partial) } else { Err(malformed()) }
+            if same {
+                accept(&self.plan, count, partial)
+            } else {
+                Err(malformed())
+            }
         });
         match whole {
             Ok(partial) => heard.whole = Some(partial),
@@ -142,12 +198,16 @@
     pub fn put_whole(&mut self, partial: Partial) -> Result<Put, Error> {
         // It goes the same way as others, so that it makes no difference how a partial came.
         let pieces = partial.pieces(1 << 16)?;
-        pieces.into_iter().try_fold(Put::More, |_, piece| self.put(piece))
+        pieces
+            .into_iter()
+            .try_fold(Put::More, |_, piece| self.put(piece))
     }
 
     /// Whether every source is complete or refused, so that waiting brings nothing more.
     pub fn is_complete(&self) -> bool {
-        self.sources.values().all(|h| h.whole.is_some() || h.refused.is_some())
+        self.sources
+            .values()
+            .all(|h| h.whole.is_some() || h.refused.is_some())
     }
 
     /// How many are complete.
@@ -165,10 +225,19 @@
             let why = match (&heard.whole, &heard.refused) {
                 (Some(_), _) => None,
                 (None, Some(error)) => Some(Why::Refused(error.clone())),
-                (None, None) if pieces > 0 => Some(Why::Incomplete { have: pieces, of: heard.of }),
+                (None, None) if pieces > 0 => Some(Why::Incomplete {
+                    have: pieces,
+                    of: heard.of,
+                }),
                 (None, None) => Some(Why::Silent),
             };
-            Asked { name, partial: heard.whole, why, again: heard.again, changed: heard.changed }
+            Asked {
+                name,
+                partial: heard.whole,
+                why,
+                again: heard.again,
+                changed: heard.changed,
+            }
         });
         conclude(&self.plan, asked.collect(), self.after.as_ref())
     }
@@ -179,7 +248,11 @@
     let most = (MOST_VALUES / sources).max(16_000);
     let values: usize = partial.rows.iter().map(|r| r.values.len()).sum();
     if values > most && plan.rules.on(Guard::Share) {
-        return Err(Error::TooMuch { source_name: partial.source.name, what: "values", most });
+        return Err(Error::TooMuch {
+            source_name: partial.source.name,
+            what: "values",
+            most,
+        });
     }
     tidy(plan, partial)
 }
--- a/gather/src/lib.rs
+++ b/gather/src/lib.rs
@@ -21,7 +21,7 @@
 pub use part::{Doubt, MOST_PIECES, Partial, Piece, Range, Row, Source};
 pub use question::{Message, Question, Topic};
 pub use rules::{
-    Absent, By, Combine, Guard, Keep, MOST_COLUMNS, MOST_ROWS, MOST_TIES, Need, Plan, Rules, Sort, Ties,
-    Unique,
+    Absent, By, Combine, Guard, Keep, MOST_COLUMNS, MOST_ROWS, MOST_TIES, Need, Plan, Rules, Sort,
+    Ties, Unique,
 };
 pub use value::{INT_MOST, Real, Value};
--- a/gather/src/part.rs
+++ b/gather/src/part.rs
@@ -29,7 +29,10 @@
 impl Range {
     /// One value and no other.
     pub fn exact(value: &Value) -> Range {
-        Range { low: Some(value.clone()), high: Some(value.clone()) }
+        Range {
+            low: Some(value.clone()),
+            high: Some(value.clone()),
+        }
     }
 
     /// Whether there is only one value that it can be.
@@ -63,7 +66,12 @@
 impl Row {
     /// A row as its source has it.
     pub fn plain(values: Vec<Value>) -> Row {
-        Row { values, origin: 0, of: 1, doubt: None }
+        Row {
+            values,
+            origin: 0,
+            of: 1,
+            doubt: None,
+        }
     }
 }
 
@@ -117,7 +125,11 @@
     /// # Errors
     /// The rows do not fit the rules.
     pub fn of(
-        plan: &Plan, source: Source, age_ms: u64, rows: Vec<Vec<Value>>, most: Option<usize>,
+        plan: &Plan,
+        source: Source,
+        age_ms: u64,
+        rows: Vec<Vec<Value>>,
+        most: Option<usize>,
     ) -> Result<Partial, Error> {
         let mut partial = crate::merge::tidy(plan, Partial::raw(source, age_ms, rows))?;
         partial.cut_to(plan, most.unwrap_or(usize::MAX));
@@ -139,15 +151,24 @@
     /// [`Error::TooLong`] where not even the head of a piece fits, [`Error::TooMuch`] where there would be too many.
     pub fn pieces(&self, room: usize) -> Result<Vec<Piece>, Error> {
         let name = &self.source.name;
-        let body = postcard::to_allocvec(self).map_err(|_| Error::Malformed { source_name: name.clone() })?;
+        let body = postcard::to_allocvec(self).map_err(|_| Error::Malformed {
+            source_name: name.clone(),
+        })?;
         // Numbers of up to 10, 10, 5, 5 and 5 bytes, and two lengths of up to 3.
         let space = room.saturating_sub(name.len() + 41);
         if space == 0 {
-            return Err(Error::TooLong { source_name: name.clone(), most: room });
+            return Err(Error::TooLong {
+                source_name: name.clone(),
+                most: room,
+            });
         }
         let of = body.len().div_ceil(space);
         if of > MOST_PIECES {
-            return Err(Error::TooMuch { source_name: name.clone(), what: "pieces", most: MOST_PIECES });
+            return Err(Error::TooMuch {
+                source_name: name.clone(),
+                what: "pieces",
+                most: MOST_PIECES,
+            });
         }
         let piece = |(number, bytes): (usize, &[u8])| Piece {
             source: self.source.clone(),
@@ -171,8 +192,14 @@
         let known = |row: &Row| (row.origin as usize) < self.origins.len();
         let ordered = self.origins.windows(2).all(|w| w[0].name < w[1].name);
         let edge = |edge: &Vec<Value>| edge.len() <= plan.sort.len();
-        if self.origins.is_empty() || !ordered || !self.rows.iter().all(known) || !self.cut.iter().all(edge) {
-            return Err(Error::Malformed { source_name: name() });
+        if self.origins.is_empty()
+            || !ordered
+            || !self.rows.iter().all(known)
+            || !self.cut.iter().all(edge)
+        {
+            return Err(Error::Malformed {
+                source_name: name(),
+            });
         }
         for row in &self.rows {
             if row.values.len() != columns.len() {
@@ -183,20 +210,27 @@
                 });
             }
             for (column, value) in row.values.iter().enumerate() {
-                if value.int().is_some_and(|n| n.unsigned_abs() > INT_MOST.unsigned_abs()) {
+                if value
+                    .int()
+                    .is_some_and(|n| n.unsigned_abs() > INT_MOST.unsigned_abs())
+                {
                     return Err(unfit(column, value));
                 }
             }
             let Some(unique) = &plan.unique else {
                 if row.doubt.is_some() || row.of != 1 {
-                    return Err(Error::Malformed { source_name: name() });
+                    return Err(Error::Malformed {
+                        source_name: name(),
+                    });
                 }
                 continue;
             };
             if let Some(doubt) = &row.doubt
                 && (doubt.ranges.len() != unique.combine.len() || !doubt.loose.iter().all(edge))
             {
-                return Err(Error::Malformed { source_name: name() });
+                return Err(Error::Malformed {
+                    source_name: name(),
+                });
             }
             for (i, combine) in unique.combine.iter().enumerate() {
                 let added = matches!(combine.by, By::Sum | By::Count);
@@ -209,11 +243,24 @@
                 if !good(value) {
                     return Err(unfit(combine.column, value));
                 }
-                let Some(range) = row.doubt.as_ref().map(|d| &d.ranges[i]) else { continue };
+                let Some(range) = row.doubt.as_ref().map(|d| &d.ranges[i]) else {
+                    continue;
+                };
                 let ends = [&range.low, &range.high];
-                let small = |v: &Value| v.int().is_none_or(|n| n.unsigned_abs() <= INT_MOST.unsigned_abs());
-                let fits = |v: &Value| small(v) && if added { v.int().is_some() && good(v) } else { true };
-                let turned = matches!((&range.low, &range.high), (Some(low), Some(high)) if low > high);
+                let small = |v: &Value| {
+                    v.int()
+                        .is_none_or(|n| n.unsigned_abs() <= INT_MOST.unsigned_abs())
+                };
+                let fits = |v: &Value| {
+                    small(v)
+                        && if added {
+                            v.int().is_some() && good(v)
+                        } else {
+                            true
+                        }
+                };
+                let turned =
+                    matches!((&range.low, &range.high), (Some(low), Some(high)) if low > high);
                 if turned || !ends.into_iter().flatten().all(fits) {
                     return Err(unfit(combine.column, &"a range that cannot be"));
                 }
@@ -259,7 +306,9 @@
     /// # Errors
     /// [`Error::Malformed`].
     pub fn decode(bytes: &[u8]) -> Result<Piece, Error> {
-        postcard::from_bytes(bytes).map_err(|_| Error::Malformed { source_name: String::new() })
+        postcard::from_bytes(bytes).map_err(|_| Error::Malformed {
+            source_name: String::new(),
+        })
     }
 }
 
@@ -268,14 +317,22 @@
     if !partial.sorted || !plan.rules.on(Guard::Sorted) {
         return Ok(());
     }
-    let wrong = partial.rows.windows(2).position(|w| plan.by_sort(&w[0].values, &w[1].values).is_gt());
+    let wrong = partial
+        .rows
+        .windows(2)
+        .position(|w| plan.by_sort(&w[0].values, &w[1].values).is_gt());
     match wrong {
-        Some(at) => Err(Error::Unsorted { source_name: partial.source.name.clone(), row: at as u64 + 1 }),
+        Some(at) => Err(Error::Unsorted {
+            source_name: partial.source.name.clone(),
+            row: at as u64 + 1,
+        }),
         None => Ok(()),
     }
 }
 
 /// Whether a column is neither key nor combined.
 pub(crate) fn is_kept(plan: &Plan, column: usize) -> bool {
-    plan.unique.as_ref().is_none_or(|u| !matches!(u.roles[column], Role::Combined(_)))
+    plan.unique
+        .as_ref()
+        .is_none_or(|u| !matches!(u.roles[column], Role::Combined(_)))
 }
--- a/gather/src/question.rs
+++ b/gather/src/question.rs
@@ -25,37 +25,89 @@
 impl Topic {
     /// The columns of its answer and the rules by which parts of it are merged.
     pub fn rules(&self) -> Rules {
-        let down = |by: &str| Sort { by: by.into(), down: true, absent: Absent::Last };
-        let up = |by: &str| Sort { by: by.into(), down: false, absent: Absent::Last };
-        let sum = |column: &str| Combine { column: column.into(), by: By::Sum, floor: true };
+        let down = |by: &str| Sort {
+            by: by.into(),
+            down: true,
+            absent: Absent::Last,
+        };
+        let up = |by: &str| Sort {
+            by: by.into(),
+            down: false,
+            absent: Absent::Last,
+        };
+        let sum = |column: &str| Combine {
+            column: column.into(),
+            by: By::Sum,
+            floor: true,
+        };
         let (columns, sort, key, keep, combine): (&[&str], _, &[&str], _, _) = match self {
             Topic::NodesByFailures => {
-                let (sort, sums) =
-                    (vec![down("failures"), up("node")], vec![sum("failures"), sum("attempts")]);
-                (&["node", "failures", "attempts"], sort, &["node"], Keep::First, sums)
-            }
-            Topic::Owners => {
-                (&["duty", "owner", "zone", "token"], vec![up("duty")], &["duty"], Keep::Token, Vec::new())
+                let (sort, sums) = (
+                    vec![down("failures"), up("node")],
+                    vec![sum("failures"), sum("attempts")],
+                );
+                (
+                    &["node", "failures", "attempts"],
+                    sort,
+                    &["node"],
+                    Keep::First,
+                    sums,
+                )
             }
+            Topic::Owners => (
+                &["duty", "owner", "zone", "token"],
+                vec![up("duty")],
+                &["duty"],
+                Keep::Token,
+                Vec::new(),
+            ),
             Topic::Subscribers(_) => {
-                let keep = Keep::Freshest { life: "life".into(), position: "counter".into() };
+                let keep = Keep::Freshest {
+                    life: "life".into(),
+                    position: "counter".into(),
+                };
                 let sort = vec![up("zone"), up("subscriber")];
-                (&["subscriber", "zone", "life", "counter"], sort, &["subscriber"], keep, Vec::new())
+                (
+                    &["subscriber", "zone", "life", "counter"],
+                    sort,
+                    &["subscriber"],
+                    keep,
+                    Vec::new(),
+                )
             }
             Topic::Positions(_) => {
-                let keep = Keep::Freshest { life: "life".into(), position: "position".into() };
-                (&["node", "life", "position", "age_ms"], vec![up("node")], &["node"], keep, Vec::new())
+                let keep = Keep::Freshest {
+                    life: "life".into(),
+                    position: "position".into(),
+                };
+                (
+                    &["node", "life", "position", "age_ms"],
+                    vec![up("node")],
+                    &["node"],
+                    keep,
+                    Vec::new(),
+                )
             }
             Topic::HeaviestTenants => {
                 let (sort, sums) = (vec![down("requests"), up("tenant")], vec![sum("requests")]);
-                (&["tenant", "requests"], sort, &["tenant"], Keep::First, sums)
+                (
+                    &["tenant", "requests"],
+                    sort,
+                    &["tenant"],
+                    Keep::First,
+                    sums,
+                )
             }
         };
         let names = |names: &[&str]| names.iter().map(|n| (*n).to_owned()).collect();
         Rules {
             columns: names(columns),
             sort,
-            unique: Some(Unique { key: names(key), keep, combine }),
+            unique: Some(Unique {
+                key: names(key),
+                keep,
+                combine,
+            }),
             rows: Some(100),
             need: Need::Any,
             ..Rules::default()
@@ -93,7 +145,10 @@
     /// # Errors
     /// [`Error::Rule`]: what it asks cannot be answered.
     pub fn rules(&self) -> Result<Rules, Error> {
-        let bad = |key: &str, want: String| Error::Rule { key: format!("question.{key}"), want };
+        let bad = |key: &str, want: String| Error::Rule {
+            key: format!("question.{key}"),
+            want,
+        };
         let name = match &self.topic {
             Topic::Subscribers(name) | Topic::Positions(name) => name,
             _ => &self.asker,
@@ -104,20 +159,35 @@
             }
         }
         if self.left_ms > LONGEST_WAIT {
-            return Err(bad("left_ms", format!("expected {LONGEST_WAIT} at the most, got {}", self.left_ms)));
+            return Err(bad(
+                "left_ms",
+                format!("expected {LONGEST_WAIT} at the most, got {}", self.left_ms),
+            ));
         }
         let own = self.topic.rules();
-        let rules = Rules { rows: self.rows.or(own.rows), ..own };
+        let rules = Rules {
+            rows: self.rows.or(own.rows),
+            ..own
+        };
         rules.check()?;
-        if self.after.as_ref().is_some_and(|c| c.values.len() != rules.columns.len()) {
-            return Err(bad("after", "expected a row of this topic's columns".into()));
+        if self
+            .after
+            .as_ref()
+            .is_some_and(|c| c.values.len() != rules.columns.len())
+        {
+            return Err(bad(
+                "after",
+                "expected a row of this topic's columns".into(),
+            ));
         }
         Ok(rules)
     }
 
     /// What is left when it has been under way and waiting for so long (ms); none when nobody waits any more.
     pub fn left_after(&self, ms: u64) -> Option<u64> {
-        u64::from(self.left_ms).checked_sub(ms).filter(|left| *left > 0)
+        u64::from(self.left_ms)
+            .checked_sub(ms)
+            .filter(|left| *left > 0)
     }
 }
 
@@ -146,6 +216,8 @@
     /// # Errors
     /// [`Error::Malformed`].
     pub fn decode(bytes: &[u8]) -> Result<Message, Error> {
-        postcard::from_bytes(bytes).map_err(|_| Error::Malformed { source_name: String::new() })
+        postcard::from_bytes(bytes).map_err(|_| Error::Malformed {
+            source_name: String::new(),
+        })
     }
 }
--- a/gather/src/rules.rs
+++ b/gather/src/rules.rs
@@ -202,10 +202,22 @@
     /// The rules by which sources and lower levels answer, so that the answer above them is the same as if all rows had
     /// come to it: no offset, and no cut where one could take a key's row that counts above.
     pub fn lower(&self) -> Rules {
-        let cut = self.unique.as_ref().is_none_or(|u| u.keep == Keep::First && u.combine.is_empty());
-        let rows = self.rows.map(|rows| rows.saturating_add(self.offset)).filter(|_| cut);
+        let cut = self
+            .unique
+            .as_ref()
+            .is_none_or(|u| u.keep == Keep::First && u.combine.is_empty());
+        let rows = self
+            .rows
+            .map(|rows| rows.saturating_add(self.offset))
+            .filter(|_| cut);
         // Bytes are counted at the top: below, other rows stand before these.
-        Rules { rows, offset: 0, bytes: None, need: Need::Any, ..self.clone() }
+        Rules {
+            rows,
+            offset: 0,
+            bytes: None,
+            need: Need::Any,
+            ..self.clone()
+        }
     }
 
     /// The rules with columns by place.
@@ -213,7 +225,10 @@
     /// # Errors
     /// [`Error::Rule`], which names the key at fault.
     pub fn plan(&self) -> Result<Plan, Error> {
-        let bad = |key: &str, want: &str| Error::Rule { key: key.into(), want: want.into() };
+        let bad = |key: &str, want: &str| Error::Rule {
+            key: key.into(),
+            want: want.into(),
+        };
         if self.columns.is_empty() || self.columns.len() > MOST_COLUMNS {
             return Err(bad("columns", "expected 1 to 32 names"));
         }
@@ -227,15 +242,25 @@
         }
         let place = |key: String, name: &String| {
             let at = self.columns.iter().position(|c| c == name);
-            at.ok_or_else(|| Error::Rule { key, want: format!("expected one of the columns, got {name:?}") })
+            at.ok_or_else(|| Error::Rule {
+                key,
+                want: format!("expected one of the columns, got {name:?}"),
+            })
         };
         let mut sort = Vec::new();
         for (i, key) in self.sort.iter().enumerate() {
             let column = place(format!("sort.{i}.by"), &key.by)?;
             if sort.iter().any(|k: &SortBy| k.column == column) {
-                return Err(bad(&format!("sort.{i}.by"), "expected a column that is not sorted by already"));
+                return Err(bad(
+                    &format!("sort.{i}.by"),
+                    "expected a column that is not sorted by already",
+                ));
             }
-            sort.push(SortBy { column, down: key.down, last: key.absent == Absent::Last });
+            sort.push(SortBy {
+                column,
+                down: key.down,
+                last: key.absent == Absent::Last,
+            });
         }
         let mut unique = None;
         if let Some(told) = &self.unique {
@@ -263,10 +288,17 @@
                     ));
                 }
                 if one.floor && one.by != By::Sum {
-                    return Err(bad(&format!("{at}.floor"), "expected only beside by = \"sum\""));
+                    return Err(bad(
+                        &format!("{at}.floor"),
+                        "expected only beside by = \"sum\"",
+                    ));
                 }
                 roles[column] = Role::Combined(combine.len());
-                combine.push(CombineBy { column, by: one.by, floor: one.floor || one.by == By::Count });
+                combine.push(CombineBy {
+                    column,
+                    by: one.by,
+                    floor: one.floor || one.by == By::Count,
+                });
             }
             let keep = match &told.keep {
                 Keep::First => KeepBy::First,
@@ -278,18 +310,32 @@
                     );
                     let combined = |c: usize| matches!(roles[c], Role::Combined(_));
                     if combined(life) || combined(position) {
-                        return Err(bad("unique.keep.freshest", "expected columns that are not combined"));
+                        return Err(bad(
+                            "unique.keep.freshest",
+                            "expected columns that are not combined",
+                        ));
                     }
                     KeepBy::Freshest(life, position)
                 }
             };
-            unique = Some(UniqueBy { key, keep, combine, roles });
+            unique = Some(UniqueBy {
+                key,
+                keep,
+                combine,
+                roles,
+            });
         }
         let rows = self.rows.unwrap_or(MOST_ROWS);
         if rows == 0 || rows > MOST_ROWS {
-            return Err(bad("rows", &format!("expected 1 to {MOST_ROWS}, got {rows}")));
+            return Err(bad(
+                "rows",
+                &format!("expected 1 to {MOST_ROWS}, got {rows}"),
+            ));
         }
-        if self.rows.is_some() && rows.checked_add(self.offset).is_none_or(|all| all > MOST_ROWS)
+        if self.rows.is_some()
+            && rows
+                .checked_add(self.offset)
+                .is_none_or(|all| all > MOST_ROWS)
             || self.offset > MOST_ROWS
         {
             return Err(bad(
@@ -306,7 +352,12 @@
             return Err(bad("need.least", "expected 1 or more"));
         }
         let hold = rows.saturating_add(self.offset).min(MOST_ROWS) as usize;
-        Ok(Plan { rules: self.clone(), sort, unique, hold })
+        Ok(Plan {
+            rules: self.clone(),
+            sort,
+            unique,
+            hold,
+        })
     }
 }
 
@@ -407,12 +458,16 @@
     /// The first sort key that is combined: beyond it, a source's order says nothing of the answer's.
     pub(crate) fn first_combined(&self) -> Option<usize> {
         let unique = self.unique.as_ref()?;
-        self.sort.iter().position(|k| matches!(unique.roles[k.column], Role::Combined(_)))
+        self.sort
+            .iter()
+            .position(|k| matches!(unique.roles[k.column], Role::Combined(_)))
     }
 
     /// Whether a row has columns that are neither key nor combined.
     pub(crate) fn keeps(&self) -> bool {
-        self.unique.as_ref().is_some_and(|u| u.roles.contains(&Role::Kept))
+        self.unique
+            .as_ref()
+            .is_some_and(|u| u.roles.contains(&Role::Kept))
     }
 }
 
--- a/gather/src/value.rs
+++ b/gather/src/value.rs
@@ -66,7 +66,11 @@
 
     /// The integer, if it is one.
     pub fn int(&self) -> Option<i128> {
-        if let Value::Int(n) = self { Some(*n) } else { None }
+        if let Value::Int(n) = self {
+            Some(*n)
+        } else {
+            None
+        }
     }
 
     /// Absent first, then no and yes, numbers, text, bytes.
