--- a/history/src/lib.rs
+++ b/history/src/lib.rs
@@ -18,9 +18,9 @@
 
 pub use error::Error;
 pub use event::{
-    Acted, Answered, Asked, Bounds, Came, Entry, Event, Fate, Fault, Gone, Head, Held, Keep, Kind, Line,
-    Listed, Merged, MergedRow, Missed, Plain, Published, Ran, Refused, Row, Sent, SortKey, Subscription,
-    Time, Told,
+    Acted, Answered, Asked, Bounds, Came, Entry, Event, Fate, Fault, Gone, Head, Held, Keep, Kind,
+    Line, Listed, Merged, MergedRow, Missed, Plain, Published, Ran, Refused, Row, Sent, SortKey,
+    Subscription, Time, Told,
 };
 pub use file::{File, History, Seen, Writer, now};
 pub use gathered::plain;
--- a/peers/src/error.rs
+++ b/peers/src/error.rs
@@ -50,7 +50,9 @@
             Error::Name => {
                 "set peers.rules.installation to a short name, the same at all routers that are to know each other"
             }
-            Error::Seeds => "name a few routers of each zone as seeds; the others become known through them",
+            Error::Seeds => {
+                "name a few routers of each zone as seeds; the others become known through them"
+            }
         }
     }
 }
--- a/peers/src/life.rs
+++ b/peers/src/life.rs
@@ -23,7 +23,13 @@
 impl Life {
     /// Whoever is at an address: all that is known of a seed.
     pub fn unknown(address: SocketAddr) -> Self {
-        Life { address, boot: 0, turn: 0, name: String::new(), zone: String::new() }
+        Life {
+            address,
+            boot: 0,
+            turn: 0,
+            name: String::new(),
+            zone: String::new(),
+        }
     }
 
     /// Whether names are short enough to be told in every datagram.
@@ -34,7 +40,11 @@
 
 impl fmt::Debug for Life {
     fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(to, "{}@{}#{}.{}", self.name, self.address, self.boot, self.turn)
+        write!(
+            to,
+            "{}@{}#{}.{}",
+            self.name, self.address, self.boot, self.turn
+        )
     }
 }
 
@@ -42,7 +52,10 @@
     type Addr = SocketAddr;
 
     fn renew(&self) -> Option<Self> {
-        Some(Life { turn: self.turn + 1, ..self.clone() })
+        Some(Life {
+            turn: self.turn + 1,
+            ..self.clone()
+        })
     }
 
     fn addr(&self) -> SocketAddr {
--- a/peers/src/members.rs
+++ b/peers/src/members.rs
@@ -3,8 +3,8 @@
 use crate::life::Life;
 use crate::rules::{Guard, Rules, SEEK};
 use foca::{
-    AccumulatingRuntime, Config, Foca, NoCustomBroadcast, OwnedNotification, PeriodicParams, PostcardCodec,
-    Timer,
+    AccumulatingRuntime, Config, Foca, NoCustomBroadcast, OwnedNotification, PeriodicParams,
+    PostcardCodec, Timer,
 };
 use plovercove::{Span, Time};
 use plovercove_core::Backoff;
@@ -69,8 +69,10 @@
 fn config(rules: &Rules, room: usize) -> Config {
     let ms = Duration::from_millis;
     let some = |n: usize| NonZeroUsize::new(n.max(1)).unwrap_or(NonZeroUsize::MIN);
-    let often =
-        |every: u64, members: usize| PeriodicParams { frequency: ms(every), num_members: some(members) };
+    let often = |every: u64, members: usize| PeriodicParams {
+        frequency: ms(every),
+        num_members: some(members),
+    };
     Config {
         probe_period: ms(rules.probe_ms),
         probe_rtt: ms(rules.answer_ms),
@@ -104,7 +106,12 @@
             stood: 0,
             active: BTreeMap::new(),
             forgotten: BTreeMap::new(),
-            seeds: rules.seeds.iter().copied().filter(|s| *s != life.address).collect(),
+            seeds: rules
+                .seeds
+                .iter()
+                .copied()
+                .filter(|s| *s != life.address)
+                .collect(),
             should: rules.routers as usize,
             pauses,
             seek_at: 0,
@@ -138,7 +145,8 @@
         let mut roll = Roll::default();
         for life in self.active.values().chain([self.me()]) {
             let (boot, turn) = (life.boot.to_le_bytes(), life.turn.to_le_bytes());
-            roll[place(&life.address)] ^= crate::draw(&[life.address.to_string().as_bytes(), &boot, &turn]);
+            roll[place(&life.address)] ^=
+                crate::draw(&[life.address.to_string().as_bytes(), &boot, &turn]);
         }
         roll
     }
@@ -149,9 +157,15 @@
         let first = self.dice.random_range(0..ours.len());
         let mut lives = Vec::new();
         let mut left = room;
-        for part in (first..first + ours.len()).map(|n| n % ours.len()).filter(|n| ours[*n] != theirs[*n]) {
-            for life in
-                self.active.values().chain([self.foca.identity()]).filter(|l| place(&l.address) == part)
+        for part in (first..first + ours.len())
+            .map(|n| n % ours.len())
+            .filter(|n| ours[*n] != theirs[*n])
+        {
+            for life in self
+                .active
+                .values()
+                .chain([self.foca.identity()])
+                .filter(|l| place(&l.address) == part)
             {
                 // Numbers, address and lengths take at most so much beside the names.
                 let size = 36 + life.name.len() + life.zone.len();
@@ -170,12 +184,18 @@
     /// Danger: what SWIM piggybacks is sent a bounded number of times. Where many come and go at once some miss it, and
     /// without this would not know of them for minutes.
     pub(crate) fn learn(&mut self, now: Time, lives: Vec<Life>) {
-        let known =
-            |l: &Life| self.active.get(&l.address) == Some(l) || l.address == self.foca.identity().address;
-        let fresh: Vec<_> =
-            lives.into_iter().filter(|l| l.fits() && !known(l)).map(foca::Member::alive).collect();
+        let known = |l: &Life| {
+            self.active.get(&l.address) == Some(l) || l.address == self.foca.identity().address
+        };
+        let fresh: Vec<_> = lives
+            .into_iter()
+            .filter(|l| l.fits() && !known(l))
+            .map(foca::Member::alive)
+            .collect();
         if !fresh.is_empty() && !self.is_full() {
-            let result = self.foca.apply_many(fresh.into_iter(), false, &mut self.runtime);
+            let result = self
+                .foca
+                .apply_many(fresh.into_iter(), false, &mut self.runtime);
             self.settle(now, result);
         }
     }
@@ -193,7 +213,10 @@
     }
 
     pub(crate) fn next(&self) -> Time {
-        let timer = self.timers.first_key_value().map_or(Time::MAX, |((at, _), _)| at + self.stood);
+        let timer = self
+            .timers
+            .first_key_value()
+            .map_or(Time::MAX, |((at, _), _)| at + self.stood);
         timer.min(self.seek_at)
     }
 
@@ -204,7 +227,10 @@
 
     /// Does what is due; tells how long this router has stood still, where it has.
     pub(crate) fn due(&mut self, now: Time) -> Option<Span> {
-        let due = self.timers.first_key_value().map(|((at, _), _)| at + self.stood);
+        let due = self
+            .timers
+            .first_key_value()
+            .map(|((at, _), _)| at + self.stood);
         let late = due.map_or(0, |due| now.saturating_sub(due));
         // Danger: a router that was stopped for 10 s finds every answer overdue and every suspect's time run out, and
         // would tell all the others so. Its own timers are late, so it is itself that it must doubt: for them, the time
@@ -254,7 +280,9 @@
 
     /// What is to be sent.
     pub(crate) fn sends(&mut self) -> Option<(SocketAddr, Vec<u8>)> {
-        self.runtime.to_send().map(|(to, bytes)| (to.address, bytes.to_vec()))
+        self.runtime
+            .to_send()
+            .map(|(to, bytes)| (to.address, bytes.to_vec()))
     }
 
     fn settle(&mut self, now: Time, result: Result<(), foca::Error>) {
@@ -274,7 +302,11 @@
                 OwnedNotification::MemberDown(life) => {
                     self.active.remove(&life.address);
                     if self.forgotten.len() >= FORGOTTEN {
-                        let oldest = self.forgotten.iter().min_by_key(|(_, at)| **at).map(|(a, _)| *a);
+                        let oldest = self
+                            .forgotten
+                            .iter()
+                            .min_by_key(|(_, at)| **at)
+                            .map(|(a, _)| *a);
                         oldest.map(|a| self.forgotten.remove(&a));
                     }
                     self.forgotten.insert(life.address, now);
--- a/peers/src/peers.rs
+++ b/peers/src/peers.rs
@@ -136,7 +136,10 @@
         let passed = now.saturating_sub(self.at) as f64 / 1e6;
         self.at = now;
         let fill = |left: f64, rate: f64| (left + rate * passed).min((rate * BURST).max(1.0));
-        self.left = (fill(self.left.0, self.rates.0), fill(self.left.1, self.rates.1));
+        self.left = (
+            fill(self.left.0, self.rates.0),
+            fill(self.left.1, self.rates.1),
+        );
         let enough = self.left.0 >= 1.0 && self.left.1 >= bytes as f64;
         if enough {
             self.left = (self.left.0 - 1.0, self.left.1 - bytes as f64);
@@ -188,14 +191,24 @@
         let room = Keys::room(&me);
         let mut dice = Pcg64Mcg::seed_from_u64(seed ^ me.boot);
         let members = Members::new(me.clone(), &rules, room, dice.random());
-        let rates = (f64::from(rules.datagrams_per_s), f64::from(rules.bytes_per_s));
-        let mut store =
-            Store::new(rules.evidence(), rules.sends(), rules.on(Guard::Age), rules.on(Guard::OldLife));
+        let rates = (
+            f64::from(rules.datagrams_per_s),
+            f64::from(rules.bytes_per_s),
+        );
+        let mut store = Store::new(
+            rules.evidence(),
+            rules.sends(),
+            rules.on(Guard::Age),
+            rules.on(Guard::OldLife),
+        );
         store.started(&me.name, me.boot);
         // Each begins at a time of its own: all may have been started at once.
         let mut within = |ms: u64| now + dice.random_range(0..=crate::ms(ms));
-        let (gossip_at, repair_at, review_at) =
-            (within(rules.gossip_ms), within(rules.repair_ms), within(REVIEW / 1_000));
+        let (gossip_at, repair_at, review_at) = (
+            within(rules.gossip_ms),
+            within(rules.repair_ms),
+            within(REVIEW / 1_000),
+        );
         Peers {
             keys,
             room,
@@ -208,7 +221,11 @@
             gossip_at,
             repair_at,
             review_at,
-            budget: Budget { rates, left: (rates.0 * BURST, rates.1 * BURST), at: now },
+            budget: Budget {
+                rates,
+                left: (rates.0 * BURST, rates.1 * BURST),
+                at: now,
+            },
             verdicts: BTreeMap::new(),
             flaps: BTreeMap::new(),
             out: Vec::new(),
@@ -239,7 +256,11 @@
         if self.left {
             return Time::MAX;
         }
-        self.members.next().min(self.gossip_at).min(self.repair_at).min(self.review_at)
+        self.members
+            .next()
+            .min(self.gossip_at)
+            .min(self.repair_at)
+            .min(self.review_at)
     }
 
     /// What is to be sent.
@@ -289,7 +310,10 @@
 
     /// What was counted.
     pub fn counts(&self) -> Counts {
-        Counts { odd: self.members.odd, ..self.counts.clone() }
+        Counts {
+            odd: self.members.odd,
+            ..self.counts.clone()
+        }
     }
 
     /// What this router believes.
@@ -299,9 +323,18 @@
             me: format!("{:?}", self.members.me()),
             seen: self.seen(),
             should: self.rules.routers,
-            members: self.members.active().values().map(|life| life.name.clone()).collect(),
+            members: self
+                .members
+                .active()
+                .values()
+                .map(|life| life.name.clone())
+                .collect(),
             records: self.store.len(),
-            levels: witness.levels().iter().map(|(n, l)| (n.to_string(), l.word(), ages(n))).collect(),
+            levels: witness
+                .levels()
+                .iter()
+                .map(|(n, l)| (n.to_string(), l.word(), ages(n)))
+                .collect(),
             counts: self.counts(),
         }
     }
@@ -347,10 +380,20 @@
         if self.members.is_full() && !self.members.is_member(&from) {
             return Err(Fault::TooMuch);
         }
-        let late = self.replays.take(now, &envelope, self.rules.on(Guard::Replay))?;
-        let late = if late > crate::ms(self.rules.late_ms) { late } else { 0 };
+        let late = self
+            .replays
+            .take(now, &envelope, self.rules.on(Guard::Replay))?;
+        let late = if late > crate::ms(self.rules.late_ms) {
+            late
+        } else {
+            0
+        };
         self.counts.late += u64::from(late > 0);
-        let late = if self.rules.on(Guard::Transit) { late } else { 0 };
+        let late = if self.rules.on(Guard::Transit) {
+            late
+        } else {
+            0
+        };
         self.store.started(&envelope.from.name, envelope.from.boot);
         let mut good = true;
         for body in of(&envelope, kind::RECORDS) {
@@ -366,12 +409,21 @@
                 }
             }
         }
-        for part in envelope.parts.iter().filter(|p| carried::RANGE.contains(&p.kind)) {
+        for part in envelope
+            .parts
+            .iter()
+            .filter(|p| carried::RANGE.contains(&p.kind))
+        {
             if self.arrived.len() >= CARRIED {
                 self.arrived.pop_front();
             }
             let (from, body) = (envelope.from.clone(), part.body.clone());
-            self.arrived.push_back(Arrived { from, kind: part.kind, body, late });
+            self.arrived.push_back(Arrived {
+                from,
+                kind: part.kind,
+                body,
+                late,
+            });
         }
         for body in of(&envelope, kind::DIGEST) {
             match postcard::from_bytes::<Digest>(body) {
@@ -393,7 +445,9 @@
             match postcard::from_bytes::<Roll>(body) {
                 Ok(roll) => {
                     let lives = self.members.differing(&roll, self.room - 8);
-                    let lives = (!lives.is_empty()).then(|| part(kind::MEMBERS, &lives)).flatten();
+                    let lives = (!lives.is_empty())
+                        .then(|| part(kind::MEMBERS, &lives))
+                        .flatten();
                     self.send(now, from, lives.into_iter().collect());
                 }
                 Err(_) => good = false,
@@ -416,7 +470,9 @@
 
     fn answer(&mut self, now: Time, to: SocketAddr, digest: &Digest) {
         let (part, wanted) = self.store.compare(now, digest, self.room / 2);
-        let want = (!wanted.is_empty()).then(|| self::part(kind::WANT, &wanted)).flatten();
+        let want = (!wanted.is_empty())
+            .then(|| self::part(kind::WANT, &wanted))
+            .flatten();
         let parts: Vec<Part> = part.into_iter().chain(want).collect();
         self.send(now, to, parts);
     }
@@ -427,7 +483,14 @@
         }
         let stamp = now.saturating_sub(self.began) / 1_000;
         let from = self.members.me().clone();
-        let Some(bytes) = self.keys.seal(&Envelope { from, seq: self.seq + 1, stamp, parts }) else { return };
+        let Some(bytes) = self.keys.seal(&Envelope {
+            from,
+            seq: self.seq + 1,
+            stamp,
+            parts,
+        }) else {
+            return;
+        };
         if !self.budget.take(now, bytes.len()) {
             self.counts.held_back += 1;
             return;
@@ -443,14 +506,19 @@
         while let Some((to, body)) = self.members.sends() {
             let left = self.room.saturating_sub(body.len() + 16);
             let records = self.store.hot(now, left);
-            let swim = Part { kind: kind::SWIM, body };
+            let swim = Part {
+                kind: kind::SWIM,
+                body,
+            };
             self.send(now, to, std::iter::once(swim).chain(records).collect());
         }
         while let Some(change) = self.members.changes.pop_front() {
             match change {
                 Change::Up(life) => {
                     let twin = self.members.active().values().chain([self.members.me()]);
-                    let twin = twin.filter(|l| l.name == life.name && l.address != life.address).min();
+                    let twin = twin
+                        .filter(|l| l.name == life.name && l.address != life.address)
+                        .min();
                     if let Some(twin) = twin.cloned() {
                         self.tell(News::Twins(life.clone(), twin));
                     }
@@ -465,7 +533,10 @@
         let seen = self.seen();
         if self.counted != Some(seen) {
             self.counted = Some(seen);
-            self.tell(News::Count { seen, should: self.rules.routers });
+            self.tell(News::Count {
+                seen,
+                should: self.rules.routers,
+            });
         }
     }
 
@@ -512,7 +583,9 @@
         let some = self.members.some(self.rules.fanout);
         for to in some {
             // Each gets the same round's records: what the first got is hot for the second as well.
-            let Some(records) = self.store.hot(now, self.room) else { return };
+            let Some(records) = self.store.hot(now, self.room) else {
+                return;
+            };
             self.send(now, to, vec![records]);
         }
     }
@@ -522,19 +595,37 @@
         self.store.fade(now);
         let cases = self.cases(now, witness);
         self.say(now, witness, &cases);
-        let mut zones: BTreeSet<&str> = self.members.active().values().map(|l| l.zone.as_str()).collect();
+        let mut zones: BTreeSet<&str> = self
+            .members
+            .active()
+            .values()
+            .map(|l| l.zone.as_str())
+            .collect();
         zones.insert(&self.me.zone);
         let verdicts = judge(&self.rules, &cases, zones.len());
-        let known: BTreeSet<NodeId> = self.verdicts.keys().chain(verdicts.keys()).cloned().collect();
+        let known: BTreeSet<NodeId> = self
+            .verdicts
+            .keys()
+            .chain(verdicts.keys())
+            .cloned()
+            .collect();
         // Who comes back in does so before another goes out: not for a moment are more out than a group can spare.
         let level = |node: &NodeId| verdicts.get(node).map_or(Level::In, |v| v.level);
-        let (out, rest): (Vec<_>, Vec<_>) = known.into_iter().partition(|node| level(node) == Level::Out);
+        let (out, rest): (Vec<_>, Vec<_>) = known
+            .into_iter()
+            .partition(|node| level(node) == Level::Out);
         for node in rest.into_iter().chain(out) {
-            self.settle(now, witness, &node, verdicts.get(&node).cloned().unwrap_or_default());
+            self.settle(
+                now,
+                witness,
+                &node,
+                verdicts.get(&node).cloned().unwrap_or_default(),
+            );
         }
         self.verdicts = verdicts;
-        self.flaps
-            .retain(|id, f| witness.is_listed(id) && now.saturating_sub(f.at) < (FLAPS.0 * FLAPS.1) as Span);
+        self.flaps.retain(|id, f| {
+            witness.is_listed(id) && now.saturating_sub(f.at) < (FLAPS.0 * FLAPS.1) as Span
+        });
         // Nodes that have proved themselves, and levels of nodes that nobody speaks of any more.
         let past = |node: &&NodeId| !self.verdicts.contains_key(*node);
         let past: Vec<NodeId> = witness.levels().keys().filter(past).cloned().collect();
@@ -548,9 +639,15 @@
     fn cases(&self, now: Time, witness: &Witness) -> Vec<(Subject, Vec<Opinion>)> {
         let mut opinions = self.store.opinions(now);
         let case = |(told, started): (&Subject, Option<Time>)| {
-            let number =
-                if opinions.is_empty() { None } else { self.store.number(&subject(&told.node, started)) };
-            (told.clone(), number.and_then(|n| opinions.remove(&n)).unwrap_or_default())
+            let number = if opinions.is_empty() {
+                None
+            } else {
+                self.store.number(&subject(&told.node, started))
+            };
+            (
+                told.clone(),
+                number.and_then(|n| opinions.remove(&n)).unwrap_or_default(),
+            )
         };
         witness.serving().map(case).collect()
     }
@@ -560,18 +657,28 @@
         let (me, fresh) = (self.store.number(&self.me.name), self.rules.fresh());
         let (name, rules) = (self.me.name.as_bytes(), &self.rules);
         let others = |node: &NodeId| {
-            let told = cases.iter().find(|(s, _)| s.node == *node).map_or(&[][..], |(_, told)| told);
+            let told = cases
+                .iter()
+                .find(|(s, _)| s.node == *node)
+                .map_or(&[][..], |(_, told)| told);
             let of_others = || told.iter().filter(|o| Some(o.observer) != me);
             let accuses = |o: &&Opinion| o.seen.fails() || o.seen.is_slow();
-            let failures: f64 =
-                of_others().filter(accuses).map(|o| o.seen.failures().min(rules.each())).sum();
-            let (accusers, slow) =
-                (of_others().filter(accuses).count(), of_others().filter(|o| o.seen.is_slow()).count());
+            let failures: f64 = of_others()
+                .filter(accuses)
+                .map(|o| o.seen.failures().min(rules.each()))
+                .sum();
+            let (accusers, slow) = (
+                of_others().filter(accuses).count(),
+                of_others().filter(|o| o.seen.is_slow()).count(),
+            );
             let luck = crate::draw(&[node.as_bytes(), name]) as f64 / u64::MAX as f64;
             Others {
                 accusers,
-                supporters: of_others().filter(|o| !accuses(o) && o.age <= fresh).count(),
-                contested: accusers >= 2 && (failures * 2.0 >= f64::from(rules.failures) || slow >= 2),
+                supporters: of_others()
+                    .filter(|o| !accuses(o) && o.age <= fresh)
+                    .count(),
+                contested: accusers >= 2
+                    && (failures * 2.0 >= f64::from(rules.failures) || slow >= 2),
                 wait: (luck * rules.settle() as f64 / 2.0) as Span,
             }
         };
@@ -606,8 +713,17 @@
         let every = self.rules.evidence() / 8;
         witness.set(now, node, level, tries.then_some(every));
         if was != level {
-            let verdict = Verdict { level, why, ..verdict };
-            self.tell(News::Verdict { node: node.clone(), was, verdict, tries });
+            let verdict = Verdict {
+                level,
+                why,
+                ..verdict
+            };
+            self.tell(News::Verdict {
+                node: node.clone(),
+                was,
+                verdict,
+                tries,
+            });
         }
     }
 
@@ -616,7 +732,11 @@
     fn tries(&self, node: &NodeId) -> bool {
         let place = |name: &str| crate::draw(&[b"tries", node.as_bytes(), name.as_bytes()]);
         let mine = place(&self.me.name);
-        let before = self.members.active().values().filter(|life| place(&life.name) > mine);
+        let before = self
+            .members
+            .active()
+            .values()
+            .filter(|life| place(&life.name) > mine);
         before.take(TRIERS).count() < TRIERS
     }
 
