--- a/peers/src/rules.rs
+++ b/peers/src/rules.rs
@@ -43,7 +43,8 @@
     /// The guard of this name, as scripts write it.
     pub fn named(name: &str) -> Option<Guard> {
         use serde::de::IntoDeserializer;
-        let name: serde::de::value::StrDeserializer<'_, serde::de::value::Error> = name.into_deserializer();
+        let name: serde::de::value::StrDeserializer<'_, serde::de::value::Error> =
+            name.into_deserializer();
         Guard::deserialize(name).ok()
     }
 }
@@ -143,12 +144,17 @@
     /// A record is sent so often, a little more than its way to all of them takes.
     pub(crate) fn sends(&self) -> u8 {
         let members = f64::from(self.routers.max(2));
-        (3.0 * (members + 1.0).log(self.fanout as f64 + 1.0)).ceil().clamp(4.0, 40.0) as u8
+        (3.0 * (members + 1.0).log(self.fanout as f64 + 1.0))
+            .ceil()
+            .clamp(4.0, 40.0) as u8
     }
 
     /// Rounds of gossip until all have heard, where a fifth of the datagrams is lost.
     fn rounds(&self) -> u64 {
-        f64::from(self.routers.max(2)).log(1.0 + 0.8 * self.fanout as f64).ceil() as u64 + 2
+        f64::from(self.routers.max(2))
+            .log(1.0 + 0.8 * self.fanout as f64)
+            .ceil() as u64
+            + 2
     }
 
     /// An accusation is this old before it counts: it went out, and what others saw came back.
@@ -160,7 +166,10 @@
     /// observer holds back, the rounds that gossip needs where a fifth of the datagrams is lost, two comparisons for whom
     /// it still missed, and the time between two reviews.
     pub fn act_within(&self) -> Span {
-        self.settle() + crate::ms(self.rounds() * self.gossip_ms * 3 / 2 + 3 * self.repair_ms) + REVIEW + HOLD
+        self.settle()
+            + crate::ms(self.rounds() * self.gossip_ms * 3 / 2 + 3 * self.repair_ms)
+            + REVIEW
+            + HOLD
     }
 
     /// The greatest age of evidence that is acted on (us): its life, and what a datagram may be late unnoticed.
@@ -182,7 +191,12 @@
             if (least..=most).contains(&value) {
                 return Ok(());
             }
-            Err(Error::Range { key, least, most, got: value })
+            Err(Error::Range {
+                key,
+                least,
+                most,
+                got: value,
+            })
         };
         if self.installation.is_empty() || self.installation.len() > 64 {
             return Err(Error::Name);
@@ -196,8 +210,18 @@
         within("repair_ms", self.repair_ms, self.gossip_ms, 60_000)?;
         within("late_ms", self.late_ms, 10, 60_000)?;
         within("failures", u64::from(self.failures), 2, 1_000)?;
-        within("datagrams_per_s", u64::from(self.datagrams_per_s), self.least_datagrams(), 100_000)?;
-        within("bytes_per_s", u64::from(self.bytes_per_s), 2_400, 100_000_000)?;
+        within(
+            "datagrams_per_s",
+            u64::from(self.datagrams_per_s),
+            self.least_datagrams(),
+            100_000,
+        )?;
+        within(
+            "bytes_per_s",
+            u64::from(self.bytes_per_s),
+            2_400,
+            100_000_000,
+        )?;
         if !(1.0..=600.0).contains(&self.evidence_s) {
             return Err(Error::Evidence(self.evidence_s));
         }
--- a/peers/src/witness.rs
+++ b/peers/src/witness.rs
@@ -4,7 +4,9 @@
 use crate::ledger::Ledger;
 use crate::rules::Rules;
 use crate::verdict::{Level, Subject};
-use plovercove::{Access, Ask, Ending, ListUpdate, Listed, News, NodeId, Settings, Span, Time, Zoning};
+use plovercove::{
+    Access, Ask, Ending, ListUpdate, Listed, News, NodeId, Settings, Span, Time, Zoning,
+};
 use std::collections::{BTreeMap, VecDeque};
 
 /// How much of its weight a node counts for that is doubted, or that is out and on trial.
@@ -65,7 +67,10 @@
 
     /// The members that the list names as serving, with the starts it tells.
     pub(crate) fn serving(&self) -> impl Iterator<Item = (&Subject, Option<Time>)> {
-        self.members.values().filter(|(_, _, serving)| *serving).map(|(s, started, _)| (s, *started))
+        self.members
+            .values()
+            .filter(|(_, _, serving)| *serving)
+            .map(|(s, started, _)| (s, *started))
     }
 
     /// Whether the list names a node.
@@ -92,7 +97,9 @@
         }
         match tries.filter(|_| level == Level::Out) {
             Some(every) => {
-                self.trials.entry(node.clone()).or_insert(Trial { next: now, every });
+                self.trials
+                    .entry(node.clone())
+                    .or_insert(Trial { next: now, every });
             }
             None => drop(self.trials.remove(node)),
         }
@@ -118,9 +125,14 @@
                 self.members.remove(&entry.node);
                 continue;
             }
-            let subject = Subject { node: entry.node.clone(), group: entry.group, primary: entry.primary };
+            let subject = Subject {
+                node: entry.node.clone(),
+                group: entry.group,
+                primary: entry.primary,
+            };
             let serving = entry.state == Listed::Serving;
-            self.members.insert(entry.node.clone(), (subject, entry.started, serving));
+            self.members
+                .insert(entry.node.clone(), (subject, entry.started, serving));
         }
         let members = &self.members;
         self.levels.retain(|id, _| members.contains_key(id));
@@ -128,14 +140,21 @@
     }
 
     fn counts(&mut self, now: Time, ask: &Ask, node: &NodeId) -> Option<f64> {
-        let base = self.inner.as_mut().map_or(Some(1.0), |inner| inner.counts(now, ask, node))?;
+        let base = self
+            .inner
+            .as_mut()
+            .map_or(Some(1.0), |inner| inner.counts(now, ask, node))?;
         match self.levels.get(node) {
             None | Some(Level::In) => Some(base),
             Some(Level::Doubted) => Some(base * DOUBTED),
-            Some(Level::Out) if ask.write || self.only_primary.get(ask.class) == Some(&true) => Some(base),
-            Some(Level::Out) => {
-                self.trials.get(node).filter(|trial| now >= trial.next).map(|_| base * DOUBTED)
+            Some(Level::Out) if ask.write || self.only_primary.get(ask.class) == Some(&true) => {
+                Some(base)
             }
+            Some(Level::Out) => self
+                .trials
+                .get(node)
+                .filter(|trial| now >= trial.next)
+                .map(|_| base * DOUBTED),
         }
     }
 
@@ -152,11 +171,14 @@
         if let Some(inner) = &mut self.inner {
             inner.ended(now, ask, node, ending, elapsed);
         }
-        self.ledger.ended(now, ask.class, ask.write, node, ending, elapsed);
+        self.ledger
+            .ended(now, ask.class, ask.write, node, ending, elapsed);
     }
 
     fn come_back(&self, ask: &Ask, most: Span) -> Span {
-        self.inner.as_ref().map_or(most / 2, |inner| inner.come_back(ask, most))
+        self.inner
+            .as_ref()
+            .map_or(most / 2, |inner| inner.come_back(ask, most))
     }
 
     fn paces(&self) -> bool {
@@ -164,6 +186,8 @@
     }
 
     fn news(&mut self) -> Option<News> {
-        self.news.pop_front().or_else(|| self.inner.as_mut()?.news())
+        self.news
+            .pop_front()
+            .or_else(|| self.inner.as_mut()?.news())
     }
 }
--- a/poller/src/lib.rs
+++ b/poller/src/lib.rs
@@ -67,13 +67,24 @@
 
     /// Takes a socket over. Its events carry the key.
     pub fn register<S: Socket>(
-        &self, socket: S, key: usize, interest: Interest,
+        &self,
+        socket: S,
+        key: usize,
+        interest: Interest,
     ) -> io::Result<Registered<S>> {
         // SAFETY: the socket is owned by the value made next, which deletes it from the poller when it is dropped,
         // before its own fields are. Nothing hands the socket out but by shared reference, and `Socket` is sealed to
         // types that keep their descriptor, so the descriptor stays open for as long as it is registered.
-        unsafe { self.0.add_with_mode(&socket, interest.event(key), PollMode::Level)? };
-        Ok(Registered { socket, key, interest, poller: Arc::clone(&self.0) })
+        unsafe {
+            self.0
+                .add_with_mode(&socket, interest.event(key), PollMode::Level)?
+        };
+        Ok(Registered {
+            socket,
+            key,
+            interest,
+            poller: Arc::clone(&self.0),
+        })
     }
 }
 
@@ -89,7 +100,11 @@
     /// Changes what it waits for; costs nothing where that is the same.
     pub fn want(&mut self, interest: Interest) -> io::Result<()> {
         if self.interest != interest {
-            self.poller.modify_with_mode(&self.socket, interest.event(self.key), PollMode::Level)?;
+            self.poller.modify_with_mode(
+                &self.socket,
+                interest.event(self.key),
+                PollMode::Level,
+            )?;
             self.interest = interest;
         }
         Ok(())
--- a/router/src/chores/mod.rs
+++ b/router/src/chores/mod.rs
@@ -94,7 +94,12 @@
 }
 
 fn member(life: &Life) -> Member {
-    Member { name: life.name.clone(), zone: life.zone.clone(), address: life.address, boot: life.boot }
+    Member {
+        name: life.name.clone(),
+        zone: life.zone.clone(),
+        address: life.address,
+        boot: life.boot,
+    }
 }
 
 impl Chores {
@@ -119,10 +124,13 @@
                 None => tell::no_file(),
             }
         }
-        let gateway = Duty::new(&format!("gateway/{}", me.zone)).ok().and_then(|duty| {
-            let made = Gateway::new(terms.fanout.clone(), &me.zone, me.address, now, seed ^ 1).ok()?;
-            Some((duty, made))
-        });
+        let gateway = Duty::new(&format!("gateway/{}", me.zone))
+            .ok()
+            .and_then(|duty| {
+                let made =
+                    Gateway::new(terms.fanout.clone(), &me.zone, me.address, now, seed ^ 1).ok()?;
+                Some((duty, made))
+            });
         if gateway.is_none() {
             tell::zone(&me.zone);
         }
@@ -132,7 +140,14 @@
             address: me.address,
             zone: me.zone.as_str().into(),
         };
-        let duties = Duties::new(terms.rules.clone(), me.clone(), routers, now, seed ^ 2, kept);
+        let duties = Duties::new(
+            terms.rules.clone(),
+            me.clone(),
+            routers,
+            now,
+            seed ^ 2,
+            kept,
+        );
         Chores {
             clock,
             duties: Rc::new(RefCell::new(duties)),
@@ -181,21 +196,35 @@
         for group in &groups {
             wanted.extend(Duty::new(&positions(*group)).map(|duty| Wanted { duty, zone: None }));
         }
-        let zones: BTreeSet<&String> =
-            self.members.iter().map(|m| &m.zone).chain(self.nodes.zones()).collect();
+        let zones: BTreeSet<&String> = self
+            .members
+            .iter()
+            .map(|m| &m.zone)
+            .chain(self.nodes.zones())
+            .collect();
         // A zone whose name no duty can have has no gateway; its routers do without, and say so.
-        let gate = |zone: &&String| Some((zone.to_string(), Duty::new(&format!("gateway/{zone}")).ok()?));
+        let gate = |zone: &&String| {
+            Some((
+                zone.to_string(),
+                Duty::new(&format!("gateway/{zone}")).ok()?,
+            ))
+        };
         self.zones = zones.iter().filter_map(gate).collect();
-        wanted.extend(
-            self.zones.iter().map(|(zone, duty)| Wanted { duty: duty.clone(), zone: Some(zone.clone()) }),
-        );
+        wanted.extend(self.zones.iter().map(|(zone, duty)| Wanted {
+            duty: duty.clone(),
+            zone: Some(zone.clone()),
+        }));
         self.duties.borrow_mut().want(now, wanted);
         if groups != self.watching {
             for group in self.watching.difference(&groups) {
-                Topic::new(&positions(*group)).iter().for_each(|topic| self.client.unsubscribe(topic));
+                Topic::new(&positions(*group))
+                    .iter()
+                    .for_each(|topic| self.client.unsubscribe(topic));
             }
             for group in groups.difference(&self.watching) {
-                let Ok(topic) = Topic::new(&positions(*group)) else { continue };
+                let Ok(topic) = Topic::new(&positions(*group)) else {
+                    continue;
+                };
                 if let Err(fault) = self.client.subscribe(&topic) {
                     tell::fault(&fault);
                     break;
@@ -214,7 +243,9 @@
     pub fn arrived(&mut self, now: Time, part: Arrived) {
         match part.kind {
             carried::DUTY => {
-                self.duties.borrow_mut().receive(now, &member(&part.from), &part.body, part.late);
+                self.duties
+                    .borrow_mut()
+                    .receive(now, &member(&part.from), &part.body, part.late);
             }
             carried::FANOUT => self.fanout(now, part.from.address, &part.body, part.late),
             _ => {}
@@ -223,7 +254,10 @@
 
     /// One router may be gateway, owner and subscriber: each takes what is for it.
     fn fanout(&mut self, now: Time, from: SocketAddr, body: &[u8], late: Span) {
-        let gateway = self.gateway.as_mut().map_or(Ok(()), |(_, g)| g.receive(now, from, body, late));
+        let gateway = self
+            .gateway
+            .as_mut()
+            .map_or(Ok(()), |(_, g)| g.receive(now, from, body, late));
         let publisher = self.publisher.receive(now, from, body, late);
         // The client tells in its news whom it refused.
         let _ = self.client.receive(now, from, body, late);
@@ -239,7 +273,9 @@
 
     /// Tells of an old owner, once for each of its tokens: it may go on for long.
     fn refuse(&mut self, why: &Refused) {
-        let Refused::Older { duty, told, .. } = why else { return tell::refused(why) };
+        let Refused::Older { duty, told, .. } = why else {
+            return tell::refused(why);
+        };
         if self.refused.len() >= TOLD {
             self.refused.clear();
         }
@@ -250,9 +286,12 @@
 
     /// What became of a question.
     pub fn heard(&mut self, now: Time, heard: Heard) {
-        let Some((group, started)) = self.nodes.place(&heard.node) else { return };
+        let Some((group, started)) = self.nodes.place(&heard.node) else {
+            return;
+        };
         self.counts.unasked += u64::from(heard.answer.is_none());
-        self.watches.answered(now, group, &heard.node, started, heard.answer);
+        self.watches
+            .answered(now, group, &heard.node, started, heard.answer);
     }
 
     /// Does what is due, and whatever follows from it.
@@ -300,11 +339,16 @@
             }
         }
         for group in self.watches.own(now, &owned) {
-            Duty::new(&positions(group)).iter().for_each(|duty| self.publisher.ended(duty));
+            Duty::new(&positions(group))
+                .iter()
+                .for_each(|duty| self.publisher.ended(duty));
         }
         // A gateway of another zone than its own tells nobody: its zone has no router.
         let at = |(zone, duty): &(String, Duty)| {
-            duties.owner(duty).filter(|(owner, _)| owner.zone == *zone).map(|(owner, _)| owner.address)
+            duties
+                .owner(duty)
+                .filter(|(owner, _)| owner.zone == *zone)
+                .map(|(owner, _)| owner.address)
         };
         let gateways: Vec<SocketAddr> = self.zones.iter().filter_map(at).collect();
         if gateways != self.gateways {
@@ -322,15 +366,21 @@
     /// Asks the nodes of the groups whose turn it is.
     fn ask(&mut self, now: Time) {
         for (group, token) in self.watches.due(now) {
-            let Ok(duty) = Duty::new(&positions(group)) else { continue };
+            let Ok(duty) = Duty::new(&positions(group)) else {
+                continue;
+            };
             // Against: an owner that stood still since this turn began, or whose question waited for a connection, asks
             // after its lease. A node cannot look at a token, so the clock is read anew when the question leaves.
             let (duties, clock) = (self.duties.clone(), self.clock);
-            let look: Look = Rc::new(move || duties.borrow().may_act(clock.now(), &duty) == Some(token));
+            let look: Look =
+                Rc::new(move || duties.borrow().may_act(clock.now(), &duty) == Some(token));
             for node in self.nodes.serving(group) {
                 if self.watches.ask(now, group, node) {
                     self.counts.asked += 1;
-                    self.asks.push(Ask { node: node.clone(), look: look.clone() });
+                    self.asks.push(Ask {
+                        node: node.clone(),
+                        look: look.clone(),
+                    });
                 }
             }
         }
@@ -340,7 +390,9 @@
     fn publish(&mut self, now: Time) {
         for (group, token, item) in self.watches.items(now) {
             let name = positions(group);
-            let (Ok(duty), Ok(topic)) = (Duty::new(&name), Topic::new(&name)) else { continue };
+            let (Ok(duty), Ok(topic)) = (Duty::new(&name), Topic::new(&name)) else {
+                continue;
+            };
             match self.publisher.publish(now, &topic, &duty, token, &item) {
                 Ok(_) => self.counts.told += 1,
                 Err(Fault::Refused(why)) => self.refuse(&why),
@@ -362,14 +414,27 @@
 
     /// What all parts have to say; what is for this router itself takes no way over the network.
     fn post(&mut self) {
-        let duties = self.duties.borrow_mut().out().into_iter().map(|(to, body)| (to, carried::DUTY, body));
+        let duties = self
+            .duties
+            .borrow_mut()
+            .out()
+            .into_iter()
+            .map(|(to, body)| (to, carried::DUTY, body));
         let mut all: Vec<_> = duties.collect();
         let fanout = [
             self.publisher.out(),
             self.client.out(),
-            self.gateway.as_mut().map(|(_, g)| g.out()).unwrap_or_default(),
+            self.gateway
+                .as_mut()
+                .map(|(_, g)| g.out())
+                .unwrap_or_default(),
         ];
-        all.extend(fanout.into_iter().flatten().map(|(to, body)| (to, carried::FANOUT, body)));
+        all.extend(
+            fanout
+                .into_iter()
+                .flatten()
+                .map(|(to, body)| (to, carried::FANOUT, body)),
+        );
         for (to, kind, body) in all {
             if to == self.me.address {
                 self.own.push_back((kind, body));
@@ -382,14 +447,21 @@
     /// Takes what the watches' owners told of nodes as evidence, as old as it is.
     fn learn(&mut self, core: &mut Core) {
         while let Some(news) = self.client.news() {
-            let fanout::News::Item { topic, age, body, .. } = news else {
+            let fanout::News::Item {
+                topic, age, body, ..
+            } = news
+            else {
                 match &news {
                     fanout::News::Refused { why } => self.refuse(why),
                     other => tell::fanout(other),
                 }
                 continue;
             };
-            let Some(group) = topic.name().strip_prefix("positions/").and_then(|g| g.parse().ok()) else {
+            let Some(group) = topic
+                .name()
+                .strip_prefix("positions/")
+                .and_then(|g| g.parse().ok())
+            else {
                 continue;
             };
             let Some(words) = words(&body) else {
@@ -397,7 +469,9 @@
                 continue;
             };
             for word in words {
-                let Some((node, own)) = self.nodes.meant(group, &word) else { continue };
+                let Some((node, own)) = self.nodes.meant(group, &word) else {
+                    continue;
+                };
                 if !own {
                     self.counts.other_life += 1;
                     continue;
@@ -425,7 +499,11 @@
 
     /// When something is due.
     pub fn next(&self) -> Time {
-        let gateway = self.gateway.as_ref().filter(|(_, g)| g.owns()).map_or(Time::MAX, |(_, g)| g.next());
+        let gateway = self
+            .gateway
+            .as_ref()
+            .filter(|(_, g)| g.owns())
+            .map_or(Time::MAX, |(_, g)| g.next());
         let file = self.file.as_ref().map_or(Time::MAX, File::next);
         let own = if self.own.is_empty() { Time::MAX } else { 0 };
         [
@@ -456,15 +534,34 @@
     pub fn dump(&self, now: Time) {
         let duties = self.duties.borrow();
         let mut owners = Vec::new();
-        for duty in self.watching.iter().filter_map(|g| Duty::new(&positions(*g)).ok()) {
-            owners.extend(duties.owner(&duty).map(|(who, token)| (duty, who.name, token)));
+        for duty in self
+            .watching
+            .iter()
+            .filter_map(|g| Duty::new(&positions(*g)).ok())
+        {
+            owners.extend(
+                duties
+                    .owner(&duty)
+                    .map(|(who, token)| (duty, who.name, token)),
+            );
         }
         for (_, duty) in &self.zones {
-            owners.extend(duties.owner(duty).map(|(who, token)| (duty.clone(), who.name, token)));
+            owners.extend(
+                duties
+                    .owner(duty)
+                    .map(|(who, token)| (duty.clone(), who.name, token)),
+            );
         }
-        let gateway = self.gateway.as_ref().map(|(_, g)| g.counts()).unwrap_or_default();
+        let gateway = self
+            .gateway
+            .as_ref()
+            .map(|(_, g)| g.counts())
+            .unwrap_or_default();
         tell::dump(&tell::Dump {
-            owned: &duties.owned(now).map(|(duty, token)| (duty.clone(), token)).collect::<Vec<_>>(),
+            owned: &duties
+                .owned(now)
+                .map(|(duty, token)| (duty.clone(), token))
+                .collect::<Vec<_>>(),
             owners: &owners,
             stage: duties.stage(),
             alone: duties.alone(now),
--- a/router/src/chores/tell.rs
+++ b/router/src/chores/tell.rs
@@ -44,7 +44,11 @@
 pub fn duties(news: &News) {
     let (reason, help) = (news.word(), news.help());
     match news {
-        News::Won { duty, token, begins } => {
+        News::Won {
+            duty,
+            token,
+            begins,
+        } => {
             let begins = begins.map(|t| t.0);
             info!(reason, help, %duty, token = token.0, begins, "{duty} is owned by this router");
         }
@@ -61,16 +65,32 @@
         News::SetAside { duty, span } => {
             warn!(reason, help, %duty, ms = span / 1_000, "{duty} lost one owner after the other, and is left alone");
         }
-        News::NoMajority => warn!(reason, help, "too few deciders answer: each router does all by itself"),
+        News::NoMajority => warn!(
+            reason,
+            help, "too few deciders answer: each router does all by itself"
+        ),
         News::Majority => info!(reason, help, "a majority of the deciders answers"),
         News::Stood { span } => {
-            warn!(reason, help, ms = span / 1_000, "this router stood still, and owns nothing")
+            warn!(
+                reason,
+                help,
+                ms = span / 1_000,
+                "this router stood still, and owns nothing"
+            )
         }
         News::Decider { stage, above } => {
-            info!(reason, help, ?stage, above = above.0, "as a decider this router is {stage:?}");
+            info!(
+                reason,
+                help,
+                ?stage,
+                above = above.0,
+                "as a decider this router is {stage:?}"
+            );
         }
         News::Stale => warn!(reason, help, "the decider's file is an old copy"),
-        News::Full { duty } => warn!(reason, help, %duty, "no more duties are taken than there are"),
+        News::Full { duty } => {
+            warn!(reason, help, %duty, "no more duties are taken than there are")
+        }
     }
 }
 
@@ -78,7 +98,11 @@
 pub fn fanout(news: &fanout::News) {
     match news {
         fanout::News::Item { .. } => {}
-        fanout::News::Missed { topic, token, through } => info!(
+        fanout::News::Missed {
+            topic,
+            token,
+            through,
+        } => info!(
             reason = "missed",
             help = "nothing: nodes are asked by this router itself until the next news",
             %topic,
@@ -138,8 +162,18 @@
     let list = |all: Vec<String>| all.join(" ");
     info!(
         reason = "duties",
-        owned = list(told.owned.iter().map(|(duty, token)| format!("{duty}{token}")).collect()),
-        owners = list(told.owners.iter().map(|(duty, who, token)| format!("{duty}={who}{token}")).collect()),
+        owned = list(
+            told.owned
+                .iter()
+                .map(|(duty, token)| format!("{duty}{token}"))
+                .collect()
+        ),
+        owners = list(
+            told.owners
+                .iter()
+                .map(|(duty, who, token)| format!("{duty}={who}{token}"))
+                .collect()
+        ),
         stage = told.stage.map(|stage| format!("{stage:?}")),
         alone = told.alone,
         topics = told.topics,
--- a/router/src/error.rs
+++ b/router/src/error.rs
@@ -88,13 +88,19 @@
     /// What an operator can do.
     pub fn help(&self) -> &'static str {
         match self {
-            Error::NoConfig => "set the variable PROXY_CONFIG to the path of the router's configuration",
-            Error::Unreadable { .. } => "name a file that is there and that the router's user may read",
+            Error::NoConfig => {
+                "set the variable PROXY_CONFIG to the path of the router's configuration"
+            }
+            Error::Unreadable { .. } => {
+                "name a file that is there and that the router's user may read"
+            }
             Error::In { fault, .. } => fault.help(),
             Error::Address { .. } => {
                 "write an address and a port, as 10.0.0.7:5432 or [fd00::7]:5432; names are not looked up"
             }
-            Error::Least { .. } => "give the router at least this much; with less it could serve nobody",
+            Error::Least { .. } => {
+                "give the router at least this much; with less it could serve nobody"
+            }
             Error::Level(_) => "set PROXY_LOG to one of these words, or leave it out for info",
             Error::Setting(fault) => fault.help(),
             Error::Script(fault) => fault.help(),
@@ -113,7 +119,10 @@
 
     /// The same fault, with the file or variable it belongs to in front.
     pub fn within(self, place: impl Into<String>) -> Self {
-        Error::In { place: place.into(), fault: Box::new(self) }
+        Error::In {
+            place: place.into(),
+            fault: Box::new(self),
+        }
     }
 }
 
@@ -214,7 +223,9 @@
             Wrong::Tiers(wrong) => wrong.help(),
             Wrong::Peers(error) => error.help(),
             Wrong::Duties(fault) => fault.help(),
-            Wrong::NoMethod => "list at least one of versions and one of methods, or take the front out",
+            Wrong::NoMethod => {
+                "list at least one of versions and one of methods, or take the front out"
+            }
             Wrong::TrustBeside => {
                 "leave trust alone in methods, or take it out: with it nobody would be asked for a proof"
             }
@@ -235,7 +246,9 @@
             Wrong::Advertise => {
                 "set peers.advertise to this machine's own address and port, since listen is an address of no machine"
             }
-            Wrong::NoGuard(_) => "take PLOVERCOVE_WITHOUT out of the environment; it is for tests alone",
+            Wrong::NoGuard(_) => {
+                "take PLOVERCOVE_WITHOUT out of the environment; it is for tests alone"
+            }
         }
     }
 }
@@ -243,7 +256,9 @@
 /// A complaint without the key that it begins with: the place has named it.
 fn bare(complaint: &impl Display) -> String {
     let text = complaint.to_string();
-    text.split_once(": ").map(|(_, why)| why.to_string()).unwrap_or(text)
+    text.split_once(": ")
+        .map(|(_, why)| why.to_string())
+        .unwrap_or(text)
 }
 
 /// What is wrong with a key of the operators' file, before its line is known.
@@ -260,13 +275,18 @@
 impl KeyFault {
     /// A fault of this key.
     pub(crate) fn new(key: impl Into<String>, wrong: Wrong) -> Self {
-        KeyFault { key: key.into(), wrong }
+        KeyFault {
+            key: key.into(),
+            wrong,
+        }
     }
 
     /// A fault whose text begins with the key, seen from this one.
     pub(crate) fn under(key: &str, complaint: &impl Display, wrong: Wrong) -> Self {
         let text = complaint.to_string();
-        let key = text.split_once(": ").map_or(key.to_string(), |(inner, _)| format!("{key}.{inner}"));
+        let key = text
+            .split_once(": ")
+            .map_or(key.to_string(), |(inner, _)| format!("{key}.{inner}"));
         KeyFault { key, wrong }
     }
 }
--- a/router/src/front/entry.rs
+++ b/router/src/front/entry.rs
@@ -52,13 +52,19 @@
 impl Terms {
     /// The platform's: version 3.0, everyone is welcome, and every statement has labels.
     pub fn platform(most: usize, idle: Time) -> Self {
-        let told = [("server_version", "15.0"), ("server_encoding", "UTF8"), ("client_encoding", "UTF8")];
+        let told = [
+            ("server_version", "15.0"),
+            ("server_encoding", "UTF8"),
+            ("client_encoding", "UTF8"),
+        ];
         Terms {
             name: "platform".into(),
             rules: Rules::open(),
             users: Users::default(),
             throttle: throttle::Rules::default(),
-            parameters: told.map(|(name, value)| (name.into(), value.into())).to_vec(),
+            parameters: told
+                .map(|(name, value)| (name.into(), value.into()))
+                .to_vec(),
             forms: Forms::default(),
             defaults: None,
             most,
@@ -85,19 +91,37 @@
     /// A way in on this listener.
     pub fn new(terms: Terms, listener: Registered<TcpListener>) -> Self {
         let throttle = Throttle::new(terms.throttle.clone());
-        Entry { terms, listener: Some(listener), throttle, keys: Keys::new(), clients: 0 }
+        Entry {
+            terms,
+            listener: Some(listener),
+            throttle,
+            keys: Keys::new(),
+            clients: 0,
+        }
     }
 }
 
 /// A statement without labels gets them: its id is the router's own, and the rest is what the way in says.
-pub fn labelled(text: &str, defaults: &Defaults, reads: bool, id: &str, patience_ms: Option<u64>) -> String {
+pub fn labelled(
+    text: &str,
+    defaults: &Defaults,
+    reads: bool,
+    id: &str,
+    patience_ms: Option<u64>,
+) -> String {
     let ((_, class), usual) = match reads {
         true => (&defaults.reads, defaults.patience_ms.0),
         false => (&defaults.writes, defaults.patience_ms.1),
     };
-    let tenant = defaults.tenant.as_ref().map_or(String::new(), |t| format!("t={t},"));
+    let tenant = defaults
+        .tenant
+        .as_ref()
+        .map_or(String::new(), |t| format!("t={t},"));
     let patience = patience_ms.map_or(usual, |ms| ms.min(usual)).max(1);
-    format!("/* id={id},c={class},{tenant}d={patience},cluster={} */ {text}", defaults.group)
+    format!(
+        "/* id={id},c={class},{tenant}d={patience},cluster={} */ {text}",
+        defaults.group
+    )
 }
 
 /// Milliseconds of a span, at least one.
--- a/router/src/front/pg.rs
+++ b/router/src/front/pg.rs
@@ -185,7 +185,10 @@
         } else if !self.asked {
             Some(self.first)
         } else {
-            Some(self.begun.map_or(self.touched + self.idle_for, |at| at + self.message_for))
+            Some(
+                self.begun
+                    .map_or(self.touched + self.idle_for, |at| at + self.message_for),
+            )
         }
     }
 
@@ -203,14 +206,20 @@
     }
 
     fn speech(&self) -> Speech {
-        Speech { version: self.version, forms: self.session.forms }
+        Speech {
+            version: self.version,
+            forms: self.session.forms,
+        }
     }
 
     /// Owes an answer that the router words itself.
     fn say(&mut self, words: &Words, word: impl FnOnce(&mut Vec<u8>)) {
         let mut answer = words.budget.buffer();
         answer.write(word);
-        self.pending.push_back(Pending { request: None, answer: Some(answer) });
+        self.pending.push_back(Pending {
+            request: None,
+            answer: Some(answer),
+        });
     }
 
     /// An error that leaves the session standing, unless it is one of many.
@@ -245,8 +254,13 @@
             return;
         }
         let speech = self.speech();
-        let text = if self.phase == Phase::Refusing { NO_PLACE } else { UNASKED };
-        self.stream.put(|out| speech.error(true, code::TURNED_AWAY, text, None, out));
+        let text = if self.phase == Phase::Refusing {
+            NO_PLACE
+        } else {
+            UNASKED
+        };
+        self.stream
+            .put(|out| speech.error(true, code::TURNED_AWAY, text, None, out));
         // One that cannot be told has gone.
         let _ = self.stream.flush();
     }
@@ -272,7 +286,12 @@
 impl Ids {
     /// Remembers ids for this long at the least.
     fn new(span: Time) -> Self {
-        Ids { hasher: RandomState::new(), seen: Default::default(), span, until: 0 }
+        Ids {
+            hasher: RandomState::new(),
+            seen: Default::default(),
+            span,
+            until: 0,
+        }
     }
 
     /// Takes an id, unless it has been taken.
@@ -336,7 +355,12 @@
 impl Front {
     /// A front on the platform's listener, for so many clients, whose requests last no longer than this.
     pub fn new(
-        poll: &Poll, budget: &Budget, listener: TcpListener, most: usize, names: Names, longest: Time,
+        poll: &Poll,
+        budget: &Budget,
+        listener: TcpListener,
+        most: usize,
+        names: Names,
+        longest: Time,
     ) -> std::io::Result<Self> {
         let mut front = Front {
             poll: poll.clone(),
@@ -367,15 +391,23 @@
         listener.set_nonblocking(true)?;
         SockRef::from(&listener).listen(BACKLOG)?;
         let number = Key::from_number(self.words.entries.len() as u64);
-        let listener =
-            self.poll.register(listener, poll_key(Source::Listener, Some(number)), Interest::Read)?;
+        let listener = self.poll.register(
+            listener,
+            poll_key(Source::Listener, Some(number)),
+            Interest::Read,
+        )?;
         self.words.entries.push(Entry::new(terms, listener));
         Ok(())
     }
 
     /// Changes the terms of a way in, by its name, for those who come from now on. False where there is none.
     pub fn change(&mut self, terms: &Terms) -> bool {
-        let way = self.words.entries.iter_mut().skip(1).find(|e| e.terms.name == terms.name);
+        let way = self
+            .words
+            .entries
+            .iter_mut()
+            .skip(1)
+            .find(|e| e.terms.name == terms.name);
         way.map(|way| way.terms = terms.clone()).is_some()
     }
 
@@ -388,12 +420,18 @@
     pub fn drained(&self) -> bool {
         self.draining
             && self.clients.is_empty()
-            && self.words.entries.iter().all(|entry| entry.listener.is_none())
+            && self
+                .words
+                .entries
+                .iter()
+                .all(|entry| entry.listener.is_none())
     }
 
     /// How many clients hold a place: all but those beyond the limit.
     fn placed(&self) -> usize {
-        self.clients.len() - self.spares[Spare::Leaving as usize] - self.spares[Spare::Refusing as usize]
+        self.clients.len()
+            - self.spares[Spare::Leaving as usize]
+            - self.spares[Spare::Refusing as usize]
     }
 
     /// Takes in the connections that wait at a listener.
@@ -413,7 +451,12 @@
                     return Queue::Paused;
                 }
             }
-            let Some(listener) = self.words.entries.get(entry).and_then(|e| e.listener.as_ref()) else {
+            let Some(listener) = self
+                .words
+                .entries
+                .get(entry)
+                .and_then(|e| e.listener.as_ref())
+            else {
                 return Queue::Empty;
             };
             match listener.accept() {
@@ -429,7 +472,11 @@
                     self.admit(entry, from.ip(), socket, now, core);
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return Queue::Empty,
-                Err(e) if matches!(e.kind(), ErrorKind::Interrupted | ErrorKind::ConnectionAborted) => {}
+                Err(e)
+                    if matches!(
+                        e.kind(),
+                        ErrorKind::Interrupted | ErrorKind::ConnectionAborted
+                    ) => {}
                 // Danger: with no descriptor left the listener stays readable, and the loop would spin on it.
                 Err(e) => {
                     warn!("cannot accept: {e}");
@@ -444,29 +491,44 @@
     /// Whether one of those beyond the limit may give up its descriptor to one that waits at the door: it has been told, or
     /// has had its time to say who it is.
     fn may_displace(&self, now: Time) -> bool {
-        self.spare.first().is_some_and(|&(kind, came, _)| match kind {
-            Spare::Leaving => true,
-            Spare::Refusing => came + DOOR <= now,
-            Spare::Unasked | Spare::Idle => false,
-        })
+        self.spare
+            .first()
+            .is_some_and(|&(kind, came, _)| match kind {
+                Spare::Leaving => true,
+                Spare::Refusing => came + DOOR <= now,
+                Spare::Unasked | Spare::Idle => false,
+            })
     }
 
     /// Closes the first of those beyond the limit.
     fn displace(&mut self, now: Time, core: &mut Core) {
-        let Some(&(kind, _, key)) = self.spare.first() else { return };
+        let Some(&(kind, _, key)) = self.spare.first() else {
+            return;
+        };
         if kind == Spare::Refusing && !self.may_go(key, now) {
             // It has just spoken: it may want a cancel.
             self.pump(now, core);
-            self.clients.get_mut(key).into_iter().for_each(Client::tell_unasked);
+            self.clients
+                .get_mut(key)
+                .into_iter()
+                .for_each(Client::tell_unasked);
         }
         self.close(key, core);
     }
 
     fn pause_accepting(&mut self, now: Time, core: &mut Core) {
         self.listen_for(Interest::Nothing);
-        let mute = self.spare.range((Spare::Refusing, 0, Key::from_number(0))..).next();
-        let first = mute.filter(|(kind, ..)| *kind == Spare::Refusing).map(|(_, came, _)| came + DOOR);
-        core.deadlines.add(first.filter(|at| *at > now).unwrap_or(now + DOOR), Due::Accept);
+        let mute = self
+            .spare
+            .range((Spare::Refusing, 0, Key::from_number(0))..)
+            .next();
+        let first = mute
+            .filter(|(kind, ..)| *kind == Spare::Refusing)
+            .map(|(_, came, _)| came + DOOR);
+        core.deadlines.add(
+            first.filter(|at| *at > now).unwrap_or(now + DOOR),
+            Due::Accept,
+        );
     }
 
     /// Goes on accepting after a pause.
@@ -481,23 +543,46 @@
 
     fn accept_all(&mut self, now: Time, core: &mut Core) -> Queue {
         let entries = 0..self.words.entries.len() as u64;
-        entries.map(|entry| self.take_in(Key::from_number(entry), now, core)).max().unwrap_or(Queue::Empty)
+        entries
+            .map(|entry| self.take_in(Key::from_number(entry), now, core))
+            .max()
+            .unwrap_or(Queue::Empty)
     }
 
     fn listen_for(&mut self, interest: Interest) {
-        for listener in self.words.entries.iter_mut().filter_map(|e| e.listener.as_mut()) {
+        for listener in self
+            .words
+            .entries
+            .iter_mut()
+            .filter_map(|e| e.listener.as_mut())
+        {
             if let Err(e) = listener.want(interest) {
                 warn!("a listener's interest cannot be changed: {e}");
             }
         }
     }
 
-    fn admit(&mut self, entry: usize, from: IpAddr, socket: std::net::TcpStream, now: Time, core: &mut Core) {
+    fn admit(
+        &mut self,
+        entry: usize,
+        from: IpAddr,
+        socket: std::net::TcpStream,
+        now: Time,
+        core: &mut Core,
+    ) {
         let way = &self.words.entries[entry];
         let room = self.placed() < self.most && way.clients < way.terms.most;
-        let phase = if room { Phase::Opening } else { Phase::Refusing };
+        let phase = if room {
+            Phase::Opening
+        } else {
+            Phase::Refusing
+        };
         let (forms, idle_for) = (way.terms.forms, way.terms.idle);
-        let first = if room && !self.draining { FIRST } else { FIRST_SOON };
+        let first = if room && !self.draining {
+            FIRST
+        } else {
+            FIRST_SOON
+        };
         let message_for = if self.draining { MESSAGE.1 } else { MESSAGE.0 };
         let (poll, budget) = (&self.poll, self.words.budget.clone());
         let made = self.clients.insert_with(|key| {
@@ -542,11 +627,14 @@
 
     /// Brings a client's deadline and its place among the spare ones up to date.
     fn settle(&mut self, key: Key, core: &mut Core) {
-        let Some(client) = self.clients.get_mut(key) else { return };
+        let Some(client) = self.clients.get_mut(key) else {
+            return;
+        };
         // One that is too early finds the next when it falls due; only one that is too late must be moved at once.
         let until = client.until();
         if until.is_some_and(|at| client.look.is_none_or(|look| at < look)) {
-            core.deadlines.set(&mut client.look, Due::Client(key), until);
+            core.deadlines
+                .set(&mut client.look, Due::Client(key), until);
         }
         let spare = client.spare();
         if spare != client.spare {
@@ -556,9 +644,16 @@
     }
 
     /// Moves a client among the spare ones.
-    fn place(&mut self, key: Key, entry: usize, old: Option<(Spare, Time)>, new: Option<(Spare, Time)>) {
-        let beyond =
-            |spare: Option<(Spare, Time)>| usize::from(spare.is_some_and(|s| s.0 <= Spare::Refusing));
+    fn place(
+        &mut self,
+        key: Key,
+        entry: usize,
+        old: Option<(Spare, Time)>,
+        new: Option<(Spare, Time)>,
+    ) {
+        let beyond = |spare: Option<(Spare, Time)>| {
+            usize::from(spare.is_some_and(|s| s.0 <= Spare::Refusing))
+        };
         let way = &mut self.words.entries[entry];
         way.clients = way.clients + beyond(old) - beyond(new);
         if let Some((kind, at)) = old {
@@ -575,7 +670,10 @@
     /// connections, and those that ask once and hold on to theirs would leave none for the others.
     fn thin_out(&mut self, now: Time, core: &mut Core) {
         let over = self.spares[Spare::Idle as usize].saturating_sub(self.most / MOST_IDLE);
-        let idle = self.spare.range((Spare::Idle, 0, Key::from_number(0))..).take(over);
+        let idle = self
+            .spare
+            .range((Spare::Idle, 0, Key::from_number(0))..)
+            .take(over);
         for key in idle.map(|&(_, _, key)| key).collect::<Vec<Key>>() {
             self.close_idle(key, now, core);
         }
@@ -599,7 +697,9 @@
         if !self.may_go(key, now) {
             return false;
         }
-        let Some(client) = self.clients.get_mut(key) else { return false };
+        let Some(client) = self.clients.get_mut(key) else {
+            return false;
+        };
         // Danger: closed at once, what crosses the close resets the connection, and takes an answer on its way with it.
         if client.leaving.is_none() && client.stream.unsent() == 0 {
             client.leave(now + LEAVE_RESTING);
@@ -614,7 +714,9 @@
     /// Whether a client between requests may be ended: nothing has just come, or its end behind it. One that has not asked
     /// is told.
     fn may_go(&mut self, key: Key, now: Time) -> bool {
-        let Some(client) = self.clients.get_mut(key) else { return false };
+        let Some(client) = self.clients.get_mut(key) else {
+            return false;
+        };
         // Danger: closing with a request unread in the kernel's buffer loses it; so a last look is taken first.
         let before = client.stream.unread().len();
         // Danger: one that this turn has heard already says nothing more, and would be closed with its request unread.
@@ -633,7 +735,9 @@
 
     /// The one place where a client's connection is given back.
     fn close(&mut self, key: Key, core: &mut Core) {
-        let Some(mut client) = self.clients.remove(key) else { return };
+        let Some(mut client) = self.clients.remove(key) else {
+            return;
+        };
         if client.leaving.is_some() {
             // Danger: what has come since the last look would reset the connection. The rest of it is the other side's.
             Self::hear_late_cancel(&mut self.words, &mut client);
@@ -663,7 +767,9 @@
 
     /// The poller has something to say of a client.
     pub fn event(&mut self, key: Key, hung_up: bool, now: Time, core: &mut Core) {
-        let Some(client) = self.clients.get_mut(key) else { return };
+        let Some(client) = self.clients.get_mut(key) else {
+            return;
+        };
         // Danger: the poller tells of a reset whatever the socket waits for, over and over: one that is not being
         // read would keep the loop spinning.
         let peer = Self::hear(&mut self.words, client, key, now);
@@ -712,11 +818,15 @@
 
     /// It is time to look a client over.
     pub fn look_over(&mut self, key: Key, now: Time, core: &mut Core) {
-        let Some(client) = self.clients.get_mut(key) else { return };
+        let Some(client) = self.clients.get_mut(key) else {
+            return;
+        };
         client.look = None;
         match client.until() {
             Some(at) if at > now => self.settle(key, core),
-            Some(_) if client.leaving.is_some() || client.stream.unsent() > 0 => self.close(key, core),
+            Some(_) if client.leaving.is_some() || client.stream.unsent() > 0 => {
+                self.close(key, core)
+            }
             Some(_) if client.begun.is_some() => self.end_half(key, now, core),
             Some(_) => drop(self.close_idle(key, now, core)),
             None => {}
@@ -725,7 +835,9 @@
 
     /// Ends a client whose message has been under way for too long, unless the rest of it has just come.
     fn end_half(&mut self, key: Key, now: Time, core: &mut Core) {
-        let Some(client) = self.clients.get_mut(key) else { return };
+        let Some(client) = self.clients.get_mut(key) else {
+            return;
+        };
         let heard = Self::hear(&mut self.words, client, key, now);
         if heard != Peer::Open || Self::exchange(&mut self.words, client, key, now, core).is_err() {
             return self.close(key, core);
@@ -742,17 +854,30 @@
     pub fn statement(&self, origin: Key, request: Key) -> Option<Rc<Statement>> {
         let pending = self.clients.get(origin)?.pending.iter();
         let mut asked = pending.filter_map(|p| p.request.as_ref());
-        asked.find(|asked| asked.request == request).map(|asked| Rc::clone(&asked.statement))
+        asked
+            .find(|asked| asked.request == request)
+            .map(|asked| Rc::clone(&asked.statement))
     }
 
     /// Passes on what a db node answered: row description, row and completion, as they came.
     pub fn served(&mut self, origin: Key, request: Key, reply: Buffer, now: Time) {
-        let Some(client) = self.clients.get_mut(origin) else { return };
+        let Some(client) = self.clients.get_mut(origin) else {
+            return;
+        };
         let is_it = |asked: &&Asked| asked.request == request;
-        if client.pending.iter().filter_map(|p| p.request.as_ref()).find(is_it).is_some_and(|a| a.writes) {
+        if client
+            .pending
+            .iter()
+            .filter_map(|p| p.request.as_ref())
+            .find(is_it)
+            .is_some_and(|a| a.writes)
+        {
             client.wrote = Some(now);
         }
-        let (speech, named) = (client.speech(), self.words.entries[client.entry].terms.defaults.is_some());
+        let (speech, named) = (
+            client.speech(),
+            self.words.entries[client.entry].terms.defaults.is_some(),
+        );
         if !named || speech.passes(&reply) {
             return self.answer(origin, request, reply, Speech::ready);
         }
@@ -761,7 +886,10 @@
         if let Err(why) = result {
             warn!(client = origin.number(), reason = "unsayable", "{}", why.0);
             // What has been done is done; the client must not take this for a refusal.
-            let text = format!("the statement ran, but its answer cannot be passed on: {}", why.0);
+            let text = format!(
+                "the statement ran, but its answer cannot be passed on: {}",
+                why.0
+            );
             said = self.words.budget.buffer();
             said.write(|out| speech.error(false, code::UNTRANSLATABLE, &text, None, out));
         }
@@ -770,12 +898,20 @@
 
     /// Words a final answer that no db node made.
     pub fn concluded(&mut self, origin: Key, request: Key, answer: Answer) {
-        let Some(speech) = self.clients.get(origin).map(Client::speech) else { return };
+        let Some(speech) = self.clients.get(origin).map(Client::speech) else {
+            return;
+        };
         let mut worded = self.words.budget.buffer();
         worded.write(|out| match answer {
             Answer::Refused(wait) => {
                 let wait = wait.map(clock::to_ms);
-                speech.error(false, code::TURNED_AWAY, "no db node can take this in time", wait, out);
+                speech.error(
+                    false,
+                    code::TURNED_AWAY,
+                    "no db node can take this in time",
+                    wait,
+                    out,
+                );
             }
             Answer::Failed => {
                 let text = "the outcome is unknown: no db node answered in time";
@@ -786,12 +922,24 @@
     }
 
     fn answer(
-        &mut self, origin: Key, request: Key, mut answer: Buffer, ready: impl Fn(&Speech, &mut Vec<u8>),
+        &mut self,
+        origin: Key,
+        request: Key,
+        mut answer: Buffer,
+        ready: impl Fn(&Speech, &mut Vec<u8>),
     ) {
-        let Some(client) = self.clients.get_mut(origin) else { return };
+        let Some(client) = self.clients.get_mut(origin) else {
+            return;
+        };
         let speech = client.speech();
-        let is_it = |p: &&mut Pending| p.request.as_ref().is_some_and(|asked| asked.request == request);
-        let Some(pending) = client.pending.iter_mut().find(is_it) else { return };
+        let is_it = |p: &&mut Pending| {
+            p.request
+                .as_ref()
+                .is_some_and(|asked| asked.request == request)
+        };
+        let Some(pending) = client.pending.iter_mut().find(is_it) else {
+            return;
+        };
         answer.write(|out| ready(&speech, out));
         pending.answer = Some(answer);
         pending.request = None;
@@ -801,7 +949,9 @@
     /// Reads and writes on where something has happened.
     pub fn pump(&mut self, now: Time, core: &mut Core) {
         for key in mem::take(&mut self.marked) {
-            let Some(client) = self.clients.get_mut(key) else { continue };
+            let Some(client) = self.clients.get_mut(key) else {
+                continue;
+            };
             client.marked = false;
             let Ok((sent, more)) = Self::exchange(&mut self.words, client, key, now, core) else {
                 self.close(key, core);
@@ -809,9 +959,14 @@
             };
             // Danger: whoever is told the end of its wish before the wish is met may find its next query cancelled.
             self.cancel_wanted(now, core);
-            let Some(client) = self.clients.get_mut(key) else { continue };
+            let Some(client) = self.clients.get_mut(key) else {
+                continue;
+            };
             let done = sent && client.pending.is_empty();
-            if done && client.phase == Phase::Closing && Self::heard_out(&mut self.words, client, now) {
+            if done
+                && client.phase == Phase::Closing
+                && Self::heard_out(&mut self.words, client, now)
+            {
                 self.close(key, core);
                 continue;
             }
@@ -819,7 +974,8 @@
             let partial = reads && !more && !client.stream.unread().is_empty();
             client.begun = partial.then(|| client.begun.unwrap_or(now));
             client.stream.wait_for(Self::listens(client));
-            let idle = self.draining && client.asked && client.idle() && client.phase != Phase::Closing;
+            let idle =
+                self.draining && client.asked && client.idle() && client.phase != Phase::Closing;
             self.settle(key, core);
             if more {
                 self.mark(key);
@@ -840,7 +996,9 @@
         if let Some(peer) = Self::hear_late_cancel(words, client) {
             return peer != Peer::Open;
         }
-        let Some((_, left)) = &mut client.leaving else { return true };
+        let Some((_, left)) = &mut client.leaving else {
+            return true;
+        };
         match client.stream.discard() {
             Ok(count) => {
                 *left = left.saturating_sub(count);
@@ -871,7 +1029,11 @@
     /// Queues the answers whose turn it is, takes in what there is room for, and writes. Says whether all is written, and
     /// whether something is left to read in the next turn.
     fn exchange(
-        words: &mut Words, client: &mut Client, key: Key, now: Time, core: &mut Core,
+        words: &mut Words,
+        client: &mut Client,
+        key: Key,
+        now: Time,
+        core: &mut Core,
     ) -> Result<(bool, bool), Peer> {
         let mut left = TURN.0;
         loop {
@@ -891,7 +1053,10 @@
             }
             // Danger: a client that sends at full speed would hold the turn for as long as its input lasts.
             if left == 0 || !sent || before < PIPELINE.1 {
-                return Ok((sent, left == 0 && Self::reads(client) && !client.stream.unread().is_empty()));
+                return Ok((
+                    sent,
+                    left == 0 && Self::reads(client) && !client.stream.unread().is_empty(),
+                ));
             }
         }
     }
@@ -950,7 +1115,9 @@
                 Err(_) => client.object(words, code::PROTOCOL, "the query is not UTF-8"),
             },
             (b'Q', _) => client.object(words, code::PROTOCOL, "the query does not end"),
-            (b'F', _) => client.object(words, code::UNSUPPORTED, "function calls are not supported"),
+            (b'F', _) => {
+                client.object(words, code::UNSUPPORTED, "function calls are not supported")
+            }
             (b'P' | b'B' | b'D' | b'E' | b'C' | b'H', _) => {
                 client.faults += 1;
                 client.say(words, |out| {
@@ -967,7 +1134,9 @@
 
     /// Takes in what comes before a client is in; false where none is whole.
     fn come_in(words: &mut Words, client: &mut Client, key: Key, now: Time) -> bool {
-        let Some(mut door) = client.door.take() else { return false };
+        let Some(mut door) = client.door.take() else {
+            return false;
+        };
         let mut out = Vec::new();
         let nonce = || random::<16>().map(|byte| format!("{byte:02x}")).concat();
         let rules = &words.entries[client.entry].terms.rules;
@@ -977,7 +1146,11 @@
             }
             bytes => {
                 // Only a login needs one, and it is dear.
-                let nonce = if door.opened() { nonce() } else { String::new() };
+                let nonce = if door.opened() {
+                    nonce()
+                } else {
+                    String::new()
+                };
                 door.take(rules, bytes, &nonce, &mut out)
             }
         };
@@ -1008,7 +1181,9 @@
             Ok(Step::In) => Self::let_in(words, client, key, &door, now),
             Err(fault) => {
                 if Door::tried(&fault) {
-                    words.entries[client.entry].throttle.failed(now, client.from, door.user());
+                    words.entries[client.entry]
+                        .throttle
+                        .failed(now, client.from, door.user());
                     warn!(user = door.user(), from = %client.from, reason = "login failed", "a login failed");
                 }
                 client.dismiss(words, fault.code, &fault.text);
@@ -1019,19 +1194,36 @@
 
     /// A client has said who it is: it is asked for a proof, unless there is no room or it has failed too often.
     fn identify(
-        words: &Words, client: &mut Client, door: &mut Door, now: Time, out: &mut Vec<u8>,
+        words: &Words,
+        client: &mut Client,
+        door: &mut Door,
+        now: Time,
+        out: &mut Vec<u8>,
     ) -> Result<Step, Fault> {
         if client.phase == Phase::Refusing {
             return Err(Fault::new(code::TURNED_AWAY, NO_PLACE));
         }
         let way = &words.entries[client.entry];
         if let Err(wait) = way.throttle.may(now, client.from, door.user()) {
-            let text = format!("too many logins failed; try again after {} ms", entry::ms(wait));
+            let text = format!(
+                "too many logins failed; try again after {} ms",
+                entry::ms(wait)
+            );
             return Err(Fault::new(code::TURNED_AWAY, text));
         }
         let verifier = way.terms.users.get(door.user()).cloned();
-        let salt = if way.terms.rules.methods.contains(&Method::Md5) { random() } else { [0; 4] };
-        door.identify(&way.terms.rules, verifier.as_ref(), &words.secret, salt, out)
+        let salt = if way.terms.rules.methods.contains(&Method::Md5) {
+            random()
+        } else {
+            [0; 4]
+        };
+        door.identify(
+            &way.terms.rules,
+            verifier.as_ref(),
+            &words.secret,
+            salt,
+            out,
+        )
     }
 
     /// A client is in: it is greeted, and has what it set at its start.
@@ -1064,9 +1256,17 @@
     }
 
     /// Takes one message of version 2.0 in; false where none is whole.
-    fn read_old(words: &mut Words, client: &mut Client, key: Key, now: Time, core: &mut Core) -> bool {
+    fn read_old(
+        words: &mut Words,
+        client: &mut Client,
+        key: Key,
+        now: Time,
+        core: &mut Core,
+    ) -> bool {
         let bytes = client.stream.unread();
-        let Some((&kind, rest)) = bytes.split_first() else { return false };
+        let Some((&kind, rest)) = bytes.split_first() else {
+            return false;
+        };
         match kind {
             b'Q' => {
                 let Some(end) = rest.iter().position(|byte| *byte == 0) else {
@@ -1090,7 +1290,9 @@
                     client.stream.take(length + 1);
                     client.object(words, code::UNSUPPORTED, "function calls are not supported");
                 }
-                Err(pgwire::Malformed) => client.dismiss(words, code::PROTOCOL, "a malformed function call"),
+                Err(pgwire::Malformed) => {
+                    client.dismiss(words, code::PROTOCOL, "a malformed function call")
+                }
             },
             _ => client.dismiss(words, code::PROTOCOL, "a message of an unknown kind"),
         }
@@ -1100,8 +1302,12 @@
     /// Ends the requests whose cancelling was asked for with the right key.
     fn cancel_wanted(&mut self, now: Time, core: &mut Core) {
         for (entry, wanted) in mem::take(&mut self.words.wanted) {
-            let Some(key) = self.words.entries[entry].keys.find(&wanted) else { continue };
-            let Some(client) = self.clients.get_mut(key) else { continue };
+            let Some(key) = self.words.entries[entry].keys.find(&wanted) else {
+                continue;
+            };
+            let Some(client) = self.clients.get_mut(key) else {
+                continue;
+            };
             // Danger: the query may have come before the wish and be read after it, and would run for nobody.
             if client.pending.is_empty()
                 && (Self::hear(&mut self.words, client, key, now) != Peer::Open
@@ -1111,10 +1317,17 @@
                 continue;
             }
             self.mark(key);
-            let Some(client) = self.clients.get_mut(key) else { continue };
+            let Some(client) = self.clients.get_mut(key) else {
+                continue;
+            };
             // Only what is under way; what waits behind it in the pipeline goes on.
-            let Some(pending) = client.pending.front_mut().filter(|p| p.request.is_some()) else { continue };
-            let speech = Speech { version: client.version, forms: client.session.forms };
+            let Some(pending) = client.pending.front_mut().filter(|p| p.request.is_some()) else {
+                continue;
+            };
+            let speech = Speech {
+                version: client.version,
+                forms: client.session.forms,
+            };
             let mut answer = self.words.budget.buffer();
             answer.write(|out| {
                 let text = "cancelled on request; a write may have run all the same";
@@ -1164,7 +1377,14 @@
         None
     }
 
-    fn query(words: &mut Words, client: &mut Client, key: Key, text: &str, now: Time, core: &mut Core) {
+    fn query(
+        words: &mut Words,
+        client: &mut Client,
+        key: Key,
+        text: &str,
+        now: Time,
+        core: &mut Core,
+    ) {
         let named = words.entries[client.entry].terms.defaults.is_some();
         if named && !(text.trim_start().starts_with("/*") && pgwire::labels(text).is_ok()) {
             if let Some(text) = Self::label(words, client, text) {
@@ -1180,7 +1400,11 @@
             });
         }
         // What drivers send on their own has no effect here, as at the db nodes.
-        let word = bare.split_whitespace().next().unwrap_or("").to_ascii_uppercase();
+        let word = bare
+            .split_whitespace()
+            .next()
+            .unwrap_or("")
+            .to_ascii_uppercase();
         if ["SET", "RESET", "DISCARD"].contains(&word.as_str()) {
             return client.say(words, |out| {
                 pgwire::put_complete(out, &word);
@@ -1191,7 +1415,14 @@
     }
 
     /// Hands a query with labels to the core.
-    fn ask(words: &mut Words, client: &mut Client, key: Key, text: &str, now: Time, core: &mut Core) {
+    fn ask(
+        words: &mut Words,
+        client: &mut Client,
+        key: Key,
+        text: &str,
+        now: Time,
+        core: &mut Core,
+    ) {
         let named = words.entries[client.entry].terms.defaults.is_some();
         let labels = match pgwire::labels(text) {
             Ok(labels) => labels,
@@ -1222,16 +1453,27 @@
         }
         let tenant = labels.tenant.map(|name| (name, words.names.tenant(name)));
         if let Some((name, None)) = tenant {
-            return client.object(words, code::UNDEFINED, &format!("tenant {name:?} does not exist"));
+            return client.object(
+                words,
+                code::UNDEFINED,
+                &format!("tenant {name:?} does not exist"),
+            );
         }
         let Some(share) = words.budget.take(text.len()) else {
             return client.regret(words, code::TURNED_AWAY, "too many statements are waiting");
         };
         if !words.ids.take(labels.id, now) {
-            return client.object(words, code::PROTOCOL, &format!("id: {} is another request's", labels.id));
+            return client.object(
+                words,
+                code::PROTOCOL,
+                &format!("id: {} is another request's", labels.id),
+            );
         }
         // A client without labels carries no position: what it must see is what this router answered it last.
-        let carried = labels.after.filter(|at| *at > 0).map(|at| clock::age(now, clock::from_ms(at)));
+        let carried = labels
+            .after
+            .filter(|at| *at > 0)
+            .map(|at| clock::age(now, clock::from_ms(at)));
         let own = || {
             client
                 .wrote
@@ -1252,9 +1494,17 @@
         let shape = if named { Shape::Any } else { Shape::OneValue };
         let statement = Rc::new(Statement::new(text, &labels, shape));
         let writes = figures.access == Access::Write;
-        let asked = Asked { request: core.request(key, demand), statement, writes, _share: share };
+        let asked = Asked {
+            request: core.request(key, demand),
+            statement,
+            writes,
+            _share: share,
+        };
         (client.asked, client.faults) = (true, 0);
-        client.pending.push_back(Pending { request: Some(asked), answer: None });
+        client.pending.push_back(Pending {
+            request: Some(asked),
+            answer: None,
+        });
     }
 
     /// Closes the listeners, once all who wait at them have been taken in.
@@ -1262,10 +1512,15 @@
         let until = *self.door_until.get_or_insert(now + FIRST_SOON);
         // Danger: the system resets those whom a closed listener leaves waiting.
         let fits = BACKLOG as u32 / TURN.1;
-        let queue = (0..=fits).map(|_| self.accept_all(now, core)).find(|queue| *queue != Queue::Waits);
+        let queue = (0..=fits)
+            .map(|_| self.accept_all(now, core))
+            .find(|queue| *queue != Queue::Waits);
         // Where accepting pauses it goes on here.
         if queue != Some(Queue::Paused) || now >= until {
-            self.words.entries.iter_mut().for_each(|entry| entry.listener = None);
+            self.words
+                .entries
+                .iter_mut()
+                .for_each(|entry| entry.listener = None);
         }
     }
 
@@ -1276,7 +1531,9 @@
         let all: Vec<Key> = self.clients.iter().map(|(key, _)| key).collect();
         for key in all {
             // Danger: told once more to end, it would close those that it hears out with bytes unread.
-            let Some(client) = self.clients.get_mut(key).filter(|c| c.leaving.is_none()) else { continue };
+            let Some(client) = self.clients.get_mut(key).filter(|c| c.leaving.is_none()) else {
+                continue;
+            };
             client.message_for = MESSAGE.1;
             if !client.asked {
                 client.first = client.first.min(now + FIRST_SOON);
--- a/router/src/main.rs
+++ b/router/src/main.rs
@@ -51,7 +51,11 @@
     let told = Operators::read(file)?;
     let mut parts = Vec::new();
     if let Some(rules) = told.tiers {
-        parts.push(format!("{} zones, a spill of {} at most", rules.zones.len(), rules.spill));
+        parts.push(format!(
+            "{} zones, a spill of {} at most",
+            rules.zones.len(),
+            rules.spill
+        ));
     }
     if !told.fronts.is_empty() {
         parts.push(format!("{} further fronts", told.fronts.len()));
@@ -60,7 +64,10 @@
         parts.push(format!("db nodes know the router as {}", servers.user));
     }
     if let Some(peers) = told.peers {
-        parts.push(format!("routers of {} talk at {}", peers.rules.installation, peers.listen));
+        parts.push(format!(
+            "routers of {} talk at {}",
+            peers.rules.installation, peers.listen
+        ));
     }
     if let Some(duties) = told.duties {
         parts.push(format!(
@@ -68,15 +75,24 @@
             duties.rules.deciders.members.len()
         ));
     }
-    Ok(if parts.is_empty() { "it sets nothing".into() } else { parts.join("; ") })
+    Ok(if parts.is_empty() {
+        "it sets nothing".into()
+    } else {
+        parts.join("; ")
+    })
 }
 
 fn serve(line: &Line, signals: net::signals::Signals) -> Result<(), Error> {
     let config = config::read()?;
-    let source =
-        |path: &PathBuf| Source { path: path.clone(), settings: config.settings.clone(), seed: config.seed };
+    let source = |path: &PathBuf| Source {
+        path: path.clone(),
+        settings: config.settings.clone(),
+        seed: config.seed,
+    };
     let operators = line.operators.as_ref().map(source);
-    let told = operators.as_ref().map_or_else(|| Ok(Told::nothing()), Source::read)?;
+    let told = operators
+        .as_ref()
+        .map_or_else(|| Ok(Told::nothing()), Source::read)?;
     let log = tracing_subscriber::fmt()
         .with_writer(std::io::stderr)
         .with_ansi(false)
@@ -105,7 +121,9 @@
     };
     let line = Line::parse();
     let ended = match &line.command {
-        Some(Command::Check { file }) => check(file).map(|said| println!("{}: good, {said}", file.display())),
+        Some(Command::Check { file }) => {
+            check(file).map(|said| println!("{}: good, {said}", file.display()))
+        }
         Some(Command::Catalogue) => {
             print!("{}", plovercove_dialect::catalogue::table());
             Ok(())
--- a/router/src/net/mod.rs
+++ b/router/src/net/mod.rs
@@ -35,10 +35,21 @@
 
 /// Whom that number stands for.
 pub fn split(number: usize) -> (Option<Source>, Key) {
-    let sources =
-        [Source::Listener, Source::Signal, Source::Discovery, Source::Client, Source::Backend, Source::Peers];
-    let source = sources.into_iter().find(|s| *s as usize == number >> SOURCE_SHIFT);
-    (source, Key::from_number(number as u64 & ((1 << SOURCE_SHIFT) - 1)))
+    let sources = [
+        Source::Listener,
+        Source::Signal,
+        Source::Discovery,
+        Source::Client,
+        Source::Backend,
+        Source::Peers,
+    ];
+    let source = sources
+        .into_iter()
+        .find(|s| *s as usize == number >> SOURCE_SHIFT);
+    (
+        source,
+        Key::from_number(number as u64 & ((1 << SOURCE_SHIFT) - 1)),
+    )
 }
 
 /// Begins a connection that does not block; the poller tells when it is up.
--- a/router/src/net/signals.rs
+++ b/router/src/net/signals.rs
@@ -37,7 +37,11 @@
     pub fn catch() -> io::Result<Self> {
         let (woken, wakes) = UnixStream::pair()?;
         woken.set_nonblocking(true)?;
-        let mut signals = Signals { flags: Vec::new(), woken, wakes };
+        let mut signals = Signals {
+            flags: Vec::new(),
+            woken,
+            wakes,
+        };
         signals.add(SIGHUP, Signal::Reload)?;
         signals.add(SIGTERM, Signal::Stop)?;
         Ok(signals)
@@ -60,7 +64,10 @@
     /// Lets the poller tell of them.
     pub fn register(self, poll: &Poll) -> io::Result<Registration> {
         let woken = poll.register(self.woken, poll_key(Source::Signal, None), Interest::Read)?;
-        Ok(Registration { flags: self.flags, woken })
+        Ok(Registration {
+            flags: self.flags,
+            woken,
+        })
     }
 }
 
@@ -73,7 +80,10 @@
             Ok(count) => count > 0,
             Err(e) => e.kind() == ErrorKind::Interrupted,
         } {}
-        let came = self.flags.iter().filter(|(_, flag)| flag.swap(false, Ordering::AcqRel));
+        let came = self
+            .flags
+            .iter()
+            .filter(|(_, flag)| flag.swap(false, Ordering::AcqRel));
         came.map(|(signal, _)| *signal).collect()
     }
 }
--- a/router/src/net/stream.rs
+++ b/router/src/net/stream.rs
@@ -35,12 +35,24 @@
 impl Stream {
     /// Takes over a socket that is connected, or that is connecting and will be writable when it is.
     pub fn new(
-        poll: &Poll, budget: &Budget, socket: TcpStream, key: usize, interest: Interest, most: usize,
+        poll: &Poll,
+        budget: &Budget,
+        socket: TcpStream,
+        key: usize,
+        interest: Interest,
+        most: usize,
     ) -> io::Result<Self> {
         socket.set_nonblocking(true)?;
         socket.set_nodelay(true)?;
         let socket = poll.register(socket, key, interest)?;
-        Ok(Stream { socket, input: budget.buffer(), read: 0, output: budget.buffer(), written: 0, most })
+        Ok(Stream {
+            socket,
+            input: budget.buffer(),
+            read: 0,
+            output: budget.buffer(),
+            written: 0,
+            most,
+        })
     }
 
     /// Reads what has come, up to the most that the input may hold.
@@ -55,7 +67,8 @@
             }
             match self.receive(&mut chunk) {
                 Ok(count) => {
-                    self.input.write(|input| input.extend_from_slice(&chunk[..count]));
+                    self.input
+                        .write(|input| input.extend_from_slice(&chunk[..count]));
                     if count < CHUNK {
                         break;
                     }
--- a/router/src/peers.rs
+++ b/router/src/peers.rs
@@ -45,28 +45,53 @@
 
 /// The witness that stands beside the module, where peers are on.
 pub fn witness(core: &mut Core) -> Option<&mut Witness> {
-    core.zoning().map(|zoning| zoning as &mut dyn Any).and_then(<dyn Any>::downcast_mut)
+    core.zoning()
+        .map(|zoning| zoning as &mut dyn Any)
+        .and_then(<dyn Any>::downcast_mut)
 }
 
 impl Talk {
     /// Opens the socket. Nobody is called yet.
     pub fn open(
-        poll: &Poll, terms: Terms, name: &str, settings: &Settings, clock: Clock, seed: u64,
+        poll: &Poll,
+        terms: Terms,
+        name: &str,
+        settings: &Settings,
+        clock: Clock,
+        seed: u64,
     ) -> Result<Self, Error> {
         let now = clock.now();
-        let refused = |source| Error::Listen { address: terms.listen, what: "the other routers", source };
+        let refused = |source| Error::Listen {
+            address: terms.listen,
+            what: "the other routers",
+            source,
+        };
         let socket = UdpSocket::bind(terms.listen).map_err(refused)?;
         socket.set_nonblocking(true)?;
         let listen = socket.local_addr()?;
         let advertise = terms.advertise.unwrap_or(listen);
-        let me =
-            Life { address: advertise, boot: now, turn: 0, name: name.into(), zone: settings.zone.clone() };
+        let me = Life {
+            address: advertise,
+            boot: now,
+            turn: 0,
+            name: name.into(),
+            zone: settings.zone.clone(),
+        };
         info!(reason = "peers", peers = %listen, advertise = %advertise, boot = now, "talks with other routers");
         let socket = poll.register(socket, poll_key(Source::Peers, None), Interest::Read)?;
         let routers = terms.rules.routers;
-        let chores = terms.duties.map(|terms| Chores::new(terms, &me, routers, clock, seed));
+        let chores = terms
+            .duties
+            .map(|terms| Chores::new(terms, &me, routers, clock, seed));
         let peers = Peers::new(terms.rules, terms.keys, me, now, seed);
-        Ok(Talk { socket, peers, due: None, advertise, chores, leaving: false })
+        Ok(Talk {
+            socket,
+            peers,
+            due: None,
+            advertise,
+            chores,
+            leaving: false,
+        })
     }
 
     /// Begins to call the others.
@@ -107,12 +132,17 @@
 
     /// Takes the questions that are to be asked for the fleet.
     pub fn take_asks(&mut self) -> Vec<Ask> {
-        self.chores.as_mut().map(Chores::take_asks).unwrap_or_default()
+        self.chores
+            .as_mut()
+            .map(Chores::take_asks)
+            .unwrap_or_default()
     }
 
     /// What became of them.
     pub fn heard(&mut self, now: Time, all: Vec<Heard>, core: &mut Core) {
-        let Some(chores) = &mut self.chores else { return };
+        let Some(chores) = &mut self.chores else {
+            return;
+        };
         for heard in all {
             chores.heard(now, heard);
         }
@@ -147,7 +177,9 @@
 
     /// Drives what is done for the fleet; when something of it is due next.
     fn chores(&mut self, now: Time, others: bool, core: &mut Core) -> Time {
-        let Some(chores) = &mut self.chores else { return Time::MAX };
+        let Some(chores) = &mut self.chores else {
+            return Time::MAX;
+        };
         if others {
             chores.seen(now, self.peers.others());
         }
@@ -175,8 +207,13 @@
         if terms.duties.as_ref() != self.chores.as_ref().map(Chores::terms) {
             warn!(reason = "duties", "SIGHUP: other duties need a restart");
         }
-        if terms.rules != *self.peers.rules() || terms.advertise.is_some_and(|a| a != self.advertise) {
-            warn!(reason = "peers", "SIGHUP: of peers only keys are taken over; the rest needs a restart");
+        if terms.rules != *self.peers.rules()
+            || terms.advertise.is_some_and(|a| a != self.advertise)
+        {
+            warn!(
+                reason = "peers",
+                "SIGHUP: of peers only keys are taken over; the rest needs a restart"
+            );
         }
         self.peers.rekey(terms.keys);
     }
@@ -208,10 +245,17 @@
         self.chores.iter().for_each(|chores| chores.dump(now));
         let Some(witness) = witness(core) else { return };
         let belief = self.peers.belief(witness);
-        let levels: Vec<String> =
-            belief.levels.iter().map(|(node, level, age)| format!("{node} {level} {age} ms")).collect();
+        let levels: Vec<String> = belief
+            .levels
+            .iter()
+            .map(|(node, level, age)| format!("{node} {level} {age} ms"))
+            .collect();
         let counts = belief.counts;
-        let dropped: Vec<String> = counts.dropped.iter().map(|(why, n)| format!("{why} {n}")).collect();
+        let dropped: Vec<String> = counts
+            .dropped
+            .iter()
+            .map(|(why, n)| format!("{why} {n}"))
+            .collect();
         info!(
             reason = "belief",
             me = belief.me,
@@ -247,10 +291,18 @@
             warn!(reason = "twins", router = a.name, address = %a.address, other = %b.address, "two routers have one name");
         }
         News::Again(life) => {
-            info!(reason = "again", turn = life.turn, "the others took this router for gone");
+            info!(
+                reason = "again",
+                turn = life.turn,
+                "the others took this router for gone"
+            );
         }
         News::Taken => warn!(reason = "taken", "another router holds this one's address"),
-        News::Stood(span) => info!(reason = "stood", ms = span / 1_000, "this router stood still"),
+        News::Stood(span) => info!(
+            reason = "stood",
+            ms = span / 1_000,
+            "this router stood still"
+        ),
         News::Dropped(fault, count) => {
             warn!(
                 reason = "dropped",
@@ -260,7 +312,12 @@
                 "datagrams that cannot be taken"
             );
         }
-        News::Verdict { node, was, verdict, tries } => {
+        News::Verdict {
+            node,
+            was,
+            verdict,
+            tries,
+        } => {
             info!(
                 reason = "verdict",
                 %node,
