--- a/router/src/serve.rs
+++ b/router/src/serve.rs
@@ -29,7 +29,11 @@
 const ROUNDS: u32 = 16;
 
 fn bind(address: SocketAddr, what: &'static str) -> Result<TcpListener, Error> {
-    TcpListener::bind(address).map_err(|source| Error::Listen { address, what, source })
+    TcpListener::bind(address).map_err(|source| Error::Listen {
+        address,
+        what,
+        source,
+    })
 }
 
 /// The router: its parts and the loop round them.
@@ -52,9 +56,17 @@
     ///
     /// `told` is what operators say; `operators` is the file that it comes from, read again on SIGHUP.
     pub fn new(
-        config: Config, told: operators::Told, operators: Option<operators::Source>, mut signals: Signals,
+        config: Config,
+        told: operators::Told,
+        operators: Option<operators::Source>,
+        mut signals: Signals,
     ) -> Result<Self, Error> {
-        let operators::Told { tiers, fronts, connect_options, peers } = told;
+        let operators::Told {
+            tiers,
+            fronts,
+            connect_options,
+            peers,
+        } = told;
         let poll = Poll::new()?;
         if peers.is_some() {
             signals.catch_tell()?;
@@ -63,18 +75,27 @@
         let listener = bind(config.listen, "clients")?;
         let listen = listener.local_addr()?;
         let (settings, budget) = (config.settings, Budget::new(config.buffered));
-        let longest = settings.classes.iter().map(|class| class.deadline).max().unwrap_or(0);
+        let longest = settings
+            .classes
+            .iter()
+            .map(|class| class.deadline)
+            .max()
+            .unwrap_or(0);
         let names = Names::of(&settings);
         // What is known is of some version: only what came after it is asked for, a few lines instead of all of them.
         let index = Some(config.known.index).filter(|_| !config.known.entries.is_empty());
         let lists = match settings.subscribe {
             true => Lists::Asked,
-            false => Lists::Pushed { grace: settings.drain_grace },
+            false => Lists::Pushed {
+                grace: settings.drain_grace,
+            },
         };
         let clock = Clock::default();
         let zoning = tiers.map(|tiers| Box::new(tiers) as Box<dyn Zoning>);
         let zoning = match &peers {
-            Some(terms) => Some(Box::new(Witness::new(&terms.rules, &settings, zoning)) as Box<dyn Zoning>),
+            Some(terms) => {
+                Some(Box::new(Witness::new(&terms.rules, &settings, zoning)) as Box<dyn Zoning>)
+            }
             None => zoning,
         };
         let talk = |terms| Talk::open(&poll, terms, &config.name, &settings, clock, config.seed);
@@ -91,7 +112,12 @@
                 settings.connect_timeout,
                 settings.connection_idle,
             ),
-            discovery: Discovery::new(&poll, config.discovery, index, WatchSchedule::new(lists, config.seed)),
+            discovery: Discovery::new(
+                &poll,
+                config.discovery,
+                index,
+                WatchSchedule::new(lists, config.seed),
+            ),
             core: match zoning {
                 Some(zoning) => Core::new(settings, config.seed).zoned(zoning),
                 None => Core::new(settings, config.seed),
@@ -122,7 +148,11 @@
         let mut at_once = self.decide(now);
         while !self.front.drained() {
             let now = self.clock.now();
-            let next = self.core.deadlines.next().map(|at| Duration::from_micros(at.saturating_sub(now)));
+            let next = self
+                .core
+                .deadlines
+                .next()
+                .map(|at| Duration::from_micros(at.saturating_sub(now)));
             let timeout = if at_once { Some(Duration::ZERO) } else { next };
             match self.poll.wait(&mut events, timeout) {
                 Err(e) if e.kind() != ErrorKind::Interrupted => return Err(e.into()),
@@ -138,9 +168,12 @@
     fn turn(&mut self, events: &Events) -> bool {
         let now = self.clock.now();
         let all = || {
-            events
-                .iter()
-                .map(|event| (split(event.key), event.is_interrupt() || event.is_err() == Some(true)))
+            events.iter().map(|event| {
+                (
+                    split(event.key),
+                    event.is_interrupt() || event.is_err() == Some(true),
+                )
+            })
         };
         let of = |wanted: Source| {
             all()
@@ -158,12 +191,17 @@
                 match signal {
                     Signal::Reload => self.reload(now),
                     Signal::Stop => self.terminate(now),
-                    Signal::Tell => self.peers.iter().for_each(|peers| peers.dump(now, &mut self.core)),
+                    Signal::Tell => self
+                        .peers
+                        .iter()
+                        .for_each(|peers| peers.dump(now, &mut self.core)),
                 }
             }
         }
         for _ in of(Source::Peers) {
-            self.peers.iter_mut().for_each(|peers| peers.event(now, &mut self.core));
+            self.peers
+                .iter_mut()
+                .for_each(|peers| peers.event(now, &mut self.core));
         }
         for (key, _) in of(Source::Backend) {
             self.upstream.event(key, now, &mut self.core);
@@ -191,7 +229,10 @@
             Due::Backend(key) => self.upstream.expired(key, now, &mut self.core),
             Due::Client(key) => self.front.look_over(key, now, &mut self.core),
             Due::Discovery => self.discovery.due(now, &mut self.core),
-            Due::Peers => self.peers.iter_mut().for_each(|peers| peers.turn(now, &mut self.core)),
+            Due::Peers => self
+                .peers
+                .iter_mut()
+                .for_each(|peers| peers.turn(now, &mut self.core)),
             Due::Accept => self.front.resume_accepting(now, &mut self.core),
             Due::Stop => {
                 // Handing over does not keep clients waiting.
@@ -220,14 +261,22 @@
     fn carry_out(&mut self, command: Command, now: Time) {
         let core = &mut self.core;
         match command {
-            Command::Send { attempt, origin, node } => match self.front.statement(origin, attempt.request) {
+            Command::Send {
+                attempt,
+                origin,
+                node,
+            } => match self.front.statement(origin, attempt.request) {
                 Some(statement) => self.upstream.send(attempt, statement, &node, now, core),
                 None => core.unsent(attempt, now),
             },
             Command::GiveUp { attempt, node } => self.upstream.give_up(attempt, &node, now, core),
             Command::Probe(node) => self.upstream.probe(&node, now, core),
             Command::CloseIdle(node) => self.upstream.close_idle(&node, core),
-            Command::Answer { request, origin, answer } => self.front.concluded(origin, request, answer),
+            Command::Answer {
+                request,
+                origin,
+                answer,
+            } => self.front.concluded(origin, request, answer),
         }
     }
 
@@ -245,7 +294,8 @@
 
     fn pass_on(&mut self, now: Time) {
         for served in self.upstream.take_served() {
-            self.front.served(served.origin, served.request, served.reply, now);
+            self.front
+                .served(served.origin, served.request, served.reply, now);
         }
     }
 
@@ -253,28 +303,43 @@
         for (entry, _) in &listing.entries {
             debug!(node = %entry.node, group = entry.group, state = ?entry.state, primary = entry.primary, "listed");
         }
-        let entries = listing.entries.iter().map(|(entry, _)| entry.clone()).collect();
+        let entries = listing
+            .entries
+            .iter()
+            .map(|(entry, _)| entry.clone())
+            .collect();
         self.core.list(match (restored, listing.whole) {
             (true, _) => ListUpdate::Restored(entries),
             (false, true) => ListUpdate::Full(entries),
             (false, false) => ListUpdate::Changes(entries),
         });
         self.upstream.list(&listing, now, &mut self.core);
-        self.peers.iter_mut().for_each(|peers| peers.listed(now, &self.core));
+        self.peers
+            .iter_mut()
+            .for_each(|peers| peers.listed(now, &self.core));
     }
 
     /// Takes over what a running router can; a file that is no good leaves all as it was.
     fn reload(&mut self, now: Time) {
         // Both are read before either is taken over.
-        let told = self.operators.as_ref().map(operators::Source::read).transpose();
+        let told = self
+            .operators
+            .as_ref()
+            .map(operators::Source::read)
+            .transpose();
         let (config, told) = match (config::reread(), told) {
             (Ok(config), Ok(told)) => (config, told),
             (Err(fault), _) | (_, Err(fault)) => {
-                return warn!(reason = "reload", help = fault.help(), "SIGHUP: {fault}; all stays as it was");
+                return warn!(
+                    reason = "reload",
+                    help = fault.help(),
+                    "SIGHUP: {fault}; all stays as it was"
+                );
             }
         };
         info!(discovery = %config.discovery, "SIGHUP: the configuration was read again");
-        self.discovery.move_to(config.discovery, now, &mut self.core);
+        self.discovery
+            .move_to(config.discovery, now, &mut self.core);
         if let Some(told) = told {
             let zones = told.tiers.as_ref().map_or(0, |t| t.view().len());
             self.rezone(told.tiers, now);
@@ -288,7 +353,10 @@
             match (&mut self.peers, told.peers) {
                 (Some(peers), Some(terms)) => peers.change(terms),
                 (None, None) => {}
-                _ => warn!(reason = "peers", "SIGHUP: whether routers talk needs a restart"),
+                _ => warn!(
+                    reason = "peers",
+                    "SIGHUP: whether routers talk needs a restart"
+                ),
             }
             info!(zones, "SIGHUP: the operators' file was taken over");
         }
@@ -300,7 +368,9 @@
             Some(witness) => witness.inner(),
             None => self.core.zoning(),
         };
-        let old = old.map(|zoning| zoning as &mut dyn Any).and_then(<dyn Any>::downcast_mut);
+        let old = old
+            .map(|zoning| zoning as &mut dyn Any)
+            .and_then(<dyn Any>::downcast_mut);
         if let (Some(fresh), Some(old)) = (&mut tiers, old) {
             fresh.inherit(old);
         }
@@ -318,8 +388,13 @@
         if std::mem::replace(&mut self.stopping, true) {
             return info!("SIGTERM: once more; it is finishing already");
         }
-        info!(held = self.core.held(), "SIGTERM: finishing what has been taken on");
-        self.peers.iter_mut().for_each(|peers| peers.leave(now, &mut self.core));
+        info!(
+            held = self.core.held(),
+            "SIGTERM: finishing what has been taken on"
+        );
+        self.peers
+            .iter_mut()
+            .for_each(|peers| peers.leave(now, &mut self.core));
         self.core.deadlines.add(now + STILL_ACCEPTING, Due::Stop);
     }
 }
