--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -58,7 +58,10 @@
 
     /// The same complaint, with the place it belongs to in front.
     pub fn within(self, place: &str) -> Self {
-        Fault::Within { place: place.to_string(), fault: Box::new(self) }
+        Fault::Within {
+            place: place.to_string(),
+            fault: Box::new(self),
+        }
     }
 
     /// What an operator can do.
@@ -74,7 +77,9 @@
             Fault::Unknown { .. } => {
                 "correct the spelling, or use a plovercove that knows this word: the platform may be newer than the router"
             }
-            Fault::Meaning(_) => "correct the value that is named, or have the platform write the file anew",
+            Fault::Meaning(_) => {
+                "correct the value that is named, or have the platform write the file anew"
+            }
             Fault::Within { fault, .. } => fault.help(),
         }
     }
@@ -104,7 +109,10 @@
     pub fn of(settings: &Settings) -> Self {
         let classes = settings.classes.iter().map(|c| c.name.clone());
         let tenants = settings.tenants.iter().map(|t| t.name.clone());
-        Names { classes: classes.zip(0..).collect(), tenants: tenants.zip(0..).collect() }
+        Names {
+            classes: classes.zip(0..).collect(),
+            tenants: tenants.zip(0..).collect(),
+        }
     }
 
     /// A class by its name.
@@ -129,14 +137,25 @@
     if shown.chars().count() > 60 {
         shown = shown.chars().take(60).collect::<String>() + "...";
     }
-    Fault::Kind { key: what.to_string(), want: want.to_string(), got: shown }
+    Fault::Kind {
+        key: what.to_string(),
+        want: want.to_string(),
+        got: shown,
+    }
 }
 
 /// A whole number that is not negative.
 pub fn whole(value: &Value, what: &str) -> Read<u64> {
-    let as_float =
-        || value.as_f64().filter(|f| f.fract() == 0.0 && (0.0..1.8e19).contains(f)).map(|f| f as u64);
-    value.as_u64().or_else(as_float).ok_or_else(|| bad(what, "a whole number", value))
+    let as_float = || {
+        value
+            .as_f64()
+            .filter(|f| f.fract() == 0.0 && (0.0..1.8e19).contains(f))
+            .map(|f| f as u64)
+    };
+    value
+        .as_u64()
+        .or_else(as_float)
+        .ok_or_else(|| bad(what, "a whole number", value))
 }
 
 /// A whole number of 32 bits.
@@ -156,7 +175,9 @@
 
 /// True or false.
 pub fn flag(value: &Value, what: &str) -> Read<bool> {
-    value.as_bool().ok_or_else(|| bad(what, "true or false", value))
+    value
+        .as_bool()
+        .ok_or_else(|| bad(what, "true or false", value))
 }
 
 /// A list.
@@ -173,14 +194,20 @@
 impl<'a> Part<'a> {
     /// A value whose path starts so.
     pub fn new(value: &'a Value, path: impl Into<String>) -> Self {
-        Part { value, path: path.into() }
+        Part {
+            value,
+            path: path.into(),
+        }
     }
 
     /// A part of this part, which must be an object.
     pub fn sub(&self, key: &str) -> Read<Part<'a>> {
         let path = format!("{}{key}", self.path);
         match self.value.get(key) {
-            Some(value) if value.is_object() => Ok(Part { value, path: path + "." }),
+            Some(value) if value.is_object() => Ok(Part {
+                value,
+                path: path + ".",
+            }),
             Some(value) => Err(bad(&path, "an object", value)),
             None => Err(Fault::Missing(path)),
         }
@@ -204,7 +231,11 @@
     }
 
     /// A value that may be null or left out.
-    pub fn maybe<T>(&self, key: &str, as_kind: impl Fn(&'a Value, &str) -> Read<T>) -> Read<Option<T>> {
+    pub fn maybe<T>(
+        &self,
+        key: &str,
+        as_kind: impl Fn(&'a Value, &str) -> Read<T>,
+    ) -> Read<Option<T>> {
         match self.value.get(key) {
             None | Some(Value::Static(StaticNode::Null)) => Ok(None),
             Some(value) => as_kind(value, &format!("{}{key}", self.path)).map(Some),
@@ -214,82 +245,118 @@
     /// One of some words.
     pub fn word<T: Clone>(&self, key: &str, words: &[(&str, T)]) -> Read<T> {
         let got = self.get(key, text)?;
-        let found = words.iter().find(|(word, _)| *word == got).map(|(_, meaning)| meaning.clone());
-        found.ok_or_else(|| Fault::Unknown { key: format!("{}{key}", self.path), got: got.to_string() })
+        let found = words
+            .iter()
+            .find(|(word, _)| *word == got)
+            .map(|(_, meaning)| meaning.clone());
+        found.ok_or_else(|| Fault::Unknown {
+            key: format!("{}{key}", self.path),
+            got: got.to_string(),
+        })
     }
 }
 
 /// Reads the settings, whose keys are named from this path on.
 pub fn settings(facts: &Value, path: &str) -> Read<Spawned> {
     let top = Part::new(facts, path);
-    let (info, limits, rules) = (top.sub("FamilyInfo")?, top.sub("Limits")?, top.sub("Rules")?);
+    let (info, limits, rules) = (
+        top.sub("FamilyInfo")?,
+        top.sub("Limits")?,
+        top.sub("Rules")?,
+    );
     let report = top.sub("Report")?;
     let prices = top.maybe_sub("Prices")?;
     let price = |key: &str| -> Read<f64> {
-        Ok(prices.as_ref().map(|p| p.maybe(key, number)).transpose()?.flatten().unwrap_or(0.0))
+        Ok(prices
+            .as_ref()
+            .map(|p| p.maybe(key, number))
+            .transpose()?
+            .flatten()
+            .unwrap_or(0.0))
     };
-    let yes = |part: &Part<'_>, key: &str| -> Read<bool> { Ok(part.maybe(key, flag)?.unwrap_or(false)) };
+    let yes =
+        |part: &Part<'_>, key: &str| -> Read<bool> { Ok(part.maybe(key, flag)?.unwrap_or(false)) };
     let holds = info.maybe("HoldsFor", whole)?.unwrap_or(0);
     let reads = info.get("ClassRead", list)?;
     let bounds = info.maybe("MaxAge", list)?;
-    let classes = top.get("Profiles", list)?.iter().enumerate().map(|(place, value)| {
-        let part = Part::new(value, format!("{path}Profiles[{place}]."));
-        let bound = bounds
-            .and_then(|b| b.get(place))
-            .map(|v| whole(v, &format!("{path}FamilyInfo.MaxAge[{place}]")))
-            .transpose()?;
-        let read =
-            reads.get(place).ok_or_else(|| Fault::Missing(format!("{path}FamilyInfo.ClassRead[{place}]")))?;
-        let access = match text(read, &format!("{path}FamilyInfo.ClassRead[{place}]"))? {
-            "update" => Access::Write,
-            "latest" => Access::Latest,
-            "own_writes" => Access::OwnWrites,
-            "recent" => Access::Bounded(bound.unwrap_or(0)),
-            "loose" => Access::Any,
-            other => {
-                return Err(Fault::Unknown {
-                    key: format!("{path}FamilyInfo.ClassRead[{place}]"),
-                    got: other.to_string(),
-                });
-            }
-        };
-        let effects = [
-            ("idempotent", Effect::Idempotent),
-            ("deduplicated", Effect::Deduplicated),
-            ("at_most_once", Effect::AtMostOnce),
-        ];
-        let scopes = [("all", RepeatScope::All), ("zone", RepeatScope::Zone), ("cell", RepeatScope::Group)];
-        Ok(Class {
-            name: part.get("Name", text)?.to_string(),
-            access,
-            aim: part.get("Aim", whole)?,
-            aim_stretch: part.maybe("AimStretch", number)?.unwrap_or(0.0),
-            deadline: part.get("Deadline", whole)?,
-            worth: part.maybe("Gain", number)?.unwrap_or(1.0),
-            late_worth: part.maybe("LateWorth", number)?.unwrap_or(0.0),
-            effect: part.word("Effect", &effects)?,
-            scope: if part.value.get("Group").is_some() {
-                part.word("Group", &scopes)?
-            } else {
-                RepeatScope::Group
-            },
-            window: part.maybe("Window", whole)?.unwrap_or(0),
-            stream: yes(&part, "Stream")?,
-        })
-    });
-    let tenants = top.maybe("Customers", list)?.into_iter().flatten().enumerate().map(|(place, value)| {
-        let part = Part::new(value, format!("{path}Customers[{place}]."));
-        Ok(Tenant {
-            name: part.get("Name", text)?.to_string(),
-            quota_per_s: part.maybe("AllowancePerS", number)?.unwrap_or(f64::INFINITY),
-        })
-    });
+    let classes = top
+        .get("Profiles", list)?
+        .iter()
+        .enumerate()
+        .map(|(place, value)| {
+            let part = Part::new(value, format!("{path}Profiles[{place}]."));
+            let bound = bounds
+                .and_then(|b| b.get(place))
+                .map(|v| whole(v, &format!("{path}FamilyInfo.MaxAge[{place}]")))
+                .transpose()?;
+            let read = reads
+                .get(place)
+                .ok_or_else(|| Fault::Missing(format!("{path}FamilyInfo.ClassRead[{place}]")))?;
+            let access = match text(read, &format!("{path}FamilyInfo.ClassRead[{place}]"))? {
+                "update" => Access::Write,
+                "latest" => Access::Latest,
+                "own_writes" => Access::OwnWrites,
+                "recent" => Access::Bounded(bound.unwrap_or(0)),
+                "loose" => Access::Any,
+                other => {
+                    return Err(Fault::Unknown {
+                        key: format!("{path}FamilyInfo.ClassRead[{place}]"),
+                        got: other.to_string(),
+                    });
+                }
+            };
+            let effects = [
+                ("idempotent", Effect::Idempotent),
+                ("deduplicated", Effect::Deduplicated),
+                ("at_most_once", Effect::AtMostOnce),
+            ];
+            let scopes = [
+                ("all", RepeatScope::All),
+                ("zone", RepeatScope::Zone),
+                ("cell", RepeatScope::Group),
+            ];
+            Ok(Class {
+                name: part.get("Name", text)?.to_string(),
+                access,
+                aim: part.get("Aim", whole)?,
+                aim_stretch: part.maybe("AimStretch", number)?.unwrap_or(0.0),
+                deadline: part.get("Deadline", whole)?,
+                worth: part.maybe("Gain", number)?.unwrap_or(1.0),
+                late_worth: part.maybe("LateWorth", number)?.unwrap_or(0.0),
+                effect: part.word("Effect", &effects)?,
+                scope: if part.value.get("Group").is_some() {
+                    part.word("Group", &scopes)?
+                } else {
+                    RepeatScope::Group
+                },
+                window: part.maybe("Window", whole)?.unwrap_or(0),
+                stream: yes(&part, "Stream")?,
+            })
+        });
+    let tenants = top
+        .maybe("Customers", list)?
+        .into_iter()
+        .flatten()
+        .enumerate()
+        .map(|(place, value)| {
+            let part = Part::new(value, format!("{path}Customers[{place}]."));
+            Ok(Tenant {
+                name: part.get("Name", text)?.to_string(),
+                quota_per_s: part
+                    .maybe("AllowancePerS", number)?
+                    .unwrap_or(f64::INFINITY),
+            })
+        });
     let checks = [
         ("silent", ReplicaCheck::None),
         ("reject", ReplicaCheck::Refuse),
         ("hold", ReplicaCheck::Wait(holds)),
     ];
-    let roles = [("delayed", ListRole::Late), ("initial", ListRole::Initial), ("silent", ListRole::None)];
+    let roles = [
+        ("delayed", ListRole::Late),
+        ("initial", ListRole::Initial),
+        ("silent", ListRole::None),
+    ];
     let sources = [
         ("piggyback", ReportSource::Answers),
         ("pull", ReportSource::Probes),
@@ -302,7 +369,10 @@
         ("live", WeightMeaning::Live),
     ];
     let names = report.maybe("Names", list)?;
-    let columns = names.into_iter().flatten().map(|v| text(v, "Report.Names").map(str::to_string));
+    let columns = names
+        .into_iter()
+        .flatten()
+        .map(|v| text(v, "Report.Names").map(str::to_string));
     Ok(Spawned {
         zero: info.maybe("BaseTime", whole)?.unwrap_or(0),
         report: columns.collect::<Read<_>>()?,
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -500,12 +500,22 @@
 impl News {
     /// News of a node.
     pub fn of(node: &NodeId, reason: &'static str, text: String) -> Self {
-        News { node: Some(node.clone()), reason, text, ..News::default() }
+        News {
+            node: Some(node.clone()),
+            reason,
+            text,
+            ..News::default()
+        }
     }
 
     /// News of a zone.
     pub fn of_zone(zone: &str, reason: &'static str, what: &str) -> Self {
-        News { zone: Some(zone.into()), reason, text: format!("zone {zone}: {what}"), ..News::default() }
+        News {
+            zone: Some(zone.into()),
+            reason,
+            text: format!("zone {zone}: {what}"),
+            ..News::default()
+        }
     }
 }
 
--- a/standin/src/fleet.rs
+++ b/standin/src/fleet.rs
@@ -44,7 +44,8 @@
         let rate = spec.rate() * spec.write_share() / layout.groups.len() as f64;
         let apply = (spec.replication.apply_use / rate.max(1e-9) * 1e6) as u64;
         let ship = (spec.replication.ship_ms * 1e3) as u64;
-        let group = |(members, head): (&Vec<usize>, &usize)| Group::new(members.len(), *head, ship, apply);
+        let group =
+            |(members, head): (&Vec<usize>, &usize)| Group::new(members.len(), *head, ship, apply);
         let groups = layout.groups.iter().zip(&layout.heads).map(group).collect();
         let shared = Arc::new(Shared::new(spec.clone(), seed, groups));
         let mut nodes = Vec::new();
@@ -57,7 +58,11 @@
             nodes.push(node);
         }
         let agent = Agent::start()?;
-        let fleet = Fleet { shared, nodes, agent };
+        let fleet = Fleet {
+            shared,
+            nodes,
+            agent,
+        };
         fleet.list();
         Ok(fleet)
     }
@@ -119,7 +124,9 @@
     pub fn zone_up(&self, zone: &str) -> io::Result<()> {
         for node in self.of(zone) {
             node.start_again(&self.shared)?;
-            self.shared.group(node.group).rejoin(node.member, crate::now());
+            self.shared
+                .group(node.group)
+                .rejoin(node.member, crate::now());
         }
         std::thread::sleep(LIST_LATE.1);
         self.list();
@@ -127,14 +134,20 @@
     }
 
     fn of<'a>(&'a self, zone: &'a str) -> impl Iterator<Item = &'a Arc<Node>> {
-        self.nodes.iter().filter(move |node| self.shared.zone(node.zone) == zone)
+        self.nodes
+            .iter()
+            .filter(move |node| self.shared.zone(node.zone) == zone)
     }
 
     /// What was counted so far.
     pub fn tally(&self) -> Tally {
         let (twice, spilled) = self.shared.counts();
         Tally {
-            fallen: self.nodes.iter().filter(|node| node.inside().machine.fallen()).count(),
+            fallen: self
+                .nodes
+                .iter()
+                .filter(|node| node.inside().machine.fallen())
+                .count(),
             twice,
             spilled,
         }
--- a/standin/src/lib.rs
+++ b/standin/src/lib.rs
@@ -27,5 +27,7 @@
 
 /// The system's clock, Unix time in microseconds.
 pub(crate) fn now() -> Time {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_micros() as Time)
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |d| d.as_micros() as Time)
 }
--- a/standin/src/page.rs
+++ b/standin/src/page.rs
@@ -21,7 +21,11 @@
         let cells: Vec<&str> = line.trim_matches('|').split(" | ").map(str::trim).collect();
         assert_eq!(cells.len(), 4, "{line}");
         let bare = |cell: &str| cell.trim_matches('`').to_string();
-        Row { message: bare(cells[0]), help: cells[2].to_string(), variant: bare(cells[3]) }
+        Row {
+            message: bare(cells[0]),
+            help: cells[2].to_string(),
+            variant: bare(cells[3]),
+        }
     };
     rows.map(row).collect()
 }
@@ -32,7 +36,9 @@
     let pieces: Vec<&str> = message.split('…').collect();
     let (last, first) = pieces.split_last().expect("one at the least");
     for piece in first {
-        let Some(at) = rest.find(piece) else { return false };
+        let Some(at) = rest.find(piece) else {
+            return false;
+        };
         rest = &rest[at + piece.len()..];
     }
     rest.ends_with(last)
--- a/standin/src/shared.rs
+++ b/standin/src/shared.rs
@@ -43,12 +43,18 @@
     /// Writes that ran more than once, and the work that came to each zone from others.
     pub(crate) fn counts(&self) -> (usize, Vec<Vec<f64>>) {
         let writes = self.writes.lock().unwrap_or_else(PoisonError::into_inner);
-        let spilled = self.spilled.lock().unwrap_or_else(PoisonError::into_inner).clone();
+        let spilled = self
+            .spilled
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .clone();
         (writes.values().filter(|times| **times > 1).count(), spilled)
     }
 
     pub(crate) fn group(&self, group: usize) -> MutexGuard<'_, Group> {
-        self.groups[group].lock().unwrap_or_else(PoisonError::into_inner)
+        self.groups[group]
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     pub(crate) fn class(&self, name: &str) -> Option<usize> {
--- a/standin/src/wires.rs
+++ b/standin/src/wires.rs
@@ -33,7 +33,10 @@
     /// No port could be had.
     pub fn start(to: SocketAddr) -> io::Result<Self> {
         let listener = TcpListener::bind(("127.0.0.1", 0))?;
-        let wire = Wire { address: listener.local_addr()?, state: Arc::default() };
+        let wire = Wire {
+            address: listener.local_addr()?,
+            state: Arc::default(),
+        };
         let state = wire.state.clone();
         std::thread::spawn(move || {
             while let Ok((near, _)) = listener.accept() {
@@ -61,7 +64,9 @@
 
     /// All takes so much longer.
     pub fn delay(&self, span: Duration) {
-        self.state.delay_ms.store(span.as_millis() as u64, Ordering::Relaxed);
+        self.state
+            .delay_ms
+            .store(span.as_millis() as u64, Ordering::Relaxed);
     }
 
     /// Connections that were made through it.
--- a/tiers/src/allowance.rs
+++ b/tiers/src/allowance.rs
@@ -22,7 +22,12 @@
 impl Allowance {
     /// A bucket whose first level is this share of one request's cost.
     pub fn staggered(now: Time, share: f64, cost: f64) -> Self {
-        Allowance { level: share.clamp(0.0, 1.0) * cost, rate: 0.0, depth: cost, filled: now }
+        Allowance {
+            level: share.clamp(0.0, 1.0) * cost,
+            rate: 0.0,
+            depth: cost,
+            filled: now,
+        }
     }
 
     fn now(&self, now: Time) -> f64 {
@@ -35,7 +40,8 @@
     pub fn refill(&mut self, now: Time, rate: f64, least: f64) {
         // The old rate held until now; with the new one a rise would count backwards.
         self.level = self.now(now);
-        (self.rate, self.depth, self.filled) = (rate, (rate * DEPTH).max(least), self.filled.max(now));
+        (self.rate, self.depth, self.filled) =
+            (rate, (rate * DEPTH).max(least), self.filled.max(now));
     }
 
     /// Whether a request of this cost may take its part, and leave `reserve` of the depth to what is worth more. One
@@ -84,11 +90,16 @@
         for n in 0..300 {
             let mut bucket = Allowance::staggered(0, f64::from(n) / 300.0, 0.06);
             bucket.refill(0, 0.0025, 0.06);
-            let at = (0..40_000_000).step_by(10_000).find(|now| bucket.covers(*now, 0.06, 0.0));
+            let at = (0..40_000_000)
+                .step_by(10_000)
+                .find(|now| bucket.covers(*now, 0.06, 0.0));
             first.push(at.expect("it fills"));
         }
         for from in (0..24_000_000).step_by(1_000_000) {
-            let inside = first.iter().filter(|at| (from..from + 1_000_000).contains(*at)).count();
+            let inside = first
+                .iter()
+                .filter(|at| (from..from + 1_000_000).contains(*at))
+                .count();
             assert!(inside <= 15, "{inside} first requests in one second");
         }
     }
