--- a/tiers/src/rules.rs
+++ b/tiers/src/rules.rs
@@ -33,7 +33,12 @@
 
 impl Default for RampRules {
     fn default() -> Self {
-        RampRules { start: 0.1, answers: 6, double_ms: 700, back: 0.6 }
+        RampRules {
+            start: 0.1,
+            answers: 6,
+            double_ms: 700,
+            back: 0.6,
+        }
     }
 }
 
@@ -55,7 +60,13 @@
 
 impl Default for FlapRules {
     fn default() -> Self {
-        FlapRules { each: 1_000.0, suppress: 3_000.0, reuse: 1_500.0, half_life_ms: 8_000, most: 4_000.0 }
+        FlapRules {
+            each: 1_000.0,
+            suppress: 3_000.0,
+            reuse: 1_500.0,
+            half_life_ms: 8_000,
+            most: 4_000.0,
+        }
     }
 }
 
@@ -87,7 +98,9 @@
 }
 
 /// What is wrong with a key of the rules.
-#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error, strum::IntoStaticStr, strum::VariantNames)]
+#[derive(
+    Clone, Debug, PartialEq, Eq, thiserror::Error, strum::IntoStaticStr, strum::VariantNames,
+)]
 pub enum Wrong {
     /// No zones, or too many.
     #[error("expected 1 to {MOST_ZONES} zones")]
@@ -206,21 +219,34 @@
         if ramp.answers == 0 {
             return fault("ramp.answers".into(), Wrong::Range("1 or more"));
         }
-        for (key, ms) in [("ramp.double_ms", ramp.double_ms), ("flap.half_life_ms", flap.half_life_ms)] {
+        for (key, ms) in [
+            ("ramp.double_ms", ramp.double_ms),
+            ("flap.half_life_ms", flap.half_life_ms),
+        ] {
             if ms == 0 || ms > 3_600_000 {
                 return fault(key.into(), Wrong::Range("1 to 3600000 ms"));
             }
         }
-        if !(flap.each > 0.0 && flap.reuse > 0.0 && flap.reuse < flap.suppress && flap.suppress <= flap.most)
+        if !(flap.each > 0.0
+            && flap.reuse > 0.0
+            && flap.reuse < flap.suppress
+            && flap.suppress <= flap.most)
         {
-            return fault("flap".into(), Wrong::Range("0 < reuse < suppress <= most, and each over 0"));
+            return fault(
+                "flap".into(),
+                Wrong::Range("0 < reuse < suppress <= most, and each over 0"),
+            );
         }
         Ok(())
     }
 
     /// The home zone, where these rules or the settings name one that is known.
     pub fn home_of(&self, settings: &Settings) -> Option<usize> {
-        let name = if self.home.is_empty() { &settings.zone } else { &self.home };
+        let name = if self.home.is_empty() {
+            &settings.zone
+        } else {
+            &self.home
+        };
         self.zones.iter().position(|z| &z.name == name)
     }
 }
--- a/tiers/src/tiers.rs
+++ b/tiers/src/tiers.rs
@@ -144,7 +144,9 @@
 
 /// An even draw from 0 to 1 for a request: the same for each question about it.
 fn luck(request: RequestId, salt: u64) -> f64 {
-    let mut x = request.wrapping_add(salt).wrapping_mul(0x9e37_79b9_7f4a_7c15);
+    let mut x = request
+        .wrapping_add(salt)
+        .wrapping_mul(0x9e37_79b9_7f4a_7c15);
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     ((x ^ (x >> 31)) >> 11) as f64 / (1u64 << 53) as f64
@@ -165,7 +167,10 @@
     pub fn new(rules: Rules, settings: &Settings, seed: u64) -> Result<Self, RuleFault> {
         rules.check()?;
         let Some(home) = rules.home_of(settings) else {
-            return Err(RuleFault { key: "home".into(), why: Wrong::Elsewhere(settings.zone.clone()) });
+            return Err(RuleFault {
+                key: "home".into(),
+                why: Wrong::Elsewhere(settings.zone.clone()),
+            });
         };
         let prefer = &rules.zones[home].prefer;
         let tier = |zone: &Zone| match prefer.iter().position(|tier| tier.contains(&zone.name)) {
@@ -181,7 +186,11 @@
             ahead: 1.0,
             ..Place::default()
         };
-        let costs: Vec<f64> = settings.classes.iter().map(|c| c.aim as f64 * COST.0).collect();
+        let costs: Vec<f64> = settings
+            .classes
+            .iter()
+            .map(|c| c.aim as f64 * COST.0)
+            .collect();
         let told: u32 = rules.zones.iter().map(|z| z.routers).sum();
         let mut tiers = Tiers {
             home,
@@ -217,7 +226,11 @@
             moved.push(zone);
             let Place { tier, routers, .. } = self.places[zone];
             if self.places[zone].name == place.name {
-                self.places[zone] = Place { tier, routers, ..place };
+                self.places[zone] = Place {
+                    tier,
+                    routers,
+                    ..place
+                };
             }
         }
         self.nodes = std::mem::take(&mut old.nodes);
@@ -252,7 +265,8 @@
 
     fn log(&mut self, zone: usize, reason: &'static str, what: &str) {
         if self.news.len() < MOST_NEWS {
-            self.news.push_back(News::of_zone(&self.places[zone].name, reason, what));
+            self.news
+                .push_back(News::of_zone(&self.places[zone].name, reason, what));
         }
     }
 
@@ -265,8 +279,18 @@
             return self.places.len() - 1;
         }
         let tier = self.places.iter().map(|p| p.tier).max().unwrap_or(0) + 1;
-        self.places.push(Place { name: name.into(), tier, bears: 1.0, ahead: 1.0, ..Place::default() });
-        self.log(self.places.len() - 1, "not in the rules", "the rules do not name it; it is used last");
+        self.places.push(Place {
+            name: name.into(),
+            tier,
+            bears: 1.0,
+            ahead: 1.0,
+            ..Place::default()
+        });
+        self.log(
+            self.places.len() - 1,
+            "not in the rules",
+            "the rules do not name it; it is used last",
+        );
         self.places.len() - 1
     }
 
@@ -278,7 +302,11 @@
         let share = warm(node.started, now, self.cold_share, self.cold_span) * place.ahead;
         let all = f64::from(self.routers);
         let near = f64::from(place.routers).clamp(1.0, all);
-        let part = if node.zone == self.home { COLD.0 / near } else { COLD.1 / (all - near).max(1.0) };
+        let part = if node.zone == self.home {
+            COLD.0 / near
+        } else {
+            COLD.1 / (all - near).max(1.0)
+        };
         node.capacity * share.min(1.0) * part
     }
 
@@ -317,9 +345,16 @@
     /// Counts what the zones have.
     fn count(&mut self, now: Time) {
         for place in &mut self.places {
-            (place.capacity, place.warm, place.listed, place.full, place.serving) = (0.0, 0.0, 0.0, 0.0, 0);
-        }
-        self.nodes.retain(|_, n| n.left.is_none_or(|at| now < at + REMEMBERED));
+            (
+                place.capacity,
+                place.warm,
+                place.listed,
+                place.full,
+                place.serving,
+            ) = (0.0, 0.0, 0.0, 0.0, 0);
+        }
+        self.nodes
+            .retain(|_, n| n.left.is_none_or(|at| now < at + REMEMBERED));
         let (cold_share, cold_span) = (self.cold_share, self.cold_span);
         for node in self.nodes.values() {
             let share = warm(node.started, now, cold_share, cold_span);
@@ -329,7 +364,11 @@
                 place.serving += 1;
                 place.listed += node.capacity;
                 place.warm += node.capacity * share;
-                place.capacity += if node.fails >= 2 { 0.0 } else { node.capacity * share };
+                place.capacity += if node.fails >= 2 {
+                    0.0
+                } else {
+                    node.capacity * share
+                };
             }
         }
     }
@@ -343,7 +382,10 @@
         }
         let lost = |c: Cause| matches!(c, Cause::Gone | Cause::Dark | Cause::Link);
         let before = std::mem::replace(&mut place.cause, cause);
-        let was = std::mem::replace(&mut place.suppressed, place.flap.suppressed(now, &self.rules.flap));
+        let was = std::mem::replace(
+            &mut place.suppressed,
+            place.flap.suppressed(now, &self.rules.flap),
+        );
         let suppressed = place.suppressed;
         if lost(cause) && !lost(before) {
             place.lost_at = Some(now);
@@ -355,17 +397,29 @@
                 Cause::Dark => "dark",
                 _ => "link lost",
             };
-            self.log(zone, reason, &format!("lost ({cause:?}), penalty {penalty}"));
+            self.log(
+                zone,
+                reason,
+                &format!("lost ({cause:?}), penalty {penalty}"),
+            );
         } else if !lost(cause) && lost(before) {
             place.lost_at = None;
             // Where the cause turned out to be common, the zone itself was never lost.
             if cause != Cause::Common {
                 // Little goes to other zones, so their ramps would see no answers; their share of spill bounds them.
-                let start = if zone == self.home { self.rules.ramp.start } else { 1.0 };
+                let start = if zone == self.home {
+                    self.rules.ramp.start
+                } else {
+                    1.0
+                };
                 place.ramp.begin(now, start);
                 place.ahead = 1.0;
             }
-            self.log(zone, "way back", &format!("answers again ({cause:?}), on its way back"));
+            self.log(
+                zone,
+                "way back",
+                &format!("answers again ({cause:?}), on its way back"),
+            );
         }
         if was != suppressed {
             match suppressed {
@@ -378,12 +432,20 @@
     /// How much of the home zone's requests stays at home: what is left of it, corrected by how its answers go.
     fn balance_home(&mut self, now: Time) {
         let home = &self.places[self.home];
-        let left = if home.full > 0.0 { home.warm / home.full } else { 1.0 };
+        let left = if home.full > 0.0 {
+            home.warm / home.full
+        } else {
+            1.0
+        };
         if now < self.keep_at + KEEP_GAP {
             return;
         }
         self.keep_at = now;
-        let others = self.places.iter().enumerate().filter(|(n, _)| *n != self.home);
+        let others = self
+            .places
+            .iter()
+            .enumerate()
+            .filter(|(n, _)| *n != self.home);
         let common = evidence::strain_in_common(others.map(|(_, p)| &p.seen));
         let strained = home.seen.strained();
         self.keep = match strained {
@@ -406,20 +468,31 @@
             || self.keep < 1.0
             || home.suppressed
             || home.capacity < home.full * 0.9;
-        let well = |p: &Place| p.cause == Cause::Well && p.ramp.done() && p.capacity >= p.full * 0.9;
-        let calm_share = if self.places.iter().all(well) { CALM_SPILL.0 } else { CALM_SPILL.1 };
+        let well =
+            |p: &Place| p.cause == Cause::Well && p.ramp.done() && p.capacity >= p.full * 0.9;
+        let calm_share = if self.places.iter().all(well) {
+            CALM_SPILL.0
+        } else {
+            CALM_SPILL.1
+        };
         let all: u32 = self.places.iter().map(|p| p.routers).sum();
-        let in_need = |place: &Place| !place.seen.heard_within(now, PROVED) || place.cause != Cause::Well;
+        let in_need =
+            |place: &Place| !place.seen.heard_within(now, PROVED) || place.cause != Cause::Well;
         let wanting: u32 = (0..self.places.len())
             .filter(|n| *n == self.home || in_need(&self.places[*n]))
             .map(|n| self.places[n].routers)
             .sum();
         for zone in 0..self.places.len() {
             let place = &self.places[zone];
-            let own = if in_need(place) && zone != self.home { place.routers } else { 0 };
+            let own = if in_need(place) && zone != self.home {
+                place.routers
+            } else {
+                0
+            };
             let limit = self.rules.spill * place.capacity * place.bears * SPILL_MARGIN;
             let calm = limit * calm_share / f64::from((all - place.routers).max(1));
-            let mine = limit * (1.0 - CALM_SPILL.1) / f64::from((wanting - own.min(wanting)).max(1));
+            let mine =
+                limit * (1.0 - CALM_SPILL.1) / f64::from((wanting - own.min(wanting)).max(1));
             let rate = if needy { calm + mine } else { calm };
             self.places[zone].spill.refill(now, rate, least);
         }
@@ -432,7 +505,11 @@
         order.sort_by(|a, b| value(*a).total_cmp(&value(*b)));
         let last = order.len().saturating_sub(1).max(1) as f64;
         for (place, class) in order.into_iter().enumerate() {
-            self.ranks[class] = if self.costs.len() > 1 { place as f64 / last } else { 1.0 };
+            self.ranks[class] = if self.costs.len() > 1 {
+                place as f64 / last
+            } else {
+                1.0
+            };
         }
     }
 
@@ -454,8 +531,16 @@
         let reserve = RESERVE * (1.0 - self.ranks[ask.class]);
         if zone == self.home {
             // What does not stay for want of nodes stays all the same where no other zone takes it.
-            let others = || self.places.iter().filter(|p| p.tier > 0 && p.cause == Cause::Well);
-            let share = if place.suppressed { self.rules.ramp.start } else { 1.0 };
+            let others = || {
+                self.places
+                    .iter()
+                    .filter(|p| p.tier > 0 && p.cause == Cause::Well)
+            };
+            let share = if place.suppressed {
+                self.rules.ramp.start
+            } else {
+                1.0
+            };
             let share = place.ramp.share().min(share);
             return luck < self.keep * share
                 || ((luck < share || place.suppressed)
@@ -488,24 +573,36 @@
         let (stagger, least) = (luck(u64::from(self.index), self.salt), self.least());
         for entry in entries {
             let zone = self.zone(&entry.zone);
-            let capacity = entry.weight.max(0.01) * self.rules.cores.get(&entry.kind).copied().unwrap_or(1.0);
-            let node = self.nodes.entry(entry.node.clone()).or_insert_with(|| Node {
-                zone,
-                capacity,
-                serving: false,
-                started: None,
-                left: None,
-                fails: 0,
-                cold: Allowance::default(),
-            });
+            let capacity =
+                entry.weight.max(0.01) * self.rules.cores.get(&entry.kind).copied().unwrap_or(1.0);
+            let node = self
+                .nodes
+                .entry(entry.node.clone())
+                .or_insert_with(|| Node {
+                    zone,
+                    capacity,
+                    serving: false,
+                    started: None,
+                    left: None,
+                    fails: 0,
+                    cold: Allowance::default(),
+                });
             if entry.started > node.started {
                 node.fails = 0;
-                node.cold =
-                    Allowance::staggered(now, luck(node.started.unwrap_or(0), self.salt) * stagger, least);
+                node.cold = Allowance::staggered(
+                    now,
+                    luck(node.started.unwrap_or(0), self.salt) * stagger,
+                    least,
+                );
             }
-            (node.zone, node.capacity, node.started) = (zone, capacity, entry.started.or(node.started));
+            (node.zone, node.capacity, node.started) =
+                (zone, capacity, entry.started.or(node.started));
             node.serving = entry.state == Listed::Serving;
-            node.left = if node.serving { None } else { node.left.or(Some(now)) };
+            node.left = if node.serving {
+                None
+            } else {
+                node.left.or(Some(now))
+            };
         }
         self.reviewed = 0;
         self.review(now);
@@ -516,7 +613,9 @@
 
     fn counts(&mut self, now: Time, ask: &Ask, node: &NodeId) -> Option<f64> {
         self.review(now);
-        let Some(known) = self.nodes.get(node) else { return Some(1.0) };
+        let Some(known) = self.nodes.get(node) else {
+            return Some(1.0);
+        };
         let (zone, tier) = (known.zone, self.places[known.zone].tier);
         // The primary alone takes writes, wherever it is.
         if ask.write {
@@ -541,7 +640,9 @@
     }
 
     fn sent(&mut self, now: Time, ask: &Ask, node: &NodeId) {
-        let Some(known) = self.nodes.get_mut(node) else { return };
+        let Some(known) = self.nodes.get_mut(node) else {
+            return;
+        };
         let (zone, cost) = (known.zone, self.costs[ask.class] / 1e6);
         if known.started.is_some_and(|at| now < at + self.cold_span) {
             known.cold.take(now, cost);
@@ -563,11 +664,22 @@
     fn ended(&mut self, now: Time, ask: &Ask, node: &NodeId, ending: Ending, elapsed: Span) {
         let aim = self.classes[ask.class].aim as f64;
         let usual = self.costs[ask.class] as Span;
-        let Some(known) = self.nodes.get_mut(node) else { return };
+        let Some(known) = self.nodes.get_mut(node) else {
+            return;
+        };
         // A cold node takes longer by what it lacks; that is no news of its zone.
         let share = warm(known.started, now, self.cold_share, self.cold_span);
-        let in_time = if share < 1.0 { (aim * IN_TIME).min(usual as f64 * COLD_TIME) } else { aim * IN_TIME };
-        let sign = evidence::sign(ending, (elapsed as f64 * share) as Span, in_time as Span, usual);
+        let in_time = if share < 1.0 {
+            (aim * IN_TIME).min(usual as f64 * COLD_TIME)
+        } else {
+            aim * IN_TIME
+        };
+        let sign = evidence::sign(
+            ending,
+            (elapsed as f64 * share) as Span,
+            in_time as Span,
+            usual,
+        );
         let zone = known.zone;
         match sign {
             Sign::Silent => known.fails = known.fails.saturating_add(1),
@@ -643,17 +755,30 @@
             if all > 0.0 && young / all >= TROUBLED {
                 let share = (self.rules.ramp.start * 2.0).min(1.0);
                 self.places[zone].ramp.begin(now, share);
-                self.log(zone, "young", "young at this router's start, on its way back");
+                self.log(
+                    zone,
+                    "young",
+                    "young at this router's start, on its way back",
+                );
             }
         }
     }
 
     /// Tiers by measured latency: zones whose best answers take about as long share one.
     fn order_by_trip(&mut self) {
-        let Some(home) = self.places[self.home].trip else { return };
+        let Some(home) = self.places[self.home].trip else {
+            return;
+        };
         let mut others: Vec<(f64, usize)> = (0..self.places.len())
             .filter(|n| *n != self.home)
-            .map(|n| (self.places[n].trip.map_or(f64::INFINITY, |trip| (trip - home).max(0.0)), n))
+            .map(|n| {
+                (
+                    self.places[n]
+                        .trip
+                        .map_or(f64::INFINITY, |trip| (trip - home).max(0.0)),
+                    n,
+                )
+            })
             .collect();
         others.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
         let (mut tier, mut first) = (0, f64::NEG_INFINITY);
