--- a/Makefile
+++ b/Makefile
@@ -18,5 +18,5 @@
 	.ci/run
 
 demo:
-	cargo build --release --locked -p plovercove-router -p plovercove-lab
-	target/release/plovercove-lab demo
+	cargo build --release --locked -p plovercove-router -p plovercove-experiments
+	target/release/plovercove-experiments demo
--- a/standin/src/client.rs
+++ b/emulator/src/client.rs
@@ -1,7 +1,7 @@
 //! Clients: open arrivals for each router, each request on a connection of its own or one that is kept.
 
 use crate::wire;
-use plovercove_fleet::{Reads, Spec};
+use plovercove_simulation::{Reads, Spec};
 use rand::{RngExt, SeedableRng};
 use rand_distr::{Distribution, Exp};
 use std::io::{self, ErrorKind, Write};
@@ -69,7 +69,7 @@
                 let (zone, address) = (*zone, *address);
                 let name = (n * THREADS + thread) as u64;
                 let client = move || {
-                    let dice = plovercove_fleet::Dice::seed_from_u64(seed ^ (name << 32));
+                    let dice = plovercove_simulation::Dice::seed_from_u64(seed ^ (name << 32));
                     let mut client = Client {
                         spec,
                         zone,
@@ -184,7 +184,7 @@
     zone: usize,
     caller: Caller,
     name: u64,
-    dice: plovercove_fleet::Dice,
+    dice: plovercove_simulation::Dice,
     asked: u64,
 }
 
--- a/standin/src/fleet.rs
+++ b/emulator/src/fleet.rs
@@ -3,9 +3,9 @@
 use crate::agent::{Agent, Entry};
 use crate::node::Node;
 use crate::shared::Shared;
-use plovercove_fleet::node::Machine;
-use plovercove_fleet::replication::Group;
-use plovercove_fleet::{Spec, layout};
+use plovercove_simulation::node::Machine;
+use plovercove_simulation::replication::Group;
+use plovercove_simulation::{Spec, layout};
 use std::io;
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
--- a/standin/src/node.rs
+++ b/emulator/src/node.rs
@@ -3,7 +3,7 @@
 use crate::shared::Shared;
 use crate::wire;
 use plovercove::Time;
-use plovercove_fleet::node::{Machine, Offer};
+use plovercove_simulation::node::{Machine, Offer};
 use std::collections::HashMap;
 use std::io::{self, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
--- a/standin/src/server.rs
+++ b/emulator/src/server.rs
@@ -4,7 +4,7 @@
 //! It is written from the manual ("Frontend/Backend Protocol") and shares no framing with the router.
 
 use crate::wire;
-use plovercove_dialect::verifier::{Exchange, Verifier};
+use plovercove_pgwire::verifier::{Exchange, Verifier};
 use std::io::{self, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering};
--- a/standin/src/shared.rs
+++ b/emulator/src/shared.rs
@@ -1,7 +1,7 @@
 //! What the nodes share: the groups' logs, the classes, and what is counted over all of them.
 
-use plovercove_fleet::replication::Group;
-use plovercove_fleet::{Reads, Spec};
+use plovercove_simulation::replication::Group;
+use plovercove_simulation::{Reads, Spec};
 use rand::SeedableRng;
 use rand_distr::{Distribution, LogNormal};
 use std::collections::HashMap;
@@ -69,7 +69,7 @@
     pub(crate) fn work(&self, class: usize, id: &str) -> f64 {
         let mut hasher = DefaultHasher::new();
         (self.seed, id).hash(&mut hasher);
-        let mut dice = plovercove_fleet::Dice::seed_from_u64(hasher.finish());
+        let mut dice = plovercove_simulation::Dice::seed_from_u64(hasher.finish());
         let told = &self.spec.classes[class];
         let sigma2 = (1.0 + told.spread * told.spread).ln();
         let mean = (told.work_ms / 1e3).ln() - sigma2 / 2.0;
--- a/core/tests/backoff.rs
+++ b/engine/tests/backoff.rs
@@ -1,7 +1,7 @@
 //! Pauses after failures in a row.
 
 use plovercove::Span;
-use plovercove_core::Backoff;
+use plovercove_engine::Backoff;
 
 const S: Span = 1_000_000;
 
--- a/core/tests/watch_schedule.rs
+++ b/engine/tests/watch_schedule.rs
@@ -1,7 +1,7 @@
 //! The waits of a watch, held against the one clock: call by call, and over drawn sequences of whatever discovery does.
 
 use plovercove::{Span, Time};
-use plovercove_core::{Lists, WatchSchedule};
+use plovercove_engine::{Lists, WatchSchedule};
 
 const S: Span = 1_000_000;
 const MS: Span = 1_000;
--- a/lab/src/cost.rs
+++ b/experiments/src/cost.rs
@@ -2,9 +2,9 @@
 //! before one scripted server, with the router's own CPU time beside it.
 
 use crate::error::Error;
-use plovercove_standin::old::{Heard, Old};
-use plovercove_standin::process::{Folder, Process};
-use plovercove_standin::server::{
+use plovercove_emulator::old::{Heard, Old};
+use plovercove_emulator::process::{Folder, Process};
+use plovercove_emulator::server::{
     Answer, Gate, PASSWORD, Server, USER, columns, complete, ready, row,
 };
 use serde_json::json;
--- a/lab/src/error.rs
+++ b/experiments/src/error.rs
@@ -1,6 +1,6 @@
 //! Why the lab does not play, and what to do.
 
-use plovercove_fleet::SpecFault;
+use plovercove_simulation::SpecFault;
 use std::io;
 
 /// What is wrong with a command, a script or a trial.
@@ -8,7 +8,7 @@
 pub enum Error {
     /// A fault of the script.
     #[error(transparent)]
-    Script(#[from] plovercove_script::Fault),
+    Script(#[from] plovercove_starlark_config::Fault),
     /// A fault of one case of the script.
     #[error("case {case}: {fault}")]
     Case {
@@ -121,7 +121,7 @@
             Error::Case { fault, .. } => fault.help(),
             Error::Model(_) => "correct the key that is named, in the script or under --set",
             Error::NoCase { .. } => {
-                "name a case of the script; plovercove-lab check FILE prints them"
+                "name a case of the script; plovercove-experiments check FILE prints them"
             }
             Error::Set(_) => "write the path of a key, = and its value, as --set clients.load=0.7",
             Error::Seeds => "write two whole numbers, as --seeds 1..40",
@@ -175,8 +175,8 @@
     use super::*;
     use crate::experiment::Experiment;
     use crate::sockets;
-    use plovercove_fleet::Spec;
-    use plovercove_standin::page;
+    use plovercove_emulator::page;
+    use plovercove_simulation::Spec;
     use std::collections::BTreeSet;
     use std::path::Path;
     use strum::VariantNames;
@@ -184,8 +184,10 @@
     const SMALL: &str = "zones = [{\"name\": z, \"nodes\": 3, \"routers\": 2} for z in [\"a\", \"b\", \"c\"]]\nseconds = 1.0\n";
 
     fn read(more: &str, set: &[&str]) -> Result<Experiment, Error> {
-        let path =
-            std::env::temp_dir().join(format!("plovercove-lab-errors-{}.star", std::process::id()));
+        let path = std::env::temp_dir().join(format!(
+            "plovercove-experiments-errors-{}.star",
+            std::process::id()
+        ));
         std::fs::write(&path, format!("{SMALL}{more}"))?;
         let set: Vec<String> = set.iter().map(ToString::to_string).collect();
         let read = Experiment::read(&path, &set);
--- a/lab/src/experiment.rs
+++ b/experiments/src/experiment.rs
@@ -2,8 +2,8 @@
 
 use crate::error::Error;
 use indicatif::{ProgressBar, ProgressStyle};
-use plovercove_fleet::{Report, Spec, Variant, run};
-use plovercove_script::Script;
+use plovercove_simulation::{Report, Spec, Variant, run};
+use plovercove_starlark_config::Script;
 use rayon::prelude::*;
 use serde::Serialize;
 use serde_json::{Map, Value};
--- a/lab/src/faults/check.rs
+++ b/experiments/src/faults/check.rs
@@ -2,7 +2,7 @@
 
 use super::play::{Asked, End, Life, Record, rules};
 use super::{Trial, What};
-use plovercove_standin::Fate;
+use plovercove_emulator::Fate;
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -274,7 +274,7 @@
         }
     }
 
-    fn rules(&self) -> plovercove_peers::Rules {
+    fn rules(&self) -> plovercove_gossip::Rules {
         rules(self.trial).unwrap_or_default()
     }
 
@@ -626,7 +626,7 @@
                 }
             }
         }
-        if self.record.passed.longest > plovercove_peers::MOST {
+        if self.record.passed.longest > plovercove_gossip::MOST {
             let what = format!("a datagram of {} bytes", self.record.passed.longest);
             self.add("budgets", 0.0, "links".into(), what);
         }
--- a/lab/src/faults/draw.rs
+++ b/experiments/src/faults/draw.rs
@@ -1,8 +1,8 @@
 //! Schedules drawn from a seed, and made smaller while they still fail.
 
 use super::{Fault, Trial, What};
-use plovercove_fleet::Dice;
-use plovercove_standin::links::Weather;
+use plovercove_emulator::links::Weather;
+use plovercove_simulation::Dice;
 use rand::{RngExt, SeedableRng};
 
 /// Drawn faults begin within so many seconds, and last from and up to so many.
--- a/lab/src/faults/mod.rs
+++ b/experiments/src/faults/mod.rs
@@ -6,8 +6,8 @@
 pub mod play;
 
 use crate::sockets;
-use plovercove_script::Script;
-use plovercove_standin::links::Weather;
+use plovercove_emulator::links::Weather;
+use plovercove_starlark_config::Script;
 use rayon::prelude::*;
 use serde::{Deserialize, Serialize};
 use serde_json::{Map, Value, json};
--- a/lab/src/faults/play.rs
+++ b/experiments/src/faults/play.rs
@@ -2,13 +2,13 @@
 
 use super::{Trial, What, Zone};
 use crate::sockets;
-use plovercove_fleet::{ClassSpec, Reads, Spec, ZoneSpec};
-use plovercove_peers::{Envelope, Keys, Life as PeerLife, Record as Told, Seen};
-use plovercove_standin::links::{Links, Passed, Weather};
-use plovercove_standin::process::{Blow, Folder, Process};
-use plovercove_standin::trial::{Conduct, Trial as Node};
-use plovercove_standin::wires::Wire;
-use plovercove_standin::{Agent, Caller, Entry, Fate};
+use plovercove_emulator::links::{Links, Passed, Weather};
+use plovercove_emulator::process::{Blow, Folder, Process};
+use plovercove_emulator::trial::{Conduct, Trial as Node};
+use plovercove_emulator::wires::Wire;
+use plovercove_emulator::{Agent, Caller, Entry, Fate};
+use plovercove_gossip::{Envelope, Keys, Life as PeerLife, Record as Told, Seen};
+use plovercove_simulation::{ClassSpec, Reads, Spec, ZoneSpec};
 use serde_json::{Map, Value, json};
 use std::collections::{BTreeMap, HashMap};
 use std::net::{SocketAddr, UdpSocket};
@@ -1022,12 +1022,12 @@
 ///
 /// # Errors
 /// They are none.
-pub fn rules(trial: &Trial) -> Result<plovercove_peers::Rules, String> {
+pub fn rules(trial: &Trial) -> Result<plovercove_gossip::Rules, String> {
     let told = trial.peers.clone().unwrap_or_default();
-    let rules: plovercove_peers::Rules =
+    let rules: plovercove_gossip::Rules =
         serde_json::from_value(Value::Object(told)).map_err(|e| format!("peers: {e}"))?;
     let routers = trial.routers().len() as u32;
-    Ok(plovercove_peers::Rules {
+    Ok(plovercove_gossip::Rules {
         routers,
         installation: "rig".into(),
         ..rules
--- a/lab/src/main.rs
+++ b/experiments/src/main.rs
@@ -1,4 +1,4 @@
-//! `plovercove-lab`: tries designs and faults on a model of the fleet that drives plovercove's own decisions.
+//! `plovercove-experiments`: tries designs and faults on a model of the fleet that drives plovercove's own decisions.
 
 mod cost;
 mod error;
@@ -10,13 +10,13 @@
 use clap::{Parser, Subcommand};
 use error::Error;
 use experiment::{Experiment, Outcome};
-use plovercove_fleet::Variant;
+use plovercove_simulation::Variant;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
 /// Experiments on plovercove: load, faults and designs, on a model that drives the router's own decisions.
 #[derive(Parser)]
-#[command(name = "plovercove-lab", version)]
+#[command(name = "plovercove-experiments", version)]
 struct Line {
     #[command(subcommand)]
     command: Command,
@@ -149,7 +149,7 @@
     match play(Line::parse().command) {
         Ok(code) => code,
         Err(why) => {
-            eprintln!("plovercove-lab: {why} (help: {})", why.help());
+            eprintln!("plovercove-experiments: {why} (help: {})", why.help());
             ExitCode::FAILURE
         }
     }
--- a/lab/src/sockets.rs
+++ b/experiments/src/sockets.rs
@@ -1,9 +1,9 @@
 //! A small experiment on loopback sockets: stand-ins, and real router processes with tiers.
 
 use crate::error::Error;
-use plovercove_fleet::{Reads, Spec, Trouble, Variant};
-use plovercove_standin::process::{Blow, Folder, Process};
-use plovercove_standin::{Clients, Fate, Fleet, Sample, Tally};
+use plovercove_emulator::process::{Blow, Folder, Process};
+use plovercove_emulator::{Clients, Fate, Fleet, Sample, Tally};
+use plovercove_simulation::{Reads, Spec, Trouble, Variant};
 use serde::Serialize;
 use serde_json::json;
 use std::fmt::Write as _;
--- a/lab/src/table.rs
+++ b/experiments/src/table.rs
@@ -1,7 +1,7 @@
 //! What people read: a table in Markdown.
 
 use crate::experiment::{Experiment, Outcome};
-use plovercove_fleet::{Report, Variant};
+use plovercove_simulation::{Report, Variant};
 use std::fmt::Write as _;
 
 /// The runs of one case and variant.
@@ -56,10 +56,11 @@
             .collect();
         let routers = spec.zones.iter().map(|z| z.routers).sum::<usize>() as f64;
         let talked = || runs.iter().filter_map(|r| r.talked.as_ref());
-        let rate = |sent: fn(&plovercove_fleet::Talked) -> u64| {
+        let rate = |sent: fn(&plovercove_simulation::Talked) -> u64| {
             mean(talked().map(|t| sent(t) as f64 / routers / (spec.seconds + 8.0)))
         };
-        let sum = |count: fn(&plovercove_fleet::Talked) -> u64| talked().map(count).sum::<u64>();
+        let sum =
+            |count: fn(&plovercove_simulation::Talked) -> u64| talked().map(count).sum::<u64>();
         let _ = writeln!(
             out,
             "| {case} | {:.0} | {:.0} | {} | {} | {} | {} | {:.1}, {:.0} |",
--- a/lab/tests/faults.rs
+++ b/experiments/tests/faults.rs
@@ -29,7 +29,7 @@
 ];
 
 fn lab() -> Command {
-    Command::new(env!("CARGO_BIN_EXE_plovercove-lab"))
+    Command::new(env!("CARGO_BIN_EXE_plovercove-experiments"))
 }
 
 fn script(name: &str) -> PathBuf {
--- a/lab/tests/sockets.rs
+++ b/experiments/tests/sockets.rs
@@ -11,7 +11,7 @@
 }
 
 fn lab(arguments: &[&str], file: &Path) -> Output {
-    let mut command = Command::new(env!("CARGO_BIN_EXE_plovercove-lab"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_plovercove-experiments"));
     command.arg(arguments[0]).arg(file).args(&arguments[1..]);
     command.output().expect("the program starts")
 }
--- a/fanout/src/client.rs
+++ b/fanout/src/client.rs
@@ -6,7 +6,7 @@
 use crate::wire::{self, BODY, For, Head, Message, Standing};
 use crate::{DUTIES, Fault, Guard, Rules, Subscriber, Topic};
 use plovercove::{Span, Time};
-use plovercove_tokens::{Duty, Fence, Refused, Token};
+use plovercove_fencing::{Duty, Fence, Refused, Token};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
--- a/fanout/src/fault.rs
+++ b/fanout/src/fault.rs
@@ -1,6 +1,6 @@
 //! What can be wrong, and what an operator can do.
 
-use plovercove_tokens::{BadName, Refused};
+use plovercove_fencing::{BadName, Refused};
 
 /// Why something was not taken.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
--- a/fanout/src/gateway.rs
+++ b/fanout/src/gateway.rs
@@ -8,7 +8,7 @@
 use crate::wire::{self, BODY, Entry, For, Head, ITEM, Mark, Message, Standing, State, Told};
 use crate::{DUTIES, Fault, Guard, Rules, Subscriber, Topic, rules::TIDY};
 use plovercove::{Span, Time};
-use plovercove_tokens::{BadName, Duty, Fence, Refused, Token};
+use plovercove_fencing::{BadName, Duty, Fence, Refused, Token};
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, VecDeque};
--- a/fanout/src/held.rs
+++ b/fanout/src/held.rs
@@ -3,7 +3,7 @@
 use crate::wire::{Mark, Told};
 use crate::{Guard, Rules, Topic};
 use plovercove::{Span, Time};
-use plovercove_tokens::{Duty, Token};
+use plovercove_fencing::{Duty, Token};
 use std::collections::VecDeque;
 use std::sync::Arc;
 
--- a/fanout/src/lists.rs
+++ b/fanout/src/lists.rs
@@ -9,7 +9,7 @@
 use crate::wire::{Entry, For, Message, State};
 use crate::{Guard, Rules};
 use plovercove::{Span, Time};
-use plovercove_tokens::Token;
+use plovercove_fencing::Token;
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/fanout/src/mail.rs
+++ b/fanout/src/mail.rs
@@ -106,7 +106,7 @@
     /// The next body, of as many messages to one address as fit.
     fn take(
         &mut self,
-        gateway: &Option<(std::sync::Arc<str>, plovercove_tokens::Token)>,
+        gateway: &Option<(std::sync::Arc<str>, plovercove_fencing::Token)>,
     ) -> Option<(To, Vec<u8>, usize)> {
         let to = self.turns.pop_front()?;
         let waits = self.waits.get_mut(&to)?;
@@ -191,7 +191,7 @@
     pub fn pump(
         &mut self,
         now: Time,
-        gateway: &Option<(std::sync::Arc<str>, plovercove_tokens::Token)>,
+        gateway: &Option<(std::sync::Arc<str>, plovercove_fencing::Token)>,
         mut news: impl FnMut(&mut Mail) -> bool,
     ) {
         while self.pace.may(now) {
--- a/fanout/src/publisher.rs
+++ b/fanout/src/publisher.rs
@@ -5,7 +5,7 @@
 use crate::wire::{self, BODY, For, ITEM, Message};
 use crate::{DUTIES, Fault, Guard, Rules, Topic};
 use plovercove::{Span, Time};
-use plovercove_tokens::{Duty, Refused, Token};
+use plovercove_fencing::{Duty, Refused, Token};
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, VecDeque};
--- a/fanout/src/table.rs
+++ b/fanout/src/table.rs
@@ -28,7 +28,7 @@
     /// When it ended, as learnt here.
     since: Time,
     /// The news of its topic that the subscriber was told last.
-    pub place: Option<(plovercove_tokens::Token, u64)>,
+    pub place: Option<(plovercove_fencing::Token, u64)>,
 }
 
 /// A subscriber, with all that it subscribed to.
--- a/fanout/src/topic.rs
+++ b/fanout/src/topic.rs
@@ -1,6 +1,6 @@
 //! What subscribers ask for, and who they are.
 
-use plovercove_tokens::{BadName, Duty};
+use plovercove_fencing::{BadName, Duty};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::net::SocketAddr;
--- a/fanout/src/wire.rs
+++ b/fanout/src/wire.rs
@@ -1,7 +1,7 @@
 //! What goes between publishers, gateways and subscribers: several messages to a body of one datagram.
 
 use crate::{Subscriber, Topic};
-use plovercove_tokens::{Duty, Token};
+use plovercove_fencing::{Duty, Token};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
@@ -201,7 +201,8 @@
         messages.push(message);
         rest = more;
     }
-    let names = |name: &Arc<str>| !name.is_empty() && name.len() <= plovercove_tokens::LONGEST_NAME;
+    let names =
+        |name: &Arc<str>| !name.is_empty() && name.len() <= plovercove_fencing::LONGEST_NAME;
     let fits = messages.iter().all(|m| match m {
         Message::Renew { name, .. }
         | Message::Says { name, .. }
--- a/fanout/tests/common/mod.rs
+++ b/fanout/tests/common/mod.rs
@@ -3,7 +3,7 @@
 
 use plovercove::{Span, Time};
 use plovercove_fanout::{Client, Gateway, News, Publisher, Rules, Subscriber, Topic};
-use plovercove_tokens::{Duty, Token};
+use plovercove_fencing::{Duty, Token};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::cmp::Reverse;
--- a/fanout/tests/faults.rs
+++ b/fanout/tests/faults.rs
@@ -1,7 +1,7 @@
 //! Every fault is met by someone, and says what an operator can do.
 
 use plovercove_fanout::{Client, Fault, Gateway, ITEM, Publisher, Rules, Subscriber, Topic};
-use plovercove_tokens::{Duty, Token};
+use plovercove_fencing::{Duty, Token};
 use std::net::SocketAddr;
 
 fn address() -> SocketAddr {
--- a/fanout/tests/fleet.rs
+++ b/fanout/tests/fleet.rs
@@ -6,7 +6,7 @@
 use common::{Net, S, address, calm, cut, rough};
 use plovercove::Span;
 use plovercove_fanout::{Guard, News, Rules};
-use plovercove_tokens::Token;
+use plovercove_fencing::Token;
 
 fn without(guard: Guard) -> Rules {
     Rules {
--- a/fanout/tests/random.rs
+++ b/fanout/tests/random.rs
@@ -5,7 +5,7 @@
 
 use common::{Net, S, address, calm, cut, rough, topic};
 use plovercove_fanout::{Client, Gateway, Publisher, Rules, Subscriber};
-use plovercove_tokens::Token;
+use plovercove_fencing::Token;
 use proptest::prelude::*;
 
 #[derive(Clone, Debug)]
--- a/gather/src/answer.rs
+++ b/gather/src/answer.rs
@@ -6,7 +6,7 @@
 use crate::part::{Partial, Range, Row, Source};
 use crate::rules::{Guard, Need, Plan, Ties};
 use crate::value::Value;
-use plovercove_tokens::Token;
+use plovercove_fencing::Token;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/gather/src/merge.rs
+++ b/gather/src/merge.rs
@@ -6,7 +6,7 @@
 use crate::part::{Doubt, Partial, Range, Row, in_order, is_kept};
 use crate::rules::{By, Guard, KeepBy, MOST_TIES, Plan, Ties, UniqueBy};
 use crate::value::Value;
-use plovercove_tokens::Token;
+use plovercove_fencing::Token;
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
--- a/gather/src/part.rs
+++ b/gather/src/part.rs
@@ -3,7 +3,7 @@
 use crate::error::Error;
 use crate::rules::{By, Guard, Plan, Role};
 use crate::value::{INT_MOST, Value};
-use plovercove_tokens::Token;
+use plovercove_fencing::Token;
 use serde::{Deserialize, Serialize};
 
 /// Who answers. A source that is a duty has one name whoever owns it; its token tells the owners apart.
--- a/gather/tests/hostile.rs
+++ b/gather/tests/hostile.rs
@@ -1,7 +1,7 @@
 //! Parts that are wrong, too large, late or twice: a typed error or a bounded answer, and each guard seen to matter.
 
+use plovercove_fencing::Token;
 use plovercove_gather::*;
-use plovercove_tokens::Token;
 
 fn rules(without: Option<Guard>) -> Rules {
     let sort = vec![Sort {
--- a/gather/tests/laws.rs
+++ b/gather/tests/laws.rs
@@ -1,7 +1,7 @@
 //! Laws of merging, against a plain model that collects everything, deduplicates, sorts and cuts.
 
+use plovercove_fencing::Token;
 use plovercove_gather::*;
-use plovercove_tokens::Token;
 use proptest::prelude::*;
 use proptest::strategy::ValueTree;
 use proptest::test_runner::{Config, RngSeed, TestRunner};
--- a/peers/benches/turn.rs
+++ b/gossip/benches/turn.rs
@@ -6,7 +6,7 @@
 use common::{Net, S};
 use criterion::Criterion;
 use plovercove::Ending;
-use plovercove_peers::Rules;
+use plovercove_gossip::Rules;
 use std::time::Duration;
 
 /// Routers; the time of one router's second is this part of what is printed.
--- a/peers/src/members.rs
+++ b/gossip/src/members.rs
@@ -7,7 +7,7 @@
     PostcardCodec, Timer,
 };
 use plovercove::{Span, Time};
-use plovercove_core::Backoff;
+use plovercove_engine::Backoff;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, VecDeque};
--- a/peers/tests/common/mod.rs
+++ b/gossip/tests/common/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code, missing_docs, reason = "each test uses a part of it")]
 
 use plovercove::{Ask, Ending, ListUpdate, NodeEntry, NodeId, Settings, Span, Time, Zoning};
-use plovercove_peers::{Keys, Level, Life, News, Peers, Rules, Witness};
+use plovercove_gossip::{Keys, Level, Life, News, Peers, Rules, Witness};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::cmp::Reverse;
--- a/peers/tests/decoder.rs
+++ b/gossip/tests/decoder.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{BEGIN, Net, S, address, keys};
-use plovercove_peers::{Envelope, Life, Part, Record, Rules, Seen};
+use plovercove_gossip::{Envelope, Life, Part, Record, Rules, Seen};
 use proptest::prelude::*;
 use rand::RngExt;
 
--- a/peers/tests/fleet.rs
+++ b/gossip/tests/fleet.rs
@@ -4,7 +4,7 @@
 
 use common::{BEGIN, Net, S, address, calm, dies, good, keys, lossy, zone};
 use plovercove::{Ending, ListUpdate, NodeEntry, Span, Time};
-use plovercove_peers::{Envelope, Guard, Level, Life, News, Part, Record, Rules, Seen, carried};
+use plovercove_gossip::{Envelope, Guard, Level, Life, News, Part, Record, Rules, Seen, carried};
 
 fn nine(seed: u64) -> Net {
     Net::new(9, 3, seed, Rules::default())
--- a/history/src/event.rs
+++ b/history/src/event.rs
@@ -1,6 +1,6 @@
 //! What is recorded, by whom. `docs/history.md` has the same as a table.
 
-use plovercove_tokens::{Duty, Token};
+use plovercove_fencing::{Duty, Token};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
--- a/history/src/lists.rs
+++ b/history/src/lists.rs
@@ -2,7 +2,7 @@
 
 use crate::judge::{Docket, Trial};
 use crate::{Entry, Event, Kind, Listed, Published, Seen, Subscription, Time};
-use plovercove_tokens::Token;
+use plovercove_fencing::Token;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// What a subscriber last wished of a topic.
--- a/history/src/owners.rs
+++ b/history/src/owners.rs
@@ -9,7 +9,7 @@
 
 use crate::judge::{Docket, Trial};
 use crate::{Acted, Event, Refused, Seen};
-use plovercove_tokens::{Duty, Token};
+use plovercove_fencing::{Duty, Token};
 use std::collections::{BTreeMap, HashMap, HashSet};
 
 type Effect<'a> = (Seen<'a>, &'a Acted);
--- a/history/tests/cost.rs
+++ b/history/tests/cost.rs
@@ -1,10 +1,10 @@
 //! A long history: one bad effect among 100,000 is found, with the two lines that show it. What it took is printed:
 //! `cargo test -p plovercove-history --release --test cost -- --nocapture`.
 
+use plovercove_fencing::{Duty, Token};
 use plovercove_history::{
     Acted, Answered, Asked, Bounds, Event, Fate, File, Head, History, Kind, Line, Ran, judge,
 };
-use plovercove_tokens::{Duty, Token};
 use std::time::Instant;
 
 /// Effects in the history of owners, and lines in that of requests.
--- a/duties/src/ballot.rs
+++ b/leases/src/ballot.rs
@@ -3,7 +3,7 @@
 
 use crate::rules::{Guard, Rules};
 use plovercove::{Span, Time};
-use plovercove_tokens::Token;
+use plovercove_fencing::Token;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
--- a/duties/src/candidate.rs
+++ b/leases/src/candidate.rs
@@ -7,7 +7,7 @@
 use crate::rules::{Guard, Rules};
 use crate::wire::{Answer, Mark, Word};
 use plovercove::{Span, Time};
-use plovercove_tokens::Token;
+use plovercove_fencing::Token;
 
 /// Who is ranked lower looks less often, but never less often than each so many renewals.
 const SELDOM: u64 = 30;
--- a/duties/src/decider.rs
+++ b/leases/src/decider.rs
@@ -9,7 +9,7 @@
 use crate::rules::{Guard, LONGEST, Rules, majority};
 use crate::wire::{Answer, Body, Item, Mark, Stage, State, Word, bodies, write};
 use plovercove::{Span, Time};
-use plovercove_tokens::{Duty, Token};
+use plovercove_fencing::{Duty, Token};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
--- a/duties/src/duties.rs
+++ b/leases/src/duties.rs
@@ -10,7 +10,7 @@
 use crate::rules::{Guard, Rules};
 use crate::wire::{Answer, Body, Item, MARK, Mark, Stage, bodies, read, write};
 use plovercove::{Span, Time};
-use plovercove_tokens::{Duty, Token};
+use plovercove_fencing::{Duty, Token};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, VecDeque};
--- a/duties/src/kept.rs
+++ b/leases/src/kept.rs
@@ -1,7 +1,7 @@
 //! What a decider keeps on disk: little, written rarely, and recognised when it is torn.
 
 use crate::rules::Rules;
-use plovercove_tokens::Token;
+use plovercove_fencing::Token;
 use serde::{Deserialize, Serialize};
 
 /// The form of the file.
--- a/duties/src/lib.rs
+++ b/leases/src/lib.rs
@@ -1,5 +1,5 @@
 //! One owner at a time for each of the fleet's chores. Three or five routers, the *deciders*, vote; a majority makes an
-//! owner, for the time of a lease and with a [`plovercove_tokens::Token`] that only rises. Who should ask is found alike at
+//! owner, for the time of a lease and with a [`plovercove_fencing::Token`] that only rises. Who should ask is found alike at
 //! all routers ([`Placement`]).
 //!
 //! No I/O, no clock: [`Duties`] is handed messages and the time, and gives messages, news and what must be on disk out.
--- a/duties/src/news.rs
+++ b/leases/src/news.rs
@@ -3,7 +3,7 @@
 use crate::place::Member;
 use crate::wire::Stage;
 use plovercove::Span;
-use plovercove_tokens::{Duty, Token};
+use plovercove_fencing::{Duty, Token};
 
 /// Why a duty is no longer owned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/duties/src/place.rs
+++ b/leases/src/place.rs
@@ -1,7 +1,7 @@
 //! Who should own what: found alike at all routers that see the same members, without a message.
 
 use crate::ballot::Holder;
-use plovercove_tokens::Duty;
+use plovercove_fencing::Duty;
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 
--- a/duties/src/wire.rs
+++ b/leases/src/wire.rs
@@ -1,7 +1,7 @@
 //! What routers say to each other about duties: the bodies of parts that peers carry.
 
 use crate::ballot::Holder;
-use plovercove_tokens::{Duty, Token};
+use plovercove_fencing::{Duty, Token};
 use serde::{Deserialize, Serialize};
 
 /// The version of bodies; others are dropped.
--- a/duties/tests/common/mod.rs
+++ b/leases/tests/common/mod.rs
@@ -2,8 +2,8 @@
 #![allow(dead_code, missing_docs, reason = "each test uses a part of it")]
 
 use plovercove::{Span, Time};
-use plovercove_duties::{Decider, Deciders, Duties, Guard, Kept, Member, News, Rules, Wanted};
-use plovercove_tokens::{Duty, Token};
+use plovercove_fencing::{Duty, Token};
+use plovercove_leases::{Decider, Deciders, Duties, Guard, Kept, Member, News, Rules, Wanted};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::cmp::Reverse;
--- a/duties/tests/compare.rs
+++ b/leases/tests/compare.rs
@@ -8,7 +8,7 @@
 use common::{MS, Net, S, duties, rules};
 use logged::Logged;
 use plovercove::{Span, Time};
-use plovercove_duties::{Placement, Rules};
+use plovercove_leases::{Placement, Rules};
 
 pub const ROUTERS: usize = 9;
 const DUTIES: usize = 12;
--- a/duties/tests/fleet.rs
+++ b/leases/tests/fleet.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::{MS, Net, S, calm, duties, duty, rough, rules, without};
-use plovercove_duties::{Deciders, Guard, News, Rules};
+use plovercove_leases::{Deciders, Guard, News, Rules};
 use proptest::collection::vec;
 use proptest::prelude::*;
 
--- a/duties/tests/kept.rs
+++ b/leases/tests/kept.rs
@@ -1,10 +1,10 @@
 //! The decider's file: what is torn, changed or another's is refused with what to do; and the settings' faults.
 #![allow(missing_docs, reason = "a test")]
 
-use plovercove_duties::{
+use plovercove_fencing::Token;
+use plovercove_leases::{
     Ballot, Decider, Deciders, Guard, Holder, Kept, KeptFault, Rules, RulesFault, Said,
 };
-use plovercove_tokens::Token;
 
 fn rules() -> Rules {
     let one = |n: u16| Decider {
--- a/duties/tests/logged/mod.rs
+++ b/leases/tests/logged/mod.rs
@@ -4,7 +4,7 @@
 use crate::ROUTERS;
 use crate::common::{MS, Net, address};
 use plovercove::{Span, Time};
-use plovercove_duties::{Placement, Rules};
+use plovercove_leases::{Placement, Rules};
 use raft::prelude::{Config, Message};
 use raft::storage::MemStorage;
 use raft::{RawNode, StateRole};
--- a/duties/tests/model.rs
+++ b/leases/tests/model.rs
@@ -2,8 +2,8 @@
 //! and a change of deciders. Ballots and tallies are those of the crate.
 #![allow(missing_docs, reason = "a test")]
 
-use plovercove_duties::{Ballot, Guard, Holder, Rules, Said, Tally};
-use plovercove_tokens::Token;
+use plovercove_fencing::Token;
+use plovercove_leases::{Ballot, Guard, Holder, Rules, Said, Tally};
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 
--- a/tiers/benches/decision.rs
+++ b/locality/benches/decision.rs
@@ -2,7 +2,7 @@
 
 use criterion::{Criterion, criterion_group, criterion_main};
 use plovercove::*;
-use plovercove_tiers::{Rules, Tiers, Zone};
+use plovercove_locality::{Rules, Tiers, Zone};
 
 const NODES: u64 = 1_000;
 const MEMBERS: u64 = 6;
--- a/tiers/tests/random.rs
+++ b/locality/tests/random.rs
@@ -1,7 +1,7 @@
 //! Tiers under random events: whatever comes, they neither panic nor forget what must hold.
 
 use plovercove::*;
-use plovercove_tiers::{Rules, Tiers, Zone};
+use plovercove_locality::{Rules, Tiers, Zone};
 use proptest::prelude::*;
 
 fn settings() -> Settings {
@@ -237,7 +237,7 @@
     fresh.inherit(&mut tiers);
     assert_eq!(spend(&mut fresh, now), 0, "what was spent stays spent");
     let after = fresh.view();
-    let of = |view: &[plovercove_tiers::View], zone: &str| {
+    let of = |view: &[plovercove_locality::View], zone: &str| {
         view.iter()
             .find(|v| v.zone == zone)
             .cloned()
--- a/dialect/tests/fuzz.rs
+++ b/pgwire/tests/fuzz.rs
@@ -1,17 +1,17 @@
 //! Every decoder under mutated inputs, from a corpus of good ones and a fixed seed. CI plays 200,000; PLOVERCOVE_FUZZ sets
 //! another number:
 //!
-//!     PLOVERCOVE_FUZZ=10000000 cargo test --release -p plovercove-dialect --test fuzz -- --nocapture
+//!     PLOVERCOVE_FUZZ=10000000 cargo test --release -p plovercove-pgwire --test fuzz -- --nocapture
 
-use plovercove_dialect::door::{Door, Method, Rules, Step};
-use plovercove_dialect::login::{Credentials, Login};
-use plovercove_dialect::render::Speech;
-use plovercove_dialect::reply::{Outcome, Reply, Shape};
-use plovercove_dialect::session::Session;
-use plovercove_dialect::statement::{self, Kind};
-use plovercove_dialect::values::{Bytea, Dates, Forms};
-use plovercove_dialect::verifier::{Users, Verifier};
-use plovercove_dialect::{Version, wire};
+use plovercove_pgwire::door::{Door, Method, Rules, Step};
+use plovercove_pgwire::login::{Credentials, Login};
+use plovercove_pgwire::render::Speech;
+use plovercove_pgwire::reply::{Outcome, Reply, Shape};
+use plovercove_pgwire::session::Session;
+use plovercove_pgwire::statement::{self, Kind};
+use plovercove_pgwire::values::{Bytea, Dates, Forms};
+use plovercove_pgwire::verifier::{Users, Verifier};
+use plovercove_pgwire::{Version, wire};
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 use std::sync::LazyLock;
--- a/dialect/tests/logins.rs
+++ b/pgwire/tests/logins.rs
@@ -1,14 +1,14 @@
 //! Logins from both ends: the router's door against the router's own login at servers, whose SCRAM is another's work, and
 //! against packets written by hand; and whatever bytes come, in whatever pieces.
 
-use plovercove_dialect::door::{Door, Method, Rules, Step};
-use plovercove_dialect::login::{Credentials, Login, Refused};
-use plovercove_dialect::render::Speech;
-use plovercove_dialect::reply::{Reply, Shape};
-use plovercove_dialect::values::{Bytea, Dates, Forms};
-use plovercove_dialect::verifier::{Users, Verifier};
-use plovercove_dialect::wire::{self, Message};
-use plovercove_dialect::{Fault, Version, statement};
+use plovercove_pgwire::door::{Door, Method, Rules, Step};
+use plovercove_pgwire::login::{Credentials, Login, Refused};
+use plovercove_pgwire::render::Speech;
+use plovercove_pgwire::reply::{Reply, Shape};
+use plovercove_pgwire::values::{Bytea, Dates, Forms};
+use plovercove_pgwire::verifier::{Users, Verifier};
+use plovercove_pgwire::wire::{self, Message};
+use plovercove_pgwire::{Fault, Version, statement};
 use proptest::prelude::*;
 
 const SECRET: [u8; 32] = [9; 32];
@@ -211,7 +211,7 @@
         panic!("a SCRAM verifier")
     };
     let first = b"n,,n=user,r=rOprNGfwEbeRWgbNEkqO";
-    let (exchange, answer) = plovercove_dialect::verifier::Exchange::begin(
+    let (exchange, answer) = plovercove_pgwire::verifier::Exchange::begin(
         &kept,
         first,
         "%hvYDpWUa2RaTCAfuxFIlj)hNlF$k0",
--- a/router/src/chores/file.rs
+++ b/router/src/chores/file.rs
@@ -1,7 +1,7 @@
 //! The decider's file: read at the start, and written over whole when its votes need it.
 
 use plovercove::{Span, Time};
-use plovercove_duties::{Kept, KeptFault, Rules};
+use plovercove_leases::{Kept, KeptFault, Rules};
 use std::fs::{self, File as Open};
 use std::io::{self, ErrorKind, Write};
 use std::path::{Path, PathBuf};
@@ -186,7 +186,7 @@
             installation: "here".into(),
             name: name.into(),
             generation: 1,
-            ceiling: plovercove_tokens::Token(64),
+            ceiling: plovercove_fencing::Token(64),
             longest_ms: 1_000,
             sealed: 0,
         };
--- a/router/src/chores/mod.rs
+++ b/router/src/chores/mod.rs
@@ -17,11 +17,11 @@
 use crate::clock::Clock;
 use nodes::Nodes;
 use plovercove::{GroupId, NodeId, Span, Standing, Time};
-use plovercove_core::Core;
-use plovercove_duties::{Duties, Member, Wanted};
+use plovercove_engine::Core;
 use plovercove_fanout::{self as fanout, Client, Fault, Gateway, Publisher, Subscriber, Topic};
-use plovercove_peers::{Arrived, Life, carried};
-use plovercove_tokens::{Duty, Refused, Token};
+use plovercove_fencing::{Duty, Refused, Token};
+use plovercove_gossip::{Arrived, Life, carried};
+use plovercove_leases::{Duties, Member, Wanted};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -107,7 +107,7 @@
     pub fn new(terms: Terms, me: &Life, routers: u32, clock: Clock, seed: u64) -> Self {
         let now = clock.now();
         let me = member(me);
-        let here = |d: &plovercove_duties::Decider| d.address == me.address;
+        let here = |d: &plovercove_leases::Decider| d.address == me.address;
         let deciders = &terms.rules.deciders;
         let (mut file, mut kept) = (None, None);
         if deciders.members.iter().chain(&deciders.before).any(here) {
--- a/router/src/chores/nodes.rs
+++ b/router/src/chores/nodes.rs
@@ -2,7 +2,7 @@
 
 use super::watch::Word;
 use plovercove::{GroupId, Listed, NodeId, Time};
-use plovercove_core::Core;
+use plovercove_engine::Core;
 use std::collections::{BTreeMap, BTreeSet};
 
 struct Known {
--- a/router/src/chores/tell.rs
+++ b/router/src/chores/tell.rs
@@ -2,9 +2,9 @@
 
 use super::{Counts, FileFault};
 use plovercove::Span;
-use plovercove_duties::{Counts as DutyCounts, News, Stage};
 use plovercove_fanout::{self as fanout, ClientCounts, Fault, GatewayCounts};
-use plovercove_tokens::{Duty, Refused, Token};
+use plovercove_fencing::{Duty, Refused, Token};
+use plovercove_leases::{Counts as DutyCounts, News, Stage};
 use tracing::{info, warn};
 
 /// A fault of the decider's file.
--- a/router/src/chores/terms.rs
+++ b/router/src/chores/terms.rs
@@ -1,8 +1,8 @@
 //! What operators say of duties, and what can be wrong with it.
 
 use plovercove::Span;
-use plovercove_duties::{Rules, RulesFault};
 use plovercove_fanout as fanout;
+use plovercove_leases::{Rules, RulesFault};
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -116,7 +116,7 @@
         &self,
         folder: &Path,
         address: SocketAddr,
-        peers: &plovercove_peers::Rules,
+        peers: &plovercove_gossip::Rules,
     ) -> Result<Terms, TermsFault> {
         let mut rules = self.rules.clone();
         rules.installation.clone_from(&peers.installation);
@@ -131,7 +131,7 @@
             match guard.split_once('/') {
                 Some(("duties", name)) => {
                     rules.without =
-                        Some(plovercove_duties::Guard::named(name).ok_or_else(unknown)?);
+                        Some(plovercove_leases::Guard::named(name).ok_or_else(unknown)?);
                 }
                 Some(("fanout", name)) => {
                     fanout.without =
--- a/router/src/chores/watch.rs
+++ b/router/src/chores/watch.rs
@@ -1,7 +1,7 @@
 //! The watch of a group: whom its owner asks and when, what it tells of the answers, and what routers take of that.
 
 use plovercove::{GroupId, NodeId, Role, Span, Standing, Time};
-use plovercove_tokens::Token;
+use plovercove_fencing::Token;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
--- a/router/src/discovery.rs
+++ b/router/src/discovery.rs
@@ -8,7 +8,7 @@
 use crate::net::stream::{Peer, Stream};
 use crate::net::{Source, begin_connect, poll_key};
 use plovercove::{Listed, NodeEntry, Time};
-use plovercove_core::{Core, Due, WatchSchedule};
+use plovercove_engine::{Core, Due, WatchSchedule};
 use plovercove_poller::{Interest, Poll};
 use plovercove_settings::{Fault, Part, Read, Value, flag, list, number, parse, text, whole};
 use std::io;
--- a/router/src/error.rs
+++ b/router/src/error.rs
@@ -1,8 +1,8 @@
 //! Why the router does not start, does not take a file over, or ends; and what an operator can do.
 
-use plovercove_script::Place;
+use plovercove_locality as tiers;
 use plovercove_settings as settings;
-use plovercove_tiers as tiers;
+use plovercove_starlark_config::Place;
 use std::fmt::Display;
 use std::io;
 use std::net::SocketAddr;
@@ -56,7 +56,7 @@
     Setting(#[from] settings::Fault),
     /// A fault of the operators' file as a script.
     #[error(transparent)]
-    Script(#[from] plovercove_script::Fault),
+    Script(#[from] plovercove_starlark_config::Fault),
     /// A fault of a key of the operators' file.
     #[error("{place}: {wrong}")]
     Operators {
@@ -149,17 +149,17 @@
         /// The file.
         path: String,
         /// The mistake.
-        source: plovercove_dialect::Error,
+        source: plovercove_pgwire::Error,
     },
     /// A limit on logins that cannot be meant.
     #[error("{}", bare(.0))]
-    Logins(#[source] plovercove_dialect::Error),
+    Logins(#[source] plovercove_pgwire::Error),
     /// A fault of the tiers.
     #[error("{0}")]
     Tiers(#[source] tiers::Wrong),
     /// A fault of the rules or keys of peers.
     #[error("{}", bare(.0))]
-    Peers(#[source] plovercove_peers::Error),
+    Peers(#[source] plovercove_gossip::Error),
     /// A fault of what is done for the fleet.
     #[error("{}", bare(.0))]
     Duties(#[source] Box<crate::chores::TermsFault>),
--- a/router/src/front/entry.rs
+++ b/router/src/front/entry.rs
@@ -2,12 +2,12 @@
 
 use crate::clock;
 use plovercove::Time;
-use plovercove_core::Key;
-use plovercove_dialect::cancel::Keys;
-use plovercove_dialect::door::Rules;
-use plovercove_dialect::throttle::{self, Throttle};
-use plovercove_dialect::values::Forms;
-use plovercove_dialect::verifier::Users;
+use plovercove_engine::Key;
+use plovercove_pgwire::cancel::Keys;
+use plovercove_pgwire::door::Rules;
+use plovercove_pgwire::throttle::{self, Throttle};
+use plovercove_pgwire::values::Forms;
+use plovercove_pgwire::verifier::Users;
 use plovercove_poller::Registered;
 use std::net::TcpListener;
 
--- a/router/src/front/pg.rs
+++ b/router/src/front/pg.rs
@@ -5,16 +5,16 @@
 use crate::net::budget::{Budget, Buffer, Share};
 use crate::net::stream::{Peer, Stream};
 use crate::net::{Source, poll_key};
-use crate::pgwire::{self, Statement, code};
+use crate::statement_labels::{self, Statement, code};
 use plovercove::{Access, Demand, Time};
-use plovercove_core::{Answer, Core, Due, Key, Table};
-use plovercove_dialect::cancel::CancelKey;
-use plovercove_dialect::door::{Door, Method, Step};
-use plovercove_dialect::render::Speech;
-use plovercove_dialect::reply::Shape;
-use plovercove_dialect::session::Session;
-use plovercove_dialect::statement::{self, Kind};
-use plovercove_dialect::{Fault, Version};
+use plovercove_engine::{Answer, Core, Due, Key, Table};
+use plovercove_pgwire::cancel::CancelKey;
+use plovercove_pgwire::door::{Door, Method, Step};
+use plovercove_pgwire::render::Speech;
+use plovercove_pgwire::reply::Shape;
+use plovercove_pgwire::session::Session;
+use plovercove_pgwire::statement::{self, Kind};
+use plovercove_pgwire::{Fault, Version};
 use plovercove_poller::{Interest, Poll};
 use plovercove_settings::Names;
 use socket2::SockRef;
@@ -1089,10 +1089,10 @@
             }
             Phase::Ready | Phase::Skipping => {}
         }
-        let message = match pgwire::message(client.stream.unread(), LONGEST) {
+        let message = match statement_labels::message(client.stream.unread(), LONGEST) {
             Ok(Some(message)) => message,
             Ok(None) => return false,
-            Err(pgwire::Malformed) => {
+            Err(statement_labels::Malformed) => {
                 client.dismiss(words, code::PROTOCOL, "a message has an impossible length");
                 return true;
             }
@@ -1104,7 +1104,7 @@
             (b'X', _) => client.phase = Phase::Closing,
             (b'S', _) => {
                 client.phase = Phase::Ready;
-                client.say(words, pgwire::put_ready);
+                client.say(words, statement_labels::put_ready);
             }
             (_, _) if client.phase == Phase::Skipping => {}
             (b'Q', Some(Some(text))) if text.contains(&0) => {
@@ -1121,7 +1121,7 @@
             (b'P' | b'B' | b'D' | b'E' | b'C' | b'H', _) => {
                 client.faults += 1;
                 client.say(words, |out| {
-                    pgwire::put_error(out, false, code::UNSUPPORTED, ONLY_SIMPLE, None);
+                    statement_labels::put_error(out, false, code::UNSUPPORTED, ONLY_SIMPLE, None);
                 });
                 client.phase = Phase::Skipping;
             }
@@ -1284,13 +1284,13 @@
                 }
             }
             b'X' => client.phase = Phase::Closing,
-            b'F' => match pgwire::old_function_call(rest, LONGEST) {
+            b'F' => match statement_labels::old_function_call(rest, LONGEST) {
                 Ok(None) => return false,
                 Ok(Some(length)) => {
                     client.stream.take(length + 1);
                     client.object(words, code::UNSUPPORTED, "function calls are not supported");
                 }
-                Err(pgwire::Malformed) => {
+                Err(statement_labels::Malformed) => {
                     client.dismiss(words, code::PROTOCOL, "a malformed function call")
                 }
             },
@@ -1386,7 +1386,8 @@
         core: &mut Core,
     ) {
         let named = words.entries[client.entry].terms.defaults.is_some();
-        if named && !(text.trim_start().starts_with("/*") && pgwire::labels(text).is_ok()) {
+        if named && !(text.trim_start().starts_with("/*") && statement_labels::labels(text).is_ok())
+        {
             if let Some(text) = Self::label(words, client, text) {
                 Self::ask(words, client, key, &text, now, core);
             }
@@ -1395,8 +1396,8 @@
         let bare = text.trim().trim_end_matches(';');
         if bare.is_empty() {
             return client.say(words, |out| {
-                pgwire::put(out, b'I', |_| {});
-                pgwire::put_ready(out);
+                statement_labels::put(out, b'I', |_| {});
+                statement_labels::put_ready(out);
             });
         }
         // What drivers send on their own has no effect here, as at the db nodes.
@@ -1407,8 +1408,8 @@
             .to_ascii_uppercase();
         if ["SET", "RESET", "DISCARD"].contains(&word.as_str()) {
             return client.say(words, |out| {
-                pgwire::put_complete(out, &word);
-                pgwire::put_ready(out);
+                statement_labels::put_complete(out, &word);
+                statement_labels::put_ready(out);
             });
         }
         Self::ask(words, client, key, text, now, core);
@@ -1424,7 +1425,7 @@
         core: &mut Core,
     ) {
         let named = words.entries[client.entry].terms.defaults.is_some();
-        let labels = match pgwire::labels(text) {
+        let labels = match statement_labels::labels(text) {
             Ok(labels) => labels,
             Err(complaint) => return client.object(words, code::PROTOCOL, &complaint.to_string()),
         };
--- a/router/src/lib.rs
+++ b/router/src/lib.rs
@@ -1,5 +1,5 @@
 //! The plovercove router: PostgreSQL clients in front, db nodes behind, and one loop between them round
-//! `plovercove-core`. The program `plovercove` is this library with a command line.
+//! `plovercove-engine`. The program `plovercove` is this library with a command line.
 
 pub mod chores;
 pub mod clock;
@@ -10,8 +10,8 @@
 pub mod net;
 pub mod operators;
 pub mod peers;
-pub mod pgwire;
 pub mod serve;
+pub mod statement_labels;
 pub mod upstream;
 
 pub use error::Error;
--- a/router/src/main.rs
+++ b/router/src/main.rs
@@ -125,7 +125,7 @@
             check(file).map(|said| println!("{}: good, {said}", file.display()))
         }
         Some(Command::Catalogue) => {
-            print!("{}", plovercove_dialect::catalogue::table());
+            print!("{}", plovercove_pgwire::catalogue::table());
             Ok(())
         }
         None => serve(&line, signals),
--- a/router/src/net/mod.rs
+++ b/router/src/net/mod.rs
@@ -4,7 +4,7 @@
 pub mod signals;
 pub mod stream;
 
-use plovercove_core::Key;
+use plovercove_engine::Key;
 use socket2::{Domain, Socket, Type};
 use std::io;
 use std::net::{SocketAddr, TcpStream};
--- a/router/src/operators.rs
+++ b/router/src/operators.rs
@@ -7,15 +7,15 @@
 use crate::peers;
 use crate::upstream::pg::ConnectOptions;
 use plovercove::{Access, Settings};
-use plovercove_dialect::Version;
-use plovercove_dialect::door::{self, Method};
-use plovercove_dialect::login::Credentials;
-use plovercove_dialect::throttle;
-use plovercove_dialect::values::{Bytea, Dates, Forms};
-use plovercove_dialect::verifier::Users;
-use plovercove_peers::{Keys, Rules as PeerRules};
-use plovercove_script::Script;
-use plovercove_tiers::{RuleFault, Rules, Tiers};
+use plovercove_gossip::{Keys, Rules as PeerRules};
+use plovercove_locality::{RuleFault, Rules, Tiers};
+use plovercove_pgwire::Version;
+use plovercove_pgwire::door::{self, Method};
+use plovercove_pgwire::login::Credentials;
+use plovercove_pgwire::throttle;
+use plovercove_pgwire::values::{Bytea, Dates, Forms};
+use plovercove_pgwire::verifier::Users;
+use plovercove_starlark_config::Script;
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::os::unix::fs::MetadataExt;
@@ -390,7 +390,7 @@
         if let Ok(guard) = std::env::var("PLOVERCOVE_WITHOUT")
             && !guard.contains('/')
         {
-            let known = plovercove_peers::Guard::named(&guard);
+            let known = plovercove_gossip::Guard::named(&guard);
             rules.without = Some(
                 known.ok_or_else(|| KeyFault::new("PLOVERCOVE_WITHOUT", Wrong::NoGuard(guard)))?,
             );
--- a/router/src/upstream/pg.rs
+++ b/router/src/upstream/pg.rs
@@ -7,12 +7,12 @@
 use crate::net::budget::{Budget, Buffer};
 use crate::net::stream::{Peer, Stream};
 use crate::net::{Source, begin_connect, poll_key};
-use crate::pgwire::{self, Statement, code};
+use crate::statement_labels::{self, Statement, code};
 use plovercove::{Ending, Listed, NodeId, Span, Standing, Time};
-use plovercove_core::{AttemptId, Core, Due, Key, Table};
-use plovercove_dialect::Version;
-use plovercove_dialect::login::{self, Credentials, Login, Refused};
-use plovercove_dialect::reply::{Shape, Spoilt};
+use plovercove_engine::{AttemptId, Core, Due, Key, Table};
+use plovercove_pgwire::Version;
+use plovercove_pgwire::login::{self, Credentials, Login, Refused};
+use plovercove_pgwire::reply::{Shape, Spoilt};
 use plovercove_poller::{Interest, Poll};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::io::{self, ErrorKind};
@@ -515,7 +515,9 @@
             }
             Job::Probe(_) | Job::Watch(..) => {
                 // So short a question leaves at once on a connection that is free.
-                backend.stream.put(|out| pgwire::put_query(out, REPORT));
+                backend
+                    .stream
+                    .put(|out| statement_labels::put_query(out, REPORT));
                 Some(now + self.dial_timeout)
             }
         };
@@ -697,15 +699,16 @@
         let Some(kind) = backend.stream.unread().first().copied() else {
             return false;
         };
-        let message =
-            match reply::longest(kind).map(|most| pgwire::message(backend.stream.unread(), most)) {
-                Some(Ok(Some(message))) => message,
-                Some(Ok(None)) => return false,
-                Some(Err(pgwire::Malformed)) | None => {
-                    self.spoilt(key, now, core);
-                    return false;
-                }
-            };
+        let message = match reply::longest(kind)
+            .map(|most| statement_labels::message(backend.stream.unread(), most))
+        {
+            Some(Ok(Some(message))) => message,
+            Some(Ok(None)) => return false,
+            Some(Err(statement_labels::Malformed)) | None => {
+                self.spoilt(key, now, core);
+                return false;
+            }
+        };
         let length = message.raw.len();
         let mut refused = None;
         // What is to be said at once, and whether the connection can be used again.
@@ -719,7 +722,9 @@
                 .take(&message, !matches!(job, Job::Attempt(..)))
                 .map(|waits_for_data| {
                     if waits_for_data {
-                        pgwire::put(&mut answer, b'f', |out| pgwire::put_text(out, NO_COPY));
+                        statement_labels::put(&mut answer, b'f', |out| {
+                            statement_labels::put_text(out, NO_COPY)
+                        });
                     }
                     false
                 }),
--- a/router/src/upstream/pg/tests.rs
+++ b/router/src/upstream/pg/tests.rs
@@ -4,9 +4,9 @@
 use super::*;
 use crate::net::split;
 use plovercove::{Access, Class, Demand, Effect, ListUpdate, NodeEntry, RepeatScope, Settings};
-use plovercove_core::{Answer, Command};
+use plovercove_emulator::held::{Deaf, Link, Node};
+use plovercove_engine::{Answer, Command};
 use plovercove_poller::Events;
-use plovercove_standin::held::{Deaf, Link, Node};
 use std::time::Duration;
 
 /// Ends a test that would hang; no test waits for it.
@@ -166,7 +166,7 @@
             "/* id={id},c=x,d=5000,cluster=1 */ SELECT '{}'",
             "k".repeat(length)
         );
-        let labels = pgwire::labels(&text).expect("well formed");
+        let labels = statement_labels::labels(&text).expect("well formed");
         let statement = Rc::new(Statement::new(&text, &labels, Shape::OneValue));
         let demand = Demand {
             class,
@@ -548,7 +548,7 @@
         "/* id={id},c=x,d=5000,cluster=1 */ SELECT '{}'",
         "k".repeat(text)
     );
-    let labels = pgwire::labels(&text).expect("well formed");
+    let labels = statement_labels::labels(&text).expect("well formed");
     let mut out = Vec::new();
     Statement::new(&text, &labels, Shape::OneValue).put(&mut out, 5_000);
     out.len()
@@ -571,7 +571,7 @@
         None
     };
     let mut asked = Vec::new();
-    pgwire::put_query(&mut asked, REPORT);
+    statement_labels::put_query(&mut asked, REPORT);
     for (length, job) in [
         (query(JOB, 0), write),
         (asked.len(), probe),
--- a/router/src/upstream/reply.rs
+++ b/router/src/upstream/reply.rs
@@ -3,9 +3,9 @@
 
 use crate::clock;
 use crate::net::budget::{Budget, Buffer};
-use crate::pgwire::{self, Message};
+use crate::statement_labels::{self, Message};
 use plovercove::{Ending, Role, Standing};
-use plovercove_dialect::reply::{self, Outcome, Shape, Spoilt, Taken};
+use plovercove_pgwire::reply::{self, Outcome, Shape, Spoilt, Taken};
 
 /// The longest row. Values have 64 KiB by the protocol, but db nodes have been seen to give 400 KB; the budget of bytes
 /// is what protects the memory.
@@ -57,7 +57,8 @@
             Taken::Keep => {
                 // A client's value may read like a report; it is none.
                 if is_report && message.kind == b'D' {
-                    self.report = report(pgwire::single_value(message.body).ok_or(Spoilt)?);
+                    self.report =
+                        report(statement_labels::single_value(message.body).ok_or(Spoilt)?);
                 }
                 self.body.write(|body| body.extend_from_slice(message.raw));
             }
--- a/router/tests/bad_input.rs
+++ b/router/tests/bad_input.rs
@@ -1,9 +1,9 @@
 //! Bad input at the size of a large fleet: one of 300 routers before 120 db nodes, of which most misbehave, and an agent
 //! that says whatever a test words. Nothing sleeps for a fixed time; every wait has a condition and an end.
 
-use plovercove_standin::process::{Folder, Process};
-use plovercove_standin::rough::{Agent, Manner, Node, Says};
-use plovercove_standin::{Caller, Fate};
+use plovercove_emulator::process::{Folder, Process};
+use plovercove_emulator::rough::{Agent, Manner, Node, Says};
+use plovercove_emulator::{Caller, Fate};
 use serde_json::{Value, json};
 use std::collections::HashMap;
 use std::path::Path;
--- a/router/tests/duties.rs
+++ b/router/tests/duties.rs
@@ -2,15 +2,15 @@
 //! owners and deciders fail.
 
 use plovercove::{ListUpdate, NodeEntry, NodeId, Settings};
-use plovercove_core::Core;
+use plovercove_emulator::process::{Blow, Folder, Process};
+use plovercove_emulator::trial::Trial;
+use plovercove_emulator::{Agent, Caller, Entry, Fate};
+use plovercove_engine::Core;
 use plovercove_poller::{Events, Poll};
 use plovercove_router::chores::Ask;
 use plovercove_router::net::budget::Budget;
 use plovercove_router::net::{Source, split};
 use plovercove_router::upstream::pg::{ConnectOptions, Upstream};
-use plovercove_standin::process::{Blow, Folder, Process};
-use plovercove_standin::trial::Trial;
-use plovercove_standin::{Agent, Caller, Entry, Fate};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, UdpSocket};
--- a/router/tests/errors.rs
+++ b/router/tests/errors.rs
@@ -2,17 +2,17 @@
 //! the page with its text and its help; and the page has no other.
 
 use plovercove::Settings;
-use plovercove_dialect::login::Refused;
-use plovercove_dialect::throttle;
-use plovercove_dialect::verifier::{MOST_USERS, Users};
-use plovercove_peers::{Keys, Rules as PeerRules};
+use plovercove_emulator::page::{self, Row};
+use plovercove_gossip::{Keys, Rules as PeerRules};
+use plovercove_locality::{Rules as TierRules, Tiers};
+use plovercove_pgwire::login::Refused;
+use plovercove_pgwire::throttle;
+use plovercove_pgwire::verifier::{MOST_USERS, Users};
 use plovercove_router::error::Wrong;
 use plovercove_router::operators::{Operators, Source};
-use plovercove_router::{Error, config, pgwire};
-use plovercove_script::{Cause, Fault as ScriptFault, Script};
+use plovercove_router::{Error, config, statement_labels};
 use plovercove_settings as settings;
-use plovercove_standin::page::{self, Row};
-use plovercove_tiers::{Rules as TierRules, Tiers};
+use plovercove_starlark_config::{Cause, Fault as ScriptFault, Script};
 use serde_json::{Value, json};
 use std::collections::BTreeSet;
 use std::io;
@@ -150,7 +150,7 @@
     for fault in &faults {
         all.push(seen("peers", fault, fault.help()));
     }
-    use plovercove_peers::Fault::*;
+    use plovercove_gossip::Fault::*;
     for fault in [
         Foreign, Version, Tag, Malformed, Replayed, OldLife, Own, TooMuch,
     ] {
@@ -200,7 +200,7 @@
         "/* id=a b */",
         "/* c=a,cluster=1,d=5 */",
     ] {
-        let fault = pgwire::labels(text).expect_err(text);
+        let fault = statement_labels::labels(text).expect_err(text);
         all.push(seen("labels", &fault, fault.help()));
     }
 }
@@ -413,14 +413,14 @@
     let variants: BTreeSet<String> = [
         named("settings", settings::Fault::VARIANTS),
         named("script", Cause::VARIANTS),
-        named("tiers", plovercove_tiers::Wrong::VARIANTS),
-        named("peers", plovercove_peers::Error::VARIANTS),
-        named("datagram", plovercove_peers::Fault::VARIANTS),
-        named("dialect", plovercove_dialect::Error::VARIANTS),
+        named("tiers", plovercove_locality::Wrong::VARIANTS),
+        named("peers", plovercove_gossip::Error::VARIANTS),
+        named("datagram", plovercove_gossip::Fault::VARIANTS),
+        named("dialect", plovercove_pgwire::Error::VARIANTS),
         named("login", Refused::VARIANTS),
         named("router", Error::VARIANTS),
         named("operators", Wrong::VARIANTS),
-        named("labels", pgwire::Mislabelled::VARIANTS),
+        named("labels", statement_labels::Mislabelled::VARIANTS),
     ]
     .concat()
     .into_iter()
@@ -428,7 +428,7 @@
     let produced: BTreeSet<String> = all.into_iter().map(|Seen(variant, ..)| variant).collect();
     assert_eq!(produced, variants, "each variant is produced, and no other");
     let mut rows: Vec<&str> = page.iter().map(|row| row.variant.as_str()).collect();
-    // What `plovercove-lab` says is held against the page by its own test.
+    // What `plovercove-experiments` says is held against the page by its own test.
     rows.retain(|row| !row.starts_with("lab::"));
     let wanted: Vec<&str> = variants
         .iter()
--- a/router/tests/front_desk/mod.rs
+++ b/router/tests/front_desk/mod.rs
@@ -5,7 +5,7 @@
 use plovercove::{
     Access, Class, Effect, Ending, ListUpdate, NodeEntry, RepeatScope, Settings, Standing, Time,
 };
-use plovercove_core::{AttemptId, Command, Core, Due, Key};
+use plovercove_engine::{AttemptId, Command, Core, Due, Key};
 use plovercove_poller::{Events, Poll};
 use plovercove_router::front::pg::Front;
 use plovercove_router::net::budget::Budget;
--- a/router/tests/peers.rs
+++ b/router/tests/peers.rs
@@ -1,8 +1,8 @@
 //! Talk between routers, from the outside: off it is not there; on, operators are told what is wrong, keys are changed in
 //! service, and a router says what it believes when asked.
 
-use plovercove_standin::process::{Blow, Folder, Process};
-use plovercove_standin::rough::{Agent, Says};
+use plovercove_emulator::process::{Blow, Folder, Process};
+use plovercove_emulator::rough::{Agent, Says};
 use serde_json::json;
 use std::path::Path;
 use std::process::Command;
--- a/router/tests/standing.rs
+++ b/router/tests/standing.rs
@@ -4,9 +4,9 @@
 #[allow(dead_code, reason = "each test of the standing test uses a part of it")]
 mod standing_fleet;
 
-use plovercove_standin::process::{Blow, Process};
-use plovercove_standin::rough::{Agent, Manner, Node, Says};
-use plovercove_standin::{Caller, Fate};
+use plovercove_emulator::process::{Blow, Process};
+use plovercove_emulator::rough::{Agent, Manner, Node, Says};
+use plovercove_emulator::{Caller, Fate};
 use standing_fleet::{DEADLINE, HANGS, Start, ask, group, listing, statement, with_status};
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
--- a/router/tests/standing_clients.rs
+++ b/router/tests/standing_clients.rs
@@ -4,8 +4,8 @@
 #[allow(dead_code, reason = "each test of the standing test uses a part of it")]
 mod standing_fleet;
 
-use plovercove_standin::process::{Blow, Process};
-use plovercove_standin::rough::{Agent, Manner, Node, Says};
+use plovercove_emulator::process::{Blow, Process};
+use plovercove_emulator::rough::{Agent, Manner, Node, Says};
 use standing_fleet::{HANGS, Start, group, listing, statement};
 use std::collections::HashSet;
 use std::io::{ErrorKind, Read, Write};
--- a/router/tests/standing_crossings.rs
+++ b/router/tests/standing_crossings.rs
@@ -111,7 +111,7 @@
     let mut newcomer = Client::dial(desk.to);
     newcomer.write(startup());
     desk.front.accept(
-        plovercove_core::Key::from_number(0),
+        plovercove_engine::Key::from_number(0),
         desk.now,
         &mut desk.core,
     );
@@ -153,7 +153,7 @@
     wishes.finish();
     let _newcomer = Client::dial(desk.to);
     desk.front.accept(
-        plovercove_core::Key::from_number(0),
+        plovercove_engine::Key::from_number(0),
         desk.now,
         &mut desk.core,
     );
@@ -172,7 +172,7 @@
         desk.until("it is taken in", |desk| desk.front.connected() == 2);
         let _newcomer = Client::dial(desk.to);
         desk.front.accept(
-            plovercove_core::Key::from_number(0),
+            plovercove_engine::Key::from_number(0),
             desk.now,
             &mut desk.core,
         );
@@ -208,7 +208,7 @@
     desk.until("it is taken in", |desk| desk.front.connected() == 2);
     let _newcomer = Client::dial(desk.to);
     desk.front.accept(
-        plovercove_core::Key::from_number(0),
+        plovercove_engine::Key::from_number(0),
         desk.now,
         &mut desk.core,
     );
@@ -221,7 +221,7 @@
     wishes.write(&wish(&client.key));
     desk.now += HEARD_OUT;
     while let Some(due) = desk.core.deadlines.pop(desk.now) {
-        if let plovercove_core::Due::Client(key) = due {
+        if let plovercove_engine::Due::Client(key) = due {
             desk.front.look_over(key, desk.now, &mut desk.core);
         }
     }
@@ -408,7 +408,7 @@
     client.write(&query("a2"));
     desk.core
         .deadlines
-        .add(desk.now, plovercove_core::Due::Stop);
+        .add(desk.now, plovercove_engine::Due::Stop);
     desk.turn();
     desk.serve();
     assert_eq!(
--- a/router/tests/standing_fleet/mod.rs
+++ b/router/tests/standing_fleet/mod.rs
@@ -1,9 +1,9 @@
 //! What the tests of the standing test's sentences share: one router before one group, and an agent that says what a test
 //! words.
 
-use plovercove_standin::process::{Folder, Process};
-use plovercove_standin::rough::{Agent, Manner, Node};
-use plovercove_standin::{Caller, Fate};
+use plovercove_emulator::process::{Folder, Process};
+use plovercove_emulator::rough::{Agent, Manner, Node};
+use plovercove_emulator::{Caller, Fate};
 use serde_json::{Value, json};
 use std::path::Path;
 use std::time::Duration;
--- a/router/tests/standing_sequences.rs
+++ b/router/tests/standing_sequences.rs
@@ -5,9 +5,9 @@
 #[allow(dead_code, reason = "each test of the standing test uses a part of it")]
 mod standing_fleet;
 
-use plovercove_standin::process::{Blow, Folder, Process};
-use plovercove_standin::rough::{Agent, Manner, Node, Says};
-use plovercove_standin::{Caller, Fate};
+use plovercove_emulator::process::{Blow, Folder, Process};
+use plovercove_emulator::rough::{Agent, Manner, Node, Says};
+use plovercove_emulator::{Caller, Fate};
 use serde_json::Value;
 use standing_fleet::{GRACE, HANGS, Start, ask, group, listing, with_status};
 use std::path::Path;
--- a/router/tests/standing_signals.rs
+++ b/router/tests/standing_signals.rs
@@ -5,9 +5,9 @@
 #[allow(dead_code, reason = "each test of the standing test uses a part of it")]
 mod standing_fleet;
 
-use plovercove_standin::held;
-use plovercove_standin::process::{Blow, Folder, Process};
-use plovercove_standin::rough::{Agent, Manner, Node, Says};
+use plovercove_emulator::held;
+use plovercove_emulator::process::{Blow, Folder, Process};
+use plovercove_emulator::rough::{Agent, Manner, Node, Says};
 use serde_json::Value;
 use standing_fleet::{HANGS, Start, group, listing, statement, with_status};
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
--- a/router/tests/standing_watch.rs
+++ b/router/tests/standing_watch.rs
@@ -5,9 +5,9 @@
 #[allow(dead_code, reason = "each test of the standing test uses a part of it")]
 mod standing_fleet;
 
-use plovercove_standin::process::Blow;
-use plovercove_standin::rough::{Agent, Manner, Node, Says};
-use plovercove_standin::{Caller, Fate};
+use plovercove_emulator::process::Blow;
+use plovercove_emulator::rough::{Agent, Manner, Node, Says};
+use plovercove_emulator::{Caller, Fate};
 use serde_json::{Value, json};
 use standing_fleet::{GRACE, HANGS, Start, ask, entry, group, listing, with_status};
 use std::net::{SocketAddr, TcpStream};
--- a/router/tests/translator.rs
+++ b/router/tests/translator.rs
@@ -1,12 +1,12 @@
 //! Old clients, new servers: the router between a scripted client of versions 2.0 and 3.0 and a scripted server of 3.2.
 //! The whole catalogue is walked in both directions, and a message without a case fails the walk.
 
-use plovercove_dialect::catalogue::{ENTRIES, Entry, Side, Treatment};
-use plovercove_standin::old::{Heard, Old, cancel};
-use plovercove_standin::process::{Folder, Process};
-use plovercove_standin::server::{
+use plovercove_emulator::old::{Heard, Old, cancel};
+use plovercove_emulator::process::{Folder, Process};
+use plovercove_emulator::server::{
     Answer, Gate, PASSWORD, Server, Then, USER, columns, complete, fields, message, ready, row,
 };
+use plovercove_pgwire::catalogue::{ENTRIES, Entry, Side, Treatment};
 use std::net::SocketAddr;
 use std::path::Path;
 use std::process::Command;
--- a/fleet/examples/slow_start.rs
+++ b/simulation/examples/slow_start.rs
@@ -5,7 +5,7 @@
 mod drawn;
 
 use drawn::{drawn, early, restarted, told};
-use plovercove_fleet::run;
+use plovercove_simulation::run;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Instant;
 
--- a/fleet/src/lib.rs
+++ b/simulation/src/lib.rs
@@ -1,5 +1,5 @@
 //! A model of what plovercove balances: db nodes, replication, zones, the node list and clients, in virtual time. It
-//! drives the real `plovercove-core`, tiers and decision module, hundreds of routers at a time, and checks the rules as
+//! drives the real `plovercove-engine`, tiers and decision module, hundreds of routers at a time, and checks the rules as
 //! it goes. The same [`Spec`] and seed give the same [`Report`] to the byte.
 //!
 //! [`node`] and [`replication`] are plain state machines that are told the time; the stand-ins on sockets use them too.
--- a/fleet/src/spec.rs
+++ b/simulation/src/spec.rs
@@ -1,7 +1,7 @@
 //! What an experiment describes. Every part has a default, so that scripts name only what matters to them.
 
 use plovercove::{Access, Class, Effect, RepeatScope, Settings, Tenant};
-use plovercove_tiers::Rules;
+use plovercove_locality::Rules;
 use serde::{Deserialize, Serialize};
 
 /// One zone.
@@ -499,7 +499,7 @@
 #[serde(default, deny_unknown_fields)]
 pub struct PeerSpec {
     /// The rules of the operators' file.
-    pub rules: plovercove_peers::Rules,
+    pub rules: plovercove_gossip::Rules,
     /// The share of datagrams that is lost.
     pub loss: f64,
 }
@@ -643,7 +643,7 @@
     /// The rules of tiers that hold for it.
     pub fn rules(&self) -> Rules {
         self.tiers.clone().unwrap_or_else(|| {
-            let zone = |z: &ZoneSpec| plovercove_tiers::Zone {
+            let zone = |z: &ZoneSpec| plovercove_locality::Zone {
                 name: z.name.clone(),
                 routers: z.routers as u32,
                 prefer: Vec::new(),
--- a/fleet/src/world.rs
+++ b/simulation/src/world.rs
@@ -21,7 +21,7 @@
 use crate::spec::{Spec, SpecFault, layout};
 use hdrhistogram::Histogram;
 use plovercove::{Ending, Listed, NodeEntry, NodeId, Settings, Span, Standing, Time};
-use plovercove_core::{AttemptId, Backoff, Core, Key};
+use plovercove_engine::{AttemptId, Backoff, Core, Key};
 use rand::{RngExt, SeedableRng};
 use rand_distr::{Distribution, LogNormal, Normal};
 use slab::Slab;
--- a/fleet/src/world/clients.rs
+++ b/simulation/src/world/clients.rs
@@ -4,7 +4,7 @@
 use crate::rules::Rule;
 use crate::spec::Reads;
 use plovercove::{Demand, Span, Time};
-use plovercove_core::Key;
+use plovercove_engine::Key;
 use rand::RngExt;
 use rand_distr::{Distribution, Exp};
 
--- a/fleet/src/world/links.rs
+++ b/simulation/src/world/links.rs
@@ -4,7 +4,7 @@
 use crate::rules::Rule;
 use crate::spec::Reads;
 use plovercove::{Ending, NodeId, Role, Span, Standing};
-use plovercove_core::{AttemptId, Key};
+use plovercove_engine::{AttemptId, Key};
 use rand::RngExt;
 use rand_distr::Distribution;
 
--- a/fleet/src/world/routers.rs
+++ b/simulation/src/world/routers.rs
@@ -4,8 +4,8 @@
 use crate::spec::{SpecFault, Variant};
 use crate::strict::Strict;
 use plovercove::{ListUpdate, NodeId, Role, Standing, Zoning};
-use plovercove_core::{Answer, Command, Core, Due};
-use plovercove_tiers::Tiers;
+use plovercove_engine::{Answer, Command, Core, Due};
+use plovercove_locality::Tiers;
 
 /// Rounds of decisions on one event.
 const ROUNDS: usize = 16;
--- a/fleet/src/world/talk.rs
+++ b/simulation/src/world/talk.rs
@@ -3,8 +3,8 @@
 use super::{BEGIN, Event, World, us};
 use crate::spec::{PeerSpec, SpecFault};
 use plovercove::{NodeId, Span, Zoning};
-use plovercove_core::Core;
-use plovercove_peers::{Keys, Level, Life, News, Peers, Witness};
+use plovercove_engine::Core;
+use plovercove_gossip::{Keys, Level, Life, News, Peers, Witness};
 use rand::RngExt;
 use std::any::Any;
 use std::net::{Ipv4Addr, SocketAddr};
--- a/fleet/tests/drawn/mod.rs
+++ b/simulation/tests/drawn/mod.rs
@@ -1,6 +1,6 @@
 //! Drawn groups with cold nodes, for the test and for scans by hand.
 
-use plovercove_fleet::{Dice, Fault, NodeSpec, Report, Spec, Trouble};
+use plovercove_simulation::{Dice, Fault, NodeSpec, Report, Spec, Trouble};
 use rand::{RngExt, SeedableRng};
 
 /// A group of which some members start anew at once, with lists told apart, uneven routers, bursts and restarts.
--- a/fleet/tests/runs.rs
+++ b/simulation/tests/runs.rs
@@ -1,6 +1,6 @@
 //! Runs of the model: the same seed gives the same run, and rules hold where it is small enough for CI.
 
-use plovercove_fleet::{Fault, Spec, Trouble, Variant, run};
+use plovercove_simulation::{Fault, Spec, Trouble, Variant, run};
 
 fn spec(faults: Vec<Fault>) -> Spec {
     let text = r#"{"seconds": 30, "window": [8, 28], "clients": {"load": 0.5}, "zones": [
--- a/fleet/tests/slow_start.rs
+++ b/simulation/tests/slow_start.rs
@@ -3,7 +3,7 @@
 mod drawn;
 
 use drawn::{drawn, early, restarted, told};
-use plovercove_fleet::{Spec, run};
+use plovercove_simulation::{Spec, run};
 
 /// From 1 to 300 routers; among them the nearest to the bound of those that were played, before turns and since.
 const SEEDS: [u64; 12] = [4, 15, 19, 23, 28, 29, 45, 65, 87, 101, 103, 145];
--- a/fleet/tests/standing.rs
+++ b/simulation/tests/standing.rs
@@ -1,6 +1,6 @@
 //! Sentences of the operators' standing test that only a fleet can be held against: nobody starves.
 
-use plovercove_fleet::{Part, Report, Spec, run};
+use plovercove_simulation::{Part, Report, Spec, run};
 
 fn spec(more: &str) -> Spec {
     let text = format!(
--- a/fleet/tests/tenants.rs
+++ b/simulation/tests/tenants.rs
@@ -1,6 +1,6 @@
 //! Tenants' shares in a fleet: hundreds of routers that share nothing and see uneven parts of the traffic.
 
-use plovercove_fleet::{Report, Spec, run};
+use plovercove_simulation::{Report, Spec, run};
 
 /// First tries a second at a load of 1: 24 nodes with 5 cores each, at a mean work of 77.04 ms.
 const CAPACITY: f64 = 24.0 * 5.0 / 0.07704;
--- a/adapter/src/main.rs
+++ b/simulator-adapter/src/main.rs
@@ -139,7 +139,7 @@
     match serve() {
         Ok(()) => ExitCode::SUCCESS,
         Err(fault) => {
-            eprintln!("plovercove-adapter: {fault}");
+            eprintln!("plovercove-simulator-adapter: {fault}");
             ExitCode::FAILURE
         }
     }
--- a/adapter/tests/wire.rs
+++ b/simulator-adapter/tests/wire.rs
@@ -9,7 +9,7 @@
 "DrainGrace":1,"OverloadFactor":2,"OverloadFor":1000000},"SlotNo":0,"Tick":5000,"Unknown":[1]}]"#;
 
 fn run(lines: &str) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_plovercove-adapter"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_plovercove-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
