--- a/engine/src/backoff.rs
+++ b/engine/src/backoff.rs
@@ -4,21 +4,21 @@
 //! pause, it is asked more the less it can answer, and never comes back: 100 routers made 1,000 calls a second of a
 //! discovery that could answer a few, and knew the same list for 25 s.
 
-use plovercove::{Span, Time};
+use plovercove::{Micros, Time};
 
 /// The pauses after failures in a row: doubling from the first to the longest, each drawn evenly from its upper half.
 #[derive(Clone, Debug)]
 pub struct Backoff {
-    first: Span,
-    longest: Span,
-    next: Span,
+    first: Micros,
+    longest: Micros,
+    next: Micros,
     /// State of the random numbers (splitmix64), so that equal seeds give equal pauses.
     state: u64,
 }
 
 impl Backoff {
     /// Pauses in microseconds; routers need different seeds.
-    pub fn new(first: Span, longest: Span, seed: u64) -> Self {
+    pub fn new(first: Micros, longest: Micros, seed: u64) -> Self {
         Backoff {
             first,
             longest,
@@ -29,12 +29,12 @@
 
     /// A call failed at this time. Returns when to make the next.
     pub fn failed(&mut self, now: Time) -> Time {
-        self.failed_within(now, Span::MAX)
+        self.failed_within(now, Micros::MAX)
     }
 
     /// A call failed at this time, and the next has to be made within so much. The pause is drawn, also where there is less
     /// room than it would take: routers that were cut off at the end of their room would call in step.
-    pub fn failed_within(&mut self, now: Time, room: Span) -> Time {
+    pub fn failed_within(&mut self, now: Time, room: Micros) -> Time {
         let pause = self.next.min(room);
         let half = pause / 2;
         self.next = (self.next * 2).min(self.longest);
--- a/engine/src/core.rs
+++ b/engine/src/core.rs
@@ -10,7 +10,7 @@
 use tracing::{debug, info, warn};
 
 /// What may pass in a client's and our own buffers before a request is counted: its patience runs from its sending.
-const IN_BUFFERS: Span = 5_000;
+const IN_BUFFERS: Micros = 5_000;
 
 /// The names that are kept of nodes dropped while they drained: many times a fleet's. Beyond them attempts are still held
 /// back, by the module; only questions are not.
@@ -63,7 +63,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
     /// Trying again is harmless, after this long where told.
-    Refused(Option<Span>),
+    Refused(Option<Micros>),
     /// Nothing is promised.
     Failed,
 }
@@ -75,7 +75,7 @@
     /// Its last byte has been written: from then on it may have run.
     written: bool,
     /// How it ended; none while it is out.
-    ended: Option<Ending>,
+    ended: Option<AttemptEnd>,
 }
 
 impl Attempt {
@@ -97,20 +97,23 @@
 }
 
 /// Whether what ended so may have had an effect.
-fn may_have_run(ending: Ending) -> bool {
+fn may_have_run(ending: AttemptEnd) -> bool {
     !matches!(
         ending,
-        Ending::Overloaded | Ending::Unreachable | Ending::Void | Ending::Missed
+        AttemptEnd::Overloaded
+            | AttemptEnd::Unreachable
+            | AttemptEnd::NeverSent
+            | AttemptEnd::Misdirected
     )
 }
 
 /// The decisions, and the books that they are carried out by.
-pub struct Core {
+pub struct Engine {
     balancer: Balancer,
     classes: Vec<Class>,
     requests: Table<Request>,
     /// What the list says of the nodes that it names.
-    members: BTreeMap<NodeId, NodeEntry>,
+    members: BTreeMap<NodeId, Endpoint>,
     /// Nodes that were dropped from the list while they drained, where dropping alone closes none.
     dropped_draining: BTreeSet<NodeId>,
     /// Only nodes listed as draining, not those dropped from the list, are closed to sends.
@@ -126,10 +129,10 @@
     pub deadlines: Deadlines,
 }
 
-impl Core {
+impl Engine {
     /// A core without requests.
     pub fn new(settings: Settings, seed: u64) -> Self {
-        Core {
+        Engine {
             classes: settings.classes.clone(),
             dropped_stay_open: settings.dropped_stay_open,
             balancer: Balancer::new(settings, seed),
@@ -146,28 +149,28 @@
     }
 
     /// From now on this says which zones a request may use.
-    pub fn zoned(mut self, zoning: Box<dyn Zoning>) -> Self {
+    pub fn zoned(mut self, zoning: Box<dyn LocalityPolicy>) -> Self {
         self.balancer.zoning = Some(zoning);
         self
     }
 
     /// What says which zones a request may use, if anything does.
-    pub fn zoning(&mut self) -> Option<&mut dyn Zoning> {
+    pub fn zoning(&mut self) -> Option<&mut dyn LocalityPolicy> {
         self.balancer.zoning.as_deref_mut()
     }
 
     /// Puts something else, or nothing, in the place of what says which zones a request may use. It is told the list as
     /// it is known; attempts that are out stay out, and it hears of their ends.
-    pub fn rezone(&mut self, now: Time, zoning: Option<Box<dyn Zoning>>) {
+    pub fn rezone(&mut self, now: Time, zoning: Option<Box<dyn LocalityPolicy>>) {
         self.balancer.zoning = zoning;
         if let Some(zoning) = &mut self.balancer.zoning {
             let known = self.members.values().cloned().collect();
             let update = if self.listed {
-                ListUpdate::Full(known)
+                EndpointUpdate::Full(known)
             } else {
-                ListUpdate::Restored(known)
+                EndpointUpdate::Restored(known)
             };
-            zoning.listed(now, &update);
+            zoning.endpoints_changed(now, &update);
         }
         // Requests that wait are decided anew.
         self.events.push(Event::Timer);
@@ -188,7 +191,7 @@
     }
 
     /// What the list says of the nodes that it names.
-    pub fn members(&self) -> impl Iterator<Item = &NodeEntry> {
+    pub fn members(&self) -> impl Iterator<Item = &Endpoint> {
         self.members.values()
     }
 
@@ -198,9 +201,9 @@
     }
 
     /// Discovery told something.
-    pub fn list(&mut self, update: ListUpdate) {
-        self.listed |= matches!(update, ListUpdate::Changes(_) | ListUpdate::Full(_));
-        if let ListUpdate::Full(all) | ListUpdate::Restored(all) = &update {
+    pub fn list(&mut self, update: EndpointUpdate) {
+        self.listed |= matches!(update, EndpointUpdate::Changes(_) | EndpointUpdate::Full(_));
+        if let EndpointUpdate::Full(all) | EndpointUpdate::Restored(all) = &update {
             let named: BTreeSet<&NodeId> = all.iter().map(|entry| &entry.node).collect();
             let absent: Vec<NodeId> = self
                 .members
@@ -210,11 +213,12 @@
                 .collect();
             absent.iter().for_each(|node| self.dropped(node));
         }
-        if let ListUpdate::Changes(all) | ListUpdate::Full(all) | ListUpdate::Restored(all) =
-            &update
+        if let EndpointUpdate::Changes(all)
+        | EndpointUpdate::Full(all)
+        | EndpointUpdate::Restored(all) = &update
         {
             for entry in all {
-                if entry.state == Listed::Gone {
+                if entry.state == EndpointState::Removed {
                     self.dropped(&entry.node);
                 } else {
                     self.dropped_draining.remove(&entry.node);
@@ -222,7 +226,7 @@
                 }
             }
         }
-        self.events.push(Event::List(update));
+        self.events.push(Event::EndpointsChanged(update));
     }
 
     /// The list names a node no more. Where that closes no node, one that drained stays closed all the same.
@@ -230,7 +234,7 @@
         let drained = self
             .members
             .remove(node)
-            .is_some_and(|entry| entry.state == Listed::Draining);
+            .is_some_and(|entry| entry.state == EndpointState::Draining);
         if drained && self.dropped_stay_open {
             self.dropped_draining.insert(node.clone());
             if self.dropped_draining.len() > DRAINED_MOST {
@@ -240,13 +244,13 @@
     }
 
     /// Takes a request on. It is owed one final answer, through `Command::Answer` or `ended`.
-    pub fn request(&mut self, origin: Key, mut demand: Demand) -> Key {
+    pub fn request(&mut self, origin: Key, mut demand: RequestInfo) -> Key {
         let figures = &self.classes[demand.class];
-        let binds_refusals = match figures.effect {
-            Effect::Idempotent => false,
+        let binds_refusals = match figures.idempotency {
+            Idempotency::Idempotent => false,
             // A client's repeat may reach nodes beyond those that discard it.
-            Effect::Deduplicated => figures.scope != RepeatScope::All,
-            Effect::AtMostOnce => true,
+            Idempotency::Deduplicated => figures.dedup_scope != DedupScope::All,
+            Idempotency::AtMostOnce => true,
         };
         let class = demand.class;
         let Ok(key) = self.requests.insert_with(|_| {
@@ -261,8 +265,8 @@
             })
         });
         demand.id = key.number();
-        demand.left = demand.left.saturating_sub(IN_BUFFERS);
-        self.events.push(Event::Request(demand));
+        demand.time_left = demand.time_left.saturating_sub(IN_BUFFERS);
+        self.events.push(Event::RequestArrived(demand));
         key
     }
 
@@ -273,7 +277,7 @@
             .get_mut(request)
             .is_some_and(|r| std::mem::take(&mut r.open))
         {
-            self.events.push(Event::Abandoned {
+            self.events.push(Event::ClientGone {
                 request: request.number(),
             });
             self.closed.push(request);
@@ -295,8 +299,8 @@
                 self.stop(
                     AttemptId { request, number },
                     now,
-                    Ending::Cancelled,
-                    Ending::Void,
+                    AttemptEnd::Cancelled,
+                    AttemptEnd::NeverSent,
                 );
             }
         }
@@ -313,8 +317,8 @@
             self.stop(
                 AttemptId { request, number },
                 now,
-                Ending::Cancelled,
-                Ending::Void,
+                AttemptEnd::Cancelled,
+                AttemptEnd::NeverSent,
             );
         }
     }
@@ -331,7 +335,7 @@
     /// the moment when it was told, also before the module has heard of it; a request that is over is sent nowhere.
     pub fn may_begin(&self, attempt: Option<AttemptId>, node: &NodeId, now: Time) -> bool {
         let listed = match self.members.get(node) {
-            Some(entry) => entry.state == Listed::Serving,
+            Some(entry) => entry.state == EndpointState::Serving,
             None => self.dropped_stay_open && !self.dropped_draining.contains(node),
         };
         let waits = |id: AttemptId| {
@@ -363,10 +367,10 @@
             .filter(|(_, a)| a.ended.is_none_or(may_have_run))
             .map(|(_, a)| a.sent)
             .min();
-        first.is_none_or(|first| match class.effect {
-            Effect::Idempotent => true,
-            Effect::Deduplicated => now < first + class.window,
-            Effect::AtMostOnce => false,
+        first.is_none_or(|first| match class.idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::Deduplicated => now < first + class.dedup_window,
+            Idempotency::AtMostOnce => false,
         })
     }
 
@@ -380,7 +384,7 @@
     }
 
     /// How long an attempt will be waited for from now on.
-    pub fn patience(&self, id: AttemptId, now: Time) -> Span {
+    pub fn patience(&self, id: AttemptId, now: Time) -> Micros {
         let attempt = self
             .requests
             .get(id.request)
@@ -393,9 +397,9 @@
         &mut self,
         now: Time,
         id: AttemptId,
-        ending: Ending,
-        note: Standing,
-        report: Standing,
+        ending: AttemptEnd,
+        note: NodeReport,
+        report: NodeReport,
     ) -> Option<Key> {
         let r = self.requests.get_mut(id.request)?;
         let attempt = r.attempts.get_mut(id.number as usize).filter(|a| a.out())?;
@@ -407,33 +411,33 @@
             .members
             .get(&attempt.node)
             .map_or("", |entry| &entry.zone);
-        debug!(request = id.request.number(), attempt = id.number, node = %attempt.node, zone, reason = ending.word(), elapsed, "ended");
-        let served = ending == Ending::Success && std::mem::take(&mut r.open);
+        debug!(request = id.request.number(), attempt = id.number, node = %attempt.node, zone, reason = ending.label(), elapsed, "ended");
+        let served = ending == AttemptEnd::Success && std::mem::take(&mut r.open);
         if served {
             self.closed.push(id.request);
         }
         let (over, origin) = (!r.open, r.origin);
         let (request, attempt) = (id.request.number(), id.number);
-        self.events.push(Event::Outcome {
+        self.events.push(Event::AttemptEnded {
             request,
             attempt,
-            ending,
+            end: ending,
             elapsed,
-            over,
-            note,
-            report,
+            request_over: over,
+            answer_report: note,
+            load_report: report,
         });
         self.forget(id.request);
         served.then_some(origin)
     }
 
     /// A probe ended.
-    pub fn probed(&mut self, node: NodeId, answer: Option<Standing>) {
+    pub fn probed(&mut self, node: NodeId, answer: Option<NodeReport>) {
         let (answered, report) = (answer.is_some(), answer.unwrap_or_default());
-        self.events.push(Event::Probed {
+        self.events.push(Event::HealthChecked {
             node,
             answered,
-            report,
+            load_report: report,
         });
     }
 
@@ -444,7 +448,7 @@
 
     /// An attempt was waited for long enough.
     pub fn timed_out(&mut self, id: AttemptId, now: Time) {
-        self.stop(id, now, Ending::TimedOut, Ending::Unreachable);
+        self.stop(id, now, AttemptEnd::TimedOut, AttemptEnd::Unreachable);
     }
 
     /// An attempt that can't be carried out: its client has gone in this very turn.
@@ -452,9 +456,9 @@
         self.ended(
             now,
             id,
-            Ending::Void,
-            Standing::default(),
-            Standing::default(),
+            AttemptEnd::NeverSent,
+            NodeReport::default(),
+            NodeReport::default(),
         );
     }
 
@@ -464,7 +468,7 @@
     }
 
     /// Ends an attempt from this side: what has not been written whole never ran.
-    fn stop(&mut self, id: AttemptId, now: Time, written: Ending, unwritten: Ending) {
+    fn stop(&mut self, id: AttemptId, now: Time, written: AttemptEnd, unwritten: AttemptEnd) {
         let attempt = self
             .requests
             .get(id.request)
@@ -477,7 +481,13 @@
             attempt: id,
             node: attempt.node.clone(),
         });
-        self.ended(now, id, ending, Standing::default(), Standing::default());
+        self.ended(
+            now,
+            id,
+            ending,
+            NodeReport::default(),
+            NodeReport::default(),
+        );
     }
 
     /// Lets the module decide on what has come since the last time; nothing where nothing has come.
@@ -508,9 +518,9 @@
                     request: Key::from_number(request),
                     number: attempt,
                 };
-                self.stop(id, now, Ending::Cancelled, Ending::Void);
+                self.stop(id, now, AttemptEnd::Cancelled, AttemptEnd::NeverSent);
             }
-            Action::Refuse {
+            Action::Reject {
                 request,
                 retry_after,
             } => {
@@ -518,9 +528,9 @@
             }
             Action::Fail { request } => self.answer(Key::from_number(request), Answer::Failed),
             Action::Wake(after) => self.deadlines.add(now + after, Due::Wake),
-            Action::Probe(node) => self.commands.push(Command::Probe(node)),
-            Action::Close(node) => self.commands.push(Command::CloseIdle(node)),
-            Action::Log(News {
+            Action::HealthCheck(node) => self.commands.push(Command::Probe(node)),
+            Action::CloseIdle(node) => self.commands.push(Command::CloseIdle(node)),
+            Action::Log(LogEvent {
                 node,
                 zone,
                 reason,
@@ -537,7 +547,7 @@
         }
     }
 
-    fn send(&mut self, request: Key, node: NodeId, now: Time, timeout: Span) {
+    fn send(&mut self, request: Key, node: NodeId, now: Time, timeout: Micros) {
         let Some(r) = self.requests.get_mut(request).filter(|r| r.open) else {
             return;
         };
@@ -546,10 +556,9 @@
             number: r.attempts.len() as u32,
         };
         let until = now + timeout;
-        let reason = r
-            .attempts
-            .last()
-            .map_or("first", |a| a.ended.map_or("second copy", Ending::word));
+        let reason = r.attempts.last().map_or("first", |a| {
+            a.ended.map_or("second copy", AttemptEnd::label)
+        });
         let zone = self.members.get(&node).map_or("", |entry| &entry.zone);
         let class = &self.classes[r.class].name;
         debug!(request = request.number(), attempt = attempt.number, class, %node, zone, reason, "sent");
@@ -590,7 +599,9 @@
         let zone = last
             .and_then(|a| self.members.get(&a.node))
             .map(|entry| entry.zone.as_str());
-        let reason = last.map_or("not placed", |a| a.ended.map_or("still out", Ending::word));
+        let reason = last.map_or("not placed", |a| {
+            a.ended.map_or("still out", AttemptEnd::label)
+        });
         debug!(
             request = request.number(),
             class = self.classes[r.class].name,
--- a/engine/src/core/tests.rs
+++ b/engine/src/core/tests.rs
@@ -5,45 +5,45 @@
 const NOW: Time = 1_000_000_000;
 
 /// A core with one write on its way to the primary.
-fn writing() -> (Core, AttemptId) {
-    writing_of(Effect::AtMostOnce, RepeatScope::Group)
+fn writing() -> (Engine, AttemptId) {
+    writing_of(Idempotency::AtMostOnce, DedupScope::Group)
 }
 
 /// The same, of a class of this effect.
-fn writing_of(effect: Effect, scope: RepeatScope) -> (Core, AttemptId) {
+fn writing_of(effect: Idempotency, scope: DedupScope) -> (Engine, AttemptId) {
     let class = Class {
         name: "book".into(),
         access: Access::Write,
-        aim: 400_000,
-        aim_stretch: 0.0,
+        latency_objective: 400_000,
+        objective_per_cost: 0.0,
         deadline: 5_000_000,
-        worth: 1.0,
-        late_worth: 0.0,
-        effect,
-        scope,
-        window: 0,
+        priority_weight: 1.0,
+        late_weight_share: 0.0,
+        idempotency: effect,
+        dedup_scope: scope,
+        dedup_window: 0,
         stream: false,
     };
-    let mut core = Core::new(
+    let mut core = Engine::new(
         Settings {
             classes: vec![class],
-            may_cancel: true,
+            cancel_allowed: true,
             ..Settings::default()
         },
         1,
     );
-    let primary = NodeEntry {
+    let primary = Endpoint {
         node: "p".into(),
-        primary: true,
+        listed_as_primary: true,
         group: 1,
         weight: 1.0,
-        ..NodeEntry::default()
+        ..Endpoint::default()
     };
-    core.list(ListUpdate::Full(vec![primary]));
-    let demand = Demand {
+    core.list(EndpointUpdate::Full(vec![primary]));
+    let demand = RequestInfo {
         group: 1,
-        left: 5_000_000,
-        ..Demand::default()
+        time_left: 5_000_000,
+        ..RequestInfo::default()
     };
     core.request(Key::from_number(7), demand);
     let sent = core
@@ -84,13 +84,13 @@
 #[test]
 fn what_may_have_run_is_called_harmless_only_where_repeats_are() {
     // Danger: where repeats are discarded in one group or zone only, a client that is told to come again runs it twice.
-    use Effect::{AtMostOnce, Deduplicated, Idempotent};
+    use Idempotency::{AtMostOnce, Deduplicated, Idempotent};
     let cases = [
-        (Idempotent, RepeatScope::Group, true),
-        (Deduplicated, RepeatScope::All, true),
-        (Deduplicated, RepeatScope::Zone, false),
-        (Deduplicated, RepeatScope::Group, false),
-        (AtMostOnce, RepeatScope::All, false),
+        (Idempotent, DedupScope::Group, true),
+        (Deduplicated, DedupScope::All, true),
+        (Deduplicated, DedupScope::Zone, false),
+        (Deduplicated, DedupScope::Group, false),
+        (AtMostOnce, DedupScope::All, false),
     ];
     for (effect, scope, harmless) in cases {
         let (mut core, attempt) = writing_of(effect, scope);
@@ -117,10 +117,10 @@
     let (mut core, attempt) = writing();
     core.timed_out(attempt, NOW + 400_000);
     let ended = core.events.iter().find_map(|event| match event {
-        Event::Outcome { ending, .. } => Some(*ending),
+        Event::AttemptEnded { end: ending, .. } => Some(*ending),
         _ => None,
     });
-    assert_eq!(ended, Some(Ending::Unreachable));
+    assert_eq!(ended, Some(AttemptEnd::Unreachable));
     assert!(matches!(core.commands[..], [Command::GiveUp { .. }]));
 }
 
@@ -134,9 +134,9 @@
         (0, 1),
         "its attempt is still out"
     );
-    let said = Standing::default();
+    let said = NodeReport::default();
     assert_eq!(
-        core.ended(NOW + 2, attempt, Ending::Success, said, said),
+        core.ended(NOW + 2, attempt, AttemptEnd::Success, said, said),
         None
     );
     assert_eq!(core.held(), 0);
@@ -159,17 +159,21 @@
 fn what_the_list_no_longer_names_is_forgotten() {
     // Danger: each replaced node would leave something behind, and its group would be asked for in vain.
     let mut core = writing().0;
-    let listed = |state| NodeEntry {
+    let listed = |state| Endpoint {
         node: "r".into(),
         group: 2,
         state,
-        ..NodeEntry::default()
+        ..Endpoint::default()
     };
-    core.list(ListUpdate::Changes(vec![listed(Listed::Serving)]));
+    core.list(EndpointUpdate::Changes(vec![listed(
+        EndpointState::Serving,
+    )]));
     assert!(core.knows_group(1) && core.knows_group(2));
-    core.list(ListUpdate::Changes(vec![listed(Listed::Gone)]));
+    core.list(EndpointUpdate::Changes(vec![listed(
+        EndpointState::Removed,
+    )]));
     assert!(core.knows_group(1) && !core.knows_group(2));
-    core.list(ListUpdate::Full(vec![listed(Listed::Serving)]));
+    core.list(EndpointUpdate::Full(vec![listed(EndpointState::Serving)]));
     assert_eq!(
         core.members.len(),
         1,
@@ -177,14 +181,14 @@
     );
 }
 
-fn listed(node: &str, state: Listed) -> NodeEntry {
-    NodeEntry {
+fn listed(node: &str, state: EndpointState) -> Endpoint {
+    Endpoint {
         node: node.into(),
-        primary: node == "p",
+        listed_as_primary: node == "p",
         group: 1,
         weight: 1.0,
         state,
-        ..NodeEntry::default()
+        ..Endpoint::default()
     }
 }
 
@@ -192,9 +196,9 @@
 fn a_list_binds_from_the_moment_it_is_told_and_not_from_the_next_decision() {
     // Danger: a connection comes up in the turn that told of the leaving, and carries what was decided before.
     for update in [
-        ListUpdate::Changes(vec![listed("p", Listed::Draining)]),
-        ListUpdate::Changes(vec![listed("p", Listed::Gone)]),
-        ListUpdate::Full(vec![listed("r", Listed::Serving)]),
+        EndpointUpdate::Changes(vec![listed("p", EndpointState::Draining)]),
+        EndpointUpdate::Changes(vec![listed("p", EndpointState::Removed)]),
+        EndpointUpdate::Full(vec![listed("r", EndpointState::Serving)]),
     ] {
         let (mut core, attempt) = writing();
         assert!(
@@ -221,18 +225,24 @@
 #[test]
 fn a_node_that_leaves_and_comes_back_under_its_name_is_asked_again() {
     let (mut core, attempt) = writing();
-    core.list(ListUpdate::Changes(vec![listed("p", Listed::Draining)]));
-    core.list(ListUpdate::Changes(vec![listed("p", Listed::Serving)]));
+    core.list(EndpointUpdate::Changes(vec![listed(
+        "p",
+        EndpointState::Draining,
+    )]));
+    core.list(EndpointUpdate::Changes(vec![listed(
+        "p",
+        EndpointState::Serving,
+    )]));
     core.decide(NOW + 1);
     assert!(core.still_fits(attempt, NOW + 1) && core.may_begin(None, &"p".into(), NOW + 1));
 }
 
 #[test]
 fn a_new_process_is_bound_by_the_list_it_was_given_from_its_first_moment() {
-    let mut core = Core::new(Settings::default(), 1);
-    core.list(ListUpdate::Restored(vec![
-        listed("p", Listed::Draining),
-        listed("r", Listed::Serving),
+    let mut core = Engine::new(Settings::default(), 1);
+    core.list(EndpointUpdate::Restored(vec![
+        listed("p", EndpointState::Draining),
+        listed("r", EndpointState::Serving),
     ]));
     assert!(!core.may_begin(None, &"p".into(), NOW) && core.may_begin(None, &"r".into(), NOW));
     assert!(!core.may_begin(None, &"unknown".into(), NOW));
@@ -244,17 +254,23 @@
         dropped_stay_open: true,
         ..Settings::default()
     };
-    let mut core = Core::new(settings, 1);
-    core.list(ListUpdate::Full(vec![
-        listed("p", Listed::Serving),
-        listed("r", Listed::Serving),
+    let mut core = Engine::new(settings, 1);
+    core.list(EndpointUpdate::Full(vec![
+        listed("p", EndpointState::Serving),
+        listed("r", EndpointState::Serving),
     ]));
-    core.list(ListUpdate::Full(vec![listed("p", Listed::Draining)]));
+    core.list(EndpointUpdate::Full(vec![listed(
+        "p",
+        EndpointState::Draining,
+    )]));
     assert!(
         core.may_begin(None, &"r".into(), NOW),
         "it was dropped, and never drained"
     );
-    core.list(ListUpdate::Changes(vec![listed("p", Listed::Gone)]));
+    core.list(EndpointUpdate::Changes(vec![listed(
+        "p",
+        EndpointState::Removed,
+    )]));
     assert!(
         !core.may_begin(None, &"p".into(), NOW),
         "it drained before it was dropped"
@@ -264,7 +280,10 @@
         !core.may_begin(None, &"p".into(), NOW + 1),
         "it drained before it was dropped"
     );
-    core.list(ListUpdate::Changes(vec![listed("p", Listed::Serving)]));
+    core.list(EndpointUpdate::Changes(vec![listed(
+        "p",
+        EndpointState::Serving,
+    )]));
     assert!(core.may_begin(None, &"p".into(), NOW + 1));
 }
 
@@ -319,10 +338,10 @@
 }
 
 /// A write of this effect with a window of 300 ms, whose first attempt has been written, and a second one.
-fn repeated(effect: Effect) -> (Core, AttemptId) {
+fn repeated(effect: Idempotency) -> (Engine, AttemptId) {
     let (mut core, first) = writing();
-    core.classes[0].effect = effect;
-    core.classes[0].window = 300_000;
+    core.classes[0].idempotency = effect;
+    core.classes[0].dedup_window = 300_000;
     core.written(first);
     core.send(first.request, "p".into(), NOW + 100_000, 900_000);
     (core, AttemptId { number: 1, ..first })
@@ -331,25 +350,25 @@
 #[test]
 fn a_repeat_begins_only_while_the_window_of_the_first_attempt_is_open() {
     // Danger: decided within the window, it left with its connection, which came up after the window had closed.
-    let (core, second) = repeated(Effect::Deduplicated);
+    let (core, second) = repeated(Idempotency::Deduplicated);
     assert!(core.still_fits(second, NOW + 299_999) && !core.still_fits(second, NOW + 300_000));
-    let (core, second) = repeated(Effect::Idempotent);
+    let (core, second) = repeated(Idempotency::Idempotent);
     assert!(core.still_fits(second, NOW + 300_000));
-    let (core, second) = repeated(Effect::AtMostOnce);
+    let (core, second) = repeated(Idempotency::AtMostOnce);
     assert!(!core.still_fits(second, NOW + 100_001));
 }
 
 #[test]
 fn an_attempt_that_never_ran_opens_no_window() {
-    let (mut core, second) = repeated(Effect::Deduplicated);
-    let said = Standing::default();
+    let (mut core, second) = repeated(Idempotency::Deduplicated);
+    let said = NodeReport::default();
     core.ended(
         NOW + 1,
         AttemptId {
             number: 0,
             ..second
         },
-        Ending::Unreachable,
+        AttemptEnd::Unreachable,
         said,
         said,
     );
@@ -358,14 +377,14 @@
 
 #[test]
 fn an_answer_stops_the_copy_that_has_not_left() {
-    let (mut core, second) = repeated(Effect::Idempotent);
-    let said = Standing::default();
+    let (mut core, second) = repeated(Idempotency::Idempotent);
+    let said = NodeReport::default();
     let first = AttemptId {
         number: 0,
         ..second
     };
     assert!(
-        core.ended(NOW + 200_000, first, Ending::Success, said, said)
+        core.ended(NOW + 200_000, first, AttemptEnd::Success, said, said)
             .is_some()
     );
     assert!(!core.still_fits(second, NOW + 200_001));
--- a/engine/src/watch_schedule.rs
+++ b/engine/src/watch_schedule.rs
@@ -8,21 +8,21 @@
 //! this one. Connecting, the wait, patience and the pause share the turn.
 
 use crate::Backoff;
-use plovercove::{Span, Time};
+use plovercove::{Micros, Time};
 
 /// A change counts as told so long after the service had it and could be reached.
-const CLOCK: Span = 6_000_000;
+const CLOCK: Micros = 6_000_000;
 /// What the clock leaves for the next call's connection and answer, on a machine that is late with its turns.
-const ANSWER: Span = 1_000_000;
+const ANSWER: Micros = 1_000_000;
 /// No turn is shorter, whatever the grace: seven calls a second cost a router nothing that shows.
-const LEAST: Span = 140_000;
+const LEAST: Micros = 140_000;
 /// An agent that answers a watch at once, with nothing new, is called again so much later: half of the 200 ms within which
 /// a call goes on with the watch. Danger: the loop would spin on such a one.
-const FOLLOWS: Span = 100_000;
+const FOLLOWS: Micros = 100_000;
 /// An answer may take so many times what the last ones were late.
-const SLACK: Span = 2;
+const SLACK: Micros = 2;
 /// Waits are shorter by up to this part, each router's by its own draw.
-const JITTER: Span = 6;
+const JITTER: Micros = 6;
 
 /// How a router comes by its lists.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -32,13 +32,13 @@
     /// They are pushed to an agent on its own machine, where calls are free; what the agent has counts as told at once.
     Pushed {
         /// How long after that a router may still send to a node that drains.
-        grace: Span,
+        grace: Micros,
     },
 }
 
 impl Lists {
     /// From one call to the next, at the longest: the clock, less an answer; or seven eighths of the grace.
-    fn turn(self) -> Span {
+    fn turn(self) -> Micros {
         match self {
             Lists::Asked => CLOCK - ANSWER,
             Lists::Pushed { grace } => (grace - grace / 8).clamp(LEAST, CLOCK - ANSWER),
@@ -47,7 +47,7 @@
 
     /// What a turn keeps free for the pause after a call that fell silent, and the first and the longest pause after other
     /// failures. Where calls are free, an eighth of the grace, always.
-    fn pauses(self) -> (Span, Span, Span) {
+    fn pauses(self) -> (Micros, Micros, Micros) {
         let turn = self.turn();
         match self {
             // Danger: calls that all fail at once are made again over half a second at first, and then ever more rarely.
@@ -58,7 +58,7 @@
 
     /// Over how long the first calls after a move are spread. What the new service has counts as told 4 s after it: with
     /// half a second a lost call and its pause fit in, too. An agent of one's own is called at once.
-    fn spread(self) -> Span {
+    fn spread(self) -> Micros {
         match self {
             Lists::Asked => self.turn() / 10,
             Lists::Pushed { .. } => 0,
@@ -69,19 +69,19 @@
 /// The waits of one router's watch.
 #[derive(Clone, Debug)]
 pub struct WatchSchedule {
-    turn: Span,
+    turn: Micros,
     /// Over how long calls are spread that all routers make for one cause.
-    spread: Span,
+    spread: Micros,
     /// What a turn keeps free for a pause.
-    rest: Span,
+    rest: Micros,
     /// How late answers are, of late.
-    late: Span,
+    late: Micros,
     /// When this turn began.
     began: Time,
     connecting: bool,
     /// When the call that is out was made, and what it waits for; 0 for one that asks for the whole list.
     called: Time,
-    waits: Span,
+    waits: Micros,
     /// The last answer was spoilt.
     spoilt: bool,
     backoff: Backoff,
@@ -113,7 +113,7 @@
     }
 
     /// A call is made: for news, or for the whole list. Returns the wait to ask for and until when an answer is waited for.
-    pub fn call(&mut self, now: Time, news: bool) -> (Span, Time) {
+    pub fn call(&mut self, now: Time, news: bool) -> (Micros, Time) {
         if !std::mem::take(&mut self.connecting) {
             self.began = now;
         }
@@ -132,13 +132,13 @@
     }
 
     /// How long a call may be out.
-    fn out(&self) -> Span {
+    fn out(&self) -> Micros {
         self.turn - self.rest
     }
 
     /// How much longer than its wait an answer is waited for: so that a late turn of a busy machine is no silence, and no
     /// longer than leaves a wait, since calls without one would follow each other at once.
-    fn patience(&self) -> Span {
+    fn patience(&self) -> Micros {
         (SLACK * self.late).clamp(self.out() / 3, self.out() / 4 * 3)
     }
 
--- a/engine/tests/backoff.rs
+++ b/engine/tests/backoff.rs
@@ -1,9 +1,9 @@
 //! Pauses after failures in a row.
 
-use plovercove::Span;
+use plovercove::Micros;
 use plovercove_engine::Backoff;
 
-const S: Span = 1_000_000;
+const S: Micros = 1_000_000;
 
 #[test]
 fn pauses_double_up_to_the_longest_and_begin_anew_after_an_answer() {
--- a/engine/tests/watch_schedule.rs
+++ b/engine/tests/watch_schedule.rs
@@ -1,14 +1,14 @@
 //! The waits of a watch, held against the one clock: call by call, and over drawn sequences of whatever discovery does.
 
-use plovercove::{Span, Time};
+use plovercove::{Micros, Time};
 use plovercove_engine::{Lists, WatchSchedule};
 
-const S: Span = 1_000_000;
-const MS: Span = 1_000;
+const S: Micros = 1_000_000;
+const MS: Micros = 1_000;
 /// A change counts as told so long after discovery had it and could be reached.
-const TOLD: Span = 6 * S;
+const TOLD: Micros = 6 * S;
 /// How long a router may still send to a node that drains: the bounds of the settings, and one between.
-const GRACES: [Span; 3] = [500 * MS, 1_000 * MS, 1_500 * MS];
+const GRACES: [Micros; 3] = [500 * MS, 1_000 * MS, 1_500 * MS];
 
 #[test]
 fn a_silence_is_over_and_the_watch_begun_anew_within_the_clock_by_which_a_router_counts_as_told() {
@@ -179,7 +179,7 @@
 fn three_hundred_routers_that_are_told_of_a_move_in_one_instant_do_not_call_in_one() {
     // The bound of those whose watches break in one instant: no tenth of a second sees more than a third of them.
     const ROUTERS: u64 = 300;
-    const MOVED: Span = 4 * S;
+    const MOVED: Micros = 4 * S;
     let mut calls = [0_u64; 40];
     for router in 0..ROUTERS {
         let mut schedule = WatchSchedule::new(Lists::Asked, router * 0x1234_5677 + 1);
@@ -272,8 +272,8 @@
 
 /// How discovery is where the router runs, in bounds of its own (us): connecting and answering.
 struct Near {
-    up: Span,
-    answer: Span,
+    up: Micros,
+    answer: Micros,
     kinds: &'static [Weather],
 }
 
@@ -283,7 +283,7 @@
     lists: Lists,
     seed: u64,
     near: &Near,
-    within: Span,
+    within: Micros,
     end: Time,
 ) -> Vec<(Time, Option<Time>)> {
     let mut dice = Dice(seed * 2 + 1);
@@ -427,11 +427,11 @@
     judged
 }
 
-fn holds(lists: Lists, near: &Near, within: Span) {
+fn holds(lists: Lists, near: &Near, within: Micros) {
     let (mut judged, mut worst) = (0, 0);
     for seed in 0..4_000 {
         for (due, knew) in play(lists, seed, near, within, 90 * S) {
-            let late = knew.map_or(Span::MAX, |knew| knew.saturating_sub(due));
+            let late = knew.map_or(Micros::MAX, |knew| knew.saturating_sub(due));
             assert!(
                 late <= within,
                 "{lists:?}, seed {seed}: due from {due}, known {late} us later"
--- a/experiments/src/sockets.rs
+++ b/experiments/src/sockets.rs
@@ -96,7 +96,7 @@
         "name": format!("n{index}"), "listen": "127.0.0.1:0", "discovery": agent.to_string(),
         "seed": format!("{:x}", index + 17), "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
         "settings": {
-            "Balancers": settings.routers, "SlotNo": index, "Tick": 5000, "Discovery": "automatic", "Zone": zone,
+            "Balancers": settings.router_count, "SlotNo": index, "Tick": 5000, "Discovery": "automatic", "Zone": zone,
             "FamilyInfo": {
                 "ClassRead": spec.classes.iter().map(|c| word(c.reads)).collect::<Vec<_>>(),
                 "MaxAge": spec.classes.iter().map(|c| age(c.reads)).collect::<Vec<_>>(),
@@ -107,9 +107,9 @@
             "Profiles": profiles,
             "Customers": spec.zones.iter().map(|z| json!({"Name": z.name})).collect::<Vec<_>>(),
             "Report": {"How": "pull", "Names": ["x0", "x1"]},
-            "Rules": {"Cold": settings.cold_span, "ColdShare": settings.cold_share,
+            "Rules": {"Cold": settings.slow_start_duration, "ColdShare": settings.slow_start_min_share,
                 "DrainGrace": settings.drain_grace, "OverloadFactor": settings.overload_factor,
-                "OverloadFor": settings.overload_span, "GraceToAnswer": settings.answer_grace}}})
+                "OverloadFor": settings.overload_duration, "GraceToAnswer": settings.answer_grace}}})
 }
 
 /// The operators' file for the spec's rules: JSON but for the names of true, false and null, which it has none of.
@@ -131,7 +131,7 @@
     let rules = folder.path().join("operators.star");
     let process = Process::start(program, &file, |command| {
         command.args(["--log-format", "json"]);
-        if spec.variant == Variant::Tiers {
+        if spec.variant == Variant::ZoneFailover {
             command.arg("--operators").arg(&rules);
         }
         command
--- a/experiments/src/table.rs
+++ b/experiments/src/table.rs
@@ -32,7 +32,7 @@
 
 fn name(variant: Variant) -> &'static str {
     match variant {
-        Variant::Tiers => "tiers",
+        Variant::ZoneFailover => "tiers",
         Variant::Flat => "flat",
         Variant::Strict => "strict",
     }
@@ -147,9 +147,9 @@
         .variants
         .iter()
         .copied()
-        .filter(|v| *v != Variant::Tiers)
+        .filter(|v| *v != Variant::ZoneFailover)
         .collect();
-    if others.is_empty() || !experiment.variants.contains(&Variant::Tiers) {
+    if others.is_empty() || !experiment.variants.contains(&Variant::ZoneFailover) {
         return;
     }
     let _ = writeln!(
@@ -157,7 +157,7 @@
         "Tiers against the better baseline, in loss and return (paired by seed):\n"
     );
     for (case, _) in &experiment.cases {
-        let tiers = of(outcomes, case, Variant::Tiers);
+        let tiers = of(outcomes, case, Variant::ZoneFailover);
         let means = others
             .iter()
             .map(|v| mean(of(outcomes, case, *v).iter().map(|r| r.window)));
--- a/fanout/src/client.rs
+++ b/fanout/src/client.rs
@@ -5,7 +5,7 @@
 use crate::track::{Comes, Track};
 use crate::wire::{self, BODY, For, Head, Message, Standing};
 use crate::{DUTIES, Fault, Guard, Rules, Subscriber, Topic};
-use plovercove::{Span, Time};
+use plovercove::{Micros, Time};
 use plovercove_fencing::{Duty, Fence, Refused, Token};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -28,7 +28,7 @@
         /// Its number within the token.
         number: u64,
         /// How old it is (us): since the owner of the watch told it.
-        age: Span,
+        age: Micros,
         /// What it says.
         body: Arc<[u8]>,
     },
@@ -96,7 +96,7 @@
     gateway: Option<SocketAddr>,
     /// The gateway has said that it holds what this subscriber holds.
     settled: bool,
-    pause: Span,
+    pause: Micros,
     renew_at: Time,
     tries: u32,
     /// The last answer, and from when on none was heard.
@@ -243,7 +243,7 @@
     }
 
     /// A time up to a span, drawn so that subscribers do not act together.
-    fn draw(&mut self, span: Span) -> Span {
+    fn draw(&mut self, span: Micros) -> Micros {
         if self.rules.on(Guard::Jitter) {
             self.dice.random_range(0..=span)
         } else {
@@ -251,7 +251,7 @@
         }
     }
 
-    fn spread(&mut self, span: Span) -> Span {
+    fn spread(&mut self, span: Micros) -> Micros {
         if self.rules.on(Guard::Jitter) {
             spread(&mut self.dice, span)
         } else {
@@ -275,7 +275,7 @@
         now: Time,
         from: SocketAddr,
         body: &[u8],
-        late: Span,
+        late: Micros,
     ) -> Result<(), Fault> {
         self.now = self.now.max(now);
         let Some((head, messages)) = wire::read(body) else {
@@ -456,7 +456,7 @@
         self.untaken.insert((topic, token, through));
     }
 
-    fn stands(&mut self, now: Time, holds: u64, standing: Standing, pause: Span) {
+    fn stands(&mut self, now: Time, holds: u64, standing: Standing, pause: Micros) {
         let current = holds == self.holds();
         self.answered = Some(now);
         self.waits_since = None;
@@ -594,7 +594,7 @@
     }
 
     /// How long a gateway may say nothing: two renewals, and the tries of the second.
-    fn patience(&self) -> Span {
+    fn patience(&self) -> Micros {
         2 * self.pause + crate::ms(4 * self.rules.answer_ms)
     }
 
--- a/fanout/src/gateway.rs
+++ b/fanout/src/gateway.rs
@@ -7,7 +7,7 @@
 use crate::track::{Comes, Track};
 use crate::wire::{self, BODY, Entry, For, Head, ITEM, Mark, Message, Standing, State, Told};
 use crate::{DUTIES, Fault, Guard, Rules, Subscriber, Topic, rules::TIDY};
-use plovercove::{Span, Time};
+use plovercove::{Micros, Time};
 use plovercove_fencing::{BadName, Duty, Fence, Refused, Token};
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -180,7 +180,7 @@
         now: Time,
         from: SocketAddr,
         body: &[u8],
-        late: Span,
+        late: Micros,
     ) -> Result<(), Fault> {
         self.now = self.now.max(now);
         let Some((head, messages)) = wire::read(body) else {
@@ -226,7 +226,7 @@
         now: Time,
         from: SocketAddr,
         message: Message,
-        late: Span,
+        late: Micros,
     ) -> Result<(), Fault> {
         match message {
             Message::Item(told) => self.news(now, Some(from), &told, late)?,
@@ -432,7 +432,7 @@
         now: Time,
         from: Option<SocketAddr>,
         told: &Told,
-        late: Span,
+        late: Micros,
     ) -> Result<(), Fault> {
         if let Err(refused) = self.admit(&told.duty, told.token) {
             self.counts.refused += 1;
--- a/fanout/src/held.rs
+++ b/fanout/src/held.rs
@@ -2,7 +2,7 @@
 
 use crate::wire::{Mark, Told};
 use crate::{Guard, Rules, Topic};
-use plovercove::{Span, Time};
+use plovercove::{Micros, Time};
 use plovercove_fencing::{Duty, Token};
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -74,7 +74,7 @@
     }
 
     fn told(&self, topic: &Topic, now: Time, item: &(u64, Time, Arc<[u8]>)) -> Told {
-        let age: Span = now.saturating_sub(item.1);
+        let age: Micros = now.saturating_sub(item.1);
         let (duty, token) = (self.duty.clone(), self.token);
         Told {
             topic: topic.clone(),
--- a/fanout/src/lib.rs
+++ b/fanout/src/lib.rs
@@ -28,7 +28,7 @@
 pub use wire::{BODY, Entry, ITEM, State};
 
 /// Milliseconds as the module's spans.
-fn ms(ms: u64) -> plovercove::Span {
+fn ms(ms: u64) -> plovercove::Micros {
     ms * 1_000
 }
 
--- a/fanout/src/lists.rs
+++ b/fanout/src/lists.rs
@@ -8,7 +8,7 @@
 use crate::table::{self, LEVELS, Merged, Name, PARTS};
 use crate::wire::{Entry, For, Message, State};
 use crate::{Guard, Rules};
-use plovercove::{Span, Time};
+use plovercove::{Micros, Time};
 use plovercove_fencing::Token;
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
@@ -195,7 +195,7 @@
     }
 
     /// The sum of a zone's list here, and how long ago its gateway confirmed it.
-    fn tells_of(&self, now: Time, zone: &Name) -> (Name, u64, Span) {
+    fn tells_of(&self, now: Time, zone: &Name) -> (Name, u64, Micros) {
         let age = now.saturating_sub(self.table.confirmed(now, zone));
         (zone.clone(), self.table.sum(zone, 0, 0), age)
     }
@@ -227,7 +227,7 @@
         from: SocketAddr,
         zone: &Name,
         messages: Vec<Message>,
-        late: Span,
+        late: Micros,
     ) {
         for message in messages {
             match message {
@@ -288,7 +288,7 @@
     }
 
     /// Remembers how old another gateway's copies are.
-    fn told_of(&mut self, now: Time, from: &Name, zones: &[(Name, u64, Span)], late: Span) {
+    fn told_of(&mut self, now: Time, from: &Name, zones: &[(Name, u64, Micros)], late: Micros) {
         if let Some(other) = self.others.by_zone.get_mut(from) {
             for (zone, _, age) in zones.iter().take(ZONES) {
                 if other.copies.len() < 8 * ZONES || other.copies.contains_key(zone) {
@@ -301,7 +301,7 @@
     }
 
     /// Whether a zone's list is the same here; then it is as fresh as the fresher of the two.
-    fn compare_one(&mut self, now: Time, zone: &Name, sum: u64, age: Span) -> bool {
+    fn compare_one(&mut self, now: Time, zone: &Name, sum: u64, age: Micros) -> bool {
         let same = self.table.sum(zone, 0, 0) == sum;
         if same && *zone != self.zone {
             self.table.confirm(zone, now.saturating_sub(age));
@@ -315,8 +315,8 @@
         from: SocketAddr,
         other: &Name,
         round: u32,
-        zones: &[(Name, u64, Span)],
-        late: Span,
+        zones: &[(Name, u64, Micros)],
+        late: Micros,
     ) {
         self.told_of(now, other, zones, late);
         let busy = self.mail.waits_for(Lane::Lists, from);
--- a/fanout/src/mail.rs
+++ b/fanout/src/mail.rs
@@ -2,7 +2,7 @@
 
 use crate::Rules;
 use crate::wire::{self, BODY, For, Head, Message};
-use plovercove::{Span, Time};
+use plovercove::{Micros, Time};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
@@ -241,7 +241,7 @@
 }
 
 /// A time that is spread: half of a span to the whole of it.
-pub(crate) fn spread(dice: &mut rand_pcg::Pcg64Mcg, span: Span) -> Span {
+pub(crate) fn spread(dice: &mut rand_pcg::Pcg64Mcg, span: Micros) -> Micros {
     use rand::RngExt;
     span / 2 + dice.random_range(0..=span / 2)
 }
--- a/fanout/src/publisher.rs
+++ b/fanout/src/publisher.rs
@@ -4,7 +4,7 @@
 use crate::mail::{Lane, Mail, spread};
 use crate::wire::{self, BODY, For, ITEM, Message};
 use crate::{DUTIES, Fault, Guard, Rules, Topic};
-use plovercove::{Span, Time};
+use plovercove::{Micros, Time};
 use plovercove_fencing::{Duty, Refused, Token};
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -133,7 +133,7 @@
         now: Time,
         from: SocketAddr,
         body: &[u8],
-        _late: Span,
+        _late: Micros,
     ) -> Result<(), Fault> {
         let (head, messages) = wire::read(body).ok_or(Fault::Unread { from })?;
         if head.to != For::Publisher {
--- a/fanout/src/rules.rs
+++ b/fanout/src/rules.rs
@@ -1,7 +1,7 @@
 //! What operators set of fanout, and the bounds that follow from it.
 
 use crate::Fault;
-use plovercove::Span;
+use plovercove::Micros;
 use serde::{Deserialize, Serialize};
 
 /// A guard that tests can switch off, to see that the check against it catches that.
@@ -124,25 +124,25 @@
     }
 
     /// Between two renewals of one of so many subscribers of a gateway (us): the answers take a third of its datagrams.
-    pub fn pause(&self, subscribers: usize) -> Span {
+    pub fn pause(&self, subscribers: usize) -> Micros {
         let spread = 3 * subscribers as u64 * 1_000_000 / u64::from(self.datagrams_per_s.max(1));
         crate::ms(self.renew_ms).max(spread)
     }
 
     /// Who has not renewed for so long is gone (us): three renewals in a row were lost, and the last was tried again.
-    pub fn lease(&self, subscribers: usize) -> Span {
+    pub fn lease(&self, subscribers: usize) -> Micros {
         3 * self.pause(subscribers) + crate::ms(4 * self.answer_ms)
     }
 
     /// Who left is remembered for so long (us): an old copy is thrown away before, at whichever gateway it lies.
-    pub fn keep(&self) -> Span {
+    pub fn keep(&self) -> Micros {
         crate::ms(self.forget_ms + 10 * self.compare_ms)
     }
 
     /// How long after a heal the lists are equal at all gateways (us), where this many subscriptions differ: two
     /// comparisons with each other gateway, of which one may be lost, six ways there and back, and the bytes. Each
     /// difference costs [`DIFFERENCE`] bytes at the most, on each of the links that a gateway has.
-    pub fn equal_within(&self, differences: usize, gateways: usize) -> Span {
+    pub fn equal_within(&self, differences: usize, gateways: usize) -> Micros {
         let links = gateways.saturating_sub(1).max(1) as u64;
         let bytes = (differences as u64 * DIFFERENCE + 4_000) * links;
         let send = bytes * 1_000_000 / u64::from(self.bytes_per_s.max(1));
@@ -151,14 +151,14 @@
 
     /// The greatest age at which a subscriber that can reach its gateway believes the newest of a topic without being told
     /// that it missed (us): the publisher's next telling of its numbers, the subscriber's next renewal, the tries of both.
-    pub fn believed_within(&self, subscribers: usize) -> Span {
+    pub fn believed_within(&self, subscribers: usize) -> Micros {
         crate::ms(2 * self.heads_ms + 2 * self.gap_ms + 4 * self.answer_ms)
             + 2 * self.pause(subscribers)
     }
 
     /// For how long after a move two gateways may tell one subscriber (us): until the new one has told the old one, or the
     /// subscriber has; where neither gets through, until it has not renewed there for a lease.
-    pub fn told_twice_within(&self, subscribers: usize, reached: bool) -> Span {
+    pub fn told_twice_within(&self, subscribers: usize, reached: bool) -> Micros {
         if reached {
             crate::ms(3 * self.answer_ms + self.compare_ms)
         } else {
@@ -214,9 +214,9 @@
 }
 
 /// Between two looks at what has ended by age (us).
-pub(crate) const TIDY: Span = 250_000;
+pub(crate) const TIDY: Micros = 250_000;
 /// The ways there and back of one comparison, from the sums of all to the differing entries (us), 200 ms each.
-const WAYS: Span = 6 * 200_000;
+const WAYS: Micros = 6 * 200_000;
 /// What one differing subscription costs at the most (bytes): sums of 16 ranges on three levels, the list of its leaf, and
 /// its entry on both sides.
 pub const DIFFERENCE: u64 = 600;
--- a/fanout/src/table.rs
+++ b/fanout/src/table.rs
@@ -3,7 +3,7 @@
 
 use crate::wire::{self, Entry, State};
 use crate::{Guard, Rules, Subscriber, Topic};
-use plovercove::{Span, Time};
+use plovercove::{Micros, Time};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::ops::Bound;
@@ -528,7 +528,7 @@
 
     /// Ends what was not renewed, forgets what cannot matter any more, and throws away copies that are too old. `owner`
     /// is whether this gateway is the one that its zone's subscribers renew with.
-    pub fn tidy(&mut self, now: Time, owner: bool, lease: Span) {
+    pub fn tidy(&mut self, now: Time, owner: bool, lease: Micros) {
         let (expiry, away) = (self.rules.on(Guard::Expiry), self.rules.on(Guard::Away));
         let (keep, forget) = (self.rules.keep(), crate::ms(self.rules.forget_ms));
         let old = |at: Option<&Time>| at.is_some_and(|at| at + forget < now);
--- a/fanout/src/track.rs
+++ b/fanout/src/track.rs
@@ -2,7 +2,7 @@
 
 use crate::wire::{Mark, Told};
 use crate::{Guard, Rules, Topic};
-use plovercove::{Span, Time};
+use plovercove::{Micros, Time};
 use plovercove_fencing::{Duty, Token};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -77,7 +77,7 @@
             .is_none_or(|(last, _)| token >= last || !rules.on(Guard::Fence))
     }
 
-    pub fn item(&mut self, rules: &Rules, now: Time, told: &Told, late: Span) {
+    pub fn item(&mut self, rules: &Rules, now: Time, told: &Told, late: Micros) {
         if !self.follows(rules, told.token) || told.number == 0 {
             return;
         }
@@ -140,7 +140,7 @@
     }
 
     /// What to fetch now, if there is a hole: the token, and after which number. Asked again after `again`.
-    pub fn fetch(&mut self, rules: &Rules, now: Time, again: Span) -> Option<(Token, u64)> {
+    pub fn fetch(&mut self, rules: &Rules, now: Time, again: Micros) -> Option<(Token, u64)> {
         let (since, next) = self.hole?;
         if now >= since + crate::ms(rules.gap_ms) {
             self.give_up();
--- a/fanout/tests/common/mod.rs
+++ b/fanout/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! Gateways, publishers and subscribers in virtual time, with whatever weather a test makes between them.
 #![allow(dead_code, missing_docs, reason = "each test uses a part of it")]
 
-use plovercove::{Span, Time};
+use plovercove::{Micros, Time};
 use plovercove_fanout::{Client, Gateway, News, Publisher, Rules, Subscriber, Topic};
 use plovercove_fencing::{Duty, Token};
 use rand::{RngExt, SeedableRng};
@@ -10,7 +10,7 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::net::SocketAddr;
 
-pub const S: Span = 1_000_000;
+pub const S: Micros = 1_000_000;
 pub const BEGIN: Time = 1_000_000 * S;
 pub const ZONES: [&str; 3] = ["a", "b", "c"];
 
@@ -45,7 +45,7 @@
 }
 
 /// What the network does to a datagram: none where it is lost, else how often it comes and after how long.
-pub type Weather = Box<dyn FnMut(Time, usize, usize, &mut Pcg64Mcg) -> Vec<Span>>;
+pub type Weather = Box<dyn FnMut(Time, usize, usize, &mut Pcg64Mcg) -> Vec<Micros>>;
 
 pub struct Net {
     pub now: Time,
@@ -303,7 +303,7 @@
         self.wake(n);
     }
 
-    pub fn run(&mut self, span: Span) {
+    pub fn run(&mut self, span: Micros) {
         let until = self.now + span;
         while let Some(Reverse((at, _, _))) = self.heap.peek()
             && *at <= until
@@ -396,7 +396,7 @@
     }
 
     /// Runs until a condition holds; how long that took.
-    pub fn until(&mut self, within: Span, mut holds: impl FnMut(&Net) -> bool) -> Option<Span> {
+    pub fn until(&mut self, within: Micros, mut holds: impl FnMut(&Net) -> bool) -> Option<Micros> {
         let from = self.now;
         while self.now < from + within {
             if holds(self) {
--- a/fanout/tests/fleet.rs
+++ b/fanout/tests/fleet.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::{Net, S, address, calm, cut, rough};
-use plovercove::Span;
+use plovercove::Micros;
 use plovercove_fanout::{Guard, News, Rules};
 use plovercove_fencing::Token;
 
@@ -62,7 +62,7 @@
 
 /// A minute's cut between zone a's gateway and the others, with moves, leaves, a second life and a new one meanwhile. How
 /// long after the heal the lists are the truth, and whether they are still ten seconds later.
-fn partition(seed: u64, rules: Rules) -> (Option<Span>, Span, bool, Vec<String>) {
+fn partition(seed: u64, rules: Rules) -> (Option<Micros>, Micros, bool, Vec<String>) {
     let mut net = thirty(seed, rules);
     settle(&mut net);
     net.weather = cut(|from, to| from == 0 && (to == 1 || to == 2));
@@ -414,7 +414,7 @@
 }
 
 /// A subscriber moves while its old gateway cannot hear of it from the new one: for how long both tell it.
-fn twice(rules: Rules) -> (Span, Span) {
+fn twice(rules: Rules) -> (Micros, Micros) {
     let mut net = thirty(9, rules);
     let publisher = net.add_publisher();
     net.tell_owners();
--- a/gossip/benches/turn.rs
+++ b/gossip/benches/turn.rs
@@ -5,7 +5,7 @@
 
 use common::{Net, S};
 use criterion::Criterion;
-use plovercove::Ending;
+use plovercove::AttemptEnd;
 use plovercove_gossip::Rules;
 use std::time::Duration;
 
@@ -24,9 +24,9 @@
         net.fate = Box::new(move |_, _, node, _| {
             let number = node[1..].parse::<usize>().unwrap_or(0);
             if bad && number % 15 == 4 {
-                (Ending::TimedOut, 200_000)
+                (AttemptEnd::TimedOut, 200_000)
             } else {
-                (Ending::Success, 5_000)
+                (AttemptEnd::Success, 5_000)
             }
         });
         net.run(5 * S);
--- a/gossip/src/ledger.rs
+++ b/gossip/src/ledger.rs
@@ -1,7 +1,7 @@
 //! What one router saw of each db node's present life, and when that is worth telling the others.
 
 use crate::rules::{HOLD, Rules};
-use plovercove::{Ending, ListUpdate, Listed, NodeId, Span, Time};
+use plovercove::{AttemptEnd, EndpointState, EndpointUpdate, Micros, NodeId, Time};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -16,7 +16,7 @@
 /// time-out: those it serves must be able to outvote them.
 const ENOUGH: (usize, usize) = (12, 24);
 /// Who answers an accusation must have been answered by the node within this time: what it did before says nothing.
-const FRESH: Span = 2_000_000;
+const FRESH: Micros = 2_000_000;
 /// So much of a faded count is still one sight.
 const SIGHT: f64 = 0.5;
 
@@ -67,8 +67,8 @@
     }
 
     /// For how long it had been so when this was told (us).
-    pub fn lasted(&self) -> Span {
-        Span::from(self.lasted) * 100_000
+    pub fn lasted(&self) -> Micros {
+        Micros::from(self.lasted) * 100_000
     }
 
     /// How many times slower than others it answers; none where too few were seen.
@@ -134,7 +134,7 @@
     /// Whether one more accuser could take it out.
     pub contested: bool,
     /// How long this router waits before it says that it serves: another may say so first.
-    pub wait: Span,
+    pub wait: Micros,
 }
 
 /// What a router saw.
@@ -161,25 +161,25 @@
     }
 
     /// The list said something. Another start of a node is another life: what was seen of the old one is over.
-    pub fn listed(&mut self, update: &ListUpdate) {
+    pub fn listed(&mut self, update: &EndpointUpdate) {
         let (entries, whole) = match update {
-            ListUpdate::Changes(entries) => (entries, false),
-            ListUpdate::Full(entries) | ListUpdate::Restored(entries) => (entries, true),
-            ListUpdate::Failed => return,
+            EndpointUpdate::Changes(entries) => (entries, false),
+            EndpointUpdate::Full(entries) | EndpointUpdate::Restored(entries) => (entries, true),
+            EndpointUpdate::Failed => return,
         };
         if whole {
             self.nodes
                 .retain(|id, _| entries.iter().any(|e| e.node == *id));
         }
         for entry in entries {
-            if entry.state == Listed::Gone {
+            if entry.state == EndpointState::Removed {
                 self.nodes.remove(&entry.node);
                 continue;
             }
             let node = self.nodes.entry(entry.node.clone()).or_default();
-            if node.started != entry.started {
+            if node.started != entry.started_at {
                 *node = Node {
-                    started: entry.started,
+                    started: entry.started_at,
                     ..Node::default()
                 };
             }
@@ -187,7 +187,7 @@
     }
 
     /// This router stood still until now: what ended badly meanwhile says nothing of the nodes.
-    pub fn awoke(&mut self, now: Time, doubts: Span) {
+    pub fn awoke(&mut self, now: Time, doubts: Micros) {
         self.doubts = now + doubts;
     }
 
@@ -198,17 +198,17 @@
         class: usize,
         write: bool,
         id: &NodeId,
-        ending: Ending,
-        elapsed: Span,
+        ending: AttemptEnd,
+        elapsed: Micros,
     ) {
         let place = match ending {
-            Ending::Success => 0,
-            Ending::Missed if write => 4,
-            Ending::Missed => 0,
-            Ending::Failure => 1,
-            Ending::TimedOut | Ending::Broken => 2,
-            Ending::Unreachable => 3,
-            Ending::Overloaded | Ending::Cancelled | Ending::Void => return,
+            AttemptEnd::Success => 0,
+            AttemptEnd::Misdirected if write => 4,
+            AttemptEnd::Misdirected => 0,
+            AttemptEnd::Failure => 1,
+            AttemptEnd::TimedOut | AttemptEnd::Reset => 2,
+            AttemptEnd::Unreachable => 3,
+            AttemptEnd::Overloaded | AttemptEnd::Cancelled | AttemptEnd::NeverSent => return,
         };
         if now < self.doubts && (1..=3).contains(&place) {
             return;
@@ -222,7 +222,7 @@
         if place == 0 {
             node.answered = now;
         }
-        if ending == Ending::Success
+        if ending == AttemptEnd::Success
             && let Some(usual) = self.usual.get_mut(class)
         {
             let took = (elapsed.max(1) as f64).ln();
@@ -259,7 +259,7 @@
             };
             let since = node
                 .told
-                .map_or(Span::MAX, |(at, _)| now.saturating_sub(at));
+                .map_or(Micros::MAX, |(at, _)| now.saturating_sub(at));
             let told = node
                 .told
                 .map(|(_, told)| told)
@@ -314,7 +314,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use plovercove::NodeEntry;
+    use plovercove::Endpoint;
 
     const S: Time = 1_000_000;
 
@@ -324,11 +324,11 @@
             ..Rules::default()
         };
         let mut ledger = Ledger::new(&rules, 1);
-        let entry = |name: &&str| NodeEntry {
+        let entry = |name: &&str| Endpoint {
             node: (*name).into(),
-            ..NodeEntry::default()
+            ..Endpoint::default()
         };
-        ledger.listed(&ListUpdate::Full(nodes.iter().map(entry).collect()));
+        ledger.listed(&EndpointUpdate::Full(nodes.iter().map(entry).collect()));
         (ledger, rules)
     }
 
@@ -346,13 +346,13 @@
     fn only_changes_are_told_and_only_of_nodes_that_fail_or_are_accused() {
         let (mut ledger, rules) = ledger(&["x", "y"]);
         for n in 0..20 {
-            ledger.ended(S + n, 0, false, &"x".into(), Ending::Success, 5_000);
+            ledger.ended(S + n, 0, false, &"x".into(), AttemptEnd::Success, 5_000);
         }
         assert!(
             tell(&mut ledger, &rules, S, false).is_empty(),
             "nothing is wrong"
         );
-        ledger.ended(S, 0, false, &"y".into(), Ending::Unreachable, 5_000);
+        ledger.ended(S, 0, false, &"y".into(), AttemptEnd::Unreachable, 5_000);
         let told = tell(&mut ledger, &rules, S, false);
         assert!(
             told.len() == 1 && told[0].0 == "y" && told[0].1.fails() && told[0].1.nodes == 2,
@@ -374,22 +374,22 @@
         // Danger: a router that was stopped for 10 s finds all its attempts overdue, and accuses every node.
         let (mut ledger, rules) = ledger(&["x"]);
         ledger.awoke(10 * S, 2 * S);
-        ledger.ended(11 * S, 0, false, &"x".into(), Ending::TimedOut, 9 * S);
+        ledger.ended(11 * S, 0, false, &"x".into(), AttemptEnd::TimedOut, 9 * S);
         assert!(tell(&mut ledger, &rules, 11 * S, true).is_empty());
-        ledger.ended(13 * S, 0, false, &"x".into(), Ending::TimedOut, 9 * S);
+        ledger.ended(13 * S, 0, false, &"x".into(), AttemptEnd::TimedOut, 9 * S);
         assert_eq!(tell(&mut ledger, &rules, 13 * S, false).len(), 1);
     }
 
     #[test]
     fn another_start_of_a_node_is_another_life() {
         let (mut ledger, rules) = ledger(&["x"]);
-        ledger.ended(S, 0, false, &"x".into(), Ending::Broken, 1);
-        let again = NodeEntry {
+        ledger.ended(S, 0, false, &"x".into(), AttemptEnd::Reset, 1);
+        let again = Endpoint {
             node: "x".into(),
-            started: Some(2 * S),
-            ..NodeEntry::default()
+            started_at: Some(2 * S),
+            ..Endpoint::default()
         };
-        ledger.listed(&ListUpdate::Changes(vec![again]));
+        ledger.listed(&EndpointUpdate::Changes(vec![again]));
         assert!(tell(&mut ledger, &rules, 2 * S, true).is_empty());
     }
 
@@ -397,9 +397,9 @@
     fn slowness_is_told_against_the_other_nodes() {
         let (mut ledger, rules) = ledger(&["x", "y"]);
         for n in 0..60 {
-            ledger.ended(S + n, 0, false, &"x".into(), Ending::Success, 5_000);
+            ledger.ended(S + n, 0, false, &"x".into(), AttemptEnd::Success, 5_000);
             if n % 6 == 5 {
-                ledger.ended(S + n, 0, false, &"y".into(), Ending::Success, 60_000);
+                ledger.ended(S + n, 0, false, &"y".into(), AttemptEnd::Success, 60_000);
             }
         }
         let told = tell(&mut ledger, &rules, S, false);
--- a/gossip/src/lib.rs
+++ b/gossip/src/lib.rs
@@ -28,7 +28,7 @@
 pub use witness::Witness;
 
 /// Milliseconds as the module's spans.
-fn ms(ms: u64) -> plovercove::Span {
+fn ms(ms: u64) -> plovercove::Micros {
     ms * 1_000
 }
 
--- a/gossip/src/members.rs
+++ b/gossip/src/members.rs
@@ -6,7 +6,7 @@
     AccumulatingRuntime, Config, Foca, NoCustomBroadcast, OwnedNotification, PeriodicParams,
     PostcardCodec, Timer,
 };
-use plovercove::{Span, Time};
+use plovercove::{Micros, Time};
 use plovercove_engine::Backoff;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -16,7 +16,7 @@
 use std::time::Duration;
 
 /// A timer that is later than this was held up by this router itself: a loop's turn is far shorter.
-const STALL: Span = 250_000;
+const STALL: Micros = 250_000;
 /// Addresses of members that are gone and may come back.
 const FORGOTTEN: usize = 1_024;
 /// Members that are down are called in turn, one in this time (ms), and forgotten by SWIM itself after so long (s).
@@ -51,7 +51,7 @@
     timers: BTreeMap<(Time, u64), Timer<Life>>,
     order: u64,
     /// How long this router has stood still, all in all: its timers are late by no more than a turn.
-    stood: Span,
+    stood: Micros,
     active: BTreeMap<SocketAddr, Life>,
     forgotten: BTreeMap<SocketAddr, Time>,
     seeds: Vec<SocketAddr>,
@@ -226,7 +226,7 @@
     }
 
     /// Does what is due; tells how long this router has stood still, where it has.
-    pub(crate) fn due(&mut self, now: Time) -> Option<Span> {
+    pub(crate) fn due(&mut self, now: Time) -> Option<Micros> {
         let due = self
             .timers
             .first_key_value()
@@ -289,7 +289,7 @@
         self.odd += u64::from(result.is_err());
         while let Some((after, timer)) = self.runtime.to_schedule() {
             self.order += 1;
-            let at = now.saturating_sub(self.stood) + after.as_micros() as Span;
+            let at = now.saturating_sub(self.stood) + after.as_micros() as Micros;
             self.timers.insert((at, self.order), timer);
         }
         while let Some(told) = self.runtime.to_notify() {
--- a/gossip/src/peers.rs
+++ b/gossip/src/peers.rs
@@ -9,7 +9,7 @@
 use crate::verdict::{Level, Opinion, Subject, Verdict, judge};
 use crate::wire::{Envelope, Fault, Keys, Part, carried, kind};
 use crate::witness::Witness;
-use plovercove::{NodeId, Span, Time};
+use plovercove::{Micros, NodeId, Time};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use serde::Serialize;
@@ -19,13 +19,13 @@
 /// Routers that try a node that is out, on behalf of all: two could both be behind one bad link.
 const TRIERS: usize = 3;
 /// A router that was stopped doubts for so long what it sees fail.
-const DOUBTS: Span = 2_000_000;
+const DOUBTS: Micros = 2_000_000;
 /// A node that comes back is doubted for so long, and twice as long each time that it did so of late.
-const PROVES: Span = 4_000_000;
+const PROVES: Micros = 4_000_000;
 /// Times that count, and by when half of one is forgotten.
 const FLAPS: (f64, f64) = (4.0, 60e6);
 /// Of one cause, one line is told in this time.
-const TELL: Span = 10_000_000;
+const TELL: Micros = 10_000_000;
 /// Lines that wait to be told.
 const NEWS: usize = 256;
 /// Parts for other crates that wait to be taken: several times what one turn of the loop reads.
@@ -57,7 +57,7 @@
     /// Another router holds this one's address.
     Taken,
     /// This router stood still for so long.
-    Stood(Span),
+    Stood(Micros),
     /// Datagrams that were dropped since this was told last.
     Dropped(Fault, u64),
     /// The verdict on a node changed.
@@ -83,7 +83,7 @@
     /// Its content.
     pub body: Vec<u8>,
     /// How much longer it was under way than the fastest datagram of its sender, where that is worth counting.
-    pub late: Span,
+    pub late: Micros,
 }
 
 /// What was counted since the start.
@@ -624,7 +624,7 @@
         }
         self.verdicts = verdicts;
         self.flaps.retain(|id, f| {
-            witness.is_listed(id) && now.saturating_sub(f.at) < (FLAPS.0 * FLAPS.1) as Span
+            witness.is_listed(id) && now.saturating_sub(f.at) < (FLAPS.0 * FLAPS.1) as Micros
         });
         // Nodes that have proved themselves, and levels of nodes that nobody speaks of any more.
         let past = |node: &&NodeId| !self.verdicts.contains_key(*node);
@@ -679,7 +679,7 @@
                     .count(),
                 contested: accusers >= 2
                     && (failures * 2.0 >= f64::from(rules.failures) || slow >= 2),
-                wait: (luck * rules.settle() as f64 / 2.0) as Span,
+                wait: (luck * rules.settle() as f64 / 2.0) as Micros,
             }
         };
         let told = witness.ledger.news(now, &self.rules, others);
--- a/gossip/src/records.rs
+++ b/gossip/src/records.rs
@@ -4,7 +4,7 @@
 use crate::life::Life;
 use crate::verdict::Opinion;
 use crate::wire::{Envelope, Part, kind};
-use plovercove::{NodeId, Span, Time};
+use plovercove::{Micros, NodeId, Time};
 use serde::{Deserialize, Serialize};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -135,7 +135,7 @@
     /// The names of each origin's records.
     of: BTreeMap<String, BTreeSet<u64>>,
     boots: BTreeMap<String, u64>,
-    life: Span,
+    life: Micros,
     sends: u8,
     /// Where the next digest begins.
     next: u64,
@@ -147,7 +147,7 @@
     /// A store whose records live so long and are sent so often each.
     ///
     /// `ages` and `ends`: whether records end by age and with their origin's life; tests take that away.
-    pub fn new(life: Span, sends: u8, ages: bool, ends: bool) -> Self {
+    pub fn new(life: Micros, sends: u8, ages: bool, ends: bool) -> Self {
         Store {
             numbers: Numbers::default(),
             held: BTreeMap::new(),
@@ -205,7 +205,7 @@
     }
 
     /// Takes a record that was so much longer under way than usual; true where it is news.
-    pub fn put(&mut self, now: Time, record: Record, late: Span) -> bool {
+    pub fn put(&mut self, now: Time, record: Record, late: Micros) -> bool {
         let age = crate::ms(u64::from(record.age_ms)) + late;
         let names = record.origin.len() + record.zone.len() + record.subject.len();
         if (self.ages && age > self.life) || names > NAMES || record.body.len() > NAMES {
--- a/gossip/src/replay.rs
+++ b/gossip/src/replay.rs
@@ -2,7 +2,7 @@
 
 use crate::life::Life;
 use crate::wire::{Envelope, Fault};
-use plovercove::{Span, Time};
+use plovercove::{Micros, Time};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
@@ -35,7 +35,7 @@
     ///
     /// # Errors
     /// It was here before, or its sender's life has ended.
-    pub fn take(&mut self, now: Time, envelope: &Envelope, check: bool) -> Result<Span, Fault> {
+    pub fn take(&mut self, now: Time, envelope: &Envelope, check: bool) -> Result<Micros, Fault> {
         let Envelope {
             from:
                 Life {
@@ -74,7 +74,7 @@
                 known.least = (offset, now);
                 return Ok(0);
             }
-            return Ok(offset.saturating_sub(faded) as Span);
+            return Ok(offset.saturating_sub(faded) as Micros);
         }
         if check && self.0.get(address).is_some_and(|known| known.life > life) {
             return Err(Fault::OldLife);
--- a/gossip/src/rules.rs
+++ b/gossip/src/rules.rs
@@ -1,7 +1,7 @@
 //! What operators set of peers, but for files and addresses that only the router itself opens.
 
 use crate::error::{Error, MOST_SEEDS};
-use plovercove::Span;
+use plovercove::Micros;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
@@ -127,8 +127,8 @@
     }
 
     /// Evidence counts for so long.
-    pub fn evidence(&self) -> Span {
-        (self.evidence_s * 1e6) as Span
+    pub fn evidence(&self) -> Micros {
+        (self.evidence_s * 1e6) as Micros
     }
 
     /// One observer counts for no more failures than this, however many it reports: two are needed at the least.
@@ -137,7 +137,7 @@
     }
 
     /// That a node serves is believed for so long: those who say it say it again while it does.
-    pub(crate) fn fresh(&self) -> Span {
+    pub(crate) fn fresh(&self) -> Micros {
         self.evidence() * 2 / 5
     }
 
@@ -158,14 +158,14 @@
     }
 
     /// An accusation is this old before it counts: it went out, and what others saw came back.
-    pub(crate) fn settle(&self) -> Span {
+    pub(crate) fn settle(&self) -> Micros {
         crate::ms(self.rounds() * self.gossip_ms)
     }
 
     /// How long until all who can hear each other act on a verdict, from when the evidence for it is complete (us): what an
     /// observer holds back, the rounds that gossip needs where a fifth of the datagrams is lost, two comparisons for whom
     /// it still missed, and the time between two reviews.
-    pub fn act_within(&self) -> Span {
+    pub fn act_within(&self) -> Micros {
         self.settle()
             + crate::ms(self.rounds() * self.gossip_ms * 3 / 2 + 3 * self.repair_ms)
             + REVIEW
@@ -173,12 +173,12 @@
     }
 
     /// The greatest age of evidence that is acted on (us): its life, and what a datagram may be late unnoticed.
-    pub fn oldest_evidence(&self) -> Span {
+    pub fn oldest_evidence(&self) -> Micros {
         self.evidence() + crate::ms(self.late_ms) + REVIEW
     }
 
     /// How long after a cut is healed until all who can hear each other agree on who is there and on what they saw (us).
-    pub fn agree_within(&self) -> Span {
+    pub fn agree_within(&self) -> Micros {
         crate::ms(SEEK.1 + 2 * self.probe_ms + self.suspect_ms) + self.act_within()
     }
 
@@ -238,8 +238,8 @@
 }
 
 /// Between two reviews of the verdicts.
-pub(crate) const REVIEW: Span = 100_000;
+pub(crate) const REVIEW: Micros = 100_000;
 /// An observer tells a change of one node at most so often.
-pub(crate) const HOLD: Span = 500_000;
+pub(crate) const HOLD: Micros = 500_000;
 /// Pauses between two calls of a seed or of a forgotten member: the first and the longest (ms).
 pub(crate) const SEEK: (u64, u64) = (500, 8_000);
--- a/gossip/src/verdict.rs
+++ b/gossip/src/verdict.rs
@@ -3,7 +3,7 @@
 
 use crate::ledger::Seen;
 use crate::rules::{Guard, Rules};
-use plovercove::{GroupId, NodeId, Span};
+use plovercove::{GroupId, Micros, NodeId};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A node is doubted where others answer so many times faster, and a replica is out at so many.
@@ -59,7 +59,7 @@
     /// What it saw.
     pub seen: Seen,
     /// How long ago it said so.
-    pub age: Span,
+    pub age: Micros,
 }
 
 /// A verdict, and what it rests on.
@@ -70,7 +70,7 @@
     /// Observers that find the node bad.
     pub observers: usize,
     /// The age of the oldest evidence that it rests on.
-    pub oldest: Span,
+    pub oldest: Micros,
     /// What decided, in a word or two.
     pub why: &'static str,
 }
@@ -82,7 +82,7 @@
     opinions: &[Opinion],
     zones: usize,
     blind: &BTreeSet<u32>,
-) -> (Verdict, Span) {
+) -> (Verdict, Micros) {
     let settle = rules.settle();
     // Danger: a node that dies would be held up by what it did before: who is answered by it says so again and again.
     let counts = |o: &&Opinion| o.seen.fails() || o.seen.is_slow() || o.age <= rules.fresh();
@@ -182,7 +182,7 @@
         .map(|(o, _)| o)
         .collect();
     let mut verdicts = BTreeMap::new();
-    let mut out: BTreeMap<GroupId, Vec<(Span, NodeId)>> = BTreeMap::new();
+    let mut out: BTreeMap<GroupId, Vec<(Micros, NodeId)>> = BTreeMap::new();
     for (subject, told) in cases.iter().filter(|(_, told)| !told.is_empty()) {
         let (verdict, weight) = weigh(rules, subject, told, zones, &blind);
         if verdict.level == Level::Out {
@@ -216,7 +216,7 @@
 mod tests {
     use super::*;
 
-    const S: Span = 1_000_000;
+    const S: Micros = 1_000_000;
 
     fn rules() -> Rules {
         Rules {
--- a/gossip/src/witness.rs
+++ b/gossip/src/witness.rs
@@ -5,7 +5,8 @@
 use crate::rules::Rules;
 use crate::verdict::{Level, Subject};
 use plovercove::{
-    Access, Ask, Ending, ListUpdate, Listed, News, NodeId, Settings, Span, Time, Zoning,
+    Access, AttemptEnd, EndpointState, EndpointUpdate, LocalityPolicy, LogEvent, Micros, NodeId,
+    RoutingQuery, Settings, Time,
 };
 use std::collections::{BTreeMap, VecDeque};
 
@@ -16,24 +17,24 @@
 #[derive(Clone, Copy, Debug)]
 struct Trial {
     next: Time,
-    every: Span,
+    every: Micros,
 }
 
 /// What a router sees and how it judges, beside its decision module.
 pub struct Witness {
-    inner: Option<Box<dyn Zoning>>,
+    inner: Option<Box<dyn LocalityPolicy>>,
     /// Classes that only the primary serves: no verdict keeps them from it, for nobody else can take its place.
     only_primary: Vec<bool>,
     pub(crate) ledger: Ledger,
     members: BTreeMap<NodeId, (Subject, Option<Time>, bool)>,
     levels: BTreeMap<NodeId, Level>,
     trials: BTreeMap<NodeId, Trial>,
-    news: VecDeque<News>,
+    news: VecDeque<LogEvent>,
 }
 
 impl Witness {
     /// A witness before whatever says which zones a request may use.
-    pub fn new(rules: &Rules, settings: &Settings, inner: Option<Box<dyn Zoning>>) -> Self {
+    pub fn new(rules: &Rules, settings: &Settings, inner: Option<Box<dyn LocalityPolicy>>) -> Self {
         let only = |access: Access| matches!(access, Access::Write | Access::Latest);
         Witness {
             inner,
@@ -47,13 +48,13 @@
     }
 
     /// What says which zones a request may use.
-    pub fn inner(&mut self) -> Option<&mut dyn Zoning> {
+    pub fn inner(&mut self) -> Option<&mut dyn LocalityPolicy> {
         self.inner.as_deref_mut()
     }
 
     /// A witness that goes on from what this one saw and judged, before something else that says which zones a request
     /// may use.
-    pub fn with(&mut self, inner: Option<Box<dyn Zoning>>) -> Witness {
+    pub fn with(&mut self, inner: Option<Box<dyn LocalityPolicy>>) -> Witness {
         Witness {
             inner,
             only_primary: self.only_primary.clone(),
@@ -89,7 +90,7 @@
     }
 
     /// From now on this is the level of a node; where it is out, `tries` says how often this router tries it for all.
-    pub(crate) fn set(&mut self, now: Time, node: &NodeId, level: Level, tries: Option<Span>) {
+    pub(crate) fn set(&mut self, now: Time, node: &NodeId, level: Level, tries: Option<Micros>) {
         if level == Level::In {
             self.levels.remove(node);
         } else {
@@ -106,48 +107,48 @@
     }
 }
 
-impl Zoning for Witness {
-    fn listed(&mut self, now: Time, update: &ListUpdate) {
+impl LocalityPolicy for Witness {
+    fn endpoints_changed(&mut self, now: Time, update: &EndpointUpdate) {
         if let Some(inner) = &mut self.inner {
-            inner.listed(now, update);
+            inner.endpoints_changed(now, update);
         }
         self.ledger.listed(update);
         let (entries, whole) = match update {
-            ListUpdate::Changes(entries) => (entries, false),
-            ListUpdate::Full(entries) | ListUpdate::Restored(entries) => (entries, true),
-            ListUpdate::Failed => return,
+            EndpointUpdate::Changes(entries) => (entries, false),
+            EndpointUpdate::Full(entries) | EndpointUpdate::Restored(entries) => (entries, true),
+            EndpointUpdate::Failed => return,
         };
         if whole {
             self.members.clear();
         }
         for entry in entries {
-            if entry.state == Listed::Gone {
+            if entry.state == EndpointState::Removed {
                 self.members.remove(&entry.node);
                 continue;
             }
             let subject = Subject {
                 node: entry.node.clone(),
                 group: entry.group,
-                primary: entry.primary,
+                primary: entry.listed_as_primary,
             };
-            let serving = entry.state == Listed::Serving;
+            let serving = entry.state == EndpointState::Serving;
             self.members
-                .insert(entry.node.clone(), (subject, entry.started, serving));
+                .insert(entry.node.clone(), (subject, entry.started_at, serving));
         }
         let members = &self.members;
         self.levels.retain(|id, _| members.contains_key(id));
         self.trials.retain(|id, _| members.contains_key(id));
     }
 
-    fn counts(&mut self, now: Time, ask: &Ask, node: &NodeId) -> Option<f64> {
+    fn weight_share(&mut self, now: Time, ask: &RoutingQuery, node: &NodeId) -> Option<f64> {
         let base = self
             .inner
             .as_mut()
-            .map_or(Some(1.0), |inner| inner.counts(now, ask, node))?;
+            .map_or(Some(1.0), |inner| inner.weight_share(now, ask, node))?;
         match self.levels.get(node) {
             None | Some(Level::In) => Some(base),
             Some(Level::Doubted) => Some(base * DOUBTED),
-            Some(Level::Out) if ask.write || self.only_primary.get(ask.class) == Some(&true) => {
+            Some(Level::Out) if ask.is_write || self.only_primary.get(ask.class) == Some(&true) => {
                 Some(base)
             }
             Some(Level::Out) => self
@@ -158,36 +159,45 @@
         }
     }
 
-    fn sent(&mut self, now: Time, ask: &Ask, node: &NodeId) {
+    fn attempt_sent(&mut self, now: Time, ask: &RoutingQuery, node: &NodeId) {
         if let Some(inner) = &mut self.inner {
-            inner.sent(now, ask, node);
+            inner.attempt_sent(now, ask, node);
         }
         if let Some(trial) = self.trials.get_mut(node) {
             trial.next = now + trial.every;
         }
     }
 
-    fn ended(&mut self, now: Time, ask: &Ask, node: &NodeId, ending: Ending, elapsed: Span) {
+    fn attempt_ended(
+        &mut self,
+        now: Time,
+        ask: &RoutingQuery,
+        node: &NodeId,
+        ending: AttemptEnd,
+        elapsed: Micros,
+    ) {
         if let Some(inner) = &mut self.inner {
-            inner.ended(now, ask, node, ending, elapsed);
+            inner.attempt_ended(now, ask, node, ending, elapsed);
         }
         self.ledger
-            .ended(now, ask.class, ask.write, node, ending, elapsed);
+            .ended(now, ask.class, ask.is_write, node, ending, elapsed);
     }
 
-    fn come_back(&self, ask: &Ask, most: Span) -> Span {
+    fn retry_after(&self, ask: &RoutingQuery, most: Micros) -> Micros {
         self.inner
             .as_ref()
-            .map_or(most / 2, |inner| inner.come_back(ask, most))
+            .map_or(most / 2, |inner| inner.retry_after(ask, most))
     }
 
-    fn paces(&self) -> bool {
-        self.inner.as_ref().is_some_and(|inner| inner.paces())
+    fn paces_slow_start(&self) -> bool {
+        self.inner
+            .as_ref()
+            .is_some_and(|inner| inner.paces_slow_start())
     }
 
-    fn news(&mut self) -> Option<News> {
+    fn next_log_event(&mut self) -> Option<LogEvent> {
         self.news
             .pop_front()
-            .or_else(|| self.inner.as_mut()?.news())
+            .or_else(|| self.inner.as_mut()?.next_log_event())
     }
 }
--- a/gossip/tests/common/mod.rs
+++ b/gossip/tests/common/mod.rs
@@ -1,7 +1,10 @@
 //! Routers among their peers in virtual time, with whatever weather a test makes between them.
 #![allow(dead_code, missing_docs, reason = "each test uses a part of it")]
 
-use plovercove::{Ask, Ending, ListUpdate, NodeEntry, NodeId, Settings, Span, Time, Zoning};
+use plovercove::{
+    AttemptEnd, Endpoint, EndpointUpdate, LocalityPolicy, Micros, NodeId, RoutingQuery, Settings,
+    Time,
+};
 use plovercove_gossip::{Keys, Level, Life, News, Peers, Rules, Witness};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -9,10 +12,10 @@
 use std::collections::{BinaryHeap, HashMap};
 use std::net::SocketAddr;
 
-pub const S: Span = 1_000_000;
+pub const S: Micros = 1_000_000;
 pub const BEGIN: Time = 1_000_000 * S;
 /// Between two requests of one router.
-const EVERY: Span = S / 10;
+const EVERY: Micros = S / 10;
 pub const KEY: &[u8] = b"a key that only tests know of";
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
@@ -23,7 +26,7 @@
         life: u32,
         bytes: Vec<u8>,
     },
-    Ask(usize),
+    RoutingQuery(usize),
 }
 
 pub struct Router {
@@ -39,9 +42,9 @@
 }
 
 /// What the network does to a datagram: none where it is lost, else how often it comes and after how long.
-pub type Weather = Box<dyn FnMut(Time, usize, usize, &mut Pcg64Mcg) -> Vec<Span>>;
+pub type Weather = Box<dyn FnMut(Time, usize, usize, &mut Pcg64Mcg) -> Vec<Micros>>;
 /// What comes of a request of a router at a node.
-pub type Fate = Box<dyn FnMut(Time, usize, &NodeId, &mut Pcg64Mcg) -> (Ending, Span)>;
+pub type Fate = Box<dyn FnMut(Time, usize, &NodeId, &mut Pcg64Mcg) -> (AttemptEnd, Micros)>;
 
 /// What comes beside each datagram, made of it: where it goes, and its bytes.
 pub type Spoils = Box<dyn FnMut(&[u8], &mut Pcg64Mcg) -> Vec<u8>>;
@@ -53,7 +56,7 @@
     pub now: Time,
     pub routers: Vec<Router>,
     pub rules: Rules,
-    pub nodes: Vec<NodeEntry>,
+    pub nodes: Vec<Endpoint>,
     pub weather: Weather,
     pub fate: Fate,
     pub dice: Pcg64Mcg,
@@ -96,16 +99,16 @@
 }
 
 pub fn good() -> Fate {
-    Box::new(|_, _, _, _| (Ending::Success, 5_000))
+    Box::new(|_, _, _, _| (AttemptEnd::Success, 5_000))
 }
 
 /// Nodes of this name never answer from then on.
 pub fn dies(name: &'static str, from: Time) -> Fate {
     Box::new(move |now, _, node, _| {
         if **node == *name && now >= from {
-            (Ending::TimedOut, 200_000)
+            (AttemptEnd::TimedOut, 200_000)
         } else {
-            (Ending::Success, 5_000)
+            (AttemptEnd::Success, 5_000)
         }
     })
 }
@@ -128,12 +131,12 @@
         if rules.seeds.is_empty() {
             rules.seeds = (0..3.min(routers)).map(address).collect();
         }
-        let entry = |n: usize| NodeEntry {
+        let entry = |n: usize| Endpoint {
             node: format!("s{n}").into(),
             group: (n / 3) as u64 + 1,
-            primary: n.is_multiple_of(3),
+            listed_as_primary: n.is_multiple_of(3),
             weight: 1.0,
-            ..NodeEntry::default()
+            ..Endpoint::default()
         };
         let mut net = Net {
             spoils: None,
@@ -156,7 +159,7 @@
             let router = net.boot(n, 0, seed);
             net.routers.push(router);
             net.at(BEGIN + n as u64, Event::Turn(n));
-            net.at(BEGIN + n as u64 * 331, Event::Ask(n));
+            net.at(BEGIN + n as u64 * 331, Event::RoutingQuery(n));
         }
         net
     }
@@ -181,20 +184,20 @@
             classes: vec![plovercove::Class {
                 name: "look".into(),
                 access: plovercove::Access::Any,
-                aim: S,
-                aim_stretch: 0.0,
+                latency_objective: S,
+                objective_per_cost: 0.0,
                 deadline: S,
-                worth: 1.0,
-                late_worth: 0.0,
-                effect: plovercove::Effect::Idempotent,
-                scope: plovercove::RepeatScope::All,
-                window: 0,
+                priority_weight: 1.0,
+                late_weight_share: 0.0,
+                idempotency: plovercove::Idempotency::Idempotent,
+                dedup_scope: plovercove::DedupScope::All,
+                dedup_window: 0,
                 stream: false,
             }],
             ..Settings::default()
         };
         let mut witness = Witness::new(rules, &settings, None);
-        witness.listed(self.now, &ListUpdate::Full(self.nodes.clone()));
+        witness.endpoints_changed(self.now, &EndpointUpdate::Full(self.nodes.clone()));
         Router {
             peers,
             witness,
@@ -243,7 +246,7 @@
         self.routers[n].peers.receive(self.now, bytes);
     }
 
-    pub fn run(&mut self, span: Span) {
+    pub fn run(&mut self, span: Micros) {
         let until = self.now + span;
         while let Some(Reverse((at, _, _))) = self.heap.peek()
             && *at <= until
@@ -272,11 +275,11 @@
                         self.send(to);
                     }
                 }
-                Event::Ask(n) => {
+                Event::RoutingQuery(n) => {
                     if self.asks {
                         self.ask(n);
                     }
-                    self.at(self.now + EVERY, Event::Ask(n));
+                    self.at(self.now + EVERY, Event::RoutingQuery(n));
                 }
             }
         }
@@ -328,10 +331,10 @@
         if !router.up || router.stopped || self.nodes.is_empty() {
             return;
         }
-        let ask = Ask {
+        let ask = RoutingQuery {
             request: 1,
             class: 0,
-            write: false,
+            is_write: false,
         };
         let now = self.now;
         let group = self.dice.random_range(0..self.nodes.len()) / 3 + 1;
@@ -339,26 +342,26 @@
             .nodes
             .iter()
             .filter(|e| e.group == group as u64)
-            .filter(|e| router.witness.counts(now, &ask, &e.node).is_some())
+            .filter(|e| router.witness.weight_share(now, &ask, &e.node).is_some())
             .map(|e| e.node.clone())
             .collect();
         if able.is_empty() {
             return;
         }
         let node = able[self.dice.random_range(0..able.len())].clone();
-        router.witness.sent(now, &ask, &node);
+        router.witness.attempt_sent(now, &ask, &node);
         let (ending, elapsed) = (self.fate)(now, n, &node, &mut self.dice);
-        if ending != Ending::Success {
+        if ending != AttemptEnd::Success {
             *self.lost.entry(node.clone()).or_default() += 1;
         }
         self.routers[n]
             .witness
-            .ended(now, &ask, &node, ending, elapsed);
+            .attempt_ended(now, &ask, &node, ending, elapsed);
     }
 
-    pub fn list(&mut self, update: &ListUpdate) {
+    pub fn list(&mut self, update: &EndpointUpdate) {
         for router in &mut self.routers {
-            router.witness.listed(self.now, update);
+            router.witness.endpoints_changed(self.now, update);
         }
     }
 
@@ -380,7 +383,7 @@
     }
 
     /// Runs until a condition holds; how long that took.
-    pub fn until(&mut self, within: Span, mut holds: impl FnMut(&Net) -> bool) -> Option<Span> {
+    pub fn until(&mut self, within: Micros, mut holds: impl FnMut(&Net) -> bool) -> Option<Micros> {
         let from = self.now;
         while self.now < from + within {
             if holds(self) {
@@ -392,7 +395,7 @@
     }
 
     /// Runs until all that are up see each other.
-    pub fn joined(&mut self) -> Span {
+    pub fn joined(&mut self) -> Micros {
         let took = self.until(60 * S, |net| {
             let seen = net.seen();
             seen.iter().all(|n| *n == seen.len())
--- a/gossip/tests/fleet.rs
+++ b/gossip/tests/fleet.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{BEGIN, Net, S, address, calm, dies, good, keys, lossy, zone};
-use plovercove::{Ending, ListUpdate, NodeEntry, Span, Time};
+use plovercove::{AttemptEnd, Endpoint, EndpointUpdate, Micros, Time};
 use plovercove_gossip::{Envelope, Guard, Level, Life, News, Part, Record, Rules, Seen, carried};
 
 fn nine(seed: u64) -> Net {
@@ -60,7 +60,7 @@
 }
 
 /// From the first failure until all act, where a fifth of all datagrams is lost.
-fn act(mut net: Net) -> (Option<Span>, Span) {
+fn act(mut net: Net) -> (Option<Micros>, Micros) {
     net.joined();
     net.run(5 * S);
     net.weather = lossy(0.2);
@@ -82,7 +82,7 @@
 }
 
 /// How long anyone acts on what was seen of a node last, while routers are stopped, cut off and killed and nobody sees more.
-fn oldest(mut net: Net) -> (Span, Span) {
+fn oldest(mut net: Net) -> (Micros, Micros) {
     net.joined();
     net.fate = dies("s4", net.now);
     assert!(
@@ -121,7 +121,7 @@
 }
 
 /// Routers 0 to 4 are cut off from 5 to 8 for a minute; a node dies on one side and another starts again on the other.
-fn partition(mut net: Net, minutes: u64) -> (Option<Span>, Span) {
+fn partition(mut net: Net, minutes: u64) -> (Option<Micros>, Micros) {
     net.joined();
     net.weather = Box::new(|_, from, to, _| {
         if (from < 5) == (to < 5) {
@@ -138,21 +138,21 @@
     );
     net.fate = Box::new(|_, router, node, _| {
         if router < 5 && **node == *"s4" {
-            (Ending::TimedOut, 200_000)
+            (AttemptEnd::TimedOut, 200_000)
         } else {
-            (Ending::Success, 5_000)
+            (AttemptEnd::Success, 5_000)
         }
     });
-    let again = NodeEntry {
-        started: Some(net.now),
+    let again = Endpoint {
+        started_at: Some(net.now),
         ..net.nodes[7].clone()
     };
     for n in 5..9 {
         let now = net.now;
-        plovercove::Zoning::listed(
+        plovercove::LocalityPolicy::endpoints_changed(
             &mut net.routers[n].witness,
             now,
-            &ListUpdate::Changes(vec![again.clone()]),
+            &EndpointUpdate::Changes(vec![again.clone()]),
         );
     }
     net.run(30 * S + (minutes - 1) * 60 * S);
@@ -175,7 +175,7 @@
 }
 
 /// Twenty-two of sixty-six restart at once while a fifth of the datagrams is lost: how long until all see all?
-fn storm(mut net: Net) -> Option<Span> {
+fn storm(mut net: Net) -> Option<Micros> {
     net.joined();
     net.run(10 * S);
     net.weather = lossy(0.2);
@@ -211,7 +211,7 @@
 }
 
 /// A router starts after all has been said and nobody says more: does it learn what the others know?
-fn late_comer(mut net: Net) -> Option<Span> {
+fn late_comer(mut net: Net) -> Option<Micros> {
     net.joined();
     net.kill(8);
     net.fate = dies("s4", net.now);
@@ -235,7 +235,7 @@
 }
 
 /// The only seed dies during a partition: who is there to be called?
-fn seedless(mut net: Net) -> Option<Span> {
+fn seedless(mut net: Net) -> Option<Micros> {
     net.joined();
     net.weather = Box::new(|_, from, to, _| {
         if (from < 5) == (to < 5) {
@@ -275,10 +275,10 @@
     net.joined();
     net.fate = Box::new(|_, router, node, _| {
         match (router, &**node) {
-            (0, "s1" | "s4") => (Ending::TimedOut, 200_000),
+            (0, "s1" | "s4") => (AttemptEnd::TimedOut, 200_000),
             // Nobody else has seen anything of them of late.
-            (_, "s1" | "s4") => (Ending::Overloaded, 1),
-            _ => (Ending::Success, 5_000),
+            (_, "s1" | "s4") => (AttemptEnd::Overloaded, 1),
+            _ => (AttemptEnd::Success, 5_000),
         }
     });
     net.run(60 * S);
@@ -310,10 +310,10 @@
     net.joined();
     net.fate = Box::new(|_, router, node, _| {
         match (zone(router), &**node) {
-            ("a", "s4") => (Ending::Unreachable, 200_000),
+            ("a", "s4") => (AttemptEnd::Unreachable, 200_000),
             // The others have seen nothing of it of late, so that nobody outvotes them.
-            (_, "s4") => (Ending::Overloaded, 1),
-            _ => (Ending::Success, 5_000),
+            (_, "s4") => (AttemptEnd::Overloaded, 1),
+            _ => (AttemptEnd::Success, 5_000),
         }
     });
     net.run(60 * S);
@@ -336,12 +336,12 @@
     net.joined();
     net.fate = Box::new(|_, router, node, _| {
         if router < 2 && **node != *"s0" && **node != *"s3" {
-            (Ending::Unreachable, 200_000)
+            (AttemptEnd::Unreachable, 200_000)
         } else if router >= 2 && **node == *"s4" {
             // The others have seen nothing of it of late.
-            (Ending::Overloaded, 1)
+            (AttemptEnd::Overloaded, 1)
         } else {
-            (Ending::Success, 5_000)
+            (AttemptEnd::Success, 5_000)
         }
     });
     net.run(60 * S);
@@ -539,9 +539,9 @@
     // Bad for 10 s, good for 20 s.
     net.fate = Box::new(move |now: Time, _, node, _| {
         if **node == *"s4" && (now - begun) % (30 * S) < 10 * S {
-            (Ending::TimedOut, 200_000)
+            (AttemptEnd::TimedOut, 200_000)
         } else {
-            (Ending::Success, 5_000)
+            (AttemptEnd::Success, 5_000)
         }
     });
     net.run(120 * S);
@@ -557,7 +557,7 @@
     };
     // How long it was doubted after each return.
     let told = at(0);
-    let proofs: Vec<Span> = told
+    let proofs: Vec<Micros> = told
         .windows(2)
         .filter(|w| w[0].1 == Level::Doubted && w[1].1 == Level::In)
         .map(|w| w[1].0 - w[0].0)
@@ -573,7 +573,7 @@
     let mut rates = Vec::new();
     for routers in [3, 30, 300] {
         let mut net = Net::new(routers, 8, 1, Rules::default());
-        net.fate = Box::new(|_, _, _, _| (Ending::Success, 5_000));
+        net.fate = Box::new(|_, _, _, _| (AttemptEnd::Success, 5_000));
         net.joined();
         net.run(5 * S);
         let before: Vec<_> = net.routers.iter().map(|r| r.peers.counts().sent).collect();
--- a/leases/src/ballot.rs
+++ b/leases/src/ballot.rs
@@ -2,7 +2,7 @@
 //! duty, and what an owner counts of the votes for it.
 
 use crate::rules::{Guard, Rules};
-use plovercove::{Span, Time};
+use plovercove::{Micros, Time};
 use plovercove_fencing::Token;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -68,7 +68,7 @@
         now: Time,
         who: &Holder,
         token: Token,
-        hold: Span,
+        hold: Micros,
     ) -> Said {
         let own = self.is(rules, who);
         if token == self.highest && own && self.runs(now) {
@@ -109,7 +109,7 @@
         from: &Holder,
         token: Token,
         to: &Holder,
-        hold: Span,
+        hold: Micros,
     ) -> bool {
         if token == self.highest && self.holder == Some(*from) {
             (self.highest, self.holder) = (token.next(), Some(*to));
--- a/leases/src/candidate.rs
+++ b/leases/src/candidate.rs
@@ -6,7 +6,7 @@
 use crate::place::Member;
 use crate::rules::{Guard, Rules};
 use crate::wire::{Answer, Mark, Word};
-use plovercove::{Span, Time};
+use plovercove::{Micros, Time};
 use plovercove_fencing::Token;
 
 /// Who is ranked lower looks less often, but never less often than each so many renewals.
@@ -156,7 +156,7 @@
     /// start at once would look at each duty.
     pub fn ranked(&mut self, rules: &Rules, now: Time, jitter: f64) {
         if self.rank > 0 && self.hold.is_none() && self.told.iter().all(Option::is_none) {
-            self.due = now + self.later(rules) + (self.seldom(rules) as f64 * jitter) as Span;
+            self.due = now + self.later(rules) + (self.seldom(rules) as f64 * jitter) as Micros;
         }
     }
 
@@ -182,7 +182,7 @@
 
     /// When it is to be sent again, drawn with the share of jitter.
     pub fn plan(&mut self, rules: &Rules, now: Time, jitter: f64) {
-        let spread = |span: Span| (span as f64 * (0.85 + 0.15 * jitter)) as Span;
+        let spread = |span: Micros| (span as f64 * (0.85 + 0.15 * jitter)) as Micros;
         self.due = match &self.hold {
             Some(hold) if !hold.won => now + spread(rules.ask()),
             Some(hold)
@@ -199,19 +199,19 @@
     }
 
     /// Between two looks of who is ranked like this: all of them together look about six times in a renewal's time.
-    fn seldom(&self, rules: &Rules) -> Span {
+    fn seldom(&self, rules: &Rules) -> Micros {
         rules
             .renew()
             .saturating_mul((self.rank as u64 + 1).min(SELDOM))
     }
 
     /// How much later than the first in rank it asks.
-    fn later(&self, rules: &Rules) -> Span {
+    fn later(&self, rules: &Rules) -> Micros {
         rules.ask().saturating_mul((self.rank as u64).min(STEPS))
     }
 
     /// Whether an item must leave now, or may leave with others.
-    pub fn wants(&self, now: Time, ahead: Span) -> bool {
+    pub fn wants(&self, now: Time, ahead: Micros) -> bool {
         if self
             .hold
             .as_ref()
@@ -310,7 +310,7 @@
                 return;
             }
             if self.claim.is_none() {
-                let chance = (jitter * rules.ask() as f64) as Span;
+                let chance = (jitter * rules.ask() as f64) as Micros;
                 let wait = if self.failed == 0 {
                     chance / 4
                 } else {
@@ -343,7 +343,7 @@
     /// Who owned it is not seen any more: look when its lease is over.
     pub fn vacant(&mut self, rules: &Rules, now: Time, jitter: f64) {
         let until = self.held().map_or(now, |(_, _, until)| until.max(now));
-        let chance = (jitter * rules.ask() as f64 / 2.0) as Span;
+        let chance = (jitter * rules.ask() as f64 / 2.0) as Micros;
         self.due = self.due.min(until + self.later(rules) + chance);
     }
 
@@ -384,7 +384,7 @@
         };
         self.claim = None;
         self.told.iter_mut().for_each(|t| *t = None);
-        let wait = (rules.ask() as f64 * jitter) as Span;
+        let wait = (rules.ask() as f64 * jitter) as Micros;
         self.due = now + (wait << self.failed.min(4)) + self.later(rules);
         Some(hold.token)
     }
@@ -482,7 +482,7 @@
         };
         if since >= self.sent && self.passing.is_none() {
             let spread = 0.85 + 0.15 * jitter;
-            *due = self.sent + (rules.renew() as f64 * spread) as Span;
+            *due = self.sent + (rules.renew() as f64 * spread) as Micros;
         }
         if self.won || since.saturating_add(rules.lease_at_owner()) <= now {
             return Became::Nothing;
--- a/leases/src/decider.rs
+++ b/leases/src/decider.rs
@@ -8,7 +8,7 @@
 use crate::place::Member;
 use crate::rules::{Guard, LONGEST, Rules, majority};
 use crate::wire::{Answer, Body, Item, Mark, Stage, State, Word, bodies, write};
-use plovercove::{Span, Time};
+use plovercove::{Micros, Time};
 use plovercove_fencing::{Duty, Token};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -22,9 +22,9 @@
 /// So many owners lost ...
 const LOSSES: usize = 3;
 /// ... within this time set a duty aside (us). A lease that has to end before the next owner is not counted in it.
-const WITHIN: Span = 60_000_000;
+const WITHIN: Micros = 60_000_000;
 /// A duty is set aside for no longer (us).
-const LONGEST_ASIDE: Span = 3_600_000_000;
+const LONGEST_ASIDE: Micros = 3_600_000_000;
 /// Share of the datagrams that is kept for renewals: who owns must not lose it because others join.
 const SPARE: f64 = 0.3;
 
@@ -376,7 +376,7 @@
 
     /// The loop stood still for so long, or the clock jumped, over `was` or back: whether leases are over cannot be known, so
     /// those that ran are taken to run for as much longer.
-    pub fn stood(&mut self, rules: &Rules, was: Time, now: Time, span: Span) {
+    pub fn stood(&mut self, rules: &Rules, was: Time, now: Time, span: Micros) {
         let longest = self
             .disk
             .as_ref()
@@ -687,7 +687,7 @@
     }
 
     /// Looks whether the last owner is lost, and how many were. For how long it is set aside, where it is from now on.
-    fn review(&mut self, rules: &Rules, now: Time, asks: &Holder) -> Option<Span> {
+    fn review(&mut self, rules: &Rules, now: Time, asks: &Holder) -> Option<Micros> {
         // Who asks was not lost by the duty: it was cut off, or merely slow.
         self.losses.retain(|(_, holder)| holder != asks);
         let lost = self.ballot.holder.filter(|_| now >= self.ballot.until)?;
--- a/leases/src/duties.rs
+++ b/leases/src/duties.rs
@@ -9,7 +9,7 @@
 use crate::place::{Member, Placement, Wanted};
 use crate::rules::{Guard, Rules};
 use crate::wire::{Answer, Body, Item, MARK, Mark, Stage, bodies, read, write};
-use plovercove::{Span, Time};
+use plovercove::{Micros, Time};
 use plovercove_fencing::{Duty, Token};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -244,7 +244,7 @@
             if gone {
                 chore.vacant(&self.rules, now, jitter);
             } else if rose {
-                let soon = (self.rules.renew() as f64 * jitter) as Span;
+                let soon = (self.rules.renew() as f64 * jitter) as Micros;
                 chore.due = chore.due.min(now + soon.saturating_mul(rank as u64 + 1));
             }
         }
@@ -267,7 +267,7 @@
     }
 
     /// The loop stood still for so long, or the clock jumped: nothing is owned until it has been asked for again.
-    pub fn stood(&mut self, now: Time, span: Span) {
+    pub fn stood(&mut self, now: Time, span: Micros) {
         if let Some(seat) = &mut self.seat {
             seat.stood(&self.rules, self.clock, now, span);
         }
@@ -552,7 +552,7 @@
     }
 
     /// A body came from another. `late` is how much longer it was under way than the fastest from there (us).
-    pub fn receive(&mut self, now: Time, from: &Member, body: &[u8], late: Span) {
+    pub fn receive(&mut self, now: Time, from: &Member, body: &[u8], late: Micros) {
         self.note(now);
         self.take(now, from, body, late);
         self.settle(now);
@@ -567,7 +567,7 @@
         self.schedule();
     }
 
-    fn take(&mut self, now: Time, from: &Member, body: &[u8], late: Span) {
+    fn take(&mut self, now: Time, from: &Member, body: &[u8], late: Micros) {
         let Some(body) = read(body) else {
             self.counts.malformed += 1;
             return;
@@ -881,7 +881,7 @@
         }
         let jitter: f64 = self.dice.random();
         self.next_move =
-            now + CALM * self.rules.renew() + (jitter * self.rules.renew() as f64) as Span;
+            now + CALM * self.rules.renew() + (jitter * self.rules.renew() as f64) as Micros;
         let own = self
             .chores
             .values()
@@ -938,7 +938,7 @@
             });
         }
         let jitter: f64 = self.dice.random();
-        self.next_ping = now + (self.rules.renew() as f64 * (0.9 + 0.1 * jitter)) as Span;
+        self.next_ping = now + (self.rules.renew() as f64 * (0.9 + 0.1 * jitter)) as Micros;
         let (generation, lease_ms) = (self.rules.deciders.generation, self.rules.lease_ms as u32);
         let make = |items| Body::Ask {
             generation,
--- a/leases/src/lib.rs
+++ b/leases/src/lib.rs
@@ -25,6 +25,6 @@
 pub use wire::Stage;
 
 /// Milliseconds as the module's spans.
-fn ms(ms: u64) -> plovercove::Span {
+fn ms(ms: u64) -> plovercove::Micros {
     ms.saturating_mul(1_000)
 }
--- a/leases/src/news.rs
+++ b/leases/src/news.rs
@@ -2,7 +2,7 @@
 
 use crate::place::Member;
 use crate::wire::Stage;
-use plovercove::Span;
+use plovercove::Micros;
 use plovercove_fencing::{Duty, Token};
 
 /// Why a duty is no longer owned.
@@ -72,7 +72,7 @@
         /// The duty.
         duty: Duty,
         /// For so long (us).
-        span: Span,
+        span: Micros,
     },
     /// Too few deciders answer: chores are done by each router.
     NoMajority,
@@ -81,7 +81,7 @@
     /// The loop stood still for so long (us), or the clock jumped.
     Stood {
         /// How long (us).
-        span: Span,
+        span: Micros,
     },
     /// As a decider, it has come so far.
     Decider {
--- a/leases/src/rules.rs
+++ b/leases/src/rules.rs
@@ -1,7 +1,7 @@
 //! What operators set of duties.
 
 use crate::ms;
-use plovercove::Span;
+use plovercove::Micros;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
@@ -244,32 +244,32 @@
     }
 
     /// The lease at its owner, on the owner's clock, from when it asked (us).
-    pub fn lease_at_owner(&self) -> Span {
+    pub fn lease_at_owner(&self) -> Micros {
         let drift = if self.on(Guard::Drift) {
             self.drift
         } else {
             0.0
         };
-        (ms(self.lease_ms) as f64 * (1.0 - drift)) as Span
+        (ms(self.lease_ms) as f64 * (1.0 - drift)) as Micros
     }
 
     /// A lease of so many ms at a decider, on the decider's clock, from its vote (us).
-    pub fn lease_at_decider(&self, lease_ms: u64) -> Span {
+    pub fn lease_at_decider(&self, lease_ms: u64) -> Micros {
         let drift = if self.on(Guard::Drift) {
             self.drift
         } else {
             0.0
         };
-        (ms(lease_ms) as f64 * (1.0 + drift)).ceil() as Span
+        (ms(lease_ms) as f64 * (1.0 + drift)).ceil() as Micros
     }
 
     /// Between two renewals (us).
-    pub fn renew(&self) -> Span {
+    pub fn renew(&self) -> Micros {
         ms(self.lease_ms) / RENEWALS
     }
 
     /// An ask that was not answered is sent again after this (us).
-    pub fn ask(&self) -> Span {
+    pub fn ask(&self) -> Micros {
         ms(self.ask_ms)
     }
 
@@ -283,7 +283,7 @@
     }
 
     /// A claim that found no majority within this is given up (us).
-    pub(crate) fn patience(&self) -> Span {
+    pub(crate) fn patience(&self) -> Micros {
         (ms(self.lease_ms) / 2).min(8 * self.ask())
     }
 
@@ -298,7 +298,7 @@
     /// How long a duty is without an owner after a kill, at the most (us), where a majority of the deciders answers, peers
     /// see the end within a lease, and few datagrams are lost: the lease at the deciders, two looks of the next in rank, and
     /// the claim with what may be sent again.
-    pub fn gap_after_kill(&self) -> Span {
+    pub fn gap_after_kill(&self) -> Micros {
         self.lease_at_decider(self.lease_ms) + 2 * self.renew() + 4 * self.ask()
     }
 
--- a/leases/tests/common/mod.rs
+++ b/leases/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! Routers with duties in virtual time: each with its own clock and disk, and whatever weather a test makes between them.
 #![allow(dead_code, missing_docs, reason = "each test uses a part of it")]
 
-use plovercove::{Span, Time};
+use plovercove::{Micros, Time};
 use plovercove_fencing::{Duty, Token};
 use plovercove_leases::{Decider, Deciders, Duties, Guard, Kept, Member, News, Rules, Wanted};
 use rand::{RngExt, SeedableRng};
@@ -10,10 +10,10 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use std::net::SocketAddr;
 
-pub const S: Span = 1_000_000;
-pub const MS: Span = 1_000;
+pub const S: Micros = 1_000_000;
+pub const MS: Micros = 1_000;
 /// Who was not heard for so long is not seen by others.
-const UNSEEN: Span = 4 * S;
+const UNSEEN: Micros = 4 * S;
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
@@ -26,7 +26,7 @@
         from: usize,
         from_boot: u64,
         body: Vec<u8>,
-        late: Span,
+        late: Micros,
     },
     Disk(usize, u64, Vec<u8>),
 }
@@ -40,12 +40,12 @@
     pub offset: i64,
     pub disk: Option<Vec<u8>>,
     pub rules: Rules,
-    held: Vec<(usize, u64, Vec<u8>, Span)>,
+    held: Vec<(usize, u64, Vec<u8>, Micros)>,
     pub news: Vec<(Time, News)>,
 }
 
 /// What the network does to a body: none where it is lost, else after how long it comes, each time.
-pub type Weather = Box<dyn FnMut(Time, usize, usize, &mut Pcg64Mcg) -> Vec<Span>>;
+pub type Weather = Box<dyn FnMut(Time, usize, usize, &mut Pcg64Mcg) -> Vec<Micros>>;
 
 pub struct Net {
     pub now: Time,
@@ -59,7 +59,7 @@
     /// Who acted for a duty with which token; the newest; when anybody acted last; the longest time without anybody.
     pub acts: BTreeMap<Duty, Acts>,
     /// How long a write to disk takes; none where it never ends.
-    pub disk: Option<Span>,
+    pub disk: Option<Micros>,
     pub dice: Pcg64Mcg,
     heard: Vec<Vec<Time>>,
     /// Whom each was told of last: who, and which life.
@@ -70,7 +70,7 @@
     /// Bodies and bytes that each has sent.
     pub sent: Vec<(u64, u64)>,
     /// Between two looks at who acts.
-    pub every: Span,
+    pub every: Micros,
 }
 
 #[derive(Default, Clone)]
@@ -78,7 +78,7 @@
     pub by: BTreeMap<Token, (usize, u64)>,
     pub newest: Token,
     pub last: Time,
-    pub gap: Span,
+    pub gap: Micros,
     /// Samples at which two acted.
     pub two: u64,
 }
@@ -295,7 +295,7 @@
         self.with(n, |d, now| d.turn(now));
     }
 
-    fn came(&mut self, n: usize, from: usize, boot: u64, body: &[u8], late: Span) {
+    fn came(&mut self, n: usize, from: usize, boot: u64, body: &[u8], late: Micros) {
         let member = Member {
             boot,
             ..self.member(from)
@@ -341,12 +341,12 @@
             self.at(now + takes, Event::Disk(n, boot, file));
         }
         if next < Time::MAX {
-            let wait = (next.saturating_sub(clock) as f64 / rate) as Span + 1;
+            let wait = (next.saturating_sub(clock) as f64 / rate) as Micros + 1;
             self.at(now + wait, Event::Turn(n, boot));
         }
     }
 
-    pub fn run(&mut self, span: Span) {
+    pub fn run(&mut self, span: Micros) {
         let until = self.now + span;
         while let Some(Reverse((at, _, _))) = self.heap.peek()
             && *at <= until
@@ -504,7 +504,7 @@
     }
 
     /// Runs until a condition holds; how long that took.
-    pub fn until(&mut self, within: Span, mut holds: impl FnMut(&Net) -> bool) -> Option<Span> {
+    pub fn until(&mut self, within: Micros, mut holds: impl FnMut(&Net) -> bool) -> Option<Micros> {
         let from = self.now;
         while self.now < from + within {
             if holds(self) {
@@ -516,7 +516,7 @@
     }
 
     /// Runs until each duty has its owner.
-    pub fn settled(&mut self) -> Span {
+    pub fn settled(&mut self) -> Micros {
         let took = self.until(60 * S, Net::all_owned);
         took.unwrap_or_else(|| panic!("not all are owned: {:?}", self.unowned()))
     }
@@ -541,7 +541,7 @@
         self.acts.values_mut().for_each(|a| a.gap = 0);
     }
 
-    pub fn gap(&self) -> Span {
+    pub fn gap(&self) -> Micros {
         self.acts.values().map(|a| a.gap).max().unwrap_or(0)
     }
 }
--- a/leases/tests/compare.rs
+++ b/leases/tests/compare.rs
@@ -7,12 +7,12 @@
 
 use common::{MS, Net, S, duties, rules};
 use logged::Logged;
-use plovercove::{Span, Time};
+use plovercove::{Micros, Time};
 use plovercove_leases::{Placement, Rules};
 
 pub const ROUTERS: usize = 9;
 const DUTIES: usize = 12;
-const STEP: Span = 20 * MS;
+const STEP: Micros = 20 * MS;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Trouble {
@@ -40,7 +40,7 @@
 /// One way to agree.
 trait Way {
     fn net(&mut self) -> &mut Net;
-    fn run(&mut self, span: Span);
+    fn run(&mut self, span: Micros);
     /// Who acts for a duty now.
     fn acting(&self, duty: usize) -> Vec<usize>;
     fn sent(&self) -> u64;
@@ -52,7 +52,7 @@
     fn net(&mut self) -> &mut Net {
         &mut self.0
     }
-    fn run(&mut self, span: Span) {
+    fn run(&mut self, span: Micros) {
         self.0.run(span);
     }
     fn acting(&self, duty: usize) -> Vec<usize> {
@@ -74,7 +74,7 @@
     fn net(&mut self) -> &mut Net {
         &mut self.net
     }
-    fn run(&mut self, span: Span) {
+    fn run(&mut self, span: Micros) {
         self.net.run(span);
         self.acting = vec![Vec::new(); DUTIES];
         for n in (0..ROUTERS).filter(|n| self.net.up(*n) && !self.net.nodes[*n].frozen) {
@@ -98,7 +98,7 @@
     fn net(&mut self) -> &mut Net {
         &mut self.net
     }
-    fn run(&mut self, span: Span) {
+    fn run(&mut self, span: Micros) {
         Logged::run(self, span);
     }
     fn acting(&self, duty: usize) -> Vec<usize> {
@@ -109,7 +109,7 @@
     }
 }
 
-fn watch(way: &mut dyn Way, span: Span, last: &mut [Option<Time>], seen: &mut Seen) {
+fn watch(way: &mut dyn Way, span: Micros, last: &mut [Option<Time>], seen: &mut Seen) {
     let until = way.net().now + span;
     while way.net().now < until {
         way.run(STEP);
--- a/leases/tests/logged/mod.rs
+++ b/leases/tests/logged/mod.rs
@@ -3,7 +3,7 @@
 
 use crate::ROUTERS;
 use crate::common::{MS, Net, address};
-use plovercove::{Span, Time};
+use plovercove::{Micros, Time};
 use plovercove_leases::{Placement, Rules};
 use raft::prelude::{Config, Message};
 use raft::storage::MemStorage;
@@ -12,10 +12,10 @@
 use std::collections::BTreeMap;
 
 /// A tick of the log's clock: heartbeats each 2, elections after 10 to 20.
-const TICK: Span = 100 * MS;
+const TICK: Micros = 100 * MS;
 /// One way through the network.
-const WAY: Span = MS;
-const SAMPLE: Span = 5 * MS;
+const WAY: Micros = MS;
+const SAMPLE: Micros = 5 * MS;
 
 enum Sent {
     Log(Box<Message>),
@@ -101,7 +101,7 @@
         }
     }
 
-    pub fn run(&mut self, span: Span) {
+    pub fn run(&mut self, span: Micros) {
         let until = self.net.now + span;
         while self.net.now < until {
             // The network's own routers run beside, for what membership sees.
--- a/locality/benches/decision.rs
+++ b/locality/benches/decision.rs
@@ -2,7 +2,7 @@
 
 use criterion::{Criterion, criterion_group, criterion_main};
 use plovercove::*;
-use plovercove_locality::{Rules, Tiers, Zone};
+use plovercove_locality::{Rules, Zone, ZoneFailover};
 
 const NODES: u64 = 1_000;
 const MEMBERS: u64 = 6;
@@ -11,18 +11,18 @@
     let class = Class {
         name: "look".into(),
         access: Access::Any,
-        aim: 300_000,
-        aim_stretch: 0.0,
+        latency_objective: 300_000,
+        objective_per_cost: 0.0,
         deadline: 1_200_000,
-        worth: 1.0,
-        late_worth: 0.0,
-        effect: Effect::Idempotent,
-        scope: RepeatScope::Group,
-        window: 0,
+        priority_weight: 1.0,
+        late_weight_share: 0.0,
+        idempotency: Idempotency::Idempotent,
+        dedup_scope: DedupScope::Group,
+        dedup_window: 0,
         stream: false,
     };
     Settings {
-        routers: 300,
+        router_count: 300,
         zone: "a".into(),
         classes: vec![class],
         ..Settings::default()
@@ -47,20 +47,24 @@
     let mut balancer = Balancer::new(settings.clone(), 7);
     if tiers {
         balancer.zoning = Some(Box::new(
-            Tiers::new(rules, &settings, 7).expect("good rules"),
+            ZoneFailover::new(rules, &settings, 7).expect("good rules"),
         ));
     }
-    let entry = |n: u64| NodeEntry {
+    let entry = |n: u64| Endpoint {
         node: format!("s-{n:04}").into(),
         zone: ["a", "b", "c"][(n % 3) as usize].into(),
-        kind: "std".into(),
-        primary: n.is_multiple_of(MEMBERS),
+        machine_kind: "std".into(),
+        listed_as_primary: n.is_multiple_of(MEMBERS),
         group: n / MEMBERS,
         weight: 1.0,
-        ..NodeEntry::default()
+        ..Endpoint::default()
     };
-    let list = ListUpdate::Full((0..NODES).map(entry).collect());
-    balancer.handle(1_000_000, vec![Event::List(list)], &mut Vec::new());
+    let list = EndpointUpdate::Full((0..NODES).map(entry).collect());
+    balancer.handle(
+        1_000_000,
+        vec![Event::EndpointsChanged(list)],
+        &mut Vec::new(),
+    );
     balancer
 }
 
@@ -72,26 +76,26 @@
         group.bench_function(name, |b| {
             b.iter(|| {
                 (now, id) = (now + 1_000, id + 1);
-                let demand = Demand {
+                let demand = RequestInfo {
                     id,
-                    left: 1_000_000,
+                    time_left: 1_000_000,
                     group: id % (NODES / MEMBERS),
-                    ..Demand::default()
+                    ..RequestInfo::default()
                 };
-                balancer.handle(now, vec![Event::Request(demand)], &mut actions);
+                balancer.handle(now, vec![Event::RequestArrived(demand)], &mut actions);
                 assert!(
                     actions.iter().any(|a| matches!(a, Action::Send { .. })),
                     "not placed: {actions:?}"
                 );
                 actions.clear();
-                let outcome = Event::Outcome {
+                let outcome = Event::AttemptEnded {
                     request: id,
                     attempt: 0,
-                    ending: Ending::Success,
+                    end: AttemptEnd::Success,
                     elapsed: 50_000,
-                    over: true,
-                    note: Standing::default(),
-                    report: Standing::default(),
+                    request_over: true,
+                    answer_report: NodeReport::default(),
+                    load_report: NodeReport::default(),
                 };
                 balancer.handle(now + 500, vec![outcome], &mut actions);
                 actions.clear();
--- a/locality/src/evidence.rs
+++ b/locality/src/evidence.rs
@@ -12,16 +12,16 @@
 //! | the same in every zone that was tried | [`Cause::Common`]: going elsewhere helps nobody |
 //! | slow answers, here and elsewhere | strain in common: none is spilled for it |
 
-use plovercove::{Ending, NodeId, Span, Time};
+use plovercove::{AttemptEnd, Micros, NodeId, Time};
 
 /// Failures in a row, no answer of the zone between them, that make it dark.
 const DARK_FAILS: u32 = 4;
 /// ... and they must lie so far apart, or one burst on one reset would do.
-const DARK_SPAN: Span = 200_000;
+const DARK_SPAN: Micros = 200_000;
 /// A zone with under this share of its capacity listed as serving is gone.
 const GONE: f64 = 0.25;
 /// A list is so late at the most: what it says after that stands for the present.
-const LIST_LATE: Span = 6_000_000;
+const LIST_LATE: Micros = 6_000_000;
 /// Strain is counted over about so long.
 const MEMORY: f64 = 1e6;
 /// From this share of slow answers on, of so many, a zone is strained.
@@ -57,16 +57,16 @@
 }
 
 /// What an ending says. `in_time` is until when an answer counts as good; `usual` how long the class takes.
-pub fn sign(ending: Ending, elapsed: Span, in_time: Span, usual: Span) -> Sign {
+pub fn sign(ending: AttemptEnd, elapsed: Micros, in_time: Micros, usual: Micros) -> Sign {
     match ending {
-        Ending::Success if elapsed <= in_time => Sign::Good,
-        Ending::Success | Ending::Overloaded => Sign::Slow,
+        AttemptEnd::Success if elapsed <= in_time => Sign::Good,
+        AttemptEnd::Success | AttemptEnd::Overloaded => Sign::Slow,
         // It answers; with what, is not the zone's affair.
-        Ending::Failure | Ending::Missed => Sign::Good,
-        Ending::Unreachable | Ending::Broken | Ending::TimedOut => Sign::Silent,
+        AttemptEnd::Failure | AttemptEnd::Misdirected => Sign::Good,
+        AttemptEnd::Unreachable | AttemptEnd::Reset | AttemptEnd::TimedOut => Sign::Silent,
         // Taken back after a long wait; one that was taken back soon says nothing.
-        Ending::Cancelled if elapsed > usual.saturating_mul(3) => Sign::Silent,
-        Ending::Cancelled | Ending::Void => Sign::Nothing,
+        AttemptEnd::Cancelled if elapsed > usual.saturating_mul(3) => Sign::Silent,
+        AttemptEnd::Cancelled | AttemptEnd::NeverSent => Sign::Nothing,
     }
 }
 
@@ -127,7 +127,7 @@
     }
 
     /// Whether it answered in the last so many microseconds.
-    pub fn heard_within(&self, now: Time, span: Span) -> bool {
+    pub fn heard_within(&self, now: Time, span: Micros) -> bool {
         self.fails == 0 && self.answered.is_some_and(|at| now < at + span)
     }
 
@@ -314,15 +314,15 @@
     #[test]
     fn endings_say_what_they_prove() {
         for (ending, elapsed, said) in [
-            (Ending::Success, 100, Sign::Good),
-            (Ending::Success, 101, Sign::Slow),
-            (Ending::Overloaded, 1, Sign::Slow),
-            (Ending::Missed, 900, Sign::Good),
-            (Ending::TimedOut, 900, Sign::Silent),
-            (Ending::Unreachable, 1, Sign::Silent),
-            (Ending::Cancelled, 10, Sign::Nothing),
-            (Ending::Cancelled, 900, Sign::Silent),
-            (Ending::Void, 900, Sign::Nothing),
+            (AttemptEnd::Success, 100, Sign::Good),
+            (AttemptEnd::Success, 101, Sign::Slow),
+            (AttemptEnd::Overloaded, 1, Sign::Slow),
+            (AttemptEnd::Misdirected, 900, Sign::Good),
+            (AttemptEnd::TimedOut, 900, Sign::Silent),
+            (AttemptEnd::Unreachable, 1, Sign::Silent),
+            (AttemptEnd::Cancelled, 10, Sign::Nothing),
+            (AttemptEnd::Cancelled, 900, Sign::Silent),
+            (AttemptEnd::NeverSent, 900, Sign::Nothing),
         ] {
             assert_eq!(
                 sign(ending, elapsed, 100, 50),
--- a/locality/src/ramp.rs
+++ b/locality/src/ramp.rs
@@ -6,7 +6,7 @@
 //! with trials only until it has faded to another.
 
 use crate::rules::{FlapRules, RampRules, ms};
-use plovercove::{Span, Time};
+use plovercove::{Micros, Time};
 
 /// The penalty on one zone.
 #[derive(Clone, Debug, Default)]
@@ -53,7 +53,7 @@
 /// hundred are slow where all is well.
 const FALLS: (u32, u32) = (3, 2);
 /// Falls follow each other no faster: answers that are slow together are one piece of news.
-const FALL_GAP: Span = 300_000;
+const FALL_GAP: Micros = 300_000;
 
 impl Default for Ramp {
     fn default() -> Self {
@@ -90,7 +90,7 @@
             return;
         }
         self.good += 1;
-        let span = (ms(rules.double_ms) as f64 * slowed) as Span;
+        let span = (ms(rules.double_ms) as f64 * slowed) as Micros;
         if self.good >= rules.answers && now >= self.step_at + span {
             self.share = (self.share * 2.0).min(1.0);
             (self.good, self.slow, self.step_at) = (0, 0, now);
--- a/locality/src/rules.rs
+++ b/locality/src/rules.rs
@@ -1,6 +1,6 @@
 //! What operators say of zones.
 
-use plovercove::{Settings, Span};
+use plovercove::{Micros, Settings};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -252,6 +252,6 @@
 }
 
 /// Milliseconds as a span.
-pub(crate) fn ms(ms: u64) -> Span {
+pub(crate) fn ms(ms: u64) -> Micros {
     ms.saturating_mul(1_000)
 }
--- a/locality/src/tiers.rs
+++ b/locality/src/tiers.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 /// The state is brought up to date no more often than this; allowances and signs are exact in between.
-const REVIEW: Span = 20_000;
+const REVIEW: Micros = 20_000;
 /// So much of its weight counts for a node, for each tier that it is away: home goes first until its nodes hold some
 /// three times as much work as others.
 const FAR: (f64, f64) = (0.08, 0.5);
@@ -30,19 +30,19 @@
 /// An allowance keeps up to this share of its depth for requests that are worth more.
 const RESERVE: f64 = 0.7;
 /// How long an answer of another zone proves that its routers need no spill.
-const PROVED: Span = 3_000_000;
+const PROVED: Micros = 3_000_000;
 /// A zone's capacity is remembered for so long after the list lost it.
-const REMEMBERED: Span = 120_000_000;
+const REMEMBERED: Micros = 120_000_000;
 /// The home zone's load is unknown; what is left of it is taken to bear its requests down to this share.
 const USUAL_LOAD: f64 = 0.75;
 /// The share that stays at home falls by this factor when home is strained, and rises by this much when it is not.
 const KEEP: (f64, f64, f64) = (0.85, 0.04, 0.05);
 /// ... and no more often than this.
-const KEEP_GAP: Span = 250_000;
+const KEEP_GAP: Micros = 250_000;
 /// What a zone bears of spill falls and rises so, between these bounds.
 const BEARS: (f64, f64, f64) = (0.9, 0.05, 0.6);
 /// Trials of a zone that is not used: first gap, and what each router adds so that all together are few.
-const TRIAL: (Span, Span) = (400_000, 4_000);
+const TRIAL: (Micros, Micros) = (400_000, 4_000);
 /// Of what a cold node can do, what the routers of its own zone may use together, and those of all others. The sum,
 /// times the most of `AHEAD`, stays under the multiple at which nodes fall (4 where it was told).
 const COLD: (f64, f64) = (1.0, 0.5);
@@ -115,7 +115,7 @@
 }
 
 /// Which zones a request of one router may use now.
-pub struct Tiers {
+pub struct ZoneFailover {
     rules: Rules,
     home: usize,
     places: Vec<Place>,
@@ -131,12 +131,12 @@
     index: u32,
     salt: u64,
     cold_share: f64,
-    cold_span: Span,
+    cold_span: Micros,
     told: Time,
     listed: bool,
     reviewed: Time,
     causes: Vec<Cause>,
-    news: VecDeque<News>,
+    news: VecDeque<LogEvent>,
 }
 
 /// Lines of news that wait for the log, at the most.
@@ -153,13 +153,13 @@
 }
 
 /// The share of its capacity that a node has at least by now: it warms no slower than evenly.
-fn warm(started: Option<Time>, now: Time, cold_share: f64, cold_span: Span) -> f64 {
+fn warm(started: Option<Time>, now: Time, cold_share: f64, cold_span: Micros) -> f64 {
     let Some(started) = started else { return 1.0 };
     let age = now.saturating_sub(started) as f64 / cold_span as f64;
     (cold_share + (1.0 - cold_share) * age).clamp(0.01, 1.0)
 }
 
-impl Tiers {
+impl ZoneFailover {
     /// The tiers of a router that has just started.
     ///
     /// # Errors
@@ -189,10 +189,10 @@
         let costs: Vec<f64> = settings
             .classes
             .iter()
-            .map(|c| c.aim as f64 * COST.0)
+            .map(|c| c.latency_objective as f64 * COST.0)
             .collect();
         let told: u32 = rules.zones.iter().map(|z| z.routers).sum();
-        let mut tiers = Tiers {
+        let mut tiers = ZoneFailover {
             home,
             places: rules.zones.iter().map(place).collect(),
             nodes: BTreeMap::new(),
@@ -201,11 +201,11 @@
             classes: settings.classes.clone(),
             keep: 1.0,
             keep_at: 0,
-            routers: told.max(settings.routers).max(1),
-            index: settings.index,
+            routers: told.max(settings.router_count).max(1),
+            index: settings.router_index,
             salt: seed,
-            cold_share: settings.cold_share.clamp(0.01, 1.0),
-            cold_span: settings.cold_span.max(1),
+            cold_share: settings.slow_start_min_share.clamp(0.01, 1.0),
+            cold_span: settings.slow_start_duration.max(1),
             told: 0,
             listed: false,
             reviewed: 0,
@@ -219,7 +219,7 @@
 
     /// Goes on from where another left off, in service: what it has learned of zones and nodes, ramps under way,
     /// penalties and what its allowances held stay, and only the rules are new. Zones that they no longer name come last.
-    pub fn inherit(&mut self, old: &mut Tiers) {
+    pub fn inherit(&mut self, old: &mut ZoneFailover) {
         let mut moved = Vec::with_capacity(old.places.len());
         for place in std::mem::take(&mut old.places) {
             let zone = self.zone(&place.name);
@@ -266,7 +266,7 @@
     fn log(&mut self, zone: usize, reason: &'static str, what: &str) {
         if self.news.len() < MOST_NEWS {
             self.news
-                .push_back(News::of_zone(&self.places[zone].name, reason, what));
+                .push_back(LogEvent::of_zone(&self.places[zone].name, reason, what));
         }
     }
 
@@ -500,7 +500,7 @@
 
     /// Ranks classes by worth for their cost.
     fn rank(&mut self) {
-        let value = |n: usize| self.classes[n].worth / self.costs[n].max(1.0);
+        let value = |n: usize| self.classes[n].priority_weight / self.costs[n].max(1.0);
         let mut order: Vec<usize> = (0..self.costs.len()).collect();
         order.sort_by(|a, b| value(*a).total_cmp(&value(*b)));
         let last = order.len().saturating_sub(1).max(1) as f64;
@@ -516,12 +516,12 @@
     // ---- questions
 
     /// Whether a zone that is not in use may be tried with this request.
-    fn trial(&self, now: Time, zone: usize, ask: &Ask) -> bool {
-        let safe = self.classes[ask.class].effect == Effect::Idempotent;
+    fn trial(&self, now: Time, zone: usize, ask: &RoutingQuery) -> bool {
+        let safe = self.classes[ask.class].idempotency == Idempotency::Idempotent;
         safe && now >= self.places[zone].trial_at && self.places[zone].serving > 0
     }
 
-    fn open(&self, now: Time, ask: &Ask, zone: usize, cost: f64) -> bool {
+    fn open(&self, now: Time, ask: &RoutingQuery, zone: usize, cost: f64) -> bool {
         let place = &self.places[zone];
         let lost = matches!(place.cause, Cause::Gone | Cause::Dark | Cause::Link);
         if lost || (place.suppressed && zone != self.home) {
@@ -552,15 +552,15 @@
     }
 }
 
-impl Zoning for Tiers {
-    fn listed(&mut self, now: Time, update: &ListUpdate) {
+impl LocalityPolicy for ZoneFailover {
+    fn endpoints_changed(&mut self, now: Time, update: &EndpointUpdate) {
         let (entries, whole) = match update {
-            ListUpdate::Changes(entries) => (entries, false),
-            ListUpdate::Full(entries) | ListUpdate::Restored(entries) => (entries, true),
-            ListUpdate::Failed => return,
+            EndpointUpdate::Changes(entries) => (entries, false),
+            EndpointUpdate::Full(entries) | EndpointUpdate::Restored(entries) => (entries, true),
+            EndpointUpdate::Failed => return,
         };
         // The saved list says nothing of the present.
-        if !matches!(update, ListUpdate::Restored(_)) {
+        if !matches!(update, EndpointUpdate::Restored(_)) {
             self.told = now;
         }
         if whole {
@@ -573,8 +573,13 @@
         let (stagger, least) = (luck(u64::from(self.index), self.salt), self.least());
         for entry in entries {
             let zone = self.zone(&entry.zone);
-            let capacity =
-                entry.weight.max(0.01) * self.rules.cores.get(&entry.kind).copied().unwrap_or(1.0);
+            let capacity = entry.weight.max(0.01)
+                * self
+                    .rules
+                    .cores
+                    .get(&entry.machine_kind)
+                    .copied()
+                    .unwrap_or(1.0);
             let node = self
                 .nodes
                 .entry(entry.node.clone())
@@ -587,7 +592,7 @@
                     fails: 0,
                     cold: Allowance::default(),
                 });
-            if entry.started > node.started {
+            if entry.started_at > node.started {
                 node.fails = 0;
                 node.cold = Allowance::staggered(
                     now,
@@ -596,8 +601,8 @@
                 );
             }
             (node.zone, node.capacity, node.started) =
-                (zone, capacity, entry.started.or(node.started));
-            node.serving = entry.state == Listed::Serving;
+                (zone, capacity, entry.started_at.or(node.started));
+            node.serving = entry.state == EndpointState::Serving;
             node.left = if node.serving {
                 None
             } else {
@@ -611,14 +616,14 @@
         }
     }
 
-    fn counts(&mut self, now: Time, ask: &Ask, node: &NodeId) -> Option<f64> {
+    fn weight_share(&mut self, now: Time, ask: &RoutingQuery, node: &NodeId) -> Option<f64> {
         self.review(now);
         let Some(known) = self.nodes.get(node) else {
             return Some(1.0);
         };
         let (zone, tier) = (known.zone, self.places[known.zone].tier);
         // The primary alone takes writes, wherever it is.
-        if ask.write {
+        if ask.is_write {
             return Some(1.0);
         }
         let cost = self.costs[ask.class] / 1e6;
@@ -639,7 +644,7 @@
         Some(pace * if strained { FAR.1 } else { FAR.0 }.powi(tier as i32))
     }
 
-    fn sent(&mut self, now: Time, ask: &Ask, node: &NodeId) {
+    fn attempt_sent(&mut self, now: Time, ask: &RoutingQuery, node: &NodeId) {
         let Some(known) = self.nodes.get_mut(node) else {
             return;
         };
@@ -648,7 +653,7 @@
             known.cold.take(now, cost);
         }
         let place = &mut self.places[zone];
-        if ask.write {
+        if ask.is_write {
             return;
         }
         if zone != self.home {
@@ -657,13 +662,20 @@
         if place.suppressed || place.cause != Cause::Well {
             let spread = 0.5 + luck(ask.request ^ now, self.salt);
             let gap = (TRIAL.0 + TRIAL.1 * u64::from(self.routers)) as f64 * spread;
-            place.trial_at = now + gap as Span;
+            place.trial_at = now + gap as Micros;
         }
     }
 
-    fn ended(&mut self, now: Time, ask: &Ask, node: &NodeId, ending: Ending, elapsed: Span) {
-        let aim = self.classes[ask.class].aim as f64;
-        let usual = self.costs[ask.class] as Span;
+    fn attempt_ended(
+        &mut self,
+        now: Time,
+        ask: &RoutingQuery,
+        node: &NodeId,
+        ending: AttemptEnd,
+        elapsed: Micros,
+    ) {
+        let aim = self.classes[ask.class].latency_objective as f64;
+        let usual = self.costs[ask.class] as Micros;
         let Some(known) = self.nodes.get_mut(node) else {
             return;
         };
@@ -676,8 +688,8 @@
         };
         let sign = evidence::sign(
             ending,
-            (elapsed as f64 * share) as Span,
-            in_time as Span,
+            (elapsed as f64 * share) as Micros,
+            in_time as Micros,
             usual,
         );
         let zone = known.zone;
@@ -687,7 +699,7 @@
             Sign::Nothing => {}
         }
         let cold = known.started.is_some_and(|at| now < at + self.cold_span);
-        if ending == Ending::Success && zone == self.home {
+        if ending == AttemptEnd::Success && zone == self.home {
             let mean = &mut self.costs[ask.class];
             *mean += COST.1 * ((elapsed as f64).min(*mean * COST_EACH) - *mean);
             self.rank();
@@ -698,7 +710,7 @@
         let flaps = place.flap.penalty(now, &self.rules.flap) / self.rules.flap.each - 1.0;
         let slowed = 1.0 + flaps.max(0.0);
         match sign {
-            Sign::Good if ending == Ending::Success => {
+            Sign::Good if ending == AttemptEnd::Success => {
                 place.ramp.good(now, &self.rules.ramp, slowed);
                 if cold {
                     place.ahead = (place.ahead * AHEAD_STEP.0).min(AHEAD.1);
@@ -731,17 +743,17 @@
         self.review(now);
     }
 
-    fn come_back(&self, ask: &Ask, most: Span) -> Span {
+    fn retry_after(&self, ask: &RoutingQuery, most: Micros) -> Micros {
         // Between a third and all of it: a herd that was refused together must not return together.
-        (most as f64 * (1.0 + 2.0 * luck(ask.request ^ 0x5bd1, self.salt)) / 3.0) as Span
+        (most as f64 * (1.0 + 2.0 * luck(ask.request ^ 0x5bd1, self.salt)) / 3.0) as Micros
     }
 
-    fn news(&mut self) -> Option<News> {
+    fn next_log_event(&mut self) -> Option<LogEvent> {
         self.news.pop_front()
     }
 }
 
-impl Tiers {
+impl ZoneFailover {
     /// A router that starts while a zone is on its way back does not begin at full: much of the zone is younger than
     /// the warm-up.
     fn begin(&mut self, now: Time) {
--- a/locality/tests/random.rs
+++ b/locality/tests/random.rs
@@ -1,29 +1,29 @@
 //! Tiers under random events: whatever comes, they neither panic nor forget what must hold.
 
 use plovercove::*;
-use plovercove_locality::{Rules, Tiers, Zone};
+use plovercove_locality::{Rules, Zone, ZoneFailover};
 use proptest::prelude::*;
 
 fn settings() -> Settings {
     let class = |name: &str, worth| Class {
         name: name.into(),
         access: Access::Any,
-        aim: 300_000,
-        aim_stretch: 0.0,
+        latency_objective: 300_000,
+        objective_per_cost: 0.0,
         deadline: 1_200_000,
-        worth,
-        late_worth: 0.0,
-        effect: Effect::Idempotent,
-        scope: RepeatScope::Group,
-        window: 0,
+        priority_weight: worth,
+        late_weight_share: 0.0,
+        idempotency: Idempotency::Idempotent,
+        dedup_scope: DedupScope::Group,
+        dedup_window: 0,
         stream: false,
     };
     Settings {
-        routers: 6,
+        router_count: 6,
         zone: "a".into(),
         classes: vec![class("dear", 5.0), class("cheap", 1.0)],
-        cold_share: 0.2,
-        cold_span: 10_000_000,
+        slow_start_min_share: 0.2,
+        slow_start_duration: 10_000_000,
         ..Settings::default()
     }
 }
@@ -44,16 +44,16 @@
     }
 }
 
-fn entry(n: usize, state: Listed, started: Option<Time>) -> NodeEntry {
-    NodeEntry {
+fn entry(n: usize, state: EndpointState, started: Option<Time>) -> Endpoint {
+    Endpoint {
         node: format!("s-{n}").into(),
         zone: ["a", "b", "c", "elsewhere"][n % 4].into(),
-        kind: "std".into(),
+        machine_kind: "std".into(),
         group: 1,
         state,
         weight: 1.0,
-        started,
-        ..NodeEntry::default()
+        started_at: started,
+        ..Endpoint::default()
     }
 }
 
@@ -61,7 +61,7 @@
 enum Step {
     List(usize, u8, bool),
     Whole(u8),
-    Ask(usize, bool),
+    RoutingQuery(usize, bool),
     End(usize, u8, u64),
     Wait(u64),
     Reload(usize),
@@ -71,23 +71,23 @@
     prop_oneof![
         (0..12usize, 0..3u8, any::<bool>()).prop_map(|(n, s, young)| Step::List(n, s, young)),
         (0..13u8).prop_map(Step::Whole),
-        (0..12usize, any::<bool>()).prop_map(|(n, write)| Step::Ask(n, write)),
+        (0..12usize, any::<bool>()).prop_map(|(n, write)| Step::RoutingQuery(n, write)),
         (0..12usize, 0..9u8, 0..2_000_000u64).prop_map(|(n, e, t)| Step::End(n, e, t)),
         (0..5_000_000u64).prop_map(Step::Wait),
         (0..3usize).prop_map(Step::Reload),
     ]
 }
 
-const ENDINGS: [Ending; 9] = [
-    Ending::Success,
-    Ending::Failure,
-    Ending::Overloaded,
-    Ending::TimedOut,
-    Ending::Unreachable,
-    Ending::Broken,
-    Ending::Cancelled,
-    Ending::Void,
-    Ending::Missed,
+const ENDINGS: [AttemptEnd; 9] = [
+    AttemptEnd::Success,
+    AttemptEnd::Failure,
+    AttemptEnd::Overloaded,
+    AttemptEnd::TimedOut,
+    AttemptEnd::Unreachable,
+    AttemptEnd::Reset,
+    AttemptEnd::Cancelled,
+    AttemptEnd::NeverSent,
+    AttemptEnd::Misdirected,
 ];
 
 proptest! {
@@ -95,33 +95,33 @@
 
     #[test]
     fn weights_are_sane_writes_go_everywhere_and_the_limit_holds(steps in prop::collection::vec(step(), 1..300)) {
-        let mut tiers = Tiers::new(rules(), &settings(), 5).expect("good rules");
+        let mut tiers = ZoneFailover::new(rules(), &settings(), 5).expect("good rules");
         let mut now = 1_000_000_000;
-        let all = (0..12).map(|n| entry(n, Listed::Serving, None)).collect();
-        tiers.listed(now, &ListUpdate::Full(all));
+        let all = (0..12).map(|n| entry(n, EndpointState::Serving, None)).collect();
+        tiers.endpoints_changed(now, &EndpointUpdate::Full(all));
         let (mut request, mut spilled, begun) = (0, 0.0, now);
         for step in steps {
             match step {
                 Step::List(n, state, young) => {
-                    let state = [Listed::Serving, Listed::Draining, Listed::Gone][state as usize];
+                    let state = [EndpointState::Serving, EndpointState::Draining, EndpointState::Removed][state as usize];
                     let started = young.then_some(now);
-                    tiers.listed(now, &ListUpdate::Changes(vec![entry(n, state, started)]));
+                    tiers.endpoints_changed(now, &EndpointUpdate::Changes(vec![entry(n, state, started)]));
                 }
                 Step::Whole(first) => {
-                    let some = (first as usize..12).map(|n| entry(n, Listed::Serving, None)).collect();
-                    tiers.listed(now, &ListUpdate::Full(some));
+                    let some = (first as usize..12).map(|n| entry(n, EndpointState::Serving, None)).collect();
+                    tiers.endpoints_changed(now, &EndpointUpdate::Full(some));
                 }
-                Step::Ask(n, write) => {
+                Step::RoutingQuery(n, write) => {
                     request += 1;
-                    let ask = Ask { request, class: (request % 2) as usize, write };
+                    let ask = RoutingQuery { request, class: (request % 2) as usize, is_write: write };
                     let node: NodeId = format!("s-{n}").into();
-                    let counts = tiers.counts(now, &ask, &node);
+                    let counts = tiers.weight_share(now, &ask, &node);
                     if write {
                         prop_assert_eq!(counts, Some(1.0), "a write follows its primary");
                     }
                     if let Some(counts) = counts {
                         prop_assert!(counts > 0.0 && counts <= 2.0, "{}", counts);
-                        tiers.sent(now, &ask, &node);
+                        tiers.attempt_sent(now, &ask, &node);
                         // Zone b has three nodes of five cores.
                         if n % 4 == 1 && !write {
                             spilled += 1.0;
@@ -129,25 +129,25 @@
                     }
                 }
                 Step::End(n, ending, elapsed) => {
-                    let ask = Ask { request, class: n % 2, write: false };
-                    tiers.ended(now, &ask, &format!("s-{n}").into(), ENDINGS[ending as usize], elapsed);
+                    let ask = RoutingQuery { request, class: n % 2, is_write: false };
+                    tiers.attempt_ended(now, &ask, &format!("s-{n}").into(), ENDINGS[ending as usize], elapsed);
                 }
                 Step::Wait(span) => now += span,
                 Step::Reload(turn) => {
                     let mut turned = rules();
                     turned.zones.rotate_left(turn);
-                    let mut fresh = Tiers::new(turned, &settings(), 5).expect("good rules");
+                    let mut fresh = ZoneFailover::new(turned, &settings(), 5).expect("good rules");
                     fresh.inherit(&mut tiers);
                     tiers = fresh;
                 }
             }
-            let wait = tiers.come_back(&Ask { request, class: 0, write: false }, 500_000);
+            let wait = tiers.retry_after(&RoutingQuery { request, class: 0, is_write: false }, 500_000);
             prop_assert!((100_000..=500_000).contains(&wait));
             for view in tiers.view() {
                 prop_assert!(view.ramp > 0.0 && view.ramp <= 1.0);
                 prop_assert!(view.spill >= 0.0 && view.spill <= rules().spill * view.capacity.1 + 1e-9);
             }
-            while tiers.news().is_some() {}
+            while tiers.next_log_event().is_some() {}
         }
         // No request costs less than a hundredth of a second here; the limit is 0.4 of 15 s of work a second, and
         // trials of a lost zone are beside it.
@@ -161,15 +161,15 @@
     // Danger: a rollout while a zone comes back cold would give the zone all its requests at once.
     let now = 1_000_000_000;
     let list = |started| {
-        ListUpdate::Full(
+        EndpointUpdate::Full(
             (0..12)
-                .map(|n| entry(n, Listed::Serving, started))
+                .map(|n| entry(n, EndpointState::Serving, started))
                 .collect(),
         )
     };
     let share = |started| {
-        let mut tiers = Tiers::new(rules(), &settings(), 5).expect("good rules");
-        tiers.listed(now, &list(started));
+        let mut tiers = ZoneFailover::new(rules(), &settings(), 5).expect("good rules");
+        tiers.endpoints_changed(now, &list(started));
         tiers.view()[0].ramp
     };
     assert_eq!(share(None), 1.0, "a zone that has long been up");
@@ -184,36 +184,36 @@
     // Danger: an operator who reloads in the middle of trouble would lift every penalty and fill every allowance.
     let (lost, mut now) = (|n: &usize| !n.is_multiple_of(4), 1_000_000_000);
     let all = |keep: fn(&usize) -> bool| {
-        ListUpdate::Full(
+        EndpointUpdate::Full(
             (0..12)
                 .filter(keep)
-                .map(|n| entry(n, Listed::Serving, None))
+                .map(|n| entry(n, EndpointState::Serving, None))
                 .collect(),
         )
     };
-    let mut tiers = Tiers::new(rules(), &settings(), 5).expect("good rules");
+    let mut tiers = ZoneFailover::new(rules(), &settings(), 5).expect("good rules");
     for _ in 0..4 {
-        tiers.listed(now, &all(|_| true));
+        tiers.endpoints_changed(now, &all(|_| true));
         now += 1_000_000;
-        tiers.listed(now, &all(lost));
+        tiers.endpoints_changed(now, &all(lost));
         now += 1_000_000;
     }
-    tiers.listed(now, &all(|_| true));
+    tiers.endpoints_changed(now, &all(|_| true));
     // The allowance of zone b is spent.
     let (ask, node): (_, NodeId) = (
-        |request| Ask {
+        |request| RoutingQuery {
             request,
             class: 0,
-            write: false,
+            is_write: false,
         },
         "s-1".into(),
     );
-    let spend = |tiers: &mut Tiers, now| {
+    let spend = |tiers: &mut ZoneFailover, now| {
         (0..1_000)
             .filter(|n| {
                 tiers
-                    .counts(now, &ask(*n), &node)
-                    .map(|_| tiers.sent(now, &ask(*n), &node))
+                    .weight_share(now, &ask(*n), &node)
+                    .map(|_| tiers.attempt_sent(now, &ask(*n), &node))
                     .is_some()
             })
             .count()
@@ -233,7 +233,7 @@
         routers: 2,
         prefer: vec![vec!["b".into()]],
     });
-    let mut fresh = Tiers::new(turned, &settings(), 5).expect("good rules");
+    let mut fresh = ZoneFailover::new(turned, &settings(), 5).expect("good rules");
     fresh.inherit(&mut tiers);
     assert_eq!(spend(&mut fresh, now), 0, "what was spent stays spent");
     let after = fresh.view();
@@ -254,7 +254,7 @@
         "the new rules' order"
     );
     now += 200_000;
-    fresh.counts(now, &ask(2_000), &node);
+    fresh.weight_share(now, &ask(2_000), &node);
     assert!(
         of(&fresh.view(), "b").spill < before[1].spill * 0.6,
         "the new limit"
@@ -263,30 +263,34 @@
 
 #[test]
 fn what_is_worth_least_is_refused_first() {
-    let mut tiers = Tiers::new(rules(), &settings(), 5).expect("good rules");
+    let mut tiers = ZoneFailover::new(rules(), &settings(), 5).expect("good rules");
     let now = 1_000_000_000;
     // Home is gone; the next zones remain.
     let rest = (0..12)
         .filter(|n| n % 4 != 0)
-        .map(|n| entry(n, Listed::Serving, None))
+        .map(|n| entry(n, EndpointState::Serving, None))
         .collect();
-    tiers.listed(
+    tiers.endpoints_changed(
         now,
-        &ListUpdate::Full((0..12).map(|n| entry(n, Listed::Serving, None)).collect()),
+        &EndpointUpdate::Full(
+            (0..12)
+                .map(|n| entry(n, EndpointState::Serving, None))
+                .collect(),
+        ),
     );
-    tiers.listed(now, &ListUpdate::Full(rest));
+    tiers.endpoints_changed(now, &EndpointUpdate::Full(rest));
     let mut went = [0, 0];
     for n in 0..4_000u64 {
         let at = now + n * 2_000;
         let class = (n % 2) as usize;
-        let ask = Ask {
+        let ask = RoutingQuery {
             request: n,
             class,
-            write: false,
+            is_write: false,
         };
         let node: NodeId = "s-1".into();
-        if tiers.counts(at, &ask, &node).is_some() {
-            tiers.sent(at, &ask, &node);
+        if tiers.weight_share(at, &ask, &node).is_some() {
+            tiers.attempt_sent(at, &ask, &node);
             went[class] += 1;
         }
     }
--- a/router/src/chores/file.rs
+++ b/router/src/chores/file.rs
@@ -1,6 +1,6 @@
 //! The decider's file: read at the start, and written over whole when its votes need it.
 
-use plovercove::{Span, Time};
+use plovercove::{Micros, Time};
 use plovercove_leases::{Kept, KeptFault, Rules};
 use std::fs::{self, File as Open};
 use std::io::{self, ErrorKind, Write};
@@ -8,7 +8,7 @@
 use std::time::Instant;
 
 /// What could not be written is tried again after this (us): votes wait for it.
-const AGAIN: Span = 1_000_000;
+const AGAIN: Micros = 1_000_000;
 
 /// Why the file cannot be used.
 #[derive(Debug, thiserror::Error)]
@@ -72,7 +72,7 @@
     unwritten: Option<Vec<u8>>,
     again: Time,
     /// How often it was written, and what that took the loop at the longest and in sum (us).
-    pub written: (u64, Span, Span),
+    pub written: (u64, Micros, Micros),
 }
 
 impl File {
@@ -133,7 +133,7 @@
                 source,
             });
         }
-        let took = begun.elapsed().as_micros() as Span;
+        let took = begun.elapsed().as_micros() as Micros;
         self.written = (
             self.written.0 + 1,
             self.written.1.max(took),
--- a/router/src/chores/mod.rs
+++ b/router/src/chores/mod.rs
@@ -16,8 +16,8 @@
 
 use crate::clock::Clock;
 use nodes::Nodes;
-use plovercove::{GroupId, NodeId, Span, Standing, Time};
-use plovercove_engine::Core;
+use plovercove::{GroupId, Micros, NodeId, NodeReport, Time};
+use plovercove_engine::Engine;
 use plovercove_fanout::{self as fanout, Client, Fault, Gateway, Publisher, Subscriber, Topic};
 use plovercove_fencing::{Duty, Refused, Token};
 use plovercove_gossip::{Arrived, Life, carried};
@@ -38,7 +38,7 @@
 pub type Look = Rc<dyn Fn() -> bool>;
 
 /// A question to a node.
-pub struct Ask {
+pub struct NodeQuery {
     /// The node.
     pub node: NodeId,
     /// Whether it may leave now.
@@ -50,7 +50,7 @@
     /// The node.
     pub node: NodeId,
     /// When it was asked and what it said; none where it did not answer.
-    pub answer: Option<(Time, Standing)>,
+    pub answer: Option<(Time, NodeReport)>,
 }
 
 /// What was counted since the start.
@@ -82,7 +82,7 @@
     members: Vec<Member>,
     zones: Vec<(String, Duty)>,
     gateways: Vec<SocketAddr>,
-    asks: Vec<Ask>,
+    asks: Vec<NodeQuery>,
     out: Vec<(SocketAddr, u8, Vec<u8>)>,
     own: VecDeque<(u8, Vec<u8>)>,
     refused: BTreeMap<Duty, Token>,
@@ -177,7 +177,7 @@
     }
 
     /// The list has changed.
-    pub fn listed(&mut self, now: Time, core: &Core) {
+    pub fn listed(&mut self, now: Time, core: &Engine) {
         self.nodes = Nodes::of(core);
         self.want(now);
     }
@@ -235,7 +235,7 @@
     }
 
     /// The loop stood still.
-    pub fn stood(&mut self, now: Time, span: Span) {
+    pub fn stood(&mut self, now: Time, span: Micros) {
         self.duties.borrow_mut().stood(now, span);
     }
 
@@ -253,7 +253,7 @@
     }
 
     /// One router may be gateway, owner and subscriber: each takes what is for it.
-    fn fanout(&mut self, now: Time, from: SocketAddr, body: &[u8], late: Span) {
+    fn fanout(&mut self, now: Time, from: SocketAddr, body: &[u8], late: Micros) {
         let gateway = self
             .gateway
             .as_mut()
@@ -295,7 +295,7 @@
     }
 
     /// Does what is due, and whatever follows from it.
-    pub fn turn(&mut self, now: Time, core: &mut Core) {
+    pub fn turn(&mut self, now: Time, core: &mut Engine) {
         self.duties.borrow_mut().turn(now);
         self.take_on(now);
         self.ask(now);
@@ -377,7 +377,7 @@
             for node in self.nodes.serving(group) {
                 if self.watches.ask(now, group, node) {
                     self.counts.asked += 1;
-                    self.asks.push(Ask {
+                    self.asks.push(NodeQuery {
                         node: node.clone(),
                         look: look.clone(),
                     });
@@ -445,7 +445,7 @@
     }
 
     /// Takes what the watches' owners told of nodes as evidence, as old as it is.
-    fn learn(&mut self, core: &mut Core) {
+    fn learn(&mut self, core: &mut Engine) {
         while let Some(news) = self.client.news() {
             let fanout::News::Item {
                 topic, age, body, ..
@@ -483,7 +483,7 @@
     }
 
     /// Takes the questions that are to be asked.
-    pub fn take_asks(&mut self) -> Vec<Ask> {
+    pub fn take_asks(&mut self) -> Vec<NodeQuery> {
         std::mem::take(&mut self.asks)
     }
 
--- a/router/src/chores/nodes.rs
+++ b/router/src/chores/nodes.rs
@@ -1,8 +1,8 @@
 //! What the list says of nodes, as far as the fleet's work needs it.
 
 use super::watch::Word;
-use plovercove::{GroupId, Listed, NodeId, Time};
-use plovercove_engine::Core;
+use plovercove::{EndpointState, GroupId, NodeId, Time};
+use plovercove_engine::Engine;
 use std::collections::{BTreeMap, BTreeSet};
 
 struct Known {
@@ -20,14 +20,14 @@
 
 impl Nodes {
     /// As the list has them now.
-    pub fn of(core: &Core) -> Self {
+    pub fn of(core: &Engine) -> Self {
         let mut nodes = Nodes::default();
         for entry in core.members() {
-            let serving = entry.state == Listed::Serving;
+            let serving = entry.state == EndpointState::Serving;
             let known = Known {
                 group: entry.group,
                 serving,
-                started: entry.started,
+                started: entry.started_at,
             };
             nodes.known.insert(entry.node.clone(), known);
             if !nodes.zones.contains(&entry.zone) {
--- a/router/src/chores/tell.rs
+++ b/router/src/chores/tell.rs
@@ -1,7 +1,7 @@
 //! What the log is told of duties and subscriptions: a line each, with `reason` and with `help` for operators.
 
 use super::{Counts, FileFault};
-use plovercove::Span;
+use plovercove::Micros;
 use plovercove_fanout::{self as fanout, ClientCounts, Fault, GatewayCounts};
 use plovercove_fencing::{Duty, Refused, Token};
 use plovercove_leases::{Counts as DutyCounts, News, Stage};
@@ -154,7 +154,7 @@
     /// Counts of the router's side.
     pub counts: Counts,
     /// Writes of the decider's file: how many, the longest, and all together (us).
-    pub written: (u64, Span, Span),
+    pub written: (u64, Micros, Micros),
 }
 
 /// Tells it.
--- a/router/src/chores/terms.rs
+++ b/router/src/chores/terms.rs
@@ -1,6 +1,6 @@
 //! What operators say of duties, and what can be wrong with it.
 
-use plovercove::Span;
+use plovercove::Micros;
 use plovercove_fanout as fanout;
 use plovercove_leases::{Rules, RulesFault};
 use serde::Deserialize;
@@ -42,7 +42,7 @@
     /// Where a decider keeps what it must not forget.
     pub file: Option<PathBuf>,
     /// Between two questions of a group's owner to a node (us).
-    pub watch: Span,
+    pub watch: Micros,
 }
 
 /// What cannot be meant.
--- a/router/src/chores/watch.rs
+++ b/router/src/chores/watch.rs
@@ -1,15 +1,15 @@
 //! The watch of a group: whom its owner asks and when, what it tells of the answers, and what routers take of that.
 
-use plovercove::{GroupId, NodeId, Role, Span, Standing, Time};
+use plovercove::{GroupId, Micros, NodeId, NodeReport, Role, Time};
 use plovercove_fencing::Token;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
 /// Answers that come within this of the first (us) are told together: a datagram for each group and not for each node.
-const GATHER: Span = 20_000;
+const GATHER: Micros = 20_000;
 /// A node that has not answered for so long (us) is asked again: its question was lost with its connection. Longer than
 /// any connection is waited for.
-const LOST: Span = 5_000_000;
+const LOST: Micros = 5_000_000;
 /// The longest item (bytes), one datagram's worth. What does not fit is told first the next time.
 const ITEM: usize = plovercove_fanout::ITEM;
 
@@ -29,13 +29,13 @@
     /// How busy it is, in thousandths.
     pub busy: Option<u32>,
     /// How long ago it was asked (us).
-    pub age: Span,
+    pub age: Micros,
 }
 
 impl Word {
     /// What it comes to at a router that has it so much later (us).
-    pub fn standing(&self, under_way: Span) -> Standing {
-        Standing {
+    pub fn standing(&self, under_way: Micros) -> NodeReport {
+        NodeReport {
             position: self.position,
             role: self.primary.map(|primary| {
                 if primary {
@@ -44,8 +44,8 @@
                     Role::Replica
                 }
             }),
-            held: self.held,
-            busy: self.busy,
+            in_flight: self.held,
+            utilization_permille: self.busy,
             age: self.age.saturating_add(under_way),
         }
     }
@@ -61,7 +61,7 @@
 struct Answer {
     asked: Time,
     started: Option<Time>,
-    said: Standing,
+    said: NodeReport,
     /// When it was told last.
     told: Time,
 }
@@ -80,13 +80,13 @@
 
 /// The groups that this router watches for the fleet.
 pub struct Watches {
-    every: Span,
+    every: Micros,
     groups: BTreeMap<GroupId, Watched>,
 }
 
 impl Watches {
     /// None yet; nodes are asked so often (us).
-    pub fn new(every: Span) -> Self {
+    pub fn new(every: Micros) -> Self {
         Watches {
             every,
             groups: BTreeMap::new(),
@@ -151,7 +151,7 @@
         group: GroupId,
         node: &NodeId,
         started: Option<Time>,
-        answer: Option<(Time, Standing)>,
+        answer: Option<(Time, NodeReport)>,
     ) {
         let Some(watched) = self.groups.get_mut(&group) else {
             return;
@@ -219,8 +219,8 @@
             started: answer.started,
             position: answer.said.position,
             primary: answer.said.role.map(|role| role == Role::Primary),
-            held: answer.said.held,
-            busy: answer.said.busy,
+            held: answer.said.in_flight,
+            busy: answer.said.utilization_permille,
             age: now.saturating_sub(answer.asked),
         };
         let length = postcard::to_allocvec(&word).map_or(usize::MAX, |b| b.len());
@@ -240,13 +240,13 @@
 mod tests {
     use super::*;
 
-    const MS: Span = 1_000;
+    const MS: Micros = 1_000;
     const NOW: Time = 1_000_000 * MS;
 
-    fn said(position: Time) -> Standing {
-        Standing {
+    fn said(position: Time) -> NodeReport {
+        NodeReport {
             position: Some(position),
-            ..Standing::default()
+            ..NodeReport::default()
         }
     }
 
--- a/router/src/clock.rs
+++ b/router/src/clock.rs
@@ -3,7 +3,7 @@
 //! The module counts microseconds that never run backwards; sockets carry Unix milliseconds. A conversion never claims
 //! data to be fresher, or patience to be longer, than what was told.
 
-use plovercove::{Span, Time};
+use plovercove::{Micros, Time};
 use std::time::{Instant, SystemTime};
 
 /// Unix time in microseconds, read once and carried on by the monotonic clock.
@@ -44,12 +44,12 @@
 }
 
 /// A span in milliseconds, rounded up: a wait is never told shorter than it is.
-pub fn to_ms(span: Span) -> u64 {
+pub fn to_ms(span: Micros) -> u64 {
     span.div_ceil(1_000)
 }
 
 /// How long ago a moment was. One in the future, from a clock that is ahead, is now: the data must be the newest.
-pub fn age(now: Time, then: Time) -> Span {
+pub fn age(now: Time, then: Time) -> Micros {
     now.saturating_sub(then)
 }
 
--- a/router/src/discovery.rs
+++ b/router/src/discovery.rs
@@ -7,8 +7,8 @@
 use crate::net::budget::Budget;
 use crate::net::stream::{Peer, Stream};
 use crate::net::{Source, begin_connect, poll_key};
-use plovercove::{Listed, NodeEntry, Time};
-use plovercove_engine::{Core, Due, WatchSchedule};
+use plovercove::{Endpoint, EndpointState, Time};
+use plovercove_engine::{Due, Engine, WatchSchedule};
 use plovercove_poller::{Interest, Poll};
 use plovercove_settings::{Fault, Part, Read, Value, flag, list, number, parse, text, whole};
 use std::io;
@@ -19,10 +19,10 @@
 const LONGEST: usize = 8 * 1024 * 1024;
 
 /// The statuses of an entry.
-const STATES: [(&str, Listed); 3] = [
-    ("active", Listed::Serving),
-    ("leaving", Listed::Draining),
-    ("left", Listed::Gone),
+const STATES: [(&str, EndpointState); 3] = [
+    ("active", EndpointState::Serving),
+    ("leaving", EndpointState::Draining),
+    ("left", EndpointState::Removed),
 ];
 
 /// A list, or the changes to one.
@@ -33,7 +33,7 @@
     /// Whether it is the whole list.
     pub whole: bool,
     /// Its entries, with the addresses they are reached at.
-    pub entries: Vec<(NodeEntry, Option<SocketAddr>)>,
+    pub entries: Vec<(Endpoint, Option<SocketAddr>)>,
     /// A status that this router does not know, and where it stands; its entry counts as draining.
     pub odd: Option<String>,
 }
@@ -47,7 +47,7 @@
         part.get("status", text)?;
         let state = part.word("status", &STATES).unwrap_or_else(|fault| {
             odd = Some(fault.to_string());
-            Listed::Draining
+            EndpointState::Draining
         });
         entries.push(entry(&part, state)?);
     }
@@ -59,7 +59,7 @@
     })
 }
 
-fn entry(part: &Part<'_>, state: Listed) -> Read<(NodeEntry, Option<SocketAddr>)> {
+fn entry(part: &Part<'_>, state: EndpointState) -> Read<(Endpoint, Option<SocketAddr>)> {
     let address = part.maybe("address", |value, what| {
         let given = text(value, what)?;
         given.parse().map_err(|_| {
@@ -68,7 +68,7 @@
             ))
         })
     });
-    let address = if state == Listed::Gone {
+    let address = if state == EndpointState::Removed {
         address.unwrap_or(None)
     } else {
         address?
@@ -77,15 +77,15 @@
         .maybe("since_ms", whole)?
         .filter(|ms| *ms > 0)
         .map(clock::from_ms);
-    let entry = NodeEntry {
+    let entry = Endpoint {
         node: part.get("name", text)?.into(),
         zone: part.maybe("zone", text)?.unwrap_or("").to_string(),
-        kind: part.maybe("type", text)?.unwrap_or("").to_string(),
-        primary: part.maybe("replication", text)? == Some("primary"),
+        machine_kind: part.maybe("type", text)?.unwrap_or("").to_string(),
+        listed_as_primary: part.maybe("replication", text)? == Some("primary"),
         group: part.maybe("group", whole)?.unwrap_or(0),
         state,
         weight: part.maybe("weight", number)?.unwrap_or(1.0),
-        started,
+        started_at: started,
     };
     Ok((entry, address))
 }
@@ -214,14 +214,14 @@
     }
 
     /// Makes the first call.
-    pub fn start(&mut self, now: Time, core: &mut Core) {
+    pub fn start(&mut self, now: Time, core: &mut Engine) {
         self.call(now, core);
     }
 
     /// Goes on at the agent that a new configuration names, and calls it soon: what it has counts as told soon, also where
     /// it is the same one and a pause or a call that has fallen silent would be sat out first. The list stays until another
     /// agent has told its own, whole: its versions may be counted differently.
-    pub fn move_to(&mut self, agent: SocketAddr, now: Time, core: &mut Core) {
+    pub fn move_to(&mut self, agent: SocketAddr, now: Time, core: &mut Engine) {
         if agent != self.agent {
             (self.agent, self.index, self.failing) = (agent, None, false);
         }
@@ -246,13 +246,13 @@
         )
     }
 
-    fn wait(&mut self, phase: Phase, until: Time, core: &mut Core) {
+    fn wait(&mut self, phase: Phase, until: Time, core: &mut Engine) {
         self.phase = phase;
         core.deadlines
             .set(&mut self.deadline, Due::Discovery, Some(until));
     }
 
-    fn call(&mut self, now: Time, core: &mut Core) {
+    fn call(&mut self, now: Time, core: &mut Engine) {
         if self.stream.is_some() {
             return self.request(now, core);
         }
@@ -267,7 +267,7 @@
     }
 
     /// Writes the call to the connection, which is up.
-    fn request(&mut self, now: Time, core: &mut Core) {
+    fn request(&mut self, now: Time, core: &mut Engine) {
         let (wait, until) = self.schedule.call(now, self.index.is_some());
         let path = match self.index {
             Some(index) => format!("/api/targets?after={index}&wait_ms={}", clock::to_ms(wait)),
@@ -288,7 +288,7 @@
     }
 
     /// The call failed: the list stays, and the next call asks for news of it, which costs less than the whole.
-    fn failed(&mut self, trouble: &Trouble, now: Time, core: &mut Core) {
+    fn failed(&mut self, trouble: &Trouble, now: Time, core: &mut Engine) {
         if !std::mem::replace(&mut self.failing, true) {
             warn!(
                 reason = "discovery",
@@ -319,7 +319,7 @@
     }
 
     /// Its deadline is over: a pause, a connection that has not come up, or an answer that has not come.
-    pub fn due(&mut self, now: Time, core: &mut Core) {
+    pub fn due(&mut self, now: Time, core: &mut Engine) {
         self.deadline = None;
         match self.phase {
             Phase::Resting => self.call(now, core),
@@ -347,7 +347,7 @@
         Some(Trouble::Odd(odd))
     }
 
-    fn follow(&mut self, listing: &Listing, now: Time, core: &mut Core) {
+    fn follow(&mut self, listing: &Listing, now: Time, core: &mut Engine) {
         if std::mem::take(&mut self.failing) {
             info!("discovery answers again");
             // It was doubted just now, so this is told once, and not with every list that has it.
@@ -373,7 +373,7 @@
     }
 
     /// The poller has something to say of the connection. Returns the answer that has come.
-    pub fn event(&mut self, now: Time, core: &mut Core) -> Option<Listing> {
+    pub fn event(&mut self, now: Time, core: &mut Engine) -> Option<Listing> {
         let stream = self.stream.as_mut()?;
         if self.phase == Phase::Connecting {
             match stream.connected() {
--- a/router/src/front/pg.rs
+++ b/router/src/front/pg.rs
@@ -6,8 +6,8 @@
 use crate::net::stream::{Peer, Stream};
 use crate::net::{Source, poll_key};
 use crate::statement_labels::{self, Statement, code};
-use plovercove::{Access, Demand, Time};
-use plovercove_engine::{Answer, Core, Due, Key, Table};
+use plovercove::{Access, RequestInfo, Time};
+use plovercove_engine::{Answer, Due, Engine, Key, Table};
 use plovercove_pgwire::cancel::CancelKey;
 use plovercove_pgwire::door::{Door, Method, Step};
 use plovercove_pgwire::render::Speech;
@@ -435,11 +435,11 @@
     }
 
     /// Takes in the connections that wait at a listener.
-    pub fn accept(&mut self, entry: Key, now: Time, core: &mut Core) {
+    pub fn accept(&mut self, entry: Key, now: Time, core: &mut Engine) {
         self.take_in(entry, now, core);
     }
 
-    fn take_in(&mut self, entry: Key, now: Time, core: &mut Core) -> Queue {
+    fn take_in(&mut self, entry: Key, now: Time, core: &mut Engine) -> Queue {
         let entry = entry.number() as usize;
         for _ in 0..TURN.1 {
             let full = self.clients.len() >= self.most + BEYOND;
@@ -501,7 +501,7 @@
     }
 
     /// Closes the first of those beyond the limit.
-    fn displace(&mut self, now: Time, core: &mut Core) {
+    fn displace(&mut self, now: Time, core: &mut Engine) {
         let Some(&(kind, _, key)) = self.spare.first() else {
             return;
         };
@@ -516,7 +516,7 @@
         self.close(key, core);
     }
 
-    fn pause_accepting(&mut self, now: Time, core: &mut Core) {
+    fn pause_accepting(&mut self, now: Time, core: &mut Engine) {
         self.listen_for(Interest::Nothing);
         let mute = self
             .spare
@@ -532,7 +532,7 @@
     }
 
     /// Goes on accepting after a pause.
-    pub fn resume_accepting(&mut self, now: Time, core: &mut Core) {
+    pub fn resume_accepting(&mut self, now: Time, core: &mut Engine) {
         self.listen_for(Interest::Read);
         if self.draining {
             self.shut_door(now, core);
@@ -541,7 +541,7 @@
         }
     }
 
-    fn accept_all(&mut self, now: Time, core: &mut Core) -> Queue {
+    fn accept_all(&mut self, now: Time, core: &mut Engine) -> Queue {
         let entries = 0..self.words.entries.len() as u64;
         entries
             .map(|entry| self.take_in(Key::from_number(entry), now, core))
@@ -568,7 +568,7 @@
         from: IpAddr,
         socket: std::net::TcpStream,
         now: Time,
-        core: &mut Core,
+        core: &mut Engine,
     ) {
         let way = &self.words.entries[entry];
         let room = self.placed() < self.most && way.clients < way.terms.most;
@@ -626,7 +626,7 @@
     }
 
     /// Brings a client's deadline and its place among the spare ones up to date.
-    fn settle(&mut self, key: Key, core: &mut Core) {
+    fn settle(&mut self, key: Key, core: &mut Engine) {
         let Some(client) = self.clients.get_mut(key) else {
             return;
         };
@@ -668,7 +668,7 @@
 
     /// Closes the clients that have been idle for longest where too many are. Danger: clients may hold only so many
     /// connections, and those that ask once and hold on to theirs would leave none for the others.
-    fn thin_out(&mut self, now: Time, core: &mut Core) {
+    fn thin_out(&mut self, now: Time, core: &mut Engine) {
         let over = self.spares[Spare::Idle as usize].saturating_sub(self.most / MOST_IDLE);
         let idle = self
             .spare
@@ -680,7 +680,7 @@
     }
 
     /// Makes room for one more client.
-    fn shed(&mut self, now: Time, core: &mut Core) {
+    fn shed(&mut self, now: Time, core: &mut Engine) {
         let placed = self.spare.range((Spare::Unasked, 0, Key::from_number(0))..);
         let first: Vec<Key> = placed.take(LAST_LOOKS).map(|&(_, _, key)| key).collect();
         // One that has just spoken stays, and the next one goes.
@@ -693,7 +693,7 @@
 
     /// Ends a client between requests, unless something has just come; whether it did. It keeps its descriptor while it is
     /// heard out, and no place.
-    fn close_idle(&mut self, key: Key, now: Time, core: &mut Core) -> bool {
+    fn close_idle(&mut self, key: Key, now: Time, core: &mut Engine) -> bool {
         if !self.may_go(key, now) {
             return false;
         }
@@ -734,7 +734,7 @@
     }
 
     /// The one place where a client's connection is given back.
-    fn close(&mut self, key: Key, core: &mut Core) {
+    fn close(&mut self, key: Key, core: &mut Engine) {
         let Some(mut client) = self.clients.remove(key) else {
             return;
         };
@@ -766,7 +766,7 @@
     }
 
     /// The poller has something to say of a client.
-    pub fn event(&mut self, key: Key, hung_up: bool, now: Time, core: &mut Core) {
+    pub fn event(&mut self, key: Key, hung_up: bool, now: Time, core: &mut Engine) {
         let Some(client) = self.clients.get_mut(key) else {
             return;
         };
@@ -817,7 +817,7 @@
     }
 
     /// It is time to look a client over.
-    pub fn look_over(&mut self, key: Key, now: Time, core: &mut Core) {
+    pub fn look_over(&mut self, key: Key, now: Time, core: &mut Engine) {
         let Some(client) = self.clients.get_mut(key) else {
             return;
         };
@@ -834,7 +834,7 @@
     }
 
     /// Ends a client whose message has been under way for too long, unless the rest of it has just come.
-    fn end_half(&mut self, key: Key, now: Time, core: &mut Core) {
+    fn end_half(&mut self, key: Key, now: Time, core: &mut Engine) {
         let Some(client) = self.clients.get_mut(key) else {
             return;
         };
@@ -947,7 +947,7 @@
     }
 
     /// Reads and writes on where something has happened.
-    pub fn pump(&mut self, now: Time, core: &mut Core) {
+    pub fn pump(&mut self, now: Time, core: &mut Engine) {
         for key in mem::take(&mut self.marked) {
             let Some(client) = self.clients.get_mut(key) else {
                 continue;
@@ -1033,7 +1033,7 @@
         client: &mut Client,
         key: Key,
         now: Time,
-        core: &mut Core,
+        core: &mut Engine,
     ) -> Result<(bool, bool), Peer> {
         let mut left = TURN.0;
         loop {
@@ -1077,7 +1077,13 @@
     }
 
     /// Takes one message in; false where none is whole or there is no room for it.
-    fn read(words: &mut Words, client: &mut Client, key: Key, now: Time, core: &mut Core) -> bool {
+    fn read(
+        words: &mut Words,
+        client: &mut Client,
+        key: Key,
+        now: Time,
+        core: &mut Engine,
+    ) -> bool {
         if !Self::has_room(client) {
             return false;
         }
@@ -1261,7 +1267,7 @@
         client: &mut Client,
         key: Key,
         now: Time,
-        core: &mut Core,
+        core: &mut Engine,
     ) -> bool {
         let bytes = client.stream.unread();
         let Some((&kind, rest)) = bytes.split_first() else {
@@ -1300,7 +1306,7 @@
     }
 
     /// Ends the requests whose cancelling was asked for with the right key.
-    fn cancel_wanted(&mut self, now: Time, core: &mut Core) {
+    fn cancel_wanted(&mut self, now: Time, core: &mut Engine) {
         for (entry, wanted) in mem::take(&mut self.words.wanted) {
             let Some(key) = self.words.entries[entry].keys.find(&wanted) else {
                 continue;
@@ -1383,7 +1389,7 @@
         key: Key,
         text: &str,
         now: Time,
-        core: &mut Core,
+        core: &mut Engine,
     ) {
         let named = words.entries[client.entry].terms.defaults.is_some();
         if named && !(text.trim_start().starts_with("/*") && statement_labels::labels(text).is_ok())
@@ -1422,7 +1428,7 @@
         key: Key,
         text: &str,
         now: Time,
-        core: &mut Core,
+        core: &mut Engine,
     ) {
         let named = words.entries[client.entry].terms.defaults.is_some();
         let labels = match statement_labels::labels(text) {
@@ -1482,15 +1488,15 @@
                 .map(|at| now.saturating_sub(at))
         };
         let has_session = matches!(figures.access, Access::Write | Access::OwnWrites);
-        let demand = Demand {
+        let demand = RequestInfo {
             class,
             tenant: tenant.and_then(|(_, number)| number),
             session: labels.key.filter(|_| has_session).map(Into::into),
-            left,
+            time_left: left,
             group: labels.group,
-            write_age: carried.or_else(own),
-            repeat: labels.repeat,
-            ..Demand::default()
+            last_write_age: carried.or_else(own),
+            is_retry: labels.repeat,
+            ..RequestInfo::default()
         };
         let shape = if named { Shape::Any } else { Shape::OneValue };
         let statement = Rc::new(Statement::new(text, &labels, shape));
@@ -1509,7 +1515,7 @@
     }
 
     /// Closes the listeners, once all who wait at them have been taken in.
-    fn shut_door(&mut self, now: Time, core: &mut Core) {
+    fn shut_door(&mut self, now: Time, core: &mut Engine) {
         let until = *self.door_until.get_or_insert(now + FIRST_SOON);
         // Danger: the system resets those whom a closed listener leaves waiting.
         let fits = BACKLOG as u32 / TURN.1;
@@ -1526,7 +1532,7 @@
     }
 
     /// Closes the listeners and all idle clients; the others are closed once they are answered, or have not asked in time.
-    pub fn drain(&mut self, now: Time, core: &mut Core) {
+    pub fn drain(&mut self, now: Time, core: &mut Engine) {
         self.draining = true;
         self.shut_door(now, core);
         let all: Vec<Key> = self.clients.iter().map(|(key, _)| key).collect();
--- a/router/src/operators.rs
+++ b/router/src/operators.rs
@@ -8,7 +8,7 @@
 use crate::upstream::pg::ConnectOptions;
 use plovercove::{Access, Settings};
 use plovercove_gossip::{Keys, Rules as PeerRules};
-use plovercove_locality::{RuleFault, Rules, Tiers};
+use plovercove_locality::{RuleFault, Rules, ZoneFailover};
 use plovercove_pgwire::Version;
 use plovercove_pgwire::door::{self, Method};
 use plovercove_pgwire::login::Credentials;
@@ -151,7 +151,7 @@
 /// What the operators' file comes to, for one router.
 pub struct Told {
     /// Which zones a request may use.
-    pub tiers: Option<Tiers>,
+    pub tiers: Option<ZoneFailover>,
     /// Further listeners.
     pub fronts: Vec<(SocketAddr, Terms)>,
     /// Who the router is to its db nodes.
@@ -385,7 +385,7 @@
             };
         };
         let mut rules = told.rules.clone();
-        rules.routers = settings.map_or(1, |s| s.routers);
+        rules.routers = settings.map_or(1, |s| s.router_count);
         #[cfg(feature = "mutations")]
         if let Ok(guard) = std::env::var("PLOVERCOVE_WITHOUT")
             && !guard.contains('/')
@@ -437,11 +437,11 @@
     ///
     /// # Errors
     /// Names the key at fault: the router's own zone may be none of the file's.
-    pub fn tiers(&self, settings: &Settings, seed: u64) -> Result<Option<Tiers>, KeyFault> {
+    pub fn tiers(&self, settings: &Settings, seed: u64) -> Result<Option<ZoneFailover>, KeyFault> {
         let tiers = self
             .tiers
             .clone()
-            .map(|rules| Tiers::new(rules, settings, seed))
+            .map(|rules| ZoneFailover::new(rules, settings, seed))
             .transpose();
         tiers.map_err(of_tiers)
     }
@@ -456,7 +456,10 @@
 }
 
 fn of_tiers(fault: RuleFault) -> KeyFault {
-    KeyFault::new(format!("tiers.{}", fault.key), Wrong::Tiers(fault.why))
+    KeyFault::new(
+        format!("tiers.{}", fault.key),
+        Wrong::ZoneFailover(fault.why),
+    )
 }
 
 /// The operators' file of a router that serves, and what its parts are made with.
--- a/router/src/peers.rs
+++ b/router/src/peers.rs
@@ -2,11 +2,11 @@
 //! operators' file none of it is there. What a router does for the fleet goes by the same socket, within the same budget.
 
 use crate::Error;
-use crate::chores::{self, Ask, Chores, Heard};
+use crate::chores::{self, Chores, Heard, NodeQuery};
 use crate::clock::Clock;
 use crate::net::{Source, poll_key};
 use plovercove::{Settings, Time};
-use plovercove_engine::{Core, Due};
+use plovercove_engine::{Due, Engine};
 use plovercove_gossip::{Keys, Life, MOST, News, Peers, Rules, Witness};
 use plovercove_poller::{Interest, Poll, Registered};
 use std::any::Any;
@@ -44,7 +44,7 @@
 }
 
 /// The witness that stands beside the module, where peers are on.
-pub fn witness(core: &mut Core) -> Option<&mut Witness> {
+pub fn witness(core: &mut Engine) -> Option<&mut Witness> {
     core.zoning()
         .map(|zoning| zoning as &mut dyn Any)
         .and_then(<dyn Any>::downcast_mut)
@@ -95,12 +95,12 @@
     }
 
     /// Begins to call the others.
-    pub fn start(&mut self, now: Time, core: &mut Core) {
+    pub fn start(&mut self, now: Time, core: &mut Engine) {
         self.turn(now, core);
     }
 
     /// Datagrams have come.
-    pub fn event(&mut self, now: Time, core: &mut Core) {
+    pub fn event(&mut self, now: Time, core: &mut Engine) {
         let mut bytes = [0; MOST + 1];
         for _ in 0..EACH_TURN {
             match self.socket.recv(&mut bytes) {
@@ -115,7 +115,7 @@
     }
 
     /// Something of it is due.
-    pub fn turn(&mut self, now: Time, core: &mut Core) {
+    pub fn turn(&mut self, now: Time, core: &mut Engine) {
         self.due = None;
         if let Some(witness) = witness(core) {
             self.peers.turn(now, witness);
@@ -124,14 +124,14 @@
     }
 
     /// The list has changed.
-    pub fn listed(&mut self, now: Time, core: &Core) {
+    pub fn listed(&mut self, now: Time, core: &Engine) {
         if let Some(chores) = &mut self.chores {
             chores.listed(now, core);
         }
     }
 
     /// Takes the questions that are to be asked for the fleet.
-    pub fn take_asks(&mut self) -> Vec<Ask> {
+    pub fn take_asks(&mut self) -> Vec<NodeQuery> {
         self.chores
             .as_mut()
             .map(Chores::take_asks)
@@ -139,7 +139,7 @@
     }
 
     /// What became of them.
-    pub fn heard(&mut self, now: Time, all: Vec<Heard>, core: &mut Core) {
+    pub fn heard(&mut self, now: Time, all: Vec<Heard>, core: &mut Engine) {
         let Some(chores) = &mut self.chores else {
             return;
         };
@@ -150,7 +150,7 @@
     }
 
     /// Sends, tells the log, and sets the next deadline.
-    fn flush(&mut self, now: Time, core: &mut Core) {
+    fn flush(&mut self, now: Time, core: &mut Engine) {
         let (mut changed, mut others) = (false, false);
         while let Some(news) = self.peers.news() {
             changed |= matches!(news, News::Verdict { .. });
@@ -176,7 +176,7 @@
     }
 
     /// Drives what is done for the fleet; when something of it is due next.
-    fn chores(&mut self, now: Time, others: bool, core: &mut Core) -> Time {
+    fn chores(&mut self, now: Time, others: bool, core: &mut Engine) -> Time {
         let Some(chores) = &mut self.chores else {
             return Time::MAX;
         };
@@ -219,7 +219,7 @@
     }
 
     /// This router ends: what it owns is handed over, then the others are told.
-    pub fn leave(&mut self, now: Time, core: &mut Core) {
+    pub fn leave(&mut self, now: Time, core: &mut Engine) {
         if let Some(chores) = &mut self.chores {
             chores.hand_over(now);
         }
@@ -241,7 +241,7 @@
     }
 
     /// Tells the log what this router believes.
-    pub fn dump(&self, now: Time, core: &mut Core) {
+    pub fn dump(&self, now: Time, core: &mut Engine) {
         self.chores.iter().for_each(|chores| chores.dump(now));
         let Some(witness) = witness(core) else { return };
         let belief = self.peers.belief(witness);
--- a/router/src/serve.rs
+++ b/router/src/serve.rs
@@ -11,10 +11,10 @@
 use crate::operators;
 use crate::peers::{self, Talk};
 use crate::upstream::pg::Upstream;
-use plovercove::{ListUpdate, Time, Zoning};
-use plovercove_engine::{Command, Core, Due, Lists, WatchSchedule};
+use plovercove::{EndpointUpdate, LocalityPolicy, Time};
+use plovercove_engine::{Command, Due, Engine, Lists, WatchSchedule};
 use plovercove_gossip::Witness;
-use plovercove_locality::Tiers;
+use plovercove_locality::ZoneFailover;
 use plovercove_poller::{Events, Poll};
 use plovercove_settings::Names;
 use std::any::Any;
@@ -41,7 +41,7 @@
     clock: Clock,
     poll: Poll,
     signals: Registration,
-    core: Core,
+    core: Engine,
     front: Front,
     upstream: Upstream,
     discovery: Discovery,
@@ -91,13 +91,13 @@
             },
         };
         let clock = Clock::default();
-        let zoning = tiers.map(|tiers| Box::new(tiers) as Box<dyn Zoning>);
-        let zoning = match &peers {
-            Some(terms) => {
-                Some(Box::new(Witness::new(&terms.rules, &settings, zoning)) as Box<dyn Zoning>)
-            }
-            None => zoning,
-        };
+        let zoning = tiers.map(|tiers| Box::new(tiers) as Box<dyn LocalityPolicy>);
+        let zoning =
+            match &peers {
+                Some(terms) => Some(Box::new(Witness::new(&terms.rules, &settings, zoning))
+                    as Box<dyn LocalityPolicy>),
+                None => zoning,
+            };
         let talk = |terms| Talk::open(&poll, terms, &config.name, &settings, clock, config.seed);
         let mut router = Router {
             peers: peers.map(talk).transpose()?,
@@ -119,8 +119,8 @@
                 WatchSchedule::new(lists, config.seed),
             ),
             core: match zoning {
-                Some(zoning) => Core::new(settings, config.seed).zoned(zoning),
-                None => Core::new(settings, config.seed),
+                Some(zoning) => Engine::new(settings, config.seed).zoned(zoning),
+                None => Engine::new(settings, config.seed),
             },
             operators,
             poll,
@@ -301,7 +301,7 @@
 
     fn list(&mut self, listing: Listing, restored: bool, now: Time) {
         for (entry, _) in &listing.entries {
-            debug!(node = %entry.node, group = entry.group, state = ?entry.state, primary = entry.primary, "listed");
+            debug!(node = %entry.node, group = entry.group, state = ?entry.state, primary = entry.listed_as_primary, "listed");
         }
         let entries = listing
             .entries
@@ -309,9 +309,9 @@
             .map(|(entry, _)| entry.clone())
             .collect();
         self.core.list(match (restored, listing.whole) {
-            (true, _) => ListUpdate::Restored(entries),
-            (false, true) => ListUpdate::Full(entries),
-            (false, false) => ListUpdate::Changes(entries),
+            (true, _) => EndpointUpdate::Restored(entries),
+            (false, true) => EndpointUpdate::Full(entries),
+            (false, false) => EndpointUpdate::Changes(entries),
         });
         self.upstream.list(&listing, now, &mut self.core);
         self.peers
@@ -363,7 +363,7 @@
     }
 
     /// Puts other tiers in the place of those in use; they go on from what these have learned.
-    fn rezone(&mut self, mut tiers: Option<Tiers>, now: Time) {
+    fn rezone(&mut self, mut tiers: Option<ZoneFailover>, now: Time) {
         let old = match peers::witness(&mut self.core) {
             Some(witness) => witness.inner(),
             None => self.core.zoning(),
@@ -374,7 +374,7 @@
         if let (Some(fresh), Some(old)) = (&mut tiers, old) {
             fresh.inherit(old);
         }
-        let tiers = tiers.map(|tiers| Box::new(tiers) as Box<dyn Zoning>);
+        let tiers = tiers.map(|tiers| Box::new(tiers) as Box<dyn LocalityPolicy>);
         match peers::witness(&mut self.core) {
             Some(witness) => {
                 let witness = witness.with(tiers);
