--- a/router/src/upstream/pg.rs
+++ b/router/src/upstream/pg.rs
@@ -1,15 +1,15 @@
 //! The db nodes: a pool of PostgreSQL connections to each, one request at a time on every connection.
 
 use super::reply::{self, Reply};
-use crate::chores::{Ask, Heard, Look};
+use crate::chores::{Heard, Look, NodeQuery};
 use crate::clock;
 use crate::discovery::Listing;
 use crate::net::budget::{Budget, Buffer};
 use crate::net::stream::{Peer, Stream};
 use crate::net::{Source, begin_connect, poll_key};
 use crate::statement_labels::{self, Statement, code};
-use plovercove::{Ending, Listed, NodeId, Span, Standing, Time};
-use plovercove_engine::{AttemptId, Core, Due, Key, Table};
+use plovercove::{AttemptEnd, EndpointState, Micros, NodeId, NodeReport, Time};
+use plovercove_engine::{AttemptId, Due, Engine, Key, Table};
 use plovercove_pgwire::Version;
 use plovercove_pgwire::login::{self, Credentials, Login, Refused};
 use plovercove_pgwire::reply::{Shape, Spoilt};
@@ -31,7 +31,7 @@
 const DROPPED_MOST: usize = 4096;
 /// Idle connections are retired after this share of the time at which the node closes them: a request that crosses
 /// the node's close ends as a reset.
-const RETIRE: (Span, Span) = (1, 2);
+const RETIRE: (Micros, Micros) = (1, 2);
 
 /// What a connection is wanted for.
 enum Job {
@@ -44,7 +44,7 @@
 
 impl Job {
     /// Whether it may begin at this node now, when its first byte is about to leave.
-    fn may_begin(&self, node: &NodeId, now: Time, core: &Core) -> bool {
+    fn may_begin(&self, node: &NodeId, now: Time, core: &Engine) -> bool {
         match self {
             Job::Attempt(id, _) => core.may_begin(Some(*id), node, now),
             Job::Probe(_) => core.may_begin(None, node, now),
@@ -133,8 +133,8 @@
     /// Where the attempts that have a connection run.
     running: HashMap<AttemptId, Key>,
     most: usize,
-    dial_timeout: Span,
-    idle_for: Span,
+    dial_timeout: Micros,
+    idle_for: Micros,
     options: ConnectOptions,
     cancelling: usize,
     served: Vec<Served>,
@@ -148,8 +148,8 @@
         budget: &Budget,
         options: ConnectOptions,
         most: usize,
-        dial_timeout: Span,
-        node_closes_after: Span,
+        dial_timeout: Micros,
+        node_closes_after: Micros,
     ) -> Self {
         Upstream {
             poll: poll.clone(),
@@ -183,7 +183,7 @@
     }
 
     /// Discovery has told a list, which the core knows by now.
-    pub fn list(&mut self, listing: &Listing, now: Time, core: &mut Core) {
+    pub fn list(&mut self, listing: &Listing, now: Time, core: &mut Engine) {
         if listing.whole {
             self.keep_only(
                 &listing
@@ -199,8 +199,8 @@
                 self.locate(&entry.node, *address, core);
                 self.redial(&entry.node, now, core);
             }
-            if entry.state != Listed::Serving {
-                self.retire(&entry.node, entry.state == Listed::Gone, core);
+            if entry.state != EndpointState::Serving {
+                self.retire(&entry.node, entry.state == EndpointState::Removed, core);
             }
         }
         self.release_addresses(now, core);
@@ -210,7 +210,7 @@
 
     /// Ends what waits or is under way at nodes where nothing may begin any more. Danger: it would wait for a connection
     /// that must carry nothing, and its time be gone before another node is tried.
-    fn release_waiting(&mut self, now: Time, core: &mut Core) {
+    fn release_waiting(&mut self, now: Time, core: &mut Engine) {
         let busy = |node: &Node| node.coming > 0 || !node.waiting.is_empty();
         let shut = |(id, node): &(&NodeId, &Node)| busy(node) && !core.may_begin(None, id, now);
         let shut: Vec<NodeId> = self
@@ -226,14 +226,14 @@
                 .get_mut(&id)
                 .map(|node| std::mem::take(&mut node.waiting));
             for job in waiting.unwrap_or_default() {
-                self.fail(job, &id, Ending::Void, now, core);
+                self.fail(job, &id, AttemptEnd::NeverSent, now, core);
             }
         }
     }
 
     /// An address is no longer that of a node that no list names, where it belongs to another by now. Danger: where dropped
     /// nodes stay open, what is meant for the one would go to the other.
-    fn release_addresses(&mut self, now: Time, core: &mut Core) {
+    fn release_addresses(&mut self, now: Time, core: &mut Engine) {
         let named: BTreeSet<SocketAddr> = self
             .nodes
             .values()
@@ -258,7 +258,7 @@
 
     /// Discovery says where a node is now; connections to where it was are no good. Danger: what is there now may be
     /// another node. Those at work are closed after it; those under way end, and what waits for them is `redial`'s.
-    pub fn locate(&mut self, node: &NodeId, address: SocketAddr, core: &mut Core) {
+    pub fn locate(&mut self, node: &NodeId, address: SocketAddr, core: &mut Engine) {
         let known = self.nodes.entry(node.clone()).or_default();
         known.gone = false;
         if known
@@ -271,7 +271,7 @@
     }
 
     /// Ends what is idle or under way at a node, which is not where it was.
-    fn disconnect(&mut self, node: &NodeId, core: &mut Core) {
+    fn disconnect(&mut self, node: &NodeId, core: &mut Engine) {
         self.close_idle(node, core);
         let coming =
             |b: &Backend| b.node == *node && matches!(b.state, State::Dialing | State::Greeting(_));
@@ -287,14 +287,14 @@
     }
 
     /// Dials for what waits at a node and has no connection under way any more.
-    fn redial(&mut self, node: &NodeId, now: Time, core: &mut Core) {
+    fn redial(&mut self, node: &NodeId, now: Time, core: &mut Engine) {
         while self
             .nodes
             .get(node)
             .is_some_and(|n| n.waiting.len() > n.coming)
         {
             if self.dial(node, now, core).is_err() {
-                self.dial_failed(node, Ending::Unreachable, now, core);
+                self.dial_failed(node, AttemptEnd::Unreachable, now, core);
             }
         }
     }
@@ -307,7 +307,7 @@
     }
 
     /// A node is to get nothing new; one that is gone is forgotten in time.
-    fn retire(&mut self, node: &NodeId, gone: bool, core: &mut Core) {
+    fn retire(&mut self, node: &NodeId, gone: bool, core: &mut Engine) {
         self.close_idle(node, core);
         if let Some(node) = self.nodes.get_mut(node) {
             node.gone = gone;
@@ -315,7 +315,7 @@
     }
 
     /// A whole list has come: a node that it does not name is gone.
-    fn keep_only(&mut self, named: &BTreeSet<&NodeId>, core: &mut Core) {
+    fn keep_only(&mut self, named: &BTreeSet<&NodeId>, core: &mut Engine) {
         let absent: Vec<NodeId> = self
             .nodes
             .keys()
@@ -329,7 +329,7 @@
 
     /// Loses the nodes that are gone, once nothing is out there and nothing may begin there. Danger: over days of
     /// replacements the table would grow without end.
-    fn forget_gone(&mut self, now: Time, core: &Core) {
+    fn forget_gone(&mut self, now: Time, core: &Engine) {
         let used: BTreeSet<&NodeId> = self.backends.iter().map(|(_, b)| &b.node).collect();
         let mut kept = 0;
         self.nodes.retain(|id, node| {
@@ -341,7 +341,7 @@
     }
 
     /// Closes the idle connections to a node.
-    pub fn close_idle(&mut self, node: &NodeId, core: &mut Core) {
+    pub fn close_idle(&mut self, node: &NodeId, core: &mut Engine) {
         let idle = self
             .nodes
             .get_mut(node)
@@ -353,7 +353,7 @@
     }
 
     /// The one place where a connection to a db node is given back. Returns the job that it held.
-    fn drop_backend(&mut self, key: Key, core: &mut Core) -> Option<Job> {
+    fn drop_backend(&mut self, key: Key, core: &mut Engine) -> Option<Job> {
         let mut backend = self.backends.remove(key)?;
         core.deadlines
             .set(&mut backend.expires, Due::Backend(key), None);
@@ -383,22 +383,22 @@
         statement: Rc<Statement>,
         node: &NodeId,
         now: Time,
-        core: &mut Core,
+        core: &mut Engine,
     ) {
         self.start(Job::Attempt(id, statement), node, now, core);
     }
 
     /// Asks a node for its report.
-    pub fn probe(&mut self, node: &NodeId, now: Time, core: &mut Core) {
+    pub fn probe(&mut self, node: &NodeId, now: Time, core: &mut Engine) {
         self.start(Job::Probe(now), node, now, core);
     }
 
     /// Asks a node for its report, for the fleet.
-    pub fn watch(&mut self, ask: Ask, now: Time, core: &mut Core) {
+    pub fn watch(&mut self, ask: NodeQuery, now: Time, core: &mut Engine) {
         self.start(Job::Watch(now, ask.look), &ask.node, now, core);
     }
 
-    fn start(&mut self, job: Job, id: &NodeId, now: Time, core: &mut Core) {
+    fn start(&mut self, job: Job, id: &NodeId, now: Time, core: &mut Engine) {
         while let Some(key) = self.nodes.get_mut(id).and_then(|n| n.idle.pop()) {
             if self.backends.get(key).is_some_and(|b| b.stream.quiet()) {
                 if let Err(job) = self.occupy(key, job, now, core) {
@@ -407,7 +407,7 @@
                         .expect("looked up above")
                         .idle
                         .push(key);
-                    self.fail(job, id, Ending::Void, now, core);
+                    self.fail(job, id, AttemptEnd::NeverSent, now, core);
                 }
                 return;
             }
@@ -415,22 +415,28 @@
         }
         // Danger: what ends unsent is held against nobody, and a node whose address nobody told would be chosen again.
         let Some(node) = self.nodes.get_mut(id) else {
-            return self.fail(job, id, Ending::Unreachable, now, core);
+            return self.fail(job, id, AttemptEnd::Unreachable, now, core);
         };
         node.waiting.push_back(job);
         if node.waiting.len() > node.coming && self.dial(id, now, core).is_err() {
-            self.dial_failed(id, Ending::Unreachable, now, core);
+            self.dial_failed(id, AttemptEnd::Unreachable, now, core);
         }
     }
 
     /// Opens one more connection to a node, where there is room for it or an idle one elsewhere gives way.
-    fn dial(&mut self, id: &NodeId, now: Time, core: &mut Core) -> io::Result<()> {
+    fn dial(&mut self, id: &NodeId, now: Time, core: &mut Engine) -> io::Result<()> {
         self.connect(id, State::Dialing, now, core)?;
         self.nodes.get_mut(id).ok_or(ErrorKind::NotFound)?.coming += 1;
         Ok(())
     }
 
-    fn connect(&mut self, id: &NodeId, state: State, now: Time, core: &mut Core) -> io::Result<()> {
+    fn connect(
+        &mut self,
+        id: &NodeId,
+        state: State,
+        now: Time,
+        core: &mut Engine,
+    ) -> io::Result<()> {
         if self.backends.len() >= self.most {
             let idle = self
                 .backends
@@ -472,7 +478,7 @@
     }
 
     /// A connection did not come up: the job that waited longest fails, where no other connection is coming for it.
-    fn dial_failed(&mut self, id: &NodeId, ending: Ending, now: Time, core: &mut Core) {
+    fn dial_failed(&mut self, id: &NodeId, ending: AttemptEnd, now: Time, core: &mut Engine) {
         let Some(node) = self.nodes.get_mut(id) else {
             return;
         };
@@ -483,10 +489,16 @@
         }
     }
 
-    fn fail(&mut self, job: Job, node: &NodeId, ending: Ending, now: Time, core: &mut Core) {
+    fn fail(&mut self, job: Job, node: &NodeId, ending: AttemptEnd, now: Time, core: &mut Engine) {
         match job {
             Job::Attempt(id, _) => {
-                core.ended(now, id, ending, Standing::default(), Standing::default());
+                core.ended(
+                    now,
+                    id,
+                    ending,
+                    NodeReport::default(),
+                    NodeReport::default(),
+                );
             }
             Job::Probe(_) => core.probed(node.clone(), None),
             Job::Watch(..) => self.heard.push(Heard {
@@ -497,7 +509,7 @@
     }
 
     /// Puts a job on a connection that is ready; gives it back where it may not begin.
-    fn occupy(&mut self, key: Key, job: Job, now: Time, core: &mut Core) -> Result<(), Job> {
+    fn occupy(&mut self, key: Key, job: Job, now: Time, core: &mut Engine) -> Result<(), Job> {
         let Some(backend) = self.backends.get_mut(key) else {
             return Err(job);
         };
@@ -528,7 +540,7 @@
         Ok(())
     }
 
-    fn write(&mut self, key: Key, now: Time, core: &mut Core) {
+    fn write(&mut self, key: Key, now: Time, core: &mut Engine) {
         let Some(backend) = self.backends.get_mut(key) else {
             return;
         };
@@ -539,7 +551,7 @@
         {
             let node = backend.node.clone();
             if let Some(job) = self.drop_backend(key, core) {
-                self.fail(job, &node, Ending::Void, now, core);
+                self.fail(job, &node, AttemptEnd::NeverSent, now, core);
             }
             return;
         }
@@ -559,13 +571,13 @@
     }
 
     /// A connection ended from the other side, or was waited for long enough.
-    fn broken(&mut self, key: Key, now: Time, core: &mut Core) {
+    fn broken(&mut self, key: Key, now: Time, core: &mut Engine) {
         // Unless the db node said what became of the request before it closed, nobody knows.
         let told = |reply: &Reply| {
             if reply.tells() {
                 Ok(())
             } else {
-                Err(Ending::Broken)
+                Err(AttemptEnd::Reset)
             }
         };
         self.over(key, told, now, core);
@@ -573,21 +585,21 @@
 
     /// What came on a connection is not to be followed. The db node is there and answers, so it is not at fault as one
     /// that breaks connections is; the request may have run, and whatever came with the answer tells nothing.
-    fn spoilt(&mut self, key: Key, now: Time, core: &mut Core) {
+    fn spoilt(&mut self, key: Key, now: Time, core: &mut Engine) {
         if let Some(backend) = self.backends.get(key) {
             let head = &backend.stream.unread()[..backend.stream.unread().len().min(48)];
             warn!(node = %backend.node, head = %head.escape_ascii(), "a message that cannot be followed");
         }
-        self.over(key, |_| Err(Ending::Failure), now, core);
+        self.over(key, |_| Err(AttemptEnd::Failure), now, core);
     }
 
     /// Ends a connection, and what was under way on it by what its reply tells.
     fn over(
         &mut self,
         key: Key,
-        told: impl FnOnce(&Reply) -> Result<(), Ending>,
+        told: impl FnOnce(&Reply) -> Result<(), AttemptEnd>,
         now: Time,
-        core: &mut Core,
+        core: &mut Engine,
     ) {
         let Some(backend) = self.backends.get_mut(key) else {
             return;
@@ -603,11 +615,11 @@
         };
         let job = self.drop_backend(key, core);
         if coming {
-            self.dial_failed(&node, Ending::Unreachable, now, core);
+            self.dial_failed(&node, AttemptEnd::Unreachable, now, core);
         } else if let (Some(job), Some((reply, written))) = (job, reply) {
             // Until its last byte is written a request never ran; after that it may have.
             match told(&reply) {
-                _ if !written => self.fail(job, &node, Ending::Unreachable, now, core),
+                _ if !written => self.fail(job, &node, AttemptEnd::Unreachable, now, core),
                 Ok(()) => self.finish(job, reply, &node, now, core),
                 Err(ending) => self.fail(job, &node, ending, now, core),
             }
@@ -615,7 +627,7 @@
     }
 
     /// Reports what came of a job.
-    fn finish(&mut self, job: Job, reply: Reply, node: &NodeId, now: Time, core: &mut Core) {
+    fn finish(&mut self, job: Job, reply: Reply, node: &NodeId, now: Time, core: &mut Engine) {
         let ending = reply.ending();
         match job {
             Job::Attempt(attempt, _) => {
@@ -633,11 +645,11 @@
                 debug!(%node, took = now.saturating_sub(asked), ?reply.report, "probed");
                 core.probed(
                     node.clone(),
-                    (ending == Ending::Success).then_some(reply.report),
+                    (ending == AttemptEnd::Success).then_some(reply.report),
                 );
             }
             Job::Watch(asked, _) => {
-                let answer = (ending == Ending::Success).then_some((asked, reply.report));
+                let answer = (ending == AttemptEnd::Success).then_some((asked, reply.report));
                 if let Some((_, report)) = answer {
                     core.probed(node.clone(), Some(report));
                 }
@@ -650,7 +662,7 @@
     }
 
     /// The poller has something to say of a connection.
-    pub fn event(&mut self, key: Key, now: Time, core: &mut Core) {
+    pub fn event(&mut self, key: Key, now: Time, core: &mut Engine) {
         let Some(backend) = self.backends.get_mut(key) else {
             return;
         };
@@ -692,7 +704,7 @@
     }
 
     /// Takes one message in; false where none is whole.
-    fn read(&mut self, key: Key, now: Time, core: &mut Core) -> bool {
+    fn read(&mut self, key: Key, now: Time, core: &mut Engine) -> bool {
         let Some(backend) = self.backends.get_mut(key) else {
             return false;
         };
@@ -759,9 +771,9 @@
             let node = backend.node.clone();
             self.drop_backend(key, core);
             let ending = if full {
-                Ending::Overloaded
+                AttemptEnd::Overloaded
             } else {
-                Ending::Unreachable
+                AttemptEnd::Unreachable
             };
             self.dial_failed(&node, ending, now, core);
             return false;
@@ -777,7 +789,7 @@
     }
 
     /// A connection is ready: it has come up, or its reply is whole.
-    fn ready(&mut self, key: Key, again: bool, now: Time, core: &mut Core) {
+    fn ready(&mut self, key: Key, again: bool, now: Time, core: &mut Engine) {
         let Some(backend) = self.backends.get_mut(key) else {
             return;
         };
@@ -811,7 +823,7 @@
     }
 
     /// Gives a connection that is free to the next job, or keeps it.
-    fn next_job(&mut self, key: Key, id: &NodeId, now: Time, core: &mut Core) {
+    fn next_job(&mut self, key: Key, id: &NodeId, now: Time, core: &mut Engine) {
         while let Some(job) = self.nodes.get_mut(id).and_then(|n| n.waiting.pop_front()) {
             // Danger: a db node may close after an answer, and what is written to it then ends as a reset.
             if !self.backends.get(key).is_some_and(|b| b.stream.quiet()) {
@@ -821,11 +833,11 @@
                     .waiting
                     .push_front(job);
                 self.drop_backend(key, core);
-                return self.dial_failed(id, Ending::Unreachable, now, core);
+                return self.dial_failed(id, AttemptEnd::Unreachable, now, core);
             }
             match self.occupy(key, job, now, core) {
                 Ok(()) => return,
-                Err(job) => self.fail(job, id, Ending::Void, now, core),
+                Err(job) => self.fail(job, id, AttemptEnd::NeverSent, now, core),
             }
         }
         let (Some(node), Some(backend)) = (self.nodes.get_mut(id), self.backends.get_mut(key))
@@ -842,7 +854,7 @@
     }
 
     /// Stops an attempt; its connection is closed, so that late bytes reach no other request.
-    pub fn give_up(&mut self, id: AttemptId, node: &NodeId, now: Time, core: &mut Core) {
+    pub fn give_up(&mut self, id: AttemptId, node: &NodeId, now: Time, core: &mut Engine) {
         if let Some(&key) = self.running.get(&id) {
             let wish = self
                 .backends
@@ -870,7 +882,7 @@
     }
 
     /// A connection has been dialled, probed or idle for long enough.
-    pub fn expired(&mut self, key: Key, now: Time, core: &mut Core) {
+    pub fn expired(&mut self, key: Key, now: Time, core: &mut Engine) {
         let Some(backend) = self.backends.get_mut(key) else {
             return;
         };
--- a/router/src/upstream/pg/tests.rs
+++ b/router/src/upstream/pg/tests.rs
@@ -3,7 +3,9 @@
 
 use super::*;
 use crate::net::split;
-use plovercove::{Access, Class, Demand, Effect, ListUpdate, NodeEntry, RepeatScope, Settings};
+use plovercove::{
+    Access, Class, DedupScope, Endpoint, EndpointUpdate, Idempotency, RequestInfo, Settings,
+};
 use plovercove_emulator::held::{Deaf, Link, Node};
 use plovercove_engine::{Answer, Command};
 use plovercove_poller::Events;
@@ -12,33 +14,33 @@
 /// Ends a test that would hang; no test waits for it.
 const HANGS: Duration = Duration::from_secs(40);
 const NOW: Time = 1_000_000_000;
-const SECOND: Span = 1_000_000;
+const SECOND: Micros = 1_000_000;
 /// What a connection to a db node may take.
-const DIAL: Span = 2 * SECOND;
+const DIAL: Micros = 2 * SECOND;
 /// After this a db node closes what is idle.
-const IDLE: Span = 60 * SECOND;
+const IDLE: Micros = 60 * SECOND;
 /// The classes, by number.
 const READ: usize = 0;
 const WRITE: usize = 1;
 const KEYED: usize = 2;
 /// What a client waits for, and the window in which `KEYED` may be repeated.
-const PATIENCE: Span = 5 * SECOND;
-const WINDOW: Span = SECOND;
+const PATIENCE: Micros = 5 * SECOND;
+const WINDOW: Micros = SECOND;
 /// An error that blames the db node; bytes of what it says.
 const ERROR: &[u8] = b"E\0\0\0\x17SERROR\0CXX000\0Mno\0\0";
 
-fn class(name: &str, access: Access, effect: Effect) -> Class {
+fn class(name: &str, access: Access, effect: Idempotency) -> Class {
     Class {
         name: name.into(),
         access,
-        aim: SECOND,
-        aim_stretch: 0.0,
+        latency_objective: SECOND,
+        objective_per_cost: 0.0,
         deadline: PATIENCE,
-        worth: 1.0,
-        late_worth: 1.0,
-        effect,
-        scope: RepeatScope::All,
-        window: WINDOW,
+        priority_weight: 1.0,
+        late_weight_share: 1.0,
+        idempotency: effect,
+        dedup_scope: DedupScope::All,
+        dedup_window: WINDOW,
         stream: false,
     }
 }
@@ -50,13 +52,13 @@
 /// The same, with the classes under these names.
 fn named([read, write, keyed]: [&str; 3]) -> Settings {
     let classes = vec![
-        class(read, Access::Any, Effect::Idempotent),
-        class(write, Access::Write, Effect::AtMostOnce),
-        class(keyed, Access::Write, Effect::Deduplicated),
+        class(read, Access::Any, Idempotency::Idempotent),
+        class(write, Access::Write, Idempotency::AtMostOnce),
+        class(keyed, Access::Write, Idempotency::Deduplicated),
     ];
     Settings {
         classes,
-        may_cancel: true,
+        cancel_allowed: true,
         ..Settings::default()
     }
 }
@@ -72,7 +74,7 @@
 /// The pools with a core, driven step by step as the loop drives them.
 struct Pools {
     poll: Poll,
-    core: Core,
+    core: Engine,
     upstream: Upstream,
     now: Time,
     statements: BTreeMap<u64, Rc<Statement>>,
@@ -83,14 +85,14 @@
 }
 
 /// An entry of the list: the primary is called `p`.
-fn entry(node: &str, state: Listed) -> NodeEntry {
-    NodeEntry {
+fn entry(node: &str, state: EndpointState) -> Endpoint {
+    Endpoint {
         node: node.into(),
-        primary: node.starts_with('p'),
+        listed_as_primary: node.starts_with('p'),
         group: 1,
         weight: 1.0,
         state,
-        ..NodeEntry::default()
+        ..Endpoint::default()
     }
 }
 
@@ -106,7 +108,7 @@
             IDLE,
         );
         Pools {
-            core: Core::new(settings, 1),
+            core: Engine::new(settings, 1),
             poll,
             upstream,
             now: NOW,
@@ -122,13 +124,13 @@
         let mut pools = Pools::new(settings());
         let entries = nodes
             .iter()
-            .map(|(name, node)| (*name, Listed::Serving, Some(at(node))));
+            .map(|(name, node)| (*name, EndpointState::Serving, Some(at(node))));
         pools.told(true, &entries.collect::<Vec<_>>());
         pools
     }
 
     /// Discovery tells a list, or changes to one.
-    fn told(&mut self, whole: bool, entries: &[(&str, Listed, Option<SocketAddr>)]) {
+    fn told(&mut self, whole: bool, entries: &[(&str, EndpointState, Option<SocketAddr>)]) {
         self.version += 1;
         let entries: Vec<_> = entries
             .iter()
@@ -136,9 +138,9 @@
             .collect();
         let known = entries.iter().map(|(entry, _)| entry.clone()).collect();
         self.core.list(if whole {
-            ListUpdate::Full(known)
+            EndpointUpdate::Full(known)
         } else {
-            ListUpdate::Changes(known)
+            EndpointUpdate::Changes(known)
         });
         let listing = Listing {
             index: self.version,
@@ -150,9 +152,9 @@
     }
 
     /// The list says this of a node; nothing that hangs on it has been done yet.
-    fn hears(&mut self, node: &str, state: Listed) {
+    fn hears(&mut self, node: &str, state: EndpointState) {
         self.core
-            .list(ListUpdate::Changes(vec![entry(node, state)]));
+            .list(EndpointUpdate::Changes(vec![entry(node, state)]));
     }
 
     /// A client asks, with so much text.
@@ -161,18 +163,18 @@
     }
 
     /// A client asks that waits for so long.
-    fn asks_within(&mut self, id: &str, class: usize, length: usize, left: Span) -> Key {
+    fn asks_within(&mut self, id: &str, class: usize, length: usize, left: Micros) -> Key {
         let text = format!(
             "/* id={id},c=x,d=5000,cluster=1 */ SELECT '{}'",
             "k".repeat(length)
         );
         let labels = statement_labels::labels(&text).expect("well formed");
         let statement = Rc::new(Statement::new(&text, &labels, Shape::OneValue));
-        let demand = Demand {
+        let demand = RequestInfo {
             class,
             group: 1,
-            left,
-            ..Demand::default()
+            time_left: left,
+            ..RequestInfo::default()
         };
         let request = self.core.request(Key::from_number(7), demand);
         self.statements.insert(request.number(), statement);
@@ -259,7 +261,7 @@
     }
 
     /// Time passes, and what falls due is done.
-    fn later(&mut self, span: Span) {
+    fn later(&mut self, span: Micros) {
         self.now += span;
         while let Some(due) = self.core.deadlines.pop(self.now) {
             match due {
@@ -386,7 +388,7 @@
     match asks {
         Asks::Router => pools.upstream.probe(&node, now, &mut pools.core),
         Asks::Fleet => {
-            let ask = Ask {
+            let ask = NodeQuery {
                 node,
                 look: Rc::new(|| true),
             };
@@ -403,7 +405,7 @@
         let mut pools = Pools::before(&[("p", &node)]);
         question(&mut pools, asks);
         let mut link = pools.up(&node);
-        pools.hears("p", Listed::Draining);
+        pools.hears("p", EndpointState::Draining);
         link.greet("primary").expect("the pools are there");
         pools.until(|pools| pools.upstream.nodes["p"].coming == 0);
         assert_eq!(pools.open(), (1, 0), "{asks:?}");
@@ -425,11 +427,11 @@
         let node = node();
         let mut pools = Pools::before(&[("p", &node)]);
         let mut link = pools.idle("p", &node);
-        pools.hears("p", Listed::Draining);
+        pools.hears("p", EndpointState::Draining);
         question(&mut pools, asks);
         assert_eq!(pools.open(), (1, 0), "{asks:?}: nothing is put on it");
         assert_eq!(link.has_come().expect("a socket"), None, "{asks:?}");
-        pools.told(false, &[("p", Listed::Draining, Some(at(&node)))]);
+        pools.told(false, &[("p", EndpointState::Draining, Some(at(&node)))]);
         closed(&mut link);
     }
 }
@@ -582,7 +584,7 @@
         let mut filled = Filled::new(&mut pools, &node);
         let request = filled.fill(&mut pools, length, job);
         assert_eq!(pools.held_back(), Some((length, true)), "it waits for room");
-        pools.hears("p", Listed::Draining);
+        pools.hears("p", EndpointState::Draining);
         let Filled {
             mut link,
             left,
@@ -617,17 +619,25 @@
         let mut pools = Pools::new(settings());
         pools.told(
             true,
-            &[("p", Listed::Serving, Some(deaf.address().expect("bound")))],
+            &[(
+                "p",
+                EndpointState::Serving,
+                Some(deaf.address().expect("bound")),
+            )],
         );
         let request = pools.asks("a1", WRITE, 0);
         if told {
             pools.told(
                 false,
-                &[("p", Listed::Draining, Some(deaf.address().expect("bound")))],
+                &[(
+                    "p",
+                    EndpointState::Draining,
+                    Some(deaf.address().expect("bound")),
+                )],
             );
             assert_eq!(pools.open(), (0, 0), "it is not waited for");
         } else {
-            pools.hears("p", Listed::Draining);
+            pools.hears("p", EndpointState::Draining);
             let node = deaf.opens().expect("it listens");
             let mut link = pools.up(&node);
             link.greet("primary").expect("the pools are there");
@@ -653,8 +663,8 @@
     let node = node();
     let mut pools = Pools::before(&[("p", &node)]);
     let mut link = pools.idle("p", &node);
-    pools.told(false, &[("p", Listed::Draining, Some(at(&node)))]);
-    pools.told(false, &[("p", Listed::Serving, Some(at(&node)))]);
+    pools.told(false, &[("p", EndpointState::Draining, Some(at(&node)))]);
+    pools.told(false, &[("p", EndpointState::Serving, Some(at(&node)))]);
     closed(&mut link);
     let request = pools.asks("a1", WRITE, 0);
     let mut link = pools.greeted(&node);
@@ -674,14 +684,14 @@
             dropped_stay_open: stays,
             ..settings()
         });
-        pools.told(true, &[("p", Listed::Serving, Some(at(&node)))]);
+        pools.told(true, &[("p", EndpointState::Serving, Some(at(&node)))]);
         let mut link = pools.idle("p", &node);
         for (old, new, id) in [("p", "p-new", "a1"), ("p-new", "p", "a2")] {
             pools.told(
                 false,
                 &[
-                    (new, Listed::Serving, Some(at(&node))),
-                    (old, Listed::Gone, None),
+                    (new, EndpointState::Serving, Some(at(&node))),
+                    (old, EndpointState::Removed, None),
                 ],
             );
             closed(&mut link);
@@ -710,10 +720,10 @@
             dropped_stay_open: stays,
             ..settings()
         });
-        pools.told(true, &[("p", Listed::Serving, Some(at(&node)))]);
+        pools.told(true, &[("p", EndpointState::Serving, Some(at(&node)))]);
         let request = pools.asks("a1", WRITE, 0);
         let mut link = pools.greeted(&node);
-        pools.told(true, &[("r", Listed::Serving, Some(at(&node)))]);
+        pools.told(true, &[("r", EndpointState::Serving, Some(at(&node)))]);
         assert_eq!(
             link.statement().expect("a statement").as_deref(),
             Some("a1")
@@ -737,14 +747,14 @@
         dropped_stay_open: true,
         ..settings()
     });
-    pools.told(true, &[("p", Listed::Serving, Some(at(&node)))]);
+    pools.told(true, &[("p", EndpointState::Serving, Some(at(&node)))]);
     let request = pools.asks("a1", WRITE, 0);
     let mut link = pools.up(&node);
     pools.told(
         false,
         &[
-            ("r", Listed::Serving, Some(at(&node))),
-            ("p", Listed::Gone, None),
+            ("r", EndpointState::Serving, Some(at(&node))),
+            ("p", EndpointState::Removed, None),
         ],
     );
     pools.settle();
@@ -761,7 +771,7 @@
 #[test]
 fn what_waits_for_a_node_that_leaves_goes_elsewhere_at_once() {
     // Danger: it would wait for a connection that must carry nothing any more, for as long as one may take to come up.
-    for state in [Listed::Draining, Listed::Gone] {
+    for state in [EndpointState::Draining, EndpointState::Removed] {
         let (p, r1, r2) = (node(), node(), node());
         let mut pools = Pools::before(&[("p", &p), ("r1", &r1), ("r2", &r2)]);
         let request = pools.asks("a1", READ, 8);
@@ -795,7 +805,7 @@
         let mut pools = Pools::before(&[("p", &node)]);
         question(&mut pools, asks);
         let mut link = pools.up(&node);
-        pools.told(false, &[("p", Listed::Draining, Some(at(&node)))]);
+        pools.told(false, &[("p", EndpointState::Draining, Some(at(&node)))]);
         assert_eq!(pools.open(), (0, 0), "{asks:?}");
         closed(&mut link);
         let heard = pools.upstream.take_heard();
@@ -816,8 +826,8 @@
     pools.told(
         true,
         &[
-            ("p", Listed::Serving, Some(at(&node))),
-            ("r", Listed::Serving, Some(at(&node))),
+            ("p", EndpointState::Serving, Some(at(&node))),
+            ("r", EndpointState::Serving, Some(at(&node))),
         ],
     );
     assert_eq!(pools.open(), (2, 0));
@@ -843,14 +853,14 @@
         pools.told(
             true,
             &[
-                ("p", Listed::Serving, Some(p)),
-                ("r", Listed::Serving, Some(r)),
+                ("p", EndpointState::Serving, Some(p)),
+                ("r", EndpointState::Serving, Some(r)),
             ],
         );
-        let rest = ("r", Listed::Serving, Some(r));
+        let rest = ("r", EndpointState::Serving, Some(r));
         match whole {
             true => pools.told(true, &[rest]),
-            false => pools.told(false, &[("p", Listed::Gone, None)]),
+            false => pools.told(false, &[("p", EndpointState::Removed, None)]),
         }
         pools.told(false, &[rest]);
         let request = pools.asks("a1", WRITE, 0);
@@ -885,7 +895,7 @@
         let all = names.iter().zip(&places).map(|(name, port)| {
             (
                 &**name,
-                Listed::Serving,
+                EndpointState::Serving,
                 Some(SocketAddr::from(([127, 0, 0, 1], *port))),
             )
         });
@@ -902,8 +912,8 @@
     pools.told(
         true,
         &[
-            ("r1", Listed::Serving, None),
-            ("r2", Listed::Serving, Some(at(&replica))),
+            ("r1", EndpointState::Serving, None),
+            ("r2", EndpointState::Serving, Some(at(&replica))),
         ],
     );
     // While the other one is at work, the first looks idle.
@@ -1009,7 +1019,7 @@
     let (deaf, p, r2) = (Deaf::start(HANGS).expect("a node"), node(), node());
     let nowhere = deaf.address().expect("bound");
     let mut pools = Pools::new(settings());
-    let serving = |at| (Listed::Serving, Some(at));
+    let serving = |at| (EndpointState::Serving, Some(at));
     let (up, away) = (serving(at(&p)), serving(nowhere));
     pools.told(true, &[("p", up.0, up.1), ("r1", away.0, away.1)]);
     let first = pools.asks("a1", READ, 0);
@@ -1058,7 +1068,7 @@
         for (class, again) in [(READ, true), (WRITE, false), (KEYED, true)] {
             let node = node();
             let mut pools = Pools::new(named(names));
-            pools.told(true, &[("p", Listed::Serving, Some(at(&node)))]);
+            pools.told(true, &[("p", EndpointState::Serving, Some(at(&node)))]);
             let link = pools.idle("p", &node);
             let request = pools.asks("a1", class, 0);
             assert_eq!(
@@ -1425,8 +1435,8 @@
         match why {
             Why::Wanted => pools.upstream.close_idle(&"p".into(), &mut pools.core),
             Why::Leaving => {
-                pools.told(false, &[("p", Listed::Draining, Some(at(&node)))]);
-                pools.told(false, &[("p", Listed::Serving, Some(at(&node)))]);
+                pools.told(false, &[("p", EndpointState::Draining, Some(at(&node)))]);
+                pools.told(false, &[("p", EndpointState::Serving, Some(at(&node)))]);
             }
             Why::Idle => pools.later(IDLE),
             Why::GivenUp => given_up
--- a/router/src/upstream/reply.rs
+++ b/router/src/upstream/reply.rs
@@ -4,7 +4,7 @@
 use crate::clock;
 use crate::net::budget::{Budget, Buffer};
 use crate::statement_labels::{self, Message};
-use plovercove::{Ending, Role, Standing};
+use plovercove::{AttemptEnd, NodeReport, Role};
 use plovercove_pgwire::reply::{self, Outcome, Shape, Spoilt, Taken};
 
 /// The longest row. Values have 64 KiB by the protocol, but db nodes have been seen to give 400 KB; the budget of bytes
@@ -19,9 +19,9 @@
     pub body: Buffer,
     order: reply::Reply,
     /// What the node says of itself, and in its report.
-    pub note: Standing,
+    pub note: NodeReport,
     /// The report.
-    pub report: Standing,
+    pub report: NodeReport,
 }
 
 /// The longest that a message of this kind may be; none is of an unknown kind.
@@ -92,19 +92,19 @@
     }
 
     /// What became of the request. An error that blames the statement is its answer, as a row would be.
-    pub fn ending(&self) -> Ending {
+    pub fn ending(&self) -> AttemptEnd {
         match self.order.outcome() {
-            Outcome::Served | Outcome::Faulted => Ending::Success,
-            Outcome::Missed => Ending::Missed,
-            Outcome::TurnedAway => Ending::Overloaded,
-            Outcome::Failed => Ending::Failure,
+            Outcome::Served | Outcome::Faulted => AttemptEnd::Success,
+            Outcome::Missed => AttemptEnd::Misdirected,
+            Outcome::TurnedAway => AttemptEnd::Overloaded,
+            Outcome::Failed => AttemptEnd::Failure,
         }
     }
 }
 
 /// A load report, `name=value` with commas between. One that can't be read to its end tells nothing at all: half a
 /// report may name a position or a role that no db node has.
-fn report(text: &[u8]) -> Standing {
+fn report(text: &[u8]) -> NodeReport {
     let fields = std::str::from_utf8(text)
         .unwrap_or("")
         .split(',')
@@ -116,7 +116,7 @@
                 .filter(|figure| figure.is_finite() && *figure >= 0.0)?;
             Some((name, figure))
         });
-    let mut told = Standing::default();
+    let mut told = NodeReport::default();
     for (name, figure) in fields.collect::<Option<Vec<_>>>().unwrap_or_default() {
         match name {
             "x0" => told.position = clock::from_seconds(figure),
@@ -127,8 +127,8 @@
                     Role::Replica
                 })
             }
-            "outstanding" | "inflight" => told.held = Some(figure.round() as u32),
-            "utilization" | "util" => told.busy = Some((figure * 1e3) as u32),
+            "outstanding" | "inflight" => told.in_flight = Some(figure.round() as u32),
+            "utilization" | "util" => told.utilization_permille = Some((figure * 1e3) as u32),
             _ => {}
         }
     }
@@ -147,11 +147,14 @@
             (whole.position, whole.role),
             (Some(1_767_225_600_123_000), Some(Role::Primary))
         );
-        assert_eq!((whole.held, whole.busy), (Some(7), None));
+        assert_eq!(
+            (whole.in_flight, whole.utilization_permille),
+            (Some(7), None)
+        );
         // The names that the settings give, and figures with the noise of a measurement.
         let named = report(b"x0=1767225600.1,x1=0,outstanding=1.961,utilization=0.512");
         assert_eq!(
-            (named.held, named.busy, named.role),
+            (named.in_flight, named.utilization_permille, named.role),
             (Some(2), Some(512), Some(Role::Replica))
         );
         for noise in [
--- a/router/tests/duties.rs
+++ b/router/tests/duties.rs
@@ -1,13 +1,13 @@
 //! Duties of a fleet, with processes of the program: one owner for each, what nodes are spared, and what becomes of it when
 //! owners and deciders fail.
 
-use plovercove::{ListUpdate, NodeEntry, NodeId, Settings};
+use plovercove::{Endpoint, EndpointUpdate, NodeId, Settings};
 use plovercove_emulator::process::{Blow, Folder, Process};
 use plovercove_emulator::trial::Trial;
 use plovercove_emulator::{Agent, Caller, Entry, Fate};
-use plovercove_engine::Core;
+use plovercove_engine::Engine;
 use plovercove_poller::{Events, Poll};
-use plovercove_router::chores::Ask;
+use plovercove_router::chores::NodeQuery;
 use plovercove_router::net::budget::Budget;
 use plovercove_router::net::{Source, split};
 use plovercove_router::upstream::pg::{ConnectOptions, Upstream};
@@ -477,19 +477,19 @@
         1_000_000,
         60_000_000,
     );
-    let mut core = Core::new(Settings::default(), 1);
+    let mut core = Engine::new(Settings::default(), 1);
     let id: NodeId = "s0".into();
     upstream.locate(&id, node.address(), &mut core);
     // What no list names is asked nothing.
-    core.list(ListUpdate::Full(vec![NodeEntry {
+    core.list(EndpointUpdate::Full(vec![Endpoint {
         node: id.clone(),
-        ..NodeEntry::default()
+        ..Endpoint::default()
     }]));
     let mut events = Events::new();
     // The first finds no connection, the last one that is free.
     for (may, asked) in [(false, 0), (true, 1), (false, 1)] {
         upstream.watch(
-            Ask {
+            NodeQuery {
                 node: id.clone(),
                 look: Rc::new(move || may),
             },
--- a/router/tests/errors.rs
+++ b/router/tests/errors.rs
@@ -4,7 +4,7 @@
 use plovercove::Settings;
 use plovercove_emulator::page::{self, Row};
 use plovercove_gossip::{Keys, Rules as PeerRules};
-use plovercove_locality::{Rules as TierRules, Tiers};
+use plovercove_locality::{Rules as TierRules, ZoneFailover};
 use plovercove_pgwire::login::Refused;
 use plovercove_pgwire::throttle;
 use plovercove_pgwire::verifier::{MOST_USERS, Users};
@@ -127,7 +127,7 @@
         json!({"zones": [zone("a", &[])]}),
     ] {
         let rules: TierRules = serde_json::from_value(rules).expect("rules");
-        let fault = Tiers::new(rules, &Settings::default(), 1)
+        let fault = ZoneFailover::new(rules, &Settings::default(), 1)
             .err()
             .expect("a fault");
         all.push(seen("tiers", &fault.why, fault.help()));
--- a/router/tests/front_desk/mod.rs
+++ b/router/tests/front_desk/mod.rs
@@ -3,9 +3,10 @@
 
 use crate::arrival;
 use plovercove::{
-    Access, Class, Effect, Ending, ListUpdate, NodeEntry, RepeatScope, Settings, Standing, Time,
+    Access, AttemptEnd, Class, DedupScope, Endpoint, EndpointUpdate, Idempotency, NodeReport,
+    Settings, Time,
 };
-use plovercove_engine::{AttemptId, Command, Core, Due, Key};
+use plovercove_engine::{AttemptId, Command, Due, Engine, Key};
 use plovercove_poller::{Events, Poll};
 use plovercove_router::front::pg::Front;
 use plovercove_router::net::budget::Budget;
@@ -26,7 +27,7 @@
 /// A front, and the core that its requests go to.
 pub struct Desk {
     pub front: Front,
-    pub core: Core,
+    pub core: Engine,
     pub now: Time,
     pub to: SocketAddr,
     /// The attempts that were begun, with their clients.
@@ -41,19 +42,19 @@
         let class = Class {
             name: "look".into(),
             access: Access::Any,
-            aim: 400_000,
-            aim_stretch: 0.0,
+            latency_objective: 400_000,
+            objective_per_cost: 0.0,
             deadline: 1_000_000,
-            worth: 1.0,
-            late_worth: 0.0,
-            effect: Effect::Idempotent,
-            scope: RepeatScope::All,
-            window: 0,
+            priority_weight: 1.0,
+            late_weight_share: 0.0,
+            idempotency: Idempotency::Idempotent,
+            dedup_scope: DedupScope::All,
+            dedup_window: 0,
             stream: false,
         };
         let settings = Settings {
             classes: vec![class],
-            may_cancel: true,
+            cancel_allowed: true,
             ..Settings::default()
         };
         let (poll, budget) = (Poll::new().expect("a poller"), Budget::new(BUDGET));
@@ -67,15 +68,15 @@
             Names::of(&settings),
             1_000_000,
         );
-        let mut core = Core::new(settings, 1);
-        let node = NodeEntry {
+        let mut core = Engine::new(settings, 1);
+        let node = Endpoint {
             node: "p".into(),
-            primary: true,
+            listed_as_primary: true,
             group: 1,
             weight: 1.0,
-            ..NodeEntry::default()
+            ..Endpoint::default()
         };
-        core.list(ListUpdate::Full(vec![node]));
+        core.list(EndpointUpdate::Full(vec![node]));
         Desk {
             front: front.expect("a front"),
             core,
@@ -185,10 +186,10 @@
     pub fn serve(&mut self) {
         let (attempt, _) = self.sent.pop().expect("an attempt was begun");
         self.core.written(attempt);
-        let said = Standing::default();
+        let said = NodeReport::default();
         let origin = self
             .core
-            .ended(self.now, attempt, Ending::Success, said, said)
+            .ended(self.now, attempt, AttemptEnd::Success, said, said)
             .expect("it is owed");
         let mut reply = self.budget.buffer();
         reply.write(|out| out.extend_from_slice(b"C\0\0\0\x0dSELECT 1\0"));
@@ -200,10 +201,10 @@
     pub fn turn_away(&mut self) {
         let (attempt, _) = self.sent.pop().expect("an attempt was begun");
         self.core.written(attempt);
-        let said = Standing::default();
+        let said = NodeReport::default();
         assert_eq!(
             self.core
-                .ended(self.now, attempt, Ending::Overloaded, said, said),
+                .ended(self.now, attempt, AttemptEnd::Overloaded, said, said),
             None
         );
     }
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -306,30 +306,30 @@
                 }
             };
             let effects = [
-                ("idempotent", Effect::Idempotent),
-                ("deduplicated", Effect::Deduplicated),
-                ("at_most_once", Effect::AtMostOnce),
+                ("idempotent", Idempotency::Idempotent),
+                ("deduplicated", Idempotency::Deduplicated),
+                ("at_most_once", Idempotency::AtMostOnce),
             ];
             let scopes = [
-                ("all", RepeatScope::All),
-                ("zone", RepeatScope::Zone),
-                ("cell", RepeatScope::Group),
+                ("all", DedupScope::All),
+                ("zone", DedupScope::Zone),
+                ("cell", DedupScope::Group),
             ];
             Ok(Class {
                 name: part.get("Name", text)?.to_string(),
                 access,
-                aim: part.get("Aim", whole)?,
-                aim_stretch: part.maybe("AimStretch", number)?.unwrap_or(0.0),
+                latency_objective: part.get("Aim", whole)?,
+                objective_per_cost: part.maybe("AimStretch", number)?.unwrap_or(0.0),
                 deadline: part.get("Deadline", whole)?,
-                worth: part.maybe("Gain", number)?.unwrap_or(1.0),
-                late_worth: part.maybe("LateWorth", number)?.unwrap_or(0.0),
-                effect: part.word("Effect", &effects)?,
-                scope: if part.value.get("Group").is_some() {
+                priority_weight: part.maybe("Gain", number)?.unwrap_or(1.0),
+                late_weight_share: part.maybe("LateWorth", number)?.unwrap_or(0.0),
+                idempotency: part.word("Effect", &effects)?,
+                dedup_scope: if part.value.get("Group").is_some() {
                     part.word("Group", &scopes)?
                 } else {
-                    RepeatScope::Group
+                    DedupScope::Group
                 },
-                window: part.maybe("Window", whole)?.unwrap_or(0),
+                dedup_window: part.maybe("Window", whole)?.unwrap_or(0),
                 stream: yes(&part, "Stream")?,
             })
         });
@@ -349,17 +349,17 @@
         });
     let checks = [
         ("silent", ReplicaCheck::None),
-        ("reject", ReplicaCheck::Refuse),
+        ("reject", ReplicaCheck::Reject),
         ("hold", ReplicaCheck::Wait(holds)),
     ];
     let roles = [
-        ("delayed", ListRole::Late),
-        ("initial", ListRole::Initial),
-        ("silent", ListRole::None),
+        ("delayed", RoleSource::Late),
+        ("initial", RoleSource::Initial),
+        ("silent", RoleSource::None),
     ];
     let sources = [
         ("piggyback", ReportSource::Answers),
-        ("pull", ReportSource::Probes),
+        ("pull", ReportSource::HealthChecks),
         ("silent", ReportSource::None),
     ];
     let weights = [
@@ -377,28 +377,29 @@
         zero: info.maybe("BaseTime", whole)?.unwrap_or(0),
         report: columns.collect::<Read<_>>()?,
         settings: Settings {
-            index: top.get("SlotNo", small)?,
-            routers: top.get("Balancers", small)?,
+            router_index: top.get("SlotNo", small)?,
+            router_count: top.get("Balancers", small)?,
             zone: top.maybe("Zone", text)?.unwrap_or("").to_string(),
             classes: classes.collect::<Read<_>>()?,
             tenants: tenants.collect::<Read<_>>()?,
-            over_share_worth: top.maybe("OverShareWorth", number)?.unwrap_or(1.0),
-            worth_by_work: top.maybe("CountedBy", text)? == Some("work"),
+            over_quota_weight: top.maybe("OverShareWorth", number)?.unwrap_or(1.0),
+            weight_per_work: top.maybe("CountedBy", text)? == Some("work"),
             replica_check: info.word("ServerChecks", &checks)?,
-            list_role: info.word("ShowsRole", &roles)?,
+            role_source: info.word("ShowsRole", &roles)?,
             reports: report.word("How", &sources)?,
-            tokens_carried: info.word("SessionMarks", &[("client", true), ("router", false)])?,
-            weights: if facts.get("Weights").is_some() {
+            clients_carry_tokens: info
+                .word("SessionMarks", &[("client", true), ("router", false)])?,
+            weight_meaning: if facts.get("Weights").is_some() {
                 top.word("Weights", &weights)?
             } else {
                 WeightMeaning::None
             },
             subscribe: top.word("Discovery", &[("automatic", false), ("subscribe", true)])?,
-            ask_every: rules.maybe("AskEvery", whole)?.unwrap_or(0),
-            may_probe: yes(&limits, "Probing")?,
-            may_cancel: yes(&limits, "Cancel")?,
-            second_copies: yes(&limits, "SecondCopies")?,
-            retry_after: yes(&limits, "RetryAfter")?,
+            poll_interval: rules.maybe("AskEvery", whole)?.unwrap_or(0),
+            health_checks_allowed: yes(&limits, "Probing")?,
+            cancel_allowed: yes(&limits, "Cancel")?,
+            hedging_allowed: yes(&limits, "SecondCopies")?,
+            retry_after_allowed: yes(&limits, "RetryAfter")?,
             max_retry_after: limits.maybe("MaxRetryAfter", whole)?.unwrap_or(0),
             max_attempts: limits.get("MaxAttempts", small)?,
             connect_timeout: limits.maybe("DialTimeout", whole)?.unwrap_or(250_000),
@@ -407,10 +408,10 @@
             drain_grace: rules.get("DrainGrace", whole)?,
             dropped_stay_open: yes(&rules, "DroppedStayOpen")?,
             answer_grace: rules.maybe("GraceToAnswer", whole)?.unwrap_or(0),
-            cold_share: rules.get("ColdShare", number)?,
-            cold_span: rules.get("Cold", whole)?,
+            slow_start_min_share: rules.get("ColdShare", number)?,
+            slow_start_duration: rules.get("Cold", whole)?,
             overload_factor: rules.get("OverloadFactor", number)?,
-            overload_span: rules.get("OverloadFor", whole)?,
+            overload_duration: rules.get("OverloadFor", whole)?,
             prices: Prices {
                 cross_zone: price("CrossZone")?,
                 waste: price("Waste")?,
--- a/settings/tests/quotas.rs
+++ b/settings/tests/quotas.rs
@@ -29,12 +29,12 @@
     );
     let quotas: Vec<f64> = told.tenants.iter().map(|t| t.quota_per_s).collect();
     assert_eq!(quotas, [12.5, f64::INFINITY, 0.0]);
-    assert_eq!(told.over_share_worth, 0.3);
+    assert_eq!(told.over_quota_weight, 0.3);
 }
 
 #[test]
 fn without_a_word_on_shares_all_is_worth_the_same() {
     let told = read("", "");
     assert!(told.tenants.is_empty());
-    assert_eq!(told.over_share_worth, 1.0);
+    assert_eq!(told.over_quota_weight, 1.0);
 }
--- a/simulation/src/pressure.rs
+++ b/simulation/src/pressure.rs
@@ -1,6 +1,6 @@
 //! Who presses the cold nodes: what came to each of late, from whom. A node that falls over is told with it.
 
-use plovercove::{Span, Time};
+use plovercove::{Micros, Time};
 use serde::Serialize;
 use std::collections::{HashMap, VecDeque};
 use std::fmt;
@@ -22,7 +22,7 @@
 
 /// What reached the cold nodes within the window that the rule names.
 pub(crate) struct Pressure {
-    window: Span,
+    window: Micros,
     nodes: HashMap<u32, VecDeque<Press>>,
 }
 
@@ -69,7 +69,7 @@
 }
 
 impl Pressure {
-    pub(crate) fn new(window: Span) -> Self {
+    pub(crate) fn new(window: Micros) -> Self {
         Pressure {
             window,
             nodes: HashMap::new(),
--- a/simulation/src/spec.rs
+++ b/simulation/src/spec.rs
@@ -1,6 +1,6 @@
 //! What an experiment describes. Every part has a default, so that scripts name only what matters to them.
 
-use plovercove::{Access, Class, Effect, RepeatScope, Settings, Tenant};
+use plovercove::{Access, Class, DedupScope, Idempotency, Settings, Tenant};
 use plovercove_locality::Rules;
 use serde::{Deserialize, Serialize};
 
@@ -441,7 +441,7 @@
 pub enum Variant {
     /// Tiers with limits and ramps.
     #[default]
-    Tiers,
+    ZoneFailover,
     /// As without tiers: crossing a zone is a small cost.
     Flat,
     /// Home first, others where home has no room; no limit and no ramp.
@@ -670,18 +670,18 @@
                 Reads::Session => Access::OwnWrites,
                 Reads::Write => Access::Write,
             },
-            aim: c.aim_ms * 1_000,
-            aim_stretch: 0.0,
+            latency_objective: c.aim_ms * 1_000,
+            objective_per_cost: 0.0,
             deadline: c.deadline_ms * 1_000,
-            worth: c.worth,
-            late_worth: c.late,
-            effect: if c.reads == Reads::Write {
-                Effect::AtMostOnce
+            priority_weight: c.worth,
+            late_weight_share: c.late,
+            idempotency: if c.reads == Reads::Write {
+                Idempotency::AtMostOnce
             } else {
-                Effect::Idempotent
+                Idempotency::Idempotent
             },
-            scope: RepeatScope::Group,
-            window: 0,
+            dedup_scope: DedupScope::Group,
+            dedup_window: 0,
             stream: false,
         };
         let tenant = |t: &TenantSpec| Tenant {
@@ -689,28 +689,28 @@
             quota_per_s: t.quota_per_s,
         };
         Settings {
-            index: index as u32,
-            routers: self.zones.iter().map(|z| z.routers as u32).sum(),
+            router_index: index as u32,
+            router_count: self.zones.iter().map(|z| z.routers as u32).sum(),
             zone: zone.to_string(),
             classes: self.classes.iter().map(class).collect(),
             tenants: self.clients.tenants.iter().map(tenant).collect(),
-            over_share_worth: self.clients.over_share_worth,
+            over_quota_weight: self.clients.over_share_worth,
             replica_check: plovercove::ReplicaCheck::None,
-            reports: plovercove::ReportSource::Probes,
-            may_probe: true,
-            may_cancel: true,
-            second_copies: true,
-            retry_after: true,
+            reports: plovercove::ReportSource::HealthChecks,
+            health_checks_allowed: true,
+            cancel_allowed: true,
+            hedging_allowed: true,
+            retry_after_allowed: true,
             max_retry_after: 500_000,
             max_attempts: 6,
             connection_idle: 30_000_000,
             tick: 5_000,
             answer_grace: 50_000,
             // Routers are told bounds, not what the nodes have.
-            cold_share: self.node.cold_from * 0.75,
-            cold_span: (self.node.cold_s * 1.4e6) as u64,
+            slow_start_min_share: self.node.cold_from * 0.75,
+            slow_start_duration: (self.node.cold_s * 1.4e6) as u64,
             overload_factor: self.node.fall_factor,
-            overload_span: (self.node.fall_s * 1e6) as u64,
+            overload_duration: (self.node.fall_s * 1e6) as u64,
             ..Settings::default()
         }
     }
--- a/simulation/src/strict.rs
+++ b/simulation/src/strict.rs
@@ -1,6 +1,9 @@
 //! The baseline `strict`: the home zone first, others where home has no room or no fresh replica. No limit, no ramp.
 
-use plovercove::{Ask, Ending, ListUpdate, Listed, News, NodeId, Span, Time, Zoning};
+use plovercove::{
+    AttemptEnd, EndpointState, EndpointUpdate, LocalityPolicy, LogEvent, Micros, NodeId,
+    RoutingQuery, Time,
+};
 use std::collections::BTreeSet;
 
 /// So little counts a node of another zone: whatever the load at home, it goes first while it has room.
@@ -22,17 +25,19 @@
     }
 }
 
-impl Zoning for Strict {
-    fn listed(&mut self, _: Time, update: &ListUpdate) {
-        let (ListUpdate::Changes(all) | ListUpdate::Full(all) | ListUpdate::Restored(all)) = update
+impl LocalityPolicy for Strict {
+    fn endpoints_changed(&mut self, _: Time, update: &EndpointUpdate) {
+        let (EndpointUpdate::Changes(all)
+        | EndpointUpdate::Full(all)
+        | EndpointUpdate::Restored(all)) = update
         else {
             return;
         };
-        if !matches!(update, ListUpdate::Changes(_)) {
+        if !matches!(update, EndpointUpdate::Changes(_)) {
             self.home.clear();
         }
         for entry in all {
-            if entry.zone == self.zone && entry.state != Listed::Gone {
+            if entry.zone == self.zone && entry.state != EndpointState::Removed {
                 self.home.insert(entry.node.clone());
             } else {
                 self.home.remove(&entry.node);
@@ -40,19 +45,19 @@
         }
     }
 
-    fn counts(&mut self, _: Time, _: &Ask, node: &NodeId) -> Option<f64> {
+    fn weight_share(&mut self, _: Time, _: &RoutingQuery, node: &NodeId) -> Option<f64> {
         Some(if self.home.contains(node) { 1.0 } else { FAR })
     }
 
-    fn sent(&mut self, _: Time, _: &Ask, _: &NodeId) {}
+    fn attempt_sent(&mut self, _: Time, _: &RoutingQuery, _: &NodeId) {}
 
-    fn ended(&mut self, _: Time, _: &Ask, _: &NodeId, _: Ending, _: Span) {}
+    fn attempt_ended(&mut self, _: Time, _: &RoutingQuery, _: &NodeId, _: AttemptEnd, _: Micros) {}
 
-    fn come_back(&self, _: &Ask, most: Span) -> Span {
+    fn retry_after(&self, _: &RoutingQuery, most: Micros) -> Micros {
         most / 2
     }
 
-    fn news(&mut self) -> Option<News> {
+    fn next_log_event(&mut self) -> Option<LogEvent> {
         None
     }
 }
--- a/simulation/src/world.rs
+++ b/simulation/src/world.rs
@@ -20,8 +20,8 @@
 use crate::rules::{Breaches, Rule};
 use crate::spec::{Spec, SpecFault, layout};
 use hdrhistogram::Histogram;
-use plovercove::{Ending, Listed, NodeEntry, NodeId, Settings, Span, Standing, Time};
-use plovercove_engine::{AttemptId, Backoff, Core, Key};
+use plovercove::{AttemptEnd, Endpoint, EndpointState, Micros, NodeId, NodeReport, Settings, Time};
+use plovercove_engine::{AttemptId, Backoff, Engine, Key};
 use rand::{RngExt, SeedableRng};
 use rand_distr::{Distribution, LogNormal, Normal};
 use slab::Slab;
@@ -34,7 +34,7 @@
 /// Runs go on for so long after the last arrival.
 const AFTER: Time = 8_000_000;
 /// Pauses of a router whose call of the list failed, as the router's own: the first and the longest (us).
-const CALL_PAUSES: (Span, Span) = (1_000_000, 8_000_000);
+const CALL_PAUSES: (Micros, Micros) = (1_000_000, 8_000_000);
 /// Sessions of each group.
 const SESSIONS: usize = 64;
 
@@ -60,7 +60,7 @@
     /// What came of an attempt reaches its router.
     Back {
         run: u32,
-        ending: Ending,
+        ending: AttemptEnd,
     },
     Wake(u32),
     ProbeAt {
@@ -72,7 +72,7 @@
         router: u32,
         epoch: u32,
         node: u32,
-        told: Option<Standing>,
+        told: Option<NodeReport>,
     },
     /// The list changes; a router hears of it.
     Change(u32),
@@ -136,7 +136,7 @@
 }
 
 struct Router {
-    core: Option<Core>,
+    core: Option<Engine>,
     zone: usize,
     epoch: u32,
     wake: Option<Time>,
@@ -145,7 +145,7 @@
     /// The version of the list that it has heard.
     told: u32,
     /// It hears of each change so much later than the first.
-    hears_after: Span,
+    hears_after: Micros,
     silent: u32,
     /// Idle connections to each node, and the epoch of the node they were made in.
     pools: Vec<(u32, u32)>,
@@ -227,10 +227,10 @@
     to_node: Vec<Vec<u32>>,
     to_router: Vec<Vec<u32>>,
     trips: Vec<Vec<f64>>,
-    initial: Vec<NodeEntry>,
+    initial: Vec<Endpoint>,
     /// Changes that the list has made, by version, and those it has yet to hear of.
-    changes: Vec<Vec<NodeEntry>>,
-    pending: Vec<Vec<NodeEntry>>,
+    changes: Vec<Vec<Endpoint>>,
+    pending: Vec<Vec<Endpoint>>,
     version: u32,
     /// When the list's service is through with the calls that wait.
     calls_until: Time,
@@ -332,17 +332,17 @@
         for ((_, members), head) in groups.iter().zip(&heads) {
             nodes[members[*head]].headed = true;
         }
-        let entry = |node: &Node| NodeEntry {
+        let entry = |node: &Node| Endpoint {
             node: node.id.clone(),
             zone: spec.zones[node.zone].name.clone(),
-            kind: "std".into(),
-            primary: node.headed,
+            machine_kind: "std".into(),
+            listed_as_primary: node.headed,
             group: node.group as u64 + 1,
-            state: Listed::Serving,
+            state: EndpointState::Serving,
             weight: 1.0,
-            started: None,
+            started_at: None,
         };
-        let initial: Vec<NodeEntry> = nodes.iter().map(entry).collect();
+        let initial: Vec<Endpoint> = nodes.iter().map(entry).collect();
         let zones = spec.zones.len();
         let mut trips = vec![vec![spec.net.cross_ms * 1e3; zones]; zones];
         for (zone, row) in trips.iter_mut().enumerate() {
--- a/simulation/src/world/clients.rs
+++ b/simulation/src/world/clients.rs
@@ -3,7 +3,7 @@
 use super::{BEGIN, Event, Request, SESSIONS, World, us};
 use crate::rules::Rule;
 use crate::spec::Reads;
-use plovercove::{Demand, Span, Time};
+use plovercove::{Micros, RequestInfo, Time};
 use plovercove_engine::Key;
 use rand::RngExt;
 use rand_distr::{Distribution, Exp};
@@ -124,7 +124,7 @@
         let patience = self.uniform((self.spec.clients.patience, 1.0));
         let deadline = told.deadline_ms * 1_000;
         let r = &self.requests[id as usize];
-        let left = ((deadline as f64 * patience) as Span)
+        let left = ((deadline as f64 * patience) as Micros)
             .min((r.born + deadline).saturating_sub(self.now));
         let mut router = r.router;
         if self.routers[router as usize].core.is_none() {
@@ -145,14 +145,14 @@
         r.router = router;
         let reads = told.reads;
         let keyed = matches!(reads, Reads::Session | Reads::Write);
-        let demand = Demand {
+        let demand = RequestInfo {
             class,
             tenant: r.tenant,
             session: keyed.then(|| self.sessions[r.group as usize][r.session as usize].clone()),
-            left,
+            time_left: left,
             group: u64::from(r.group) + 1,
-            write_age: r.need.map(|at| self.now - at),
-            ..Demand::default()
+            last_write_age: r.need.map(|at| self.now - at),
+            ..RequestInfo::default()
         };
         let core = self.routers[router as usize]
             .core
@@ -164,7 +164,7 @@
     }
 
     /// A client was answered without a value, or lost its router.
-    pub(super) fn unserved(&mut self, id: u32, harmless: bool, told: Option<Span>) {
+    pub(super) fn unserved(&mut self, id: u32, harmless: bool, told: Option<Micros>) {
         let r = &self.requests[id as usize];
         let safe = harmless || self.spec.classes[r.class as usize].reads != Reads::Write;
         if !safe || r.tries > self.spec.clients.retries {
--- a/simulation/src/world/faults.rs
+++ b/simulation/src/world/faults.rs
@@ -2,7 +2,7 @@
 
 use super::{Event, World, us};
 use crate::spec::Trouble;
-use plovercove::Listed;
+use plovercove::EndpointState;
 use rand::RngExt;
 
 impl World<'_> {
@@ -31,12 +31,12 @@
             Trouble::ZoneDown { zone, part } => {
                 let nodes = self.pick(Some(self.place(&zone)), part);
                 nodes.iter().for_each(|node| self.node_down(*node));
-                self.list_nodes(&nodes, Listed::Gone, self.spec.list.notice_s);
+                self.list_nodes(&nodes, EndpointState::Removed, self.spec.list.notice_s);
                 self.picked[n] = nodes;
             }
             Trouble::Drain { zone, part } | Trouble::Replace { zone, part } => {
                 let nodes = self.pick(Some(self.place(&zone)), part);
-                self.list_nodes(&nodes, Listed::Draining, (0.0, 0.1));
+                self.list_nodes(&nodes, EndpointState::Draining, (0.0, 0.1));
                 for node in &nodes {
                     let (group, member) = (
                         self.nodes[*node as usize].group,
@@ -126,7 +126,7 @@
                     .into_iter()
                     .filter(|n| self.nodes[*n as usize].up)
                     .collect();
-                self.list_nodes(&up, Listed::Serving, self.spec.list.add_s);
+                self.list_nodes(&up, EndpointState::Serving, self.spec.list.add_s);
             }
             Trouble::Drain { .. } => {
                 let nodes = std::mem::take(&mut self.picked[n]);
@@ -134,16 +134,16 @@
                     self.node_down(*node);
                     self.node_up(*node);
                 }
-                self.list_nodes(&nodes, Listed::Serving, self.spec.list.add_s);
+                self.list_nodes(&nodes, EndpointState::Serving, self.spec.list.add_s);
             }
             Trouble::Replace { .. } => {
                 for node in std::mem::take(&mut self.picked[n]) {
                     self.node_down(node);
-                    let gone = self.entry(node, Listed::Gone);
+                    let gone = self.entry(node, EndpointState::Removed);
                     self.rename(node);
                     self.node_up(node);
                     let after = self.uniform(self.spec.list.add_s);
-                    let came = self.entry(node, Listed::Serving);
+                    let came = self.entry(node, EndpointState::Serving);
                     self.will_change(after, vec![gone, came]);
                 }
             }
@@ -163,7 +163,7 @@
                     }
                 }
                 if cold {
-                    self.list_nodes(&nodes, Listed::Serving, self.spec.list.add_s);
+                    self.list_nodes(&nodes, EndpointState::Serving, self.spec.list.add_s);
                 }
             }
             Trouble::Cut { from, to } => {
--- a/simulation/src/world/links.rs
+++ b/simulation/src/world/links.rs
@@ -3,17 +3,17 @@
 use super::{Event, Run, World, us};
 use crate::rules::Rule;
 use crate::spec::Reads;
-use plovercove::{Ending, NodeId, Role, Span, Standing};
+use plovercove::{AttemptEnd, Micros, NodeId, NodeReport, Role};
 use plovercove_engine::{AttemptId, Key};
 use rand::RngExt;
 use rand_distr::Distribution;
 
 /// A message that was lost comes again after so long.
-const RESEND: Span = 200_000;
+const RESEND: Micros = 200_000;
 
 impl World<'_> {
     /// The time of one message between these zones; none where it is lost for good.
-    pub(super) fn trip(&mut self, from: usize, to: usize, lost: bool) -> Option<Span> {
+    pub(super) fn trip(&mut self, from: usize, to: usize, lost: bool) -> Option<Micros> {
         if lost {
             return None;
         }
@@ -23,10 +23,10 @@
         } else {
             0
         };
-        Some(base as Span + again)
+        Some(base as Micros + again)
     }
 
-    pub(super) fn out(&mut self, router: u32, node: u32) -> Option<Span> {
+    pub(super) fn out(&mut self, router: u32, node: u32) -> Option<Micros> {
         let (from, to) = (
             self.routers[router as usize].zone,
             self.nodes[node as usize].zone,
@@ -35,7 +35,7 @@
         self.trip(from, to, lost)
     }
 
-    pub(super) fn home(&mut self, router: u32, node: u32) -> Option<Span> {
+    pub(super) fn home(&mut self, router: u32, node: u32) -> Option<Micros> {
         let (to, from) = (
             self.routers[router as usize].zone,
             self.nodes[node as usize].zone,
@@ -132,7 +132,7 @@
                     self.now + timeout,
                     Event::Back {
                         run,
-                        ending: Ending::Unreachable,
+                        ending: AttemptEnd::Unreachable,
                     },
                 );
             }
@@ -141,7 +141,7 @@
                     self.now + wait,
                     Event::Back {
                         run,
-                        ending: Ending::Unreachable,
+                        ending: AttemptEnd::Unreachable,
                     },
                 );
             }
@@ -176,7 +176,7 @@
             return self.forget(run);
         }
         if self.nodes[node as usize].epoch != r.node_epoch {
-            return self.back(run, Ending::Unreachable);
+            return self.back(run, AttemptEnd::Unreachable);
         }
         let now = self.now;
         let Some(core) = self.live(router, epoch) else {
@@ -185,7 +185,7 @@
         if core.still_fits(attempt, now) {
             self.write(run);
         } else {
-            self.back(run, Ending::Void);
+            self.back(run, AttemptEnd::NeverSent);
         }
     }
 
@@ -216,7 +216,7 @@
         }
     }
 
-    pub(super) fn reply(&mut self, run: u32, ending: Ending) {
+    pub(super) fn reply(&mut self, run: u32, ending: AttemptEnd) {
         let r = &mut self.runs[run as usize];
         r.at_node = false;
         let (router, node) = (r.router, r.node);
@@ -226,7 +226,7 @@
         }
     }
 
-    pub(super) fn back(&mut self, id: u32, ending: Ending) {
+    pub(super) fn back(&mut self, id: u32, ending: AttemptEnd) {
         let run = &self.runs[id as usize];
         if run.given_up {
             return self.forget(id);
@@ -244,7 +244,11 @@
         let (group, member) = (known.group, known.member);
         let kept = matches!(
             ending,
-            Ending::Success | Ending::Failure | Ending::Missed | Ending::Overloaded | Ending::Void
+            AttemptEnd::Success
+                | AttemptEnd::Failure
+                | AttemptEnd::Misdirected
+                | AttemptEnd::Overloaded
+                | AttemptEnd::NeverSent
         );
         if known.epoch == run.node_epoch {
             let pool = &mut self.routers[router as usize].pools[node as usize];
@@ -253,24 +257,27 @@
                     known.epoch,
                     if pool.0 == known.epoch { pool.1 + 1 } else { 1 },
                 );
-            } else if ending == Ending::Broken {
+            } else if ending == AttemptEnd::Reset {
                 known.connections = known.connections.saturating_sub(1);
             }
         }
         let head = self.groups[group].0.primary() == Some(member);
         let write = self.spec.classes[class].reads == Reads::Write;
-        let answers = matches!(ending, Ending::Success | Ending::Missed | Ending::Failure);
-        let note = Standing {
+        let answers = matches!(
+            ending,
+            AttemptEnd::Success | AttemptEnd::Misdirected | AttemptEnd::Failure
+        );
+        let note = NodeReport {
             role: answers.then_some(if head { Role::Primary } else { Role::Replica }),
-            position: (write && ending == Ending::Success).then_some(self.now),
-            ..Standing::default()
+            position: (write && ending == AttemptEnd::Success).then_some(self.now),
+            ..NodeReport::default()
         };
         self.routers[router as usize].attempts.remove(&attempt);
         let now = self.now;
         let Some(core) = self.live(router, epoch) else {
             return self.forget(id);
         };
-        let served = core.ended(now, attempt, ending, note, Standing::default());
+        let served = core.ended(now, attempt, ending, note, NodeReport::default());
         if served.is_some() {
             let need = match self.spec.classes[class].reads {
                 Reads::Bounded(ms) => sent.saturating_sub(ms * 1_000),
--- a/simulation/src/world/list.rs
+++ b/simulation/src/world/list.rs
@@ -1,7 +1,7 @@
 //! The node list: what it hears of, when it changes, and when each router hears of that.
 
 use super::{Event, World, us};
-use plovercove::{ListUpdate, Listed, NodeEntry, NodeId};
+use plovercove::{Endpoint, EndpointState, EndpointUpdate, NodeId};
 use rand::RngExt;
 use std::collections::HashSet;
 
@@ -11,17 +11,17 @@
 const NOTICES: usize = 4;
 
 impl World<'_> {
-    pub(super) fn list_at(&self, version: u32) -> Vec<NodeEntry> {
+    pub(super) fn list_at(&self, version: u32) -> Vec<Endpoint> {
         let mut list = self.initial.clone();
         for entry in self.changes[..=version as usize].iter().flatten() {
             list[self.names[&entry.node] as usize] = entry.clone();
         }
-        list.retain(|e| e.state != Listed::Gone);
+        list.retain(|e| e.state != EndpointState::Removed);
         list
     }
 
     /// The list will hear of this after so long.
-    pub(super) fn will_change(&mut self, after: f64, entries: Vec<NodeEntry>) {
+    pub(super) fn will_change(&mut self, after: f64, entries: Vec<Endpoint>) {
         self.pending.push(entries);
         let number = self.pending.len() as u32 - 1;
         self.at(self.now + us(after), Event::Change(number));
@@ -75,11 +75,11 @@
             return;
         }
         let update = if !whole && version == r.told + 1 {
-            ListUpdate::Changes(self.changes[version as usize].clone())
+            EndpointUpdate::Changes(self.changes[version as usize].clone())
         } else {
-            ListUpdate::Full(self.list_at(self.version))
+            EndpointUpdate::Full(self.list_at(self.version))
         };
-        let told = if matches!(update, ListUpdate::Full(_)) {
+        let told = if matches!(update, EndpointUpdate::Full(_)) {
             self.version
         } else {
             version
@@ -87,28 +87,29 @@
         let now = self.now;
         let r = &mut self.routers[router as usize];
         r.told = told;
-        if let ListUpdate::Changes(all) | ListUpdate::Full(all) | ListUpdate::Restored(all) =
-            &update
+        if let EndpointUpdate::Changes(all)
+        | EndpointUpdate::Full(all)
+        | EndpointUpdate::Restored(all) = &update
         {
             let started = all
                 .iter()
-                .filter_map(|e| Some((self.names[&e.node], e.started?)));
+                .filter_map(|e| Some((self.names[&e.node], e.started_at?)));
             r.starts.extend(started);
         }
         match &update {
-            ListUpdate::Changes(entries) => {
+            EndpointUpdate::Changes(entries) => {
                 for entry in entries {
-                    if entry.state == Listed::Serving {
+                    if entry.state == EndpointState::Serving {
                         r.closed.remove(&entry.node);
                     } else {
                         r.closed.entry(entry.node.clone()).or_insert(now);
                     }
                 }
             }
-            ListUpdate::Full(entries) | ListUpdate::Restored(entries) => {
+            EndpointUpdate::Full(entries) | EndpointUpdate::Restored(entries) => {
                 let serving = entries
                     .iter()
-                    .filter(|e| e.state == Listed::Serving)
+                    .filter(|e| e.state == EndpointState::Serving)
                     .map(|e| &e.node);
                 let serving: HashSet<&NodeId> = serving.collect();
                 for name in self.names.keys() {
@@ -119,7 +120,7 @@
                     }
                 }
             }
-            ListUpdate::Failed => {}
+            EndpointUpdate::Failed => {}
         }
         if let Some(core) = &mut r.core {
             core.list(update);
@@ -127,20 +128,20 @@
         self.settle(router);
     }
 
-    pub(super) fn entry(&self, node: u32, state: Listed) -> NodeEntry {
+    pub(super) fn entry(&self, node: u32, state: EndpointState) -> Endpoint {
         let known = &self.nodes[node as usize];
         let primary = self.groups[known.group].0.primary() == Some(known.member);
-        NodeEntry {
+        Endpoint {
             node: known.id.clone(),
             state,
-            primary,
-            started: known.machine.started(),
+            listed_as_primary: primary,
+            started_at: known.machine.started(),
             ..self.initial[node as usize].clone()
         }
     }
 
     /// Tells the list of these nodes, in a few portions.
-    pub(super) fn list_nodes(&mut self, nodes: &[u32], state: Listed, delays: (f64, f64)) {
+    pub(super) fn list_nodes(&mut self, nodes: &[u32], state: EndpointState, delays: (f64, f64)) {
         let mut portions: Vec<Vec<u32>> = vec![Vec::new(); NOTICES];
         for node in nodes {
             portions[self.dice.random_range(0..NOTICES)].push(*node);
--- a/simulation/src/world/nodes.rs
+++ b/simulation/src/world/nodes.rs
@@ -5,11 +5,11 @@
 use crate::pressure::{Peak, Press};
 use crate::rules::Rule;
 use crate::spec::Reads;
-use plovercove::{Ending, Listed, Span, Time};
+use plovercove::{AttemptEnd, EndpointState, Micros, Time};
 use rand::RngExt;
 
 /// What the list has to tell counts as told after so long, whether it arrived or not.
-const DEEMED: Span = 6_000_000;
+const DEEMED: Micros = 6_000_000;
 
 impl World<'_> {
     pub(super) fn at_node(&mut self, id: u32) {
@@ -17,12 +17,12 @@
         let (node, epoch, class, work) = (run.node, run.node_epoch, run.class, run.work);
         let known = &mut self.nodes[node as usize];
         if !known.up || known.epoch != epoch {
-            return self.reply(id, Ending::Broken);
+            return self.reply(id, AttemptEnd::Reset);
         }
         let (group, member) = (known.group, known.member);
         let head = self.groups[group].0.primary() == Some(member);
         if self.spec.classes[class as usize].reads == Reads::Write && !head {
-            return self.reply(id, Ending::Missed);
+            return self.reply(id, AttemptEnd::Misdirected);
         }
         let cold = known.machine.warmth(self.now) < 1.0;
         if cold {
@@ -60,7 +60,7 @@
         match offered {
             Offer::Runs(until) => self.begins(id, until),
             Offer::Waits => self.runs[id as usize].at_node = true,
-            Offer::Full => self.reply(id, Ending::Overloaded),
+            Offer::Full => self.reply(id, AttemptEnd::Overloaded),
             Offer::Falls => {
                 self.counted.fallen += 1;
                 let (name, second) = (known.id.clone(), self.second());
@@ -72,7 +72,7 @@
                     });
                 }
                 self.node_down(node);
-                self.reply(id, Ending::Broken);
+                self.reply(id, AttemptEnd::Reset);
             }
         }
     }
@@ -122,7 +122,7 @@
         let failed = self.dice.random::<f64>() < errors;
         let log = &mut self.groups[group].0;
         if write && log.primary() != Some(member) {
-            return self.reply(id, Ending::Failure);
+            return self.reply(id, AttemptEnd::Failure);
         }
         if write {
             log.commit(self.now);
@@ -137,9 +137,9 @@
         self.reply(
             id,
             if failed {
-                Ending::Failure
+                AttemptEnd::Failure
             } else {
-                Ending::Success
+                AttemptEnd::Success
             },
         );
     }
@@ -160,7 +160,7 @@
             .map(|(id, _)| id as u32)
             .collect();
         for run in lost {
-            self.reply(run, Ending::Broken);
+            self.reply(run, AttemptEnd::Reset);
         }
         self.leaves(group, member);
     }
@@ -228,7 +228,7 @@
                     .collect();
                 let entries = nodes
                     .into_iter()
-                    .map(|n| self.entry(n, Listed::Serving))
+                    .map(|n| self.entry(n, EndpointState::Serving))
                     .collect();
                 let after = self.uniform(self.spec.list.role_s);
                 self.will_change(after, entries);
--- a/simulation/src/world/routers.rs
+++ b/simulation/src/world/routers.rs
@@ -3,9 +3,9 @@
 use super::{BEGIN, Event, World, us};
 use crate::spec::{SpecFault, Variant};
 use crate::strict::Strict;
-use plovercove::{ListUpdate, NodeId, Role, Standing, Zoning};
-use plovercove_engine::{Answer, Command, Core, Due};
-use plovercove_locality::Tiers;
+use plovercove::{EndpointUpdate, LocalityPolicy, NodeId, NodeReport, Role};
+use plovercove_engine::{Answer, Command, Due, Engine};
+use plovercove_locality::ZoneFailover;
 
 /// Rounds of decisions on one event.
 const ROUNDS: usize = 16;
@@ -16,11 +16,11 @@
         let name = &self.spec.zones[zone].name;
         let (settings, epoch) = (self.settings[router].clone(), self.routers[router].epoch);
         let seed = self.seed ^ ((router as u64 + 1) << 20) ^ (u64::from(epoch) << 50);
-        let zoning: Option<Box<dyn Zoning>> = match self.spec.variant {
+        let zoning: Option<Box<dyn LocalityPolicy>> = match self.spec.variant {
             Variant::Flat => None,
             Variant::Strict => Some(Box::new(Strict::new(name))),
-            Variant::Tiers => {
-                let tiers = Tiers::new(self.spec.rules(), &settings, seed);
+            Variant::ZoneFailover => {
+                let tiers = ZoneFailover::new(self.spec.rules(), &settings, seed);
                 Some(Box::new(
                     tiers.map_err(|e| SpecFault(format!("tiers.{e}")))?,
                 ))
@@ -30,7 +30,7 @@
             Some(peers) => Some(self.join(peers, router, zoning)?),
             None => zoning,
         };
-        let core = Core::new(settings, seed);
+        let core = Engine::new(settings, seed);
         let mut core = match zoning {
             Some(zoning) => core.zoned(zoning),
             None => core,
@@ -43,9 +43,9 @@
         let known = self.list_at(told);
         let starts = known
             .iter()
-            .filter_map(|e| Some((self.names[&e.node], e.started?)))
+            .filter_map(|e| Some((self.names[&e.node], e.started_at?)))
             .collect();
-        core.list(ListUpdate::Restored(known));
+        core.list(EndpointUpdate::Restored(known));
         self.routers[router].core = Some(core);
         self.routers[router].closed.clear();
         self.routers[router].starts = starts;
@@ -57,7 +57,7 @@
                 .core
                 .as_mut()
                 .expect("just made")
-                .list(ListUpdate::Full(list));
+                .list(EndpointUpdate::Full(list));
         }
         self.settle(router as u32);
         self.say(router as u32);
@@ -98,7 +98,7 @@
         }
     }
 
-    pub(super) fn live(&mut self, router: u32, epoch: u32) -> Option<&mut Core> {
+    pub(super) fn live(&mut self, router: u32, epoch: u32) -> Option<&mut Engine> {
         let r = &mut self.routers[router as usize];
         r.core.as_mut().filter(|_| r.epoch == epoch)
     }
@@ -241,11 +241,11 @@
         let position = Some(log.position(member, self.now).saturating_sub(old));
         let machine = &self.nodes[node as usize].machine;
         let (held, busy) = (machine.held() as u32, (machine.busy() * 1e3) as u32);
-        let told = up.then_some(Standing {
+        let told = up.then_some(NodeReport {
             position,
             role: Some(role),
-            held: Some(held),
-            busy: Some(busy),
+            in_flight: Some(held),
+            utilization_permille: Some(busy),
             age: 0,
         });
         if let Some(wait) = self.home(router, node) {
--- a/simulation/src/world/talk.rs
+++ b/simulation/src/world/talk.rs
@@ -2,8 +2,8 @@
 
 use super::{BEGIN, Event, World, us};
 use crate::spec::{PeerSpec, SpecFault};
-use plovercove::{NodeId, Span, Zoning};
-use plovercove_engine::Core;
+use plovercove::{LocalityPolicy, Micros, NodeId};
+use plovercove_engine::Engine;
 use plovercove_gossip::{Keys, Level, Life, News, Peers, Witness};
 use rand::RngExt;
 use std::any::Any;
@@ -12,7 +12,7 @@
 /// Routers that are asked by those who know nobody.
 const SEEDS: usize = 3;
 /// After a node's fault is over, or a router was struck, what is said of it is excused for so long beyond the evidence's life.
-const AFTER: Span = 2_000_000;
+const AFTER: Micros = 2_000_000;
 
 /// One router's talk.
 pub(super) struct Talk {
@@ -60,8 +60,8 @@
         &mut self,
         spec: &PeerSpec,
         router: usize,
-        inner: Option<Box<dyn Zoning>>,
-    ) -> Result<Box<dyn Zoning>, SpecFault> {
+        inner: Option<Box<dyn LocalityPolicy>>,
+    ) -> Result<Box<dyn LocalityPolicy>, SpecFault> {
         let mut rules = spec.rules.clone();
         rules.installation = "model".into();
         rules.routers = self.routers.len() as u32;
@@ -150,7 +150,7 @@
                 self.talked.lost += 1;
                 continue;
             }
-            let wait = (self.trips[a][b] * (0.85 + 0.4 * self.talk_dice.random::<f64>())) as Span;
+            let wait = (self.trips[a][b] * (0.85 + 0.4 * self.talk_dice.random::<f64>())) as Micros;
             let (slot, epoch) = (self.datagrams.insert(bytes) as u32, self.routers[to].epoch);
             self.at(
                 now + wait,
@@ -221,7 +221,7 @@
         if self.talked.all_out.is_some() {
             return;
         }
-        let out = |core: &mut Core| witness(core).is_some_and(|w| w.level(node) == Level::Out);
+        let out = |core: &mut Engine| witness(core).is_some_and(|w| w.level(node) == Level::Out);
         if self
             .routers
             .iter_mut()
@@ -241,7 +241,7 @@
 }
 
 /// The witness beside a router's module.
-fn witness(core: &mut Core) -> Option<&mut Witness> {
+fn witness(core: &mut Engine) -> Option<&mut Witness> {
     core.zoning()
         .map(|zoning| zoning as &mut dyn Any)
         .and_then(<dyn Any>::downcast_mut)
--- a/simulator-adapter/src/main.rs
+++ b/simulator-adapter/src/main.rs
@@ -4,7 +4,7 @@
 mod read;
 mod write;
 
-use plovercove::{Action, Balancer, Event, NodeEntry};
+use plovercove::{Action, Balancer, Endpoint, Event};
 use plovercove_settings::Fault;
 use read::Incoming;
 use std::collections::BTreeMap;
@@ -21,7 +21,7 @@
 /// All that this process holds. Instances share only the numbered node lists, which belong to the wire.
 #[derive(Default)]
 struct Host {
-    pools: BTreeMap<u64, Vec<NodeEntry>>,
+    pools: BTreeMap<u64, Vec<Endpoint>>,
     instances: BTreeMap<String, Instance>,
 }
 
--- a/simulator-adapter/src/read.rs
+++ b/simulator-adapter/src/read.rs
@@ -33,7 +33,7 @@
 
 /// One message of a batch.
 pub enum Incoming {
-    Pool(u64, Vec<NodeEntry>),
+    Pool(u64, Vec<Endpoint>),
     Spawn(u64, Box<Spawned>),
     Exit,
     Event(Event),
@@ -110,7 +110,7 @@
 pub fn message(
     value: &Value,
     names: Option<&Names>,
-    pools: &BTreeMap<u64, Vec<NodeEntry>>,
+    pools: &BTreeMap<u64, Vec<Endpoint>>,
 ) -> Read<Incoming> {
     let values = list(value, "message")?;
     let kind = text(values.first().unwrap_or(&NOTHING), "message name")?;
@@ -145,7 +145,7 @@
 fn event(
     f: &Fields<'_>,
     names: Option<&Names>,
-    pools: &BTreeMap<u64, Vec<NodeEntry>>,
+    pools: &BTreeMap<u64, Vec<Endpoint>>,
 ) -> Read<Event> {
     let Some(names) = names else {
         return Err(Fault::new(format!("{}: no Spawn came before it", f.kind)));
@@ -158,18 +158,18 @@
     };
     Ok(match f.kind {
         "Members" => {
-            let pool = || -> Read<Vec<NodeEntry>> {
+            let pool = || -> Read<Vec<Endpoint>> {
                 let id = f.get(0, "SetId", whole)?;
                 pools
                     .get(&id)
                     .cloned()
                     .ok_or_else(|| Fault::new(format!("Members SetId: no Pool has number {id}")))
             };
-            Event::List(match f.get(1, "Mode", text)? {
-                "update" => ListUpdate::Changes(pool()?),
-                "replace" => ListUpdate::Full(pool()?),
-                "restored" => ListUpdate::Restored(pool()?),
-                "unavailable" => ListUpdate::Failed,
+            Event::EndpointsChanged(match f.get(1, "Mode", text)? {
+                "update" => EndpointUpdate::Changes(pool()?),
+                "replace" => EndpointUpdate::Full(pool()?),
+                "restored" => EndpointUpdate::Restored(pool()?),
+                "unavailable" => EndpointUpdate::Failed,
                 other => return Err(Fault::new(format!("Members Mode: {other:?} is unknown"))),
             })
         }
@@ -181,7 +181,7 @@
             let class = f.get(1, "Qos", text)?;
             let bits = f.maybe(8, "Bitmap", whole)?.unwrap_or(0);
             let age = f.maybe(7, "TokenMs", number)?.unwrap_or(0.0);
-            Event::Request(Demand {
+            Event::RequestArrived(RequestInfo {
                 id: f.get(0, "Xid", whole)?,
                 class: names
                     .known
@@ -200,36 +200,36 @@
                     .maybe(3, "Sess", text)?
                     .filter(|s| !s.is_empty())
                     .map(Arc::from),
-                left: f.get(4, "Left", whole)?,
+                time_left: f.get(4, "Left", whole)?,
                 cost_hint: f.maybe(5, "Expected", whole)?.filter(|_| bits & 1 != 0),
                 group: f.get(6, "DbNo", whole)?,
-                write_age: (age > 0.0).then_some((age * 1000.0).floor() as u64),
-                repeat: bits & 2 != 0,
+                last_write_age: (age > 0.0).then_some((age * 1000.0).floor() as u64),
+                is_retry: bits & 2 != 0,
             })
         }
-        "Accepted" => Event::Started {
+        "Accepted" => Event::StreamStarted {
             request: f.get(0, "Xid", whole)?,
         },
-        "Verdict" => Event::Outcome {
+        "Verdict" => Event::AttemptEnded {
             request: f.get(0, "Xid", whole)?,
             attempt: f.get(1, "Hop", whole)? as u32,
-            ending: ending(f.get(3, "Status", text)?)?,
+            end: ending(f.get(3, "Status", text)?)?,
             elapsed: f.maybe(4, "DelaySeen", whole)?.unwrap_or(0),
-            over: f.get(5, "Terminal", flag)?,
-            note: note(f.maybe(6, "Stand", whole)?.unwrap_or(0), names.zero),
-            report: report(f.maybe(7, "Gauge", list)?, names)?,
+            request_over: f.get(5, "Terminal", flag)?,
+            answer_report: note(f.maybe(6, "Stand", whole)?.unwrap_or(0), names.zero),
+            load_report: report(f.maybe(7, "Gauge", list)?, names)?,
         },
-        "Abandoned" => Event::Abandoned {
+        "Abandoned" => Event::ClientGone {
             request: f.get(0, "Xid", whole)?,
         },
         "Elapsed" => {
             f.get(0, "Ref", text)?;
             Event::Timer
         }
-        "Pong" => Event::Probed {
+        "Pong" => Event::HealthChecked {
             node: Arc::from(f.get(0, "Node", text)?),
             answered: f.get(1, "Status", text)? == "success",
-            report: report(f.maybe(3, "Gauge", list)?, names)?,
+            load_report: report(f.maybe(3, "Gauge", list)?, names)?,
         },
         "FromPeer" => Event::Peer {
             from: f.get(0, "SrcPeer", whole)? as u32,
@@ -253,17 +253,17 @@
     bytes.ok_or_else(|| bad(what, "pairs of hex digits", value))
 }
 
-fn ending(word: &str) -> Read<Ending> {
+fn ending(word: &str) -> Read<AttemptEnd> {
     Ok(match word {
-        "success" => Ending::Success,
-        "failure" => Ending::Failure,
-        "overloaded" => Ending::Overloaded,
-        "timed_out" => Ending::TimedOut,
-        "unreachable" => Ending::Unreachable,
-        "broken" => Ending::Broken,
-        "withdrawn" => Ending::Cancelled,
-        "void" => Ending::Void,
-        "absent" => Ending::Missed,
+        "success" => AttemptEnd::Success,
+        "failure" => AttemptEnd::Failure,
+        "overloaded" => AttemptEnd::Overloaded,
+        "timed_out" => AttemptEnd::TimedOut,
+        "unreachable" => AttemptEnd::Unreachable,
+        "broken" => AttemptEnd::Reset,
+        "withdrawn" => AttemptEnd::Cancelled,
+        "void" => AttemptEnd::NeverSent,
+        "absent" => AttemptEnd::Misdirected,
         other => return Err(Fault::new(format!("Verdict Status: {other:?} is unknown"))),
     })
 }
@@ -276,22 +276,22 @@
     }
 }
 
-fn note(stand: u64, zero: u64) -> Standing {
+fn note(stand: u64, zero: u64) -> NodeReport {
     let position = (stand / 4 > 0).then(|| zero + stand / 4 * 1000);
-    Standing {
+    NodeReport {
         position,
         role: role(stand % 4),
-        held: None,
-        busy: None,
+        in_flight: None,
+        utilization_permille: None,
         age: 0,
     }
 }
 
-fn report(row: Option<&Vec<Value>>, names: &Names) -> Read<Standing> {
+fn report(row: Option<&Vec<Value>>, names: &Names) -> Read<NodeReport> {
     let Some(row) = row else {
-        return Ok(Standing::default());
+        return Ok(NodeReport::default());
     };
-    let mut standing = Standing::default();
+    let mut standing = NodeReport::default();
     for (value, name) in row.iter().zip(&names.report) {
         match name.as_str() {
             "x0" if !value.is_null() => {
@@ -308,10 +308,11 @@
                 });
             }
             "outstanding" if !value.is_null() => {
-                standing.held = Some(number(value, "Gauge outstanding")?.max(0.0) as u32)
+                standing.in_flight = Some(number(value, "Gauge outstanding")?.max(0.0) as u32)
             }
             "utilization" if !value.is_null() => {
-                standing.busy = Some((number(value, "Gauge utilization")?.max(0.0) * 1e3) as u32)
+                standing.utilization_permille =
+                    Some((number(value, "Gauge utilization")?.max(0.0) * 1e3) as u32)
             }
             _ => {}
         }
@@ -319,21 +320,21 @@
     Ok(standing)
 }
 
-fn entry(value: &Value) -> Read<NodeEntry> {
+fn entry(value: &Value) -> Read<Endpoint> {
     let f = Fields {
         kind: "Pool entry",
         values: list(value, "Pool entry")?,
     };
-    Ok(NodeEntry {
+    Ok(Endpoint {
         node: Arc::from(f.get(0, "Node", text)?),
         zone: f.maybe(1, "RackZone", text)?.unwrap_or("").to_string(),
-        kind: f.maybe(2, "Flavor", text)?.unwrap_or("").to_string(),
-        primary: f.maybe(3, "Head", number)? == Some(1.0),
+        machine_kind: f.maybe(2, "Flavor", text)?.unwrap_or("").to_string(),
+        listed_as_primary: f.maybe(3, "Head", number)? == Some(1.0),
         group: f.get(4, "Cell", whole)?,
         state: match f.get(5, "Status", text)? {
-            "SERVING" => Listed::Serving,
-            "DRAINING" => Listed::Draining,
-            "DELETED" => Listed::Gone,
+            "SERVING" => EndpointState::Serving,
+            "DRAINING" => EndpointState::Draining,
+            "DELETED" => EndpointState::Removed,
             other => {
                 return Err(Fault::new(format!(
                     "Pool entry Status: {other:?} is unknown"
@@ -341,6 +342,6 @@
             }
         },
         weight: f.maybe(6, "Size", number)?.unwrap_or(1.0),
-        started: f.maybe(7, "BootTime", whole)?.filter(|t| *t > 0),
+        started_at: f.maybe(7, "BootTime", whole)?.filter(|t| *t > 0),
     })
 }
--- a/simulator-adapter/src/write.rs
+++ b/simulator-adapter/src/write.rs
@@ -40,20 +40,20 @@
             write!(reply, "[\"Send\",{request},{},{timeout}]", quoted(node))
         }
         Action::Cancel { request, attempt } => write!(reply, "[\"Retract\",{request},{attempt}]"),
-        Action::Refuse {
+        Action::Reject {
             request,
             retry_after: Some(wait),
         } => {
             write!(reply, "[\"OverloadReply\",{request},{wait}]")
         }
-        Action::Refuse {
+        Action::Reject {
             request,
             retry_after: None,
         } => write!(reply, "[\"OverloadReply\",{request},null]"),
         Action::Fail { request } => write!(reply, "[\"DropRequest\",{request}]"),
         Action::Wake(delay) => write!(reply, "[\"WakeAt\",{delay},\"wake\"]"),
-        Action::Probe(node) => write!(reply, "[\"Check\",{}]", quoted(node)),
-        Action::Close(node) => write!(reply, "[\"HangUp\",{}]", quoted(node)),
+        Action::HealthCheck(node) => write!(reply, "[\"Check\",{}]", quoted(node)),
+        Action::CloseIdle(node) => write!(reply, "[\"HangUp\",{}]", quoted(node)),
         Action::Subscribe => write!(reply, "[\"Track\",true]"),
         Action::Log(news) => write!(reply, "[\"Record\",{}]", quoted(&news.text)),
     };
--- a/src/interface.rs
+++ b/src/api.rs
@@ -7,7 +7,7 @@
 /// A moment on the router's clock, in microseconds. It never runs backwards.
 pub type Time = u64;
 /// A length of time in microseconds.
-pub type Span = u64;
+pub type Micros = u64;
 /// A request, as the router numbers it.
 pub type RequestId = u64;
 /// A server's name, opaque to the module.
@@ -17,7 +17,7 @@
 
 /// Whether a request may take effect more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// Repeats do no harm.
     Idempotent,
     /// Carries a key by which a set of nodes drops repeats for a while.
@@ -28,7 +28,7 @@
 
 /// Which nodes drop a repeat of a deduplicated request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RepeatScope {
+pub enum DedupScope {
     /// All nodes.
     All,
     /// Nodes in the zone of the first attempt's node.
@@ -47,7 +47,7 @@
     /// A read that must see what its session has written.
     OwnWrites,
     /// A read of data no older than this when it is sent.
-    Bounded(Span),
+    Bounded(Micros),
     /// A read that any member may answer.
     Any,
 }
@@ -60,21 +60,21 @@
     /// What data it needs.
     pub access: Access,
     /// Answered within this time it earns its full worth.
-    pub aim: Span,
+    pub latency_objective: Micros,
     /// The aim grows by this many times the work of the request.
-    pub aim_stretch: f64,
+    pub objective_per_cost: f64,
     /// The client's whole patience, over all its tries.
-    pub deadline: Span,
+    pub deadline: Micros,
     /// The worth of one request.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// The share of the worth that a late answer still earns.
-    pub late_worth: f64,
+    pub late_weight_share: f64,
     /// Whether it may be repeated.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// For deduplicated classes: who drops repeats.
-    pub scope: RepeatScope,
+    pub dedup_scope: DedupScope,
     /// For deduplicated classes: for how long after the first send that may have run.
-    pub window: Span,
+    pub dedup_window: Micros,
     /// Whether answers are streamed.
     pub stream: bool,
 }
@@ -94,14 +94,14 @@
     /// It answers from what it has: only the router guards freshness.
     None,
     /// It turns the read away at once.
-    Refuse,
+    Reject,
     /// It waits up to this long to catch up, then turns the read away.
-    Wait(Span),
+    Wait(Micros),
 }
 
 /// How the node list tells who is primary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListRole {
+pub enum RoleSource {
     /// Seconds late.
     Late,
     /// As it was at the start, for ever.
@@ -116,7 +116,7 @@
     /// With outcomes and probe results.
     Answers,
     /// With probe results only.
-    Probes,
+    HealthChecks,
     /// There are none.
     None,
 }
@@ -151,9 +151,9 @@
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// This router's number among its peers, from 0.
-    pub index: u32,
+    pub router_index: u32,
     /// How many routers there are.
-    pub routers: u32,
+    pub router_count: u32,
     /// The zone this router stands in.
     pub zone: String,
     /// The classes; requests name them by their place here.
@@ -161,55 +161,55 @@
     /// The tenants; requests name them by their place here. One that names none, or another, is never over a share.
     pub tenants: Vec<Tenant>,
     /// The worth of a request beyond its tenant's share, as a fraction.
-    pub over_share_worth: f64,
+    pub over_quota_weight: f64,
     /// Whether worth counts by the unit of work instead of by the request.
-    pub worth_by_work: bool,
+    pub weight_per_work: bool,
     /// What replicas do with reads that they lag behind for.
     pub replica_check: ReplicaCheck,
     /// How the node list tells roles.
-    pub list_role: ListRole,
+    pub role_source: RoleSource,
     /// Where reports come from.
     pub reports: ReportSource,
     /// Whether requests carry the age of their session's last write. If not, the router remembers it.
-    pub tokens_carried: bool,
+    pub clients_carry_tokens: bool,
     /// What list weights mean.
-    pub weights: WeightMeaning,
+    pub weight_meaning: WeightMeaning,
     /// Whether list changes come only when asked for.
     pub subscribe: bool,
     /// Without a subscription the router counts as told of the list after this long.
-    pub ask_every: Span,
+    pub poll_interval: Micros,
     /// Whether probes are allowed.
-    pub may_probe: bool,
+    pub health_checks_allowed: bool,
     /// Whether attempts may be cancelled.
-    pub may_cancel: bool,
+    pub cancel_allowed: bool,
     /// Whether two attempts of one request may be out at once. None is sent on purpose: a cancelled one may overlap.
-    pub second_copies: bool,
+    pub hedging_allowed: bool,
     /// Whether advice on when to return reaches clients.
-    pub retry_after: bool,
+    pub retry_after_allowed: bool,
     /// The longest wait that a client follows.
-    pub max_retry_after: Span,
+    pub max_retry_after: Micros,
     /// Attempts allowed for one request.
     pub max_attempts: u32,
     /// A connection that is not up after this long is given up.
-    pub connect_timeout: Span,
+    pub connect_timeout: Micros,
     /// Idle connections are closed by themselves after this long.
-    pub connection_idle: Span,
+    pub connection_idle: Micros,
     /// The shortest time between two batches.
-    pub tick: Span,
+    pub tick: Micros,
     /// Sends to a node that drains or is gone must stop within this time of the notice.
-    pub drain_grace: Span,
+    pub drain_grace: Micros,
     /// Only nodes listed as draining, not those dropped from the list, are closed to sends.
     pub dropped_stay_open: bool,
     /// A final answer still counts this long after the client's deadline.
-    pub answer_grace: Span,
+    pub answer_grace: Micros,
     /// A node starts with at least this share of its capacity.
-    pub cold_share: f64,
+    pub slow_start_min_share: f64,
     /// A node is warm at the latest this long after its start.
-    pub cold_span: Span,
+    pub slow_start_duration: Micros,
     /// A cold node falls over at this multiple of its present capacity ...
     pub overload_factor: f64,
     /// ... kept up for this long.
-    pub overload_span: Span,
+    pub overload_duration: Micros,
     /// What the operators charge for.
     pub prices: Prices,
 }
@@ -218,24 +218,24 @@
     /// A lone router of a small site where nodes check reads and everything optional is off.
     fn default() -> Self {
         Settings {
-            index: 0,
-            routers: 1,
+            router_index: 0,
+            router_count: 1,
             zone: String::new(),
             classes: Vec::new(),
             tenants: Vec::new(),
-            over_share_worth: 1.0,
-            worth_by_work: false,
-            replica_check: ReplicaCheck::Refuse,
-            list_role: ListRole::Late,
+            over_quota_weight: 1.0,
+            weight_per_work: false,
+            replica_check: ReplicaCheck::Reject,
+            role_source: RoleSource::Late,
             reports: ReportSource::None,
-            tokens_carried: true,
-            weights: WeightMeaning::Size,
+            clients_carry_tokens: true,
+            weight_meaning: WeightMeaning::Size,
             subscribe: false,
-            ask_every: 0,
-            may_probe: false,
-            may_cancel: false,
-            second_copies: false,
-            retry_after: false,
+            poll_interval: 0,
+            health_checks_allowed: false,
+            cancel_allowed: false,
+            hedging_allowed: false,
+            retry_after_allowed: false,
             max_retry_after: 0,
             max_attempts: 4,
             connect_timeout: 250_000,
@@ -244,10 +244,10 @@
             drain_grace: 1_000_000,
             dropped_stay_open: false,
             answer_grace: 0,
-            cold_share: 1.0,
-            cold_span: 1,
+            slow_start_min_share: 1.0,
+            slow_start_duration: 1,
             overload_factor: 1.0,
-            overload_span: 1_000_000,
+            overload_duration: 1_000_000,
             prices: Prices::default(),
         }
     }
@@ -255,53 +255,53 @@
 
 /// What the list says of a node's state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Listed {
+pub enum EndpointState {
     /// It takes requests.
     #[default]
     Serving,
     /// It finishes its work; send nothing new.
     Draining,
     /// It is removed.
-    Gone,
+    Removed,
 }
 
 /// One entry of the node list.
 #[derive(Clone, Debug, Default)]
-pub struct NodeEntry {
+pub struct Endpoint {
     /// The node.
     pub node: NodeId,
     /// The zone it stands in.
     pub zone: String,
     /// Its kind of machine.
-    pub kind: String,
+    pub machine_kind: String,
     /// Whether the list holds it for the primary of its group.
-    pub primary: bool,
+    pub listed_as_primary: bool,
     /// Its group.
     pub group: GroupId,
     /// Its state.
-    pub state: Listed,
+    pub state: EndpointState,
     /// Its weight against other nodes.
     pub weight: f64,
     /// When it last started; `None` for long ago.
-    pub started: Option<Time>,
+    pub started_at: Option<Time>,
 }
 
 /// A message from discovery.
 #[derive(Clone, Debug)]
-pub enum ListUpdate {
+pub enum EndpointUpdate {
     /// These entries changed.
-    Changes(Vec<NodeEntry>),
+    Changes(Vec<Endpoint>),
     /// The complete list: what is missing from it is gone.
-    Full(Vec<NodeEntry>),
+    Full(Vec<Endpoint>),
     /// The list as this router last held it before it was restarted; maybe out of date.
-    Restored(Vec<NodeEntry>),
+    Restored(Vec<Endpoint>),
     /// A subscription or a call failed; the last list stays in force.
     Failed,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum AttemptEnd {
     /// Served.
     Success,
     /// The node returned an error; it may have had an effect.
@@ -313,28 +313,28 @@
     /// No connection could be made; it never ran.
     Unreachable,
     /// The connection broke; it may have run.
-    Broken,
+    Reset,
     /// Cancelled; it may have run.
     Cancelled,
     /// Never sent.
-    Void,
+    NeverSent,
     /// Turned away untouched: a write at a replica, or a read that the node lags behind for.
-    Missed,
+    Misdirected,
 }
 
-impl Ending {
+impl AttemptEnd {
     /// In a word or two, for logs.
-    pub fn word(self) -> &'static str {
+    pub fn label(self) -> &'static str {
         match self {
-            Ending::Success => "served",
-            Ending::Failure => "error",
-            Ending::Overloaded => "turned away",
-            Ending::TimedOut => "timed out",
-            Ending::Unreachable => "unreachable",
-            Ending::Broken => "reset",
-            Ending::Cancelled => "cancelled",
-            Ending::Void => "never sent",
-            Ending::Missed => "missed",
+            AttemptEnd::Success => "served",
+            AttemptEnd::Failure => "error",
+            AttemptEnd::Overloaded => "turned away",
+            AttemptEnd::TimedOut => "timed out",
+            AttemptEnd::Unreachable => "unreachable",
+            AttemptEnd::Reset => "reset",
+            AttemptEnd::Cancelled => "cancelled",
+            AttemptEnd::NeverSent => "never sent",
+            AttemptEnd::Misdirected => "missed",
         }
     }
 }
@@ -350,23 +350,23 @@
 
 /// What a node says of itself in an answer or a report.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Standing {
+pub struct NodeReport {
     /// A moment up to which it has applied every commit.
     pub position: Option<Time>,
     /// Its role.
     pub role: Option<Role>,
     /// How many requests it holds, those of all routers together.
-    pub held: Option<u32>,
+    pub in_flight: Option<u32>,
     /// How busy its cores are, in thousandths.
-    pub busy: Option<u32>,
+    pub utilization_permille: Option<u32>,
     /// How long ago it was asked, where another router asked: that, and the longest time its word was under way. 0 where
     /// this router asked itself.
-    pub age: Span,
+    pub age: Micros,
 }
 
 /// A request from a client.
 #[derive(Clone, Debug, Default)]
-pub struct Demand {
+pub struct RequestInfo {
     /// Its number.
     pub id: RequestId,
     /// Its class, by place in the settings.
@@ -376,61 +376,61 @@
     /// Its session, where it has one.
     pub session: Option<Arc<str>>,
     /// How long the client waits for this try.
-    pub left: Span,
+    pub time_left: Micros,
     /// Expected work on a standard core, where told.
-    pub cost_hint: Option<Span>,
+    pub cost_hint: Option<Micros>,
     /// The group it is for.
     pub group: GroupId,
     /// How long ago the session's last write was committed, where told and where there is one.
-    pub write_age: Option<Span>,
+    pub last_write_age: Option<Micros>,
     /// Whether the client marked it as a repeat.
-    pub repeat: bool,
+    pub is_retry: bool,
 }
 
 /// What the router reports to the module.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// Discovery says something.
-    List(ListUpdate),
+    EndpointsChanged(EndpointUpdate),
     /// A request arrived.
-    Request(Demand),
+    RequestArrived(RequestInfo),
     /// A streamed answer began; the request now belongs to that attempt.
-    Started {
+    StreamStarted {
         /// The request.
         request: RequestId,
     },
     /// An attempt ended.
-    Outcome {
+    AttemptEnded {
         /// The request.
         request: RequestId,
         /// The attempt, counted from 0 in the order of sends.
         attempt: u32,
         /// How it ended.
-        ending: Ending,
+        end: AttemptEnd,
         /// Time since the send.
-        elapsed: Span,
+        elapsed: Micros,
         /// Whether the request is over.
-        over: bool,
+        request_over: bool,
         /// What the answer's note says of the node.
-        note: Standing,
+        answer_report: NodeReport,
         /// What the report carried along says of the node; as old as the report.
-        report: Standing,
+        load_report: NodeReport,
     },
     /// The client left, or an answer is overdue; the request is over.
-    Abandoned {
+    ClientGone {
         /// The request.
         request: RequestId,
     },
     /// A timer fell due.
     Timer,
     /// A probe ended.
-    Probed {
+    HealthChecked {
         /// The node.
         node: NodeId,
         /// Whether it answered.
         answered: bool,
         /// What it said of itself.
-        report: Standing,
+        load_report: NodeReport,
     },
     /// A message from a peer. The module follows none: routers share nothing.
     Peer {
@@ -451,7 +451,7 @@
         /// The node.
         node: NodeId,
         /// Stop waiting after this long.
-        timeout: Span,
+        timeout: Micros,
     },
     /// Stop waiting for an attempt.
     Cancel {
@@ -461,11 +461,11 @@
         attempt: u32,
     },
     /// Final answer: refused; trying again is harmless.
-    Refuse {
+    Reject {
         /// The request.
         request: RequestId,
         /// When to come back.
-        retry_after: Option<Span>,
+        retry_after: Option<Micros>,
     },
     /// Final answer: failed; nothing is promised.
     Fail {
@@ -473,20 +473,20 @@
         request: RequestId,
     },
     /// Wake the module after this long.
-    Wake(Span),
+    Wake(Micros),
     /// Ask a node for its report.
-    Probe(NodeId),
+    HealthCheck(NodeId),
     /// Close this router's idle connections to a node.
-    Close(NodeId),
+    CloseIdle(NodeId),
     /// Subscribe to list changes.
     Subscribe,
     /// A line for the log.
-    Log(News),
+    Log(LogEvent),
 }
 
 /// What a line of the log says, and of whom.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct News {
+pub struct LogEvent {
     /// The node, where it is of one.
     pub node: Option<NodeId>,
     /// The zone, where it is of one.
@@ -497,56 +497,63 @@
     pub text: String,
 }
 
-impl News {
+impl LogEvent {
     /// News of a node.
-    pub fn of(node: &NodeId, reason: &'static str, text: String) -> Self {
-        News {
+    pub fn of_node(node: &NodeId, reason: &'static str, text: String) -> Self {
+        LogEvent {
             node: Some(node.clone()),
             reason,
             text,
-            ..News::default()
+            ..LogEvent::default()
         }
     }
 
     /// News of a zone.
     pub fn of_zone(zone: &str, reason: &'static str, what: &str) -> Self {
-        News {
+        LogEvent {
             zone: Some(zone.into()),
             reason,
             text: format!("zone {zone}: {what}"),
-            ..News::default()
+            ..LogEvent::default()
         }
     }
 }
 
-/// What [`Zoning`] is asked about: one request that is to be placed.
+/// What [`LocalityPolicy`] is asked about: one request that is to be placed.
 #[derive(Clone, Copy, Debug)]
-pub struct Ask {
+pub struct RoutingQuery {
     /// The request.
     pub request: RequestId,
     /// Its class, by place in the settings.
     pub class: usize,
     /// Whether only the primary takes it.
-    pub write: bool,
+    pub is_write: bool,
 }
 
 /// Says which zones a request may use now. It stands beside the module, which asks it of each node before it chooses,
 /// and tells it what it sent and what came of it. Without one, zones matter as little as they do to the nodes' cost.
-pub trait Zoning: std::any::Any {
+pub trait LocalityPolicy: std::any::Any {
     /// Discovery said something.
-    fn listed(&mut self, now: Time, update: &ListUpdate);
+    fn endpoints_changed(&mut self, now: Time, update: &EndpointUpdate);
     /// How much of a node's weight counts for a request now, over 0; none: the request may not go there.
-    fn counts(&mut self, now: Time, ask: &Ask, node: &NodeId) -> Option<f64>;
+    fn weight_share(&mut self, now: Time, ask: &RoutingQuery, node: &NodeId) -> Option<f64>;
     /// An attempt was sent.
-    fn sent(&mut self, now: Time, ask: &Ask, node: &NodeId);
+    fn attempt_sent(&mut self, now: Time, ask: &RoutingQuery, node: &NodeId);
     /// An attempt ended, so long after it was sent.
-    fn ended(&mut self, now: Time, ask: &Ask, node: &NodeId, ending: Ending, elapsed: Span);
+    fn attempt_ended(
+        &mut self,
+        now: Time,
+        ask: &RoutingQuery,
+        node: &NodeId,
+        ending: AttemptEnd,
+        elapsed: Micros,
+    );
     /// When a request that is refused should come back, `most` from now at the latest.
-    fn come_back(&self, ask: &Ask, most: Span) -> Span;
+    fn retry_after(&self, ask: &RoutingQuery, most: Micros) -> Micros;
     /// A line for the log, while there is one.
-    fn news(&mut self) -> Option<News>;
+    fn next_log_event(&mut self) -> Option<LogEvent>;
     /// Whether it gives each cold node an allowance of its own. Where it does not, the module paces them as without it.
-    fn paces(&self) -> bool {
+    fn paces_slow_start(&self) -> bool {
         true
     }
 }
--- a/src/balance.rs
+++ b/src/balance.rs
@@ -1,7 +1,7 @@
-//! Every decision of the router. Its types, events and actions: `src/interface.rs`. The reasons, and the
+//! Every decision of the router. Its types, events and actions: `src/api.rs`. The reasons, and the
 //! departures from the published method: `docs/design.md`.
 
-use crate::interface::*;
+use crate::api::*;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
@@ -21,29 +21,29 @@
 const SLOW_RANGE: (f64, f64) = (0.5, 12.0); // bounds of slowness: one sample can't banish a node
 const SLOW_FADE: f64 = 8e6; // slowness fades towards 1 with this time constant: nodes are tried again
 const SILENCE: (f64, f64) = (9.0, 3.5); // waits, in mean latencies, that set a node aside; the most of one
-const DOUBT: (Span, Span) = (60_000, 600_000); // in doubt a node must answer a probe, and a request, by then
-const TRIAL: (Span, Span) = (500_000, 4_000_000); // first wait before a trial, the longest after doublings
+const DOUBT: (Micros, Micros) = (60_000, 600_000); // in doubt a node must answer a probe, and a request, by then
+const TRIAL: (Micros, Micros) = (500_000, 4_000_000); // first wait before a trial, the longest after doublings
 const COMMON_CAUSE: f64 = 0.5; // the most of those in service set aside: beyond it the cause is common
-const PATIENCE: (f64, Span) = (16.0, 100_000); // mean latencies until a read times out, and the least: late
+const PATIENCE: (f64, Micros) = (16.0, 100_000); // mean latencies until a read times out, and the least: late
 const LIMIT: (f64, f64, f64) = (24.0, 1.0, 200.0); // attempts out at a node: all routers' first, one's bounds
 const LIMIT_AIM: f64 = 0.4; // a limit shrinks when an answer took more of its aim than this, else grows
 const LIMIT_CUT: (f64, f64) = (0.93, 0.8); // by these factors: late answers; work lost or turned away
-const CUT_GAP: Span = 100_000; // least time between two cuts: a jam is one piece of news
+const CUT_GAP: Micros = 100_000; // least time between two cuts: a jam is one piece of news
 const SPILL: f64 = 0.6; // share of the primary's limit open to reads that replicas have no room for
-const FULL_PAUSE: Span = 30_000; // a node that turned work away as full gets none for this long
-const DENIED_PAUSE: Span = 250_000; // a member that denied being primary is not asked again so soon
-const DENIED_RANKS: Span = 6_000_000; // its denial outranks the node list so long: lists are seconds late
+const FULL_PAUSE: Micros = 30_000; // a node that turned work away as full gets none for this long
+const DENIED_PAUSE: Micros = 250_000; // a member that denied being primary is not asked again so soon
+const DENIED_RANKS: Micros = 6_000_000; // its denial outranks the node list so long: lists are seconds late
 const MARGIN_TICKS: u64 = 2; // ticks before the client's patience ends at which the final answer comes
-const ANEW: Span = 50_000; // a write that twice did not run goes again after this, doubled each time
-const PROBE_GAP: Span = 100_000; // least time between two probes of a node: reports are no newer
-const PROBE_HOLD: Span = 20_000; // a read waits so long for the report that may prove a replica fresh
-const UNSURE: Span = 1_000_000; // what a node said of its position is held for its present lag so long
+const ANEW: Micros = 50_000; // a write that twice did not run goes again after this, doubled each time
+const PROBE_GAP: Micros = 100_000; // least time between two probes of a node: reports are no newer
+const PROBE_HOLD: Micros = 20_000; // a read waits so long for the report that may prove a replica fresh
+const UNSURE: Micros = 1_000_000; // what a node said of its position is held for its present lag so long
 const COLD_USE: f64 = 0.6; // of what a warm node would get, by chance a cold one has warm share times this
 const COLD_WRITES: f64 = 3.0; // ... and so many times that of writes: they fill half of a warm primary
-const TURNS: Span = 4; // turns in the time that pushes a cold node over: any such time meets one more
+const TURNS: Micros = 4; // turns in the time that pushes a cold node over: any such time meets one more
 const BY_TURNS: f64 = 96.0; // routers that go by turns, times the multiple of capacity that nodes fall at
 const GOLDEN: f64 = 0.618_033_988_749_895; // golden ratio: its multiples spread evenly over the unit
-const LEAVING: (f64, Span) = (0.2, 3_000_000); // share of clients that leave early, and how long that counts
+const LEAVING: (f64, Micros) = (0.2, 3_000_000); // share of clients that leave early, and how long that counts
 const HELD_FADE: (f64, f64) = (2e6, 5e6); // what a node holds fades towards the mean so, and that to nothing
 const CROWDED: f64 = 2.0; // a node that is so many times as loaded as the mean makes another worth asking
 const WAIT: f64 = 1.5; // a wait may be so many times what is foreseen: work is spread, reports are 0.2 s old
@@ -53,9 +53,9 @@
 const CORES: f64 = 4.0; // requests a node works on at once, until reports tell; a cold one: half of that
 const USED_FADE: f64 = 3e6; // requests of a tenant are counted with this time constant
 const OVER_QUOTA: (f64, f64) = (0.25, 0.5); // what is over it may take so much of a limit, or of a wait
-const DROPPED: Span = 60_000_000; // a node off the list that stays open is forgotten so long after its answer
-const LOOK_OVER: Span = 20_000; // period of the look-over while anything is out or waiting
-const TOKEN_SLACK: Span = 1_000; // a carried token may be rounded by up to this
+const DROPPED: Micros = 60_000_000; // a node off the list that stays open is forgotten so long after its answer
+const LOOK_OVER: Micros = 20_000; // period of the look-over while anything is out or waiting
+const TOKEN_SLACK: Micros = 1_000; // a carried token may be rounded by up to this
 
 #[derive(Clone, Copy, Default, PartialEq, Eq)]
 enum Fate {
@@ -75,7 +75,7 @@
 
 #[derive(Default)]
 struct Request {
-    what: Demand,
+    what: RequestInfo,
     luck: f64,          // a uniform draw: the request passes gates whose level is above it
     came: Time,         // when it arrived
     born: Time, // the client's first try began no later than this, as far as the router can tell
@@ -97,7 +97,7 @@
 
 #[derive(Default)]
 struct Node {
-    entry: NodeEntry,
+    entry: Endpoint,
     closed: Option<Time>, // when this router was told that it drains or is gone
     gone: bool,           // no list names it any more
     position: Time,
@@ -113,7 +113,7 @@
     limit: f64,
     cut_at: Time,
     trial_at: Time,
-    trial_wait: Span,
+    trial_wait: Micros,
     full_until: Time,
     probed: Time, // when it was last probed, and when a probe of it last ended
     told: Time,
@@ -136,7 +136,7 @@
 struct ClassState {
     latency: f64,
     work: Option<f64>, // its latency at nodes without a queue, once such have answered
-    longest_left: Span, // the longest patience seen on a try: what first tries come with (us)
+    longest_left: Micros, // the longest patience seen on a try: what first tries come with (us)
     leave: f64,        // when clients that do not wait as long as they say leave, in the mean (us)
     leaving: f64,      // their share among those that were not answered by then
     left_at: Time,     // when the last one left
@@ -160,22 +160,22 @@
     chance: bool, // cold nodes are spared by chance and reports, not by turns
     in_service: usize, // nodes in service by the list
     classes: Vec<ClassState>,
-    old: Span, // data older than this is of use only to reads that any data will do for
+    old: Micros, // data older than this is of use only to reads that any data will do for
     used: (Vec<f64>, Time), // each tenant's requests of late, which fade, and when one came last
-    cores: f64, // how many requests a node works on at once, by what nodes say of themselves
-    told: f64, // how many reports said so
+    cores: f64,  // how many requests a node works on at once, by what nodes say of themselves
+    told: f64,   // how many reports said so
     written: BTreeMap<Arc<str>, Time>,
     wake: Option<Time>,
     resubscribe: Option<Time>,
     /// Says which zones a request may use now; where there is none, all of them.
-    pub zoning: Option<Box<dyn Zoning>>,
+    pub zoning: Option<Box<dyn LocalityPolicy>>,
 }
 
 impl Balancer {
     /// A router that has just started, with its settings and a seed for its random numbers.
     pub fn new(settings: Settings, seed: u64) -> Self {
         let first = |c: &Class| ClassState {
-            latency: c.aim as f64 * FIRST_LATENCY,
+            latency: c.latency_objective as f64 * FIRST_LATENCY,
             ..ClassState::default()
         };
         let bound = |c: &Class| {
@@ -194,10 +194,11 @@
                 .unwrap_or(UNSURE),
             classes: settings.classes.iter().map(first).collect(),
             random: seed | 1,
-            turn: u64::from(settings.index),
+            turn: u64::from(settings.router_index),
             resubscribe: settings.subscribe.then_some(0),
-            thin: LIMIT.0 < f64::from(settings.routers),
-            chance: LIMIT.0.max(BY_TURNS / settings.overload_factor) < f64::from(settings.routers),
+            thin: LIMIT.0 < f64::from(settings.router_count),
+            chance: LIMIT.0.max(BY_TURNS / settings.overload_factor)
+                < f64::from(settings.router_count),
             used: (vec![0.0; settings.tenants.len()], 0),
             cores: CORES,
             cfg: settings,
@@ -211,22 +212,22 @@
         self.since.get_or_insert(self.now);
         for event in events {
             match event {
-                Event::List(update) => self.list(update),
-                Event::Request(demand) => self.arrive(demand),
-                Event::Started { request } => {
+                Event::EndpointsChanged(update) => self.list(update),
+                Event::RequestArrived(demand) => self.arrive(demand),
+                Event::StreamStarted { request } => {
                     self.requests.get_mut(&request).into_iter().for_each(|r| {
                         r.streaming = true;
                         self.due.remove(&(r.due, request));
                     })
                 }
-                Event::Outcome {
+                Event::AttemptEnded {
                     request,
                     attempt,
-                    ending,
+                    end: ending,
                     elapsed,
-                    over,
-                    note,
-                    report,
+                    request_over: over,
+                    answer_report: note,
+                    load_report: report,
                 } => self.outcome(
                     request,
                     attempt,
@@ -236,13 +237,13 @@
                     (note, report),
                     actions,
                 ),
-                Event::Abandoned { request } => self.left(request),
-                Event::Probed {
+                Event::ClientGone { request } => self.left(request),
+                Event::HealthChecked {
                     node,
                     answered: true,
-                    report,
+                    load_report: report,
                 } => self.learn(&node, report, false, actions),
-                Event::Timer | Event::Probed { .. } | Event::Peer { .. } => {} // peers are not followed
+                Event::Timer | Event::HealthChecked { .. } | Event::Peer { .. } => {} // peers are not followed
             }
         }
         self.settle(actions);
@@ -250,14 +251,14 @@
 
     // ---- the node list
 
-    fn list(&mut self, update: ListUpdate) {
+    fn list(&mut self, update: EndpointUpdate) {
         self.zoning
             .iter_mut()
-            .for_each(|z| z.listed(self.now, &update));
+            .for_each(|z| z.endpoints_changed(self.now, &update));
         let (entries, full) = match update {
-            ListUpdate::Changes(entries) => (entries, false),
-            ListUpdate::Full(entries) | ListUpdate::Restored(entries) => (entries, true),
-            ListUpdate::Failed => {
+            EndpointUpdate::Changes(entries) => (entries, false),
+            EndpointUpdate::Full(entries) | EndpointUpdate::Restored(entries) => (entries, true),
+            EndpointUpdate::Failed => {
                 let wait = TRIAL.0 + self.draw() % TRIAL.0;
                 return self.resubscribe = self.cfg.subscribe.then_some(self.now + wait);
             }
@@ -300,28 +301,30 @@
         self.groups.retain(|_, group| !group.members.is_empty());
     }
 
-    fn listed(&mut self, entry: NodeEntry) {
+    fn listed(&mut self, entry: Endpoint) {
         let (now, id) = (self.now, entry.node.clone());
-        let closed = (entry.state == Listed::Gone).then_some(now); // it may have drained and been forgotten
+        let closed = (entry.state == EndpointState::Removed).then_some(now); // it may have drained and been forgotten
         let new = Node {
             heard: now,
-            rank: rank(&id, self.cfg.index),
+            rank: rank(&id, self.cfg.router_index),
             closed,
             ..Node::default()
         };
         let node = self.nodes.entry(id.clone()).or_insert(new);
-        if node.limit == 0.0 || entry.started > node.entry.started {
-            node.restart(LIMIT.0 / f64::from(self.cfg.routers.max(1)), now);
+        if node.limit == 0.0 || entry.started_at > node.entry.started_at {
+            node.restart(LIMIT.0 / f64::from(self.cfg.router_count.max(1)), now);
         }
         match entry.state {
-            Listed::Serving => node.closed = None,
-            Listed::Gone if self.cfg.dropped_stay_open => {}
-            Listed::Draining | Listed::Gone => drop(node.closed.get_or_insert(now)),
+            EndpointState::Serving => node.closed = None,
+            EndpointState::Removed if self.cfg.dropped_stay_open => {}
+            EndpointState::Draining | EndpointState::Removed => {
+                node.closed.get_or_insert(now);
+            }
         }
-        node.gone = entry.state == Listed::Gone;
+        node.gone = entry.state == EndpointState::Removed;
         let (old, new) = (node.entry.group, entry.group);
         let denied = node.denied.is_some_and(|at| now < at + DENIED_RANKS);
-        let heads = entry.primary && entry.state == Listed::Serving && !denied;
+        let heads = entry.listed_as_primary && entry.state == EndpointState::Serving && !denied;
         node.entry = entry;
         self.groups
             .get_mut(&old)
@@ -339,7 +342,7 @@
     // ---- roles and freshness
 
     /// What a node says of itself. A note is as new as its answer; a report may be old.
-    fn learn(&mut self, id: &NodeId, said: Standing, is_note: bool, actions: &mut Vec<Action>) {
+    fn learn(&mut self, id: &NodeId, said: NodeReport, is_note: bool, actions: &mut Vec<Action>) {
         let (now, asked) = (self.now, self.now.saturating_sub(said.age));
         let Some(node) = self.nodes.get_mut(id) else {
             return;
@@ -351,13 +354,13 @@
             (node.position, node.heard) = (p, node.heard.max(asked));
         }
         let at = if is_note { now } else { position.unwrap_or(0) };
-        if let Some(held) = said.held.filter(|_| asked >= node.held.1) {
+        if let Some(held) = said.in_flight.filter(|_| asked >= node.held.1) {
             let others = (f64::from(held) - node.out.len() as f64).max(0.0);
             node.held = (others, asked);
             let (usual, heard) = &mut self.groups.entry(node.entry.group).or_default().held;
             *usual *= fade(now, *heard, HELD_FADE.1);
             (*usual, *heard) = (*usual + HELD_GAIN * (others - *usual), now);
-            let busy = f64::from(said.busy.unwrap_or(0)) / 1e3;
+            let busy = f64::from(said.utilization_permille.unwrap_or(0)) / 1e3;
             if (BUSY.0..BUSY.1).contains(&busy) && held > 0 {
                 self.told += 1.0; // the first ones count for more: a router among hundreds hears few
                 self.cores +=
@@ -377,7 +380,7 @@
                 let (old, since) = group.primary.take().unzip();
                 if old.as_ref() != Some(id) {
                     let line = format!("group {}: primary is {id}", node.entry.group);
-                    actions.push(Action::Log(News::of(id, "primary", line)));
+                    actions.push(Action::Log(LogEvent::of_node(id, "primary", line)));
                 }
                 node.denied = None;
                 group.primary = Some((id.clone(), at.max(since.unwrap_or(0))));
@@ -408,7 +411,7 @@
         };
         let slack = match self.cfg.replica_check {
             ReplicaCheck::None => return node.position >= need,
-            ReplicaCheck::Refuse => 0,
+            ReplicaCheck::Reject => 0,
             ReplicaCheck::Wait(most) => most / 2,
         };
         // The lag is assumed to hold still. An unheard replica may try, but a cold one has an old copy.
@@ -432,7 +435,7 @@
     // ---- placement
 
     /// SF: how much of the read's statement and objects the node's recent reads share.
-    fn similarity(node: &Node, what: &Demand) -> f64 {
+    fn similarity(node: &Node, what: &RequestInfo) -> f64 {
         // A read without a key names no object and no identity, so it resembles nothing.
         let Some(key) = &what.session else { return 0.0 };
         let same = node
@@ -474,7 +477,7 @@
 
     /// W: list weight, observed relative speed and the warm share.
     fn weight(&self, node: &Node) -> f64 {
-        let listed = if self.cfg.weights == WeightMeaning::None {
+        let listed = if self.cfg.weight_meaning == WeightMeaning::None {
             1.0
         } else {
             node.entry.weight.max(0.01)
@@ -483,18 +486,20 @@
     }
 
     fn warm_share(&self, node: &Node) -> f64 {
-        let Some(started) = node.entry.started else {
+        let Some(started) = node.entry.started_at else {
             return 1.0;
         };
-        let age = self.now.saturating_sub(started) as f64 / self.cfg.cold_span.max(1) as f64;
-        (self.cfg.cold_share + (1.0 - self.cfg.cold_share) * age).clamp(0.01, 1.0)
+        let age =
+            self.now.saturating_sub(started) as f64 / self.cfg.slow_start_duration.max(1) as f64;
+        (self.cfg.slow_start_min_share + (1.0 - self.cfg.slow_start_min_share) * age)
+            .clamp(0.01, 1.0)
     }
 
     /// When the present turn at a cold node began: all routers cut its time alike, from its start on.
     fn turn(&self, node: &Node) -> Time {
         let (started, span) = (
-            node.entry.started.unwrap_or(0),
-            (self.cfg.overload_span / TURNS).max(1),
+            node.entry.started_at.unwrap_or(0),
+            (self.cfg.overload_duration / TURNS).max(1),
         );
         started + self.now.saturating_sub(started) / span * span
     }
@@ -514,12 +519,12 @@
             CORES / 2.0
         };
         let (all, span) = (
-            f64::from(self.cfg.routers.max(1)),
-            self.cfg.overload_span.max(1) as f64,
+            f64::from(self.cfg.router_count.max(1)),
+            self.cfg.overload_duration.max(1) as f64,
         );
         let part = self.cfg.overload_factor * warm * cores * span / (TURNS + 1) as f64 / all;
-        let own =
-            f64::from(self.cfg.index) / all + rank(&node.entry.node, 0) as f64 / u64::MAX as f64;
+        let own = f64::from(self.cfg.router_index) / all
+            + rank(&node.entry.node, 0) as f64 / u64::MAX as f64;
         let point = (own + turn as f64 / span * TURNS as f64 * GOLDEN).fract();
         let spent = if node.spent.0 == turn {
             node.spent.1
@@ -533,7 +538,7 @@
         } else {
             fits
         };
-        fits || warm >= 1.0 || matches!(&self.zoning, Some(z) if z.paces()) // zones bring allowances
+        fits || warm >= 1.0 || matches!(&self.zoning, Some(z) if z.paces_slow_start()) // zones bring allowances
     }
 
     /// Whether a node would answer in time, as far as hundreds of routers can tell; a cold one needs a turn.
@@ -544,8 +549,11 @@
             (self.others(node) / (self.cores * warm)).max(1.0) * node.slowness(self.now).max(1.0);
         let guest =
             class.access != Access::Write && self.primary(r.what.group) == Some(&node.entry.node);
-        let wait =
-            FIRST_LATENCY * class.aim as f64 * crowd * WAIT * if guest { GUEST } else { 1.0 };
+        let wait = FIRST_LATENCY
+            * class.latency_objective as f64
+            * crowd
+            * WAIT
+            * if guest { GUEST } else { 1.0 };
         // What is over its tenant's quota leaves room to what is within: where none is left it is refused.
         let (room, late) = if r.worth < 1.0 && self.may_refuse(r) {
             OVER_QUOTA
@@ -604,7 +612,7 @@
         if let Some(asked) = ask {
             r.asked.get_or_insert((asked.clone(), self.now));
             self.nodes.get_mut(&asked).expect("listed").probed = self.now;
-            actions.push(Action::Probe(asked));
+            actions.push(Action::HealthCheck(asked));
         }
         node.filter(|_| !hold)
     }
@@ -622,7 +630,7 @@
             .flat_map(|g| &g.members)
         {
             let node = self.nodes.get_mut(member).expect("listed");
-            node.counts = zoning.counts(self.now, &ask, member);
+            node.counts = zoning.weight_share(self.now, &ask, member);
             shut &= node.counts.is_none() || node.closed.is_some();
         }
         shut
@@ -789,7 +797,7 @@
         } else {
             node.heard.saturating_sub(node.position)
         };
-        self.cfg.may_probe
+        self.cfg.health_checks_allowed
             && self.cfg.reports != ReportSource::None
             && self.now >= node.probed + PROBE_GAP
             && (node.position == 0 || self.now >= node.heard + lag.max(PROBE_GAP))
@@ -825,7 +833,7 @@
     /// Whether the rules allow this request another attempt, at this node. Guards against double effects.
     fn may_send(&self, r: &Request, node: &Node) -> bool {
         let class = &self.cfg.classes[r.what.class];
-        let single = self.cfg.second_copies || r.attempts.iter().all(|a| a.fate != Fate::Out);
+        let single = self.cfg.hedging_allowed || r.attempts.iter().all(|a| a.fate != Fate::Out);
         if !r.open || r.streaming || !single || r.attempts.len() as u32 >= self.cfg.max_attempts {
             return false;
         }
@@ -838,30 +846,34 @@
             return true;
         };
         // Two ticks are kept so that the window can't close between the decision and the send.
-        let within = self.now + 2 * self.cfg.tick < first.sent + class.window;
+        let within = self.now + 2 * self.cfg.tick < first.sent + class.dedup_window;
         let mut near = risky.map(|a| self.nodes[&a.node].entry.zone == node.entry.zone);
-        let apart = class.effect == Effect::Deduplicated && class.scope == RepeatScope::Zone;
-        class.effect == Effect::Idempotent
-            || (class.effect == Effect::Deduplicated && within && (!apart || near.all(|same| same)))
+        let apart =
+            class.idempotency == Idempotency::Deduplicated && class.dedup_scope == DedupScope::Zone;
+        class.idempotency == Idempotency::Idempotent
+            || (class.idempotency == Idempotency::Deduplicated
+                && within
+                && (!apart || near.all(|same| same)))
     }
 
     /// Whether a refusal, which promises that a repeat is harmless, is still true.
     fn may_refuse(&self, r: &Request) -> bool {
         let class = &self.cfg.classes[r.what.class];
         r.attempts.iter().all(|a| a.fate == Fate::NotRun)
-            || class.effect == Effect::Idempotent
-            || (class.effect == Effect::Deduplicated && class.scope == RepeatScope::All)
+            || class.idempotency == Idempotency::Idempotent
+            || (class.idempotency == Idempotency::Deduplicated
+                && class.dedup_scope == DedupScope::All)
     }
 
-    fn arrive(&mut self, what: Demand) {
+    fn arrive(&mut self, what: RequestInfo) {
         let (class, id) = (&self.cfg.classes[what.class], what.id);
-        let due = self.now + what.left.saturating_sub(MARGIN_TICKS * self.cfg.tick);
+        let due = self.now + what.time_left.saturating_sub(MARGIN_TICKS * self.cfg.tick);
         let carried = what
-            .write_age
+            .last_write_age
             .map(|age| self.now.saturating_sub(age) + TOKEN_SLACK);
         let need = match class.access {
             Access::Latest => Some(self.now),
-            Access::OwnWrites if self.cfg.tokens_carried => carried,
+            Access::OwnWrites if self.cfg.clients_carry_tokens => carried,
             Access::OwnWrites => what
                 .session
                 .as_ref()
@@ -870,10 +882,10 @@
         };
         // The aim counts from the client's first try. A marked repeat is known by what less it has left.
         let longest = &mut self.classes[what.class].longest_left;
-        *longest = what.left.max(*longest);
-        let known = what.repeat && what.left < *longest;
+        *longest = what.time_left.max(*longest);
+        let known = what.is_retry && what.time_left < *longest;
         let born = self.now.saturating_sub(if known {
-            class.deadline.saturating_sub(what.left)
+            class.deadline.saturating_sub(what.time_left)
         } else {
             0
         });
@@ -909,12 +921,12 @@
             cfg.tenants[tenant].quota_per_s,
             cfg.tenants.iter().map(|t| t.quota_per_s),
         );
-        let part = quota * USED_FADE / 1e6 / f64::from(cfg.routers.max(1));
+        let part = quota * USED_FADE / 1e6 / f64::from(cfg.router_count.max(1));
         let part = part.max(quota / all.sum::<f64>() * used.iter().sum::<f64>());
         // What chance may bring is no flood, least of all where a router has seen little.
         let flood = used[tenant] > part + 2.0 * part.sqrt() + 2.0;
         if flood && luck > part / used[tenant] {
-            cfg.over_share_worth
+            cfg.over_quota_weight
         } else {
             1.0
         }
@@ -935,7 +947,7 @@
             node.slowness(now),
             self.turn(node),
         );
-        let patience = ((known.latency * PATIENCE.0 * slowness.min(2.0)) as Span).max(PATIENCE.1);
+        let patience = ((known.latency * PATIENCE.0 * slowness.min(2.0)) as Micros).max(PATIENCE.1);
         let timeout = if write { left } else { patience.min(left) };
         let (cost, work) = (self.cost(node, r), known.work.unwrap_or(known.latency));
         let node = self.nodes.get_mut(&node_id).expect("chosen from the map");
@@ -967,7 +979,7 @@
         });
         self.zoning
             .iter_mut()
-            .for_each(|z| z.sent(now, &ask(&self.cfg, r), &node_id));
+            .for_each(|z| z.attempt_sent(now, &ask(&self.cfg, r), &node_id));
         actions.push(Action::Send {
             request: id,
             node: node_id,
@@ -980,10 +992,10 @@
         &mut self,
         id: RequestId,
         attempt: u32,
-        ending: Ending,
-        elapsed: Span,
+        ending: AttemptEnd,
+        elapsed: Micros,
         over: bool,
-        (note, report): (Standing, Standing),
+        (note, report): (NodeReport, NodeReport),
         actions: &mut Vec<Action>,
     ) {
         let Some(r) = self.requests.get_mut(&id) else {
@@ -993,11 +1005,11 @@
             return;
         };
         let (node_id, class) = (a.node.clone(), r.what.class);
-        a.missed = ending == Ending::Missed;
+        a.missed = ending == AttemptEnd::Misdirected;
         let harmless = a.missed
             || matches!(
                 ending,
-                Ending::Overloaded | Ending::Unreachable | Ending::Void
+                AttemptEnd::Overloaded | AttemptEnd::Unreachable | AttemptEnd::NeverSent
             );
         a.fate = if harmless {
             Fate::NotRun
@@ -1007,16 +1019,19 @@
         let (group, session, ask) = (r.what.group, r.what.session.clone(), ask(&self.cfg, r));
         self.zoning
             .iter_mut()
-            .for_each(|z| z.ended(self.now, &ask, &node_id, ending, elapsed));
+            .for_each(|z| z.attempt_ended(self.now, &ask, &node_id, ending, elapsed));
         if matches!(
             ending,
-            Ending::Success | Ending::Failure | Ending::Missed | Ending::Overloaded
+            AttemptEnd::Success
+                | AttemptEnd::Failure
+                | AttemptEnd::Misdirected
+                | AttemptEnd::Overloaded
         ) {
             self.learn(&node_id, report, false, actions);
             self.learn(&node_id, note, true, actions);
         }
         let write = self.is_write(id);
-        (write && ending == Ending::Missed).then(|| self.unseat(group, &node_id));
+        (write && ending == AttemptEnd::Misdirected).then(|| self.unseat(group, &node_id));
         self.busy.insert(node_id.clone());
         self.attempt_ended(
             &node_id,
@@ -1026,7 +1041,7 @@
             (ending, elapsed),
             actions,
         );
-        let remembered = write && ending == Ending::Success && !self.cfg.tokens_carried;
+        let remembered = write && ending == AttemptEnd::Success && !self.cfg.clients_carry_tokens;
         if let Some(key) = session.filter(|_| remembered) {
             let seen = self.written.entry(key).or_default();
             *seen = note.position.unwrap_or(self.now).max(*seen);
@@ -1043,11 +1058,11 @@
         }
         let r = self.requests.get_mut(&id).expect("looked up above");
         let known = &mut self.classes[class];
-        if r.open && ending == Ending::Success && (self.now - r.came) as f64 > known.leave {
+        if r.open && ending == AttemptEnd::Success && (self.now - r.came) as f64 > known.leave {
             known.leaving -= GAIN / 2.0 * known.leaving;
         }
         let idle = r.open && !r.attempts.iter().any(|a| a.fate == Fate::Out);
-        match over || ending == Ending::Success {
+        match over || ending == AttemptEnd::Success {
             true => self.close(id),
             false if idle => drop(self.waiting.insert(id)), // decided later: the client may leave
             false => self.forget(id),
@@ -1061,7 +1076,7 @@
         attempt: (RequestId, u32),
         class: usize,
         write: bool,
-        (ending, elapsed): (Ending, Span),
+        (ending, elapsed): (AttemptEnd, Micros),
         actions: &mut Vec<Action>,
     ) {
         let now = self.now;
@@ -1082,34 +1097,38 @@
         ) = (elapsed as f64, &mut self.classes[class]);
         if matches!(
             ending,
-            Ending::Success | Ending::Failure | Ending::Missed | Ending::Overloaded
+            AttemptEnd::Success
+                | AttemptEnd::Failure
+                | AttemptEnd::Misdirected
+                | AttemptEnd::Overloaded
         ) {
             node.heal(now, actions);
         }
         match ending {
-            Ending::Missed if write => node.denied = Some(now),
-            Ending::Overloaded => node.full_until = now + FULL_PAUSE,
-            Ending::TimedOut | Ending::Broken | Ending::Unreachable if node.suspect => {
+            AttemptEnd::Misdirected if write => node.denied = Some(now),
+            AttemptEnd::Overloaded => node.full_until = now + FULL_PAUSE,
+            AttemptEnd::TimedOut | AttemptEnd::Reset | AttemptEnd::Unreachable if node.suspect => {
                 node.wait_on(now)
             }
-            Ending::TimedOut => node.silence += (waited / charged).min(SILENCE.1),
-            Ending::Broken | Ending::Unreachable => {
+            AttemptEnd::TimedOut => node.silence += (waited / charged).min(SILENCE.1),
+            AttemptEnd::Reset | AttemptEnd::Unreachable => {
                 (node.full_until, node.silence) = (now + FULL_PAUSE, node.silence + SILENCE.1);
             }
             _ => {}
         }
-        let lost = matches!(ending, Ending::TimedOut | Ending::Overloaded);
+        let lost = matches!(ending, AttemptEnd::TimedOut | AttemptEnd::Overloaded);
         // Danger: a jam that shows in time-outs alone is not seen by routers that have few answers each.
-        if ending == Ending::Success || (self.thin && lost) {
-            let ratio = if ending == Ending::Overloaded {
+        if ending == AttemptEnd::Success || (self.thin && lost) {
+            let ratio = if ending == AttemptEnd::Overloaded {
                 FULL_SLOW
             } else {
                 waited / mean.max(1.0)
             };
             node.slow_sample(now, ratio, if self.thin { SLOW_GAIN } else { GAIN });
         }
-        if ending == Ending::Success || lost {
-            let late = lost || waited > LIMIT_AIM * self.cfg.classes[class].aim as f64;
+        if ending == AttemptEnd::Success || lost {
+            let late =
+                lost || waited > LIMIT_AIM * self.cfg.classes[class].latency_objective as f64;
             node.adapt(
                 now,
                 late.then_some(if lost { LIMIT_CUT.1 } else { LIMIT_CUT.0 }),
@@ -1117,34 +1136,38 @@
         }
         let warm = node
             .entry
-            .started
-            .is_none_or(|at| now >= at + self.cfg.cold_span);
-        if ending == Ending::Success && warm && node.out.len() as f64 + node.held.0 < self.cores {
+            .started_at
+            .is_none_or(|at| now >= at + self.cfg.slow_start_duration);
+        if ending == AttemptEnd::Success && warm && node.out.len() as f64 + node.held.0 < self.cores
+        {
             let work = work.get_or_insert(*mean);
             *work += GAIN / 2.0 * (waited - *work);
         }
         // Waits in vain count as well, or the mean would know only the quick answers of a jam.
-        let vain = matches!(ending, Ending::TimedOut | Ending::Cancelled)
+        let vain = matches!(ending, AttemptEnd::TimedOut | AttemptEnd::Cancelled)
             && waited > *mean
             && !node.suspect;
-        *mean += if ending == Ending::Success || vain {
+        *mean += if ending == AttemptEnd::Success || vain {
             GAIN * (waited - *mean) / 2.0
         } else {
             0.0
         };
         // Danger: hundreds of routers fill a node's table; it refuses one at once. Idle connections must go,
         // and only to it: a dead node refuses at once, too. A slow handshake asks for the opposite.
-        if ending == Ending::Unreachable {
+        if ending == AttemptEnd::Unreachable {
             node.crowded_until = if elapsed < FULL_PAUSE {
                 now + self.cfg.connection_idle
             } else {
                 now
             };
         }
-        node.linked = !matches!(ending, Ending::Unreachable | Ending::Broken | Ending::Void);
+        node.linked = !matches!(
+            ending,
+            AttemptEnd::Unreachable | AttemptEnd::Reset | AttemptEnd::NeverSent
+        );
         if self.thin && node.linked && node.out.is_empty() && now < node.crowded_until {
             node.linked = false;
-            actions.push(Action::Close(id.clone()));
+            actions.push(Action::CloseIdle(id.clone()));
         }
     }
 
@@ -1162,7 +1185,7 @@
                 self.now.saturating_sub(r.came),
                 &mut self.classes[r.what.class],
             );
-            if age < r.what.left / 10 * 9 {
+            if age < r.what.time_left / 10 * 9 {
                 let first = self.now > known.left_at + LEAVING.1;
                 known.leave += if first { 1.0 } else { GAIN } * (age as f64 - known.leave);
                 (known.leaving, known.left_at) =
@@ -1199,18 +1222,18 @@
         let wait = || {
             self.zoning
                 .as_ref()
-                .map_or(most / 2, |z| z.come_back(&ask, most))
+                .map_or(most / 2, |z| z.retry_after(&ask, most))
         };
-        let refusal = || Action::Refuse {
+        let refusal = || Action::Reject {
             request: id,
-            retry_after: self.cfg.retry_after.then(wait),
+            retry_after: self.cfg.retry_after_allowed.then(wait),
         };
         actions.push(if self.may_refuse(r) {
             refusal()
         } else {
             Action::Fail { request: id }
         });
-        let out = |(_, a): &(usize, &Attempt)| self.cfg.may_cancel && a.fate == Fate::Out;
+        let out = |(_, a): &(usize, &Attempt)| self.cfg.cancel_allowed && a.fate == Fate::Out;
         let cancel = |(place, _)| Action::Cancel {
             request: id,
             attempt: place as u32,
@@ -1222,20 +1245,21 @@
     /// Until when an answer earns the full worth.
     fn aim_end(&self, r: &Request) -> f64 {
         let class = &self.cfg.classes[r.what.class];
-        (r.born + class.aim) as f64 + class.aim_stretch * r.what.cost_hint.unwrap_or(0) as f64
+        (r.born + class.latency_objective) as f64
+            + class.objective_per_cost * r.what.cost_hint.unwrap_or(0) as f64
     }
 
     /// A waiting request that no node may get any more: kept back it would only hold up its client.
     fn spent(&self, r: &Request) -> bool {
-        let effect = self.cfg.classes[r.what.class].effect;
+        let effect = self.cfg.classes[r.what.class].idempotency;
         let may_have_run = r.attempts.iter().any(|a| a.fate != Fate::NotRun);
         r.attempts.len() as u32 >= self.cfg.max_attempts
-            || (effect == Effect::AtMostOnce && may_have_run)
+            || (effect == Idempotency::AtMostOnce && may_have_run)
     }
 
     /// A waiting request that can't make its aim any more, and would earn nothing late.
     fn hopeless(&self, r: &Request) -> bool {
-        let late = self.cfg.classes[r.what.class].late_worth;
+        let late = self.cfg.classes[r.what.class].late_weight_share;
         let end = if late > 0.0 {
             r.due as f64
         } else {
@@ -1258,7 +1282,14 @@
             self.classes[r.what.class].latency,
         );
         let on_time = self.now as f64 + latency <= self.aim_end(r);
-        class.worth * r.worth * if on_time { 1.0 } else { class.late_worth } / latency
+        class.priority_weight
+            * r.worth
+            * if on_time {
+                1.0
+            } else {
+                class.late_weight_share
+            }
+            / latency
     }
 
     fn settle(&mut self, actions: &mut Vec<Action>) {
@@ -1282,7 +1313,8 @@
                 self.give_up(id, actions);
             }
         }
-        actions.extend(std::iter::from_fn(|| self.zoning.as_mut()?.news()).map(Action::Log));
+        actions
+            .extend(std::iter::from_fn(|| self.zoning.as_mut()?.next_log_event()).map(Action::Log));
         self.arm(actions);
     }
 
@@ -1311,11 +1343,11 @@
             let sum: f64 = node.out.values().map(|o| node.waited_in_vain(o, now)).sum();
             if !node.suspect && sum + node.silence >= SILENCE.0 && bad + 1.0 <= most {
                 // Danger: requests in one queue are late together: a busy node looks silent, and runs on.
-                if self.cfg.may_probe && now < node.answered + DOUBT.1 {
+                if self.cfg.health_checks_allowed && now < node.answered + DOUBT.1 {
                     let vouched = node.told >= node.probed;
                     if vouched && now >= node.told + PROBE_GAP {
                         node.probed = now;
-                        actions.push(Action::Probe(id.clone()));
+                        actions.push(Action::HealthCheck(id.clone()));
                     }
                     if vouched || now < node.probed + DOUBT.0 {
                         continue;
@@ -1326,7 +1358,7 @@
                 let (out, idle) = (node.out.len(), now.saturating_sub(node.answered) / 1_000);
                 let line =
                     format!("node {id}: silent, set aside; {out} out, no answer for {idle} ms");
-                actions.push(Action::Log(News::of(id, "silent", line)));
+                actions.push(Action::Log(LogEvent::of_node(id, "silent", line)));
                 silent.push(id.clone());
             }
         }
@@ -1334,10 +1366,15 @@
             .retain(|id| self.nodes[id].suspect || !self.nodes[id].out.is_empty());
         for id in silent {
             self.unseat(self.nodes[&id].entry.group, &id);
-            for &(request, attempt) in self.nodes[&id].out.keys().filter(|_| self.cfg.may_cancel) {
+            for &(request, attempt) in self.nodes[&id]
+                .out
+                .keys()
+                .filter(|_| self.cfg.cancel_allowed)
+            {
                 // An unsafe request can't be sent again after a cancel, so it stays where it is.
-                let again =
-                    |r: &Request| self.cfg.classes[r.what.class].effect != Effect::AtMostOnce;
+                let again = |r: &Request| {
+                    self.cfg.classes[r.what.class].idempotency != Idempotency::AtMostOnce
+                };
                 if self
                     .requests
                     .get(&request)
@@ -1374,12 +1411,12 @@
     (-(now.saturating_sub(then) as f64) / constant).exp()
 }
 
-fn ask(cfg: &Settings, r: &Request) -> Ask {
+fn ask(cfg: &Settings, r: &Request) -> RoutingQuery {
     let (request, class) = (r.what.id, r.what.class);
-    Ask {
+    RoutingQuery {
         request,
         class,
-        write: cfg.classes[class].access == Access::Write,
+        is_write: cfg.classes[class].access == Access::Write,
     }
 }
 
@@ -1401,7 +1438,7 @@
         (self.silence, self.answered, self.trial_wait) = (0.0, now, TRIAL.0);
         if std::mem::take(&mut self.suspect) {
             let line = format!("node {}: answers again", self.entry.node);
-            actions.push(Action::Log(News::of(
+            actions.push(Action::Log(LogEvent::of_node(
                 &self.entry.node,
                 "answers again",
                 line,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,7 @@
 #![doc = include_str!("../README.md")]
 
+mod api;
 mod balance;
-mod interface;
 
+pub use api::*;
 pub use balance::*;
-pub use interface::*;
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -4,20 +4,20 @@
 use plovercove::*;
 
 pub const T0: Time = 1_000_000_000;
-pub const MS: Span = 1_000;
+pub const MS: Micros = 1_000;
 
-pub fn class(name: &str, access: Access, effect: Effect) -> Class {
+pub fn class(name: &str, access: Access, effect: Idempotency) -> Class {
     Class {
         name: name.into(),
         access,
-        aim: 300 * MS,
-        aim_stretch: 0.0,
+        latency_objective: 300 * MS,
+        objective_per_cost: 0.0,
         deadline: 1_000 * MS,
-        worth: 1.0,
-        late_worth: 0.5,
-        effect,
-        scope: RepeatScope::Group,
-        window: 1_000 * MS,
+        priority_weight: 1.0,
+        late_weight_share: 0.5,
+        idempotency: effect,
+        dedup_scope: DedupScope::Group,
+        dedup_window: 1_000 * MS,
         stream: false,
     }
 }
@@ -32,59 +32,63 @@
 pub fn settings() -> Settings {
     Settings {
         classes: vec![
-            class("any", Access::Any, Effect::Idempotent),
-            class("bounded", Access::Bounded(500 * MS), Effect::Idempotent),
-            class("session", Access::OwnWrites, Effect::Idempotent),
-            class("latest", Access::Latest, Effect::Idempotent),
-            class("keyed", Access::Write, Effect::Deduplicated),
-            class("unsafe", Access::Write, Effect::AtMostOnce),
+            class("any", Access::Any, Idempotency::Idempotent),
+            class(
+                "bounded",
+                Access::Bounded(500 * MS),
+                Idempotency::Idempotent,
+            ),
+            class("session", Access::OwnWrites, Idempotency::Idempotent),
+            class("latest", Access::Latest, Idempotency::Idempotent),
+            class("keyed", Access::Write, Idempotency::Deduplicated),
+            class("unsafe", Access::Write, Idempotency::AtMostOnce),
         ],
         zone: "here".into(),
-        may_cancel: true,
+        cancel_allowed: true,
         max_attempts: 6,
         tick: 5 * MS,
         drain_grace: 250 * MS,
         answer_grace: 20 * MS,
-        cold_share: 0.2,
-        cold_span: 15_000 * MS,
+        slow_start_min_share: 0.2,
+        slow_start_duration: 15_000 * MS,
         overload_factor: 2.5,
-        overload_span: 1_000 * MS,
+        overload_duration: 1_000 * MS,
         ..Settings::default()
     }
 }
 
-pub fn entry(name: &str, primary: bool) -> NodeEntry {
-    NodeEntry {
+pub fn entry(name: &str, primary: bool) -> Endpoint {
+    Endpoint {
         node: name.into(),
         zone: "here".into(),
-        kind: "std".into(),
-        primary,
+        machine_kind: "std".into(),
+        listed_as_primary: primary,
         group: 1,
-        state: Listed::Serving,
+        state: EndpointState::Serving,
         weight: 1.0,
-        started: None,
+        started_at: None,
     }
 }
 
-pub fn demand(id: RequestId, class: usize) -> Demand {
-    Demand {
+pub fn demand(id: RequestId, class: usize) -> RequestInfo {
+    RequestInfo {
         id,
         class,
         tenant: None,
         session: None,
-        left: 800 * MS,
+        time_left: 800 * MS,
         cost_hint: None,
         group: 1,
-        write_age: None,
-        repeat: false,
+        last_write_age: None,
+        is_retry: false,
     }
 }
 
-pub fn says(role: Role, position: Time) -> Standing {
-    Standing {
+pub fn says(role: Role, position: Time) -> NodeReport {
+    NodeReport {
         position: Some(position),
         role: Some(role),
-        ..Standing::default()
+        ..NodeReport::default()
     }
 }
 
@@ -104,13 +108,13 @@
         )
     }
 
-    pub fn with(settings: Settings, entries: Vec<NodeEntry>) -> Self {
+    pub fn with(settings: Settings, entries: Vec<Endpoint>) -> Self {
         let mut rig = Rig {
             balancer: Balancer::new(settings, 7),
             now: T0,
             actions: Vec::new(),
         };
-        rig.event(Event::List(ListUpdate::Full(entries)));
+        rig.event(Event::EndpointsChanged(EndpointUpdate::Full(entries)));
         rig
     }
 
@@ -124,15 +128,15 @@
         &self.actions
     }
 
-    pub fn later(&mut self, span: Span) -> &Vec<Action> {
+    pub fn later(&mut self, span: Micros) -> &Vec<Action> {
         self.now += span;
         self.event(Event::Timer)
     }
 
     /// Sends a request in and tells where it went.
-    pub fn request(&mut self, demand: Demand) -> Option<String> {
+    pub fn request(&mut self, demand: RequestInfo) -> Option<String> {
         let id = demand.id;
-        self.event(Event::Request(demand));
+        self.event(Event::RequestArrived(demand));
         self.sent(id)
     }
 
@@ -148,24 +152,24 @@
         &mut self,
         request: RequestId,
         attempt: u32,
-        ending: Ending,
-        note: Standing,
+        ending: AttemptEnd,
+        note: NodeReport,
     ) -> &Vec<Action> {
-        self.event(Event::Outcome {
+        self.event(Event::AttemptEnded {
             request,
             attempt,
-            ending,
+            end: ending,
             elapsed: 40 * MS,
-            over: ending == Ending::Success,
-            note,
-            report: Standing::default(),
+            request_over: ending == AttemptEnd::Success,
+            answer_report: note,
+            load_report: NodeReport::default(),
         })
     }
 
     pub fn refused(&self, id: RequestId) -> bool {
         self.actions
             .iter()
-            .any(|a| matches!(a, Action::Refuse { request, .. } if *request == id))
+            .any(|a| matches!(a, Action::Reject { request, .. } if *request == id))
     }
 
     pub fn failed(&self, id: RequestId) -> bool {
--- a/tests/growth.rs
+++ b/tests/growth.rs
@@ -8,23 +8,23 @@
 fn crowd() -> Settings {
     // One attempt a request keeps the scenarios' books short.
     Settings {
-        routers: 500,
+        router_count: 500,
         connection_idle: 30_000 * MS,
         max_attempts: 1,
         ..settings()
     }
 }
 
-fn ends_after(rig: &mut Rig, request: RequestId, ending: Ending, elapsed: Span) {
-    let (said, over) = (Standing::default(), ending == Ending::Success);
-    rig.event(Event::Outcome {
+fn ends_after(rig: &mut Rig, request: RequestId, ending: AttemptEnd, elapsed: Micros) {
+    let (said, over) = (NodeReport::default(), ending == AttemptEnd::Success);
+    rig.event(Event::AttemptEnded {
         request,
         attempt: 0,
-        ending,
+        end: ending,
         elapsed,
-        over,
-        note: said,
-        report: said,
+        request_over: over,
+        answer_report: said,
+        load_report: said,
     });
 }
 
@@ -34,8 +34,8 @@
     first: RequestId,
     count: u64,
     class: usize,
-    ending: Ending,
-    took: Span,
+    ending: AttemptEnd,
+    took: Micros,
 ) -> u64 {
     let mut refused = 0;
     for id in first..first + count {
@@ -53,13 +53,13 @@
 fn a_jam_keeps_requests_out_where_routers_are_many_and_passes() {
     // Danger: with a floor of one attempt a router, 500 routers kept full queues full and nothing came in time.
     let mut rig = Rig::with(crowd(), vec![entry("p", true)]);
-    let jam = kept_out(&mut rig, 1, 200, KEYED, Ending::Overloaded, 2 * MS);
+    let jam = kept_out(&mut rig, 1, 200, KEYED, AttemptEnd::Overloaded, 2 * MS);
     assert!(
         jam > 100 && jam < 200,
         "{jam} of 200 kept from a node that turns all away"
     );
-    kept_out(&mut rig, 1_000, 300, KEYED, Ending::Success, 20 * MS);
-    let calm = kept_out(&mut rig, 2_000, 100, KEYED, Ending::Success, 20 * MS);
+    kept_out(&mut rig, 1_000, 300, KEYED, AttemptEnd::Success, 20 * MS);
+    let calm = kept_out(&mut rig, 2_000, 100, KEYED, AttemptEnd::Success, 20 * MS);
     assert_eq!(calm, 0, "what stays shut after the jam refuses for nothing");
 }
 
@@ -68,7 +68,7 @@
     // Danger: only answers counted as slowness. A router with a request every other second to a node learned of its jam
     // from the few that came through, and 100 routers kept a queue full of which nothing came in time.
     let mut rig = Rig::with(crowd(), vec![entry("p", true)]);
-    let kept = kept_out(&mut rig, 1, 40, KEYED, Ending::TimedOut, 700 * MS);
+    let kept = kept_out(&mut rig, 1, 40, KEYED, AttemptEnd::TimedOut, 700 * MS);
     assert!(kept > 5, "{kept} of 40");
 }
 
@@ -76,12 +76,12 @@
 fn a_few_routers_queue_and_limit_instead() {
     let mut rig = Rig::with(
         Settings {
-            routers: 4,
+            router_count: 4,
             ..crowd()
         },
         vec![entry("p", true)],
     );
-    let jam = kept_out(&mut rig, 1, 100, KEYED, Ending::Overloaded, 2 * MS);
+    let jam = kept_out(&mut rig, 1, 100, KEYED, AttemptEnd::Overloaded, 2 * MS);
     assert_eq!(
         jam, 0,
         "the limit works where a router's share is at least one request"
@@ -96,7 +96,7 @@
     for round in 0..100 {
         for (place, took) in [20, 150, 40, 60].into_iter().enumerate() {
             let first = 1 + round * 4 + place as u64;
-            refused += kept_out(&mut rig, first, 1, KEYED, Ending::Success, took * MS);
+            refused += kept_out(&mut rig, first, 1, KEYED, AttemptEnd::Success, took * MS);
         }
     }
     assert_eq!(refused, 0);
@@ -105,8 +105,8 @@
 /// A crowd whose nodes tell their load when they are probed, and whose replicas must be proved fresh.
 fn reporting() -> Settings {
     Settings {
-        may_probe: true,
-        reports: ReportSource::Probes,
+        health_checks_allowed: true,
+        reports: ReportSource::HealthChecks,
         replica_check: ReplicaCheck::None,
         ..crowd()
     }
@@ -114,15 +114,15 @@
 
 fn loaded(rig: &mut Rig, node: &str, held: u32, busy: u32) {
     let said = says(Role::Replica, rig.now - 20 * MS);
-    let report = Standing {
-        held: Some(held),
-        busy: Some(busy),
+    let report = NodeReport {
+        in_flight: Some(held),
+        utilization_permille: Some(busy),
         ..said
     };
-    rig.event(Event::Probed {
+    rig.event(Event::HealthChecked {
         node: node.into(),
         answered: true,
-        report,
+        load_report: report,
     });
 }
 
@@ -134,11 +134,11 @@
     loaded(&mut rig, "r2", 3, 600);
     for id in 1..=6 {
         assert_eq!(rig.request(demand(id, BOUNDED)).as_deref(), Some("r2"));
-        ends_after(&mut rig, id, Ending::Success, 60 * MS);
+        ends_after(&mut rig, id, AttemptEnd::Success, 60 * MS);
     }
     // Few routers see what is out for themselves.
     let mut few = Rig::new(Settings {
-        routers: 3,
+        router_count: 3,
         ..reporting()
     });
     loaded(&mut few, "r1", 9, 1_000);
@@ -177,7 +177,7 @@
     let mut rig = Rig::with(reporting(), vec![entry("p", true)]);
     for id in 1..=3 {
         assert!(rig.request(demand(id, KEYED)).is_some());
-        ends_after(&mut rig, id, Ending::Success, 200 * MS);
+        ends_after(&mut rig, id, AttemptEnd::Success, 200 * MS);
     }
     assert_eq!(rig.request(demand(4, BOUNDED)), None);
     assert_eq!(rig.request(demand(5, KEYED)).as_deref(), Some("p"));
@@ -197,8 +197,8 @@
 #[test]
 fn a_cold_node_gets_its_share_from_all_routers_together() {
     // Danger: one send a window and router was let through; 450 routers pushed the node over (rule 4).
-    let cold = NodeEntry {
-        started: Some(T0),
+    let cold = Endpoint {
+        started_at: Some(T0),
         ..entry("r1", false)
     };
     let sent = sent_by_all(&[cold], ANY);
@@ -210,29 +210,36 @@
 }
 
 /// How many of 500 routers send a request of this class to the fleet that they have just heard of.
-fn sent_by_all(entries: &[NodeEntry], class: usize) -> usize {
+fn sent_by_all(entries: &[Endpoint], class: usize) -> usize {
     sent_where_each_holds(entries, class, 0)
 }
 
 /// The same, where each node has told that it holds so many requests.
-fn sent_where_each_holds(entries: &[NodeEntry], class: usize, held: u32) -> usize {
+fn sent_where_each_holds(entries: &[Endpoint], class: usize, held: u32) -> usize {
     let sends = |index: u32| {
-        let mut balancer =
-            Balancer::new(Settings { index, ..crowd() }, u64::from(index) * 7_919 + 3);
-        let mut events = vec![Event::List(ListUpdate::Full(entries.to_vec()))];
+        let mut balancer = Balancer::new(
+            Settings {
+                router_index: index,
+                ..crowd()
+            },
+            u64::from(index) * 7_919 + 3,
+        );
+        let mut events = vec![Event::EndpointsChanged(EndpointUpdate::Full(
+            entries.to_vec(),
+        ))];
         for entry in entries.iter().filter(|_| held > 0) {
-            let report = Standing {
-                held: Some(held),
-                busy: Some(1_000),
+            let report = NodeReport {
+                in_flight: Some(held),
+                utilization_permille: Some(1_000),
                 ..says(Role::Replica, T0 - MS)
             };
-            events.push(Event::Probed {
+            events.push(Event::HealthChecked {
                 node: entry.node.clone(),
                 answered: true,
-                report,
+                load_report: report,
             });
         }
-        events.push(Event::Request(demand(1, class)));
+        events.push(Event::RequestArrived(demand(1, class)));
         let mut actions = Vec::new();
         balancer.handle(T0, events, &mut actions);
         actions.iter().any(|a| matches!(a, Action::Send { .. }))
@@ -246,8 +253,8 @@
     // held against them as if they were warm: 190 requests in 2 s, more than half of them turned away elsewhere first, and
     // one fell over (rule 4).
     let five = |started| {
-        (0..5).map(move |n| NodeEntry {
-            started,
+        (0..5).map(move |n| Endpoint {
+            started_at: started,
             ..entry(&format!("r{n}"), false)
         })
     };
@@ -268,11 +275,11 @@
 fn a_fleet_of_cold_nodes_takes_its_share_all_together() {
     // Danger: each request asked chance once, as if one cold node had to take it. When six in ten nodes had been
     // replaced, half of all requests were refused while the new nodes idled at a tenth of what they could do.
-    let cold = |name: &str, primary| NodeEntry {
-        started: Some(T0),
+    let cold = |name: &str, primary| Endpoint {
+        started_at: Some(T0),
         ..entry(name, primary)
     };
-    let five: Vec<NodeEntry> = (0..5).map(|n| cold(&format!("r{n}"), false)).collect();
+    let five: Vec<Endpoint> = (0..5).map(|n| cold(&format!("r{n}"), false)).collect();
     let sent = sent_by_all(&five, ANY);
     // 0.2 x 0.6 for each of five; one alone gets a fifth of that, as the test above says.
     assert!(
@@ -291,27 +298,27 @@
 fn what_another_was_told_makes_a_node_look_no_fresher_than_asking_would() {
     // Danger: news that was long under way would pass for the node's word of now, and its load for that of now.
     let said = |position, age| {
-        let report = Standing {
+        let report = NodeReport {
             position: Some(position),
             role: Some(Role::Replica),
             age,
-            ..Standing::default()
+            ..NodeReport::default()
         };
-        Event::Probed {
+        Event::HealthChecked {
             node: "r1".into(),
             answered: true,
-            report,
+            load_report: report,
         }
     };
-    let asks_after = |event: fn(Time) -> (Time, Span)| {
+    let asks_after = |event: fn(Time) -> (Time, Micros)| {
         let mut rig = Rig::with(reporting(), vec![entry("p", true), entry("r1", false)]);
         rig.later(10_000 * MS);
         let (position, age) = event(rig.now);
         rig.event(said(position, age));
         // A read that needs newer data than that asks at once where the word is old.
         rig.later(90 * MS);
-        rig.request(Demand {
-            write_age: Some(MS),
+        rig.request(RequestInfo {
+            last_write_age: Some(MS),
             ..demand(1, SESSION)
         });
         probes(&rig)
@@ -328,7 +335,7 @@
 fn probes(rig: &Rig) -> usize {
     rig.actions
         .iter()
-        .filter(|a| matches!(a, Action::Probe(_)))
+        .filter(|a| matches!(a, Action::HealthCheck(_)))
         .count()
 }
 
@@ -336,8 +343,8 @@
 fn nothing_is_probed_while_replicas_serve() {
     // Danger: each router probed every replica of every group that it had used; probes cost a tenth of all worth.
     let cfg = Settings {
-        may_probe: true,
-        reports: ReportSource::Probes,
+        health_checks_allowed: true,
+        reports: ReportSource::HealthChecks,
         ..crowd()
     };
     let mut rig = Rig::new(cfg);
@@ -346,7 +353,7 @@
         rig.request(demand(id, BOUNDED));
         asked += probes(&rig);
         let fresh = says(Role::Replica, rig.now - 20 * MS);
-        rig.ends(id, 0, Ending::Success, fresh);
+        rig.ends(id, 0, AttemptEnd::Success, fresh);
         rig.later(5_000 * MS);
         asked += probes(&rig);
     }
@@ -358,10 +365,10 @@
     // Danger: none had been asked yet, so all tied and each of 100 routers asked the first by name. All of them then
     // knew that one to be fresh, and no other: the reads of the whole fleet went there, until it answered none in time.
     let cfg = |index| Settings {
-        index,
+        router_index: index,
         ..reporting()
     };
-    let replicas: Vec<NodeEntry> = (0..5).map(|n| entry(&format!("r{n}"), false)).collect();
+    let replicas: Vec<Endpoint> = (0..5).map(|n| entry(&format!("r{n}"), false)).collect();
     let mut asked = [0; 5];
     for index in 0..500 {
         let mut rig = Rig::with(cfg(index), replicas.clone());
@@ -370,7 +377,7 @@
             asked[place] += rig
                 .actions
                 .iter()
-                .filter(|a| **a == Action::Probe(node.node.clone()))
+                .filter(|a| **a == Action::HealthCheck(node.node.clone()))
                 .count();
         }
     }
@@ -383,7 +390,7 @@
 #[test]
 fn a_read_that_needs_proof_waits_for_the_one_it_asked() {
     let cfg = Settings {
-        may_probe: true,
+        health_checks_allowed: true,
         reports: ReportSource::Answers,
         replica_check: ReplicaCheck::None,
         ..crowd()
@@ -395,17 +402,17 @@
         "it waits a moment instead of loading the primary"
     );
     let asked = rig.actions.iter().find_map(|a| match a {
-        Action::Probe(node) => Some(node.clone()),
+        Action::HealthCheck(node) => Some(node.clone()),
         _ => None,
     });
     let asked = asked.expect("one replica is asked");
     assert_eq!(probes(&rig), 1);
     let report = says(Role::Replica, rig.now - 200 * MS);
     rig.now += 5 * MS;
-    rig.event(Event::Probed {
+    rig.event(Event::HealthChecked {
         node: asked.clone(),
         answered: true,
-        report,
+        load_report: report,
     });
     assert_eq!(rig.sent(1).as_deref(), Some(&*asked));
     // A lost probe costs a moment, no more.
@@ -418,7 +425,7 @@
 #[test]
 fn a_light_router_sets_aside_more_than_one_dead_node() {
     // Danger: only half of the nodes in use might be set aside; a light router uses one or two at a time.
-    let place = |n: u64| NodeEntry {
+    let place = |n: u64| Endpoint {
         group: 1 + n / 2,
         ..entry(&format!("r{n}"), false)
     };
@@ -426,7 +433,7 @@
     let mut aside = 0;
     for id in 1..=60 {
         if rig.request(demand(id, ANY)).is_some() {
-            ends_after(&mut rig, id, Ending::Broken, 60 * MS);
+            ends_after(&mut rig, id, AttemptEnd::Reset, 60 * MS);
         }
         aside += rig
             .actions
@@ -439,7 +446,9 @@
 }
 
 fn closes(rig: &Rig) -> bool {
-    rig.actions.iter().any(|a| matches!(a, Action::Close(_)))
+    rig.actions
+        .iter()
+        .any(|a| matches!(a, Action::CloseIdle(_)))
 }
 
 #[test]
@@ -457,17 +466,17 @@
         closed
     };
     assert!(
-        !play(&mut rig, Ending::Success, 60 * MS),
+        !play(&mut rig, AttemptEnd::Success, 60 * MS),
         "connections are kept in calm"
     );
-    play(&mut rig, Ending::Unreachable, 2 * MS);
+    play(&mut rig, AttemptEnd::Unreachable, 2 * MS);
     assert!(
-        play(&mut rig, Ending::Success, 60 * MS),
+        play(&mut rig, AttemptEnd::Success, 60 * MS),
         "closed after use while a table was full lately"
     );
-    play(&mut rig, Ending::Unreachable, 250 * MS);
+    play(&mut rig, AttemptEnd::Unreachable, 250 * MS);
     assert!(
-        !play(&mut rig, Ending::Success, 60 * MS),
+        !play(&mut rig, AttemptEnd::Success, 60 * MS),
         "kept where handshakes are slow"
     );
 }
@@ -478,7 +487,7 @@
     let homes: Vec<String> = (1..=6)
         .map(|id| {
             let home = rig.request(demand(id, ANY)).unwrap();
-            ends_after(&mut rig, id, Ending::Success, 90 * MS);
+            ends_after(&mut rig, id, AttemptEnd::Success, 90 * MS);
             rig.later(2_000 * MS);
             home
         })
@@ -503,7 +512,7 @@
             });
             rig.now += 150 * MS;
         }
-        kept_out(&mut rig, 1, 100, KEYED, Ending::Success, 60 * MS)
+        kept_out(&mut rig, 1, 100, KEYED, AttemptEnd::Success, 60 * MS)
     };
     assert_eq!(refused(true), refused(false));
 }
@@ -512,13 +521,13 @@
 fn odd_router_counts_and_an_empty_list_do_no_harm() {
     for (routers, index) in [(0, 0), (1, 0), (1, 77), (500, 4_000_000)] {
         let mut rig = Rig::new(Settings {
-            routers,
-            index,
+            router_count: routers,
+            router_index: index,
             ..crowd()
         });
         assert!(rig.request(demand(1, ANY)).is_some());
-        ends_after(&mut rig, 1, Ending::Success, 60 * MS);
-        rig.event(Event::List(ListUpdate::Full(Vec::new())));
+        ends_after(&mut rig, 1, AttemptEnd::Success, 60 * MS);
+        rig.event(Event::EndpointsChanged(EndpointUpdate::Full(Vec::new())));
         assert_eq!(rig.request(demand(2, ANY)), None);
         let answered = (0..200).any(|_| {
             rig.later(5 * MS);
@@ -533,9 +542,9 @@
     // Danger: dead nodes refuse at once as full ones do. 300 routers closed every connection to every node after each use
     // for 30 s after a zone was lost: 110,000 handshakes in 20 s where 38,000 connections would have done.
     let mut rig = Rig::with(crowd(), vec![entry("r1", false), entry("r2", false)]);
-    let closes = |rig: &Rig, node: &str| rig.actions.contains(&Action::Close(node.into()));
+    let closes = |rig: &Rig, node: &str| rig.actions.contains(&Action::CloseIdle(node.into()));
     let refuser = rig.request(demand(1, ANY)).expect("a replica is there");
-    ends_after(&mut rig, 1, Ending::Unreachable, MS);
+    ends_after(&mut rig, 1, AttemptEnd::Unreachable, MS);
     rig.later(100 * MS);
     for id in (2..20).step_by(2) {
         // Two at once go to both.
@@ -543,7 +552,7 @@
             [id, id + 1].map(|id| (id, rig.request(demand(id, ANY)).expect("both serve again")));
         assert_ne!(homes[0].1, homes[1].1);
         for (id, node) in homes {
-            ends_after(&mut rig, id, Ending::Success, 60 * MS);
+            ends_after(&mut rig, id, AttemptEnd::Success, 60 * MS);
             assert_eq!(
                 closes(&rig, &node),
                 node == refuser,
@@ -552,16 +561,18 @@
         }
     }
     // A new process has a table of its own.
-    let again = NodeEntry {
-        started: Some(rig.now - 20_000 * MS),
+    let again = Endpoint {
+        started_at: Some(rig.now - 20_000 * MS),
         ..entry(&refuser, false)
     };
-    rig.event(Event::List(ListUpdate::Changes(vec![again])));
+    rig.event(Event::EndpointsChanged(EndpointUpdate::Changes(vec![
+        again,
+    ])));
     for id in 20..22 {
         rig.request(demand(id, ANY)).expect("both serve");
     }
     for id in 20..22 {
-        ends_after(&mut rig, id, Ending::Success, 60 * MS);
+        ends_after(&mut rig, id, AttemptEnd::Success, 60 * MS);
         assert!(!closes(&rig, &refuser));
     }
 }
@@ -570,8 +581,8 @@
 fn a_cold_replica_refuses_no_read_that_warm_ones_may_serve() {
     // Danger: a read that waits for the word of a warm replica was refused at once, as chance kept it from a cold one
     // beside it: a third of all refusals in the 15 s after a zone's return.
-    let cold = NodeEntry {
-        started: Some(T0),
+    let cold = Endpoint {
+        started_at: Some(T0),
         ..entry("r3", false)
     };
     let mut rig = Rig::with(
@@ -591,20 +602,20 @@
             "request {id}: two warm replicas have not been heard yet"
         );
         let asked = rig.actions.iter().find_map(|a| match a {
-            Action::Probe(node) => Some(node.clone()),
+            Action::HealthCheck(node) => Some(node.clone()),
             _ => None,
         });
         let node = sent.or_else(|| {
             let report = says(Role::Replica, rig.now);
-            rig.event(Event::Probed {
+            rig.event(Event::HealthChecked {
                 node: asked.expect("one is asked"),
                 answered: true,
-                report,
+                load_report: report,
             });
             rig.sent(id)
         });
         assert!(node.is_some(), "request {id} goes where the word came from");
-        ends_after(&mut rig, id, Ending::Success, 60 * MS);
+        ends_after(&mut rig, id, AttemptEnd::Success, 60 * MS);
     }
 }
 
@@ -616,17 +627,17 @@
         max_attempts: 6,
         ..crowd()
     };
-    patient.classes[UNSAFE].aim = 5_000 * MS;
+    patient.classes[UNSAFE].latency_objective = 5_000 * MS;
     let mut rig = Rig::with(patient, vec![entry("p", true)]);
     let mut sent = vec![rig.now];
-    let mut at = rig.request(Demand {
-        left: 5_000 * MS,
+    let mut at = rig.request(RequestInfo {
+        time_left: 5_000 * MS,
         ..demand(1, UNSAFE)
     });
     while rig.now < T0 + 4_000 * MS {
         if at.take().is_some() {
             let attempt = sent.len() as u32 - 1;
-            rig.ends(1, attempt, Ending::Unreachable, Standing::default());
+            rig.ends(1, attempt, AttemptEnd::Unreachable, NodeReport::default());
             assert_eq!(rig.sent(1), None, "the same one rests");
         }
         assert!(
@@ -643,7 +654,7 @@
             break;
         }
     }
-    let gaps: Vec<Span> = sent.windows(2).map(|w| w[1] - w[0]).collect();
+    let gaps: Vec<Micros> = sent.windows(2).map(|w| w[1] - w[0]).collect();
     assert!(
         gaps.windows(2).all(|w| w[1] >= w[0]) && sent[sent.len() - 1] >= T0 + 1_500 * MS,
         "{gaps:?}"
@@ -655,12 +666,12 @@
     });
     assert_eq!(rig.request(demand(1, UNSAFE)).as_deref(), Some("p"));
     let answer = says(Role::Primary, rig.now);
-    rig.event(Event::Probed {
+    rig.event(Event::HealthChecked {
         node: "r1".into(),
         answered: true,
-        report: answer,
+        load_report: answer,
     });
-    rig.ends(1, 0, Ending::Missed, says(Role::Replica, rig.now));
+    rig.ends(1, 0, AttemptEnd::Misdirected, says(Role::Replica, rig.now));
     assert_eq!(rig.sent(1).as_deref(), Some("r1"));
 }
 
@@ -695,20 +706,25 @@
         };
         let mut rig = Rig::with(settings, vec![entry("r1", false), entry("r2", false)]);
         let (mut found, mut attempts) = (0, 0);
-        let mut at = rig.request(Demand {
-            left: 3_000 * MS,
+        let mut at = rig.request(RequestInfo {
+            time_left: 3_000 * MS,
             ..demand(1, UNSAFE)
         });
         for _ in 0..40 {
             while at.take().is_some() {
-                rig.ends(1, attempts, Ending::Missed, says(Role::Replica, rig.now));
+                rig.ends(
+                    1,
+                    attempts,
+                    AttemptEnd::Misdirected,
+                    says(Role::Replica, rig.now),
+                );
                 attempts += 1;
                 at = rig.sent(1);
             }
             found += rig
                 .actions
                 .iter()
-                .filter(|a| matches!(a, Action::Probe(_)))
+                .filter(|a| matches!(a, Action::HealthCheck(_)))
                 .count();
             rig.later(20 * MS);
             at = rig.sent(1);
@@ -719,7 +735,7 @@
     assert_eq!(probes(reporting()), 0);
     assert!(
         probes(Settings {
-            routers: 3,
+            router_count: 3,
             ..reporting()
         }) > 0,
         "a few routers ask"
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -5,8 +5,8 @@
 use common::*;
 use plovercove::*;
 
-fn session_read(id: RequestId, key: &str) -> Demand {
-    Demand {
+fn session_read(id: RequestId, key: &str) -> RequestInfo {
+    RequestInfo {
         session: Some(key.into()),
         ..demand(id, SESSION)
     }
@@ -16,7 +16,7 @@
 fn ties_go_round_robin_from_the_routers_number() {
     let order = |index| {
         let mut rig = Rig::new(Settings {
-            index,
+            router_index: index,
             ..settings()
         });
         (1..=2)
@@ -44,7 +44,7 @@
 fn weight_divides_the_load() {
     // E/W when both are idle: 90/1 and 90/4 = 22.5. With two reads out at the heavy one (90+90+90)/4 = 67.5 < 90,
     // with three (4 x 90)/4 = 90, a tie.
-    let heavy = NodeEntry {
+    let heavy = Endpoint {
         weight: 4.0,
         ..entry("r2", false)
     };
@@ -64,10 +64,10 @@
     let mut rig = Rig::new(settings());
     let home = rig.request(session_read(1, "a")).unwrap();
     let replica = says(Role::Replica, rig.now);
-    rig.ends(1, 0, Ending::Success, replica);
+    rig.ends(1, 0, AttemptEnd::Success, replica);
     for id in 2..5 {
         assert_eq!(rig.request(session_read(id, "a")).unwrap(), home);
-        rig.ends(id, 0, Ending::Success, replica);
+        rig.ends(id, 0, AttemptEnd::Success, replica);
     }
 }
 
@@ -76,16 +76,16 @@
     let mut rig = Rig::new(settings());
     let first = rig.request(demand(1, ANY)).unwrap();
     // Answered just as fast as the class's mean, so that speed tells nothing apart.
-    let (ending, said) = (Ending::Success, Standing::default());
+    let (ending, said) = (AttemptEnd::Success, NodeReport::default());
     let (request, attempt, elapsed, over) = (1, 0, 90 * MS, true);
-    rig.event(Event::Outcome {
+    rig.event(Event::AttemptEnded {
         request,
         attempt,
-        ending,
+        end: ending,
         elapsed,
-        over,
-        note: said,
-        report: said,
+        request_over: over,
+        answer_report: said,
+        load_report: said,
     });
     let second = rig.request(demand(2, ANY)).unwrap();
     assert_ne!(first, second, "an idle pair shares keyless reads by turns");
@@ -93,7 +93,7 @@
 
 #[test]
 fn crossing_a_zone_costs_a_share_of_the_read() {
-    let far = NodeEntry {
+    let far = Endpoint {
         zone: "there".into(),
         ..entry("r1", false)
     };
