--- a/tests/property.rs
+++ b/tests/property.rs
@@ -43,7 +43,7 @@
 struct World {
     cfg: Settings,
     books: BTreeMap<RequestId, Book>,
-    nodes: BTreeMap<NodeId, (NodeEntry, Option<Time>)>,
+    nodes: BTreeMap<NodeId, (Endpoint, Option<Time>)>,
     answered: u64,
     sends: u64,
 }
@@ -69,7 +69,7 @@
                 assert!(!drained, "sent to a node that drains or is gone");
                 let pending = book.tries.iter().filter(|t| t.pending).count();
                 assert!(
-                    pending == 0 || (self.cfg.second_copies && pending == 1),
+                    pending == 0 || (self.cfg.hedging_allowed && pending == 1),
                     "too many copies at once"
                 );
                 assert!(
@@ -77,15 +77,17 @@
                     "too many attempts"
                 );
                 let risky: Vec<&Try> = book.tries.iter().filter(|t| !t.never_ran).collect();
-                match class.effect {
-                    Effect::Idempotent => {}
-                    Effect::AtMostOnce => assert!(risky.is_empty(), "an unsafe request sent again"),
-                    Effect::Deduplicated => {
-                        let in_window = risky.iter().all(|t| now <= t.sent + class.window);
+                match class.idempotency {
+                    Idempotency::Idempotent => {}
+                    Idempotency::AtMostOnce => {
+                        assert!(risky.is_empty(), "an unsafe request sent again")
+                    }
+                    Idempotency::Deduplicated => {
+                        let in_window = risky.iter().all(|t| now <= t.sent + class.dedup_window);
                         assert!(in_window, "a keyed request sent again past its window");
                         let zone = |id: &NodeId| &self.nodes[id].0.zone;
                         let in_scope = |t: &&Try| {
-                            class.scope != RepeatScope::Zone || zone(&t.node) == zone(node)
+                            class.dedup_scope != DedupScope::Zone || zone(&t.node) == zone(node)
                         };
                         assert!(
                             risky.iter().all(in_scope),
@@ -102,7 +104,7 @@
                     never_ran: false,
                 });
             }
-            Action::Refuse { request, .. } | Action::Fail { request } => {
+            Action::Reject { request, .. } | Action::Fail { request } => {
                 let book = self.books.get_mut(request).expect("a known request");
                 assert!(
                     !book.over && !ended_before.contains(request),
@@ -114,8 +116,9 @@
                 );
                 let class = &self.cfg.classes[book.class];
                 let harmless = book.tries.iter().all(|t| t.never_ran)
-                    || class.effect == Effect::Idempotent
-                    || (class.effect == Effect::Deduplicated && class.scope == RepeatScope::All);
+                    || class.idempotency == Idempotency::Idempotent
+                    || (class.idempotency == Idempotency::Deduplicated
+                        && class.dedup_scope == DedupScope::All);
                 assert!(
                     matches!(action, Action::Fail { .. }) || harmless,
                     "refused what may have run"
@@ -124,19 +127,24 @@
                 self.answered += 1;
             }
             Action::Cancel { request, attempt } => {
-                assert!(self.cfg.may_cancel, "cancelled where that is not allowed");
+                assert!(
+                    self.cfg.cancel_allowed,
+                    "cancelled where that is not allowed"
+                );
                 assert!(
                     self.books[request].tries.len() > *attempt as usize,
                     "cancelled what was never sent"
                 );
             }
-            Action::Probe(node) => {
+            Action::HealthCheck(node) => {
                 assert!(
-                    self.cfg.may_probe && self.nodes.contains_key(node),
+                    self.cfg.health_checks_allowed && self.nodes.contains_key(node),
                     "probed a stranger"
                 );
             }
-            Action::Close(node) => assert!(self.nodes.contains_key(node), "closed to a stranger"),
+            Action::CloseIdle(node) => {
+                assert!(self.nodes.contains_key(node), "closed to a stranger")
+            }
             Action::Wake(span) => assert!(*span > 0),
             Action::Subscribe | Action::Log(_) => {}
         }
@@ -145,63 +153,63 @@
 
 fn random_settings(dice: &mut Dice) -> Settings {
     let mut cfg = settings();
-    cfg.second_copies = dice.chance(40);
-    cfg.may_cancel = dice.chance(70);
-    cfg.may_probe = dice.chance(70);
-    cfg.retry_after = dice.chance(50);
+    cfg.hedging_allowed = dice.chance(40);
+    cfg.cancel_allowed = dice.chance(70);
+    cfg.health_checks_allowed = dice.chance(70);
+    cfg.retry_after_allowed = dice.chance(50);
     cfg.max_retry_after = 1_000 * MS;
-    cfg.tokens_carried = dice.chance(50);
+    cfg.clients_carry_tokens = dice.chance(50);
     cfg.subscribe = dice.chance(30);
     cfg.dropped_stay_open = dice.chance(30);
     cfg.reports = [
         ReportSource::Answers,
-        ReportSource::Probes,
+        ReportSource::HealthChecks,
         ReportSource::None,
     ][dice.roll(3) as usize];
     let checks = [
         ReplicaCheck::None,
-        ReplicaCheck::Refuse,
+        ReplicaCheck::Reject,
         ReplicaCheck::Wait(50 * MS),
     ];
     cfg.replica_check = checks[dice.roll(3) as usize];
-    cfg.classes[KEYED].scope =
-        [RepeatScope::All, RepeatScope::Zone, RepeatScope::Group][dice.roll(3) as usize];
-    cfg.classes[KEYED].window = [200 * MS, 1_000 * MS][dice.roll(2) as usize];
-    cfg.index = dice.roll(4) as u32;
-    cfg.routers = [0, 1, 4, 25, 500][dice.roll(5) as usize];
+    cfg.classes[KEYED].dedup_scope =
+        [DedupScope::All, DedupScope::Zone, DedupScope::Group][dice.roll(3) as usize];
+    cfg.classes[KEYED].dedup_window = [200 * MS, 1_000 * MS][dice.roll(2) as usize];
+    cfg.router_index = dice.roll(4) as u32;
+    cfg.router_count = [0, 1, 4, 25, 500][dice.roll(5) as usize];
     cfg.connection_idle = [1_000 * MS, 15_000 * MS][dice.roll(2) as usize];
     cfg
 }
 
-fn random_entry(dice: &mut Dice, now: Time) -> NodeEntry {
+fn random_entry(dice: &mut Dice, now: Time) -> Endpoint {
     let number = dice.roll(7);
     let mut e = entry(&format!("n{number}"), dice.chance(25));
     e.group = 1 + number % 2;
     e.zone = ["here", "there"][(number / 2 % 2) as usize].into();
     e.state = [
-        Listed::Serving,
-        Listed::Serving,
-        Listed::Serving,
-        Listed::Draining,
-        Listed::Gone,
+        EndpointState::Serving,
+        EndpointState::Serving,
+        EndpointState::Serving,
+        EndpointState::Draining,
+        EndpointState::Removed,
     ][dice.roll(5) as usize];
-    e.started = dice
+    e.started_at = dice
         .chance(30)
         .then(|| now.saturating_sub(dice.roll(20_000_000)));
     e
 }
 
-fn random_standing(dice: &mut Dice, now: Time) -> Standing {
+fn random_standing(dice: &mut Dice, now: Time) -> NodeReport {
     // Now and then a position from the future, which must be worth nothing.
     let position = dice
         .chance(80)
         .then(|| now + 100 * MS - dice.roll(3_000) * MS);
     let role = [None, Some(Role::Primary), Some(Role::Replica)][dice.roll(3) as usize];
-    Standing {
+    NodeReport {
         position,
         role,
-        held: dice.chance(50).then(|| dice.roll(400) as u32),
-        busy: dice.chance(50).then(|| dice.roll(2000) as u32),
+        in_flight: dice.chance(50).then(|| dice.roll(400) as u32),
+        utilization_permille: dice.chance(50).then(|| dice.roll(2000) as u32),
         age: if dice.chance(30) {
             dice.roll(3_000) * MS
         } else {
@@ -210,13 +218,13 @@
     }
 }
 
-fn note_list(world: &mut World, now: Time, entries: &[NodeEntry], full: bool) {
+fn note_list(world: &mut World, now: Time, entries: &[Endpoint], full: bool) {
     let open = world.cfg.dropped_stay_open;
     for e in entries {
         let was = world.nodes.get(&e.node).and_then(|(_, closed)| *closed);
         let closed = match e.state {
-            Listed::Serving => None,
-            Listed::Gone if open => was,
+            EndpointState::Serving => None,
+            EndpointState::Removed if open => was,
             _ => was.or(Some(now)),
         };
         world.nodes.insert(e.node.clone(), (e.clone(), closed));
@@ -229,8 +237,8 @@
     }
 }
 
-fn ending_of(dice: &mut Dice) -> Ending {
-    use Ending::*;
+fn ending_of(dice: &mut Dice) -> AttemptEnd {
+    use AttemptEnd::*;
     [
         Success,
         Success,
@@ -238,10 +246,10 @@
         Failure,
         Overloaded,
         Unreachable,
-        Broken,
-        Void,
-        Missed,
-        Missed,
+        Reset,
+        NeverSent,
+        Misdirected,
+        Misdirected,
     ][dice.roll(10) as usize]
 }
 
@@ -266,24 +274,27 @@
         }
         if step == 0 || dice.chance(2) {
             let count = if step == 0 { 12 } else { dice.roll(5) };
-            let mut entries: Vec<NodeEntry> =
+            let mut entries: Vec<Endpoint> =
                 (0..count).map(|_| random_entry(&mut dice, now)).collect();
             entries.sort_by(|a, b| a.node.cmp(&b.node));
             entries.dedup_by(|a, b| a.node == b.node);
             let full = dice.chance(20);
             note_list(&mut world, now, &entries, full);
             let update = if full {
-                ListUpdate::Full(entries)
+                EndpointUpdate::Full(entries)
             } else {
-                ListUpdate::Changes(entries)
+                EndpointUpdate::Changes(entries)
             };
-            events.push(Event::List(if dice.chance(5) {
-                ListUpdate::Failed
+            events.push(Event::EndpointsChanged(if dice.chance(5) {
+                EndpointUpdate::Failed
             } else {
                 update.clone()
             }));
-            if matches!(events.last(), Some(Event::List(ListUpdate::Failed))) {
-                events.push(Event::List(update));
+            if matches!(
+                events.last(),
+                Some(Event::EndpointsChanged(EndpointUpdate::Failed))
+            ) {
+                events.push(Event::EndpointsChanged(update));
             }
         }
         // Attempts that are due end; some others end early.
@@ -297,63 +308,63 @@
                     continue;
                 }
                 let ending = if timed_out {
-                    Ending::TimedOut
+                    AttemptEnd::TimedOut
                 } else {
                     ending_of(&mut dice)
                 };
                 t.pending = false;
                 let never = [
-                    Ending::Overloaded,
-                    Ending::Unreachable,
-                    Ending::Void,
-                    Ending::Missed,
+                    AttemptEnd::Overloaded,
+                    AttemptEnd::Unreachable,
+                    AttemptEnd::NeverSent,
+                    AttemptEnd::Misdirected,
                 ];
                 t.never_ran = never.contains(&ending);
-                if ending == Ending::Success && !book.over {
+                if ending == AttemptEnd::Success && !book.over {
                     book.over = true;
                     world.answered += 1;
                     ended.insert(id);
                 }
-                events.push(Event::Outcome {
+                events.push(Event::AttemptEnded {
                     request: id,
                     attempt: place as u32,
-                    ending,
+                    end: ending,
                     elapsed: now - t.sent,
-                    over: book.over,
-                    note: random_standing(&mut dice, now),
-                    report: random_standing(&mut dice, now),
+                    request_over: book.over,
+                    answer_report: random_standing(&mut dice, now),
+                    load_report: random_standing(&mut dice, now),
                 });
             }
             if !book.over && dice.chance(1) && dice.chance(10) {
                 book.over = true;
                 world.answered += 1;
                 ended.insert(id);
-                events.push(Event::Abandoned { request: id });
+                events.push(Event::ClientGone { request: id });
             }
         }
         for _ in 0..if quiet { 0 } else { dice.roll(4) } {
             let mut d = demand(next_id, dice.roll(6) as usize);
-            (d.group, d.left) = (1 + dice.roll(2), (20 + dice.roll(900)) * MS);
+            (d.group, d.time_left) = (1 + dice.roll(2), (20 + dice.roll(900)) * MS);
             d.session = dice.chance(70).then(|| format!("s{}", dice.roll(9)).into());
-            d.repeat = dice.chance(20);
-            d.write_age = dice.chance(50).then(|| dice.roll(900) * MS);
+            d.is_retry = dice.chance(20);
+            d.last_write_age = dice.chance(50).then(|| dice.roll(900) * MS);
             let book = Book {
                 class: d.class,
                 group: d.group,
-                deadline: now + d.left,
+                deadline: now + d.time_left,
                 tries: vec![],
                 over: false,
             };
             world.books.insert(next_id, book);
-            events.push(Event::Request(d));
+            events.push(Event::RequestArrived(d));
             next_id += 1;
         }
         if dice.chance(10) {
             let node: NodeId = format!("n{}", dice.roll(9)).into();
-            events.push(Event::Probed {
+            events.push(Event::HealthChecked {
                 node,
                 answered: dice.chance(80),
-                report: random_standing(&mut dice, now),
+                load_report: random_standing(&mut dice, now),
             });
         }
         if dice.chance(5) {
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -12,7 +12,7 @@
     let stalled = rig.now;
     for id in 1..=4 {
         assert_eq!(rig.request(demand(id, ANY)).as_deref(), Some("r1"));
-        rig.ends(id, 0, Ending::Success, says(Role::Replica, stalled));
+        rig.ends(id, 0, AttemptEnd::Success, says(Role::Replica, stalled));
         rig.later(300 * MS);
     }
     assert_eq!(
@@ -28,15 +28,15 @@
     let mut rig = Rig::with(settings(), vec![entry("r1", false)]);
     rig.request(demand(1, ANY));
     let behind = says(Role::Replica, rig.now - 5_000 * MS);
-    rig.ends(1, 0, Ending::Success, behind);
+    rig.ends(1, 0, AttemptEnd::Success, behind);
     assert_eq!(rig.request(demand(2, BOUNDED)), None);
 }
 
 #[test]
 fn unheard_cold_replicas_get_no_checked_reads() {
     // Danger: a closed loop of reads that a cold, lagging node turned away pushed it over.
-    let cold = NodeEntry {
-        started: Some(T0),
+    let cold = Endpoint {
+        started_at: Some(T0),
         ..entry("r1", false)
     };
     let mut rig = Rig::with(settings(), vec![entry("p", true), cold]);
@@ -47,8 +47,8 @@
 fn a_cold_node_gets_its_turn_beside_idle_peers() {
     // Overload is 2.5 x 0.2 of two cores for 1 s, at the fourth turn 2.5 x 0.24: 1 to 1.2 s of work. A fifth of it in a turn
     // of 250 ms, 90 ms for each request: 2.2 to 2.7 of them.
-    let cold = NodeEntry {
-        started: Some(T0),
+    let cold = Endpoint {
+        started_at: Some(T0),
         ..entry("r1", false)
     };
     let mut rig = Rig::with(settings(), vec![entry("p", true), cold]);
@@ -62,16 +62,16 @@
             (2..=3).contains(&cold.len()) && cold.len() + warm.len() == 5,
             "none is refused: {homes:?}"
         );
-        let (ending, note, elapsed) = (Ending::Success, Standing::default(), 90 * MS);
+        let (ending, note, elapsed) = (AttemptEnd::Success, NodeReport::default(), 90 * MS);
         for request in first..first + 5 {
-            rig.event(Event::Outcome {
+            rig.event(Event::AttemptEnded {
                 request,
                 attempt: 0,
-                ending,
+                end: ending,
                 elapsed,
-                over: true,
-                note,
-                report: note,
+                request_over: true,
+                answer_report: note,
+                load_report: note,
             });
         }
         rig.now += 250 * MS;
@@ -82,12 +82,12 @@
 fn when_all_look_silent_the_common_cause_is_blamed() {
     // Danger: a jam made every node look dead; setting all aside left nothing to send to.
     let mut rig = Rig::new(Settings {
-        replica_check: ReplicaCheck::Refuse,
+        replica_check: ReplicaCheck::Reject,
         ..settings()
     });
     for id in 1..=24 {
-        rig.request(Demand {
-            left: 900 * MS,
+        rig.request(RequestInfo {
+            time_left: 900 * MS,
             ..demand(id, ANY)
         });
     }
@@ -117,7 +117,7 @@
         rig.later(60 * MS);
         for (id, home) in homes {
             if home.is_some_and(|home| home != silent) {
-                rig.ends(id, 0, Ending::Success, says(Role::Replica, rig.now));
+                rig.ends(id, 0, AttemptEnd::Success, says(Role::Replica, rig.now));
             }
         }
     }
@@ -134,7 +134,7 @@
 fn writes_wait_for_a_primary_and_a_miss_unseats() {
     let mut rig = Rig::new(settings());
     assert_eq!(rig.request(demand(1, KEYED)).as_deref(), Some("p"));
-    rig.ends(1, 0, Ending::Missed, says(Role::Replica, rig.now));
+    rig.ends(1, 0, AttemptEnd::Misdirected, says(Role::Replica, rig.now));
     let next = rig
         .sent(1)
         .expect("a miss never ran, so another member is asked");
@@ -145,7 +145,7 @@
         "one write at a time asks"
     );
     let now = rig.now;
-    rig.ends(1, 1, Ending::Success, says(Role::Primary, now));
+    rig.ends(1, 1, AttemptEnd::Success, says(Role::Primary, now));
     assert_eq!(
         rig.sent(2),
         Some(next),
@@ -157,8 +157,10 @@
 fn a_wrong_list_does_not_outrank_what_a_node_said() {
     let mut rig = Rig::new(settings());
     rig.request(demand(1, KEYED));
-    rig.ends(1, 0, Ending::Missed, says(Role::Replica, rig.now));
-    rig.event(Event::List(ListUpdate::Changes(vec![entry("p", true)])));
+    rig.ends(1, 0, AttemptEnd::Misdirected, says(Role::Replica, rig.now));
+    rig.event(Event::EndpointsChanged(EndpointUpdate::Changes(vec![
+        entry("p", true),
+    ])));
     assert_ne!(rig.request(demand(2, KEYED)).as_deref(), Some("p"));
 }
 
@@ -166,7 +168,7 @@
 fn unsafe_writes_go_once_and_fail_when_they_may_have_run() {
     let mut rig = Rig::new(settings());
     assert_eq!(rig.request(demand(1, UNSAFE)).as_deref(), Some("p"));
-    rig.ends(1, 0, Ending::Broken, Standing::default());
+    rig.ends(1, 0, AttemptEnd::Reset, NodeReport::default());
     for _ in 0..200 {
         assert_eq!(rig.sent(1), None);
         assert!(!rig.refused(1));
@@ -182,7 +184,7 @@
 fn a_group_without_members_is_refused_in_time() {
     let mut rig = Rig::new(settings());
     assert_eq!(
-        rig.request(Demand {
+        rig.request(RequestInfo {
             group: 9,
             ..demand(1, ANY)
         }),
@@ -201,14 +203,14 @@
 fn a_drained_node_gets_nothing_new_and_may_return() {
     let mut rig = Rig::with(settings(), vec![entry("r1", false)]);
     let state = |state| {
-        Event::List(ListUpdate::Changes(vec![NodeEntry {
+        Event::EndpointsChanged(EndpointUpdate::Changes(vec![Endpoint {
             state,
             ..entry("r1", false)
         }]))
     };
-    rig.event(state(Listed::Draining));
+    rig.event(state(EndpointState::Draining));
     assert_eq!(rig.request(demand(1, ANY)), None);
-    rig.event(state(Listed::Serving));
+    rig.event(state(EndpointState::Serving));
     assert_eq!(rig.sent(1).as_deref(), Some("r1"));
 }
 
@@ -225,16 +227,16 @@
     );
     // A position from the future proves nothing.
     let now = rig.now;
-    rig.event(Event::Probed {
+    rig.event(Event::HealthChecked {
         node: "r1".into(),
         answered: true,
-        report: says(Role::Replica, now + 60_000 * MS),
+        load_report: says(Role::Replica, now + 60_000 * MS),
     });
     assert_eq!(rig.request(demand(2, BOUNDED)).as_deref(), Some("p"));
-    rig.event(Event::Probed {
+    rig.event(Event::HealthChecked {
         node: "r1".into(),
         answered: true,
-        report: says(Role::Replica, now),
+        load_report: says(Role::Replica, now),
     });
     assert_eq!(rig.request(demand(3, BOUNDED)).as_deref(), Some("r1"));
 }
@@ -242,21 +244,21 @@
 #[test]
 fn remembered_tokens_keep_a_session_from_older_data() {
     let quiet = Settings {
-        tokens_carried: false,
+        clients_carry_tokens: false,
         replica_check: ReplicaCheck::None,
         ..settings()
     };
     let mut rig = Rig::new(quiet);
-    let own = |id, class| Demand {
+    let own = |id, class| RequestInfo {
         session: Some("s".into()),
         ..demand(id, class)
     };
     let now = rig.now;
     for node in ["r1", "r2"] {
-        rig.event(Event::Probed {
+        rig.event(Event::HealthChecked {
             node: node.into(),
             answered: true,
-            report: says(Role::Replica, now - 50 * MS),
+            load_report: says(Role::Replica, now - 50 * MS),
         });
     }
     assert_ne!(
@@ -265,7 +267,7 @@
         "no write of this session is known"
     );
     rig.request(own(2, KEYED));
-    rig.ends(2, 0, Ending::Success, says(Role::Primary, now));
+    rig.ends(2, 0, AttemptEnd::Success, says(Role::Primary, now));
     assert_eq!(rig.request(own(3, SESSION)).as_deref(), Some("p"));
 }
 
@@ -275,7 +277,7 @@
         let mut rig = Rig::new(settings());
         (1..40)
             .flat_map(|id| {
-                rig.event(Event::Request(demand(id, (id % 6) as usize)))
+                rig.event(Event::RequestArrived(demand(id, (id % 6) as usize)))
                     .clone()
             })
             .collect::<Vec<_>>()
@@ -289,15 +291,15 @@
     // it answered all others.
     let mut rig = Rig::new(settings());
     for id in 1..=100 {
-        let home = rig.request(Demand {
-            left: 5_000 * MS,
+        let home = rig.request(RequestInfo {
+            time_left: 5_000 * MS,
             ..demand(id, UNSAFE)
         });
         assert_eq!(home.as_deref(), Some("p"), "write {id}");
         if id % 3 != 0 {
             rig.now += 20 * MS;
             let now = rig.now;
-            rig.ends(id, 0, Ending::Success, says(Role::Primary, now));
+            rig.ends(id, 0, AttemptEnd::Success, says(Role::Primary, now));
         }
         rig.later(20 * MS);
     }
@@ -307,14 +309,14 @@
 fn a_late_repeat_makes_way_for_what_can_still_make_its_aim() {
     // Danger: under overload repeats past their aim, which earn nothing, took the places of fresh requests.
     let mut cfg = settings();
-    cfg.classes[ANY].late_worth = 0.0;
+    cfg.classes[ANY].late_weight_share = 0.0;
     let mut rig = Rig::with(cfg, vec![entry("r1", false)]);
     let mut id = 0;
     let mut fill = |rig: &mut Rig| loop {
         id += 1;
         if rig
-            .request(Demand {
-                left: 1_000 * MS,
+            .request(RequestInfo {
+                time_left: 1_000 * MS,
                 ..demand(id, ANY)
             })
             .is_none()
@@ -325,9 +327,9 @@
     let waits = fill(&mut rig);
     assert!(!rig.refused(waits), "a first try waits for a place");
     // 600 ms of its second are gone, and its aim was 300 ms.
-    rig.request(Demand {
-        left: 400 * MS,
-        repeat: true,
+    rig.request(RequestInfo {
+        time_left: 400 * MS,
+        is_retry: true,
         ..demand(900, ANY)
     });
     assert!(rig.refused(900), "given up at once");
@@ -343,7 +345,7 @@
         vec![entry("r1", false)],
     );
     assert!(rig.actions.contains(&Action::Subscribe));
-    rig.event(Event::List(ListUpdate::Failed));
+    rig.event(Event::EndpointsChanged(EndpointUpdate::Failed));
     assert!(!rig.actions.contains(&Action::Subscribe), "not at once");
     let again = (0..300).any(|_| rig.later(5 * MS).contains(&Action::Subscribe));
     assert!(again);
@@ -352,17 +354,17 @@
 #[test]
 fn outcomes_timers_and_departures_of_what_is_over_are_ignored() {
     let mut rig = Rig::new(settings());
-    rig.ends(77, 0, Ending::Success, Standing::default());
-    rig.event(Event::Abandoned { request: 77 });
-    rig.event(Event::Started { request: 77 });
+    rig.ends(77, 0, AttemptEnd::Success, NodeReport::default());
+    rig.event(Event::ClientGone { request: 77 });
+    rig.event(Event::StreamStarted { request: 77 });
     assert!(
         rig.later(10 * MS)
             .iter()
             .all(|a| matches!(a, Action::Wake(_)))
     );
     rig.request(demand(1, ANY));
-    rig.ends(1, 0, Ending::Success, Standing::default());
-    rig.ends(1, 0, Ending::TimedOut, Standing::default());
+    rig.ends(1, 0, AttemptEnd::Success, NodeReport::default());
+    rig.ends(1, 0, AttemptEnd::TimedOut, NodeReport::default());
     assert!(!rig.failed(1) && !rig.refused(1), "it was served already");
 }
 
@@ -381,26 +383,26 @@
 
 #[test]
 fn a_node_named_twice_and_one_that_returns_are_single_nodes() {
-    let back = NodeEntry {
-        started: Some(T0 + 5_000 * MS),
+    let back = Endpoint {
+        started_at: Some(T0 + 5_000 * MS),
         ..entry("r1", false)
     };
-    let gone = NodeEntry {
-        state: Listed::Gone,
+    let gone = Endpoint {
+        state: EndpointState::Removed,
         ..entry("r1", false)
     };
     let mut rig = Rig::with(settings(), vec![entry("r1", false), entry("r1", false)]);
     assert_eq!(rig.request(demand(1, ANY)).as_deref(), Some("r1"));
-    rig.event(Event::List(ListUpdate::Changes(vec![gone])));
+    rig.event(Event::EndpointsChanged(EndpointUpdate::Changes(vec![gone])));
     assert_eq!(rig.request(demand(2, ANY)), None);
     rig.now += 5_000 * MS;
-    rig.event(Event::List(ListUpdate::Changes(vec![back])));
+    rig.event(Event::EndpointsChanged(EndpointUpdate::Changes(vec![back])));
     // Warm again by then: a cold node gets its share by turns.
     rig.now += 16_000 * MS;
-    rig.event(Event::Probed {
+    rig.event(Event::HealthChecked {
         node: "r1".into(),
         answered: true,
-        report: says(Role::Replica, T0 + 20_900 * MS),
+        load_report: says(Role::Replica, T0 + 20_900 * MS),
     });
     assert_eq!(rig.request(demand(3, ANY)).as_deref(), Some("r1"));
 }
@@ -408,31 +410,31 @@
 /// A site with few routers, whose nodes report when they are asked, and a class of long reads beside the others.
 fn asking() -> Settings {
     let mut settings = Settings {
-        may_probe: true,
-        reports: ReportSource::Probes,
+        health_checks_allowed: true,
+        reports: ReportSource::HealthChecks,
         replica_check: ReplicaCheck::None,
-        routers: 2,
+        router_count: 2,
         ..settings()
     };
     settings.classes.push(Class {
-        aim: 3_000 * MS,
-        ..class("long", Access::Any, Effect::Idempotent)
+        latency_objective: 3_000 * MS,
+        ..class("long", Access::Any, Idempotency::Idempotent)
     });
     settings
 }
 
 fn reported(node: &str, position: Time) -> Event {
-    Event::Probed {
+    Event::HealthChecked {
         node: node.into(),
         answered: true,
-        report: says(Role::Replica, position),
+        load_report: says(Role::Replica, position),
     }
 }
 
 fn probed(actions: &[Action], node: &str) -> bool {
     actions
         .iter()
-        .any(|a| matches!(a, Action::Probe(to) if &**to == node))
+        .any(|a| matches!(a, Action::HealthCheck(to) if &**to == node))
 }
 
 fn set_aside(actions: &[Action]) -> bool {
@@ -531,7 +533,7 @@
     // Danger: it waited for the end of its client's patience, though nothing could be sent any more.
     let mut rig = Rig::new(settings());
     rig.request(demand(1, UNSAFE));
-    rig.ends(1, 0, Ending::Failure, Standing::default());
+    rig.ends(1, 0, AttemptEnd::Failure, NodeReport::default());
     assert!(rig.failed(1));
 }
 
@@ -542,14 +544,16 @@
     for id in 1..=8 {
         rig.request(demand(id, ANY));
         rig.later(100 * MS);
-        rig.event(Event::Abandoned { request: id });
-        rig.ends(id, 0, Ending::Cancelled, Standing::default());
+        rig.event(Event::ClientGone { request: id });
+        rig.ends(id, 0, AttemptEnd::Cancelled, NodeReport::default());
     }
-    let drains = NodeEntry {
-        state: Listed::Draining,
+    let drains = Endpoint {
+        state: EndpointState::Draining,
         ..entry("r1", false)
     };
-    rig.event(Event::List(ListUpdate::Changes(vec![drains])));
+    rig.event(Event::EndpointsChanged(EndpointUpdate::Changes(vec![
+        drains,
+    ])));
     rig.request(demand(9, ANY));
     rig.later(80 * MS);
     assert!(
@@ -565,19 +569,19 @@
     assert_eq!(rig.request(demand(1, ANY)).as_deref(), Some("r1"));
     for whole in [false, true] {
         let list = if whole {
-            ListUpdate::Full(vec![entry("p", true)])
+            EndpointUpdate::Full(vec![entry("p", true)])
         } else {
-            ListUpdate::Changes(vec![NodeEntry {
-                state: Listed::Gone,
+            EndpointUpdate::Changes(vec![Endpoint {
+                state: EndpointState::Removed,
                 ..entry("r1", false)
             }])
         };
-        rig.event(Event::List(list.clone()));
+        rig.event(Event::EndpointsChanged(list.clone()));
         assert_eq!(rig.balancer.known_nodes(), 2, "a read is still out there");
-        rig.ends(1, 0, Ending::Success, Standing::default());
-        rig.event(Event::List(list));
+        rig.ends(1, 0, AttemptEnd::Success, NodeReport::default());
+        rig.event(Event::EndpointsChanged(list));
         assert_eq!(rig.balancer.known_nodes(), 1);
-        rig.event(Event::List(ListUpdate::Full(vec![
+        rig.event(Event::EndpointsChanged(EndpointUpdate::Full(vec![
             entry("p", true),
             entry("r1", false),
         ])));
@@ -585,12 +589,14 @@
     }
     for round in 0..500 {
         let name = format!("r{}", round + 2);
-        rig.event(Event::List(ListUpdate::Changes(vec![entry(&name, false)])));
-        let gone = NodeEntry {
-            state: Listed::Gone,
+        rig.event(Event::EndpointsChanged(EndpointUpdate::Changes(vec![
+            entry(&name, false),
+        ])));
+        let gone = Endpoint {
+            state: EndpointState::Removed,
             ..entry(&name, false)
         };
-        rig.event(Event::List(ListUpdate::Changes(vec![gone])));
+        rig.event(Event::EndpointsChanged(EndpointUpdate::Changes(vec![gone])));
     }
     assert!(rig.balancer.known_nodes() <= 3);
 }
@@ -604,7 +610,7 @@
     };
     let mut balancer = Balancer::new(cfg, 1);
     let list = |n: u64| {
-        Event::List(ListUpdate::Full(vec![
+        Event::EndpointsChanged(EndpointUpdate::Full(vec![
             entry("p", true),
             entry(&format!("r{n}"), false),
         ]))
@@ -618,7 +624,11 @@
         for _ in 0..4 {
             id += 1;
             let mut actions = Vec::new();
-            balancer.handle(now, vec![Event::Request(demand(id, ANY))], &mut actions);
+            balancer.handle(
+                now,
+                vec![Event::RequestArrived(demand(id, ANY))],
+                &mut actions,
+            );
             let node = actions.iter().find_map(|a| {
                 if let Action::Send { node, .. } = a {
                     Some(node)
@@ -631,24 +641,24 @@
             let number: u64 = node[1..].parse().expect("a replica");
             to_dropped += u64::from(number < round);
             let ending = if number + 2 >= round {
-                Ending::Success
+                AttemptEnd::Success
             } else {
-                Ending::Unreachable
+                AttemptEnd::Unreachable
             };
-            let (said, request) = (Standing::default(), id);
-            let over = ending == Ending::Success;
-            let end = Event::Outcome {
+            let (said, request) = (NodeReport::default(), id);
+            let over = ending == AttemptEnd::Success;
+            let end = Event::AttemptEnded {
                 request,
                 attempt: 0,
-                ending,
+                end: ending,
                 elapsed: MS,
-                over,
-                note: said,
-                report: said,
+                request_over: over,
+                answer_report: said,
+                load_report: said,
             };
             balancer.handle(
                 now + MS,
-                vec![end, Event::Abandoned { request }],
+                vec![end, Event::ClientGone { request }],
                 &mut Vec::new(),
             );
         }
--- a/tests/tenants.rs
+++ b/tests/tenants.rs
@@ -17,15 +17,15 @@
     };
     Settings {
         tenants: quotas.iter().enumerate().map(tenant).collect(),
-        over_share_worth: 0.5,
-        retry_after: true,
+        over_quota_weight: 0.5,
+        retry_after_allowed: true,
         max_retry_after: 500 * MS,
         ..settings()
     }
 }
 
-fn of(tenant: impl Into<Option<usize>>, id: RequestId, class: usize) -> Demand {
-    Demand {
+fn of(tenant: impl Into<Option<usize>>, id: RequestId, class: usize) -> RequestInfo {
+    RequestInfo {
         tenant: tenant.into(),
         ..demand(id, class)
     }
@@ -44,7 +44,7 @@
     rig: &mut Rig,
     tenant: impl Into<Option<usize>>,
     ids: std::ops::Range<RequestId>,
-    gap: Span,
+    gap: Micros,
 ) -> Fates {
     let (tenant, mut fates) = (tenant.into(), Fates::default());
     for id in ids {
@@ -63,7 +63,7 @@
     rig: &mut Rig,
     tenant: impl Into<Option<usize>>,
     ids: std::ops::Range<RequestId>,
-    gap: Span,
+    gap: Micros,
 ) -> Fates {
     let (tenant, mut fates) = (tenant.into(), Fates::default());
     for id in ids {
@@ -71,7 +71,7 @@
         match rig.request(of(tenant, id, ANY)) {
             Some(_) => {
                 fates.sent += 1;
-                rig.ends(id, 0, Ending::Success, says(Role::Replica, rig.now));
+                rig.ends(id, 0, AttemptEnd::Success, says(Role::Replica, rig.now));
             }
             None => fates.refused += 1,
         }
@@ -101,8 +101,8 @@
     held(&mut rig, A, 0..200, 100);
     rig.now += 100;
     let id = 500;
-    rig.event(Event::Request(of(A, id, ANY)));
-    let refusal = Action::Refuse {
+    rig.event(Event::RequestArrived(of(A, id, ANY)));
+    let refusal = Action::Reject {
         request: id,
         retry_after: Some(250 * MS),
     };
@@ -113,14 +113,14 @@
 fn what_is_within_goes_before_what_is_over() {
     // The only node is idle, and either would find room. Both come in one batch, that of A first.
     let quotas = Settings {
-        routers: 24,
+        router_count: 24,
         ..tenants(&[0.0, 1_000.0])
     };
     let mut rig = Rig::with(quotas, vec![entry("r1", false)]);
     assert_eq!(answered(&mut rig, A, 0..4, MS).sent, 4);
     rig.batch(vec![
-        Event::Request(of(A, 100, ANY)),
-        Event::Request(of(B, 101, ANY)),
+        Event::RequestArrived(of(A, 100, ANY)),
+        Event::RequestArrived(of(B, 101, ANY)),
     ]);
     assert!(
         rig.sent(101).is_some() && rig.refused(100),
@@ -143,7 +143,7 @@
 fn who_uses_its_share_is_within_it_where_a_router_sees_several_times_the_mean() {
     // A tenth of 10 a second is 1 a second; this router gets five times as much of each of four.
     let mut rig = Rig::new(Settings {
-        routers: 10,
+        router_count: 10,
         ..tenants(&[10.0; 4])
     });
     for turn in 0..200 {
@@ -158,7 +158,7 @@
             // Always enough are out for one that is over to be refused: three at each of two replicas, whose limits
             // stop growing at 8.
             if let Some(done) = id.checked_sub(6) {
-                rig.ends(done, 0, Ending::Success, says(Role::Replica, rig.now));
+                rig.ends(done, 0, AttemptEnd::Success, says(Role::Replica, rig.now));
             }
         }
     }
@@ -168,21 +168,21 @@
 /// that are not crowded, more by as much as they are.
 fn thin(quotas: &[f64], held: u32) -> Rig {
     let settings = Settings {
-        routers: 300,
-        reports: ReportSource::Probes,
-        may_probe: true,
+        router_count: 300,
+        reports: ReportSource::HealthChecks,
+        health_checks_allowed: true,
         ..tenants(quotas)
     };
     let mut rig = Rig::with(settings, vec![entry("r1", false), entry("r2", false)]);
     for node in ["r1", "r2"] {
-        let report = Standing {
-            held: Some(held),
+        let report = NodeReport {
+            in_flight: Some(held),
             ..says(Role::Replica, T0)
         };
-        rig.event(Event::Probed {
+        rig.event(Event::HealthChecked {
             node: node.into(),
             answered: true,
-            report,
+            load_report: report,
         });
     }
     rig
@@ -265,17 +265,17 @@
     );
     // After a while in which A asked for nothing it is within its share again: where B leaves little room, too.
     for id in 0..2_010 {
-        rig.event(Event::Abandoned { request: id });
-        let (ending, said) = (Ending::Cancelled, Standing::default());
+        rig.event(Event::ClientGone { request: id });
+        let (ending, said) = (AttemptEnd::Cancelled, NodeReport::default());
         let elapsed = MS;
-        rig.event(Event::Outcome {
+        rig.event(Event::AttemptEnded {
             request: id,
             attempt: 0,
-            ending,
+            end: ending,
             elapsed,
-            over: true,
-            note: said,
-            report: said,
+            request_over: true,
+            answer_report: said,
+            load_report: said,
         });
     }
     rig.later(15_000 * MS);
@@ -298,7 +298,7 @@
             rig.now += 3 * MS;
             let class = [ANY, SESSION, KEYED, UNSAFE][id as usize % 4];
             said.extend(
-                rig.event(Event::Request(of(
+                rig.event(Event::RequestArrived(of(
                     if id % 9 == 0 { B } else { A },
                     id,
                     class,
@@ -307,7 +307,7 @@
             );
             if let Some(done) = id.checked_sub(40).filter(|done| done % 2 == 0) {
                 said.extend(
-                    rig.ends(done, 0, Ending::Success, Standing::default())
+                    rig.ends(done, 0, AttemptEnd::Success, NodeReport::default())
                         .clone(),
                 );
             }
@@ -315,7 +315,7 @@
         said
     };
     let shares = Settings {
-        over_share_worth: 1.0,
+        over_quota_weight: 1.0,
         ..tenants(&[1.0, 1.0])
     };
     let without = Settings {
@@ -343,14 +343,14 @@
     for other in 100..114 {
         rig.request(of(B, other, KEYED));
     }
-    rig.event(Event::Outcome {
+    rig.event(Event::AttemptEnded {
         request: id,
         attempt: 0,
-        ending: Ending::Failure,
+        end: AttemptEnd::Failure,
         elapsed: MS,
-        over: false,
-        note: Standing::default(),
-        report: Standing::default(),
+        request_over: false,
+        answer_report: NodeReport::default(),
+        load_report: NodeReport::default(),
     });
     assert!(!rig.refused(id) && !rig.failed(id), "{:?}", rig.actions);
     assert_eq!(
@@ -367,14 +367,14 @@
         let mut rig = thin(&[0.0, 100.0], 0);
         answered(&mut rig, A, 0..3, MS);
         for node in ["r1", "r2"] {
-            let report = Standing {
-                held: Some(held),
+            let report = NodeReport {
+                in_flight: Some(held),
                 ..says(Role::Replica, T0)
             };
-            rig.event(Event::Probed {
+            rig.event(Event::HealthChecked {
                 node: node.into(),
                 answered: true,
-                report,
+                load_report: report,
             });
         }
         assert_eq!(
--- a/tests/turns.rs
+++ b/tests/turns.rs
@@ -13,7 +13,7 @@
 const GUESSES: (f64, f64) = (2.0, 0.3);
 /// Turns in the time that pushes a node over.
 const TURNS: u64 = 4;
-const STEP: Span = 10 * MS;
+const STEP: Micros = 10 * MS;
 const END: Time = T0 + 6_000 * MS;
 const LONG: usize = 6;
 
@@ -21,28 +21,29 @@
     // More than 24 go by turns where nodes fall early: up to 96 divided by the multiple.
     let overload_factor = if routers > 24 { 2.0 } else { 4.0 };
     let mut cfg = Settings {
-        index,
-        routers,
+        router_index: index,
+        router_count: routers,
         overload_factor,
-        overload_span: 2_000 * MS,
+        overload_duration: 2_000 * MS,
         ..settings()
     };
     cfg.classes.push(Class {
-        aim: 1_200 * MS,
-        ..class("long", Access::Any, Effect::Idempotent)
+        latency_objective: 1_200 * MS,
+        ..class("long", Access::Any, Idempotency::Idempotent)
     });
     cfg
 }
 
 fn work(class: usize) -> f64 {
-    cfg(0, 1).classes[class].aim as f64 * GUESSES.1
+    cfg(0, 1).classes[class].latency_objective as f64 * GUESSES.1
 }
 
 /// The budget of a window that ends then (us of work).
 fn budget(at: Time, routers: u32) -> f64 {
     let cfg = cfg(0, routers);
-    let warm = cfg.cold_share + (1.0 - cfg.cold_share) * (at - T0) as f64 / cfg.cold_span as f64;
-    cfg.overload_factor * warm * GUESSES.0 * cfg.overload_span as f64
+    let warm = cfg.slow_start_min_share
+        + (1.0 - cfg.slow_start_min_share) * (at - T0) as f64 / cfg.slow_start_duration as f64;
+    cfg.overload_factor * warm * GUESSES.0 * cfg.overload_duration as f64
 }
 
 /// Numbers from 0 to 1 (splitmix).
@@ -76,12 +77,12 @@
 /// All members are cold from the same moment on. Each attempt is answered one step later, after the time that its class
 /// is taken to need, so that no guess moves.
 fn play(play: Play) -> Sent {
-    let cold = |name: &str, primary| NodeEntry {
-        started: Some(T0),
+    let cold = |name: &str, primary| Endpoint {
+        started_at: Some(T0),
         ..entry(name, primary)
     };
     let list = || {
-        Event::List(ListUpdate::Full(vec![
+        Event::EndpointsChanged(EndpointUpdate::Full(vec![
             cold("p", true),
             cold("r1", false),
             cold("r2", false),
@@ -107,15 +108,15 @@
                 *balancer = start(place as u32, now, now ^ place as u64);
                 answers[place].clear();
             }
-            let said = Standing::default();
-            let end = |(request, class)| Event::Outcome {
+            let said = NodeReport::default();
+            let end = |(request, class)| Event::AttemptEnded {
                 request,
                 attempt: 0,
-                ending: Ending::Success,
-                elapsed: work(class) as Span,
-                over: true,
-                note: said,
-                report: said,
+                end: AttemptEnd::Success,
+                elapsed: work(class) as Micros,
+                request_over: true,
+                answer_report: said,
+                load_report: said,
             };
             let mut events: Vec<Event> = answers[place].drain(..).map(end).collect();
             let mut due = play.rate * heavy(place as u32) / weights;
@@ -124,7 +125,7 @@
                 id += 1;
                 let class = play.classes[(draws.next() * play.classes.len() as f64) as usize];
                 classes.insert(id, class);
-                events.push(Event::Request(demand(id, class)));
+                events.push(Event::RequestArrived(demand(id, class)));
             }
             let mut actions = Vec::new();
             balancer.handle(now, events, &mut actions);
@@ -144,7 +145,7 @@
 /// The most in a window over what it may be: the budget of the settings, and in each turn that it meets a request more,
 /// of the dearest class.
 fn most(sent: &[(Time, f64)], dearest: f64, routers: u32) -> f64 {
-    let window = cfg(0, 1).overload_span;
+    let window = cfg(0, 1).overload_duration;
     let ends = sent.iter().enumerate().map(|(last, (at, _))| {
         let inside = sent[..=last]
             .iter()
@@ -202,7 +203,7 @@
         for (node, sent) in play(how).iter().filter(|(node, _)| ***node != *"p") {
             let all: f64 = sent.iter().map(|(_, work)| work).sum();
             // The budget rises evenly, so its mean over the play is that of the middle.
-            let windows = (END - T0) as f64 / cfg(0, 1).overload_span as f64;
+            let windows = (END - T0) as f64 / cfg(0, 1).overload_duration as f64;
             let part = all / (budget((T0 + END) / 2, routers) * windows);
             assert!(
                 (0.6..=0.95).contains(&part),
@@ -215,18 +216,21 @@
 #[test]
 fn a_process_that_starts_in_a_turn_waits_for_the_next() {
     // Danger: it does not know what the last one sent in this turn, and would spend its part twice.
-    let cold = NodeEntry {
-        started: Some(T0),
+    let cold = Endpoint {
+        started_at: Some(T0),
         ..entry("r1", false)
     };
-    let span = cfg(0, 1).overload_span / TURNS;
+    let span = cfg(0, 1).overload_duration / TURNS;
     for late in [0, MS, span - MS] {
         let mut balancer = Balancer::new(cfg(0, 1), 7);
         let mut sent = Vec::new();
         for now in (T0 + late..T0 + 2 * span).step_by(STEP as usize) {
-            let mut events = vec![Event::Request(demand(now, ANY))];
+            let mut events = vec![Event::RequestArrived(demand(now, ANY))];
             if now == T0 + late {
-                events.insert(0, Event::List(ListUpdate::Full(vec![cold.clone()])));
+                events.insert(
+                    0,
+                    Event::EndpointsChanged(EndpointUpdate::Full(vec![cold.clone()])),
+                );
             }
             let mut actions = Vec::new();
             balancer.handle(now, events, &mut actions);
