--- a/engine/src/core.rs
+++ b/engine/src/core.rs
@@ -149,21 +149,21 @@
     }
 
     /// From now on this says which zones a request may use.
-    pub fn zoned(mut self, zoning: Box<dyn LocalityPolicy>) -> Self {
-        self.balancer.zoning = Some(zoning);
+    pub fn with_locality_policy(mut self, zoning: Box<dyn LocalityPolicy>) -> Self {
+        self.balancer.locality = Some(zoning);
         self
     }
 
     /// What says which zones a request may use, if anything does.
-    pub fn zoning(&mut self) -> Option<&mut dyn LocalityPolicy> {
-        self.balancer.zoning.as_deref_mut()
+    pub fn locality_policy(&mut self) -> Option<&mut dyn LocalityPolicy> {
+        self.balancer.locality.as_deref_mut()
     }
 
     /// Puts something else, or nothing, in the place of what says which zones a request may use. It is told the list as
     /// it is known; attempts that are out stay out, and it hears of their ends.
-    pub fn rezone(&mut self, now: Time, zoning: Option<Box<dyn LocalityPolicy>>) {
-        self.balancer.zoning = zoning;
-        if let Some(zoning) = &mut self.balancer.zoning {
+    pub fn replace_locality_policy(&mut self, now: Time, zoning: Option<Box<dyn LocalityPolicy>>) {
+        self.balancer.locality = zoning;
+        if let Some(zoning) = &mut self.balancer.locality {
             let known = self.members.values().cloned().collect();
             let update = if self.listed {
                 EndpointUpdate::Full(known)
--- a/locality/benches/decision.rs
+++ b/locality/benches/decision.rs
@@ -46,7 +46,7 @@
     };
     let mut balancer = Balancer::new(settings.clone(), 7);
     if tiers {
-        balancer.zoning = Some(Box::new(
+        balancer.locality = Some(Box::new(
             ZoneFailover::new(rules, &settings, 7).expect("good rules"),
         ));
     }
--- a/router/src/peers.rs
+++ b/router/src/peers.rs
@@ -45,7 +45,7 @@
 
 /// The witness that stands beside the module, where peers are on.
 pub fn witness(core: &mut Engine) -> Option<&mut Witness> {
-    core.zoning()
+    core.locality_policy()
         .map(|zoning| zoning as &mut dyn Any)
         .and_then(<dyn Any>::downcast_mut)
 }
--- a/router/src/serve.rs
+++ b/router/src/serve.rs
@@ -119,7 +119,7 @@
                 WatchSchedule::new(lists, config.seed),
             ),
             core: match zoning {
-                Some(zoning) => Engine::new(settings, config.seed).zoned(zoning),
+                Some(zoning) => Engine::new(settings, config.seed).with_locality_policy(zoning),
                 None => Engine::new(settings, config.seed),
             },
             operators,
@@ -366,7 +366,7 @@
     fn rezone(&mut self, mut tiers: Option<ZoneFailover>, now: Time) {
         let old = match peers::witness(&mut self.core) {
             Some(witness) => witness.inner(),
-            None => self.core.zoning(),
+            None => self.core.locality_policy(),
         };
         let old = old
             .map(|zoning| zoning as &mut dyn Any)
@@ -378,9 +378,10 @@
         match peers::witness(&mut self.core) {
             Some(witness) => {
                 let witness = witness.with(tiers);
-                self.core.rezone(now, Some(Box::new(witness)));
+                self.core
+                    .replace_locality_policy(now, Some(Box::new(witness)));
             }
-            None => self.core.rezone(now, tiers),
+            None => self.core.replace_locality_policy(now, tiers),
         }
     }
 
--- a/simulation/src/world/routers.rs
+++ b/simulation/src/world/routers.rs
@@ -32,7 +32,7 @@
         };
         let core = Engine::new(settings, seed);
         let mut core = match zoning {
-            Some(zoning) => core.zoned(zoning),
+            Some(zoning) => core.with_locality_policy(zoning),
             None => core,
         };
         if self.now > BEGIN {
--- a/simulation/src/world/talk.rs
+++ b/simulation/src/world/talk.rs
@@ -242,7 +242,7 @@
 
 /// The witness beside a router's module.
 fn witness(core: &mut Engine) -> Option<&mut Witness> {
-    core.zoning()
+    core.locality_policy()
         .map(|zoning| zoning as &mut dyn Any)
         .and_then(<dyn Any>::downcast_mut)
 }
--- /dev/null
+++ b/src/api/mod.rs
@@ -0,0 +1,19 @@
+//! Plain types through which a router and the decisions talk: settings, events and actions.
+//!
+//! Nothing here decides anything. Times are whole microseconds on the router's own clock.
+
+mod action;
+mod attempt;
+mod endpoint;
+mod event;
+mod locality_policy;
+mod settings;
+mod time;
+
+pub use action::*;
+pub use attempt::*;
+pub use endpoint::*;
+pub use event::*;
+pub use locality_policy::*;
+pub use settings::*;
+pub use time::*;
--- /dev/null
+++ b/src/balancer.rs
@@ -0,0 +1,285 @@
+//! The state of one router's decisions, and the order in which one batch of events is handled.
+
+use crate::api::{
+    Access, Action, Event, GroupId, LocalityPolicy, Micros, NodeId, RequestId, RoutingQuery,
+    Settings, Time,
+};
+use crate::attempt_outcome::EndedAttempt;
+use crate::concurrency_limit::INITIAL_FLEET_LIMIT;
+use crate::freshness::{SessionWrites, stale_age};
+use crate::health_check;
+use crate::latency::ClassStats;
+use crate::load::CoreEstimate;
+use crate::node::{AttemptKey, Node};
+use crate::primary::Group;
+use crate::quota::TenantUsage;
+use crate::random::Random;
+use crate::request::Request;
+use crate::retry;
+use crate::slow_start::{self, TurnInputs};
+use std::cmp::Reverse;
+use std::collections::{BTreeMap, BTreeSet};
+
+/// While any request is in flight or waits, the decisions look at all of it again after this.
+const REVIEW_INTERVAL: Micros = 20_000;
+
+/// The decisions of one router.
+///
+/// It does no I/O and reads no clock: [`Balancer::handle`] takes the events of one moment and says what to do. The same
+/// code runs in the router, in the simulator's adapter and in the model of the fleet.
+pub struct Balancer {
+    pub(crate) settings: Settings,
+    pub(crate) now: Time,
+    /// When this process handled its first batch.
+    pub(crate) started_at: Option<Time>,
+    pub(crate) random: Random,
+    /// Counts reads placed, from the router's number: near ties go by it.
+    pub(crate) reads_placed: u64,
+    pub(crate) nodes: BTreeMap<NodeId, Node>,
+    pub(crate) groups: BTreeMap<GroupId, Group>,
+    pub(crate) requests: BTreeMap<RequestId, Request>,
+    /// When the final answers of open requests are due.
+    pub(crate) deadlines: BTreeSet<(Time, RequestId)>,
+    /// Requests that wait for a node.
+    pub(crate) waiting: BTreeSet<RequestId>,
+    /// Nodes that outlier detection looks at: with attempts in flight or just ended, or ejected.
+    pub(crate) monitored: BTreeSet<NodeId>,
+    /// A router's part of a node's first limit is under one request. It sees too little of a node to judge it by its own
+    /// requests, and goes by what nodes report.
+    pub(crate) has_sparse_view: bool,
+    /// Warming nodes are spared by chance instead of by turns.
+    pub(crate) slow_start_by_chance: bool,
+    /// Nodes that may get requests, by the endpoint list.
+    pub(crate) serving_count: usize,
+    /// By place in the settings.
+    pub(crate) classes: Vec<ClassStats>,
+    /// Data older than this is of use only to reads that any data will do for.
+    pub(crate) stale_age: Micros,
+    pub(crate) tenant_usage: TenantUsage,
+    pub(crate) cores: CoreEstimate,
+    pub(crate) session_writes: SessionWrites,
+    wake_at: Option<Time>,
+    pub(crate) resubscribe_at: Option<Time>,
+    /// Says which zones a request may use now; where there is none, all of them.
+    pub locality: Option<Box<dyn LocalityPolicy>>,
+}
+
+impl Balancer {
+    /// A router that has just started, with its settings and a seed for its random numbers.
+    pub fn new(settings: Settings, seed: u64) -> Self {
+        Balancer {
+            now: 0,
+            started_at: None,
+            random: Random::new(seed),
+            reads_placed: u64::from(settings.router_index),
+            nodes: BTreeMap::new(),
+            groups: BTreeMap::new(),
+            requests: BTreeMap::new(),
+            deadlines: BTreeSet::new(),
+            waiting: BTreeSet::new(),
+            monitored: BTreeSet::new(),
+            has_sparse_view: INITIAL_FLEET_LIMIT < f64::from(settings.router_count),
+            slow_start_by_chance: slow_start::is_by_chance(&settings),
+            serving_count: 0,
+            classes: settings.classes.iter().map(ClassStats::new).collect(),
+            stale_age: stale_age(&settings),
+            tenant_usage: TenantUsage::new(settings.tenants.len()),
+            cores: CoreEstimate::default(),
+            session_writes: SessionWrites::default(),
+            wake_at: None,
+            resubscribe_at: settings.subscribe.then_some(0),
+            locality: None,
+            settings,
+        }
+    }
+
+    /// Takes the events of one moment and says what to do.
+    ///
+    /// `now` is that moment (us); one that is earlier than the last counts as the last. Actions are added at the end, to be
+    /// carried out in their order.
+    pub fn handle(&mut self, now: Time, events: Vec<Event>, actions: &mut Vec<Action>) {
+        self.now = self.now.max(now);
+        self.started_at.get_or_insert(self.now);
+        for event in events {
+            self.take(event, actions);
+        }
+        self.renew_subscription(actions);
+        self.eject_silent_nodes(actions);
+        self.answer_overdue_requests(actions);
+        self.place_waiting_requests(actions);
+        self.log_locality_events(actions);
+        self.schedule_wake(actions);
+    }
+
+    fn take(&mut self, event: Event, actions: &mut Vec<Action>) {
+        match event {
+            Event::EndpointsChanged(update) => self.update_endpoints(update),
+            Event::RequestArrived(info) => self.admit_request(info),
+            Event::StreamStarted { request } => self.stream_started(request),
+            Event::AttemptEnded {
+                request,
+                attempt,
+                end,
+                elapsed,
+                request_over,
+                answer_report,
+                load_report,
+            } => {
+                let ended = EndedAttempt {
+                    key: AttemptKey { request, attempt },
+                    end,
+                    elapsed,
+                    request_over,
+                    answer_report,
+                    load_report,
+                };
+                self.attempt_ended(ended, actions);
+            }
+            Event::ClientGone { request } => self.client_gone(request),
+            Event::HealthChecked {
+                node,
+                answered: true,
+                load_report,
+            } => self.observe_report(&node, &load_report, false, actions),
+            // Routers share nothing, so messages of peers are not followed.
+            Event::Timer | Event::HealthChecked { .. } | Event::Peer { .. } => {}
+        }
+    }
+
+    /// Its answer belongs to one attempt from now on, and no deadline of the router's ends it.
+    fn stream_started(&mut self, id: RequestId) {
+        if let Some(request) = self.requests.get_mut(&id) {
+            request.is_streaming = true;
+            self.deadlines.remove(&(request.deadline, id));
+        }
+    }
+
+    fn renew_subscription(&mut self, actions: &mut Vec<Action>) {
+        if self.resubscribe_at.take_if(|at| *at <= self.now).is_some() {
+            actions.push(Action::Subscribe);
+        }
+    }
+
+    /// Places what waits, the most valuable first, and gives up what no node may get any more.
+    fn place_waiting_requests(&mut self, actions: &mut Vec<Action>) {
+        let mut queue: Vec<RequestId> = self.waiting.iter().copied().collect();
+        queue.sort_by_cached_key(|id| {
+            let request = &self.requests[id];
+            let most_valuable_first = Reverse(self.value(request).to_bits());
+            (most_valuable_first, request.first_attempt_at, *id)
+        });
+        for id in queue {
+            self.place(id, actions);
+            if self.waiting.contains(&id) && self.gives_up(&self.requests[&id]) {
+                self.reject_or_fail(id, actions);
+            }
+        }
+    }
+
+    fn log_locality_events(&mut self, actions: &mut Vec<Action>) {
+        let Some(locality) = &mut self.locality else {
+            return;
+        };
+        while let Some(event) = locality.next_log_event() {
+            actions.push(Action::Log(event));
+        }
+    }
+
+    /// Asks to be woken for the next deadline, the next review or the next subscription, whichever is first.
+    fn schedule_wake(&mut self, actions: &mut Vec<Action>) {
+        let deadline = self.deadlines.first().map(|(at, _)| *at);
+        let review = (!self.requests.is_empty()).then_some(self.now + REVIEW_INTERVAL);
+        let wakes = [deadline, review, self.resubscribe_at];
+        let Some(next) = wakes.into_iter().flatten().min() else {
+            return;
+        };
+        let is_earlier = |wake_at: Time| wake_at <= self.now || next < wake_at;
+        if self.wake_at.is_none_or(is_earlier) {
+            self.wake_at = Some(next.max(self.now + 1));
+            actions.push(Action::Wake(next.saturating_sub(self.now).max(1)));
+        }
+    }
+}
+
+/// Shorthands: a rule's inputs out of the state.
+impl Balancer {
+    pub(crate) fn is_write(&self, request: &Request) -> bool {
+        retry::is_write(&self.settings, request)
+    }
+
+    pub(crate) fn is_write_id(&self, id: RequestId) -> bool {
+        self.requests
+            .get(&id)
+            .is_some_and(|request| self.is_write(request))
+    }
+
+    /// A request as the locality policy is asked about it.
+    pub(crate) fn routing_query(&self, request: &Request) -> RoutingQuery {
+        RoutingQuery {
+            request: request.id(),
+            class: request.info.class,
+            is_write: self.settings.classes[request.info.class].access == Access::Write,
+        }
+    }
+
+    /// What a member of a group has in flight for other routers, in the mean.
+    pub(crate) fn mean_external_load(&self, group: GroupId) -> f64 {
+        let group = self.groups.get(&group);
+        group.map_or(0.0, |group| group.external_load.group_mean(self.now))
+    }
+
+    /// What other routers have in flight at a node, in requests. Where routers are few, each knows enough by its own.
+    pub(crate) fn external_load(&self, node: &Node) -> f64 {
+        if !self.has_sparse_view {
+            return 0.0;
+        }
+        let group_mean = self.mean_external_load(node.endpoint.group);
+        node.external_load.expected(self.now, group_mean)
+    }
+
+    pub(crate) fn position_check_pays(&self, node: &Node) -> bool {
+        health_check::position_check_pays(&self.settings, node, self.now)
+    }
+
+    /// The share of its full capacity that a node has by now.
+    pub(crate) fn warm_share(&self, node: &Node) -> f64 {
+        slow_start::warm_share(&self.settings, node.endpoint.started_at, self.now)
+    }
+
+    pub(crate) fn is_warm(&self, node: &Node) -> bool {
+        self.warm_share(node) >= 1.0
+    }
+
+    pub(crate) fn slow_start_turn(&self, node: &Node) -> Time {
+        slow_start::turn_start(&self.settings, node.endpoint.started_at, self.now)
+    }
+
+    /// Whether a warming node may have a request now. `candidates` is how many nodes the request could go to. Where the
+    /// locality policy paces warming nodes itself, it alone decides.
+    pub(crate) fn slow_start_admits(
+        &self,
+        request: &Request,
+        node: &Node,
+        candidates: f64,
+    ) -> bool {
+        let warm_share = self.warm_share(node);
+        let paced_elsewhere = || self.locality.as_ref().is_some_and(|l| l.paces_slow_start());
+        if warm_share >= 1.0 || paced_elsewhere() {
+            return true;
+        }
+        if self.slow_start_by_chance {
+            return slow_start::passes_by_chance(request.random_draw, warm_share, candidates);
+        }
+        let turn = self.slow_start_turn(node);
+        let inputs = TurnInputs {
+            node: node.id(),
+            turn,
+            warm_share,
+            cores: self.cores.cautious_cores(),
+            spent_us: node.turn_spending.in_turn(turn),
+            work_us: self.classes[request.info.class].work(),
+            router_started_at: self.started_at,
+        };
+        slow_start::fits_turn(&self.settings, &inputs)
+    }
+}
