--- a/engine/src/deadlines.rs
+++ b/engine/src/deadlines.rs
@@ -6,7 +6,7 @@
 
 /// What falls due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Due {
+pub enum Deadline {
     /// The module asked to be woken.
     Wake,
     /// An attempt has waited long enough.
@@ -27,21 +27,21 @@
 
 /// The ordered set of deadlines.
 #[derive(Default)]
-pub struct Deadlines(BTreeSet<(Time, Due)>);
+pub struct Deadlines(BTreeSet<(Time, Deadline)>);
 
 impl Deadlines {
     /// Something falls due then, beside what does already.
-    pub fn add(&mut self, at: Time, due: Due) {
+    pub fn add(&mut self, at: Time, due: Deadline) {
         self.0.insert((at, due));
     }
 
     /// That is off.
-    pub fn remove(&mut self, at: Time, due: Due) {
+    pub fn remove(&mut self, at: Time, due: Deadline) {
         self.0.remove(&(at, due));
     }
 
     /// Moves the one deadline of something, whose present time stands in `held`.
-    pub fn set(&mut self, held: &mut Option<Time>, due: Due, at: Option<Time>) {
+    pub fn set(&mut self, held: &mut Option<Time>, due: Deadline, at: Option<Time>) {
         if let Some(old) = std::mem::replace(held, at) {
             self.remove(old, due);
         }
@@ -56,7 +56,7 @@
     }
 
     /// Takes out one that is due.
-    pub fn pop(&mut self, now: Time) -> Option<Due> {
+    pub fn pop(&mut self, now: Time) -> Option<Deadline> {
         self.next().filter(|at| *at <= now)?;
         self.0.pop_first().map(|(_, due)| due)
     }
--- /dev/null
+++ b/engine/src/engine.rs
@@ -0,0 +1,456 @@
+//! Turns requests, attempts' ends and list changes into events for the decisions, and their actions into commands.
+//!
+//! It knows no protocol: a front hands it requests and carries out their answers, an upstream carries out attempts and
+//! reports how they end. Here are the table of requests, their attempts and the deadlines, and the rules that no decision
+//! may break: one final answer each, no promise that repeating is harmless for what may have run, no send once over.
+
+use crate::endpoints::EndpointRegistry;
+use crate::request::{Attempt, Request};
+use crate::{AttemptId, Command, Deadline, Deadlines, FinalAnswer, Key, Table};
+use plovercove::{
+    Action, AttemptEnd, Balancer, Class, Endpoint, EndpointUpdate, Event, GroupId, LocalityPolicy,
+    LogEvent, Micros, NodeId, NodeReport, RequestInfo, Settings, Time,
+};
+use std::convert::Infallible;
+use tracing::{debug, info, warn};
+
+/// What may pass in a client's buffers and our own before a request is counted: its patience runs from its sending.
+const TIME_IN_BUFFERS: Micros = 5_000;
+
+/// The decisions, with the tables by which they are carried out.
+pub struct Engine {
+    balancer: Balancer,
+    classes: Vec<Class>,
+    requests: Table<Request>,
+    endpoints: EndpointRegistry,
+    /// Requests that are owed no answer any more, whose attempts may still wait for their first or last byte.
+    closed: Vec<Key>,
+    events: Vec<Event>,
+    /// Kept between batches for its room alone.
+    actions: Vec<Action>,
+    commands: Vec<Command>,
+    /// All deadlines of the router.
+    pub deadlines: Deadlines,
+}
+
+/// Settings, endpoints and what is known of them.
+impl Engine {
+    /// An engine without requests. `seed` is that of all random numbers of the decisions.
+    pub fn new(settings: Settings, seed: u64) -> Self {
+        Engine {
+            classes: settings.classes.clone(),
+            endpoints: EndpointRegistry::new(settings.dropped_stay_open),
+            balancer: Balancer::new(settings, seed),
+            requests: Table::new(),
+            closed: Vec::new(),
+            events: Vec::new(),
+            actions: Vec::new(),
+            commands: Vec::new(),
+            deadlines: Deadlines::default(),
+        }
+    }
+
+    /// From now on this says which zones a request may use.
+    pub fn with_locality_policy(mut self, policy: Box<dyn LocalityPolicy>) -> Self {
+        self.balancer.locality = Some(policy);
+        self
+    }
+
+    /// What says which zones a request may use, if anything does.
+    pub fn locality_policy(&mut self) -> Option<&mut dyn LocalityPolicy> {
+        self.balancer.locality.as_deref_mut()
+    }
+
+    /// Puts something else, or nothing, in the place of what says which zones a request may use. It is told the list as
+    /// it is known; attempts in flight stay so, and it hears of their ends.
+    pub fn replace_locality_policy(&mut self, now: Time, policy: Option<Box<dyn LocalityPolicy>>) {
+        self.balancer.locality = policy;
+        if let Some(policy) = &mut self.balancer.locality {
+            policy.endpoints_changed(now, &self.endpoints.snapshot());
+        }
+        // Requests that wait are decided anew.
+        self.events.push(Event::Timer);
+    }
+
+    /// The classes, by number.
+    pub fn classes(&self) -> &[Class] {
+        &self.classes
+    }
+
+    /// The endpoints that the list names.
+    pub fn endpoints(&self) -> impl Iterator<Item = &Endpoint> {
+        self.endpoints.iter()
+    }
+
+    /// Whether the list names a member of this group.
+    pub fn knows_group(&self, group: GroupId) -> bool {
+        self.endpoints.has_group(group)
+    }
+
+    /// Discovery told something.
+    pub fn update_endpoints(&mut self, update: EndpointUpdate) {
+        self.endpoints.update(&update);
+        self.events.push(Event::EndpointsChanged(update));
+    }
+}
+
+/// The life of a request.
+impl Engine {
+    /// How many requests are owed an answer or have an attempt in flight.
+    pub fn pending_requests(&self) -> usize {
+        self.requests.len()
+    }
+
+    /// Takes a request on. It is owed one final answer, through [`Command::Answer`] or [`Engine::attempt_ended`].
+    pub fn begin_request(&mut self, origin: Key, mut info: RequestInfo) -> Key {
+        let request = Request::new(origin, info.class);
+        let Ok(key) = self.requests.insert_with(|_| Ok::<_, Infallible>(request));
+        info.id = key.number();
+        info.time_left = info.time_left.saturating_sub(TIME_IN_BUFFERS);
+        self.events.push(Event::RequestArrived(info));
+        key
+    }
+
+    /// The client has gone; nothing is owed any more.
+    pub fn client_gone(&mut self, request: Key) {
+        let Some(found) = self.requests.get_mut(request).filter(|r| r.is_open) else {
+            return;
+        };
+        found.is_open = false;
+        let id = request.number();
+        self.events.push(Event::ClientGone { request: id });
+        self.close(request);
+    }
+
+    /// The client wants it ended, and has been told that it is: what is in flight is stopped too.
+    pub fn cancel(&mut self, request: Key, now: Time) {
+        self.client_gone(request);
+        let attempts = self
+            .requests
+            .get(request)
+            .map_or(0, |r| r.attempts.len() as u32);
+        for number in 0..attempts {
+            self.cancel_attempt(AttemptId { request, number }, now);
+        }
+    }
+
+    fn answer(&mut self, request: Key, wanted: FinalAnswer) {
+        let Some(found) = self.requests.get_mut(request).filter(|r| r.is_open) else {
+            return;
+        };
+        found.is_open = false;
+        let answer = found.guard_answer(&self.classes[found.class], wanted);
+        if answer != wanted {
+            let request = request.number();
+            warn!(
+                request,
+                "a refusal was turned into a failure: the write may have run"
+            );
+        }
+        let origin = found.origin;
+        self.log_answer(request, answer);
+        self.commands.push(Command::Answer {
+            request,
+            origin,
+            answer,
+        });
+        self.close(request);
+    }
+
+    /// Nothing is owed any more.
+    fn close(&mut self, request: Key) {
+        self.closed.push(request);
+        self.forget_if_done(request);
+    }
+
+    /// Gives a request's slot back.
+    fn forget_if_done(&mut self, request: Key) {
+        if self.requests.get(request).is_some_and(Request::is_done) {
+            self.requests.remove(request);
+        }
+    }
+
+    fn log_answer(&self, request: Key, answer: FinalAnswer) {
+        let Some(found) = self.requests.get(request) else {
+            return;
+        };
+        let last = found.attempts.last();
+        debug!(
+            request = request.number(),
+            class = self.classes[found.class].name,
+            attempts = found.attempts.len(),
+            node = last.map(|attempt| tracing::field::display(&attempt.node)),
+            zone = last.and_then(|attempt| self.endpoints.known_zone(&attempt.node)),
+            reason = last.map_or("not placed", |attempt| {
+                attempt.end.map_or("still out", AttemptEnd::label)
+            }),
+            ?answer,
+            "given up"
+        );
+    }
+}
+
+/// The life of an attempt.
+impl Engine {
+    /// The last byte of an attempt has been written: from here on it may have run.
+    pub fn attempt_written(&mut self, id: AttemptId) {
+        let request = self.requests.get_mut(id.request);
+        if let Some(attempt) = request.and_then(|r| r.attempts.get_mut(id.number as usize)) {
+            attempt.is_written = true;
+        }
+    }
+
+    /// Whether this attempt, or where there is none a question of the router's own, may begin at this node now.
+    ///
+    /// It is the one check on every way to a node, at the moment of the first byte: the decision may be old by then. The
+    /// list counts as it was last told, and a request that is over is sent nowhere.
+    pub fn may_send(&self, attempt: Option<AttemptId>, node: &NodeId, now: Time) -> bool {
+        self.endpoints.is_open(node) && attempt.is_none_or(|id| self.fits(id, node, now))
+    }
+
+    /// [`Engine::may_send`] for an attempt at the node that it was decided for.
+    pub fn may_still_send(&self, id: AttemptId, now: Time) -> bool {
+        let attempt = self.attempt(id);
+        attempt.is_some_and(|attempt| self.may_send(Some(id), &attempt.node, now))
+    }
+
+    fn fits(&self, id: AttemptId, node: &NodeId, now: Time) -> bool {
+        let Some(request) = self.requests.get(id.request).filter(|r| r.is_open) else {
+            return false;
+        };
+        let attempt = request.attempts.get(id.number as usize);
+        attempt.is_some_and(|a| a.is_in_flight() && a.node == *node)
+            && request.may_run(&self.classes[request.class], id.number, now)
+            && self.balancer.still_fits(now, id.request.number(), node)
+    }
+
+    /// How long an attempt will be waited for from now on (us).
+    pub fn attempt_time_left(&self, id: AttemptId, now: Time) -> Micros {
+        let attempt = self.attempt(id);
+        attempt.map_or(0, |attempt| attempt.deadline.saturating_sub(now))
+    }
+
+    /// An attempt ended. Returns the client that its answer is to be passed on to, if it is the final one.
+    pub fn attempt_ended(
+        &mut self,
+        now: Time,
+        id: AttemptId,
+        end: AttemptEnd,
+        answer_report: NodeReport,
+        load_report: NodeReport,
+    ) -> Option<Key> {
+        let elapsed = self.record_end(now, id, end)?;
+        let request = self.requests.get_mut(id.request)?;
+        let origin = request.origin;
+        let is_served = end == AttemptEnd::Success && std::mem::take(&mut request.is_open);
+        self.events.push(Event::AttemptEnded {
+            request: id.request.number(),
+            attempt: id.number,
+            end,
+            elapsed,
+            request_over: !request.is_open,
+            answer_report,
+            load_report,
+        });
+        if is_served {
+            self.closed.push(id.request);
+        }
+        self.forget_if_done(id.request);
+        is_served.then_some(origin)
+    }
+
+    /// An attempt was waited for long enough.
+    pub fn attempt_timed_out(&mut self, id: AttemptId, now: Time) {
+        self.stop(id, now, AttemptEnd::TimedOut, AttemptEnd::Unreachable);
+    }
+
+    /// An attempt that can't be carried out: its client has gone in this very turn.
+    pub fn attempt_not_sent(&mut self, id: AttemptId, now: Time) {
+        let nothing = NodeReport::default();
+        self.attempt_ended(now, id, AttemptEnd::NeverSent, nothing, nothing);
+    }
+
+    fn attempt(&self, id: AttemptId) -> Option<&Attempt> {
+        let request = self.requests.get(id.request)?;
+        request.attempts.get(id.number as usize)
+    }
+
+    /// Records the end of an attempt in flight; returns how long it was out.
+    fn record_end(&mut self, now: Time, id: AttemptId, end: AttemptEnd) -> Option<Micros> {
+        let request = self.requests.get_mut(id.request)?;
+        let attempt = request.attempts.get(id.number as usize);
+        let attempt = attempt.filter(|attempt| attempt.is_in_flight())?;
+        let elapsed = now.saturating_sub(attempt.sent_at);
+        self.deadlines
+            .remove(attempt.deadline, Deadline::Attempt(id));
+        debug!(
+            request = id.request.number(),
+            attempt = id.number,
+            node = %attempt.node,
+            zone = self.endpoints.zone_of(&attempt.node),
+            reason = end.label(),
+            elapsed,
+            "ended"
+        );
+        request.record_end(id.number, end);
+        Some(elapsed)
+    }
+
+    fn cancel_attempt(&mut self, id: AttemptId, now: Time) {
+        self.stop(id, now, AttemptEnd::Cancelled, AttemptEnd::NeverSent);
+    }
+
+    /// Ends an attempt from this side: what has not been written whole never ran.
+    fn stop(&mut self, id: AttemptId, now: Time, if_written: AttemptEnd, if_unwritten: AttemptEnd) {
+        let attempt = self.attempt(id).filter(|attempt| attempt.is_in_flight());
+        let Some(attempt) = attempt else {
+            return;
+        };
+        let end = if attempt.is_written {
+            if_written
+        } else {
+            if_unwritten
+        };
+        let node = attempt.node.clone();
+        self.commands
+            .push(Command::CancelAttempt { attempt: id, node });
+        let nothing = NodeReport::default();
+        self.attempt_ended(now, id, end, nothing, nothing);
+    }
+
+    /// Stops what closed requests still wait to send: a connection may come up long after the client has gone, and a node
+    /// would work for nobody.
+    fn stop_unwritten(&mut self, now: Time) {
+        for request in std::mem::take(&mut self.closed) {
+            let attempts = self.requests.get(request).map_or(&[][..], |r| &r.attempts);
+            let attempts = (0u32..).zip(attempts);
+            let unwritten = attempts.filter(|(_, a)| a.is_in_flight() && !a.is_written);
+            let unwritten: Vec<u32> = unwritten.map(|(number, _)| number).collect();
+            for number in unwritten {
+                self.cancel_attempt(AttemptId { request, number }, now);
+            }
+        }
+    }
+}
+
+/// Deciding, and carrying out what was decided.
+impl Engine {
+    /// A health check ended, with what the node said of itself if it answered.
+    pub fn health_check_ended(&mut self, node: NodeId, answer: Option<NodeReport>) {
+        self.events.push(Event::HealthChecked {
+            node,
+            answered: answer.is_some(),
+            load_report: answer.unwrap_or_default(),
+        });
+    }
+
+    /// A deadline of the decisions or of an attempt fell due.
+    pub fn wake(&mut self) {
+        self.events.push(Event::Timer);
+    }
+
+    /// Whether something has come that the decisions have not been told.
+    pub fn has_pending_work(&self) -> bool {
+        !self.events.is_empty() || !self.commands.is_empty()
+    }
+
+    /// Lets the decisions be made on what has come since the last time; nothing where nothing has come.
+    pub fn decide(&mut self, now: Time) -> Vec<Command> {
+        self.stop_unwritten(now);
+        if !self.events.is_empty() {
+            let mut actions = std::mem::take(&mut self.actions);
+            let events = std::mem::take(&mut self.events);
+            self.balancer.handle(now, events, &mut actions);
+            for action in actions.drain(..) {
+                self.act(action, now);
+            }
+            self.actions = actions;
+            self.stop_unwritten(now);
+        }
+        std::mem::take(&mut self.commands)
+    }
+
+    fn act(&mut self, action: Action, now: Time) {
+        match action {
+            Action::Send {
+                request,
+                node,
+                timeout,
+            } => self.send(Key::from_number(request), node, now, timeout),
+            Action::Cancel { request, attempt } => {
+                let request = Key::from_number(request);
+                let number = attempt;
+                self.cancel_attempt(AttemptId { request, number }, now);
+            }
+            Action::Reject {
+                request,
+                retry_after,
+            } => self.answer(
+                Key::from_number(request),
+                FinalAnswer::Rejected(retry_after),
+            ),
+            Action::Fail { request } => {
+                self.answer(Key::from_number(request), FinalAnswer::Failed);
+            }
+            Action::Wake(after) => self.deadlines.add(now + after, Deadline::Wake),
+            Action::HealthCheck(node) => self.commands.push(Command::HealthCheck(node)),
+            Action::CloseIdle(node) => self.commands.push(Command::CloseIdle(node)),
+            Action::Log(event) => self.log(&event),
+            // The watch on the endpoint list is always on.
+            Action::Subscribe => {}
+        }
+    }
+
+    fn send(&mut self, request: Key, node: NodeId, now: Time, timeout: Micros) {
+        let Some(found) = self.requests.get_mut(request).filter(|r| r.is_open) else {
+            return;
+        };
+        let number = found.attempts.len() as u32;
+        let attempt = AttemptId { request, number };
+        let reason = found.attempts.last().map_or("first", |last| {
+            last.end.map_or("second copy", AttemptEnd::label)
+        });
+        debug!(
+            request = request.number(),
+            attempt = number,
+            class = self.classes[found.class].name,
+            %node,
+            zone = self.endpoints.zone_of(&node),
+            reason,
+            "sent"
+        );
+        let deadline = now + timeout;
+        found.attempts.push(Attempt {
+            node: node.clone(),
+            sent_at: now,
+            deadline,
+            is_written: false,
+            end: None,
+        });
+        let origin = found.origin;
+        self.deadlines.add(deadline, Deadline::Attempt(attempt));
+        self.commands.push(Command::Send {
+            attempt,
+            origin,
+            node,
+        });
+    }
+
+    fn log(&self, event: &LogEvent) {
+        let LogEvent {
+            node,
+            zone,
+            reason,
+            text,
+        } = event;
+        let zone_of_node = || node.as_ref().map(|node| self.endpoints.zone_of(node));
+        let zone = zone.as_deref().or_else(zone_of_node);
+        info!(
+            node = node.as_ref().map(tracing::field::display),
+            zone, reason, "{text}"
+        );
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/router/src/chores/mod.rs
+++ b/router/src/chores/mod.rs
@@ -177,8 +177,8 @@
     }
 
     /// The list has changed.
-    pub fn listed(&mut self, now: Time, core: &Engine) {
-        self.nodes = Nodes::of(core);
+    pub fn listed(&mut self, now: Time, engine: &Engine) {
+        self.nodes = Nodes::of(engine);
         self.want(now);
     }
 
@@ -295,7 +295,7 @@
     }
 
     /// Does what is due, and whatever follows from it.
-    pub fn turn(&mut self, now: Time, core: &mut Engine) {
+    pub fn turn(&mut self, now: Time, engine: &mut Engine) {
         self.duties.borrow_mut().turn(now);
         self.take_on(now);
         self.ask(now);
@@ -318,7 +318,7 @@
                 }
             }
         }
-        self.learn(core);
+        self.learn(engine);
         while let Some(news) = self.duties.borrow_mut().news() {
             tell::duties(&news);
         }
@@ -445,7 +445,7 @@
     }
 
     /// Takes what the watches' owners told of nodes as evidence, as old as it is.
-    fn learn(&mut self, core: &mut Engine) {
+    fn learn(&mut self, engine: &mut Engine) {
         while let Some(news) = self.client.news() {
             let fanout::News::Item {
                 topic, age, body, ..
@@ -477,7 +477,7 @@
                     continue;
                 }
                 self.counts.learned += 1;
-                core.probed(node.clone(), Some(word.standing(age)));
+                engine.health_check_ended(node.clone(), Some(word.standing(age)));
             }
         }
     }
--- a/router/src/chores/nodes.rs
+++ b/router/src/chores/nodes.rs
@@ -20,9 +20,9 @@
 
 impl Nodes {
     /// As the list has them now.
-    pub fn of(core: &Engine) -> Self {
+    pub fn of(engine: &Engine) -> Self {
         let mut nodes = Nodes::default();
-        for entry in core.members() {
+        for entry in engine.endpoints() {
             let serving = entry.state == EndpointState::Serving;
             let known = Known {
                 group: entry.group,
--- a/router/src/discovery.rs
+++ b/router/src/discovery.rs
@@ -8,7 +8,7 @@
 use crate::net::stream::{Peer, Stream};
 use crate::net::{Source, begin_connect, poll_key};
 use plovercove::{Endpoint, EndpointState, Time};
-use plovercove_engine::{Due, Engine, WatchSchedule};
+use plovercove_engine::{Deadline, Engine, WatchSchedule};
 use plovercove_poller::{Interest, Poll};
 use plovercove_settings::{Fault, Part, Read, Value, flag, list, number, parse, text, whole};
 use std::io;
@@ -214,21 +214,21 @@
     }
 
     /// Makes the first call.
-    pub fn start(&mut self, now: Time, core: &mut Engine) {
-        self.call(now, core);
+    pub fn start(&mut self, now: Time, engine: &mut Engine) {
+        self.call(now, engine);
     }
 
     /// Goes on at the agent that a new configuration names, and calls it soon: what it has counts as told soon, also where
     /// it is the same one and a pause or a call that has fallen silent would be sat out first. The list stays until another
     /// agent has told its own, whole: its versions may be counted differently.
-    pub fn move_to(&mut self, agent: SocketAddr, now: Time, core: &mut Engine) {
+    pub fn move_to(&mut self, agent: SocketAddr, now: Time, engine: &mut Engine) {
         if agent != self.agent {
             (self.agent, self.index, self.failing) = (agent, None, false);
         }
         self.stream = None;
         match self.schedule.moved(now) {
-            at if at > now => self.wait(Phase::Resting, at, core),
-            _ => self.call(now, core),
+            at if at > now => self.wait(Phase::Resting, at, engine),
+            _ => self.call(now, engine),
         }
     }
 
@@ -246,28 +246,29 @@
         )
     }
 
-    fn wait(&mut self, phase: Phase, until: Time, core: &mut Engine) {
+    fn wait(&mut self, phase: Phase, until: Time, engine: &mut Engine) {
         self.phase = phase;
-        core.deadlines
-            .set(&mut self.deadline, Due::Discovery, Some(until));
+        engine
+            .deadlines
+            .set(&mut self.deadline, Deadline::Discovery, Some(until));
     }
 
-    fn call(&mut self, now: Time, core: &mut Engine) {
+    fn call(&mut self, now: Time, engine: &mut Engine) {
         if self.stream.is_some() {
-            return self.request(now, core);
+            return self.request(now, engine);
         }
         let until = self.schedule.connect(now);
         match self.connect() {
             Ok(stream) => {
                 self.stream = Some(stream);
-                self.wait(Phase::Connecting, until, core);
+                self.wait(Phase::Connecting, until, engine);
             }
-            Err(e) => self.failed(&Trouble::Connect(e), now, core),
+            Err(e) => self.failed(&Trouble::Connect(e), now, engine),
         }
     }
 
     /// Writes the call to the connection, which is up.
-    fn request(&mut self, now: Time, core: &mut Engine) {
+    fn request(&mut self, now: Time, engine: &mut Engine) {
         let (wait, until) = self.schedule.call(now, self.index.is_some());
         let path = match self.index {
             Some(index) => format!("/api/targets?after={index}&wait_ms={}", clock::to_ms(wait)),
@@ -277,7 +278,7 @@
             "GET {path} HTTP/1.1\r\nHost: {}\r\nAccept: application/json\r\n\r\n",
             self.agent
         );
-        self.wait(Phase::Calling, until, core);
+        self.wait(Phase::Calling, until, engine);
         let Some(stream) = &mut self.stream else {
             return;
         };
@@ -288,7 +289,7 @@
     }
 
     /// The call failed: the list stays, and the next call asks for news of it, which costs less than the whole.
-    fn failed(&mut self, trouble: &Trouble, now: Time, core: &mut Engine) {
+    fn failed(&mut self, trouble: &Trouble, now: Time, engine: &mut Engine) {
         if !std::mem::replace(&mut self.failing, true) {
             warn!(
                 reason = "discovery",
@@ -315,15 +316,15 @@
             | Trouble::Odd(_) => self.schedule.spoilt(now),
         };
         debug!(%trouble, pause = at - now, "a call of discovery failed");
-        self.wait(Phase::Resting, at, core);
+        self.wait(Phase::Resting, at, engine);
     }
 
     /// Its deadline is over: a pause, a connection that has not come up, or an answer that has not come.
-    pub fn due(&mut self, now: Time, core: &mut Engine) {
+    pub fn due(&mut self, now: Time, engine: &mut Engine) {
         self.deadline = None;
         match self.phase {
-            Phase::Resting => self.call(now, core),
-            Phase::Connecting | Phase::Calling => self.failed(&Trouble::Silent, now, core),
+            Phase::Resting => self.call(now, engine),
+            Phase::Connecting | Phase::Calling => self.failed(&Trouble::Silent, now, engine),
         }
     }
 
@@ -347,7 +348,7 @@
         Some(Trouble::Odd(odd))
     }
 
-    fn follow(&mut self, listing: &Listing, now: Time, core: &mut Engine) {
+    fn follow(&mut self, listing: &Listing, now: Time, engine: &mut Engine) {
         if std::mem::take(&mut self.failing) {
             info!("discovery answers again");
             // It was doubted just now, so this is told once, and not with every list that has it.
@@ -366,19 +367,19 @@
         self.named |= !listing.entries.is_empty();
         self.index = Some(listing.index);
         match self.schedule.answered(now, news) {
-            at if at > now => self.wait(Phase::Resting, at, core),
+            at if at > now => self.wait(Phase::Resting, at, engine),
             // In the same turn: the watch goes on.
-            _ => self.call(now, core),
+            _ => self.call(now, engine),
         }
     }
 
     /// The poller has something to say of the connection. Returns the answer that has come.
-    pub fn event(&mut self, now: Time, core: &mut Engine) -> Option<Listing> {
+    pub fn event(&mut self, now: Time, engine: &mut Engine) -> Option<Listing> {
         let stream = self.stream.as_mut()?;
         if self.phase == Phase::Connecting {
             match stream.connected() {
-                true => self.request(now, core),
-                false => self.failed(&Trouble::Unreachable, now, core),
+                true => self.request(now, engine),
+                false => self.failed(&Trouble::Unreachable, now, engine),
             }
             return None;
         }
@@ -403,13 +404,13 @@
             Ok(None) => {
                 match peer {
                     Peer::Open if length < LONGEST => {}
-                    Peer::Open | Peer::TooMuch => self.failed(&Trouble::TooLong, now, core),
-                    Peer::Gone | Peer::Reset => self.failed(&Trouble::Closed, now, core),
+                    Peer::Open | Peer::TooMuch => self.failed(&Trouble::TooLong, now, engine),
+                    Peer::Gone | Peer::Reset => self.failed(&Trouble::Closed, now, engine),
                 }
                 return None;
             }
             Err(cause) => {
-                self.failed(&cause, now, core);
+                self.failed(&cause, now, engine);
                 return None;
             }
         };
@@ -425,15 +426,15 @@
             Err(fault) => {
                 // What could not be read may have held news: it is asked for whole.
                 self.index = None;
-                self.failed(&Trouble::List(fault), now, core);
+                self.failed(&Trouble::List(fault), now, engine);
                 return None;
             }
         };
         if let Some(cause) = self.doubt(&listing) {
-            self.failed(&cause, now, core);
+            self.failed(&cause, now, engine);
             return None;
         }
-        self.follow(&listing, now, core);
+        self.follow(&listing, now, engine);
         Some(listing)
     }
 }
--- a/router/src/front/pg.rs
+++ b/router/src/front/pg.rs
@@ -7,7 +7,7 @@
 use crate::net::{Source, poll_key};
 use crate::statement_labels::{self, Statement, code};
 use plovercove::{Access, RequestInfo, Time};
-use plovercove_engine::{Answer, Due, Engine, Key, Table};
+use plovercove_engine::{Deadline, Engine, FinalAnswer, Key, Table};
 use plovercove_pgwire::cancel::CancelKey;
 use plovercove_pgwire::door::{Door, Method, Step};
 use plovercove_pgwire::render::Speech;
@@ -435,19 +435,19 @@
     }
 
     /// Takes in the connections that wait at a listener.
-    pub fn accept(&mut self, entry: Key, now: Time, core: &mut Engine) {
-        self.take_in(entry, now, core);
+    pub fn accept(&mut self, entry: Key, now: Time, engine: &mut Engine) {
+        self.take_in(entry, now, engine);
     }
 
-    fn take_in(&mut self, entry: Key, now: Time, core: &mut Engine) -> Queue {
+    fn take_in(&mut self, entry: Key, now: Time, engine: &mut Engine) -> Queue {
         let entry = entry.number() as usize;
         for _ in 0..TURN.1 {
             let full = self.clients.len() >= self.most + BEYOND;
             if full && !self.may_displace(now) {
                 // Who has spoken is told, and may be displaced.
-                self.pump(now, core);
+                self.pump(now, engine);
                 if !self.may_displace(now) {
-                    self.pause_accepting(now, core);
+                    self.pause_accepting(now, engine);
                     return Queue::Paused;
                 }
             }
@@ -464,12 +464,12 @@
                     // Only now is it certain that someone needs the place of an idle client, or the descriptor of one
                     // that has none.
                     if full {
-                        self.displace(now, core);
+                        self.displace(now, engine);
                     }
                     if self.placed() >= self.most {
-                        self.shed(now, core);
+                        self.shed(now, engine);
                     }
-                    self.admit(entry, from.ip(), socket, now, core);
+                    self.admit(entry, from.ip(), socket, now, engine);
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return Queue::Empty,
                 Err(e)
@@ -480,7 +480,7 @@
                 // Danger: with no descriptor left the listener stays readable, and the loop would spin on it.
                 Err(e) => {
                     warn!("cannot accept: {e}");
-                    self.pause_accepting(now, core);
+                    self.pause_accepting(now, engine);
                     return Queue::Paused;
                 }
             }
@@ -501,22 +501,22 @@
     }
 
     /// Closes the first of those beyond the limit.
-    fn displace(&mut self, now: Time, core: &mut Engine) {
+    fn displace(&mut self, now: Time, engine: &mut Engine) {
         let Some(&(kind, _, key)) = self.spare.first() else {
             return;
         };
         if kind == Spare::Refusing && !self.may_go(key, now) {
             // It has just spoken: it may want a cancel.
-            self.pump(now, core);
+            self.pump(now, engine);
             self.clients
                 .get_mut(key)
                 .into_iter()
                 .for_each(Client::tell_unasked);
         }
-        self.close(key, core);
+        self.close(key, engine);
     }
 
-    fn pause_accepting(&mut self, now: Time, core: &mut Engine) {
+    fn pause_accepting(&mut self, now: Time, engine: &mut Engine) {
         self.listen_for(Interest::Nothing);
         let mute = self
             .spare
@@ -525,26 +525,26 @@
         let first = mute
             .filter(|(kind, ..)| *kind == Spare::Refusing)
             .map(|(_, came, _)| came + DOOR);
-        core.deadlines.add(
+        engine.deadlines.add(
             first.filter(|at| *at > now).unwrap_or(now + DOOR),
-            Due::Accept,
+            Deadline::Accept,
         );
     }
 
     /// Goes on accepting after a pause.
-    pub fn resume_accepting(&mut self, now: Time, core: &mut Engine) {
+    pub fn resume_accepting(&mut self, now: Time, engine: &mut Engine) {
         self.listen_for(Interest::Read);
         if self.draining {
-            self.shut_door(now, core);
+            self.shut_door(now, engine);
         } else {
-            self.accept_all(now, core);
+            self.accept_all(now, engine);
         }
     }
 
-    fn accept_all(&mut self, now: Time, core: &mut Engine) -> Queue {
+    fn accept_all(&mut self, now: Time, engine: &mut Engine) -> Queue {
         let entries = 0..self.words.entries.len() as u64;
         entries
-            .map(|entry| self.take_in(Key::from_number(entry), now, core))
+            .map(|entry| self.take_in(Key::from_number(entry), now, engine))
             .max()
             .unwrap_or(Queue::Empty)
     }
@@ -568,7 +568,7 @@
         from: IpAddr,
         socket: std::net::TcpStream,
         now: Time,
-        core: &mut Engine,
+        engine: &mut Engine,
     ) {
         let way = &self.words.entries[entry];
         let room = self.placed() < self.most && way.clients < way.terms.most;
@@ -615,10 +615,10 @@
         match made {
             Ok(key) => {
                 self.words.entries[entry].clients += 1;
-                self.settle(key, core);
+                self.settle(key, engine);
                 if !room {
                     // What it has said already need not wait for the next turn: others wait for its descriptor.
-                    self.event(key, false, now, core);
+                    self.event(key, false, now, engine);
                 }
             }
             Err(e) => warn!("a client's connection cannot be taken over: {e}"),
@@ -626,15 +626,16 @@
     }
 
     /// Brings a client's deadline and its place among the spare ones up to date.
-    fn settle(&mut self, key: Key, core: &mut Engine) {
+    fn settle(&mut self, key: Key, engine: &mut Engine) {
         let Some(client) = self.clients.get_mut(key) else {
             return;
         };
         // One that is too early finds the next when it falls due; only one that is too late must be moved at once.
         let until = client.until();
         if until.is_some_and(|at| client.look.is_none_or(|look| at < look)) {
-            core.deadlines
-                .set(&mut client.look, Due::Client(key), until);
+            engine
+                .deadlines
+                .set(&mut client.look, Deadline::Client(key), until);
         }
         let spare = client.spare();
         if spare != client.spare {
@@ -668,24 +669,24 @@
 
     /// Closes the clients that have been idle for longest where too many are. Danger: clients may hold only so many
     /// connections, and those that ask once and hold on to theirs would leave none for the others.
-    fn thin_out(&mut self, now: Time, core: &mut Engine) {
+    fn thin_out(&mut self, now: Time, engine: &mut Engine) {
         let over = self.spares[Spare::Idle as usize].saturating_sub(self.most / MOST_IDLE);
         let idle = self
             .spare
             .range((Spare::Idle, 0, Key::from_number(0))..)
             .take(over);
         for key in idle.map(|&(_, _, key)| key).collect::<Vec<Key>>() {
-            self.close_idle(key, now, core);
+            self.close_idle(key, now, engine);
         }
     }
 
     /// Makes room for one more client.
-    fn shed(&mut self, now: Time, core: &mut Engine) {
+    fn shed(&mut self, now: Time, engine: &mut Engine) {
         let placed = self.spare.range((Spare::Unasked, 0, Key::from_number(0))..);
         let first: Vec<Key> = placed.take(LAST_LOOKS).map(|&(_, _, key)| key).collect();
         // One that has just spoken stays, and the next one goes.
         for key in first {
-            if self.close_idle(key, now, core) {
+            if self.close_idle(key, now, engine) {
                 return;
             }
         }
@@ -693,7 +694,7 @@
 
     /// Ends a client between requests, unless something has just come; whether it did. It keeps its descriptor while it is
     /// heard out, and no place.
-    fn close_idle(&mut self, key: Key, now: Time, core: &mut Engine) -> bool {
+    fn close_idle(&mut self, key: Key, now: Time, engine: &mut Engine) -> bool {
         if !self.may_go(key, now) {
             return false;
         }
@@ -704,9 +705,9 @@
         if client.leaving.is_none() && client.stream.unsent() == 0 {
             client.leave(now + LEAVE_RESTING);
             self.mark(key);
-            self.settle(key, core);
+            self.settle(key, engine);
         } else {
-            self.close(key, core);
+            self.close(key, engine);
         }
         true
     }
@@ -734,7 +735,7 @@
     }
 
     /// The one place where a client's connection is given back.
-    fn close(&mut self, key: Key, core: &mut Engine) {
+    fn close(&mut self, key: Key, engine: &mut Engine) {
         let Some(mut client) = self.clients.remove(key) else {
             return;
         };
@@ -743,13 +744,15 @@
             Self::hear_late_cancel(&mut self.words, &mut client);
             let _ = client.stream.discard();
         }
-        core.deadlines.set(&mut client.look, Due::Client(key), None);
+        engine
+            .deadlines
+            .set(&mut client.look, Deadline::Client(key), None);
         self.place(key, client.entry, client.spare.take(), None);
         let way = &mut self.words.entries[client.entry];
         way.clients -= 1;
         client.key.into_iter().for_each(|id| way.keys.withdraw(id));
         for asked in client.pending.into_iter().filter_map(|p| p.request) {
-            core.gone(asked.request);
+            engine.client_gone(asked.request);
         }
     }
 
@@ -766,7 +769,7 @@
     }
 
     /// The poller has something to say of a client.
-    pub fn event(&mut self, key: Key, hung_up: bool, now: Time, core: &mut Engine) {
+    pub fn event(&mut self, key: Key, hung_up: bool, now: Time, engine: &mut Engine) {
         let Some(client) = self.clients.get_mut(key) else {
             return;
         };
@@ -775,7 +778,7 @@
         let peer = Self::hear(&mut self.words, client, key, now);
         if hung_up || peer != Peer::Open {
             debug!(client = key.number(), ?peer, hung_up, "closed");
-            return self.close(key, core);
+            return self.close(key, engine);
         }
         self.mark(key);
     }
@@ -817,37 +820,38 @@
     }
 
     /// It is time to look a client over.
-    pub fn look_over(&mut self, key: Key, now: Time, core: &mut Engine) {
+    pub fn look_over(&mut self, key: Key, now: Time, engine: &mut Engine) {
         let Some(client) = self.clients.get_mut(key) else {
             return;
         };
         client.look = None;
         match client.until() {
-            Some(at) if at > now => self.settle(key, core),
+            Some(at) if at > now => self.settle(key, engine),
             Some(_) if client.leaving.is_some() || client.stream.unsent() > 0 => {
-                self.close(key, core)
+                self.close(key, engine)
             }
-            Some(_) if client.begun.is_some() => self.end_half(key, now, core),
-            Some(_) => drop(self.close_idle(key, now, core)),
+            Some(_) if client.begun.is_some() => self.end_half(key, now, engine),
+            Some(_) => drop(self.close_idle(key, now, engine)),
             None => {}
         }
     }
 
     /// Ends a client whose message has been under way for too long, unless the rest of it has just come.
-    fn end_half(&mut self, key: Key, now: Time, core: &mut Engine) {
+    fn end_half(&mut self, key: Key, now: Time, engine: &mut Engine) {
         let Some(client) = self.clients.get_mut(key) else {
             return;
         };
         let heard = Self::hear(&mut self.words, client, key, now);
-        if heard != Peer::Open || Self::exchange(&mut self.words, client, key, now, core).is_err() {
-            return self.close(key, core);
+        if heard != Peer::Open || Self::exchange(&mut self.words, client, key, now, engine).is_err()
+        {
+            return self.close(key, engine);
         }
         if client.begun.is_some() {
             client.tell_unasked();
             client.leave(now + LEAVE_RESTING);
         }
         self.mark(key);
-        self.settle(key, core);
+        self.settle(key, engine);
     }
 
     /// The statement of a request, for an attempt.
@@ -897,13 +901,13 @@
     }
 
     /// Words a final answer that no db node made.
-    pub fn concluded(&mut self, origin: Key, request: Key, answer: Answer) {
+    pub fn concluded(&mut self, origin: Key, request: Key, answer: FinalAnswer) {
         let Some(speech) = self.clients.get(origin).map(Client::speech) else {
             return;
         };
         let mut worded = self.words.budget.buffer();
         worded.write(|out| match answer {
-            Answer::Refused(wait) => {
+            FinalAnswer::Rejected(wait) => {
                 let wait = wait.map(clock::to_ms);
                 speech.error(
                     false,
@@ -913,7 +917,7 @@
                     out,
                 );
             }
-            Answer::Failed => {
+            FinalAnswer::Failed => {
                 let text = "the outcome is unknown: no db node answered in time";
                 speech.error(false, code::UNKNOWN_OUTCOME, text, None, out);
             }
@@ -947,18 +951,18 @@
     }
 
     /// Reads and writes on where something has happened.
-    pub fn pump(&mut self, now: Time, core: &mut Engine) {
+    pub fn pump(&mut self, now: Time, engine: &mut Engine) {
         for key in mem::take(&mut self.marked) {
             let Some(client) = self.clients.get_mut(key) else {
                 continue;
             };
             client.marked = false;
-            let Ok((sent, more)) = Self::exchange(&mut self.words, client, key, now, core) else {
-                self.close(key, core);
+            let Ok((sent, more)) = Self::exchange(&mut self.words, client, key, now, engine) else {
+                self.close(key, engine);
                 continue;
             };
             // Danger: whoever is told the end of its wish before the wish is met may find its next query cancelled.
-            self.cancel_wanted(now, core);
+            self.cancel_wanted(now, engine);
             let Some(client) = self.clients.get_mut(key) else {
                 continue;
             };
@@ -967,7 +971,7 @@
                 && client.phase == Phase::Closing
                 && Self::heard_out(&mut self.words, client, now)
             {
-                self.close(key, core);
+                self.close(key, engine);
                 continue;
             }
             let reads = Self::reads(client);
@@ -976,16 +980,16 @@
             client.stream.wait_for(Self::listens(client));
             let idle =
                 self.draining && client.asked && client.idle() && client.phase != Phase::Closing;
-            self.settle(key, core);
+            self.settle(key, engine);
             if more {
                 self.mark(key);
             } else if idle {
-                self.close_idle(key, now, core);
+                self.close_idle(key, now, engine);
             }
         }
         // The last look at who goes may find a cancel.
-        self.thin_out(now, core);
-        self.cancel_wanted(now, core);
+        self.thin_out(now, engine);
+        self.cancel_wanted(now, engine);
     }
 
     /// All has been said to a client that is to go: it is told so, and heard out; true once that is over.
@@ -1033,7 +1037,7 @@
         client: &mut Client,
         key: Key,
         now: Time,
-        core: &mut Engine,
+        engine: &mut Engine,
     ) -> Result<(bool, bool), Peer> {
         let mut left = TURN.0;
         loop {
@@ -1041,7 +1045,7 @@
                 client.stream.put(|out| out.extend_from_slice(&answer));
                 client.pending.pop_front();
             }
-            if left > 0 && Self::read(words, client, key, now, core) {
+            if left > 0 && Self::read(words, client, key, now, engine) {
                 (client.touched, client.begun) = (now, None);
                 left -= 1;
                 continue;
@@ -1082,7 +1086,7 @@
         client: &mut Client,
         key: Key,
         now: Time,
-        core: &mut Engine,
+        engine: &mut Engine,
     ) -> bool {
         if !Self::has_room(client) {
             return false;
@@ -1091,7 +1095,7 @@
             Phase::Closing => return false,
             Phase::Opening | Phase::Refusing => return Self::come_in(words, client, key, now),
             Phase::Ready if client.version == Version::V2 => {
-                return Self::read_old(words, client, key, now, core);
+                return Self::read_old(words, client, key, now, engine);
             }
             Phase::Ready | Phase::Skipping => {}
         }
@@ -1117,7 +1121,7 @@
                 client.object(words, code::PROTOCOL, "the query has a zero byte in it");
             }
             (b'Q', Some(Some(text))) => match String::from_utf8(text) {
-                Ok(text) => Self::query(words, client, key, &text, now, core),
+                Ok(text) => Self::query(words, client, key, &text, now, engine),
                 Err(_) => client.object(words, code::PROTOCOL, "the query is not UTF-8"),
             },
             (b'Q', _) => client.object(words, code::PROTOCOL, "the query does not end"),
@@ -1267,7 +1271,7 @@
         client: &mut Client,
         key: Key,
         now: Time,
-        core: &mut Engine,
+        engine: &mut Engine,
     ) -> bool {
         let bytes = client.stream.unread();
         let Some((&kind, rest)) = bytes.split_first() else {
@@ -1285,7 +1289,7 @@
                 let text = String::from_utf8(rest[..end].to_vec());
                 client.stream.take(end + 2);
                 match text {
-                    Ok(text) => Self::query(words, client, key, &text, now, core),
+                    Ok(text) => Self::query(words, client, key, &text, now, engine),
                     Err(_) => client.object(words, code::PROTOCOL, "the query is not UTF-8"),
                 }
             }
@@ -1306,7 +1310,7 @@
     }
 
     /// Ends the requests whose cancelling was asked for with the right key.
-    fn cancel_wanted(&mut self, now: Time, core: &mut Engine) {
+    fn cancel_wanted(&mut self, now: Time, engine: &mut Engine) {
         for (entry, wanted) in mem::take(&mut self.words.wanted) {
             let Some(key) = self.words.entries[entry].keys.find(&wanted) else {
                 continue;
@@ -1317,9 +1321,9 @@
             // Danger: the query may have come before the wish and be read after it, and would run for nobody.
             if client.pending.is_empty()
                 && (Self::hear(&mut self.words, client, key, now) != Peer::Open
-                    || Self::exchange(&mut self.words, client, key, now, core).is_err())
+                    || Self::exchange(&mut self.words, client, key, now, engine).is_err())
             {
-                self.close(key, core);
+                self.close(key, engine);
                 continue;
             }
             self.mark(key);
@@ -1342,7 +1346,7 @@
             });
             pending.answer = Some(answer);
             if let Some(asked) = pending.request.take() {
-                core.cancel(asked.request, now);
+                engine.cancel(asked.request, now);
             }
         }
     }
@@ -1389,13 +1393,13 @@
         key: Key,
         text: &str,
         now: Time,
-        core: &mut Engine,
+        engine: &mut Engine,
     ) {
         let named = words.entries[client.entry].terms.defaults.is_some();
         if named && !(text.trim_start().starts_with("/*") && statement_labels::labels(text).is_ok())
         {
             if let Some(text) = Self::label(words, client, text) {
-                Self::ask(words, client, key, &text, now, core);
+                Self::ask(words, client, key, &text, now, engine);
             }
             return;
         }
@@ -1418,7 +1422,7 @@
                 statement_labels::put_ready(out);
             });
         }
-        Self::ask(words, client, key, text, now, core);
+        Self::ask(words, client, key, text, now, engine);
     }
 
     /// Hands a query with labels to the core.
@@ -1428,7 +1432,7 @@
         key: Key,
         text: &str,
         now: Time,
-        core: &mut Engine,
+        engine: &mut Engine,
     ) {
         let named = words.entries[client.entry].terms.defaults.is_some();
         let labels = match statement_labels::labels(text) {
@@ -1442,14 +1446,14 @@
                 &format!("class {:?} does not exist", labels.class),
             );
         };
-        if !core.knows_group(labels.group) {
+        if !engine.knows_group(labels.group) {
             return client.object(
                 words,
                 code::NOT_NOW,
                 &format!("no db node of group {} is known", labels.group),
             );
         }
-        let figures = &core.classes()[class];
+        let figures = &engine.classes()[class];
         let left = clock::from_ms(labels.patience);
         if left == 0 || left > figures.deadline.saturating_mul(ABSURD) {
             return client.object(
@@ -1488,7 +1492,7 @@
                 .map(|at| now.saturating_sub(at))
         };
         let has_session = matches!(figures.access, Access::Write | Access::OwnWrites);
-        let demand = RequestInfo {
+        let info = RequestInfo {
             class,
             tenant: tenant.and_then(|(_, number)| number),
             session: labels.key.filter(|_| has_session).map(Into::into),
@@ -1502,7 +1506,7 @@
         let statement = Rc::new(Statement::new(text, &labels, shape));
         let writes = figures.access == Access::Write;
         let asked = Asked {
-            request: core.request(key, demand),
+            request: engine.begin_request(key, info),
             statement,
             writes,
             _share: share,
@@ -1515,12 +1519,12 @@
     }
 
     /// Closes the listeners, once all who wait at them have been taken in.
-    fn shut_door(&mut self, now: Time, core: &mut Engine) {
+    fn shut_door(&mut self, now: Time, engine: &mut Engine) {
         let until = *self.door_until.get_or_insert(now + FIRST_SOON);
         // Danger: the system resets those whom a closed listener leaves waiting.
         let fits = BACKLOG as u32 / TURN.1;
         let queue = (0..=fits)
-            .map(|_| self.accept_all(now, core))
+            .map(|_| self.accept_all(now, engine))
             .find(|queue| *queue != Queue::Waits);
         // Where accepting pauses it goes on here.
         if queue != Some(Queue::Paused) || now >= until {
@@ -1532,9 +1536,9 @@
     }
 
     /// Closes the listeners and all idle clients; the others are closed once they are answered, or have not asked in time.
-    pub fn drain(&mut self, now: Time, core: &mut Engine) {
+    pub fn drain(&mut self, now: Time, engine: &mut Engine) {
         self.draining = true;
-        self.shut_door(now, core);
+        self.shut_door(now, engine);
         let all: Vec<Key> = self.clients.iter().map(|(key, _)| key).collect();
         for key in all {
             // Danger: told once more to end, it would close those that it hears out with bytes unread.
@@ -1544,11 +1548,11 @@
             client.message_for = MESSAGE.1;
             if !client.asked {
                 client.first = client.first.min(now + FIRST_SOON);
-                self.settle(key, core);
+                self.settle(key, engine);
             } else if client.idle() {
-                self.close_idle(key, now, core);
+                self.close_idle(key, now, engine);
             } else {
-                self.settle(key, core);
+                self.settle(key, engine);
             }
         }
     }
--- a/router/src/peers.rs
+++ b/router/src/peers.rs
@@ -6,7 +6,7 @@
 use crate::clock::Clock;
 use crate::net::{Source, poll_key};
 use plovercove::{Settings, Time};
-use plovercove_engine::{Due, Engine};
+use plovercove_engine::{Deadline, Engine};
 use plovercove_gossip::{Keys, Life, MOST, News, Peers, Rules, Witness};
 use plovercove_poller::{Interest, Poll, Registered};
 use std::any::Any;
@@ -44,8 +44,9 @@
 }
 
 /// The witness that stands beside the module, where peers are on.
-pub fn witness(core: &mut Engine) -> Option<&mut Witness> {
-    core.locality_policy()
+pub fn witness(engine: &mut Engine) -> Option<&mut Witness> {
+    engine
+        .locality_policy()
         .map(|zoning| zoning as &mut dyn Any)
         .and_then(<dyn Any>::downcast_mut)
 }
@@ -95,12 +96,12 @@
     }
 
     /// Begins to call the others.
-    pub fn start(&mut self, now: Time, core: &mut Engine) {
-        self.turn(now, core);
+    pub fn start(&mut self, now: Time, engine: &mut Engine) {
+        self.turn(now, engine);
     }
 
     /// Datagrams have come.
-    pub fn event(&mut self, now: Time, core: &mut Engine) {
+    pub fn event(&mut self, now: Time, engine: &mut Engine) {
         let mut bytes = [0; MOST + 1];
         for _ in 0..EACH_TURN {
             match self.socket.recv(&mut bytes) {
@@ -111,22 +112,22 @@
                 Err(_) => break,
             }
         }
-        self.flush(now, core);
+        self.flush(now, engine);
     }
 
     /// Something of it is due.
-    pub fn turn(&mut self, now: Time, core: &mut Engine) {
+    pub fn turn(&mut self, now: Time, engine: &mut Engine) {
         self.due = None;
-        if let Some(witness) = witness(core) {
+        if let Some(witness) = witness(engine) {
             self.peers.turn(now, witness);
         }
-        self.flush(now, core);
+        self.flush(now, engine);
     }
 
     /// The list has changed.
-    pub fn listed(&mut self, now: Time, core: &Engine) {
+    pub fn listed(&mut self, now: Time, engine: &Engine) {
         if let Some(chores) = &mut self.chores {
-            chores.listed(now, core);
+            chores.listed(now, engine);
         }
     }
 
@@ -139,18 +140,18 @@
     }
 
     /// What became of them.
-    pub fn heard(&mut self, now: Time, all: Vec<Heard>, core: &mut Engine) {
+    pub fn heard(&mut self, now: Time, all: Vec<Heard>, engine: &mut Engine) {
         let Some(chores) = &mut self.chores else {
             return;
         };
         for heard in all {
             chores.heard(now, heard);
         }
-        self.flush(now, core);
+        self.flush(now, engine);
     }
 
     /// Sends, tells the log, and sets the next deadline.
-    fn flush(&mut self, now: Time, core: &mut Engine) {
+    fn flush(&mut self, now: Time, engine: &mut Engine) {
         let (mut changed, mut others) = (false, false);
         while let Some(news) = self.peers.news() {
             changed |= matches!(news, News::Verdict { .. });
@@ -160,7 +161,7 @@
             }
             tell(news);
         }
-        let mut next = self.chores(now, others, core);
+        let mut next = self.chores(now, others, engine);
         if self.leaving && !self.chores.as_ref().is_some_and(Chores::handing) {
             self.gone(now);
             next = Time::MAX;
@@ -168,15 +169,15 @@
         self.send();
         if changed {
             // Requests that wait are decided anew.
-            core.wake();
+            engine.wake();
         }
         let next = self.peers.next().min(next);
         let at = (next < Time::MAX).then(|| next.max(now + 1));
-        core.deadlines.set(&mut self.due, Due::Peers, at);
+        engine.deadlines.set(&mut self.due, Deadline::Peers, at);
     }
 
     /// Drives what is done for the fleet; when something of it is due next.
-    fn chores(&mut self, now: Time, others: bool, core: &mut Engine) -> Time {
+    fn chores(&mut self, now: Time, others: bool, engine: &mut Engine) -> Time {
         let Some(chores) = &mut self.chores else {
             return Time::MAX;
         };
@@ -186,7 +187,7 @@
         while let Some(part) = self.peers.arrived() {
             chores.arrived(now, part);
         }
-        chores.turn(now, core);
+        chores.turn(now, engine);
         for (to, kind, body) in chores.take_out() {
             if !self.peers.post(now, to, kind, body) {
                 chores.unsent();
@@ -219,12 +220,12 @@
     }
 
     /// This router ends: what it owns is handed over, then the others are told.
-    pub fn leave(&mut self, now: Time, core: &mut Engine) {
+    pub fn leave(&mut self, now: Time, engine: &mut Engine) {
         if let Some(chores) = &mut self.chores {
             chores.hand_over(now);
         }
         self.leaving = true;
-        self.flush(now, core);
+        self.flush(now, engine);
     }
 
     /// The time for handing over is up: the others are told that this router ends.
@@ -241,9 +242,11 @@
     }
 
     /// Tells the log what this router believes.
-    pub fn dump(&self, now: Time, core: &mut Engine) {
+    pub fn dump(&self, now: Time, engine: &mut Engine) {
         self.chores.iter().for_each(|chores| chores.dump(now));
-        let Some(witness) = witness(core) else { return };
+        let Some(witness) = witness(engine) else {
+            return;
+        };
         let belief = self.peers.belief(witness);
         let levels: Vec<String> = belief
             .levels
--- a/router/src/serve.rs
+++ b/router/src/serve.rs
@@ -12,7 +12,7 @@
 use crate::peers::{self, Talk};
 use crate::upstream::pg::Upstream;
 use plovercove::{EndpointUpdate, LocalityPolicy, Time};
-use plovercove_engine::{Command, Due, Engine, Lists, WatchSchedule};
+use plovercove_engine::{Command, Deadline, Engine, Lists, WatchSchedule};
 use plovercove_gossip::Witness;
 use plovercove_locality::ZoneFailover;
 use plovercove_poller::{Events, Poll};
@@ -41,7 +41,7 @@
     clock: Clock,
     poll: Poll,
     signals: Registration,
-    core: Engine,
+    engine: Engine,
     front: Front,
     upstream: Upstream,
     discovery: Discovery,
@@ -118,7 +118,7 @@
                 index,
                 WatchSchedule::new(lists, config.seed),
             ),
-            core: match zoning {
+            engine: match zoning {
                 Some(zoning) => Engine::new(settings, config.seed).with_locality_policy(zoning),
                 None => Engine::new(settings, config.seed),
             },
@@ -141,15 +141,15 @@
     pub fn run(mut self) -> Result<(), Error> {
         let mut events = Events::new();
         let now = self.clock.now();
-        self.discovery.start(now, &mut self.core);
+        self.discovery.start(now, &mut self.engine);
         if let Some(peers) = &mut self.peers {
-            peers.start(now, &mut self.core);
+            peers.start(now, &mut self.engine);
         }
         let mut at_once = self.decide(now);
         while !self.front.drained() {
             let now = self.clock.now();
             let next = self
-                .core
+                .engine
                 .deadlines
                 .next()
                 .map(|at| Duration::from_micros(at.saturating_sub(now)));
@@ -182,7 +182,7 @@
         };
         // What discovery says goes first: whatever else is read in this turn is decided by the new list.
         for _ in of(Source::Discovery) {
-            if let Some(listing) = self.discovery.event(now, &mut self.core) {
+            if let Some(listing) = self.discovery.event(now, &mut self.engine) {
                 self.list(listing, false, now);
             }
         }
@@ -194,50 +194,50 @@
                     Signal::Tell => self
                         .peers
                         .iter()
-                        .for_each(|peers| peers.dump(now, &mut self.core)),
+                        .for_each(|peers| peers.dump(now, &mut self.engine)),
                 }
             }
         }
         for _ in of(Source::Peers) {
             self.peers
                 .iter_mut()
-                .for_each(|peers| peers.event(now, &mut self.core));
+                .for_each(|peers| peers.event(now, &mut self.engine));
         }
         for (key, _) in of(Source::Backend) {
-            self.upstream.event(key, now, &mut self.core);
+            self.upstream.event(key, now, &mut self.engine);
         }
         self.pass_on(now);
         self.fleet(now);
         for (key, hung_up) in of(Source::Client) {
-            self.front.event(key, hung_up, now, &mut self.core);
+            self.front.event(key, hung_up, now, &mut self.engine);
         }
         for (entry, _) in of(Source::Listener) {
-            self.front.accept(entry, now, &mut self.core);
+            self.front.accept(entry, now, &mut self.engine);
         }
-        while let Some(due) = self.core.deadlines.pop(now) {
+        while let Some(due) = self.engine.deadlines.pop(now) {
             self.due(due, now);
         }
         self.fleet(now);
-        self.front.pump(now, &mut self.core);
+        self.front.pump(now, &mut self.engine);
         self.decide(now)
     }
 
-    fn due(&mut self, due: Due, now: Time) {
+    fn due(&mut self, due: Deadline, now: Time) {
         match due {
-            Due::Wake => self.core.wake(),
-            Due::Attempt(id) => self.core.timed_out(id, now),
-            Due::Backend(key) => self.upstream.expired(key, now, &mut self.core),
-            Due::Client(key) => self.front.look_over(key, now, &mut self.core),
-            Due::Discovery => self.discovery.due(now, &mut self.core),
-            Due::Peers => self
+            Deadline::Wake => self.engine.wake(),
+            Deadline::Attempt(id) => self.engine.attempt_timed_out(id, now),
+            Deadline::Backend(key) => self.upstream.expired(key, now, &mut self.engine),
+            Deadline::Client(key) => self.front.look_over(key, now, &mut self.engine),
+            Deadline::Discovery => self.discovery.due(now, &mut self.engine),
+            Deadline::Peers => self
                 .peers
                 .iter_mut()
-                .for_each(|peers| peers.turn(now, &mut self.core)),
-            Due::Accept => self.front.resume_accepting(now, &mut self.core),
-            Due::Stop => {
+                .for_each(|peers| peers.turn(now, &mut self.engine)),
+            Deadline::Accept => self.front.resume_accepting(now, &mut self.engine),
+            Deadline::Stop => {
                 // Handing over does not keep clients waiting.
                 self.peers.iter_mut().for_each(|peers| peers.end(now));
-                self.front.drain(now, &mut self.core);
+                self.front.drain(now, &mut self.engine);
             }
         }
     }
@@ -245,7 +245,7 @@
     /// Decides and carries out, until nothing more comes of it; true where it has not come to an end.
     fn decide(&mut self, now: Time) -> bool {
         for _ in 0..ROUNDS {
-            let commands = self.core.decide(now);
+            let commands = self.engine.decide(now);
             if commands.is_empty() {
                 break;
             }
@@ -253,25 +253,27 @@
                 self.carry_out(command, now);
             }
             self.pass_on(now);
-            self.front.pump(now, &mut self.core);
+            self.front.pump(now, &mut self.engine);
         }
-        self.core.has_news() || self.front.has_marked()
+        self.engine.has_pending_work() || self.front.has_marked()
     }
 
     fn carry_out(&mut self, command: Command, now: Time) {
-        let core = &mut self.core;
+        let engine = &mut self.engine;
         match command {
             Command::Send {
                 attempt,
                 origin,
                 node,
             } => match self.front.statement(origin, attempt.request) {
-                Some(statement) => self.upstream.send(attempt, statement, &node, now, core),
-                None => core.unsent(attempt, now),
+                Some(statement) => self.upstream.send(attempt, statement, &node, now, engine),
+                None => engine.attempt_not_sent(attempt, now),
             },
-            Command::GiveUp { attempt, node } => self.upstream.give_up(attempt, &node, now, core),
-            Command::Probe(node) => self.upstream.probe(&node, now, core),
-            Command::CloseIdle(node) => self.upstream.close_idle(&node, core),
+            Command::CancelAttempt { attempt, node } => {
+                self.upstream.give_up(attempt, &node, now, engine)
+            }
+            Command::HealthCheck(node) => self.upstream.probe(&node, now, engine),
+            Command::CloseIdle(node) => self.upstream.close_idle(&node, engine),
             Command::Answer {
                 request,
                 origin,
@@ -285,10 +287,10 @@
         let Some(peers) = &mut self.peers else { return };
         let heard = self.upstream.take_heard();
         if !heard.is_empty() {
-            peers.heard(now, heard, &mut self.core);
+            peers.heard(now, heard, &mut self.engine);
         }
         for ask in peers.take_asks() {
-            self.upstream.watch(ask, now, &mut self.core);
+            self.upstream.watch(ask, now, &mut self.engine);
         }
     }
 
@@ -308,15 +310,16 @@
             .iter()
             .map(|(entry, _)| entry.clone())
             .collect();
-        self.core.list(match (restored, listing.whole) {
-            (true, _) => EndpointUpdate::Restored(entries),
-            (false, true) => EndpointUpdate::Full(entries),
-            (false, false) => EndpointUpdate::Changes(entries),
-        });
-        self.upstream.list(&listing, now, &mut self.core);
+        self.engine
+            .update_endpoints(match (restored, listing.whole) {
+                (true, _) => EndpointUpdate::Restored(entries),
+                (false, true) => EndpointUpdate::Full(entries),
+                (false, false) => EndpointUpdate::Changes(entries),
+            });
+        self.upstream.list(&listing, now, &mut self.engine);
         self.peers
             .iter_mut()
-            .for_each(|peers| peers.listed(now, &self.core));
+            .for_each(|peers| peers.listed(now, &self.engine));
     }
 
     /// Takes over what a running router can; a file that is no good leaves all as it was.
@@ -339,7 +342,7 @@
         };
         info!(discovery = %config.discovery, "SIGHUP: the configuration was read again");
         self.discovery
-            .move_to(config.discovery, now, &mut self.core);
+            .move_to(config.discovery, now, &mut self.engine);
         if let Some(told) = told {
             let zones = told.tiers.as_ref().map_or(0, |t| t.view().len());
             self.rezone(told.tiers, now);
@@ -364,9 +367,9 @@
 
     /// Puts other tiers in the place of those in use; they go on from what these have learned.
     fn rezone(&mut self, mut tiers: Option<ZoneFailover>, now: Time) {
-        let old = match peers::witness(&mut self.core) {
+        let old = match peers::witness(&mut self.engine) {
             Some(witness) => witness.inner(),
-            None => self.core.locality_policy(),
+            None => self.engine.locality_policy(),
         };
         let old = old
             .map(|zoning| zoning as &mut dyn Any)
@@ -375,13 +378,13 @@
             fresh.inherit(old);
         }
         let tiers = tiers.map(|tiers| Box::new(tiers) as Box<dyn LocalityPolicy>);
-        match peers::witness(&mut self.core) {
+        match peers::witness(&mut self.engine) {
             Some(witness) => {
                 let witness = witness.with(tiers);
-                self.core
+                self.engine
                     .replace_locality_policy(now, Some(Box::new(witness)));
             }
-            None => self.core.replace_locality_policy(now, tiers),
+            None => self.engine.replace_locality_policy(now, tiers),
         }
     }
 
@@ -390,12 +393,14 @@
             return info!("SIGTERM: once more; it is finishing already");
         }
         info!(
-            held = self.core.held(),
+            held = self.engine.pending_requests(),
             "SIGTERM: finishing what has been taken on"
         );
         self.peers
             .iter_mut()
-            .for_each(|peers| peers.leave(now, &mut self.core));
-        self.core.deadlines.add(now + STILL_ACCEPTING, Due::Stop);
+            .for_each(|peers| peers.leave(now, &mut self.engine));
+        self.engine
+            .deadlines
+            .add(now + STILL_ACCEPTING, Deadline::Stop);
     }
 }
--- a/router/src/upstream/pg.rs
+++ b/router/src/upstream/pg.rs
@@ -9,7 +9,7 @@
 use crate::net::{Source, begin_connect, poll_key};
 use crate::statement_labels::{self, Statement, code};
 use plovercove::{AttemptEnd, EndpointState, Micros, NodeId, NodeReport, Time};
-use plovercove_engine::{AttemptId, Due, Engine, Key, Table};
+use plovercove_engine::{AttemptId, Deadline, Engine, Key, Table};
 use plovercove_pgwire::Version;
 use plovercove_pgwire::login::{self, Credentials, Login, Refused};
 use plovercove_pgwire::reply::{Shape, Spoilt};
@@ -44,12 +44,12 @@
 
 impl Job {
     /// Whether it may begin at this node now, when its first byte is about to leave.
-    fn may_begin(&self, node: &NodeId, now: Time, core: &Engine) -> bool {
+    fn may_begin(&self, node: &NodeId, now: Time, engine: &Engine) -> bool {
         match self {
-            Job::Attempt(id, _) => core.may_begin(Some(*id), node, now),
-            Job::Probe(_) => core.may_begin(None, node, now),
+            Job::Attempt(id, _) => engine.may_send(Some(*id), node, now),
+            Job::Probe(_) => engine.may_send(None, node, now),
             // Its router may have lost the watch since it asked for a connection.
-            Job::Watch(_, look) => core.may_begin(None, node, now) && look(),
+            Job::Watch(_, look) => engine.may_send(None, node, now) && look(),
         }
     }
 }
@@ -183,7 +183,7 @@
     }
 
     /// Discovery has told a list, which the core knows by now.
-    pub fn list(&mut self, listing: &Listing, now: Time, core: &mut Engine) {
+    pub fn list(&mut self, listing: &Listing, now: Time, engine: &mut Engine) {
         if listing.whole {
             self.keep_only(
                 &listing
@@ -191,28 +191,28 @@
                     .iter()
                     .map(|(entry, _)| &entry.node)
                     .collect(),
-                core,
+                engine,
             );
         }
         for (entry, address) in &listing.entries {
             if let Some(address) = address {
-                self.locate(&entry.node, *address, core);
-                self.redial(&entry.node, now, core);
+                self.locate(&entry.node, *address, engine);
+                self.redial(&entry.node, now, engine);
             }
             if entry.state != EndpointState::Serving {
-                self.retire(&entry.node, entry.state == EndpointState::Removed, core);
+                self.retire(&entry.node, entry.state == EndpointState::Removed, engine);
             }
         }
-        self.release_addresses(now, core);
-        self.release_waiting(now, core);
-        self.forget_gone(now, core);
+        self.release_addresses(now, engine);
+        self.release_waiting(now, engine);
+        self.forget_gone(now, engine);
     }
 
     /// Ends what waits or is under way at nodes where nothing may begin any more. Danger: it would wait for a connection
     /// that must carry nothing, and its time be gone before another node is tried.
-    fn release_waiting(&mut self, now: Time, core: &mut Engine) {
+    fn release_waiting(&mut self, now: Time, engine: &mut Engine) {
         let busy = |node: &Node| node.coming > 0 || !node.waiting.is_empty();
-        let shut = |(id, node): &(&NodeId, &Node)| busy(node) && !core.may_begin(None, id, now);
+        let shut = |(id, node): &(&NodeId, &Node)| busy(node) && !engine.may_send(None, id, now);
         let shut: Vec<NodeId> = self
             .nodes
             .iter()
@@ -220,20 +220,20 @@
             .map(|(id, _)| id.clone())
             .collect();
         for id in shut {
-            self.disconnect(&id, core);
+            self.disconnect(&id, engine);
             let waiting = self
                 .nodes
                 .get_mut(&id)
                 .map(|node| std::mem::take(&mut node.waiting));
             for job in waiting.unwrap_or_default() {
-                self.fail(job, &id, AttemptEnd::NeverSent, now, core);
+                self.fail(job, &id, AttemptEnd::NeverSent, now, engine);
             }
         }
     }
 
     /// An address is no longer that of a node that no list names, where it belongs to another by now. Danger: where dropped
     /// nodes stay open, what is meant for the one would go to the other.
-    fn release_addresses(&mut self, now: Time, core: &mut Engine) {
+    fn release_addresses(&mut self, now: Time, engine: &mut Engine) {
         let named: BTreeSet<SocketAddr> = self
             .nodes
             .values()
@@ -251,14 +251,14 @@
             self.nodes
                 .entry(id.clone())
                 .and_modify(|node| node.address = None);
-            self.disconnect(&id, core);
-            self.redial(&id, now, core);
+            self.disconnect(&id, engine);
+            self.redial(&id, now, engine);
         }
     }
 
     /// Discovery says where a node is now; connections to where it was are no good. Danger: what is there now may be
     /// another node. Those at work are closed after it; those under way end, and what waits for them is `redial`'s.
-    pub fn locate(&mut self, node: &NodeId, address: SocketAddr, core: &mut Engine) {
+    pub fn locate(&mut self, node: &NodeId, address: SocketAddr, engine: &mut Engine) {
         let known = self.nodes.entry(node.clone()).or_default();
         known.gone = false;
         if known
@@ -266,13 +266,13 @@
             .replace(address)
             .is_some_and(|old| old != address)
         {
-            self.disconnect(node, core);
+            self.disconnect(node, engine);
         }
     }
 
     /// Ends what is idle or under way at a node, which is not where it was.
-    fn disconnect(&mut self, node: &NodeId, core: &mut Engine) {
-        self.close_idle(node, core);
+    fn disconnect(&mut self, node: &NodeId, engine: &mut Engine) {
+        self.close_idle(node, engine);
         let coming =
             |b: &Backend| b.node == *node && matches!(b.state, State::Dialing | State::Greeting(_));
         let coming: Vec<Key> = self
@@ -282,19 +282,19 @@
             .map(|(key, _)| key)
             .collect();
         for key in coming {
-            self.drop_backend(key, core);
+            self.drop_backend(key, engine);
         }
     }
 
     /// Dials for what waits at a node and has no connection under way any more.
-    fn redial(&mut self, node: &NodeId, now: Time, core: &mut Engine) {
+    fn redial(&mut self, node: &NodeId, now: Time, engine: &mut Engine) {
         while self
             .nodes
             .get(node)
             .is_some_and(|n| n.waiting.len() > n.coming)
         {
-            if self.dial(node, now, core).is_err() {
-                self.dial_failed(node, AttemptEnd::Unreachable, now, core);
+            if self.dial(node, now, engine).is_err() {
+                self.dial_failed(node, AttemptEnd::Unreachable, now, engine);
             }
         }
     }
@@ -307,15 +307,15 @@
     }
 
     /// A node is to get nothing new; one that is gone is forgotten in time.
-    fn retire(&mut self, node: &NodeId, gone: bool, core: &mut Engine) {
-        self.close_idle(node, core);
+    fn retire(&mut self, node: &NodeId, gone: bool, engine: &mut Engine) {
+        self.close_idle(node, engine);
         if let Some(node) = self.nodes.get_mut(node) {
             node.gone = gone;
         }
     }
 
     /// A whole list has come: a node that it does not name is gone.
-    fn keep_only(&mut self, named: &BTreeSet<&NodeId>, core: &mut Engine) {
+    fn keep_only(&mut self, named: &BTreeSet<&NodeId>, engine: &mut Engine) {
         let absent: Vec<NodeId> = self
             .nodes
             .keys()
@@ -323,40 +323,41 @@
             .cloned()
             .collect();
         for node in absent {
-            self.retire(&node, true, core);
+            self.retire(&node, true, engine);
         }
     }
 
     /// Loses the nodes that are gone, once nothing is out there and nothing may begin there. Danger: over days of
     /// replacements the table would grow without end.
-    fn forget_gone(&mut self, now: Time, core: &Engine) {
+    fn forget_gone(&mut self, now: Time, engine: &Engine) {
         let used: BTreeSet<&NodeId> = self.backends.iter().map(|(_, b)| &b.node).collect();
         let mut kept = 0;
         self.nodes.retain(|id, node| {
             let out = !node.gone || !node.waiting.is_empty() || used.contains(id);
-            let open = !out && node.address.is_some() && core.may_begin(None, id, now);
+            let open = !out && node.address.is_some() && engine.may_send(None, id, now);
             kept += usize::from(open);
             out || (open && kept <= DROPPED_MOST)
         });
     }
 
     /// Closes the idle connections to a node.
-    pub fn close_idle(&mut self, node: &NodeId, core: &mut Engine) {
+    pub fn close_idle(&mut self, node: &NodeId, engine: &mut Engine) {
         let idle = self
             .nodes
             .get_mut(node)
             .map(|n| std::mem::take(&mut n.idle))
             .unwrap_or_default();
         for key in idle {
-            self.drop_backend(key, core);
+            self.drop_backend(key, engine);
         }
     }
 
     /// The one place where a connection to a db node is given back. Returns the job that it held.
-    fn drop_backend(&mut self, key: Key, core: &mut Engine) -> Option<Job> {
+    fn drop_backend(&mut self, key: Key, engine: &mut Engine) -> Option<Job> {
         let mut backend = self.backends.remove(key)?;
-        core.deadlines
-            .set(&mut backend.expires, Due::Backend(key), None);
+        engine
+            .deadlines
+            .set(&mut backend.expires, Deadline::Backend(key), None);
         if let State::Cancelling(_) = backend.state {
             self.cancelling -= 1;
             return None;
@@ -383,49 +384,49 @@
         statement: Rc<Statement>,
         node: &NodeId,
         now: Time,
-        core: &mut Engine,
+        engine: &mut Engine,
     ) {
-        self.start(Job::Attempt(id, statement), node, now, core);
+        self.start(Job::Attempt(id, statement), node, now, engine);
     }
 
     /// Asks a node for its report.
-    pub fn probe(&mut self, node: &NodeId, now: Time, core: &mut Engine) {
-        self.start(Job::Probe(now), node, now, core);
+    pub fn probe(&mut self, node: &NodeId, now: Time, engine: &mut Engine) {
+        self.start(Job::Probe(now), node, now, engine);
     }
 
     /// Asks a node for its report, for the fleet.
-    pub fn watch(&mut self, ask: NodeQuery, now: Time, core: &mut Engine) {
-        self.start(Job::Watch(now, ask.look), &ask.node, now, core);
+    pub fn watch(&mut self, ask: NodeQuery, now: Time, engine: &mut Engine) {
+        self.start(Job::Watch(now, ask.look), &ask.node, now, engine);
     }
 
-    fn start(&mut self, job: Job, id: &NodeId, now: Time, core: &mut Engine) {
+    fn start(&mut self, job: Job, id: &NodeId, now: Time, engine: &mut Engine) {
         while let Some(key) = self.nodes.get_mut(id).and_then(|n| n.idle.pop()) {
             if self.backends.get(key).is_some_and(|b| b.stream.quiet()) {
-                if let Err(job) = self.occupy(key, job, now, core) {
+                if let Err(job) = self.occupy(key, job, now, engine) {
                     self.nodes
                         .get_mut(id)
                         .expect("looked up above")
                         .idle
                         .push(key);
-                    self.fail(job, id, AttemptEnd::NeverSent, now, core);
+                    self.fail(job, id, AttemptEnd::NeverSent, now, engine);
                 }
                 return;
             }
-            self.drop_backend(key, core);
+            self.drop_backend(key, engine);
         }
         // Danger: what ends unsent is held against nobody, and a node whose address nobody told would be chosen again.
         let Some(node) = self.nodes.get_mut(id) else {
-            return self.fail(job, id, AttemptEnd::Unreachable, now, core);
+            return self.fail(job, id, AttemptEnd::Unreachable, now, engine);
         };
         node.waiting.push_back(job);
-        if node.waiting.len() > node.coming && self.dial(id, now, core).is_err() {
-            self.dial_failed(id, AttemptEnd::Unreachable, now, core);
+        if node.waiting.len() > node.coming && self.dial(id, now, engine).is_err() {
+            self.dial_failed(id, AttemptEnd::Unreachable, now, engine);
         }
     }
 
     /// Opens one more connection to a node, where there is room for it or an idle one elsewhere gives way.
-    fn dial(&mut self, id: &NodeId, now: Time, core: &mut Engine) -> io::Result<()> {
-        self.connect(id, State::Dialing, now, core)?;
+    fn dial(&mut self, id: &NodeId, now: Time, engine: &mut Engine) -> io::Result<()> {
+        self.connect(id, State::Dialing, now, engine)?;
         self.nodes.get_mut(id).ok_or(ErrorKind::NotFound)?.coming += 1;
         Ok(())
     }
@@ -435,7 +436,7 @@
         id: &NodeId,
         state: State,
         now: Time,
-        core: &mut Engine,
+        engine: &mut Engine,
     ) -> io::Result<()> {
         if self.backends.len() >= self.most {
             let idle = self
@@ -443,7 +444,7 @@
                 .iter()
                 .filter(|(_, b)| matches!(b.state, State::Idle));
             match idle.min_by_key(|(_, b)| b.idle_since).map(|(key, _)| key) {
-                Some(key) => drop(self.drop_backend(key, core)),
+                Some(key) => drop(self.drop_backend(key, engine)),
                 None => return Err(ErrorKind::QuotaExceeded.into()),
             }
         }
@@ -469,30 +470,37 @@
             })
         })?;
         let backend = self.backends.get_mut(key).expect("just made");
-        core.deadlines.set(
+        engine.deadlines.set(
             &mut backend.expires,
-            Due::Backend(key),
+            Deadline::Backend(key),
             Some(now + self.dial_timeout),
         );
         Ok(())
     }
 
     /// A connection did not come up: the job that waited longest fails, where no other connection is coming for it.
-    fn dial_failed(&mut self, id: &NodeId, ending: AttemptEnd, now: Time, core: &mut Engine) {
+    fn dial_failed(&mut self, id: &NodeId, ending: AttemptEnd, now: Time, engine: &mut Engine) {
         let Some(node) = self.nodes.get_mut(id) else {
             return;
         };
         if node.waiting.len() > node.coming
             && let Some(job) = node.waiting.pop_front()
         {
-            self.fail(job, id, ending, now, core);
+            self.fail(job, id, ending, now, engine);
         }
     }
 
-    fn fail(&mut self, job: Job, node: &NodeId, ending: AttemptEnd, now: Time, core: &mut Engine) {
+    fn fail(
+        &mut self,
+        job: Job,
+        node: &NodeId,
+        ending: AttemptEnd,
+        now: Time,
+        engine: &mut Engine,
+    ) {
         match job {
             Job::Attempt(id, _) => {
-                core.ended(
+                engine.attempt_ended(
                     now,
                     id,
                     ending,
@@ -500,7 +508,7 @@
                     NodeReport::default(),
                 );
             }
-            Job::Probe(_) => core.probed(node.clone(), None),
+            Job::Probe(_) => engine.health_check_ended(node.clone(), None),
             Job::Watch(..) => self.heard.push(Heard {
                 node: node.clone(),
                 answer: None,
@@ -509,11 +517,11 @@
     }
 
     /// Puts a job on a connection that is ready; gives it back where it may not begin.
-    fn occupy(&mut self, key: Key, job: Job, now: Time, core: &mut Engine) -> Result<(), Job> {
+    fn occupy(&mut self, key: Key, job: Job, now: Time, engine: &mut Engine) -> Result<(), Job> {
         let Some(backend) = self.backends.get_mut(key) else {
             return Err(job);
         };
-        if !job.may_begin(&backend.node, now, core) {
+        if !job.may_begin(&backend.node, now, engine) {
             return Err(job);
         }
         let mut shape = Shape::OneValue;
@@ -521,7 +529,7 @@
             Job::Attempt(id, statement) => {
                 shape = statement.shape;
                 self.running.insert(*id, key);
-                let patience = clock::to_ms(core.patience(*id, now)).max(1);
+                let patience = clock::to_ms(engine.attempt_time_left(*id, now)).max(1);
                 backend.stream.put(|out| statement.put(out, patience));
                 None
             }
@@ -533,25 +541,26 @@
                 Some(now + self.dial_timeout)
             }
         };
-        core.deadlines
-            .set(&mut backend.expires, Due::Backend(key), expires);
+        engine
+            .deadlines
+            .set(&mut backend.expires, Deadline::Backend(key), expires);
         backend.state = State::Busy(job, Reply::new(&self.budget, shape), false);
-        self.write(key, now, core);
+        self.write(key, now, engine);
         Ok(())
     }
 
-    fn write(&mut self, key: Key, now: Time, core: &mut Engine) {
+    fn write(&mut self, key: Key, now: Time, engine: &mut Engine) {
         let Some(backend) = self.backends.get_mut(key) else {
             return;
         };
         // The system may have held all of it back until now: then it begins now.
         if let State::Busy(job, _, false) = &backend.state
             && backend.stream.untouched()
-            && !job.may_begin(&backend.node, now, core)
+            && !job.may_begin(&backend.node, now, engine)
         {
             let node = backend.node.clone();
-            if let Some(job) = self.drop_backend(key, core) {
-                self.fail(job, &node, AttemptEnd::NeverSent, now, core);
+            if let Some(job) = self.drop_backend(key, engine) {
+                self.fail(job, &node, AttemptEnd::NeverSent, now, engine);
             }
             return;
         }
@@ -562,16 +571,16 @@
                     && !std::mem::replace(written, true)
                     && let Job::Attempt(id, _) = job
                 {
-                    core.written(*id);
+                    engine.attempt_written(*id);
                 }
                 backend.stream.wait_for(true);
             }
-            Err(_) => self.broken(key, now, core),
+            Err(_) => self.broken(key, now, engine),
         }
     }
 
     /// A connection ended from the other side, or was waited for long enough.
-    fn broken(&mut self, key: Key, now: Time, core: &mut Engine) {
+    fn broken(&mut self, key: Key, now: Time, engine: &mut Engine) {
         // Unless the db node said what became of the request before it closed, nobody knows.
         let told = |reply: &Reply| {
             if reply.tells() {
@@ -580,17 +589,17 @@
                 Err(AttemptEnd::Reset)
             }
         };
-        self.over(key, told, now, core);
+        self.over(key, told, now, engine);
     }
 
     /// What came on a connection is not to be followed. The db node is there and answers, so it is not at fault as one
     /// that breaks connections is; the request may have run, and whatever came with the answer tells nothing.
-    fn spoilt(&mut self, key: Key, now: Time, core: &mut Engine) {
+    fn spoilt(&mut self, key: Key, now: Time, engine: &mut Engine) {
         if let Some(backend) = self.backends.get(key) {
             let head = &backend.stream.unread()[..backend.stream.unread().len().min(48)];
             warn!(node = %backend.node, head = %head.escape_ascii(), "a message that cannot be followed");
         }
-        self.over(key, |_| Err(AttemptEnd::Failure), now, core);
+        self.over(key, |_| Err(AttemptEnd::Failure), now, engine);
     }
 
     /// Ends a connection, and what was under way on it by what its reply tells.
@@ -599,7 +608,7 @@
         key: Key,
         told: impl FnOnce(&Reply) -> Result<(), AttemptEnd>,
         now: Time,
-        core: &mut Engine,
+        engine: &mut Engine,
     ) {
         let Some(backend) = self.backends.get_mut(key) else {
             return;
@@ -613,26 +622,26 @@
             )),
             _ => None,
         };
-        let job = self.drop_backend(key, core);
+        let job = self.drop_backend(key, engine);
         if coming {
-            self.dial_failed(&node, AttemptEnd::Unreachable, now, core);
+            self.dial_failed(&node, AttemptEnd::Unreachable, now, engine);
         } else if let (Some(job), Some((reply, written))) = (job, reply) {
             // Until its last byte is written a request never ran; after that it may have.
             match told(&reply) {
-                _ if !written => self.fail(job, &node, AttemptEnd::Unreachable, now, core),
-                Ok(()) => self.finish(job, reply, &node, now, core),
-                Err(ending) => self.fail(job, &node, ending, now, core),
+                _ if !written => self.fail(job, &node, AttemptEnd::Unreachable, now, engine),
+                Ok(()) => self.finish(job, reply, &node, now, engine),
+                Err(ending) => self.fail(job, &node, ending, now, engine),
             }
         }
     }
 
     /// Reports what came of a job.
-    fn finish(&mut self, job: Job, reply: Reply, node: &NodeId, now: Time, core: &mut Engine) {
+    fn finish(&mut self, job: Job, reply: Reply, node: &NodeId, now: Time, engine: &mut Engine) {
         let ending = reply.ending();
         match job {
             Job::Attempt(attempt, _) => {
                 self.running.remove(&attempt);
-                let origin = core.ended(now, attempt, ending, reply.note, reply.report);
+                let origin = engine.attempt_ended(now, attempt, ending, reply.note, reply.report);
                 if let Some(origin) = origin {
                     self.served.push(Served {
                         origin,
@@ -643,7 +652,7 @@
             }
             Job::Probe(asked) => {
                 debug!(%node, took = now.saturating_sub(asked), ?reply.report, "probed");
-                core.probed(
+                engine.health_check_ended(
                     node.clone(),
                     (ending == AttemptEnd::Success).then_some(reply.report),
                 );
@@ -651,7 +660,7 @@
             Job::Watch(asked, _) => {
                 let answer = (ending == AttemptEnd::Success).then_some((asked, reply.report));
                 if let Some((_, report)) = answer {
-                    core.probed(node.clone(), Some(report));
+                    engine.health_check_ended(node.clone(), Some(report));
                 }
                 self.heard.push(Heard {
                     node: node.clone(),
@@ -662,13 +671,13 @@
     }
 
     /// The poller has something to say of a connection.
-    pub fn event(&mut self, key: Key, now: Time, core: &mut Engine) {
+    pub fn event(&mut self, key: Key, now: Time, engine: &mut Engine) {
         let Some(backend) = self.backends.get_mut(key) else {
             return;
         };
         if matches!(backend.state, State::Dialing | State::Cancelling(_)) {
             if !backend.stream.connected() {
-                return self.broken(key, now, core);
+                return self.broken(key, now, engine);
             }
             match &mut backend.state {
                 State::Cancelling(packet) => backend.stream.put(|out| out.append(packet)),
@@ -681,7 +690,7 @@
             }
         }
         if backend.stream.unsent() > 0 {
-            self.write(key, now, core);
+            self.write(key, now, engine);
         }
         let Some(backend) = self.backends.get_mut(key) else {
             return;
@@ -692,19 +701,19 @@
             && (peer != Peer::Open || !backend.stream.unread().is_empty())
         {
             debug!(node = %backend.node, "an idle connection ends");
-            return drop(self.drop_backend(key, core));
+            return drop(self.drop_backend(key, engine));
         }
         // What came before the end still counts.
-        while self.read(key, now, core) {}
+        while self.read(key, now, engine) {}
         match peer {
             Peer::Open => {}
-            Peer::Gone | Peer::Reset => self.broken(key, now, core),
-            Peer::TooMuch => self.spoilt(key, now, core),
+            Peer::Gone | Peer::Reset => self.broken(key, now, engine),
+            Peer::TooMuch => self.spoilt(key, now, engine),
         }
     }
 
     /// Takes one message in; false where none is whole.
-    fn read(&mut self, key: Key, now: Time, core: &mut Engine) -> bool {
+    fn read(&mut self, key: Key, now: Time, engine: &mut Engine) -> bool {
         let Some(backend) = self.backends.get_mut(key) else {
             return false;
         };
@@ -717,7 +726,7 @@
             Some(Ok(Some(message))) => message,
             Some(Ok(None)) => return false,
             Some(Err(statement_labels::Malformed)) | None => {
-                self.spoilt(key, now, core);
+                self.spoilt(key, now, engine);
                 return false;
             }
         };
@@ -763,39 +772,39 @@
             _ => Err(Spoilt),
         };
         let Ok(ready) = taken else {
-            self.spoilt(key, now, core);
+            self.spoilt(key, now, engine);
             return false;
         };
         backend.stream.take(length);
         if let Some(full) = refused {
             let node = backend.node.clone();
-            self.drop_backend(key, core);
+            self.drop_backend(key, engine);
             let ending = if full {
                 AttemptEnd::Overloaded
             } else {
                 AttemptEnd::Unreachable
             };
-            self.dial_failed(&node, ending, now, core);
+            self.dial_failed(&node, ending, now, engine);
             return false;
         }
         if !answer.is_empty() {
             backend.stream.put(|out| out.append(&mut answer));
-            self.write(key, now, core);
+            self.write(key, now, engine);
         }
         if ready {
-            self.ready(key, again, now, core);
+            self.ready(key, again, now, engine);
         }
         true
     }
 
     /// A connection is ready: it has come up, or its reply is whole.
-    fn ready(&mut self, key: Key, again: bool, now: Time, core: &mut Engine) {
+    fn ready(&mut self, key: Key, again: bool, now: Time, engine: &mut Engine) {
         let Some(backend) = self.backends.get_mut(key) else {
             return;
         };
         // Danger: what answers before the request has left whole answers something else, a copy of the last answer say.
         if matches!(backend.state, State::Busy(_, _, false)) {
-            return self.spoilt(key, now, core);
+            return self.spoilt(key, now, engine);
         }
         let id = backend.node.clone();
         match std::mem::replace(&mut backend.state, State::Idle) {
@@ -810,20 +819,20 @@
                 // It says more than belongs to its answer: the next request would be given what is no answer to it.
                 let unfit = !again || !backend.stream.unread().is_empty();
                 let unfit = unfit || !self.backends.get(key).is_some_and(|b| self.in_place(b));
-                self.finish(job, reply, &id, now, core);
+                self.finish(job, reply, &id, now, engine);
                 if unfit {
                     debug!(node = %id, "a connection that says too much ends");
-                    self.drop_backend(key, core);
+                    self.drop_backend(key, engine);
                     return;
                 }
             }
             State::Dialing | State::Cancelling(_) | State::Idle => {}
         }
-        self.next_job(key, &id, now, core);
+        self.next_job(key, &id, now, engine);
     }
 
     /// Gives a connection that is free to the next job, or keeps it.
-    fn next_job(&mut self, key: Key, id: &NodeId, now: Time, core: &mut Engine) {
+    fn next_job(&mut self, key: Key, id: &NodeId, now: Time, engine: &mut Engine) {
         while let Some(job) = self.nodes.get_mut(id).and_then(|n| n.waiting.pop_front()) {
             // Danger: a db node may close after an answer, and what is written to it then ends as a reset.
             if !self.backends.get(key).is_some_and(|b| b.stream.quiet()) {
@@ -832,12 +841,12 @@
                     .expect("looked up above")
                     .waiting
                     .push_front(job);
-                self.drop_backend(key, core);
-                return self.dial_failed(id, AttemptEnd::Unreachable, now, core);
+                self.drop_backend(key, engine);
+                return self.dial_failed(id, AttemptEnd::Unreachable, now, engine);
             }
-            match self.occupy(key, job, now, core) {
+            match self.occupy(key, job, now, engine) {
                 Ok(()) => return,
-                Err(job) => self.fail(job, id, AttemptEnd::NeverSent, now, core),
+                Err(job) => self.fail(job, id, AttemptEnd::NeverSent, now, engine),
             }
         }
         let (Some(node), Some(backend)) = (self.nodes.get_mut(id), self.backends.get_mut(key))
@@ -846,15 +855,15 @@
         };
         node.idle.push(key);
         backend.idle_since = now;
-        core.deadlines.set(
+        engine.deadlines.set(
             &mut backend.expires,
-            Due::Backend(key),
+            Deadline::Backend(key),
             Some(now + self.idle_for),
         );
     }
 
     /// Stops an attempt; its connection is closed, so that late bytes reach no other request.
-    pub fn give_up(&mut self, id: AttemptId, node: &NodeId, now: Time, core: &mut Engine) {
+    pub fn give_up(&mut self, id: AttemptId, node: &NodeId, now: Time, engine: &mut Engine) {
         if let Some(&key) = self.running.get(&id) {
             let wish = self
                 .backends
@@ -865,13 +874,13 @@
                 .filter(|b| self.in_place(b))
                 .and_then(|b| b.key.clone())
                 .filter(|_| self.options.cancels);
-            self.drop_backend(key, core);
+            self.drop_backend(key, engine);
             if let Some(key) = wish.filter(|_| self.cancelling < CANCELS) {
                 let mut packet = Vec::new();
                 login::put_cancel(&mut packet, &key);
                 // Where it cannot be asked, the db node finishes what it does for nobody.
                 self.cancelling += usize::from(
-                    self.connect(node, State::Cancelling(packet), now, core)
+                    self.connect(node, State::Cancelling(packet), now, engine)
                         .is_ok(),
                 );
             }
@@ -882,12 +891,12 @@
     }
 
     /// A connection has been dialled, probed or idle for long enough.
-    pub fn expired(&mut self, key: Key, now: Time, core: &mut Engine) {
+    pub fn expired(&mut self, key: Key, now: Time, engine: &mut Engine) {
         let Some(backend) = self.backends.get_mut(key) else {
             return;
         };
         backend.expires = None;
-        self.broken(key, now, core);
+        self.broken(key, now, engine);
     }
 }
 
--- a/router/src/upstream/pg/tests.rs
+++ b/router/src/upstream/pg/tests.rs
@@ -7,7 +7,7 @@
     Access, Class, DedupScope, Endpoint, EndpointUpdate, Idempotency, RequestInfo, Settings,
 };
 use plovercove_emulator::held::{Deaf, Link, Node};
-use plovercove_engine::{Answer, Command};
+use plovercove_engine::{Command, FinalAnswer};
 use plovercove_poller::Events;
 use std::time::Duration;
 
@@ -74,7 +74,7 @@
 /// The pools with a core, driven step by step as the loop drives them.
 struct Pools {
     poll: Poll,
-    core: Engine,
+    engine: Engine,
     upstream: Upstream,
     now: Time,
     statements: BTreeMap<u64, Rc<Statement>>,
@@ -108,7 +108,7 @@
             IDLE,
         );
         Pools {
-            core: Engine::new(settings, 1),
+            engine: Engine::new(settings, 1),
             poll,
             upstream,
             now: NOW,
@@ -137,7 +137,7 @@
             .map(|(node, state, at)| (entry(node, *state), *at))
             .collect();
         let known = entries.iter().map(|(entry, _)| entry.clone()).collect();
-        self.core.list(if whole {
+        self.engine.update_endpoints(if whole {
             EndpointUpdate::Full(known)
         } else {
             EndpointUpdate::Changes(known)
@@ -148,13 +148,13 @@
             entries,
             odd: None,
         };
-        self.upstream.list(&listing, self.now, &mut self.core);
+        self.upstream.list(&listing, self.now, &mut self.engine);
     }
 
     /// The list says this of a node; nothing that hangs on it has been done yet.
     fn hears(&mut self, node: &str, state: EndpointState) {
-        self.core
-            .list(EndpointUpdate::Changes(vec![entry(node, state)]));
+        self.engine
+            .update_endpoints(EndpointUpdate::Changes(vec![entry(node, state)]));
     }
 
     /// A client asks, with so much text.
@@ -170,13 +170,13 @@
         );
         let labels = statement_labels::labels(&text).expect("well formed");
         let statement = Rc::new(Statement::new(&text, &labels, Shape::OneValue));
-        let demand = RequestInfo {
+        let info = RequestInfo {
             class,
             group: 1,
             time_left: left,
             ..RequestInfo::default()
         };
-        let request = self.core.request(Key::from_number(7), demand);
+        let request = self.engine.begin_request(Key::from_number(7), info);
         self.statements.insert(request.number(), statement);
         self.settle();
         request
@@ -196,7 +196,7 @@
                 let value = String::from_utf8_lossy(value).into_owned();
                 self.ended.push((served.request, Fate::Served(value)));
             }
-            let commands = self.core.decide(self.now);
+            let commands = self.engine.decide(self.now);
             if commands.is_empty() {
                 return;
             }
@@ -208,20 +208,22 @@
     }
 
     fn carry_out(&mut self, command: Command) {
-        let (now, core) = (self.now, &mut self.core);
+        let (now, engine) = (self.now, &mut self.engine);
         match command {
             Command::Send { attempt, node, .. } => {
                 self.sent.push(node.clone());
                 let statement = Rc::clone(&self.statements[&attempt.request.number()]);
-                self.upstream.send(attempt, statement, &node, now, core);
+                self.upstream.send(attempt, statement, &node, now, engine);
             }
-            Command::GiveUp { attempt, node } => self.upstream.give_up(attempt, &node, now, core),
-            Command::Probe(node) => self.upstream.probe(&node, now, core),
-            Command::CloseIdle(node) => self.upstream.close_idle(&node, core),
+            Command::CancelAttempt { attempt, node } => {
+                self.upstream.give_up(attempt, &node, now, engine)
+            }
+            Command::HealthCheck(node) => self.upstream.probe(&node, now, engine),
+            Command::CloseIdle(node) => self.upstream.close_idle(&node, engine),
             Command::Answer {
                 request, answer, ..
             } => {
-                let fate = if answer == Answer::Failed {
+                let fate = if answer == FinalAnswer::Failed {
                     Fate::Failed
                 } else {
                     Fate::Refused
@@ -248,7 +250,7 @@
     /// Takes in what has come, as one turn of the loop does.
     fn turn(&mut self) {
         for key in self.comes() {
-            self.upstream.event(key, self.now, &mut self.core);
+            self.upstream.event(key, self.now, &mut self.engine);
         }
         self.settle();
     }
@@ -263,11 +265,11 @@
     /// Time passes, and what falls due is done.
     fn later(&mut self, span: Micros) {
         self.now += span;
-        while let Some(due) = self.core.deadlines.pop(self.now) {
+        while let Some(due) = self.engine.deadlines.pop(self.now) {
             match due {
-                Due::Wake => self.core.wake(),
-                Due::Attempt(id) => self.core.timed_out(id, self.now),
-                Due::Backend(key) => self.upstream.expired(key, self.now, &mut self.core),
+                Deadline::Wake => self.engine.wake(),
+                Deadline::Attempt(id) => self.engine.attempt_timed_out(id, self.now),
+                Deadline::Backend(key) => self.upstream.expired(key, self.now, &mut self.engine),
                 _ => {}
             }
         }
@@ -302,7 +304,8 @@
 
     /// A connection to this node that is idle.
     fn idle(&mut self, name: &str, node: &Node) -> Link {
-        self.upstream.probe(&name.into(), self.now, &mut self.core);
+        self.upstream
+            .probe(&name.into(), self.now, &mut self.engine);
         let mut link = self.greeted(node);
         assert_eq!(
             link.statement().expect("a question").as_deref(),
@@ -386,13 +389,13 @@
 fn question(pools: &mut Pools, asks: Asks) {
     let (node, now): (NodeId, Time) = ("p".into(), pools.now);
     match asks {
-        Asks::Router => pools.upstream.probe(&node, now, &mut pools.core),
+        Asks::Router => pools.upstream.probe(&node, now, &mut pools.engine),
         Asks::Fleet => {
             let ask = NodeQuery {
                 node,
                 look: Rc::new(|| true),
             };
-            pools.upstream.watch(ask, now, &mut pools.core);
+            pools.upstream.watch(ask, now, &mut pools.engine);
         }
     }
 }
@@ -498,7 +501,7 @@
                 .next()
                 .expect("its connection")
                 .0;
-            pools.upstream.event(key, pools.now, &mut pools.core);
+            pools.upstream.event(key, pools.now, &mut pools.engine);
             let (still, _) = pools.held_back().expect("it is on the connection");
             self.left += unsent - still;
         }
@@ -699,7 +702,7 @@
             // A question names its node; where a write goes the module says.
             pools
                 .upstream
-                .probe(&new.into(), pools.now, &mut pools.core);
+                .probe(&new.into(), pools.now, &mut pools.engine);
             link = pools.greeted(&node);
             assert_eq!(
                 link.statement().expect("a question").as_deref(),
@@ -1025,7 +1028,7 @@
     let first = pools.asks("a1", READ, 0);
     assert_eq!(pools.sent, ["r1".into()]);
     pools.later(DIAL / 2);
-    pools.core.gone(first);
+    pools.engine.client_gone(first);
     pools.settle();
     let second = pools.asks("a2", READ, 0);
     assert_eq!(
@@ -1193,9 +1196,9 @@
     let node = node();
     let mut pools = Pools::before(&[("p", &node)]);
     let (mut link, request) = half_written(&mut pools, &node);
-    pools.core.gone(request);
+    pools.engine.client_gone(request);
     pools.settle();
-    assert_eq!((pools.open(), pools.core.held()), ((0, 0), 0));
+    assert_eq!((pools.open(), pools.engine.pending_requests()), ((0, 0), 0));
     let mut all = 0;
     while let Ok(count @ 1..) = link.read(1 << 20) {
         all += count;
@@ -1208,14 +1211,14 @@
     /// What is taken in first, and whether what follows of it is carried out before the other.
     #[derive(Clone, Copy, Debug, PartialEq, Eq)]
     enum First {
-        Answer,
+        FinalAnswer,
         AnswerInOneTurn,
         TimeOut,
         TimeOutInOneTurn,
         GoneInOneTurn,
     }
     for first in [
-        First::Answer,
+        First::FinalAnswer,
         First::AnswerInOneTurn,
         First::TimeOut,
         First::TimeOutInOneTurn,
@@ -1234,35 +1237,35 @@
         let id = AttemptId { request, number: 0 };
         let answer = |pools: &mut Pools| {
             keys.iter()
-                .for_each(|key| pools.upstream.event(*key, pools.now, &mut pools.core));
+                .for_each(|key| pools.upstream.event(*key, pools.now, &mut pools.engine));
         };
         match first {
-            First::Answer => {
+            First::FinalAnswer => {
                 answer(&mut pools);
                 pools.settle();
                 pools.later(PATIENCE);
             }
             First::AnswerInOneTurn => {
                 answer(&mut pools);
-                pools.core.timed_out(id, pools.now);
+                pools.engine.attempt_timed_out(id, pools.now);
             }
             First::TimeOut => {
                 pools.later(PATIENCE);
                 answer(&mut pools);
             }
             First::TimeOutInOneTurn => {
-                pools.core.timed_out(id, pools.now);
+                pools.engine.attempt_timed_out(id, pools.now);
                 answer(&mut pools);
             }
             First::GoneInOneTurn => {
-                pools.core.cancel(request, pools.now);
+                pools.engine.cancel(request, pools.now);
                 answer(&mut pools);
             }
         }
         pools.settle();
         pools.later(PATIENCE);
         let want = match first {
-            First::Answer | First::AnswerInOneTurn => Some(served("a1")),
+            First::FinalAnswer | First::AnswerInOneTurn => Some(served("a1")),
             First::TimeOut | First::TimeOutInOneTurn => Some(Fate::Failed),
             First::GoneInOneTurn => None,
         };
@@ -1272,7 +1275,10 @@
             "{first:?}"
         );
         assert_eq!(
-            (pools.core.held(), pools.upstream.running.len()),
+            (
+                pools.engine.pending_requests(),
+                pools.upstream.running.len()
+            ),
             (0, 0),
             "{first:?}"
         );
@@ -1317,7 +1323,7 @@
         let request = pools.asks_within("a1", WRITE, 0, if gone { PATIENCE } else { waits });
         let mut link = pools.up(&node);
         if gone {
-            pools.core.gone(request);
+            pools.engine.client_gone(request);
         }
         pools.later(waits);
         pools.later(SECOND);
@@ -1347,7 +1353,7 @@
     let keys = pools.comes();
     pools.later(DIAL);
     keys.iter()
-        .for_each(|key| pools.upstream.event(*key, pools.now, &mut pools.core));
+        .for_each(|key| pools.upstream.event(*key, pools.now, &mut pools.engine));
     pools.settle();
     assert_eq!(
         (pools.fate(request), pools.open()),
@@ -1433,7 +1439,7 @@
         link.say(&ERROR[..9]).expect("the pools are there");
         let keys = pools.comes();
         match why {
-            Why::Wanted => pools.upstream.close_idle(&"p".into(), &mut pools.core),
+            Why::Wanted => pools.upstream.close_idle(&"p".into(), &mut pools.engine),
             Why::Leaving => {
                 pools.told(false, &[("p", EndpointState::Draining, Some(at(&node)))]);
                 pools.told(false, &[("p", EndpointState::Serving, Some(at(&node)))]);
@@ -1441,12 +1447,12 @@
             Why::Idle => pools.later(IDLE),
             Why::GivenUp => given_up
                 .iter()
-                .for_each(|request| pools.core.cancel(*request, pools.now)),
+                .for_each(|request| pools.engine.cancel(*request, pools.now)),
         }
         pools.settle();
         assert_eq!(pools.open(), (0, 0), "{why:?}");
         keys.iter()
-            .for_each(|key| pools.upstream.event(*key, pools.now, &mut pools.core));
+            .for_each(|key| pools.upstream.event(*key, pools.now, &mut pools.engine));
         let next = pools.asks("a2", WRITE, 0);
         serves(&mut pools, &node, "a2", next);
         assert_eq!(given_up.and_then(|request| pools.fate(request)), None);
--- a/router/tests/duties.rs
+++ b/router/tests/duties.rs
@@ -477,11 +477,11 @@
         1_000_000,
         60_000_000,
     );
-    let mut core = Engine::new(Settings::default(), 1);
+    let mut engine = Engine::new(Settings::default(), 1);
     let id: NodeId = "s0".into();
-    upstream.locate(&id, node.address(), &mut core);
+    upstream.locate(&id, node.address(), &mut engine);
     // What no list names is asked nothing.
-    core.list(EndpointUpdate::Full(vec![Endpoint {
+    engine.update_endpoints(EndpointUpdate::Full(vec![Endpoint {
         node: id.clone(),
         ..Endpoint::default()
     }]));
@@ -494,7 +494,7 @@
                 look: Rc::new(move || may),
             },
             1,
-            &mut core,
+            &mut engine,
         );
         let until = Instant::now() + HANGS;
         let heard = loop {
@@ -506,7 +506,7 @@
                 .expect("it waits");
             for event in events.iter() {
                 if let (Some(Source::Backend), key) = split(event.key) {
-                    upstream.event(key, 2, &mut core);
+                    upstream.event(key, 2, &mut engine);
                 }
             }
         };
--- a/router/tests/front_desk/mod.rs
+++ b/router/tests/front_desk/mod.rs
@@ -6,7 +6,7 @@
     Access, AttemptEnd, Class, DedupScope, Endpoint, EndpointUpdate, Idempotency, NodeReport,
     Settings, Time,
 };
-use plovercove_engine::{AttemptId, Command, Due, Engine, Key};
+use plovercove_engine::{AttemptId, Command, Deadline, Engine, Key};
 use plovercove_poller::{Events, Poll};
 use plovercove_router::front::pg::Front;
 use plovercove_router::net::budget::Budget;
@@ -27,7 +27,7 @@
 /// A front, and the core that its requests go to.
 pub struct Desk {
     pub front: Front,
-    pub core: Engine,
+    pub engine: Engine,
     pub now: Time,
     pub to: SocketAddr,
     /// The attempts that were begun, with their clients.
@@ -68,7 +68,7 @@
             Names::of(&settings),
             1_000_000,
         );
-        let mut core = Engine::new(settings, 1);
+        let mut engine = Engine::new(settings, 1);
         let node = Endpoint {
             node: "p".into(),
             listed_as_primary: true,
@@ -76,10 +76,10 @@
             weight: 1.0,
             ..Endpoint::default()
         };
-        core.list(EndpointUpdate::Full(vec![node]));
+        engine.update_endpoints(EndpointUpdate::Full(vec![node]));
         Desk {
             front: front.expect("a front"),
-            core,
+            engine,
             now: 1_000_000_000,
             to,
             sent: Vec::new(),
@@ -110,11 +110,11 @@
     pub fn turn(&mut self) {
         let (clients, door) = self.events();
         for (key, hung_up) in clients {
-            self.front.event(key, hung_up, self.now, &mut self.core);
+            self.front.event(key, hung_up, self.now, &mut self.engine);
         }
         if door {
             self.front
-                .accept(Key::from_number(0), self.now, &mut self.core);
+                .accept(Key::from_number(0), self.now, &mut self.engine);
         }
         self.fall_due();
         self.finish_turn();
@@ -122,23 +122,23 @@
 
     /// The step of a turn that takes what falls due.
     pub fn fall_due(&mut self) {
-        while let Some(due) = self.core.deadlines.pop(self.now) {
+        while let Some(due) = self.engine.deadlines.pop(self.now) {
             match due {
-                Due::Wake => self.core.wake(),
-                Due::Attempt(id) => self.core.timed_out(id, self.now),
-                Due::Client(key) => self.front.look_over(key, self.now, &mut self.core),
-                Due::Accept => self.front.resume_accepting(self.now, &mut self.core),
-                Due::Stop => self.front.drain(self.now, &mut self.core),
-                Due::Backend(_) | Due::Discovery | Due::Peers => {}
+                Deadline::Wake => self.engine.wake(),
+                Deadline::Attempt(id) => self.engine.attempt_timed_out(id, self.now),
+                Deadline::Client(key) => self.front.look_over(key, self.now, &mut self.engine),
+                Deadline::Accept => self.front.resume_accepting(self.now, &mut self.engine),
+                Deadline::Stop => self.front.drain(self.now, &mut self.engine),
+                Deadline::Backend(_) | Deadline::Discovery | Deadline::Peers => {}
             }
         }
     }
 
     /// The last steps of a turn: clients are read and written, and what came of it is decided.
     pub fn finish_turn(&mut self) {
-        self.front.pump(self.now, &mut self.core);
+        self.front.pump(self.now, &mut self.engine);
         loop {
-            let commands = self.core.decide(self.now);
+            let commands = self.engine.decide(self.now);
             if commands.is_empty() {
                 return;
             }
@@ -154,17 +154,19 @@
                     } => {
                         self.front.concluded(origin, request, answer);
                     }
-                    Command::GiveUp { .. } | Command::Probe(_) | Command::CloseIdle(_) => {}
+                    Command::CancelAttempt { .. }
+                    | Command::HealthCheck(_)
+                    | Command::CloseIdle(_) => {}
                 }
             }
-            self.front.pump(self.now, &mut self.core);
+            self.front.pump(self.now, &mut self.engine);
         }
     }
 
     /// The clock moves to what falls due next, and a turn is taken.
     pub fn pass(&mut self) {
         self.now = self
-            .core
+            .engine
             .deadlines
             .next()
             .expect("something falls due")
@@ -175,7 +177,7 @@
     /// The clock moves by so much, with a turn at each moment when something falls due.
     pub fn pass_by(&mut self, span: Time) {
         let until = self.now + span;
-        while self.core.deadlines.next().is_some_and(|at| at <= until) {
+        while self.engine.deadlines.next().is_some_and(|at| at <= until) {
             self.pass();
         }
         self.now = until;
@@ -185,11 +187,11 @@
     /// A db node answers what was begun last.
     pub fn serve(&mut self) {
         let (attempt, _) = self.sent.pop().expect("an attempt was begun");
-        self.core.written(attempt);
+        self.engine.attempt_written(attempt);
         let said = NodeReport::default();
         let origin = self
-            .core
-            .ended(self.now, attempt, AttemptEnd::Success, said, said)
+            .engine
+            .attempt_ended(self.now, attempt, AttemptEnd::Success, said, said)
             .expect("it is owed");
         let mut reply = self.budget.buffer();
         reply.write(|out| out.extend_from_slice(b"C\0\0\0\x0dSELECT 1\0"));
@@ -200,11 +202,11 @@
     /// A db node turns away what was begun last. No turn is taken yet: the request is between two attempts.
     pub fn turn_away(&mut self) {
         let (attempt, _) = self.sent.pop().expect("an attempt was begun");
-        self.core.written(attempt);
+        self.engine.attempt_written(attempt);
         let said = NodeReport::default();
         assert_eq!(
-            self.core
-                .ended(self.now, attempt, AttemptEnd::Overloaded, said, said),
+            self.engine
+                .attempt_ended(self.now, attempt, AttemptEnd::Overloaded, said, said),
             None
         );
     }
--- a/router/tests/standing_crossings.rs
+++ b/router/tests/standing_crossings.rs
@@ -19,11 +19,11 @@
     // Danger: the second SIGTERM falls due while the connections that the first one ended are heard out.
     let mut desk = Desk::new(8);
     let mut client = desk.resting("a1");
-    desk.front.drain(desk.now, &mut desk.core);
+    desk.front.drain(desk.now, &mut desk.engine);
     assert_eq!(desk.hear(&mut client), Said::End);
     desk.now += HEARD_OUT / 3;
     client.write(&query("a2"));
-    desk.front.drain(desk.now, &mut desk.core);
+    desk.front.drain(desk.now, &mut desk.engine);
     assert_eq!(desk.front.connected(), 1, "closed at once");
     desk.turn();
     assert!(!client.is_reset(), "closed over unread bytes");
@@ -36,7 +36,7 @@
     // Danger: an answer that the client has not read yet goes with the reset.
     let mut desk = Desk::new(8);
     let mut client = desk.resting("a1");
-    desk.front.drain(desk.now, &mut desk.core);
+    desk.front.drain(desk.now, &mut desk.engine);
     assert_eq!(desk.hear(&mut client), Said::End);
     client.write(&query("a2"));
     desk.now += HEARD_OUT;
@@ -59,7 +59,7 @@
     }
     let mut newcomer = desk.greeted();
     assert_eq!(desk.hear(&mut resting), Said::End, "its place was wanted");
-    let begun = desk.core.held();
+    let begun = desk.engine.pending_requests();
     resting.write(&query("a3"));
     desk.turn();
     assert!(
@@ -67,7 +67,7 @@
         "what crossed the close broke the connection"
     );
     assert_eq!(
-        desk.core.held(),
+        desk.engine.pending_requests(),
         begun,
         "read after the end was told, and begun"
     );
@@ -76,7 +76,7 @@
     let mut next = desk.greeted();
     assert_eq!((desk.hear(&mut later), next.hears()), (Said::End, None));
     assert_eq!(
-        desk.core.held(),
+        desk.engine.pending_requests(),
         begun + 1,
         "the newcomer's request is taken on"
     );
@@ -113,7 +113,7 @@
     desk.front.accept(
         plovercove_engine::Key::from_number(0),
         desk.now,
-        &mut desk.core,
+        &mut desk.engine,
     );
     desk.finish_turn();
     assert_eq!(
@@ -134,7 +134,7 @@
     let mut client = desk.resting("a1");
     client.write(&query("a2"));
     client.finish();
-    desk.front.drain(desk.now, &mut desk.core);
+    desk.front.drain(desk.now, &mut desk.engine);
     desk.finish_turn();
     assert!(desk.sent.is_empty(), "begun, though its client had gone");
     desk.turn();
@@ -155,7 +155,7 @@
     desk.front.accept(
         plovercove_engine::Key::from_number(0),
         desk.now,
-        &mut desk.core,
+        &mut desk.engine,
     );
     desk.finish_turn();
     assert_eq!(client.hears(), Some(Said::Error("57014".into())));
@@ -174,7 +174,7 @@
         desk.front.accept(
             plovercove_engine::Key::from_number(0),
             desk.now,
-            &mut desk.core,
+            &mut desk.engine,
         );
         desk.finish_turn();
         assert_eq!(
@@ -210,7 +210,7 @@
     desk.front.accept(
         plovercove_engine::Key::from_number(0),
         desk.now,
-        &mut desk.core,
+        &mut desk.engine,
     );
     desk.finish_turn();
     assert_eq!(
@@ -220,9 +220,9 @@
     );
     wishes.write(&wish(&client.key));
     desk.now += HEARD_OUT;
-    while let Some(due) = desk.core.deadlines.pop(desk.now) {
-        if let plovercove_engine::Due::Client(key) = due {
-            desk.front.look_over(key, desk.now, &mut desk.core);
+    while let Some(due) = desk.engine.deadlines.pop(desk.now) {
+        if let plovercove_engine::Deadline::Client(key) = due {
+            desk.front.look_over(key, desk.now, &mut desk.engine);
         }
     }
     desk.finish_turn();
@@ -235,7 +235,9 @@
     for (n, client) in busy.iter_mut().enumerate() {
         client.write(&query(&format!("b{n}")));
     }
-    desk.until("all are taken on", |desk| desk.core.held() == places);
+    desk.until("all are taken on", |desk| {
+        desk.engine.pending_requests() == places
+    });
     let mut beyond: Vec<Client> = (0..BEYOND).map(|_| Client::dial(desk.to)).collect();
     beyond.iter_mut().for_each(|client| client.write(say));
     desk.until("all are taken in", |desk| {
@@ -307,7 +309,7 @@
         for (n, client) in crowd.iter_mut().enumerate() {
             client.write(&[startup(), &query(&format!("a{n:x}"))].concat());
         }
-        desk.front.drain(desk.now, &mut desk.core);
+        desk.front.drain(desk.now, &mut desk.engine);
         desk.finish_turn();
         let mut told = 0;
         for (n, client) in crowd.iter_mut().enumerate() {
@@ -336,7 +338,7 @@
     let (_busy, _mute) = full(&mut desk, 4, b"");
     let mut late: Vec<Client> = (0..4).map(|_| Client::dial(desk.to)).collect();
     late.iter_mut().for_each(|client| client.write(startup()));
-    desk.front.drain(desk.now, &mut desk.core);
+    desk.front.drain(desk.now, &mut desk.engine);
     desk.finish_turn();
     for client in &mut late {
         let mut said = client.hears();
@@ -359,7 +361,7 @@
     let asks = query("a2");
     client.write(&asks[..9]);
     desk.turn();
-    desk.front.drain(desk.now, &mut desk.core);
+    desk.front.drain(desk.now, &mut desk.engine);
     desk.now += HEARD_OUT;
     client.write(&asks[9..]);
     desk.turn();
@@ -382,7 +384,7 @@
         let asks = query("a2");
         client.write(&asks[..9]);
         desk.turn();
-        desk.front.drain(desk.now, &mut desk.core);
+        desk.front.drain(desk.now, &mut desk.engine);
         desk.pass_by(HEARD_OUT);
         client.write(&asks[9..]);
         desk.turn();
@@ -406,9 +408,9 @@
     let mut desk = Desk::new(8);
     let mut client = desk.resting("a1");
     client.write(&query("a2"));
-    desk.core
+    desk.engine
         .deadlines
-        .add(desk.now, plovercove_engine::Due::Stop);
+        .add(desk.now, plovercove_engine::Deadline::Stop);
     desk.turn();
     desk.serve();
     assert_eq!(
@@ -423,7 +425,7 @@
     let mut desk = Desk::new(8);
     let mut client = desk.resting("a1");
     client.write(&query("a2"));
-    desk.front.drain(desk.now, &mut desk.core);
+    desk.front.drain(desk.now, &mut desk.engine);
     desk.finish_turn();
     assert_eq!(desk.sent.len(), 1, "begun: {:?}", client.hears());
     desk.serve();
@@ -442,7 +444,7 @@
     all.truncate(all.len() - 9);
     client.write(&all);
     desk.turn();
-    desk.front.drain(desk.now, &mut desk.core);
+    desk.front.drain(desk.now, &mut desk.engine);
     desk.finish_turn();
     for n in 0..39 {
         if desk.sent.is_empty() {
@@ -472,7 +474,7 @@
         desk.turn();
     }
     assert!(
-        client.hears().is_none() && desk.core.held() == 1,
+        client.hears().is_none() && desk.engine.pending_requests() == 1,
         "it waits after {tries} tries"
     );
     client
@@ -483,7 +485,7 @@
     // Danger: with no attempt out its connection looks like one that rests.
     let mut desk = Desk::new(8);
     let mut client = backing_off(&mut desk);
-    desk.front.drain(desk.now, &mut desk.core);
+    desk.front.drain(desk.now, &mut desk.engine);
     desk.turn();
     while desk.sent.is_empty() {
         assert_eq!(client.hears(), None);
@@ -503,7 +505,7 @@
     let mut client = desk.resting("a1");
     desk.ask(&mut client, "a2");
     desk.turn_away();
-    desk.front.drain(desk.now, &mut desk.core);
+    desk.front.drain(desk.now, &mut desk.engine);
     desk.turn();
     while desk.sent.is_empty() {
         assert_eq!(client.hears(), None);
@@ -533,7 +535,7 @@
         client.finish();
         desk.turn();
         assert_eq!(
-            (desk.front.connected(), desk.core.held()),
+            (desk.front.connected(), desk.engine.pending_requests()),
             (0, 0),
             "in back-off: {in_back_off}"
         );
@@ -595,7 +597,7 @@
     other.write(&query("b1"));
     desk.turn();
     assert_eq!(
-        desk.core.held(),
+        desk.engine.pending_requests(),
         BEGUN + 1,
         "of the one so many, and the other's"
     );
--- a/simulation/src/world.rs
+++ b/simulation/src/world.rs
@@ -136,7 +136,7 @@
 }
 
 struct Router {
-    core: Option<Engine>,
+    engine: Option<Engine>,
     zone: usize,
     epoch: u32,
     wake: Option<Time>,
@@ -375,7 +375,7 @@
             let sum: f64 = (0..told.routers).map(weight).sum();
             for n in 0..told.routers {
                 routers.push(Router {
-                    core: None,
+                    engine: None,
                     zone,
                     epoch: 0,
                     wake: None,
@@ -542,8 +542,8 @@
                 told,
             } => {
                 let id = self.nodes[node as usize].id.clone();
-                if let Some(core) = self.live(router, epoch) {
-                    core.probed(id, told);
+                if let Some(engine) = self.live(router, epoch) {
+                    engine.health_check_ended(id, told);
                     self.settle(router);
                 }
             }
--- a/simulation/src/world/clients.rs
+++ b/simulation/src/world/clients.rs
@@ -127,9 +127,9 @@
         let left = ((deadline as f64 * patience) as Micros)
             .min((r.born + deadline).saturating_sub(self.now));
         let mut router = r.router;
-        if self.routers[router as usize].core.is_none() {
+        if self.routers[router as usize].engine.is_none() {
             let up: Vec<u32> = (0..self.routers.len() as u32)
-                .filter(|n| self.routers[*n as usize].core.is_some())
+                .filter(|n| self.routers[*n as usize].engine.is_some())
                 .collect();
             if up.is_empty() || left < 20_000 {
                 return self.lose(id);
@@ -145,7 +145,7 @@
         r.router = router;
         let reads = told.reads;
         let keyed = matches!(reads, Reads::Session | Reads::Write);
-        let demand = RequestInfo {
+        let info = RequestInfo {
             class,
             tenant: r.tenant,
             session: keyed.then(|| self.sessions[r.group as usize][r.session as usize].clone()),
@@ -154,11 +154,11 @@
             last_write_age: r.need.map(|at| self.now - at),
             ..RequestInfo::default()
         };
-        let core = self.routers[router as usize]
-            .core
+        let engine = self.routers[router as usize]
+            .engine
             .as_mut()
             .expect("chosen among those that run");
-        let key = core.request(Key::from_number(u64::from(id)), demand);
+        let key = engine.begin_request(Key::from_number(u64::from(id)), info);
         self.requests[id as usize].key = Some(key);
         self.settle(router);
     }
--- a/simulation/src/world/links.rs
+++ b/simulation/src/world/links.rs
@@ -160,8 +160,8 @@
         let r = &mut self.runs[run as usize];
         r.sent = self.now;
         let (router, node, attempt) = (r.router, r.node, r.attempt);
-        if let Some(core) = &mut self.routers[router as usize].core {
-            core.written(attempt);
+        if let Some(engine) = &mut self.routers[router as usize].engine {
+            engine.attempt_written(attempt);
         }
         match self.out(router, node) {
             Some(wait) => self.at(self.now + wait, Event::AtNode(run)),
@@ -179,10 +179,10 @@
             return self.back(run, AttemptEnd::Unreachable);
         }
         let now = self.now;
-        let Some(core) = self.live(router, epoch) else {
+        let Some(engine) = self.live(router, epoch) else {
             return self.forget(run);
         };
-        if core.still_fits(attempt, now) {
+        if engine.may_still_send(attempt, now) {
             self.write(run);
         } else {
             self.back(run, AttemptEnd::NeverSent);
@@ -274,10 +274,10 @@
         };
         self.routers[router as usize].attempts.remove(&attempt);
         let now = self.now;
-        let Some(core) = self.live(router, epoch) else {
+        let Some(engine) = self.live(router, epoch) else {
             return self.forget(id);
         };
-        let served = core.ended(now, attempt, ending, note, NodeReport::default());
+        let served = engine.attempt_ended(now, attempt, ending, note, NodeReport::default());
         if served.is_some() {
             let need = match self.spec.classes[class].reads {
                 Reads::Bounded(ms) => sent.saturating_sub(ms * 1_000),
--- a/simulation/src/world/list.rs
+++ b/simulation/src/world/list.rs
@@ -71,7 +71,7 @@
     pub(super) fn tell(&mut self, router: u32, version: u32) {
         let whole = version == u32::MAX;
         let r = &self.routers[router as usize];
-        if r.silent > 0 || r.core.is_none() || (!whole && version <= r.told) {
+        if r.silent > 0 || r.engine.is_none() || (!whole && version <= r.told) {
             return;
         }
         let update = if !whole && version == r.told + 1 {
@@ -122,8 +122,8 @@
             }
             EndpointUpdate::Failed => {}
         }
-        if let Some(core) = &mut r.core {
-            core.list(update);
+        if let Some(engine) = &mut r.engine {
+            engine.update_endpoints(update);
         }
         self.settle(router);
     }
--- a/simulation/src/world/routers.rs
+++ b/simulation/src/world/routers.rs
@@ -4,7 +4,7 @@
 use crate::spec::{SpecFault, Variant};
 use crate::strict::Strict;
 use plovercove::{EndpointUpdate, LocalityPolicy, NodeId, NodeReport, Role};
-use plovercove_engine::{Answer, Command, Due, Engine};
+use plovercove_engine::{Command, Deadline, Engine, FinalAnswer};
 use plovercove_locality::ZoneFailover;
 
 /// Rounds of decisions on one event.
@@ -30,10 +30,10 @@
             Some(peers) => Some(self.join(peers, router, zoning)?),
             None => zoning,
         };
-        let core = Engine::new(settings, seed);
-        let mut core = match zoning {
-            Some(zoning) => core.with_locality_policy(zoning),
-            None => core,
+        let engine = Engine::new(settings, seed);
+        let mut engine = match zoning {
+            Some(zoning) => engine.with_locality_policy(zoning),
+            None => engine,
         };
         if self.now > BEGIN {
             self.routers[router].struck = Some(self.now);
@@ -45,8 +45,8 @@
             .iter()
             .filter_map(|e| Some((self.names[&e.node], e.started_at?)))
             .collect();
-        core.list(EndpointUpdate::Restored(known));
-        self.routers[router].core = Some(core);
+        engine.update_endpoints(EndpointUpdate::Restored(known));
+        self.routers[router].engine = Some(engine);
         self.routers[router].closed.clear();
         self.routers[router].starts = starts;
         if self.now > BEGIN {
@@ -54,10 +54,10 @@
         } else {
             let list = self.list_at(0);
             self.routers[router]
-                .core
+                .engine
                 .as_mut()
                 .expect("just made")
-                .list(EndpointUpdate::Full(list));
+                .update_endpoints(EndpointUpdate::Full(list));
         }
         self.settle(router as u32);
         self.say(router as u32);
@@ -67,7 +67,7 @@
     pub(super) fn stop(&mut self, router: u32) {
         let now = self.now;
         let r = &mut self.routers[router as usize];
-        if r.core.take().is_none() {
+        if r.engine.take().is_none() {
             return;
         }
         r.epoch += 1;
@@ -100,7 +100,7 @@
 
     pub(super) fn live(&mut self, router: u32, epoch: u32) -> Option<&mut Engine> {
         let r = &mut self.routers[router as usize];
-        r.core.as_mut().filter(|_| r.epoch == epoch)
+        r.engine.as_mut().filter(|_| r.epoch == epoch)
     }
 
     pub(super) fn wake(&mut self, router: u32) {
@@ -110,11 +110,11 @@
             return;
         }
         r.wake = None;
-        let Some(core) = &mut r.core else { return };
-        while let Some(due) = core.deadlines.pop(now) {
+        let Some(engine) = &mut r.engine else { return };
+        while let Some(due) = engine.deadlines.pop(now) {
             match due {
-                Due::Wake => core.wake(),
-                Due::Attempt(id) => core.timed_out(id, now),
+                Deadline::Wake => engine.wake(),
+                Deadline::Attempt(id) => engine.attempt_timed_out(id, now),
                 _ => {}
             }
         }
@@ -125,10 +125,10 @@
     pub(super) fn settle(&mut self, router: u32) {
         for _ in 0..ROUNDS {
             let now = self.now;
-            let Some(core) = &mut self.routers[router as usize].core else {
+            let Some(engine) = &mut self.routers[router as usize].engine else {
                 return;
             };
-            let commands = core.decide(now);
+            let commands = engine.decide(now);
             if commands.is_empty() {
                 break;
             }
@@ -137,7 +137,7 @@
             }
         }
         let r = &mut self.routers[router as usize];
-        let Some(next) = r.core.as_ref().and_then(|c| c.deadlines.next()) else {
+        let Some(next) = r.engine.as_ref().and_then(|c| c.deadlines.next()) else {
             return;
         };
         if r.wake.is_none_or(|at| next < at) {
@@ -153,12 +153,12 @@
                 origin,
                 node,
             } => self.send(router, attempt, origin, &node),
-            Command::GiveUp { attempt, .. } => {
+            Command::CancelAttempt { attempt, .. } => {
                 if let Some(run) = self.routers[router as usize].attempts.remove(&attempt) {
                     self.abandon(run);
                 }
             }
-            Command::Probe(node) => self.probe(router, &node),
+            Command::HealthCheck(node) => self.probe(router, &node),
             Command::CloseIdle(node) => {
                 let Some(&node) = self.names.get(&node) else {
                     return;
@@ -174,13 +174,13 @@
                 let id = origin.number() as u32;
                 let second = (self.second() as usize).min(self.seconds.len() - 1);
                 match answer {
-                    Answer::Refused(told) => {
+                    FinalAnswer::Rejected(told) => {
                         self.seconds[second].refused += 1;
                         if self.answered(id, "refused") {
                             self.unserved(id, true, told);
                         }
                     }
-                    Answer::Failed => {
+                    FinalAnswer::Failed => {
                         self.seconds[second].failed += 1;
                         if self.answered(id, "failed") {
                             self.unserved(id, false, None);
--- a/simulation/src/world/talk.rs
+++ b/simulation/src/world/talk.rs
@@ -95,14 +95,14 @@
     pub(super) fn talk(&mut self, router: u32, epoch: u32) {
         let now = self.now;
         let r = &mut self.routers[router as usize];
-        let (Some(talk), Some(core)) = (&mut r.talk, &mut r.core) else {
+        let (Some(talk), Some(engine)) = (&mut r.talk, &mut r.engine) else {
             return;
         };
         if r.epoch != epoch || talk.due.is_none_or(|at| at > now) {
             return;
         }
         talk.due = None;
-        if let Some(witness) = witness(core) {
+        if let Some(witness) = witness(engine) {
             talk.peers.turn(now, witness);
         }
         self.say(router);
@@ -116,7 +116,7 @@
         let Some(talk) = r
             .talk
             .as_mut()
-            .filter(|_| r.epoch == epoch && r.core.is_some())
+            .filter(|_| r.epoch == epoch && r.engine.is_some())
         else {
             return;
         };
@@ -167,8 +167,8 @@
             self.heard(router, news);
         }
         if changed {
-            if let Some(core) = &mut self.routers[router as usize].core {
-                core.wake();
+            if let Some(engine) = &mut self.routers[router as usize].engine {
+                engine.wake();
             }
             self.settle(router);
         }
@@ -221,11 +221,12 @@
         if self.talked.all_out.is_some() {
             return;
         }
-        let out = |core: &mut Engine| witness(core).is_some_and(|w| w.level(node) == Level::Out);
+        let out =
+            |engine: &mut Engine| witness(engine).is_some_and(|w| w.level(node) == Level::Out);
         if self
             .routers
             .iter_mut()
-            .all(|r| r.core.as_mut().is_none_or(out))
+            .all(|r| r.engine.as_mut().is_none_or(out))
             && let Some((from, _)) = self.faulty[number as usize]
         {
             self.talked.all_out = Some((self.now - from) as f64 / 1e6);
@@ -241,8 +242,9 @@
 }
 
 /// The witness beside a router's module.
-fn witness(core: &mut Engine) -> Option<&mut Witness> {
-    core.locality_policy()
+fn witness(engine: &mut Engine) -> Option<&mut Witness> {
+    engine
+        .locality_policy()
         .map(|zoning| zoning as &mut dyn Any)
         .and_then(<dyn Any>::downcast_mut)
 }
--- a/src/api/attempt.rs
+++ b/src/api/attempt.rs
@@ -26,6 +26,21 @@
 }
 
 impl AttemptEnd {
+    /// Whether an attempt that ended so may have had an effect.
+    pub fn may_have_executed(self) -> bool {
+        match self {
+            AttemptEnd::Overloaded
+            | AttemptEnd::Unreachable
+            | AttemptEnd::NeverSent
+            | AttemptEnd::Misdirected => false,
+            AttemptEnd::Success
+            | AttemptEnd::Failure
+            | AttemptEnd::TimedOut
+            | AttemptEnd::Reset
+            | AttemptEnd::Cancelled => true,
+        }
+    }
+
     /// In a word or two, for logs.
     pub fn label(self) -> &'static str {
         match self {
--- a/src/attempt_outcome.rs
+++ b/src/attempt_outcome.rs
@@ -62,20 +62,6 @@
     )
 }
 
-fn state_after(end: AttemptEnd) -> AttemptState {
-    match end {
-        AttemptEnd::Misdirected
-        | AttemptEnd::Overloaded
-        | AttemptEnd::Unreachable
-        | AttemptEnd::NeverSent => AttemptState::NotExecuted,
-        AttemptEnd::Success
-        | AttemptEnd::Failure
-        | AttemptEnd::TimedOut
-        | AttemptEnd::Reset
-        | AttemptEnd::Cancelled => AttemptState::MayHaveExecuted,
-    }
-}
-
 impl Balancer {
     /// Takes the end of an attempt; one of a request or attempt that is not known says nothing.
     pub(crate) fn attempt_ended(&mut self, ended: EndedAttempt, actions: &mut Vec<Action>) {
@@ -132,7 +118,11 @@
         let request = self.requests.get_mut(&ended.key.request)?;
         let attempt = request.attempts.get_mut(ended.key.attempt as usize)?;
         attempt.misdirected = ended.end == AttemptEnd::Misdirected;
-        attempt.state = state_after(ended.end);
+        attempt.state = if ended.end.may_have_executed() {
+            AttemptState::MayHaveExecuted
+        } else {
+            AttemptState::NotExecuted
+        };
         let node = attempt.node.clone();
         let request = &self.requests[&ended.key.request];
         let query = self.routing_query(request);
