--- a/pgwire/src/render.rs
+++ b/pgwire/src/encoder.rs
@@ -2,12 +2,12 @@
 
 use crate::Version;
 use crate::cancel::CancelKey;
+use crate::messages::{self, Column, Fields, Malformed, Message, code, put, put_text};
 use crate::values::Forms;
-use crate::wire::{self, Column, Fields, Malformed, Message, code, put, put_text};
 
 /// What a client is spoken to with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Speech {
+pub struct Encoder {
     /// Its version.
     pub version: Version,
     /// The forms of its values.
@@ -16,11 +16,11 @@
 
 /// A reply that cannot be said in the client's version.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Unsayable(pub &'static str);
+pub struct Untranslatable(pub &'static str);
 
-impl From<Malformed> for Unsayable {
+impl From<Malformed> for Untranslatable {
     fn from(_: Malformed) -> Self {
-        Unsayable("the server's answer is malformed")
+        Untranslatable("the server's answer is malformed")
     }
 }
 
@@ -30,7 +30,7 @@
 /// severity without translation) old clients may stumble over.
 const OLD_FIELDS: &[u8] = b"SCMDHPpqWFLR";
 
-impl Speech {
+impl Encoder {
     /// Whether a reply goes on just as it came, so that nothing needs to be written anew.
     pub fn passes(&self, messages: &[u8]) -> bool {
         self.version != Version::V2
@@ -42,16 +42,16 @@
     ///
     /// # Errors
     /// It cannot be said; nothing that was appended may be sent.
-    pub fn reply(&self, messages: &[u8], out: &mut Vec<u8>) -> Result<(), Unsayable> {
+    pub fn reply(&self, messages: &[u8], out: &mut Vec<u8>) -> Result<(), Untranslatable> {
         if self.passes(messages) {
             out.extend_from_slice(messages);
             return Ok(());
         }
         let mut columns: Vec<Column<'_>> = Vec::new();
-        for message in wire::messages(messages) {
+        for message in messages::split(messages) {
             match message.kind {
                 b'T' => {
-                    columns = wire::columns(message.body)?;
+                    columns = messages::columns(message.body)?;
                     self.description(&message, &columns, out)?;
                 }
                 b'D' => self.row(&message, &columns, out)?,
@@ -69,7 +69,7 @@
                 b'd' => out.extend_from_slice(message.body),
                 b'c' => out.extend_from_slice(b"\\.\n"),
                 _ => {
-                    return Err(Unsayable(
+                    return Err(Untranslatable(
                         "the server's answer has a message that version 2.0 has no word for",
                     ));
                 }
@@ -79,10 +79,10 @@
     }
 
     fn only_known_fields(&self, messages: &[u8]) -> bool {
-        wire::messages(messages)
+        messages::split(messages)
             .filter(|m| b"EN".contains(&m.kind))
             .all(|m| {
-                wire::error_fields(m.body)
+                messages::error_fields(m.body)
                     .is_ok_and(|fields| fields.iter().all(|(kind, _)| OLD_FIELDS.contains(kind)))
             })
     }
@@ -92,13 +92,13 @@
         message: &Message<'_>,
         columns: &[Column<'_>],
         out: &mut Vec<u8>,
-    ) -> Result<(), Unsayable> {
+    ) -> Result<(), Untranslatable> {
         if self.version != Version::V2 {
             out.extend_from_slice(message.raw);
             return Ok(());
         }
         if columns.len() > V2_COLUMNS {
-            return Err(Unsayable(
+            return Err(Untranslatable(
                 "the answer has more columns than version 2.0 can number",
             ));
         }
@@ -119,7 +119,7 @@
         message: &Message<'_>,
         columns: &[Column<'_>],
         out: &mut Vec<u8>,
-    ) -> Result<(), Unsayable> {
+    ) -> Result<(), Untranslatable> {
         let v2 = self.version == Version::V2;
         if !v2 && !columns.iter().any(|column| self.forms.changes(column.kind)) {
             out.extend_from_slice(message.raw);
@@ -132,7 +132,7 @@
         // 2.0 has one form for a whole row: `D` for texts, whose lengths count themselves, and `B` for binary values.
         let binary = columns.iter().filter(|column| column.binary).count();
         if v2 && binary != 0 && binary != columns.len() {
-            return Err(Unsayable(
+            return Err(Untranslatable(
                 "the answer mixes texts and binary values, which version 2.0 cannot",
             ));
         }
@@ -173,8 +173,12 @@
     }
 
     /// An error or a notice as the server told it.
-    fn error_as_told(&self, message: &Message<'_>, out: &mut Vec<u8>) -> Result<(), Unsayable> {
-        let fields = wire::error_fields(message.body)?;
+    fn error_as_told(
+        &self,
+        message: &Message<'_>,
+        out: &mut Vec<u8>,
+    ) -> Result<(), Untranslatable> {
+        let fields = messages::error_fields(message.body)?;
         if self.version != Version::V2 {
             put(out, message.kind, |out| {
                 for (kind, text) in fields.iter().filter(|(kind, _)| OLD_FIELDS.contains(kind)) {
@@ -217,7 +221,7 @@
         out: &mut Vec<u8>,
     ) {
         if self.version != Version::V2 {
-            return wire::put_error(out, fatal, code, text, detail);
+            return messages::put_error(out, fatal, code, text, detail);
         }
         // 2.0 has no codes: what a program must know stands in the text.
         let severity = if fatal { "FATAL" } else { "ERROR" };
@@ -241,7 +245,7 @@
     pub fn ready(&self, out: &mut Vec<u8>) {
         match self.version {
             Version::V2 => out.push(b'Z'),
-            _ => wire::put_ready(out),
+            _ => messages::put_ready(out),
         }
     }
 
@@ -260,14 +264,14 @@
                 out.push(b'C');
                 put_text(out, tag.as_bytes());
             }
-            _ => wire::put_complete(out, tag),
+            _ => messages::put_complete(out, tag),
         }
     }
 
     /// Appends what a setting is now; 2.0 has no word for it.
     pub fn status(&self, name: &str, value: &str, out: &mut Vec<u8>) {
         if self.version != Version::V2 {
-            wire::put_status(out, name, value);
+            messages::put_status(out, name, value);
         }
     }
 
@@ -294,7 +298,7 @@
                 put(out, b'R', |out| out.extend_from_slice(&[0; 4]));
                 parameters
                     .iter()
-                    .for_each(|(name, value)| wire::put_status(out, name, value));
+                    .for_each(|(name, value)| messages::put_status(out, name, value));
                 put(out, b'K', |out| out.extend_from_slice(&id));
             }
         }
--- a/pgwire/src/lib.rs
+++ b/pgwire/src/lib.rs
@@ -6,12 +6,12 @@
 //! | module | what it decides |
 //! | --- | --- |
 //! | [`catalogue`] | what becomes of every message that either side can send, and why |
-//! | [`door`] | how a client comes in: version, user, proof of who it is |
+//! | [`startup`] | how a client comes in: version, user, proof of who it is |
 //! | [`verifier`] | what is kept to check clients by; never a password |
 //! | [`throttle`] | who may try to log in again, and when |
 //! | [`login`] | how the router itself logs in to a server |
 //! | [`reply`] | whether a server's reply has the order and form that it must, and what it says became of the request |
-//! | [`render`] | the words of a reply, an error or a greeting in a client's version |
+//! | [`encoder`] | the words of a reply, an error or a greeting in a client's version |
 //! | [`values`] | values whose text differs between versions: bytea, dates |
 //! | [`session`] | which settings the router keeps for a client, since servers' connections are shared |
 //! | [`cancel`] | the router's own cancel keys |
@@ -19,17 +19,17 @@
 
 pub mod cancel;
 pub mod catalogue;
-pub mod door;
+pub mod encoder;
 mod error;
 pub mod login;
-pub mod render;
+pub mod login_rate_limit;
+pub mod messages;
 pub mod reply;
 pub mod session;
+pub mod startup;
 pub mod statement;
-pub mod throttle;
 pub mod values;
 pub mod verifier;
-pub mod wire;
 
 pub use error::Error;
 use serde::{Deserialize, Serialize};
--- a/pgwire/src/login.rs
+++ b/pgwire/src/login.rs
@@ -1,7 +1,7 @@
 //! How the router logs in to a server.
 
 use crate::Version;
-use crate::wire::{self, Fields, Malformed, Message, put, put_packet, put_text};
+use crate::messages::{self, Fields, Malformed, Message, put, put_packet, put_text};
 use postgres_protocol::authentication::md5_hash;
 use postgres_protocol::authentication::sasl::{ChannelBinding, SCRAM_SHA_256, ScramSha256};
 use std::fmt;
@@ -154,11 +154,13 @@
                 }
                 self.key = Some((id, fields.0.to_vec()));
             }
-            b'S' => drop(wire::status(message.body)?),
+            b'S' => drop(messages::status(message.body)?),
             b'N' => {}
             b'E' => {
                 return Err(Refused::Server(
-                    wire::error_code(message.body).ok_or(Malformed)?.to_string(),
+                    messages::error_code(message.body)
+                        .ok_or(Malformed)?
+                        .to_string(),
                 ));
             }
             b'Z' if (who.welcome || matches!(self.proof, Proof::In)) && message.body == b"I" => {
--- a/pgwire/src/throttle.rs
+++ b/pgwire/src/login_rate_limit.rs
@@ -97,7 +97,7 @@
 }
 
 /// The limit on logins.
-pub struct Throttle {
+pub struct LoginRateLimit {
     rules: Rules,
     addresses: Debts<IpAddr>,
     users: Debts<String>,
@@ -108,11 +108,11 @@
 /// For so long a login that succeeded speaks for its address.
 const SPEAKS_FOR: Time = 24 * 3_600 * 1_000_000;
 
-impl Throttle {
+impl LoginRateLimit {
     /// One that has seen nothing.
     pub fn new(rules: Rules) -> Self {
         let most = rules.most;
-        Throttle {
+        LoginRateLimit {
             rules,
             addresses: Debts::new(most),
             users: Debts::new(most),
@@ -192,7 +192,7 @@
 
     #[test]
     fn an_address_that_guesses_waits_and_is_forgiven_in_time() {
-        let mut throttle = Throttle::new(Rules::default());
+        let mut throttle = LoginRateLimit::new(Rules::default());
         for n in 0..10 {
             assert_eq!(throttle.may(SECOND, at(1), &format!("u{n}")), Ok(()));
             throttle.failed(SECOND, at(1), &format!("u{n}"));
@@ -209,7 +209,7 @@
     #[test]
     fn failing_in_a_users_name_does_not_lock_them_out_where_they_come_from() {
         // Danger: whoever knows a name could keep its owner out for good.
-        let mut throttle = Throttle::new(Rules::default());
+        let mut throttle = LoginRateLimit::new(Rules::default());
         throttle.succeeded(0, at(1), "app");
         for n in 0..1_000 {
             throttle.failed(SECOND, at(100 + n), "app");
@@ -223,7 +223,7 @@
 
     #[test]
     fn a_flood_of_names_and_addresses_does_not_grow_without_bound() {
-        let mut throttle = Throttle::new(Rules {
+        let mut throttle = LoginRateLimit::new(Rules {
             most: 100,
             ..Rules::default()
         });
--- a/pgwire/src/wire.rs
+++ b/pgwire/src/messages.rs
@@ -80,7 +80,7 @@
 }
 
 /// The messages of some bytes that hold nothing but whole ones; it ends at the first that is not.
-pub fn messages(mut bytes: &[u8]) -> impl Iterator<Item = Message<'_>> {
+pub fn split(mut bytes: &[u8]) -> impl Iterator<Item = Message<'_>> {
     std::iter::from_fn(move || {
         let next = message(bytes, usize::MAX >> 1).ok()??;
         bytes = &bytes[next.raw.len()..];
--- a/pgwire/src/reply.rs
+++ b/pgwire/src/reply.rs
@@ -1,14 +1,14 @@
 //! A server's reply to one simple query: whether its messages have the order and form that they must, and what it says
 //! became of the request. What has the wrong order, length or form was spoilt on its way, and nothing that it says counts.
 
-use crate::wire::{self, Message, code};
+use crate::messages::{self, Message, code};
 
 /// It is no reply that a server makes.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Spoilt;
 
-impl From<wire::Malformed> for Spoilt {
-    fn from(_: wire::Malformed) -> Self {
+impl From<messages::Malformed> for Spoilt {
+    fn from(_: messages::Malformed) -> Self {
         Spoilt
     }
 }
@@ -98,21 +98,21 @@
             (_, b'N') => return Ok(if any { Taken::Keep } else { Taken::Skip }),
             (_, b'A') if any => return Ok(Taken::Skip),
             (_, b'S') => {
-                return Ok(wire::status(body).map(|(name, value)| Taken::Told(name, value))?);
+                return Ok(messages::status(body).map(|(name, value)| Taken::Told(name, value))?);
             }
             (Stage::Start, b'T') if !any && describes_one_column(body) => Stage::Rows(1, 0),
             (Stage::Rows(..), b'D') if !any && self.stage != Stage::Rows(1, 0) => {
                 return Err(Spoilt);
             }
             (Stage::Rows(1, 0), b'D') if !any => {
-                wire::single_value(body).ok_or(Spoilt)?;
+                messages::single_value(body).ok_or(Spoilt)?;
                 Stage::Rows(1, 1)
             }
             (Stage::Start | Stage::Complete(_), b'T') if any => {
-                Stage::Rows(wire::columns(body)?.len(), 0)
+                Stage::Rows(messages::columns(body)?.len(), 0)
             }
             (Stage::Rows(columns, rows), b'D') => {
-                if wire::row(body)?.len() != *columns {
+                if messages::row(body)?.len() != *columns {
                     return Err(Spoilt);
                 }
                 Stage::Rows(*columns, rows + 1)
@@ -133,7 +133,7 @@
                 return Ok(Taken::FailCopy);
             }
             (Stage::Start, b'E') => {
-                Stage::Refused(wire::error_code(body).ok_or(Spoilt)?.to_string(), false)
+                Stage::Refused(messages::error_code(body).ok_or(Spoilt)?.to_string(), false)
             }
             (
                 Stage::Rows(..)
@@ -142,7 +142,7 @@
                 | Stage::CopyRefused
                 | Stage::Complete(_),
                 b'E',
-            ) if any => Stage::Refused(wire::error_code(body).ok_or(Spoilt)?.to_string(), true),
+            ) if any => Stage::Refused(messages::error_code(body).ok_or(Spoilt)?.to_string(), true),
             _ => return Err(Spoilt),
         };
         self.stage = next;
--- a/pgwire/src/session.rs
+++ b/pgwire/src/session.rs
@@ -1,8 +1,8 @@
 //! What a session has set, where servers' connections are shared: settings that the router can keep itself.
 
 use crate::Fault;
+use crate::messages::code;
 use crate::values::{Bytea, Dates, Forms};
-use crate::wire::code;
 
 /// Settings that change nothing of what clients get; they are taken and forgotten.
 const HARMLESS: [&str; 9] = [
--- a/pgwire/src/door.rs
+++ b/pgwire/src/startup.rs
@@ -1,11 +1,11 @@
 //! How a client comes in: what it says first, which version it speaks, and the proof of who it is.
 //!
 //! The door never waits and never reads: the front gives it what has come, writes what it says, and keeps the deadlines.
-//! Between [`Step::Named`] and [`Door::identify`] the front looks the user up and asks the throttle.
+//! Between [`Step::Named`] and [`Startup::identify`] the front looks the user up and asks the throttle.
 
 use crate::cancel::CancelKey;
+use crate::messages::{self, Fields, Malformed, code, put};
 use crate::verifier::{Exchange, Verifier};
-use crate::wire::{self, Fields, Malformed, code, put};
 use crate::{Fault, Version};
 use serde::{Deserialize, Serialize};
 
@@ -87,7 +87,7 @@
     Goes,
     /// It wants a request cancelled; nothing more comes on this connection.
     Cancel(CancelKey),
-    /// It has said who it wants to be: [`Door::identify`] is next.
+    /// It has said who it wants to be: [`Startup::identify`] is next.
     Named,
     /// It is in.
     In,
@@ -106,7 +106,7 @@
 }
 
 /// One client on its way in.
-pub struct Door {
+pub struct Startup {
     state: State,
     version: Version,
     user: String,
@@ -120,9 +120,9 @@
     real: bool,
 }
 
-impl Default for Door {
+impl Default for Startup {
     fn default() -> Self {
-        Door {
+        Startup {
             state: State::Opening,
             version: Version::V30,
             user: String::new(),
@@ -141,7 +141,7 @@
     String::from_utf8_lossy(&field[..end]).into_owned()
 }
 
-impl Door {
+impl Startup {
     /// The version that it speaks, once it has said so.
     pub fn version(&self) -> Version {
         self.version
@@ -180,7 +180,7 @@
     ) -> Result<Option<(usize, Step)>, Fault> {
         let wrong = |Malformed| Fault::new(code::PROTOCOL, "the first packet is not understood");
         if let State::Opening = self.state {
-            let Some((packet, length)) = wire::packet(bytes, LONGEST.0).map_err(wrong)? else {
+            let Some((packet, length)) = messages::packet(bytes, LONGEST.0).map_err(wrong)? else {
                 return Ok(None);
             };
             let mut fields = Fields(packet);
@@ -194,12 +194,12 @@
             )
         };
         let (body, length) = if self.version == Version::V2 {
-            let Some((body, length)) = wire::packet(bytes, LONGEST.1).map_err(wrong)? else {
+            let Some((body, length)) = messages::packet(bytes, LONGEST.1).map_err(wrong)? else {
                 return Ok(None);
             };
             (body, length)
         } else {
-            let Some(message) = wire::message(bytes, LONGEST.1).map_err(wrong)? else {
+            let Some(message) = messages::message(bytes, LONGEST.1).map_err(wrong)? else {
                 return Ok(None);
             };
             if message.kind != b'p' {
@@ -325,7 +325,7 @@
                 out.extend_from_slice(&(self.unknown.len() as u32).to_be_bytes());
                 self.unknown
                     .iter()
-                    .for_each(|name| wire::put_text(out, name.as_bytes()));
+                    .for_each(|name| messages::put_text(out, name.as_bytes()));
             });
         }
         if rules.methods.first() == Some(&Method::Trust) {
--- a/pgwire/tests/fuzz.rs
+++ b/pgwire/tests/fuzz.rs
@@ -3,15 +3,15 @@
 //!
 //!     PLOVERCOVE_FUZZ=10000000 cargo test --release -p plovercove-pgwire --test fuzz -- --nocapture
 
-use plovercove_pgwire::door::{Door, Method, Rules, Step};
+use plovercove_pgwire::encoder::Encoder;
 use plovercove_pgwire::login::{Credentials, Login};
-use plovercove_pgwire::render::Speech;
 use plovercove_pgwire::reply::{Outcome, Reply, Shape};
 use plovercove_pgwire::session::Session;
+use plovercove_pgwire::startup::{Method, Rules, Startup, Step};
 use plovercove_pgwire::statement::{self, Kind};
 use plovercove_pgwire::values::{Bytea, Dates, Forms};
 use plovercove_pgwire::verifier::{Users, Verifier};
-use plovercove_pgwire::{Version, wire};
+use plovercove_pgwire::{Version, messages};
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 use std::sync::LazyLock;
@@ -27,19 +27,19 @@
     ]
 });
 
-fn door(bytes: &[u8]) -> usize {
+fn startup(bytes: &[u8]) -> usize {
     let rules = Rules {
         versions: vec![Version::V2, Version::V30, Version::V32],
         methods: vec![Method::Scram, Method::Md5, Method::Password],
     };
-    let (mut door, mut out, mut rest) = (Door::default(), Vec::new(), bytes);
-    while let Ok(Some((length, step))) = door.take(&rules, rest, "0123456789abcdef", &mut out) {
+    let (mut startup, mut out, mut rest) = (Startup::default(), Vec::new(), bytes);
+    while let Ok(Some((length, step))) = startup.take(&rules, rest, "0123456789abcdef", &mut out) {
         assert!(length > 0 && length <= rest.len(), "it takes what is there");
         rest = &rest[length..];
         match step {
             Step::Named => {
                 let verifier = KEPT.get(bytes.len() % 3);
-                if door
+                if startup
                     .identify(&rules, verifier, &[1; 32], [1; 4], &mut out)
                     .is_err()
                 {
@@ -51,8 +51,8 @@
         }
     }
     // What it has been sent, and what it says, is bounded by what came.
-    door.user().len()
-        + door
+    startup.user().len()
+        + startup
             .parameters()
             .iter()
             .map(|(n, v)| n.len() + v.len())
@@ -71,7 +71,7 @@
     let mut out = Vec::new();
     let mut login = Login::start(&who, &mut out);
     let start = out.len();
-    for message in wire::messages(bytes) {
+    for message in messages::split(bytes) {
         if login.take(&who, &message, &mut out) != Ok(false) {
             break;
         }
@@ -82,7 +82,7 @@
 
 fn reply(bytes: &[u8]) -> usize {
     let (mut reply, mut held) = (Reply::new(Shape::Any), Vec::new());
-    for message in wire::messages(bytes) {
+    for message in messages::split(bytes) {
         if message.kind == b'Z' {
             if reply.ready(message.body).is_err() {
                 break;
@@ -103,7 +103,7 @@
     let mut longest = held.len();
     for version in [Version::V2, Version::V30] {
         let mut out = Vec::new();
-        let _ = Speech { version, forms }.reply(&held, &mut out);
+        let _ = Encoder { version, forms }.reply(&held, &mut out);
         // A byte of bytea in hex is two; escaped it is four at most. An error's fields gain a word each.
         assert!(
             out.len() <= held.len() * 12 + 64,
@@ -128,10 +128,10 @@
         Dates::default().set(&text),
     );
     let _ = (
-        wire::old_function_call(bytes, 100),
-        wire::error_code(bytes),
-        wire::status(bytes),
-        wire::row(bytes),
+        messages::old_function_call(bytes, 100),
+        messages::error_code(bytes),
+        messages::status(bytes),
+        messages::row(bytes),
     );
     let forms = Forms {
         bytea: Bytea::Escape,
@@ -148,12 +148,12 @@
 fn corpus() -> Vec<(Target, Vec<Vec<u8>>)> {
     let packet = |body: &[u8]| {
         let mut out = Vec::new();
-        wire::put_packet(&mut out, |out| out.extend_from_slice(body));
+        messages::put_packet(&mut out, |out| out.extend_from_slice(body));
         out
     };
     let message = |kind: u8, body: &[u8]| {
         let mut out = Vec::new();
-        wire::put(&mut out, kind, |out| out.extend_from_slice(body));
+        messages::put(&mut out, kind, |out| out.extend_from_slice(body));
         out
     };
     let mut old = vec![0u8; 296];
@@ -247,7 +247,7 @@
     ];
     let texts = texts.map(|t| t.as_bytes().to_vec()).to_vec();
     vec![
-        (door, doors),
+        (startup, doors),
         (login, logins),
         (reply, replies),
         (text, texts),
--- a/pgwire/tests/logins.rs
+++ b/pgwire/tests/logins.rs
@@ -1,13 +1,13 @@
 //! Logins from both ends: the router's door against the router's own login at servers, whose SCRAM is another's work, and
 //! against packets written by hand; and whatever bytes come, in whatever pieces.
 
-use plovercove_pgwire::door::{Door, Method, Rules, Step};
+use plovercove_pgwire::encoder::Encoder;
 use plovercove_pgwire::login::{Credentials, Login, Refused};
-use plovercove_pgwire::render::Speech;
+use plovercove_pgwire::messages::{self, Message};
 use plovercove_pgwire::reply::{Reply, Shape};
+use plovercove_pgwire::startup::{Method, Rules, Startup, Step};
 use plovercove_pgwire::values::{Bytea, Dates, Forms};
 use plovercove_pgwire::verifier::{Users, Verifier};
-use plovercove_pgwire::wire::{self, Message};
 use plovercove_pgwire::{Fault, Version, statement};
 use proptest::prelude::*;
 
@@ -39,17 +39,19 @@
     methods: &[Method],
     kept: Option<&Verifier>,
     who: &Credentials,
-) -> Result<Result<Door, Fault>, Refused> {
+) -> Result<Result<Startup, Fault>, Refused> {
     let rules = rules(methods);
-    let (mut door, mut to_door, mut to_client) = (Door::default(), Vec::new(), Vec::new());
+    let (mut startup, mut to_door, mut to_client) = (Startup::default(), Vec::new(), Vec::new());
     let mut login = Login::start(who, &mut to_door);
     for _ in 0..10 {
         while !to_door.is_empty() {
-            let step = match door.take(&rules, &to_door, NONCE, &mut to_client) {
+            let step = match startup.take(&rules, &to_door, NONCE, &mut to_client) {
                 Ok(Some((length, step))) => {
                     to_door.drain(..length);
                     match step {
-                        Step::Named => door.identify(&rules, kept, &SECRET, SALT, &mut to_client),
+                        Step::Named => {
+                            startup.identify(&rules, kept, &SECRET, SALT, &mut to_client)
+                        }
                         step => Ok(step),
                     }
                 }
@@ -58,11 +60,11 @@
             };
             match step {
                 Ok(Step::In) => {
-                    let speech = Speech {
-                        version: door.version(),
+                    let encoder = Encoder {
+                        version: startup.version(),
                         forms: Forms::default(),
                     };
-                    speech.greet(
+                    encoder.greet(
                         &[("server_version".into(), "18.0".into())],
                         None,
                         &mut to_client,
@@ -73,9 +75,9 @@
             }
         }
         let said = std::mem::take(&mut to_client);
-        for message in wire::messages(&said) {
+        for message in messages::split(&said) {
             if login.take(who, &message, &mut to_door)? {
-                return Ok(Ok(door));
+                return Ok(Ok(startup));
             }
         }
     }
@@ -94,18 +96,24 @@
         (Method::Md5, &md5),
         (Method::Scram, &scram),
     ] {
-        let door = meet(&[method], Some(kept), &who(Some("right"), true))
+        let startup = meet(&[method], Some(kept), &who(Some("right"), true))
             .expect("they agree")
             .expect("let in");
         assert_eq!(
-            (door.user(), door.database(), door.version()),
+            (startup.user(), startup.database(), startup.version()),
             ("app", "trips", Version::V32)
         );
         let wrong = meet(&[method], Some(kept), &who(Some("wrong"), true)).expect("they agree");
-        assert!(wrong.is_err_and(|fault| Door::tried(&fault)), "{method:?}");
+        assert!(
+            wrong.is_err_and(|fault| Startup::tried(&fault)),
+            "{method:?}"
+        );
         // One who does not exist goes through the same steps, and no password is theirs.
         let nobody = meet(&[method], None, &who(Some("right"), true)).expect("they agree");
-        assert!(nobody.is_err_and(|fault| Door::tried(&fault)), "{method:?}");
+        assert!(
+            nobody.is_err_and(|fault| Startup::tried(&fault)),
+            "{method:?}"
+        );
     }
     let open = meet(&[Method::Trust], None, &who(None, false)).expect("they agree");
     assert!(open.is_ok());
@@ -138,10 +146,12 @@
         let mut out = Vec::new();
         let mut login = Login::start(&who(None, false), &mut out);
         let mut asked = Vec::new();
-        wire::put(&mut asked, b'R', |out| {
+        messages::put(&mut asked, b'R', |out| {
             out.extend_from_slice(&what.to_be_bytes())
         });
-        let message = wire::message(&asked, 100).expect("framed").expect("whole");
+        let message = messages::message(&asked, 100)
+            .expect("framed")
+            .expect("whole");
         let refused = login
             .take(&who(None, false), &message, &mut out)
             .expect_err("no way");
@@ -160,11 +170,11 @@
     let who = who(Some("right"), true);
     let mut login = Login::start(&who, &mut out);
     let mut said = Vec::new();
-    wire::put(&mut said, b'R', |out| {
+    messages::put(&mut said, b'R', |out| {
         out.extend_from_slice(b"\0\0\0\x0aSCRAM-SHA-256\0\0")
     });
-    wire::put(&mut said, b'R', |out| out.extend_from_slice(&[0; 4]));
-    let mut messages = wire::messages(&said);
+    messages::put(&mut said, b'R', |out| out.extend_from_slice(&[0; 4]));
+    let mut messages = messages::split(&said);
     let first = login.take(&who, &messages.next().expect("one"), &mut out);
     assert_eq!(first, Ok(false));
     assert_eq!(
@@ -190,10 +200,10 @@
         (b'v', b"?"),
         (b'N', b""),
     ] {
-        wire::put(&mut said, kind, |out| out.extend_from_slice(body));
+        messages::put(&mut said, kind, |out| out.extend_from_slice(body));
     }
-    wire::put_ready(&mut said);
-    let all: Vec<_> = wire::messages(&said)
+    messages::put_ready(&mut said);
+    let all: Vec<_> = messages::split(&said)
         .map(|m| login.take(&who, &m, &mut out))
         .collect();
     assert_eq!(all.last(), Some(&Ok(true)), "{all:?}");
@@ -269,18 +279,19 @@
 #[test]
 fn the_first_packets_of_every_version_are_understood() {
     let open = |rules: &Rules, bytes: &[u8]| {
-        let (mut door, mut out) = (Door::default(), Vec::new());
-        door.take(rules, bytes, NONCE, &mut out)
-            .map(|step| (step.map(|(_, step)| step), door, out))
+        let (mut startup, mut out) = (Startup::default(), Vec::new());
+        startup
+            .take(rules, bytes, NONCE, &mut out)
+            .map(|step| (step.map(|(_, step)| step), startup, out))
     };
     let all = rules(&[Method::Password]);
     let mut old = vec![0u8; 296];
     old[..8].copy_from_slice(b"\0\0\x01\x28\0\x02\0\0");
     old[8..13].copy_from_slice(b"trips");
     old[72..75].copy_from_slice(b"app");
-    let (step, door, _) = open(&all, &old).expect("2.0");
+    let (step, startup, _) = open(&all, &old).expect("2.0");
     assert_eq!(
-        (step, door.user(), door.database(), door.version()),
+        (step, startup.user(), startup.database(), startup.version()),
         (Some(Step::Named), "app", "trips", Version::V2)
     );
     let (step, ..) = open(&all, &old[..295]).expect("a part");
@@ -309,13 +320,15 @@
     assert!(matches!(step, Some(Step::Cancel(key)) if key.id == 7 && key.secret == [1, 2, 3, 4]));
     // A newer minor version and options that nobody knows are told what is spoken.
     let mut newer = Vec::new();
-    wire::put_packet(&mut newer, |out| {
+    messages::put_packet(&mut newer, |out| {
         out.extend_from_slice(b"\0\x03\0\x63user\0app\0_pq_.magic\0on\0\0")
     });
-    let (mut door, mut out) = (Door::default(), Vec::new());
-    door.take(&all, &newer, NONCE, &mut out)
+    let (mut startup, mut out) = (Startup::default(), Vec::new());
+    startup
+        .take(&all, &newer, NONCE, &mut out)
         .expect("understood");
-    door.identify(&all, None, &SECRET, SALT, &mut out)
+    startup
+        .identify(&all, None, &SECRET, SALT, &mut out)
         .expect("asked");
     assert_eq!(&out[..24], b"v\0\0\0\x17\0\0\0\x02\0\0\0\x01_pq_.magic\0");
 }
@@ -323,24 +336,24 @@
 /// A reply as a server might give it, and what an old client hears of it.
 fn sample() -> Vec<u8> {
     let mut out = Vec::new();
-    wire::put(&mut out, b'T', |out| {
+    messages::put(&mut out, b'T', |out| {
         out.extend_from_slice(b"\0\x03");
         for (name, kind) in [("a", 17u32), ("b", 1114), ("c", 25)] {
-            wire::put_text(out, name.as_bytes());
+            messages::put_text(out, name.as_bytes());
             out.extend_from_slice(&[0; 6]);
             out.extend_from_slice(&kind.to_be_bytes());
             out.extend_from_slice(b"\xff\xff\xff\xff\xff\xff\0\0");
         }
     });
-    wire::put(&mut out, b'D', |out| {
+    messages::put(&mut out, b'D', |out| {
         out.extend_from_slice(
             b"\0\x03\0\0\0\x06\\x9f41\0\0\0\x132026-12-01 17:20:00\xff\xff\xff\xff",
         );
     });
-    wire::put(&mut out, b'N', |out| {
+    messages::put(&mut out, b'N', |out| {
         out.extend_from_slice(b"SNOTICE\0VNOTICE\0C00000\0Mhello\0sseats\0\0")
     });
-    wire::put_complete(&mut out, "SELECT 1");
+    messages::put_complete(&mut out, "SELECT 1");
     out
 }
 
@@ -351,7 +364,7 @@
         dates: Dates::default().set("German").expect("a style"),
     };
     let mut old = Vec::new();
-    Speech {
+    Encoder {
         version: Version::V2,
         forms,
     }
@@ -371,13 +384,13 @@
         want.escape_ascii().to_string()
     );
     let mut new = Vec::new();
-    Speech {
+    Encoder {
         version: Version::V30,
         forms: Forms::default(),
     }
     .reply(&sample(), &mut new)
     .expect("said");
-    let kinds: Vec<u8> = wire::messages(&new).map(|m| m.kind).collect();
+    let kinds: Vec<u8> = messages::split(&new).map(|m| m.kind).collect();
     assert_eq!(kinds, b"TDNC");
     assert!(
         !new.windows(7).any(|w| w == b"sseats\0"),
@@ -391,13 +404,13 @@
     /// Fuzzing with a fixed seed: whatever comes, nothing panics, and nothing is taken that was not there.
     #[test]
     fn whatever_bytes_come_nothing_panics(bytes in prop::collection::vec(any::<u8>(), 0..400), kinds in prop::collection::vec(prop::sample::select(b"RKvSTDCIENAZGHWdcV123nstX".to_vec()), 0..12)) {
-        let (mut door, mut out) = (Door::default(), Vec::new());
+        let (mut startup, mut out) = (Startup::default(), Vec::new());
         let all = rules(&[Method::Scram, Method::Md5]);
         let mut rest = &bytes[..];
-        while let Ok(Some((length, step))) = door.take(&all, rest, NONCE, &mut out) {
+        while let Ok(Some((length, step))) = startup.take(&all, rest, NONCE, &mut out) {
             prop_assert!(length <= rest.len());
             rest = &rest[length..];
-            if step == Step::Named && door.identify(&all, None, &SECRET, SALT, &mut out).is_err() {
+            if step == Step::Named && startup.identify(&all, None, &SECRET, SALT, &mut out).is_err() {
                 break;
             }
             if matches!(step, Step::In | Step::Cancel(_)) {
@@ -407,25 +420,25 @@
         let mut framed = Vec::new();
         let size = bytes.len() / kinds.len().max(1);
         for (n, kind) in kinds.iter().enumerate() {
-            wire::put(&mut framed, *kind, |out| out.extend_from_slice(&bytes[n * size..(n + 1) * size]));
+            messages::put(&mut framed, *kind, |out| out.extend_from_slice(&bytes[n * size..(n + 1) * size]));
         }
         let who = who(Some("right"), true);
         let mut login = Login::start(&who, &mut out);
         let (mut one, mut any) = (Reply::new(Shape::OneValue), Reply::new(Shape::Any));
-        for message in wire::messages(&framed) {
+        for message in messages::split(&framed) {
             let _ = login.take(&who, &message, &mut out);
             let _ = (one.take(&message), any.take(&message), any.ready(message.body));
         }
         let forms = Forms { bytea: Bytea::Escape, dates: Dates::default().set("Postgres").expect("a style") };
         for version in [Version::V2, Version::V30] {
-            let _ = Speech { version, forms }.reply(&framed, &mut Vec::new());
+            let _ = Encoder { version, forms }.reply(&framed, &mut Vec::new());
         }
         for kind in [17, 1082, 1114, 1184] {
             let _ = forms.rewrite(kind, &bytes);
         }
         let text = String::from_utf8_lossy(&bytes);
         let _ = (statement::kind(&text), Users::parse(&text), Verifier::parse(&text));
-        let _ = wire::old_function_call(&bytes, 300);
+        let _ = messages::old_function_call(&bytes, 300);
     }
 
     /// However the bytes of a login are split, it goes the same way.
@@ -434,17 +447,17 @@
         let kept = Verifier::md5_of("app", b"right");
         let all = rules(&[if clear { Method::Password } else { Method::Md5 }]);
         let mut sent = b"\0\0\0\x08\x04\xd2\x16\x2f".to_vec();
-        wire::put_packet(&mut sent, |out| out.extend_from_slice(b"\0\x03\0\0user\0app\0database\0trips\0DateStyle\0German\0\0"));
+        messages::put_packet(&mut sent, |out| out.extend_from_slice(b"\0\x03\0\0user\0app\0database\0trips\0DateStyle\0German\0\0"));
         let proof = postgres_protocol::authentication::md5_hash(b"app", b"right", SALT);
-        wire::put(&mut sent, b'p', |out| wire::put_text(out, if clear { b"right" } else { proof.as_bytes() }));
+        messages::put(&mut sent, b'p', |out| messages::put_text(out, if clear { b"right" } else { proof.as_bytes() }));
         let run = |pieces: Vec<&[u8]>| {
-            let (mut door, mut out, mut held, mut is_in) = (Door::default(), Vec::new(), Vec::new(), false);
+            let (mut startup, mut out, mut held, mut is_in) = (Startup::default(), Vec::new(), Vec::new(), false);
             for piece in pieces {
                 held.extend_from_slice(piece);
-                while let Some((length, step)) = door.take(&all, &held, NONCE, &mut out).expect("a good login") {
+                while let Some((length, step)) = startup.take(&all, &held, NONCE, &mut out).expect("a good login") {
                     held.drain(..length);
                     if step == Step::Named {
-                        door.identify(&all, Some(&kept), &SECRET, SALT, &mut out).expect("asked");
+                        startup.identify(&all, Some(&kept), &SECRET, SALT, &mut out).expect("asked");
                     }
                     is_in |= step == Step::In;
                     if is_in {
@@ -452,7 +465,7 @@
                     }
                 }
             }
-            (out, is_in, door.parameters().to_vec())
+            (out, is_in, startup.parameters().to_vec())
         };
         let (mut pieces, mut rest) = (Vec::new(), &sent[..]);
         for cut in cuts {
@@ -474,7 +487,7 @@
     for cut in 0..whole.len() {
         let mut reply = Reply::new(Shape::Any);
         let mut taken = 0;
-        for message in wire::messages(&whole[..cut]) {
+        for message in messages::split(&whole[..cut]) {
             reply.take(&Message { ..message }).expect("in order");
             taken += message.raw.len();
         }
--- a/router/src/front/entry.rs
+++ b/router/src/front/entry.rs
@@ -4,8 +4,8 @@
 use plovercove::Time;
 use plovercove_engine::Key;
 use plovercove_pgwire::cancel::Keys;
-use plovercove_pgwire::door::Rules;
-use plovercove_pgwire::throttle::{self, Throttle};
+use plovercove_pgwire::login_rate_limit::{self, LoginRateLimit};
+use plovercove_pgwire::startup::Rules;
 use plovercove_pgwire::values::Forms;
 use plovercove_pgwire::verifier::Users;
 use plovercove_poller::Registered;
@@ -36,7 +36,7 @@
     /// The users, where they must prove who they are.
     pub users: Users,
     /// The limit on logins that fail.
-    pub throttle: throttle::Rules,
+    pub throttle: login_rate_limit::Rules,
     /// What clients are told at their start.
     pub parameters: Vec<(String, String)>,
     /// The forms of values, unless a client sets others.
@@ -61,7 +61,7 @@
             name: "platform".into(),
             rules: Rules::open(),
             users: Users::default(),
-            throttle: throttle::Rules::default(),
+            throttle: login_rate_limit::Rules::default(),
             parameters: told
                 .map(|(name, value)| (name.into(), value.into()))
                 .to_vec(),
@@ -80,7 +80,7 @@
     /// Its listener, while it takes clients in.
     pub listener: Option<Registered<TcpListener>>,
     /// The limit on logins.
-    pub throttle: Throttle,
+    pub throttle: LoginRateLimit,
     /// The cancel keys of its clients.
     pub keys: Keys<Key>,
     /// How many of its clients hold a place.
@@ -90,7 +90,7 @@
 impl Entry {
     /// A way in on this listener.
     pub fn new(terms: Terms, listener: Registered<TcpListener>) -> Self {
-        let throttle = Throttle::new(terms.throttle.clone());
+        let throttle = LoginRateLimit::new(terms.throttle.clone());
         Entry {
             terms,
             listener: Some(listener),
--- a/router/src/front/pg.rs
+++ b/router/src/front/pg.rs
@@ -9,10 +9,10 @@
 use plovercove::{Access, RequestInfo, Time};
 use plovercove_engine::{Deadline, Engine, FinalAnswer, Key, Table};
 use plovercove_pgwire::cancel::CancelKey;
-use plovercove_pgwire::door::{Door, Method, Step};
-use plovercove_pgwire::render::Speech;
+use plovercove_pgwire::encoder::Encoder;
 use plovercove_pgwire::reply::Shape;
 use plovercove_pgwire::session::Session;
+use plovercove_pgwire::startup::{Method, Startup, Step};
 use plovercove_pgwire::statement::{self, Kind};
 use plovercove_pgwire::{Fault, Version};
 use plovercove_poller::{Interest, Poll};
@@ -140,7 +140,7 @@
     from: IpAddr,
     phase: Phase,
     /// On its way in.
-    door: Option<Box<Door>>,
+    startup: Option<Box<Startup>>,
     /// What it is spoken to with, and what it has set.
     version: Version,
     session: Session,
@@ -205,8 +205,8 @@
         kind.map(|kind| (kind, self.touched))
     }
 
-    fn speech(&self) -> Speech {
-        Speech {
+    fn encoder(&self) -> Encoder {
+        Encoder {
             version: self.version,
             forms: self.session.forms,
         }
@@ -233,10 +233,10 @@
 
     /// An error that says nothing against the client.
     fn regret(&mut self, words: &Words, code: &str, text: &str) {
-        let speech = self.speech();
+        let encoder = self.encoder();
         self.say(words, |out| {
-            speech.error(false, code, text, None, out);
-            speech.ready(out);
+            encoder.error(false, code, text, None, out);
+            encoder.ready(out);
         });
     }
 
@@ -253,22 +253,22 @@
         if self.asked || self.phase == Phase::Closing || self.stream.unsent() > 0 {
             return;
         }
-        let speech = self.speech();
+        let encoder = self.encoder();
         let text = if self.phase == Phase::Refusing {
             NO_PLACE
         } else {
             UNASKED
         };
         self.stream
-            .put(|out| speech.error(true, code::TURNED_AWAY, text, None, out));
+            .put(|out| encoder.error(true, code::TURNED_AWAY, text, None, out));
         // One that cannot be told has gone.
         let _ = self.stream.flush();
     }
 
     /// An error that ends the session.
     fn dismiss(&mut self, words: &Words, code: &str, text: &str) {
-        let speech = self.speech();
-        self.say(words, |out| speech.error(true, code, text, None, out));
+        let encoder = self.encoder();
+        self.say(words, |out| encoder.error(true, code, text, None, out));
         self.phase = Phase::Closing;
     }
 }
@@ -593,7 +593,7 @@
                 entry,
                 from,
                 phase,
-                door: Some(Box::default()),
+                startup: Some(Box::default()),
                 version: Version::V30,
                 session: Session::new(forms),
                 key: None,
@@ -788,7 +788,7 @@
     fn hear(words: &mut Words, client: &mut Client, key: Key, now: Time) -> Peer {
         let peer = Self::fill(client);
         if peer != Peer::Open {
-            while client.door.is_some() && client.phase != Phase::Closing {
+            while client.startup.is_some() && client.phase != Phase::Closing {
                 if !Self::come_in(words, client, key, now) {
                     break;
                 }
@@ -878,15 +878,15 @@
         {
             client.wrote = Some(now);
         }
-        let (speech, named) = (
-            client.speech(),
+        let (encoder, named) = (
+            client.encoder(),
             self.words.entries[client.entry].terms.defaults.is_some(),
         );
-        if !named || speech.passes(&reply) {
-            return self.answer(origin, request, reply, Speech::ready);
+        if !named || encoder.passes(&reply) {
+            return self.answer(origin, request, reply, Encoder::ready);
         }
         let mut said = self.words.budget.buffer();
-        let result = said.write(|out| speech.reply(&reply, out));
+        let result = said.write(|out| encoder.reply(&reply, out));
         if let Err(why) = result {
             warn!(client = origin.number(), reason = "unsayable", "{}", why.0);
             // What has been done is done; the client must not take this for a refusal.
@@ -895,21 +895,21 @@
                 why.0
             );
             said = self.words.budget.buffer();
-            said.write(|out| speech.error(false, code::UNTRANSLATABLE, &text, None, out));
+            said.write(|out| encoder.error(false, code::UNTRANSLATABLE, &text, None, out));
         }
-        self.answer(origin, request, said, Speech::ready);
+        self.answer(origin, request, said, Encoder::ready);
     }
 
     /// Words a final answer that no db node made.
     pub fn concluded(&mut self, origin: Key, request: Key, answer: FinalAnswer) {
-        let Some(speech) = self.clients.get(origin).map(Client::speech) else {
+        let Some(encoder) = self.clients.get(origin).map(Client::encoder) else {
             return;
         };
         let mut worded = self.words.budget.buffer();
         worded.write(|out| match answer {
             FinalAnswer::Rejected(wait) => {
                 let wait = wait.map(clock::to_ms);
-                speech.error(
+                encoder.error(
                     false,
                     code::TURNED_AWAY,
                     "no db node can take this in time",
@@ -919,10 +919,10 @@
             }
             FinalAnswer::Failed => {
                 let text = "the outcome is unknown: no db node answered in time";
-                speech.error(false, code::UNKNOWN_OUTCOME, text, None, out);
+                encoder.error(false, code::UNKNOWN_OUTCOME, text, None, out);
             }
         });
-        self.answer(origin, request, worded, Speech::ready);
+        self.answer(origin, request, worded, Encoder::ready);
     }
 
     fn answer(
@@ -930,12 +930,12 @@
         origin: Key,
         request: Key,
         mut answer: Buffer,
-        ready: impl Fn(&Speech, &mut Vec<u8>),
+        ready: impl Fn(&Encoder, &mut Vec<u8>),
     ) {
         let Some(client) = self.clients.get_mut(origin) else {
             return;
         };
-        let speech = client.speech();
+        let encoder = client.encoder();
         let is_it = |p: &&mut Pending| {
             p.request
                 .as_ref()
@@ -944,7 +944,7 @@
         let Some(pending) = client.pending.iter_mut().find(is_it) else {
             return;
         };
-        answer.write(|out| ready(&speech, out));
+        answer.write(|out| ready(&encoder, out));
         pending.answer = Some(answer);
         pending.request = None;
         self.mark(origin);
@@ -1015,13 +1015,13 @@
     /// One that was told its end before it had said anything may want a cancel all the same: the two have crossed. Danger:
     /// unheard, its request would be sent on for nobody. Returns whether the other side is there, while that is not known.
     fn hear_late_cancel(words: &mut Words, client: &mut Client) -> Option<Peer> {
-        let mut door = client.door.take_if(|door| !door.opened())?;
+        let mut startup = client.startup.take_if(|startup| !startup.opened())?;
         let peer = client.stream.fill();
         let rules = &words.entries[client.entry].terms.rules;
-        match door.take(rules, client.stream.unread(), "", &mut Vec::new()) {
+        match startup.take(rules, client.stream.unread(), "", &mut Vec::new()) {
             Ok(Some((_, Step::Cancel(wanted)))) => words.wanted.push((client.entry, wanted)),
             Ok(None) => {
-                client.door = Some(door);
+                client.startup = Some(startup);
                 return Some(peer);
             }
             // It wants something else, for which it comes too late.
@@ -1144,36 +1144,36 @@
 
     /// Takes in what comes before a client is in; false where none is whole.
     fn come_in(words: &mut Words, client: &mut Client, key: Key, now: Time) -> bool {
-        let Some(mut door) = client.door.take() else {
+        let Some(mut startup) = client.startup.take() else {
             return false;
         };
         let mut out = Vec::new();
         let nonce = || random::<16>().map(|byte| format!("{byte:02x}")).concat();
         let rules = &words.entries[client.entry].terms.rules;
         let taken = match client.stream.unread() {
-            bytes if door.opened() && bytes.len() > BEFORE_IN => {
+            bytes if startup.opened() && bytes.len() > BEFORE_IN => {
                 Err(Fault::new(code::PROTOCOL, "too much came before the login"))
             }
             bytes => {
                 // Only a login needs one, and it is dear.
-                let nonce = if door.opened() {
+                let nonce = if startup.opened() {
                     nonce()
                 } else {
                     String::new()
                 };
-                door.take(rules, bytes, &nonce, &mut out)
+                startup.take(rules, bytes, &nonce, &mut out)
             }
         };
-        client.version = door.version();
+        client.version = startup.version();
         let step = match taken {
             Ok(None) => {
-                client.door = Some(door);
+                client.startup = Some(startup);
                 return false;
             }
             Ok(Some((length, step))) => {
                 client.stream.take(length);
                 match step {
-                    Step::Named => Self::identify(words, client, &mut door, now, &mut out),
+                    Step::Named => Self::identify(words, client, &mut startup, now, &mut out),
                     step => Ok(step),
                 }
             }
@@ -1183,18 +1183,18 @@
             client.say(words, |said| said.append(&mut out));
         }
         match step {
-            Ok(Step::Goes | Step::Named) => client.door = Some(door),
+            Ok(Step::Goes | Step::Named) => client.startup = Some(startup),
             Ok(Step::Cancel(wanted)) => {
                 client.phase = Phase::Closing;
                 words.wanted.push((client.entry, wanted));
             }
-            Ok(Step::In) => Self::let_in(words, client, key, &door, now),
+            Ok(Step::In) => Self::let_in(words, client, key, &startup, now),
             Err(fault) => {
-                if Door::tried(&fault) {
+                if Startup::tried(&fault) {
                     words.entries[client.entry]
                         .throttle
-                        .failed(now, client.from, door.user());
-                    warn!(user = door.user(), from = %client.from, reason = "login failed", "a login failed");
+                        .failed(now, client.from, startup.user());
+                    warn!(user = startup.user(), from = %client.from, reason = "login failed", "a login failed");
                 }
                 client.dismiss(words, fault.code, &fault.text);
             }
@@ -1206,7 +1206,7 @@
     fn identify(
         words: &Words,
         client: &mut Client,
-        door: &mut Door,
+        startup: &mut Startup,
         now: Time,
         out: &mut Vec<u8>,
     ) -> Result<Step, Fault> {
@@ -1214,20 +1214,20 @@
             return Err(Fault::new(code::TURNED_AWAY, NO_PLACE));
         }
         let way = &words.entries[client.entry];
-        if let Err(wait) = way.throttle.may(now, client.from, door.user()) {
+        if let Err(wait) = way.throttle.may(now, client.from, startup.user()) {
             let text = format!(
                 "too many logins failed; try again after {} ms",
                 entry::ms(wait)
             );
             return Err(Fault::new(code::TURNED_AWAY, text));
         }
-        let verifier = way.terms.users.get(door.user()).cloned();
+        let verifier = way.terms.users.get(startup.user()).cloned();
         let salt = if way.terms.rules.methods.contains(&Method::Md5) {
             random()
         } else {
             [0; 4]
         };
-        door.identify(
+        startup.identify(
             &way.terms.rules,
             verifier.as_ref(),
             &words.secret,
@@ -1237,7 +1237,7 @@
     }
 
     /// A client is in: it is greeted, and has what it set at its start.
-    fn let_in(words: &mut Words, client: &mut Client, key: Key, door: &Door, now: Time) {
+    fn let_in(words: &mut Words, client: &mut Client, key: Key, startup: &Startup, now: Time) {
         client.phase = Phase::Ready;
         let way = &mut words.entries[client.entry];
         let named = way.terms.defaults.is_some();
@@ -1246,10 +1246,10 @@
         let issued = way.keys.issue(key, client.version, random());
         client.key = Some(issued.id);
         if named {
-            way.throttle.succeeded(now, client.from, door.user());
+            way.throttle.succeeded(now, client.from, startup.user());
             client.asked = true;
-            told.push(("session_authorization".into(), door.user().into()));
-            for (name, value) in door.parameters() {
+            told.push(("session_authorization".into(), startup.user().into()));
+            for (name, value) in startup.parameters() {
                 match client.session.set(name, Some(value)) {
                     Ok(changed) => {
                         if let Some((name, value)) = changed {
@@ -1261,8 +1261,8 @@
                 }
             }
         }
-        let speech = client.speech();
-        client.say(words, |out| speech.greet(&told, Some(&issued), out));
+        let encoder = client.encoder();
+        client.say(words, |out| encoder.greet(&told, Some(&issued), out));
     }
 
     /// Takes one message of version 2.0 in; false where none is whole.
@@ -1334,15 +1334,15 @@
             let Some(pending) = client.pending.front_mut().filter(|p| p.request.is_some()) else {
                 continue;
             };
-            let speech = Speech {
+            let encoder = Encoder {
                 version: client.version,
                 forms: client.session.forms,
             };
             let mut answer = self.words.budget.buffer();
             answer.write(|out| {
                 let text = "cancelled on request; a write may have run all the same";
-                speech.error(false, code::CANCELLED, text, None, out);
-                speech.ready(out);
+                encoder.error(false, code::CANCELLED, text, None, out);
+                encoder.ready(out);
             });
             pending.answer = Some(answer);
             if let Some(asked) = pending.request.take() {
@@ -1355,19 +1355,19 @@
     /// answered here.
     fn label(words: &mut Words, client: &mut Client, text: &str) -> Option<String> {
         let kind = statement::kind(text);
-        let speech = client.speech();
+        let encoder = client.encoder();
         match kind {
             Kind::Empty => client.say(words, |out| {
-                speech.empty(out);
-                speech.ready(out);
+                encoder.empty(out);
+                encoder.ready(out);
             }),
             Kind::Sets(name, value) => match client.session.set(&name, value.as_deref()) {
                 Ok(told) => client.say(words, |out| {
-                    speech.complete(if value.is_some() { "SET" } else { "RESET" }, out);
+                    encoder.complete(if value.is_some() { "SET" } else { "RESET" }, out);
                     if let Some((name, value)) = told {
-                        speech.status(name, &value, out);
+                        encoder.status(name, &value, out);
                     }
-                    speech.ready(out);
+                    encoder.ready(out);
                 }),
                 Err(fault) => client.regret(words, fault.code, &fault.text),
             },
--- a/router/src/operators.rs
+++ b/router/src/operators.rs
@@ -10,9 +10,9 @@
 use plovercove_gossip::{Keys, Rules as PeerRules};
 use plovercove_locality::{RuleFault, Rules, ZoneFailover};
 use plovercove_pgwire::Version;
-use plovercove_pgwire::door::{self, Method};
 use plovercove_pgwire::login::Credentials;
-use plovercove_pgwire::throttle;
+use plovercove_pgwire::login_rate_limit;
+use plovercove_pgwire::startup::{self, Method};
 use plovercove_pgwire::values::{Bytea, Dates, Forms};
 use plovercove_pgwire::verifier::Users;
 use plovercove_starlark_config::Script;
@@ -96,7 +96,7 @@
     pub idle_s: u64,
     /// The limit on logins that fail.
     #[serde(default)]
-    pub logins: throttle::Rules,
+    pub logins: login_rate_limit::Rules,
 }
 
 /// Who the router is to its db nodes.
@@ -270,7 +270,7 @@
         ];
         Ok(Terms {
             name: self.name.clone(),
-            rules: door::Rules {
+            rules: startup::Rules {
                 versions: self.versions.clone(),
                 methods: self.methods.clone(),
             },
--- a/router/src/statement_labels.rs
+++ b/router/src/statement_labels.rs
@@ -1,8 +1,8 @@
 //! Statements as the platform writes them, with their labels in a comment in front; and the framing of messages, which is
 //! the dialect's.
 
+pub use plovercove_pgwire::messages::*;
 use plovercove_pgwire::reply::Shape;
-pub use plovercove_pgwire::wire::*;
 use std::ops::Range;
 
 /// A query of a client, to be passed on as it is but for the patience it tells.
--- a/router/tests/errors.rs
+++ b/router/tests/errors.rs
@@ -6,7 +6,7 @@
 use plovercove_gossip::{Keys, Rules as PeerRules};
 use plovercove_locality::{Rules as TierRules, ZoneFailover};
 use plovercove_pgwire::login::Refused;
-use plovercove_pgwire::throttle;
+use plovercove_pgwire::login_rate_limit;
 use plovercove_pgwire::verifier::{MOST_USERS, Users};
 use plovercove_router::error::Wrong;
 use plovercove_router::operators::{Operators, Source};
@@ -167,9 +167,9 @@
     const MD5: &str = "md5f6d2ba4f1b0a1ee0e1c3c2c0e7a0b1c2";
     let many: String = (0..=MOST_USERS).map(|n| format!("u{n} {MD5}\n")).collect();
     let wrong = |text: &str| Users::parse(text).expect_err("it is wrong");
-    let limits = throttle::Rules {
+    let limits = login_rate_limit::Rules {
         address: 0,
-        ..throttle::Rules::default()
+        ..login_rate_limit::Rules::default()
     };
     for fault in [
         wrong("app"),
