--- a/experiments/faults-guards.star
+++ b/experiments/faults-guards.star
@@ -1,7 +1,7 @@
 # Each guard of the verdicts, where it matters: good with the guard, broken without it, by the check that is named.
 #
-#     plovercove-lab faults experiments/faults-guards.star --case third
-#     plovercove-lab faults experiments/faults-guards.star --case third --without third   # a router built for tests
+#     plovercove-experiments faults experiments/faults-guards.star --case third
+#     plovercove-experiments faults experiments/faults-guards.star --case third --without third   # a router built for tests
 
 peers = {
     "probe_ms": 300,
--- a/experiments/faults-many.star
+++ b/experiments/faults-many.star
@@ -1,6 +1,6 @@
 # 66 router processes and 24 db nodes at the default times: a node dies, then a zone of routers is killed and comes back.
 #
-#     plovercove-lab faults experiments/faults-many.star --json FILE     # CPU and datagrams a router and second are in it
+#     plovercove-experiments faults experiments/faults-many.star --json FILE     # CPU and datagrams a router and second are in it
 
 peers = {"evidence_s": 8.0, "datagrams_per_s": 80}
 zones = [{"name": z, "routers": 22, "nodes": 8} for z in ["a", "b", "c"]]
--- a/experiments/faults-peers.star
+++ b/experiments/faults-peers.star
@@ -1,6 +1,6 @@
 # Routers that know each other, and what breaks them: real processes, links between them, and a checker that reads logs.
 #
-#     plovercove-lab faults experiments/faults-peers.star
+#     plovercove-experiments faults experiments/faults-peers.star
 #
 # Times are short so that a case takes seconds: probes every 300 ms, evidence that lives for 4 s.
 
--- a/experiments/larger-fleet.star
+++ b/experiments/larger-fleet.star
@@ -2,7 +2,7 @@
 # and returns cold, six in ten nodes restart within 7 s. The model has no new nodes under new names: its nodes come back
 # cold under their own. docs/larger-fleet.md says where it and the days at size disagree.
 #
-#     plovercove-lab run experiments/larger-fleet.star --strict
+#     plovercove-experiments run experiments/larger-fleet.star --strict
 
 seconds = 30
 zones = [{"name": z, "nodes": 30, "routers": 50} for z in ["a", "b"]]
--- a/experiments/peers.star
+++ b/experiments/peers.star
@@ -1,6 +1,6 @@
 # What talk between routers is worth: 300 routers and 120 db nodes, each case without peers and with them, same seeds.
 #
-#     plovercove-lab run experiments/peers.star --seeds 1..20 --strict
+#     plovercove-experiments run experiments/peers.star --seeds 1..20 --strict
 #
 # `mute` and `errors`: one node in fifteen takes requests in and never answers, or answers with errors, for 15 s. `slow`: one
 # in eight is eight times slower. `cut`: what zone b sends to zone c is lost for 10 s. `herd`: 75 % of the routers are killed
--- a/experiments/scale.star
+++ b/experiments/scale.star
@@ -1,6 +1,6 @@
 # What size costs: 300 routers and 999 db nodes, and 2,001 nodes, with a zone lost at the busiest hour.
 #
-#     plovercove-lab run experiments/scale.star --strict
+#     plovercove-experiments run experiments/scale.star --strict
 
 seconds = 30
 clients = {"load": 0.6}
--- a/experiments/whole-fleet.star
+++ b/experiments/whole-fleet.star
@@ -3,7 +3,7 @@
 # comes late, and six in ten nodes replaced by new machines. Groups get unequal traffic, one router in five sees three times
 # the others', and discovery answers only so many calls a second. docs/larger-fleet.md says where it and the days disagree.
 #
-#     plovercove-lab run experiments/whole-fleet.star --strict
+#     plovercove-experiments run experiments/whole-fleet.star --strict
 #
 # `small` is what CI plays: 40 routers and 24 nodes, the same troubles within 20 s.
 
--- a/experiments/zones.star
+++ b/experiments/zones.star
@@ -1,6 +1,6 @@
 # Losing a whole zone: three zones, 36 db nodes, 30 routers, the busiest hour at 60 % of what all nodes can do.
 #
-#     plovercove-lab run experiments/zones.star --seeds 1..20
+#     plovercove-experiments run experiments/zones.star --seeds 1..20
 
 seconds = 62
 zones = [{"name": z, "nodes": 12, "routers": 10} for z in ["a", "b", "c"]]
--- a/router/src/error.rs
+++ b/router/src/error.rs
@@ -156,7 +156,7 @@
     Logins(#[source] plovercove_pgwire::Error),
     /// A fault of the tiers.
     #[error("{0}")]
-    ZoneFailover(#[source] tiers::Wrong),
+    Locality(#[source] tiers::Wrong),
     /// A fault of the rules or keys of peers.
     #[error("{}", bare(.0))]
     Peers(#[source] plovercove_gossip::Error),
@@ -220,7 +220,7 @@
                 "name the file of secrets and not another; it holds a key, a password or users"
             }
             Wrong::Users { source, .. } | Wrong::Logins(source) => source.help(),
-            Wrong::ZoneFailover(wrong) => wrong.help(),
+            Wrong::Locality(wrong) => wrong.help(),
             Wrong::Peers(error) => error.help(),
             Wrong::Duties(fault) => fault.help(),
             Wrong::NoMethod => {
--- /dev/null
+++ b/router/src/front/exchange.rs
@@ -0,0 +1,245 @@
+//! Reading a client's messages and writing its answers, in order and within bounds for one turn of the loop.
+
+use super::Context;
+use super::client::{Client, MAX_READ_AHEAD_BYTES, MAX_UNSENT_BYTES, Phase};
+use crate::net::stream::Peer;
+use plovercove::Time;
+use plovercove_engine::{Engine, Key};
+use plovercove_pgwire::Version;
+use plovercove_pgwire::messages::{self, Malformed, code};
+
+/// The longest message: a value in hex digits, as long as one that a node may give, and what stands round it.
+pub(super) const MAX_MESSAGE_BYTES: usize = 4 * 1024 * 1024;
+/// Messages that one client may have read in a turn of the loop: one that sends at full speed would hold the turn for as long
+/// as its input lasts.
+const MAX_MESSAGES_PER_TURN: u32 = 32;
+/// What is said to those who speak more of the protocol.
+const ONLY_SIMPLE_QUERIES: &str = "only simple queries are supported";
+
+/// What an exchange left over.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) struct Exchanged {
+    /// All that was to go has been written.
+    pub(super) is_all_sent: bool,
+    /// Something is left to read in the next turn.
+    pub(super) has_more: bool,
+}
+
+impl Client {
+    /// Reads what a client has sent, up to its end where that can be reached. Whoever wants a request cancelled need not wait
+    /// for our end of the connection.
+    pub(super) fn receive(&mut self, context: &mut Context, key: Key, now: Time) -> Peer {
+        let peer = self.fill();
+        if peer != Peer::Open {
+            let is_logging_in =
+                |client: &Client| client.startup.is_some() && client.phase != Phase::Closing;
+            while is_logging_in(self) && self.advance_login(context, key, now) {}
+        }
+        peer
+    }
+
+    /// Reads ahead, too: with a client's end left for the next turn, requests would begin though it has gone while the loop
+    /// was busy.
+    fn fill(&mut self) -> Peer {
+        // What one that lingers sends is dropped elsewhere.
+        if self.is_lingering() {
+            return Peer::Open;
+        }
+        while self.wants_input() {
+            let unread_before = self.stream.unread().len();
+            match self.stream.fill() {
+                Peer::Open if self.stream.unread().len() > unread_before => {
+                    if self.stream.unread().len() >= MAX_READ_AHEAD_BYTES {
+                        break;
+                    }
+                }
+                // What is read ahead need not be: there is memory for it later.
+                Peer::TooMuch if !self.may_begin_message() => break,
+                peer => return peer,
+            }
+        }
+        Peer::Open
+    }
+
+    /// Queues the answers whose turn it is, takes in what there is room for, and writes.
+    ///
+    /// # Errors
+    ///
+    /// The other side has gone.
+    pub(super) fn exchange(
+        &mut self,
+        context: &mut Context,
+        key: Key,
+        now: Time,
+        engine: &mut Engine,
+    ) -> Result<Exchanged, Peer> {
+        let mut messages_left = MAX_MESSAGES_PER_TURN;
+        loop {
+            self.write_answers_in_order();
+            if messages_left > 0 && self.read_message(context, key, now, engine) {
+                self.last_progress_at = now;
+                self.message_began_at = None;
+                messages_left -= 1;
+                continue;
+            }
+            let unsent_before = self.stream.unsent();
+            let is_all_sent = self.stream.flush()?;
+            if self.stream.unsent() < unsent_before {
+                self.last_progress_at = now;
+            }
+            // Where the answers had filled the room, there is some for more messages now.
+            let made_room = is_all_sent && unsent_before >= MAX_UNSENT_BYTES;
+            if messages_left > 0 && made_room {
+                continue;
+            }
+            let has_unread = self.may_begin_message() && !self.stream.unread().is_empty();
+            return Ok(Exchanged {
+                is_all_sent,
+                has_more: messages_left == 0 && has_unread,
+            });
+        }
+    }
+
+    fn write_answers_in_order(&mut self) {
+        while let Some(answer) = self.pending.front_mut().and_then(|p| p.answer.take()) {
+            self.stream.put(|out| out.extend_from_slice(&answer));
+            self.pending.pop_front();
+        }
+    }
+
+    /// Takes one message in; false where none is whole or there is no room for it.
+    fn read_message(
+        &mut self,
+        context: &mut Context,
+        key: Key,
+        now: Time,
+        engine: &mut Engine,
+    ) -> bool {
+        if !self.may_begin_message() {
+            return false;
+        }
+        match self.phase {
+            Phase::Closing => false,
+            Phase::LoggingIn | Phase::Rejecting => self.advance_login(context, key, now),
+            Phase::Ready if self.version == Version::V2 => {
+                self.read_v2_message(context, key, now, engine)
+            }
+            Phase::Ready | Phase::SkippingToSync => self.read_v3_message(context, key, now, engine),
+        }
+    }
+
+    fn read_v3_message(
+        &mut self,
+        context: &mut Context,
+        key: Key,
+        now: Time,
+        engine: &mut Engine,
+    ) -> bool {
+        let message = match messages::message(self.stream.unread(), MAX_MESSAGE_BYTES) {
+            Ok(Some(message)) => message,
+            Ok(None) => return false,
+            Err(Malformed) => {
+                let text = "a message has an impossible length";
+                self.end_session(&context.budget, code::PROTOCOL, text);
+                return true;
+            }
+        };
+        let (kind, length) = (message.kind, message.raw.len());
+        let query = (kind == b'Q').then(|| message.body.strip_suffix(&[0]).map(<[u8]>::to_vec));
+        self.stream.take(length);
+        let budget = &context.budget;
+        match (kind, query) {
+            (b'X', _) => self.phase = Phase::Closing,
+            (b'S', _) => {
+                self.phase = Phase::Ready;
+                self.queue_reply(budget, messages::put_ready);
+            }
+            (_, _) if self.phase == Phase::SkippingToSync => {}
+            (b'Q', Some(Some(text))) if text.contains(&0) => {
+                let text = "the query has a zero byte in it";
+                self.reply_protocol_error(budget, code::PROTOCOL, text);
+            }
+            (b'Q', Some(Some(text))) => self.read_query(context, key, text, now, engine),
+            (b'Q', _) => {
+                self.reply_protocol_error(budget, code::PROTOCOL, "the query does not end");
+            }
+            (b'F', _) => {
+                let text = "function calls are not supported";
+                self.reply_protocol_error(budget, code::UNSUPPORTED, text);
+            }
+            (b'P' | b'B' | b'D' | b'E' | b'C' | b'H', _) => {
+                self.protocol_errors += 1;
+                self.queue_reply(budget, |out| {
+                    messages::put_error(out, false, code::UNSUPPORTED, ONLY_SIMPLE_QUERIES, None);
+                });
+                self.phase = Phase::SkippingToSync;
+            }
+            // Copy data that comes late, after an error, is ignored as a server does.
+            (b'd' | b'c' | b'f', _) => {}
+            _ => self.end_session(budget, code::PROTOCOL, "a message of an unknown kind"),
+        }
+        true
+    }
+
+    fn read_v2_message(
+        &mut self,
+        context: &mut Context,
+        key: Key,
+        now: Time,
+        engine: &mut Engine,
+    ) -> bool {
+        let Some((&kind, rest)) = self.stream.unread().split_first() else {
+            return false;
+        };
+        match kind {
+            b'Q' => {
+                let Some(end) = rest.iter().position(|byte| *byte == 0) else {
+                    let is_too_long = rest.len() > MAX_MESSAGE_BYTES;
+                    if is_too_long {
+                        let text = "the query is too long";
+                        self.end_session(&context.budget, code::PROTOCOL, text);
+                    }
+                    return is_too_long;
+                };
+                let text = rest[..end].to_vec();
+                self.stream.take(end + 2);
+                self.read_query(context, key, text, now, engine);
+            }
+            b'X' => self.phase = Phase::Closing,
+            b'F' => match messages::old_function_call(rest, MAX_MESSAGE_BYTES) {
+                Ok(None) => return false,
+                Ok(Some(length)) => {
+                    self.stream.take(length + 1);
+                    let text = "function calls are not supported";
+                    self.reply_protocol_error(&context.budget, code::UNSUPPORTED, text);
+                }
+                Err(Malformed) => {
+                    let text = "a malformed function call";
+                    self.end_session(&context.budget, code::PROTOCOL, text);
+                }
+            },
+            _ => {
+                let text = "a message of an unknown kind";
+                self.end_session(&context.budget, code::PROTOCOL, text);
+            }
+        }
+        true
+    }
+
+    fn read_query(
+        &mut self,
+        context: &mut Context,
+        key: Key,
+        text: Vec<u8>,
+        now: Time,
+        engine: &mut Engine,
+    ) {
+        match String::from_utf8(text) {
+            Ok(text) => self.query(context, key, &text, now, engine),
+            Err(_) => {
+                let text = "the query is not UTF-8";
+                self.reply_protocol_error(&context.budget, code::PROTOCOL, text);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/router/src/front/login.rs
@@ -0,0 +1,153 @@
+//! Logging in: from the first packet to the greeting.
+
+use super::client::{Client, Phase, TOO_MANY_CONNECTIONS};
+use super::{Context, random_bytes};
+use crate::clock;
+use plovercove::Time;
+use plovercove_engine::Key;
+use plovercove_pgwire::Fault;
+use plovercove_pgwire::messages::code;
+use plovercove_pgwire::startup::{Method, Startup, Step};
+use tracing::warn;
+
+/// Bytes that a client may send while it is to prove who it is.
+const MAX_LOGIN_BYTES: usize = 16 * 1024;
+
+impl Client {
+    /// Takes in what comes before a client is logged in; false where nothing is whole.
+    pub(super) fn advance_login(&mut self, context: &mut Context, key: Key, now: Time) -> bool {
+        let Some(mut startup) = self.startup.take() else {
+            return false;
+        };
+        let mut reply = Vec::new();
+        let taken = self.take_login_message(context, &mut startup, &mut reply);
+        self.version = startup.version();
+        let step = match taken {
+            Ok(None) => {
+                self.startup = Some(startup);
+                return false;
+            }
+            Ok(Some(Step::Named)) => self.identify(context, &mut startup, now, &mut reply),
+            Ok(Some(step)) => Ok(step),
+            Err(fault) => Err(fault),
+        };
+        if !reply.is_empty() {
+            self.queue_reply(&context.budget, |out| out.append(&mut reply));
+        }
+        match step {
+            Ok(Step::Goes | Step::Named) => self.startup = Some(startup),
+            Ok(Step::Cancel(key)) => self.request_cancel(context, key),
+            Ok(Step::In) => self.begin_session(context, key, &startup, now),
+            Err(fault) => self.fail_login(context, &startup, &fault, now),
+        }
+        true
+    }
+
+    /// One message off the front of what came; none where it is not whole.
+    fn take_login_message(
+        &mut self,
+        context: &Context,
+        startup: &mut Startup,
+        reply: &mut Vec<u8>,
+    ) -> Result<Option<Step>, Fault> {
+        let bytes = self.stream.unread();
+        if startup.opened() && bytes.len() > MAX_LOGIN_BYTES {
+            return Err(Fault::new(code::PROTOCOL, "too much came before the login"));
+        }
+        // Only a login needs one, and it is dear.
+        let nonce = if startup.opened() {
+            nonce()
+        } else {
+            String::new()
+        };
+        let rules = &context.listeners[self.listener].config.rules;
+        let Some((length, step)) = startup.take(rules, bytes, &nonce, reply)? else {
+            return Ok(None);
+        };
+        self.stream.take(length);
+        Ok(Some(step))
+    }
+
+    /// A client has said who it is: it is asked for a proof, unless there is no place or it has failed too often.
+    fn identify(
+        &self,
+        context: &Context,
+        startup: &mut Startup,
+        now: Time,
+        reply: &mut Vec<u8>,
+    ) -> Result<Step, Fault> {
+        if self.phase == Phase::Rejecting {
+            return Err(Fault::new(code::TURNED_AWAY, TOO_MANY_CONNECTIONS));
+        }
+        let listener = &context.listeners[self.listener];
+        let limit = &listener.login_rate_limit;
+        if let Err(wait) = limit.may(now, self.address, startup.user()) {
+            let wait_ms = clock::to_ms(wait).max(1);
+            let text = format!("too many logins failed; try again after {wait_ms} ms");
+            return Err(Fault::new(code::TURNED_AWAY, text));
+        }
+        let rules = &listener.config.rules;
+        let verifier = listener.config.users.get(startup.user()).cloned();
+        let salt = if rules.methods.contains(&Method::Md5) {
+            random_bytes()
+        } else {
+            [0; 4]
+        };
+        startup.identify(rules, verifier.as_ref(), &context.secret, salt, reply)
+    }
+
+    /// A client is in: it is greeted, and has what it set at its start. It gets a cancel key, or it could end what it does not
+    /// want any more only by closing.
+    fn begin_session(&mut self, context: &mut Context, key: Key, startup: &Startup, now: Time) {
+        self.phase = Phase::Ready;
+        let listener = &mut context.listeners[self.listener];
+        let mut parameters = listener.config.parameters.clone();
+        let cancel_key = listener
+            .cancel_keys
+            .issue(key, self.version, random_bytes());
+        self.cancel_id = Some(cancel_key.id);
+        if !listener.wants_labels() {
+            let limit = &mut listener.login_rate_limit;
+            limit.succeeded(now, self.address, startup.user());
+            self.has_requested = true;
+            parameters.push(("session_authorization".into(), startup.user().into()));
+            for (name, value) in startup.parameters() {
+                match self.session.set(name, Some(value)) {
+                    Ok(None) => {}
+                    Ok(Some((name, value))) => {
+                        parameters.retain(|(known, _)| known != name);
+                        parameters.push((name.into(), value));
+                    }
+                    Err(fault) => {
+                        return self.end_session(&context.budget, fault.code, &fault.text);
+                    }
+                }
+            }
+        }
+        let encoder = self.encoder();
+        self.queue_reply(&context.budget, |out| {
+            encoder.greet(&parameters, Some(&cancel_key), out);
+        });
+    }
+
+    fn fail_login(&mut self, context: &mut Context, startup: &Startup, fault: &Fault, now: Time) {
+        if Startup::tried(fault) {
+            let limit = &mut context.listeners[self.listener].login_rate_limit;
+            limit.failed(now, self.address, startup.user());
+            warn!(
+                user = startup.user(),
+                from = %self.address,
+                reason = "login failed",
+                "a login failed"
+            );
+        }
+        self.end_session(&context.budget, fault.code, &fault.text);
+    }
+}
+
+/// Sixteen random bytes in hex digits.
+fn nonce() -> String {
+    random_bytes::<16>()
+        .map(|byte| format!("{byte:02x}"))
+        .concat()
+}
--- a/router/src/operators.rs
+++ b/router/src/operators.rs
@@ -3,7 +3,7 @@
 
 use crate::chores::{self, TermsFault};
 use crate::error::{Error, KeyFault, Wrong};
-use crate::front::entry::{Defaults, Terms};
+use crate::front::{DefaultClass, DefaultLabels, ListenerConfig};
 use crate::peers;
 use crate::upstream::pg::ConnectOptions;
 use plovercove::{Access, Settings};
@@ -153,7 +153,7 @@
     /// Which zones a request may use.
     pub tiers: Option<ZoneFailover>,
     /// Further listeners.
-    pub fronts: Vec<(SocketAddr, Terms)>,
+    pub fronts: Vec<(SocketAddr, ListenerConfig)>,
     /// Who the router is to its db nodes.
     pub connect_options: ConnectOptions,
     /// How it talks with other routers, if it does.
@@ -195,7 +195,7 @@
         key: &str,
         folder: &Path,
         settings: Option<&Settings>,
-    ) -> Result<Terms, KeyFault> {
+    ) -> Result<ListenerConfig, KeyFault> {
         let wrong = |name: &str, why| Err(KeyFault::new(format!("{key}.{name}"), why));
         if self.versions.is_empty() || self.methods.is_empty() {
             return wrong("methods", Wrong::NoMethod);
@@ -234,7 +234,10 @@
         };
         let class = |name: &str, wanted: &str, writes: bool| {
             let Some(settings) = settings else {
-                return Ok((0, 1));
+                return Ok(DefaultClass {
+                    name: wanted.to_string(),
+                    patience_ms: 1,
+                });
             };
             let found = settings.classes.iter().position(|c| c.name == wanted);
             let Some(place) = found else {
@@ -252,7 +255,10 @@
                     Wrong::ClassDoes { class, does },
                 ));
             }
-            Ok((place, crate::clock::to_ms(class.deadline)))
+            Ok(DefaultClass {
+                name: wanted.to_string(),
+                patience_ms: crate::clock::to_ms(class.deadline),
+            })
         };
         let (reads, writes) = (
             class("reads", &self.reads, false)?,
@@ -268,14 +274,14 @@
             ("standard_conforming_strings", "on"),
             ("is_superuser", "off"),
         ];
-        Ok(Terms {
+        Ok(ListenerConfig {
             name: self.name.clone(),
             rules: startup::Rules {
                 versions: self.versions.clone(),
                 methods: self.methods.clone(),
             },
             users,
-            throttle: self.logins.clone(),
+            login_rate_limit: self.logins.clone(),
             parameters: parameters
                 .map(|(name, value)| (name.into(), value.into()))
                 .to_vec(),
@@ -283,15 +289,14 @@
                 bytea: self.bytea,
                 dates,
             },
-            defaults: Some(Defaults {
-                reads: (reads.0, self.reads.clone()),
-                writes: (writes.0, self.writes.clone()),
+            default_labels: Some(DefaultLabels {
+                reads,
+                writes,
                 tenant: self.tenant.clone(),
                 group: self.group,
-                patience_ms: (reads.1, writes.1),
             }),
-            most: self.clients,
-            idle: self.idle_s * 1_000_000,
+            max_clients: self.clients,
+            idle_timeout: self.idle_s * 1_000_000,
         })
     }
 }
@@ -332,9 +337,9 @@
         &self,
         path: &Path,
         settings: Option<&Settings>,
-    ) -> Result<Vec<(SocketAddr, Terms)>, KeyFault> {
+    ) -> Result<Vec<(SocketAddr, ListenerConfig)>, KeyFault> {
         let folder = path.parent().unwrap_or(Path::new(""));
-        let mut all: Vec<(SocketAddr, Terms)> = Vec::new();
+        let mut all: Vec<(SocketAddr, ListenerConfig)> = Vec::new();
         for (place, front) in self.fronts.iter().enumerate() {
             let key = format!("fronts[{place}]");
             if all.iter().any(|(_, known)| known.name == front.name) {
@@ -456,10 +461,7 @@
 }
 
 fn of_tiers(fault: RuleFault) -> KeyFault {
-    KeyFault::new(
-        format!("tiers.{}", fault.key),
-        Wrong::ZoneFailover(fault.why),
-    )
+    KeyFault::new(format!("tiers.{}", fault.key), Wrong::Locality(fault.why))
 }
 
 /// The operators' file of a router that serves, and what its parts are made with.
--- a/router/src/serve.rs
+++ b/router/src/serve.rs
@@ -4,7 +4,7 @@
 use crate::clock::Clock;
 use crate::config::{self, Config};
 use crate::discovery::{Discovery, Listing};
-use crate::front::pg::Front;
+use crate::front::Front;
 use crate::net::budget::Budget;
 use crate::net::signals::{Registration, Signal, Signals};
 use crate::net::{Source, split};
@@ -129,7 +129,7 @@
         for (address, terms) in fronts {
             let listener = bind(address, "clients of a further front")?;
             info!(front = terms.name, address = %listener.local_addr()?, "a further front");
-            router.front.open(listener, terms)?;
+            router.front.add_listener(listener, terms)?;
         }
         let now = router.clock.now();
         router.list(config.known, true, now);
@@ -146,7 +146,7 @@
             peers.start(now, &mut self.engine);
         }
         let mut at_once = self.decide(now);
-        while !self.front.drained() {
+        while !self.front.is_drained() {
             let now = self.clock.now();
             let next = self
                 .engine
@@ -227,7 +227,7 @@
             Deadline::Wake => self.engine.wake(),
             Deadline::Attempt(id) => self.engine.attempt_timed_out(id, now),
             Deadline::Backend(key) => self.upstream.expired(key, now, &mut self.engine),
-            Deadline::Client(key) => self.front.look_over(key, now, &mut self.engine),
+            Deadline::Client(key) => self.front.check_client(key, now, &mut self.engine),
             Deadline::Discovery => self.discovery.due(now, &mut self.engine),
             Deadline::Peers => self
                 .peers
@@ -278,7 +278,7 @@
                 request,
                 origin,
                 answer,
-            } => self.front.concluded(origin, request, answer),
+            } => self.front.conclude(origin, request, answer),
         }
     }
 
@@ -297,7 +297,7 @@
     fn pass_on(&mut self, now: Time) {
         for served in self.upstream.take_served() {
             self.front
-                .served(served.origin, served.request, served.reply, now);
+                .pass_on(served.origin, served.request, served.reply, now);
         }
     }
 
@@ -348,7 +348,7 @@
             self.rezone(told.tiers, now);
             for (address, terms) in told.fronts {
                 // Those who are in stay in; what is asked of newcomers changes.
-                if !self.front.change(&terms) {
+                if !self.front.change_listener(&terms) {
                     warn!(front = terms.name, %address, "SIGHUP: a further front needs a restart");
                 }
             }
--- a/router/tests/errors.rs
+++ b/router/tests/errors.rs
@@ -377,7 +377,7 @@
     "router::Operators",
     "operators::Users",
     "operators::Logins",
-    "operators::Tiers",
+    "operators::Locality",
     "operators::Peers",
 ];
 
--- a/router/tests/front_desk/mod.rs
+++ b/router/tests/front_desk/mod.rs
@@ -8,7 +8,7 @@
 };
 use plovercove_engine::{AttemptId, Command, Deadline, Engine, Key};
 use plovercove_poller::{Events, Poll};
-use plovercove_router::front::pg::Front;
+use plovercove_router::front::Front;
 use plovercove_router::net::budget::Budget;
 use plovercove_router::net::{Source, split};
 use plovercove_settings::Names;
@@ -126,7 +126,7 @@
             match due {
                 Deadline::Wake => self.engine.wake(),
                 Deadline::Attempt(id) => self.engine.attempt_timed_out(id, self.now),
-                Deadline::Client(key) => self.front.look_over(key, self.now, &mut self.engine),
+                Deadline::Client(key) => self.front.check_client(key, self.now, &mut self.engine),
                 Deadline::Accept => self.front.resume_accepting(self.now, &mut self.engine),
                 Deadline::Stop => self.front.drain(self.now, &mut self.engine),
                 Deadline::Backend(_) | Deadline::Discovery | Deadline::Peers => {}
@@ -152,7 +152,7 @@
                         origin,
                         answer,
                     } => {
-                        self.front.concluded(origin, request, answer);
+                        self.front.conclude(origin, request, answer);
                     }
                     Command::CancelAttempt { .. }
                     | Command::HealthCheck(_)
@@ -195,7 +195,7 @@
             .expect("it is owed");
         let mut reply = self.budget.buffer();
         reply.write(|out| out.extend_from_slice(b"C\0\0\0\x0dSELECT 1\0"));
-        self.front.served(origin, attempt.request, reply, self.now);
+        self.front.pass_on(origin, attempt.request, reply, self.now);
         self.turn();
     }
 
--- a/router/tests/standing_crossings.rs
+++ b/router/tests/standing_crossings.rs
@@ -28,7 +28,7 @@
     desk.turn();
     assert!(!client.is_reset(), "closed over unread bytes");
     desk.pass_by(HEARD_OUT);
-    assert!(desk.front.drained() && desk.sent.is_empty());
+    assert!(desk.front.is_drained() && desk.sent.is_empty());
 }
 
 #[test]
@@ -41,7 +41,7 @@
     client.write(&query("a2"));
     desk.now += HEARD_OUT;
     desk.turn();
-    assert!(desk.front.drained() && desk.sent.is_empty());
+    assert!(desk.front.is_drained() && desk.sent.is_empty());
     assert!(!client.is_reset(), "closed over unread bytes");
 }
 
@@ -138,7 +138,7 @@
     desk.finish_turn();
     assert!(desk.sent.is_empty(), "begun, though its client had gone");
     desk.turn();
-    assert!(desk.front.drained());
+    assert!(desk.front.is_drained());
 }
 
 #[test]
@@ -222,7 +222,7 @@
     desk.now += HEARD_OUT;
     while let Some(due) = desk.engine.deadlines.pop(desk.now) {
         if let plovercove_engine::Deadline::Client(key) = due {
-            desk.front.look_over(key, desk.now, &mut desk.engine);
+            desk.front.check_client(key, desk.now, &mut desk.engine);
         }
     }
     desk.finish_turn();
@@ -348,7 +348,7 @@
         }
         assert_eq!(said, Some(Said::Error("53300".into())));
     }
-    while !desk.front.drained() {
+    while !desk.front.is_drained() {
         desk.pass();
     }
 }
@@ -398,7 +398,7 @@
             "read after the end was told, and begun"
         );
         desk.pass_by(HEARD_OUT);
-        assert!(desk.front.drained());
+        assert!(desk.front.is_drained());
     }
 }
 
@@ -459,7 +459,7 @@
     desk.pass_by(HEARD_OUT);
     assert_eq!(desk.hear(&mut client), Said::End);
     desk.pass_by(HEARD_OUT);
-    assert!(desk.front.drained());
+    assert!(desk.front.is_drained());
 }
 
 /// A request whose attempts were turned away until the next one is put off.
--- a/simulation/src/spec.rs
+++ b/simulation/src/spec.rs
@@ -441,6 +441,7 @@
 pub enum Variant {
     /// Tiers with limits and ramps.
     #[default]
+    #[serde(rename = "tiers")]
     ZoneFailover,
     /// As without tiers: crossing a zone is a small cost.
     Flat,
