--- a/router/src/error.rs
+++ b/router/src/error.rs
@@ -162,7 +162,7 @@
     Peers(#[source] plovercove_gossip::Error),
     /// A fault of what is done for the fleet.
     #[error("{}", bare(.0))]
-    Duties(#[source] Box<crate::chores::TermsFault>),
+    Duties(#[source] Box<crate::lease_tasks::TermsFault>),
     /// A front that speaks nothing.
     #[error("expected one version and one method at the least")]
     NoMethod,
--- a/router/src/peers.rs
+++ b/router/src/gossip.rs
@@ -2,9 +2,10 @@
 //! operators' file none of it is there. What a router does for the fleet goes by the same socket, within the same budget.
 
 use crate::Error;
-use crate::chores::{self, Chores, Heard, NodeQuery};
 use crate::clock::Clock;
+use crate::lease_tasks::{self, LeaseTasks};
 use crate::net::{Source, poll_key};
+use crate::upstream::{NodeQuery, QueryOutcome};
 use plovercove::{Settings, Time};
 use plovercove_engine::{Deadline, Engine};
 use plovercove_gossip::{Keys, Life, MOST, News, Peers, Rules, Witness};
@@ -19,7 +20,7 @@
 
 /// What operators say of peers, checked and with the keys read.
 #[derive(Clone)]
-pub struct Terms {
+pub struct GossipConfig {
     /// Where datagrams come.
     pub listen: SocketAddr,
     /// Where the others reach this router; its listening address where none is told.
@@ -29,16 +30,16 @@
     /// All else.
     pub rules: Rules,
     /// What it does for the fleet, if anything.
-    pub duties: Option<chores::Terms>,
+    pub duties: Option<lease_tasks::LeaseTasksConfig>,
 }
 
 /// The router among its peers.
-pub struct Talk {
+pub struct Gossip {
     socket: Registered<UdpSocket>,
     peers: Peers,
     due: Option<Time>,
     advertise: SocketAddr,
-    chores: Option<Chores>,
+    chores: Option<LeaseTasks>,
     /// It ends, when what it owns has been handed over.
     leaving: bool,
 }
@@ -51,11 +52,11 @@
         .and_then(<dyn Any>::downcast_mut)
 }
 
-impl Talk {
+impl Gossip {
     /// Opens the socket. Nobody is called yet.
     pub fn open(
         poll: &Poll,
-        terms: Terms,
+        terms: GossipConfig,
         name: &str,
         settings: &Settings,
         clock: Clock,
@@ -83,9 +84,9 @@
         let routers = terms.rules.routers;
         let chores = terms
             .duties
-            .map(|terms| Chores::new(terms, &me, routers, clock, seed));
+            .map(|terms| LeaseTasks::new(terms, &me, routers, clock, seed));
         let peers = Peers::new(terms.rules, terms.keys, me, now, seed);
-        Ok(Talk {
+        Ok(Gossip {
             socket,
             peers,
             due: None,
@@ -135,12 +136,12 @@
     pub fn take_asks(&mut self) -> Vec<NodeQuery> {
         self.chores
             .as_mut()
-            .map(Chores::take_asks)
+            .map(LeaseTasks::take_asks)
             .unwrap_or_default()
     }
 
     /// What became of them.
-    pub fn heard(&mut self, now: Time, all: Vec<Heard>, engine: &mut Engine) {
+    pub fn heard(&mut self, now: Time, all: Vec<QueryOutcome>, engine: &mut Engine) {
         let Some(chores) = &mut self.chores else {
             return;
         };
@@ -162,7 +163,7 @@
             tell(news);
         }
         let mut next = self.chores(now, others, engine);
-        if self.leaving && !self.chores.as_ref().is_some_and(Chores::handing) {
+        if self.leaving && !self.chores.as_ref().is_some_and(LeaseTasks::handing) {
             self.gone(now);
             next = Time::MAX;
         }
@@ -204,8 +205,8 @@
     }
 
     /// Takes over what a running router can: keys.
-    pub fn change(&mut self, terms: Terms) {
-        if terms.duties.as_ref() != self.chores.as_ref().map(Chores::terms) {
+    pub fn change(&mut self, terms: GossipConfig) {
+        if terms.duties.as_ref() != self.chores.as_ref().map(LeaseTasks::terms) {
             warn!(reason = "duties", "SIGHUP: other duties need a restart");
         }
         if terms.rules != *self.peers.rules()
--- a/router/src/chores/mod.rs
+++ b/router/src/lease_tasks/mod.rs
@@ -2,7 +2,7 @@
 //! they answered, is its zone's gateway where that is its duty, and learns from the others' watches. Without a `duties`
 //! block in the operators' file none of it is there.
 //!
-//! It opens nothing: messages go by the socket and within the budget of [`crate::peers`], questions by the connections of
+//! It opens nothing: messages go by the socket and within the budget of [`crate::gossip`], questions by the connections of
 //! [`crate::upstream`].
 
 mod file;
@@ -12,11 +12,12 @@
 mod watch;
 
 pub use file::{File, FileFault};
-pub use terms::{Block, Terms, TermsFault};
+pub use terms::{Block, LeaseTasksConfig, TermsFault};
 
 use crate::clock::Clock;
+use crate::upstream::{Look, NodeQuery, QueryOutcome};
 use nodes::Nodes;
-use plovercove::{GroupId, Micros, NodeId, NodeReport, Time};
+use plovercove::{GroupId, Micros, Time};
 use plovercove_engine::Engine;
 use plovercove_fanout::{self as fanout, Client, Fault, Gateway, Publisher, Subscriber, Topic};
 use plovercove_fencing::{Duty, Refused, Token};
@@ -34,25 +35,6 @@
 /// Refused owners that are remembered, so that each is told once: more duties than a fleet has.
 const TOLD: usize = 4_096;
 
-/// The last look at the clock and the lease before a question leaves.
-pub type Look = Rc<dyn Fn() -> bool>;
-
-/// A question to a node.
-pub struct NodeQuery {
-    /// The node.
-    pub node: NodeId,
-    /// Whether it may leave now.
-    pub look: Look,
-}
-
-/// What became of a question.
-pub struct Heard {
-    /// The node.
-    pub node: NodeId,
-    /// When it was asked and what it said; none where it did not answer.
-    pub answer: Option<(Time, NodeReport)>,
-}
-
 /// What was counted since the start.
 #[derive(Clone, Copy, Debug, Default)]
 struct Counts {
@@ -66,9 +48,9 @@
 }
 
 /// A router's part in the fleet's work.
-pub struct Chores {
+pub struct LeaseTasks {
     clock: Clock,
-    terms: Terms,
+    terms: LeaseTasksConfig,
     me: Member,
     duties: Rc<RefCell<Duties>>,
     file: Option<File>,
@@ -102,9 +84,9 @@
     }
 }
 
-impl Chores {
+impl LeaseTasks {
     /// A router that owns nothing yet. Reads the decider's file where it is one.
-    pub fn new(terms: Terms, me: &Life, routers: u32, clock: Clock, seed: u64) -> Self {
+    pub fn new(terms: LeaseTasksConfig, me: &Life, routers: u32, clock: Clock, seed: u64) -> Self {
         let now = clock.now();
         let me = member(me);
         let here = |d: &plovercove_leases::Decider| d.address == me.address;
@@ -148,7 +130,7 @@
             seed ^ 2,
             kept,
         );
-        Chores {
+        LeaseTasks {
             clock,
             duties: Rc::new(RefCell::new(duties)),
             file,
@@ -172,7 +154,7 @@
     }
 
     /// What it was made with.
-    pub fn terms(&self) -> &Terms {
+    pub fn terms(&self) -> &LeaseTasksConfig {
         &self.terms
     }
 
@@ -285,7 +267,7 @@
     }
 
     /// What became of a question.
-    pub fn heard(&mut self, now: Time, heard: Heard) {
+    pub fn heard(&mut self, now: Time, heard: QueryOutcome) {
         let Some((group, started)) = self.nodes.place(&heard.node) else {
             return;
         };
--- a/router/src/chores/terms.rs
+++ b/router/src/lease_tasks/terms.rs
@@ -34,7 +34,7 @@
 
 /// What operators say of duties, checked.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Terms {
+pub struct LeaseTasksConfig {
     /// How owners are found.
     pub rules: Rules,
     /// How news goes to those who want it.
@@ -117,7 +117,7 @@
         folder: &Path,
         address: SocketAddr,
         peers: &plovercove_gossip::Rules,
-    ) -> Result<Terms, TermsFault> {
+    ) -> Result<LeaseTasksConfig, TermsFault> {
         let mut rules = self.rules.clone();
         rules.installation.clone_from(&peers.installation);
         #[cfg_attr(
@@ -167,7 +167,7 @@
             return Err(TermsFault::NoFile { address });
         }
         let file = self.file.as_ref().map(|file| folder.join(file));
-        Ok(Terms {
+        Ok(LeaseTasksConfig {
             rules,
             fanout,
             file,
--- a/router/src/chores/watch.rs
+++ b/router/src/lease_tasks/watch.rs
@@ -1,5 +1,6 @@
 //! The watch of a group: whom its owner asks and when, what it tells of the answers, and what routers take of that.
 
+use crate::upstream::QueryAnswer;
 use plovercove::{GroupId, Micros, NodeId, NodeReport, Role, Time};
 use plovercove_fencing::Token;
 use serde::{Deserialize, Serialize};
@@ -151,20 +152,20 @@
         group: GroupId,
         node: &NodeId,
         started: Option<Time>,
-        answer: Option<(Time, NodeReport)>,
+        answer: Option<QueryAnswer>,
     ) {
         let Some(watched) = self.groups.get_mut(&group) else {
             return;
         };
         watched.out.remove(node);
-        let Some((asked, said)) = answer else { return };
+        let Some(answer) = answer else { return };
         let told = watched.answers.get(node).map_or(0, |a| a.told);
         watched.answers.insert(
             node.clone(),
             Answer {
-                asked,
+                asked: answer.asked_at,
                 started,
-                said,
+                said: answer.report,
                 told,
             },
         );
@@ -260,6 +261,11 @@
         watches
     }
 
+    fn answered_at(asked_at: Time, position: Time) -> Option<QueryAnswer> {
+        let report = said(position);
+        Some(QueryAnswer { asked_at, report })
+    }
+
     #[test]
     fn what_is_told_is_as_old_as_its_question_and_the_time_under_way() {
         // Danger: an answer that took long, or lay about, would pass for one of now.
@@ -271,7 +277,7 @@
             "it is asked once"
         );
         let at = NOW + 70 * MS;
-        watches.answered(at, 1, &node, Some(5), Some((NOW, said(NOW + 10))));
+        watches.answered(at, 1, &node, Some(5), answered_at(NOW, NOW + 10));
         let items = watches.items(at + 2 * MS);
         let read = words(&items[0].2).expect("it can be read");
         assert_eq!((read[0].age, read[0].started), (72 * MS, Some(5)));
@@ -289,7 +295,7 @@
         let mut watches = owning(1);
         let node: NodeId = "r1".into();
         assert!(watches.ask(NOW, 1, &node));
-        watches.answered(NOW, 1, &node, None, Some((NOW, said(NOW))));
+        watches.answered(NOW, 1, &node, None, answered_at(NOW, NOW));
         assert_eq!(watches.own(NOW + 1, &BTreeMap::from([(1, Token(4))])), [1]);
         assert!(watches.items(NOW + 1_000 * MS).is_empty());
         assert!(watches.own(NOW + 2, &BTreeMap::new()) == [1] && watches.next() == Time::MAX);
@@ -308,7 +314,7 @@
                 assert!(watches.ask(now, 1, node));
             }
             for node in &nodes {
-                watches.answered(now, 1, node, None, Some((now, said(now))));
+                watches.answered(now, 1, node, None, answered_at(now, now));
             }
             for (_, _, item) in watches.items(now + GATHER) {
                 assert!(item.len() <= ITEM, "{} bytes", item.len());
--- a/router/src/operators.rs
+++ b/router/src/operators.rs
@@ -1,11 +1,11 @@
 //! The operators' file: a Starlark script of settings that belong to an installation and not to the platform. It is
 //! evaluated when the router starts, and again on SIGHUP.
 
-use crate::chores::{self, TermsFault};
 use crate::error::{Error, KeyFault, Wrong};
 use crate::front::{DefaultClass, DefaultLabels, ListenerConfig};
-use crate::peers;
-use crate::upstream::pg::ConnectOptions;
+use crate::gossip;
+use crate::lease_tasks::{self, TermsFault};
+use crate::upstream::ConnectOptions;
 use plovercove::{Access, Settings};
 use plovercove_gossip::{Keys, Rules as PeerRules};
 use plovercove_locality::{RuleFault, Rules, ZoneFailover};
@@ -34,7 +34,7 @@
     /// The other routers; none: routers share nothing.
     pub peers: Option<Peers>,
     /// What routers do for the fleet; none: each does everything by itself.
-    pub duties: Option<chores::Block>,
+    pub duties: Option<lease_tasks::Block>,
 }
 
 /// How routers talk with each other.
@@ -157,7 +157,7 @@
     /// Who the router is to its db nodes.
     pub connect_options: ConnectOptions,
     /// How it talks with other routers, if it does.
-    pub peers: Option<peers::Terms>,
+    pub peers: Option<gossip::GossipConfig>,
 }
 
 impl Told {
@@ -382,7 +382,7 @@
         &self,
         path: &Path,
         settings: Option<&Settings>,
-    ) -> Result<Option<peers::Terms>, KeyFault> {
+    ) -> Result<Option<gossip::GossipConfig>, KeyFault> {
         let Some(told) = &self.peers else {
             return match &self.duties {
                 Some(_) => Err(duties(TermsFault::NoPeers)),
@@ -429,7 +429,7 @@
             .map(|block| block.terms(folder, address, &rules))
             .transpose();
         let duties = duties.map_err(self::duties)?;
-        Ok(Some(peers::Terms {
+        Ok(Some(gossip::GossipConfig {
             listen: told.listen,
             advertise: told.advertise,
             keys,
--- a/router/src/serve.rs
+++ b/router/src/serve.rs
@@ -5,12 +5,12 @@
 use crate::config::{self, Config};
 use crate::discovery::{Discovery, Listing};
 use crate::front::Front;
+use crate::gossip::{self, Gossip};
 use crate::net::budget::Budget;
 use crate::net::signals::{Registration, Signal, Signals};
 use crate::net::{Source, split};
 use crate::operators;
-use crate::peers::{self, Talk};
-use crate::upstream::pg::Upstream;
+use crate::upstream::Upstream;
 use plovercove::{EndpointUpdate, LocalityPolicy, Time};
 use plovercove_engine::{Command, Deadline, Engine, Lists, WatchSchedule};
 use plovercove_gossip::Witness;
@@ -46,7 +46,7 @@
     upstream: Upstream,
     discovery: Discovery,
     operators: Option<operators::Source>,
-    peers: Option<Talk>,
+    peers: Option<Gossip>,
     /// SIGTERM has come.
     stopping: bool,
 }
@@ -98,7 +98,7 @@
                     as Box<dyn LocalityPolicy>),
                 None => zoning,
             };
-        let talk = |terms| Talk::open(&poll, terms, &config.name, &settings, clock, config.seed);
+        let talk = |terms| Gossip::open(&poll, terms, &config.name, &settings, clock, config.seed);
         let mut router = Router {
             peers: peers.map(talk).transpose()?,
             clock,
@@ -226,7 +226,7 @@
         match due {
             Deadline::Wake => self.engine.wake(),
             Deadline::Attempt(id) => self.engine.attempt_timed_out(id, now),
-            Deadline::Backend(key) => self.upstream.expired(key, now, &mut self.engine),
+            Deadline::Backend(key) => self.upstream.connection_expired(key, now, &mut self.engine),
             Deadline::Client(key) => self.front.check_client(key, now, &mut self.engine),
             Deadline::Discovery => self.discovery.due(now, &mut self.engine),
             Deadline::Peers => self
@@ -270,9 +270,9 @@
                 None => engine.attempt_not_sent(attempt, now),
             },
             Command::CancelAttempt { attempt, node } => {
-                self.upstream.give_up(attempt, &node, now, engine)
+                self.upstream.cancel_attempt(attempt, &node, now, engine)
             }
-            Command::HealthCheck(node) => self.upstream.probe(&node, now, engine),
+            Command::HealthCheck(node) => self.upstream.check_health(&node, now, engine),
             Command::CloseIdle(node) => self.upstream.close_idle(&node, engine),
             Command::Answer {
                 request,
@@ -285,12 +285,12 @@
     /// Asks nodes what the fleet wants to know of them, and takes what they answered.
     fn fleet(&mut self, now: Time) {
         let Some(peers) = &mut self.peers else { return };
-        let heard = self.upstream.take_heard();
+        let heard = self.upstream.take_query_outcomes();
         if !heard.is_empty() {
             peers.heard(now, heard, &mut self.engine);
         }
         for ask in peers.take_asks() {
-            self.upstream.watch(ask, now, &mut self.engine);
+            self.upstream.query(ask, now, &mut self.engine);
         }
     }
 
@@ -316,7 +316,8 @@
                 (false, true) => EndpointUpdate::Full(entries),
                 (false, false) => EndpointUpdate::Changes(entries),
             });
-        self.upstream.list(&listing, now, &mut self.engine);
+        self.upstream
+            .update_endpoints(&listing, now, &mut self.engine);
         self.peers
             .iter_mut()
             .for_each(|peers| peers.listed(now, &self.engine));
@@ -352,7 +353,7 @@
                     warn!(front = terms.name, %address, "SIGHUP: a further front needs a restart");
                 }
             }
-            self.upstream.change(told.connect_options);
+            self.upstream.change_options(told.connect_options);
             match (&mut self.peers, told.peers) {
                 (Some(peers), Some(terms)) => peers.change(terms),
                 (None, None) => {}
@@ -367,7 +368,7 @@
 
     /// Puts other tiers in the place of those in use; they go on from what these have learned.
     fn rezone(&mut self, mut tiers: Option<ZoneFailover>, now: Time) {
-        let old = match peers::witness(&mut self.engine) {
+        let old = match gossip::witness(&mut self.engine) {
             Some(witness) => witness.inner(),
             None => self.engine.locality_policy(),
         };
@@ -378,7 +379,7 @@
             fresh.inherit(old);
         }
         let tiers = tiers.map(|tiers| Box::new(tiers) as Box<dyn LocalityPolicy>);
-        match peers::witness(&mut self.engine) {
+        match gossip::witness(&mut self.engine) {
             Some(witness) => {
                 let witness = witness.with(tiers);
                 self.engine
--- a/router/src/upstream/reply.rs
+++ b/router/src/upstream/reply.rs
@@ -3,34 +3,34 @@
 
 use crate::clock;
 use crate::net::budget::{Budget, Buffer};
-use crate::statement_labels::{self, Message};
 use plovercove::{AttemptEnd, NodeReport, Role};
+use plovercove_pgwire::messages::{self, Message};
 use plovercove_pgwire::reply::{self, Outcome, Shape, Spoilt, Taken};
 
 /// The longest row. Values have 64 KiB by the protocol, but db nodes have been seen to give 400 KB; the budget of bytes
 /// is what protects the memory.
-pub const LONGEST_ROW: usize = 2 * 1024 * 1024;
+pub const MAX_ROW_BYTES: usize = 2 * 1024 * 1024;
 /// The longest of all other messages.
-const LONGEST: usize = 4 * 1024;
+const MAX_OTHER_BYTES: usize = 4 * 1024;
 
 /// What has come of a reply.
 pub struct Reply {
     /// What its client gets, as it came.
     pub body: Buffer,
     order: reply::Reply,
-    /// What the node says of itself, and in its report.
-    pub note: NodeReport,
-    /// The report.
-    pub report: NodeReport,
+    /// What the answer says of the node: as new as the answer.
+    pub answer_report: NodeReport,
+    /// What the report carried along says of it: maybe older.
+    pub load_report: NodeReport,
 }
 
 /// The longest that a message of this kind may be; none is of an unknown kind.
-pub fn longest(kind: u8) -> Option<usize> {
+pub fn max_message_bytes(kind: u8) -> Option<usize> {
     match kind {
-        b'D' => Some(LONGEST_ROW),
-        b'T' | b'C' | b'E' | b'S' | b'N' | b'Z' | b'R' | b'K' | b'v' => Some(LONGEST),
-        b'd' => Some(LONGEST_ROW),
-        b'I' | b'A' | b'G' | b'H' | b'c' => Some(LONGEST),
+        b'D' => Some(MAX_ROW_BYTES),
+        b'T' | b'C' | b'E' | b'S' | b'N' | b'Z' | b'R' | b'K' | b'v' => Some(MAX_OTHER_BYTES),
+        b'd' => Some(MAX_ROW_BYTES),
+        b'I' | b'A' | b'G' | b'H' | b'c' => Some(MAX_OTHER_BYTES),
         _ => None,
     }
 }
@@ -38,12 +38,11 @@
 impl Reply {
     /// A reply of which nothing has come.
     pub fn new(budget: &Budget, shape: Shape) -> Self {
-        let (note, report) = Default::default();
         Reply {
             body: budget.buffer(),
             order: reply::Reply::new(shape),
-            note,
-            report,
+            answer_report: NodeReport::default(),
+            load_report: NodeReport::default(),
         }
     }
 
@@ -57,8 +56,7 @@
             Taken::Keep => {
                 // A client's value may read like a report; it is none.
                 if is_report && message.kind == b'D' {
-                    self.report =
-                        report(statement_labels::single_value(message.body).ok_or(Spoilt)?);
+                    self.load_report = report(messages::single_value(message.body).ok_or(Spoilt)?);
                 }
                 self.body.write(|body| body.extend_from_slice(message.raw));
             }
@@ -74,14 +72,14 @@
     fn tell(&mut self, name: &str, value: &str) {
         match name {
             "replication_role" => {
-                self.note.role = match value {
+                self.answer_report.role = match value {
                     "primary" => Some(Role::Primary),
                     "standby" => Some(Role::Replica),
                     _ => None,
                 };
             }
-            "log_position" => self.note.position = value.parse().ok().map(clock::from_ms),
-            "pressure" => self.report = report(value.as_bytes()),
+            "log_position" => self.answer_report.position = value.parse().ok().map(clock::from_ms),
+            "pressure" => self.load_report = report(value.as_bytes()),
             _ => {}
         }
     }
@@ -92,7 +90,7 @@
     }
 
     /// What became of the request. An error that blames the statement is its answer, as a row would be.
-    pub fn ending(&self) -> AttemptEnd {
+    pub fn end(&self) -> AttemptEnd {
         match self.order.outcome() {
             Outcome::Served | Outcome::Faulted => AttemptEnd::Success,
             Outcome::Missed => AttemptEnd::Misdirected,
--- a/router/src/upstream/pg/tests.rs
+++ b/router/src/upstream/tests.rs
@@ -1,14 +1,23 @@
 //! Crossings at db nodes, each forced: the pools before nodes on loopback sockets that do nothing by themselves, on a clock
 //! that only the test moves. Events are taken in when the test says so, so that what comes between two steps is its choice.
 
+use super::connection::State;
+use super::locations::MAX_REMOVED_POOLS;
+use super::pool::REPORT_QUERY;
 use super::*;
+use crate::discovery::Listing;
 use crate::net::split;
+use crate::statement_labels;
 use plovercove::{
-    Access, Class, DedupScope, Endpoint, EndpointUpdate, Idempotency, RequestInfo, Settings,
+    Access, Class, DedupScope, Endpoint, EndpointState, EndpointUpdate, Idempotency, RequestInfo,
+    Settings,
 };
 use plovercove_emulator::held::{Deaf, Link, Node};
-use plovercove_engine::{Command, FinalAnswer};
+use plovercove_engine::{Command, Deadline, FinalAnswer};
+use plovercove_pgwire::messages;
+use plovercove_pgwire::reply::Shape;
 use plovercove_poller::Events;
+use std::net::SocketAddr;
 use std::time::Duration;
 
 /// Ends a test that would hang; no test waits for it.
@@ -148,7 +157,8 @@
             entries,
             odd: None,
         };
-        self.upstream.list(&listing, self.now, &mut self.engine);
+        self.upstream
+            .update_endpoints(&listing, self.now, &mut self.engine);
     }
 
     /// The list says this of a node; nothing that hangs on it has been done yet.
@@ -216,9 +226,9 @@
                 self.upstream.send(attempt, statement, &node, now, engine);
             }
             Command::CancelAttempt { attempt, node } => {
-                self.upstream.give_up(attempt, &node, now, engine)
+                self.upstream.cancel_attempt(attempt, &node, now, engine)
             }
-            Command::HealthCheck(node) => self.upstream.probe(&node, now, engine),
+            Command::HealthCheck(node) => self.upstream.check_health(&node, now, engine),
             Command::CloseIdle(node) => self.upstream.close_idle(&node, engine),
             Command::Answer {
                 request, answer, ..
@@ -269,7 +279,10 @@
             match due {
                 Deadline::Wake => self.engine.wake(),
                 Deadline::Attempt(id) => self.engine.attempt_timed_out(id, self.now),
-                Deadline::Backend(key) => self.upstream.expired(key, self.now, &mut self.engine),
+                Deadline::Backend(key) => {
+                    self.upstream
+                        .connection_expired(key, self.now, &mut self.engine)
+                }
                 _ => {}
             }
         }
@@ -281,9 +294,9 @@
         self.until(|pools| {
             !pools
                 .upstream
-                .backends
+                .connections
                 .iter()
-                .any(|(_, b)| matches!(b.state, State::Dialing))
+                .any(|(_, b)| matches!(b.state, State::Connecting))
         });
         node.accept(HANGS).expect("a connection")
     }
@@ -295,9 +308,9 @@
         self.until(|pools| {
             !pools
                 .upstream
-                .backends
+                .connections
                 .iter()
-                .any(|(_, b)| matches!(b.state, State::Greeting(_)))
+                .any(|(_, b)| matches!(b.state, State::LoggingIn(_)))
         });
         link
     }
@@ -305,14 +318,14 @@
     /// A connection to this node that is idle.
     fn idle(&mut self, name: &str, node: &Node) -> Link {
         self.upstream
-            .probe(&name.into(), self.now, &mut self.engine);
+            .check_health(&name.into(), self.now, &mut self.engine);
         let mut link = self.greeted(node);
         assert_eq!(
             link.statement().expect("a question").as_deref(),
-            Some(REPORT)
+            Some(REPORT_QUERY)
         );
         link.answer("x0=1,x1=1").expect("the pools are there");
-        self.until(|pools| pools.upstream.nodes[name].idle.len() == 1);
+        self.until(|pools| pools.upstream.pools[name].idle.len() == 1);
         link
     }
 
@@ -320,17 +333,17 @@
     fn open(&self) -> (usize, usize) {
         let busy = self
             .upstream
-            .backends
+            .connections
             .iter()
             .filter(|(_, b)| matches!(b.state, State::Busy(..)));
-        (self.upstream.backends.len(), busy.count())
+        (self.upstream.connections.len(), busy.count())
     }
 
     /// How many bytes of the one job that is at work are still to leave; whether none has left.
     fn held_back(&self) -> Option<(usize, bool)> {
         let mut busy = self
             .upstream
-            .backends
+            .connections
             .iter()
             .filter(|(_, b)| matches!(b.state, State::Busy(..)));
         busy.next()
@@ -389,13 +402,13 @@
 fn question(pools: &mut Pools, asks: Asks) {
     let (node, now): (NodeId, Time) = ("p".into(), pools.now);
     match asks {
-        Asks::Router => pools.upstream.probe(&node, now, &mut pools.engine),
+        Asks::Router => pools.upstream.check_health(&node, now, &mut pools.engine),
         Asks::Fleet => {
             let ask = NodeQuery {
                 node,
                 look: Rc::new(|| true),
             };
-            pools.upstream.watch(ask, now, &mut pools.engine);
+            pools.upstream.query(ask, now, &mut pools.engine);
         }
     }
 }
@@ -410,10 +423,10 @@
         let mut link = pools.up(&node);
         pools.hears("p", EndpointState::Draining);
         link.greet("primary").expect("the pools are there");
-        pools.until(|pools| pools.upstream.nodes["p"].coming == 0);
+        pools.until(|pools| pools.upstream.pools["p"].coming_up == 0);
         assert_eq!(pools.open(), (1, 0), "{asks:?}");
         assert_eq!(link.has_come().expect("a socket"), None, "{asks:?}");
-        let heard = pools.upstream.take_heard();
+        let heard = pools.upstream.take_query_outcomes();
         assert_eq!(
             heard.len(),
             usize::from(matches!(asks, Asks::Fleet)),
@@ -496,7 +509,7 @@
             self.read += self.link.read(64 * 1024).expect("bytes that were sent");
             let key = pools
                 .upstream
-                .backends
+                .connections
                 .iter()
                 .next()
                 .expect("its connection")
@@ -576,7 +589,7 @@
         None
     };
     let mut asked = Vec::new();
-    statement_labels::put_query(&mut asked, REPORT);
+    messages::put_query(&mut asked, REPORT_QUERY);
     for (length, job) in [
         (query(JOB, 0), write),
         (asked.len(), probe),
@@ -644,7 +657,7 @@
             let node = deaf.opens().expect("it listens");
             let mut link = pools.up(&node);
             link.greet("primary").expect("the pools are there");
-            pools.until(|pools| pools.upstream.nodes["p"].coming == 0);
+            pools.until(|pools| pools.upstream.pools["p"].coming_up == 0);
             assert_eq!(pools.open(), (1, 0));
             assert_eq!(link.has_come().expect("a socket"), None);
         }
@@ -702,11 +715,11 @@
             // A question names its node; where a write goes the module says.
             pools
                 .upstream
-                .probe(&new.into(), pools.now, &mut pools.engine);
+                .check_health(&new.into(), pools.now, &mut pools.engine);
             link = pools.greeted(&node);
             assert_eq!(
                 link.statement().expect("a question").as_deref(),
-                Some(REPORT),
+                Some(REPORT_QUERY),
                 "{id}"
             );
             link.answer("x0=1,x1=1").expect("the pools are there");
@@ -811,7 +824,7 @@
         pools.told(false, &[("p", EndpointState::Draining, Some(at(&node)))]);
         assert_eq!(pools.open(), (0, 0), "{asks:?}");
         closed(&mut link);
-        let heard = pools.upstream.take_heard();
+        let heard = pools.upstream.take_query_outcomes();
         assert_eq!(
             heard.len(),
             usize::from(matches!(asks, Asks::Fleet)),
@@ -891,8 +904,8 @@
         ..settings()
     });
     for list in 0..3 {
-        let places: Vec<u16> = (0..DROPPED_MOST as u16)
-            .map(|n| 1_024 + list * DROPPED_MOST as u16 + n)
+        let places: Vec<u16> = (0..MAX_REMOVED_POOLS as u16)
+            .map(|n| 1_024 + list * MAX_REMOVED_POOLS as u16 + n)
             .collect();
         let names: Vec<String> = places.iter().map(|port| format!("r{port}")).collect();
         let all = names.iter().zip(&places).map(|(name, port)| {
@@ -904,7 +917,7 @@
         });
         pools.told(true, &all.collect::<Vec<_>>());
     }
-    assert_eq!(pools.upstream.nodes.len(), 2 * DROPPED_MOST);
+    assert_eq!(pools.upstream.pools.len(), 2 * MAX_REMOVED_POOLS);
 }
 
 #[test]
@@ -1277,7 +1290,7 @@
         assert_eq!(
             (
                 pools.engine.pending_requests(),
-                pools.upstream.running.len()
+                pools.upstream.running_attempts.len()
             ),
             (0, 0),
             "{first:?}"
@@ -1330,7 +1343,7 @@
         assert_eq!(pools.fate(request), (!gone).then_some(Fate::Refused));
         // 1.5 s after it was begun.
         link.greet("primary").expect("the pools are there");
-        pools.until(|pools| pools.upstream.nodes["p"].idle.len() == 1);
+        pools.until(|pools| pools.upstream.pools["p"].idle.len() == 1);
         assert_eq!(link.has_come().expect("a socket"), None);
         let next = pools.asks("a2", WRITE, 0);
         assert_eq!(
--- a/router/tests/duties.rs
+++ b/router/tests/duties.rs
@@ -7,10 +7,10 @@
 use plovercove_emulator::{Agent, Caller, Entry, Fate};
 use plovercove_engine::Engine;
 use plovercove_poller::{Events, Poll};
-use plovercove_router::chores::NodeQuery;
 use plovercove_router::net::budget::Budget;
 use plovercove_router::net::{Source, split};
-use plovercove_router::upstream::pg::{ConnectOptions, Upstream};
+use plovercove_router::upstream::NodeQuery;
+use plovercove_router::upstream::{ConnectOptions, Upstream};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, UdpSocket};
@@ -488,7 +488,7 @@
     let mut events = Events::new();
     // The first finds no connection, the last one that is free.
     for (may, asked) in [(false, 0), (true, 1), (false, 1)] {
-        upstream.watch(
+        upstream.query(
             NodeQuery {
                 node: id.clone(),
                 look: Rc::new(move || may),
@@ -498,7 +498,7 @@
         );
         let until = Instant::now() + HANGS;
         let heard = loop {
-            if let Some(heard) = upstream.take_heard().pop() {
+            if let Some(heard) = upstream.take_query_outcomes().pop() {
                 break heard;
             }
             assert!(Instant::now() < until, "nothing became of it");
@@ -512,7 +512,7 @@
         };
         assert_eq!((heard.answer.is_some(), node.probes()), (may, asked));
         assert!(
-            heard.answer.is_none_or(|(at, _)| at == 1),
+            heard.answer.is_none_or(|answer| answer.asked_at == 1),
             "its age counts from when it was asked"
         );
     }
