--- a/emulator/src/agent.rs
+++ b/emulator/src/agent.rs
@@ -152,14 +152,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    #[test]
-    fn numbers_are_read_from_the_first_line() {
-        let line = "GET /api/targets?after=41&wait_ms=200 HTTP/1.1\r\n";
-        assert_eq!(
-            (super::number(line, "after"), super::number(line, "wait_ms")),
-            (Some(41), Some(200))
-        );
-        assert_eq!(super::number("GET /api/targets HTTP/1.1", "after"), None);
-    }
-}
+mod tests;
--- /dev/null
+++ b/emulator/src/process/tests.rs
@@ -0,0 +1,57 @@
+//! Unit tests of `process`.
+
+use super::*;
+
+#[test]
+fn addresses_are_found_in_both_forms_of_the_log() {
+    let there: SocketAddr = "127.0.0.1:5432".parse().expect("an address");
+    for line in [
+        "INFO serving name=\"n\" listen=127.0.0.1:5432",
+        "{\"listen\":\"127.0.0.1:5432\",\"x\":1}",
+    ] {
+        assert_eq!(address(line, "listen"), Some(there));
+        assert_eq!(address(line, "address"), None);
+    }
+}
+
+#[test]
+fn a_process_that_ends_at_once_is_told_of_with_its_last_words() {
+    let folder = Folder::new("ends-at-once").expect("a folder");
+    let path = folder.write("config.json", "{}").expect("a file");
+    let said = Process::start(Path::new("/bin/sh"), &path, |c| {
+        c.args(["-c", "echo no good >&2"])
+    });
+    assert_eq!(
+        said.err().as_deref(),
+        Some("the router does not start: no good")
+    );
+    let gone = folder.path().to_path_buf();
+    drop(folder);
+    assert!(!gone.exists());
+}
+
+#[test]
+fn a_stopped_process_goes_on_and_ends_and_is_struck_no_more() {
+    let folder = Folder::new("stopped").expect("a folder");
+    let path = folder.write("config.json", "{}").expect("a file");
+    let script = "echo listen=127.0.0.1:1 >&2; read _; exit 3";
+    let mut process = Process::start(Path::new("/bin/sh"), &path, |c| {
+        c.args(["-c", script]).stdin(Stdio::piped())
+    })
+    .expect("it says where it listens");
+    process.strike(Blow::Stop);
+    drop(process.child.stdin.take());
+    assert_eq!(
+        process.ended(Duration::from_millis(50)),
+        None,
+        "it stands still"
+    );
+    process.strike(Blow::Continue);
+    let status = process.ended(STARTS).expect("it goes on to its end");
+    assert_eq!(status.code(), Some(3));
+    process.strike(Blow::Kill);
+    assert!(
+        process.says("never said", STARTS).is_none(),
+        "its log is over, so nobody waits"
+    );
+}
--- /dev/null
+++ b/experiments/src/error/tests.rs
@@ -0,0 +1,104 @@
+//! Unit tests of `error`.
+
+use super::*;
+use crate::experiment::Experiment;
+use crate::sockets;
+use plovercove_emulator::page;
+use plovercove_simulation::Spec;
+use std::collections::BTreeSet;
+use std::path::Path;
+use strum::VariantNames;
+
+const SMALL: &str = "zones = [{\"name\": z, \"nodes\": 3, \"routers\": 2} for z in [\"a\", \"b\", \"c\"]]\nseconds = 1.0\n";
+
+fn read(more: &str, set: &[&str]) -> Result<Experiment, Error> {
+    let path = std::env::temp_dir().join(format!(
+        "plovercove-experiments-errors-{}.star",
+        std::process::id()
+    ));
+    std::fs::write(&path, format!("{SMALL}{more}"))?;
+    let set: Vec<String> = set.iter().map(ToString::to_string).collect();
+    let read = Experiment::read(&path, &set);
+    std::fs::remove_file(&path)?;
+    read
+}
+
+/// What sockets say of a case, before anything is started.
+fn played(more: &str) -> Error {
+    let experiment = read(more, &[]).unwrap_or_else(|e| panic!("{more}: {e}"));
+    let spec: &Spec = &experiment.cases[0].1;
+    sockets::play(spec, Path::new("no such program"), 1, |_| {}).expect_err("it cannot be played")
+}
+
+#[test]
+fn every_error_of_the_lab_stands_on_the_page_with_its_help() {
+    let refused = || io::Error::from(io::ErrorKind::PermissionDenied);
+    let down = |part: f64| {
+        format!(
+            "faults = [{{\"at\": 0.1, \"until\": 0.2, \"what\": {{\"zone_down\": {{\"zone\": \"a\", \"part\": {part}}}}}}}]\n"
+        )
+    };
+    let drain = "faults = [{\"at\": 0.1, \"until\": 0.2, \"what\": {\"drain\": {\"zone\": \"a\", \"part\": 0.5}}}]\n";
+    let all = [
+        Experiment::from_text("none", "x = 1 +")
+            .err()
+            .expect("no script"),
+        read("", &["seconds=-1"]).err().expect("no time"),
+        read("", &["seconds"]).err().expect("no value"),
+        crate::seeds("4..1").expect_err("backwards"),
+        crate::variant("round").expect_err("no way"),
+        played("zones = [{\"name\": \"a\", \"nodes\": 60, \"routers\": 2}]\n"),
+        played(&down(0.5)),
+        played(drain),
+        played(""),
+        // What needs a broken machine or a router of another build.
+        Error::Model(SpecFault("clients.load: expected more".into())),
+        Error::NoCase {
+            file: "a.star".into(),
+            case: "b".into(),
+        },
+        Error::Rounds,
+        Error::NoRouter,
+        Error::Trial("interrupted".into()),
+        Error::File {
+            path: "a.json".into(),
+            source: refused(),
+        },
+        Error::System(refused()),
+        Error::Json(serde_json::from_str::<u8>("x").expect_err("no number")),
+        Error::Untold("CPU time"),
+        Error::Client {
+            way: "front",
+            source: refused(),
+        },
+        Error::Answer {
+            way: "front",
+            heard: "[]".into(),
+        },
+        Error::Panicked,
+    ];
+    let page = page::read();
+    let mut names = BTreeSet::new();
+    for fault in &all {
+        let name: &'static str = fault.into();
+        let (text, help) = (fault.to_string(), fault.help());
+        // These two pass on a fault of the script.
+        let passed_on = matches!(fault, Error::Script(_) | Error::Case { .. });
+        let mine = |row: &&page::Row| passed_on || row.variant == format!("lab::{name}");
+        assert!(
+            page.iter().filter(mine).any(|row| row.says(&text, help)),
+            "{name}: {text} (help: {help})"
+        );
+        names.insert(name);
+    }
+    assert_eq!(
+        names,
+        Error::VARIANTS.iter().copied().collect(),
+        "each variant is produced"
+    );
+    let rows = page
+        .iter()
+        .filter(|row| row.variant.starts_with("lab::"))
+        .count();
+    assert_eq!(rows, Error::VARIANTS.len() - 2, "the page has no other");
+}
--- a/pgwire/src/cancel.rs
+++ b/pgwire/src/cancel.rs
@@ -77,42 +77,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn only_the_whole_key_of_a_session_that_is_there_finds_it() {
-        let mut keys = Keys::new();
-        let old = keys.issue('a', Version::V30, [7; 32]);
-        let new = keys.issue('b', Version::V32, [8; 32]);
-        assert_eq!((old.secret.len(), new.secret.len()), (4, 32));
-        assert_eq!((keys.find(&old), keys.find(&new)), (Some('a'), Some('b')));
-        for secret in [vec![], vec![7; 3], vec![7; 5], vec![8; 4]] {
-            assert_eq!(keys.find(&CancelKey { id: old.id, secret }), None);
-        }
-        assert_eq!(
-            keys.find(&CancelKey {
-                id: new.id,
-                secret: old.secret.clone()
-            }),
-            None
-        );
-        keys.withdraw(old.id);
-        assert_eq!((keys.find(&old), keys.len()), (None, 1));
-        assert_eq!(format!("{new:?}"), "CancelKey(2)", "no secret in a log");
-    }
-
-    #[test]
-    fn numbers_are_used_again_only_when_they_are_free() {
-        let mut keys = Keys {
-            out: HashMap::new(),
-            last: i32::MAX as u32 - 1,
-        };
-        let ids: Vec<u32> = (0..3)
-            .map(|n| keys.issue(n, Version::V30, [1; 32]).id)
-            .collect();
-        assert_eq!(ids, [i32::MAX as u32, 1, 2]);
-        keys.last = 0;
-        assert_eq!(keys.issue(3, Version::V30, [1; 32]).id, 3);
-    }
-}
+mod tests;
--- a/pgwire/src/lib.rs
+++ b/pgwire/src/lib.rs
@@ -8,7 +8,8 @@
 //! | [`catalogue`] | what becomes of every message that either side can send, and why |
 //! | [`startup`] | how a client comes in: version, user, proof of who it is |
 //! | [`verifier`] | what is kept to check clients by; never a password |
-//! | [`throttle`] | who may try to log in again, and when |
+//! | [`login_rate_limit`] | who may try to log in again, and when |
+//! | [`messages`] | framing of messages, and the words that both sides use |
 //! | [`login`] | how the router itself logs in to a server |
 //! | [`reply`] | whether a server's reply has the order and form that it must, and what it says became of the request |
 //! | [`encoder`] | the words of a reply, an error or a greeting in a client's version |
--- /dev/null
+++ b/pgwire/src/session/tests.rs
@@ -0,0 +1,57 @@
+//! Unit tests of `session`.
+
+use super::*;
+use crate::values::Style;
+
+#[test]
+fn what_the_router_keeps_is_set_and_set_back() {
+    let start = Forms {
+        bytea: Bytea::Escape,
+        ..Forms::default()
+    };
+    let mut session = Session::new(start);
+    let told = session.set("DateStyle", Some("German")).expect("known");
+    assert_eq!(told, Some(("DateStyle", "German, DMY".into())));
+    session.set("bytea_output", Some("hex")).expect("known");
+    session.set("statement_timeout", Some("2s")).expect("known");
+    assert_eq!(
+        (
+            session.forms.dates.style,
+            session.forms.bytea,
+            session.timeout_ms
+        ),
+        (Style::German, Bytea::Hex, Some(2_000))
+    );
+    session.set("bytea_output", None).expect("known");
+    assert_eq!(session.forms.bytea, Bytea::Escape, "as the listener has it");
+    session.set("all", None).expect("known");
+    assert_eq!(session, Session::new(start));
+    for (name, value) in [
+        ("client_encoding", "UTF-8"),
+        ("client_encoding", "unicode"),
+        ("application_name", "x"),
+    ] {
+        assert_eq!(session.set(name, Some(value)), Ok(None), "{name}");
+    }
+}
+
+#[test]
+fn what_it_cannot_keep_is_refused_by_name() {
+    // Danger: a setting that is taken and not kept changes what the client reads, and nobody would know.
+    let mut session = Session::new(Forms::default());
+    for (name, value, code) in [
+        ("search_path", "other", code::UNSUPPORTED),
+        ("TimeZone", "UTC", code::UNSUPPORTED),
+        ("client_encoding", "LATIN1", code::UNSUPPORTED),
+        ("standard_conforming_strings", "off", code::UNSUPPORTED),
+        ("DateStyle", "nonsense", "22023"),
+        ("bytea_output", "base64", "22023"),
+        ("statement_timeout", "soon", "22023"),
+        ("statement_timeout", "99999999999999999999", "22023"),
+    ] {
+        let fault = session.set(name, Some(value)).expect_err(name);
+        assert_eq!(fault.code, code, "{name}: {fault}");
+        assert!(fault.text.contains(&name.to_ascii_lowercase()));
+    }
+    assert_eq!(session, Session::new(Forms::default()));
+}
--- /dev/null
+++ b/router/src/statement_labels/tests.rs
@@ -0,0 +1,61 @@
+//! Unit tests of `statement_labels`.
+
+use super::*;
+
+const READ: &str = "/* id=9b,c=basket,t=acme,d=480,cluster=2,after=17 */ SELECT body FROM objects WHERE oid = '7f3a'";
+
+#[test]
+fn only_the_patience_of_a_statement_changes() {
+    let found = labels(READ).expect("well formed");
+    assert_eq!(
+        (found.class, found.tenant, found.group),
+        ("basket", Some("acme"), 2)
+    );
+    assert_eq!(
+        (found.patience, found.after, found.key),
+        (480, Some(17), Some("7f3a"))
+    );
+    let mut out = Vec::new();
+    Statement::new(READ, &found, Shape::OneValue).put(&mut out, 33);
+    let mut want = Vec::new();
+    put_query(&mut want, &READ.replace("d=480", "d=33"));
+    assert_eq!(out, want);
+}
+
+#[test]
+fn odd_comments_are_named_and_nothing_panics() {
+    for (text, complaint) in [
+        ("SELECT 1", "comment"),
+        ("/* id=1", "does not end"),
+        ("/**/ SELECT 1", "not name=value"),
+        ("/* c=a,d=x,cluster=1 */", "d: \"x\""),
+        ("/* d=5,cluster=1 */", "class"),
+        ("/* c=a */", "cluster"),
+        ("/* c=a,cluster=-1 */", "cluster: \"-1\""),
+        ("/* id=1,id=2 */", "id is told twice"),
+        ("/* id=a b */", "id: expected"),
+        ("/* c=a,cluster=1,d=5 */", "id is missing"),
+        ("/* id=1,c=a,cluster=1 */", "d, the patience"),
+        ("/* id=1,c=a,cluster=1,d=-5 */", "d: \"-5\""),
+    ] {
+        let said = labels(text).expect_err(text).to_string();
+        assert!(said.contains(complaint), "{text}: {said}");
+    }
+}
+
+#[test]
+fn lengths_out_of_bounds_are_malformed_and_parts_are_waited_for() {
+    assert_eq!(message(b"Q\0\0\0\x03", 100), Err(Malformed));
+    assert_eq!(message(b"Q\xff\xff\xff\xff", 100), Err(Malformed));
+    for part in [&b""[..], b"Q", b"Q\0\0\0", b"Q\0\0\0\x06a"] {
+        assert_eq!(message(part, 100), Ok(None));
+    }
+    assert_eq!(single_value(b"\0\x01\0\0\0\x02ab"), Some(&b"ab"[..]));
+    assert_eq!(
+        (
+            single_value(b"\0\x02\0\0\0\x02ab"),
+            single_value(b"\0\x01\xff\xff\xff\xff")
+        ),
+        (None, None)
+    );
+}
