--- a/engine/src/engine.rs
+++ b/engine/src/engine.rs
@@ -144,7 +144,7 @@
             let request = request.number();
             warn!(
                 request,
-                "a refusal was turned into a failure: the write may have run"
+                "a rejection was turned into a failure: the write may have run"
             );
         }
         let origin = found.origin;
@@ -182,7 +182,7 @@
             node = last.map(|attempt| tracing::field::display(&attempt.node)),
             zone = last.and_then(|attempt| self.endpoints.known_zone(&attempt.node)),
             reason = last.map_or("not placed", |attempt| {
-                attempt.end.map_or("still out", AttemptEnd::label)
+                attempt.end.map_or("in flight", AttemptEnd::label)
             }),
             ?answer,
             "given up"
@@ -407,9 +407,10 @@
         };
         let number = found.attempts.len() as u32;
         let attempt = AttemptId { request, number };
-        let reason = found.attempts.last().map_or("first", |last| {
-            last.end.map_or("second copy", AttemptEnd::label)
-        });
+        let reason = found
+            .attempts
+            .last()
+            .map_or("first", |last| last.end.map_or("hedged", AttemptEnd::label));
         debug!(
             request = request.number(),
             attempt = number,
--- a/router/src/upstream/exchange.rs
+++ b/router/src/upstream/exchange.rs
@@ -342,7 +342,7 @@
             }
             Job::HealthCheck { asked_at } => {
                 let took = now.saturating_sub(asked_at);
-                debug!(%node, took, ?reply.load_report, "probed");
+                debug!(%node, took, ?reply.load_report, "health check answered");
                 engine.health_check_ended(node.clone(), report);
             }
             Job::Watch { asked_at, .. } => {
--- a/src/api/action.rs
+++ b/src/api/action.rs
@@ -59,7 +59,14 @@
 }
 
 impl LogEvent {
-    /// News of a node.
+    /// The reason of a node's ejection by outlier detection.
+    pub const EJECTED: &'static str = "ejected";
+    /// The reason of an ejected node's return.
+    pub const ANSWERS_AGAIN: &'static str = "answers again";
+    /// The reason of a change of a group's primary.
+    pub const PRIMARY: &'static str = "primary";
+
+    /// What came about at a node.
     pub fn of_node(node: &NodeId, reason: &'static str, text: String) -> Self {
         LogEvent {
             node: Some(node.clone()),
@@ -69,7 +76,7 @@
         }
     }
 
-    /// News of a zone.
+    /// What came about in a zone.
     pub fn of_zone(zone: &str, reason: &'static str, what: &str) -> Self {
         LogEvent {
             zone: Some(zone.into()),
--- a/src/api/attempt.rs
+++ b/src/api/attempt.rs
@@ -46,13 +46,13 @@
         match self {
             AttemptEnd::Success => "served",
             AttemptEnd::Failure => "error",
-            AttemptEnd::Overloaded => "turned away",
+            AttemptEnd::Overloaded => "overloaded",
             AttemptEnd::TimedOut => "timed out",
             AttemptEnd::Unreachable => "unreachable",
             AttemptEnd::Reset => "reset",
             AttemptEnd::Cancelled => "cancelled",
             AttemptEnd::NeverSent => "never sent",
-            AttemptEnd::Misdirected => "missed",
+            AttemptEnd::Misdirected => "misdirected",
         }
     }
 }
--- a/src/outlier_detection.rs
+++ b/src/outlier_detection.rs
@@ -100,7 +100,7 @@
             let text = format!("node {}: answers again", self.id());
             actions.push(Action::Log(LogEvent::of_node(
                 self.id(),
-                "answers again",
+                LogEvent::ANSWERS_AGAIN,
                 text,
             )));
         }
@@ -134,11 +134,15 @@
         self.outlier.back_off(now);
         let silent_ms = now.saturating_sub(self.outlier.last_answer_at) / 1_000;
         let text = format!(
-            "node {}: silent, set aside; {} out, no answer for {silent_ms} ms",
+            "node {}: silent, ejected; {} in flight, no answer for {silent_ms} ms",
             self.id(),
             self.in_flight.len()
         );
-        actions.push(Action::Log(LogEvent::of_node(self.id(), "silent", text)));
+        actions.push(Action::Log(LogEvent::of_node(
+            self.id(),
+            LogEvent::EJECTED,
+            text,
+        )));
     }
 }
 
--- a/tests/growth.rs
+++ b/tests/growth.rs
@@ -438,7 +438,7 @@
         aside += rig
             .actions
             .iter()
-            .filter(|a| matches!(a, Action::Log(l) if l.reason == "silent"))
+            .filter(|a| matches!(a, Action::Log(l) if l.reason == LogEvent::EJECTED))
             .count();
         rig.later(100 * MS);
     }
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -96,7 +96,7 @@
         let log = rig
             .later(20 * MS)
             .iter()
-            .filter(|a| matches!(a, Action::Log(l) if l.reason == "silent"))
+            .filter(|a| matches!(a, Action::Log(l) if l.reason == LogEvent::EJECTED))
             .count();
         set_aside += log;
     }
@@ -440,7 +440,7 @@
 fn set_aside(actions: &[Action]) -> bool {
     actions
         .iter()
-        .any(|a| matches!(a, Action::Log(news) if news.text.contains("set aside")))
+        .any(|a| matches!(a, Action::Log(news) if news.reason == LogEvent::EJECTED))
 }
 
 #[test]
