--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-.PHONY: build test lint run demo check
+.PHONY: build test lint docs run demo check
 
 build:
 	cargo build --release
@@ -10,6 +10,9 @@
 	cargo fmt --all --check
 	cargo clippy --workspace --all-targets --locked -- -D warnings
 
+docs:
+	RUSTDOCFLAGS="-D warnings" cargo doc --workspace --no-deps --locked
+
 # PROXY_CONFIG names the configuration file.
 run: build
 	exec target/release/plovercove
--- a/router/src/upstream/locations.rs
+++ b/router/src/upstream/locations.rs
@@ -35,7 +35,7 @@
     }
 
     /// Discovery says where a node is now; connections to where it was are no good, since what is there now may be another
-    /// node. Those at work are closed after it; those coming up end, and what waits for them is [its redial]'s.
+    /// node. Those at work are closed after it; those coming up end, and what waits for them is dialled anew.
     pub fn locate(&mut self, node: &NodeId, address: SocketAddr, engine: &mut Engine) {
         let pool = self.pools.entry(node.clone()).or_default();
         pool.is_removed = false;
