--- a/experiments/src/faults/check.rs
+++ b/experiments/src/faults/check.rs
@@ -256,8 +256,8 @@
     fn exits(&mut self) {
         for life in &self.record.lives {
             let what = match life.end {
-                End::Killed | End::Told(Some(0)) => continue,
-                End::Told(code) => format!("ended with {code:?} after SIGTERM"),
+                End::Killed | End::Terminated(Some(0)) => continue,
+                End::Terminated(code) => format!("ended with {code:?} after SIGTERM"),
                 End::Itself(code) => format!("ended by itself with {code:?}"),
             };
             let last = life
--- a/experiments/src/faults/play.rs
+++ b/experiments/src/faults/play.rs
@@ -7,7 +7,7 @@
 use plovercove_emulator::trial::{Conduct, Trial as Node};
 use plovercove_emulator::wires::Wire;
 use plovercove_emulator::{Agent, Caller, Entry, Fate};
-use plovercove_gossip::{Envelope, Keys, Life as PeerLife, Record as Told, Seen};
+use plovercove_gossip::{Envelope, Incarnation, Keys, Observation, Record as GossipRecord};
 use plovercove_simulation::{ClassSpec, Reads, Spec, ZoneSpec};
 use serde_json::{Map, Value, json};
 use std::collections::{BTreeMap, HashMap};
@@ -36,7 +36,7 @@
     /// It was killed.
     Killed,
     /// It was told to end, and did so with this code, or did not by the time allowed.
-    Told(Option<i32>),
+    Terminated(Option<i32>),
     /// By itself.
     Itself(Option<i32>),
 }
@@ -330,7 +330,7 @@
         let end = match told {
             Some(true) => {
                 let status = process.ended(ENDS);
-                End::Told(status.and_then(|s| s.code()))
+                End::Terminated(status.and_then(|s| s.code()))
             }
             Some(false) => {
                 process.strike(Blow::Kill);
@@ -758,25 +758,25 @@
     ) else {
         return;
     };
-    let seen = Seen {
+    let seen = Observation {
         silent: 50,
         lasted: 50,
         nodes: 9,
         failing: 1,
-        ..Seen::default()
+        ..Observation::default()
     };
     let mut seq = 0;
     while !over.load(Ordering::Relaxed) {
         seq += 1;
         let who = seq % 6;
-        let from = PeerLife {
+        let from = Incarnation {
             address: SocketAddr::from(([127, 0, 0, 9], 9 + who as u16)),
             boot: u64::MAX / 2,
             turn: 0,
             name: format!("n{}", who * 20),
             zone: ["a", "b", "c"][(who % 3) as usize].into(),
         };
-        let record = Told::of_node(&from, seq, &"s4".into(), None, &seen);
+        let record = GossipRecord::of_node(&from, seq, &"s4".into(), None, &seen);
         let parts = record.and_then(|r| r.part()).into_iter().collect();
         if let Some(bytes) = keys.seal(&Envelope {
             from,
--- a/gossip/src/wire.rs
+++ b/gossip/src/datagram.rs
@@ -1,7 +1,7 @@
 //! What a datagram is made of: a version, the installation, a body and a tag that only holders of the key can make.
 
 use crate::error::{Error, LEAST_KEY};
-use crate::life::Life;
+use crate::incarnation::Incarnation;
 use serde::{Deserialize, Serialize};
 
 /// No datagram is longer: it fits in one frame of every usual network, whatever tunnels it.
@@ -23,7 +23,7 @@
     pub const MEMBERS: u8 = 6;
 }
 
-/// Kinds of parts that belong to other crates: what came of them is kept for whoever asks ([`crate::Peers::arrived`]).
+/// Kinds of parts that belong to other crates: what came of them is kept for whoever asks ([`crate::Gossip::arrived`]).
 pub mod carried {
     /// Requests, votes and grants of duties.
     pub const DUTY: u8 = 16;
@@ -119,7 +119,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Envelope {
     /// Who sent it.
-    pub from: Life,
+    pub from: Incarnation,
     /// Counts this life's datagrams.
     pub seq: u64,
     /// The sender's own clock (ms since the start of its process), compared only with others from it.
@@ -170,7 +170,7 @@
     }
 
     /// How much room parts have in a datagram of this life.
-    pub fn room(from: &Life) -> usize {
+    pub fn room(from: &Incarnation) -> usize {
         // Numbers and lengths take ten bytes each at the most.
         MOST - HEAD - TAG - (19 + 10 + 5 + from.name.len() + from.zone.len() + 4) - 10 - 10 - 2
     }
--- a/gossip/src/wire/tests.rs
+++ b/gossip/src/datagram/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 fn envelope(parts: Vec<Part>) -> Envelope {
-    let from = Life {
+    let from = Incarnation {
         address: "127.0.0.1:7".parse().expect("an address"),
         boot: 9,
         turn: 0,
--- /dev/null
+++ b/gossip/src/event.rs
@@ -0,0 +1,96 @@
+//! What a router's gossip tells its surroundings: events for the log, parts for other crates, counts and a snapshot.
+
+use crate::datagram::Fault;
+use crate::incarnation::Incarnation;
+use crate::outlier_vote::{Level, Verdict};
+use plovercove::{Micros, NodeId};
+use serde::Serialize;
+use std::collections::BTreeMap;
+
+/// What came about, for the log.
+#[derive(Clone, Debug, PartialEq)]
+pub enum GossipEvent {
+    /// A router is there.
+    Up(Incarnation),
+    /// A router is gone: it left, or says nothing.
+    Down(Incarnation),
+    /// How many are there, this one among them, of how many there should be.
+    Count {
+        /// Seen.
+        seen: usize,
+        /// By the settings.
+        should: u32,
+    },
+    /// Two routers have one name.
+    Twins(Incarnation, Incarnation),
+    /// The others took this router for gone.
+    Again(Incarnation),
+    /// Another router holds this one's address.
+    Taken,
+    /// This router stood still for so long.
+    Stood(Micros),
+    /// Datagrams that were dropped since this was told last.
+    Dropped(Fault, u64),
+    /// The verdict on a node changed.
+    Verdict {
+        /// The node.
+        node: NodeId,
+        /// What was held of it.
+        was: Level,
+        /// What is.
+        verdict: Verdict,
+        /// Whether this router tries it for all.
+        tries: bool,
+    },
+}
+
+/// A part that came for another crate.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ReceivedPart {
+    /// Who sent it; the tag vouches for a holder of the key, not for the name.
+    pub from: Incarnation,
+    /// What it is, of [`carried`].
+    pub kind: u8,
+    /// Its content.
+    pub body: Vec<u8>,
+    /// How much longer it was under way than the fastest datagram of its sender, where that is worth counting.
+    pub late: Micros,
+}
+
+/// What was counted since the start.
+#[derive(Clone, Debug, Default, Serialize)]
+pub struct Counts {
+    /// Datagrams and bytes sent.
+    pub sent: (u64, u64),
+    /// Datagrams and bytes that came and were good.
+    pub came: (u64, u64),
+    /// Datagrams that the budget kept from being sent.
+    pub held_back: u64,
+    /// Datagrams that were dropped, by reason.
+    pub dropped: BTreeMap<&'static str, u64>,
+    /// Records of kinds that are not known.
+    pub unknown: u64,
+    /// Datagrams that were long under way.
+    pub late: u64,
+    /// Messages of membership that made no sense.
+    pub odd: u64,
+}
+
+/// What a router believes, for people.
+#[derive(Clone, Debug, Serialize)]
+pub struct Snapshot {
+    /// This router.
+    pub me: String,
+    /// Routers that are seen, this one among them.
+    pub seen: usize,
+    /// Routers that there should be.
+    pub should: u32,
+    /// Their names.
+    pub members: Vec<String>,
+    /// Records held.
+    pub records: usize,
+    /// Nodes that are not in, with level and the age of the evidence (ms).
+    pub levels: Vec<(String, &'static str, u64)>,
+    /// What was counted.
+    pub counts: Counts,
+}
--- a/gossip/src/life.rs
+++ b/gossip/src/incarnation.rs
@@ -7,7 +7,7 @@
 
 /// A router's identity among its peers. A restart is a new life; what the old one said ends with it.
 #[derive(Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Life {
+pub struct Incarnation {
     /// Where the others reach it. There is one router at an address.
     pub address: SocketAddr,
     /// Rises with each start: Unix time at the start (us).
@@ -20,10 +20,10 @@
     pub zone: String,
 }
 
-impl Life {
+impl Incarnation {
     /// Whoever is at an address: all that is known of a seed.
     pub fn unknown(address: SocketAddr) -> Self {
-        Life {
+        Incarnation {
             address,
             boot: 0,
             turn: 0,
@@ -38,7 +38,7 @@
     }
 }
 
-impl fmt::Debug for Life {
+impl fmt::Debug for Incarnation {
     fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             to,
@@ -48,11 +48,11 @@
     }
 }
 
-impl Identity for Life {
+impl Identity for Incarnation {
     type Addr = SocketAddr;
 
     fn renew(&self) -> Option<Self> {
-        Some(Life {
+        Some(Incarnation {
             turn: self.turn + 1,
             ..self.clone()
         })
--- a/gossip/src/lib.rs
+++ b/gossip/src/lib.rs
@@ -1,31 +1,35 @@
-//! Routers that know each other. Who is there ([`Life`], by SWIM with suspicion), what each saw of the db nodes (records
+//! Routers that know each other. Who is there ([`Incarnation`], by SWIM with suspicion), what each saw of the db nodes (records
 //! that are gossiped and repaired), and what follows for all ([`judge`], a pure function of fresh records).
 //!
 //! Nothing here does I/O or reads a clock: the router's loop, the model's virtual time and the tests hand in datagrams
 //! and the time, and take datagrams, levels and news out. Without a `peers` block none of it exists.
 
+mod budget;
+mod datagram;
 mod error;
-mod ledger;
-mod life;
+mod event;
+mod gossip;
+mod incarnation;
 mod members;
-mod peers;
+mod observations;
+mod observer;
+mod outlier_vote;
 mod records;
 mod replay;
+mod review;
 mod rules;
-mod verdict;
-mod wire;
-mod witness;
 
+pub use datagram::{Envelope, Fault, Keys, MOST, Part, carried};
 pub use error::Error;
-pub use ledger::{Ledger, Others, Seen};
-pub use life::Life;
-pub use peers::{Arrived, Belief, Counts, Datagram, News, Peers};
-pub use records::{Record, Store};
-pub use replay::Replays;
+pub use event::{Counts, GossipEvent, ReceivedPart, Snapshot};
+pub use gossip::{Datagram, Gossip};
+pub use incarnation::Incarnation;
+pub use observations::{Observation, Observations, PeerEvidence};
+pub use observer::Observer;
+pub use outlier_vote::{Level, Opinion, Subject, Verdict, judge};
+pub use records::{Record, RecordStore};
+pub use replay::ReplayGuard;
 pub use rules::{Guard, Rules};
-pub use verdict::{Level, Opinion, Subject, Verdict, judge};
-pub use wire::{Envelope, Fault, Keys, MOST, Part, carried};
-pub use witness::Witness;
 
 /// Milliseconds as the module's spans.
 fn ms(ms: u64) -> plovercove::Micros {
--- a/gossip/src/members.rs
+++ b/gossip/src/members.rs
@@ -1,6 +1,6 @@
 //! Who is there: SWIM by the crate `foca`, on a clock that stands still while this router does.
 
-use crate::life::Life;
+use crate::incarnation::Incarnation;
 use crate::rules::{Guard, Rules, SEEK};
 use foca::{
     AccumulatingRuntime, Config, Foca, NoCustomBroadcast, OwnedNotification, PeriodicParams,
@@ -37,22 +37,22 @@
 /// What changed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Change {
-    Up(Life),
-    Down(Life),
+    Up(Incarnation),
+    Down(Incarnation),
     /// The others took this life for ended; it goes on as this.
-    Again(Life),
+    Again(Incarnation),
     /// Another holds this router's address, and began later.
     Taken,
 }
 
 pub(crate) struct Members {
-    foca: Foca<Life, PostcardCodec, Pcg64Mcg, NoCustomBroadcast>,
-    runtime: AccumulatingRuntime<Life>,
-    timers: BTreeMap<(Time, u64), Timer<Life>>,
+    foca: Foca<Incarnation, PostcardCodec, Pcg64Mcg, NoCustomBroadcast>,
+    runtime: AccumulatingRuntime<Incarnation>,
+    timers: BTreeMap<(Time, u64), Timer<Incarnation>>,
     order: u64,
     /// How long this router has stood still, all in all: its timers are late by no more than a turn.
     stood: Micros,
-    active: BTreeMap<SocketAddr, Life>,
+    active: BTreeMap<SocketAddr, Incarnation>,
     forgotten: BTreeMap<SocketAddr, Time>,
     seeds: Vec<SocketAddr>,
     should: usize,
@@ -89,10 +89,10 @@
 }
 
 impl Members {
-    pub(crate) fn new(life: Life, rules: &Rules, room: usize, seed: u64) -> Self {
+    pub(crate) fn new(incarnation: Incarnation, rules: &Rules, room: usize, seed: u64) -> Self {
         let mut dice = Pcg64Mcg::seed_from_u64(seed);
         let foca = Foca::new(
-            life.clone(),
+            incarnation.clone(),
             config(rules, room),
             Pcg64Mcg::seed_from_u64(dice.random()),
             PostcardCodec,
@@ -110,7 +110,7 @@
                 .seeds
                 .iter()
                 .copied()
-                .filter(|s| *s != life.address)
+                .filter(|s| *s != incarnation.address)
                 .collect(),
             should: rules.routers as usize,
             pauses,
@@ -123,12 +123,12 @@
         }
     }
 
-    pub(crate) fn me(&self) -> &Life {
+    pub(crate) fn me(&self) -> &Incarnation {
         self.foca.identity()
     }
 
     /// The other members that are up, as far as can be told.
-    pub(crate) fn active(&self) -> &BTreeMap<SocketAddr, Life> {
+    pub(crate) fn active(&self) -> &BTreeMap<SocketAddr, Incarnation> {
         &self.active
     }
 
@@ -143,51 +143,54 @@
     /// The sums over all members, this router among them.
     pub(crate) fn roll(&self) -> Roll {
         let mut roll = Roll::default();
-        for life in self.active.values().chain([self.me()]) {
-            let (boot, turn) = (life.boot.to_le_bytes(), life.turn.to_le_bytes());
-            roll[place(&life.address)] ^=
-                crate::draw(&[life.address.to_string().as_bytes(), &boot, &turn]);
+        for incarnation in self.active.values().chain([self.me()]) {
+            let (boot, turn) = (
+                incarnation.boot.to_le_bytes(),
+                incarnation.turn.to_le_bytes(),
+            );
+            roll[place(&incarnation.address)] ^=
+                crate::draw(&[incarnation.address.to_string().as_bytes(), &boot, &turn]);
         }
         roll
     }
 
     /// Members of the parts in which another's sums differ, from one drawn at random on, as many as there is room for.
-    pub(crate) fn differing(&mut self, theirs: &Roll, room: usize) -> Vec<Life> {
+    pub(crate) fn differing(&mut self, theirs: &Roll, room: usize) -> Vec<Incarnation> {
         let ours = self.roll();
         let first = self.dice.random_range(0..ours.len());
-        let mut lives = Vec::new();
+        let mut incarnations = Vec::new();
         let mut left = room;
         for part in (first..first + ours.len())
             .map(|n| n % ours.len())
             .filter(|n| ours[*n] != theirs[*n])
         {
-            for life in self
+            for incarnation in self
                 .active
                 .values()
                 .chain([self.foca.identity()])
                 .filter(|l| place(&l.address) == part)
             {
                 // Numbers, address and lengths take at most so much beside the names.
-                let size = 36 + life.name.len() + life.zone.len();
+                let size = 36 + incarnation.name.len() + incarnation.zone.len();
                 if size > left {
-                    return lives;
+                    return incarnations;
                 }
                 left -= size;
-                lives.push(life.clone());
+                incarnations.push(incarnation.clone());
             }
         }
-        lives
+        incarnations
     }
 
     /// Another sees these; those that are not known here are members until SWIM finds otherwise.
     ///
     /// Danger: what SWIM piggybacks is sent a bounded number of times. Where many come and go at once some miss it, and
     /// without this would not know of them for minutes.
-    pub(crate) fn learn(&mut self, now: Time, lives: Vec<Life>) {
-        let known = |l: &Life| {
+    pub(crate) fn learn(&mut self, now: Time, incarnations: Vec<Incarnation>) {
+        let known = |l: &Incarnation| {
             self.active.get(&l.address) == Some(l) || l.address == self.foca.identity().address
         };
-        let fresh: Vec<_> = lives
+        let fresh: Vec<_> = incarnations
             .into_iter()
             .filter(|l| l.fits() && !known(l))
             .map(foca::Member::alive)
@@ -265,7 +268,9 @@
         all.retain(|a| !self.active.contains_key(a));
         if !all.is_empty() {
             let one = all[self.dice.random_range(0..all.len())];
-            let result = self.foca.announce(Life::unknown(one), &mut self.runtime);
+            let result = self
+                .foca
+                .announce(Incarnation::unknown(one), &mut self.runtime);
             self.settle(now, result);
         }
     }
@@ -294,13 +299,13 @@
         }
         while let Some(told) = self.runtime.to_notify() {
             match told {
-                OwnedNotification::MemberUp(life) => {
-                    self.forgotten.remove(&life.address);
-                    self.active.insert(life.address, life.clone());
-                    self.changes.push_back(Change::Up(life));
+                OwnedNotification::MemberUp(incarnation) => {
+                    self.forgotten.remove(&incarnation.address);
+                    self.active.insert(incarnation.address, incarnation.clone());
+                    self.changes.push_back(Change::Up(incarnation));
                 }
-                OwnedNotification::MemberDown(life) => {
-                    self.active.remove(&life.address);
+                OwnedNotification::MemberDown(incarnation) => {
+                    self.active.remove(&incarnation.address);
                     if self.forgotten.len() >= FORGOTTEN {
                         let oldest = self
                             .forgotten
@@ -309,16 +314,18 @@
                             .map(|(a, _)| *a);
                         oldest.map(|a| self.forgotten.remove(&a));
                     }
-                    self.forgotten.insert(life.address, now);
-                    self.changes.push_back(Change::Down(life));
+                    self.forgotten.insert(incarnation.address, now);
+                    self.changes.push_back(Change::Down(incarnation));
                 }
-                OwnedNotification::Rename(_, life) => {
-                    if let Some(known) = self.active.get_mut(&life.address) {
-                        known.clone_from(&life);
-                        self.changes.push_back(Change::Up(life));
+                OwnedNotification::Rename(_, incarnation) => {
+                    if let Some(known) = self.active.get_mut(&incarnation.address) {
+                        known.clone_from(&incarnation);
+                        self.changes.push_back(Change::Up(incarnation));
                     }
                 }
-                OwnedNotification::Rejoin(life) => self.changes.push_back(Change::Again(life)),
+                OwnedNotification::Rejoin(incarnation) => {
+                    self.changes.push_back(Change::Again(incarnation))
+                }
                 OwnedNotification::Defunct => self.changes.push_back(Change::Taken),
                 OwnedNotification::Active | OwnedNotification::Idle => {}
             }
--- a/gossip/src/ledger.rs
+++ b/gossip/src/observations.rs
@@ -22,7 +22,7 @@
 
 /// What a router saw of a node: counts that fade by half in a third of the evidence's life.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Seen {
+pub struct Observation {
     /// Requests that it answered, in tenths.
     pub answers: u16,
     /// Errors, in tenths.
@@ -43,7 +43,7 @@
     pub failing: u16,
 }
 
-impl Seen {
+impl Observation {
     /// Failures of all kinds.
     pub fn failures(&self) -> f64 {
         f64::from(self.errors) / 10.0
@@ -86,7 +86,7 @@
     /// Running mean of the logarithm of its slowness.
     slow: f64,
     samples: u32,
-    told: Option<(Time, Seen)>,
+    told: Option<(Time, Observation)>,
     /// When it answered last.
     answered: Time,
     /// Since when enough others accuse it that it matters what this router saw.
@@ -103,7 +103,7 @@
         self.at = now;
     }
 
-    fn seen(&self, now: Time, half: f64) -> Seen {
+    fn seen(&self, now: Time, half: f64) -> Observation {
         let factor = 0.5_f64.powf(now.saturating_sub(self.at) as f64 / half);
         let tenths = |count: f64| (count * factor * 10.0).round().min(65_535.0) as u16;
         let [answers, errors, silent, unreachable, denies] = self.counts.map(tenths);
@@ -112,21 +112,21 @@
         } else {
             0
         };
-        Seen {
+        Observation {
             answers,
             errors,
             silent,
             unreachable,
             denies,
             slow,
-            ..Seen::default()
+            ..Observation::default()
         }
     }
 }
 
 /// What the others say of a node.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Others {
+pub struct PeerEvidence {
     /// How many accuse it.
     pub accusers: usize,
     /// How many say that it serves.
@@ -139,7 +139,7 @@
 
 /// What a router saw.
 #[derive(Default)]
-pub struct Ledger {
+pub struct Observations {
     nodes: BTreeMap<NodeId, Node>,
     /// Running mean of the logarithm of the time of an answer (us) by class; a slow node among few hardly moves it.
     usual: Vec<f64>,
@@ -148,11 +148,11 @@
     doubts: Time,
 }
 
-impl Ledger {
+impl Observations {
     /// A ledger for so many classes.
     pub fn new(rules: &Rules, classes: usize) -> Self {
         let half = rules.evidence() as f64 / 3.0;
-        Ledger {
+        Observations {
             nodes: BTreeMap::new(),
             usual: vec![0.0; classes],
             half,
@@ -242,10 +242,10 @@
         &mut self,
         now: Time,
         rules: &Rules,
-        others: impl Fn(&NodeId) -> Others,
-    ) -> Vec<(NodeId, Option<Time>, Seen)> {
-        let (half, life) = (self.half, rules.evidence());
-        let seen: Vec<(NodeId, Seen)> = self
+        others: impl Fn(&NodeId) -> PeerEvidence,
+    ) -> Vec<(NodeId, Option<Time>, Observation)> {
+        let (half, incarnation) = (self.half, rules.evidence());
+        let seen: Vec<(NodeId, Observation)> = self
             .nodes
             .iter()
             .map(|(id, n)| (id.clone(), n.seen(now, half)))
@@ -263,7 +263,7 @@
             let told = node
                 .told
                 .map(|(_, told)| told)
-                .filter(|_| since <= life)
+                .filter(|_| since <= incarnation)
                 .unwrap_or_default();
             let slow = seen.is_slow();
             let bad = seen.fails() || slow;
@@ -271,10 +271,10 @@
             if since < HOLD {
                 continue;
             }
-            let stale = since >= life / 3;
+            let stale = since >= incarnation / 3;
             let worth = if seen.fails() {
                 let more = seen.failures() >= told.failures() + 0.9;
-                let goes_on = more || (stale && node.at + life / 3 > now);
+                let goes_on = more || (stale && node.at + incarnation / 3 > now);
                 if told.fails() {
                     goes_on
                 } else {
@@ -297,7 +297,7 @@
                     .since
                     .map_or(0, |from| now.saturating_sub(from) / 100_000)
                     .min(65_535) as u16;
-                let seen = Seen {
+                let seen = Observation {
                     nodes,
                     failing,
                     lasted,
--- /dev/null
+++ b/gossip/src/observations/tests.rs
@@ -0,0 +1,102 @@
+//! Unit tests of `observations`.
+
+use super::*;
+use plovercove::Endpoint;
+
+const S: Time = 1_000_000;
+
+fn observations(nodes: &[&str]) -> (Observations, Rules) {
+    let rules = Rules {
+        routers: 3,
+        ..Rules::default()
+    };
+    let mut observations = Observations::new(&rules, 1);
+    let entry = |name: &&str| Endpoint {
+        node: (*name).into(),
+        ..Endpoint::default()
+    };
+    observations.listed(&EndpointUpdate::Full(nodes.iter().map(entry).collect()));
+    (observations, rules)
+}
+
+fn tell(
+    observations: &mut Observations,
+    rules: &Rules,
+    now: Time,
+    contested: bool,
+) -> Vec<(String, Observation)> {
+    let told = observations.news(now, rules, |_| PeerEvidence {
+        contested,
+        ..PeerEvidence::default()
+    });
+    told.into_iter()
+        .map(|(id, _, seen)| (id.to_string(), seen))
+        .collect()
+}
+
+#[test]
+fn only_changes_are_told_and_only_of_nodes_that_fail_or_are_accused() {
+    let (mut observations, rules) = observations(&["x", "y"]);
+    for n in 0..20 {
+        observations.ended(S + n, 0, false, &"x".into(), AttemptEnd::Success, 5_000);
+    }
+    assert!(
+        tell(&mut observations, &rules, S, false).is_empty(),
+        "nothing is wrong"
+    );
+    observations.ended(S, 0, false, &"y".into(), AttemptEnd::Unreachable, 5_000);
+    let told = tell(&mut observations, &rules, S, false);
+    assert!(
+        told.len() == 1 && told[0].0 == "y" && told[0].1.fails() && told[0].1.nodes == 2,
+        "{told:?}"
+    );
+    assert!(
+        tell(&mut observations, &rules, S + HOLD, false).is_empty(),
+        "it was told"
+    );
+    let told = tell(&mut observations, &rules, S + HOLD, true);
+    assert!(
+        told.len() == 1 && told[0].0 == "x" && told[0].1.serves(),
+        "others accuse: {told:?}"
+    );
+}
+
+#[test]
+fn what_ends_badly_while_a_router_stood_still_is_its_own() {
+    // Danger: a router that was stopped for 10 s finds all its attempts overdue, and accuses every node.
+    let (mut observations, rules) = observations(&["x"]);
+    observations.awoke(10 * S, 2 * S);
+    observations.ended(11 * S, 0, false, &"x".into(), AttemptEnd::TimedOut, 9 * S);
+    assert!(tell(&mut observations, &rules, 11 * S, true).is_empty());
+    observations.ended(13 * S, 0, false, &"x".into(), AttemptEnd::TimedOut, 9 * S);
+    assert_eq!(tell(&mut observations, &rules, 13 * S, false).len(), 1);
+}
+
+#[test]
+fn another_start_of_a_node_is_another_life() {
+    let (mut observations, rules) = observations(&["x"]);
+    observations.ended(S, 0, false, &"x".into(), AttemptEnd::Reset, 1);
+    let again = Endpoint {
+        node: "x".into(),
+        started_at: Some(2 * S),
+        ..Endpoint::default()
+    };
+    observations.listed(&EndpointUpdate::Changes(vec![again]));
+    assert!(tell(&mut observations, &rules, 2 * S, true).is_empty());
+}
+
+#[test]
+fn slowness_is_told_against_the_other_nodes() {
+    let (mut observations, rules) = observations(&["x", "y"]);
+    for n in 0..60 {
+        observations.ended(S + n, 0, false, &"x".into(), AttemptEnd::Success, 5_000);
+        if n % 6 == 5 {
+            observations.ended(S + n, 0, false, &"y".into(), AttemptEnd::Success, 60_000);
+        }
+    }
+    let told = tell(&mut observations, &rules, S, false);
+    assert!(
+        told.len() == 1 && told[0].0 == "y" && told[0].1.slowness() > Some(3.0),
+        "{told:?}"
+    );
+}
--- a/gossip/src/witness.rs
+++ b/gossip/src/observer.rs
@@ -1,9 +1,9 @@
 //! What stands beside the decision module: it sees every attempt and its end, and says how much a node counts by the
 //! verdicts of all. What says which zones a request may use stands behind it and is asked first.
 
-use crate::ledger::Ledger;
+use crate::observations::Observations;
+use crate::outlier_vote::{Level, Subject};
 use crate::rules::Rules;
-use crate::verdict::{Level, Subject};
 use plovercove::{
     Access, AttemptEnd, EndpointState, EndpointUpdate, LocalityPolicy, LogEvent, Micros, NodeId,
     RoutingQuery, Settings, Time,
@@ -21,25 +21,25 @@
 }
 
 /// What a router sees and how it judges, beside its decision module.
-pub struct Witness {
+pub struct Observer {
     inner: Option<Box<dyn LocalityPolicy>>,
     /// Classes that only the primary serves: no verdict keeps them from it, for nobody else can take its place.
     only_primary: Vec<bool>,
-    pub(crate) ledger: Ledger,
+    pub(crate) observations: Observations,
     members: BTreeMap<NodeId, (Subject, Option<Time>, bool)>,
     levels: BTreeMap<NodeId, Level>,
     trials: BTreeMap<NodeId, Trial>,
     news: VecDeque<LogEvent>,
 }
 
-impl Witness {
+impl Observer {
     /// A witness before whatever says which zones a request may use.
     pub fn new(rules: &Rules, settings: &Settings, inner: Option<Box<dyn LocalityPolicy>>) -> Self {
         let only = |access: Access| matches!(access, Access::Write | Access::Latest);
-        Witness {
+        Observer {
             inner,
             only_primary: settings.classes.iter().map(|c| only(c.access)).collect(),
-            ledger: Ledger::new(rules, settings.classes.len()),
+            observations: Observations::new(rules, settings.classes.len()),
             members: BTreeMap::new(),
             levels: BTreeMap::new(),
             trials: BTreeMap::new(),
@@ -54,11 +54,11 @@
 
     /// A witness that goes on from what this one saw and judged, before something else that says which zones a request
     /// may use.
-    pub fn with(&mut self, inner: Option<Box<dyn LocalityPolicy>>) -> Witness {
-        Witness {
+    pub fn with(&mut self, inner: Option<Box<dyn LocalityPolicy>>) -> Observer {
+        Observer {
             inner,
             only_primary: self.only_primary.clone(),
-            ledger: std::mem::take(&mut self.ledger),
+            observations: std::mem::take(&mut self.observations),
             members: std::mem::take(&mut self.members),
             levels: std::mem::take(&mut self.levels),
             trials: std::mem::take(&mut self.trials),
@@ -107,12 +107,12 @@
     }
 }
 
-impl LocalityPolicy for Witness {
+impl LocalityPolicy for Observer {
     fn endpoints_changed(&mut self, now: Time, update: &EndpointUpdate) {
         if let Some(inner) = &mut self.inner {
             inner.endpoints_changed(now, update);
         }
-        self.ledger.listed(update);
+        self.observations.listed(update);
         let (entries, whole) = match update {
             EndpointUpdate::Changes(entries) => (entries, false),
             EndpointUpdate::Full(entries) | EndpointUpdate::Restored(entries) => (entries, true),
@@ -179,7 +179,7 @@
         if let Some(inner) = &mut self.inner {
             inner.attempt_ended(now, ask, node, ending, elapsed);
         }
-        self.ledger
+        self.observations
             .ended(now, ask.class, ask.is_write, node, ending, elapsed);
     }
 
--- a/gossip/src/verdict.rs
+++ b/gossip/src/outlier_vote.rs
@@ -1,7 +1,7 @@
 //! Is this node bad, for all of us? A pure function of the fresh opinions: routers with the same records and the same
 //! list come to the same verdicts, and nobody has to lead.
 
-use crate::ledger::Seen;
+use crate::observations::Observation;
 use crate::rules::{Guard, Rules};
 use plovercove::{GroupId, Micros, NodeId};
 use std::collections::{BTreeMap, BTreeSet};
@@ -57,7 +57,7 @@
     /// The zone it stands in.
     pub zone: u32,
     /// What it saw.
-    pub seen: Seen,
+    pub seen: Observation,
     /// How long ago it said so.
     pub age: Micros,
 }
--- a/gossip/src/verdict/tests.rs
+++ b/gossip/src/outlier_vote/tests.rs
@@ -39,12 +39,12 @@
 fn says(observer: &str, zone: &str, answers: u16, failures: u16) -> Opinion {
     let number = |name: &str| name.bytes().fold(0, |sum, b| sum * 256 + u32::from(b));
     let (observer, zone) = (number(observer), number(zone));
-    let seen = Seen {
+    let seen = Observation {
         answers: answers * 10,
         silent: failures * 10,
         nodes: 9,
         failing: 1,
-        ..Seen::default()
+        ..Observation::default()
     };
     Opinion {
         observer,
@@ -117,7 +117,7 @@
     let blind = |n: &str, z: &str| {
         let told = says(n, z, 0, 9);
         Opinion {
-            seen: Seen {
+            seen: Observation {
                 failing: 5,
                 ..told.seen
             },
@@ -154,7 +154,7 @@
     let mut opinions = BTreeMap::new();
     for (node, lasted) in [("p", 10), ("x", 90), ("y", 20)] {
         let long = |o: Opinion| Opinion {
-            seen: Seen { lasted, ..o.seen },
+            seen: Observation { lasted, ..o.seen },
             ..o
         };
         opinions.insert(
@@ -174,7 +174,7 @@
     let slow = |n: &str, z: &str| {
         let told = says(n, z, 9, 0);
         Opinion {
-            seen: Seen {
+            seen: Observation {
                 slow: 100,
                 ..told.seen
             },
--- a/gossip/src/records.rs
+++ b/gossip/src/records.rs
@@ -1,9 +1,9 @@
 //! What each router says of what it saw: versioned by origin, start and sequence, ended by age, and repaired.
 
-use crate::ledger::Seen;
-use crate::life::Life;
-use crate::verdict::Opinion;
-use crate::wire::{Envelope, Part, kind};
+use crate::datagram::{Envelope, Part, kind};
+use crate::incarnation::Incarnation;
+use crate::observations::Observation;
+use crate::outlier_vote::Opinion;
 use plovercove::{Micros, NodeId, Time};
 use serde::{Deserialize, Serialize};
 use std::cmp::Reverse;
@@ -50,16 +50,16 @@
 impl Record {
     /// What a router of this life saw of a node since that node's start.
     pub fn of_node(
-        life: &Life,
+        incarnation: &Incarnation,
         seq: u64,
         node: &NodeId,
         started: Option<Time>,
-        seen: &Seen,
+        seen: &Observation,
     ) -> Option<Record> {
         Some(Record {
-            origin: life.name.clone(),
-            boot: life.boot,
-            zone: life.zone.clone(),
+            origin: incarnation.name.clone(),
+            boot: incarnation.boot,
+            zone: incarnation.zone.clone(),
             seq,
             age_ms: 0,
             kind: about::NODE,
@@ -90,7 +90,7 @@
 struct Held {
     record: Record,
     /// What it says of a node, read once; and its origin, zone and subject as numbers.
-    seen: Seen,
+    seen: Observation,
     numbers: [u32; 3],
     born: Time,
     sends: u8,
@@ -127,7 +127,7 @@
 }
 
 /// The records that a router holds.
-pub struct Store {
+pub struct RecordStore {
     numbers: Numbers,
     held: BTreeMap<u64, Held>,
     /// Those that are to be sent, in that order.
@@ -135,7 +135,7 @@
     /// The names of each origin's records.
     of: BTreeMap<String, BTreeSet<u64>>,
     boots: BTreeMap<String, u64>,
-    life: Micros,
+    incarnation: Micros,
     sends: u8,
     /// Where the next digest begins.
     next: u64,
@@ -143,18 +143,18 @@
     ends: bool,
 }
 
-impl Store {
+impl RecordStore {
     /// A store whose records live so long and are sent so often each.
     ///
     /// `ages` and `ends`: whether records end by age and with their origin's life; tests take that away.
-    pub fn new(life: Micros, sends: u8, ages: bool, ends: bool) -> Self {
-        Store {
+    pub fn new(incarnation: Micros, sends: u8, ages: bool, ends: bool) -> Self {
+        RecordStore {
             numbers: Numbers::default(),
             held: BTreeMap::new(),
             hot: BTreeSet::new(),
             of: BTreeMap::new(),
             boots: BTreeMap::new(),
-            life,
+            incarnation,
             sends,
             next: 0,
             ages,
@@ -208,7 +208,7 @@
     pub fn put(&mut self, now: Time, record: Record, late: Micros) -> bool {
         let age = crate::ms(u64::from(record.age_ms)) + late;
         let names = record.origin.len() + record.zone.len() + record.subject.len();
-        if (self.ages && age > self.life) || names > NAMES || record.body.len() > NAMES {
+        if (self.ages && age > self.incarnation) || names > NAMES || record.body.len() > NAMES {
             return false;
         }
         if self.ends
@@ -227,7 +227,7 @@
         {
             return false;
         }
-        let Ok(seen) = postcard::from_bytes::<Seen>(&record.body) else {
+        let Ok(seen) = postcard::from_bytes::<Observation>(&record.body) else {
             return false;
         };
         self.started(&record.origin, record.boot);
@@ -274,7 +274,7 @@
 
     /// Lets go of what is too old.
     pub fn fade(&mut self, now: Time) {
-        let over = |h: &Held| now.saturating_sub(h.born) > self.life;
+        let over = |h: &Held| now.saturating_sub(h.born) > self.incarnation;
         let over: Vec<u64> = self
             .held
             .iter()
--- a/gossip/src/records/tests.rs
+++ b/gossip/src/records/tests.rs
@@ -19,15 +19,15 @@
 }
 
 fn body(answers: u16) -> Vec<u8> {
-    postcard::to_allocvec(&Seen {
+    postcard::to_allocvec(&Observation {
         answers,
-        ..Seen::default()
+        ..Observation::default()
     })
     .expect("small")
 }
 
-fn store() -> Store {
-    Store::new(15 * S, 4, true, true)
+fn store() -> RecordStore {
+    RecordStore::new(15 * S, 4, true, true)
 }
 
 #[test]
@@ -36,7 +36,7 @@
     let (mut a, mut b) = (store(), store());
     assert!(a.put(100 * S, record("n1", 1, 1, 4_000), 0));
     let sent = a.hot(105 * S, 1_000).expect("it is hot");
-    let came = Store::unpack(&sent.body).expect("records");
+    let came = RecordStore::unpack(&sent.body).expect("records");
     assert_eq!(came[0].age_ms, 9_000);
     // Another machine, with another clock, by way of a slow link.
     assert!(b.put(1_007 * S, came[0].clone(), 2 * S));
@@ -97,14 +97,14 @@
         let (lacking, wanted) = b.compare(S, &digest, 1_000);
         for r in lacking
             .iter()
-            .flat_map(|p| Store::unpack(&p.body).expect("records"))
+            .flat_map(|p| RecordStore::unpack(&p.body).expect("records"))
         {
             a.put(S, r, 0);
         }
         for r in a
             .wanted(S, &wanted, 1_000)
             .iter()
-            .flat_map(|p| Store::unpack(&p.body).expect("records"))
+            .flat_map(|p| RecordStore::unpack(&p.body).expect("records"))
         {
             b.put(S, r, 0);
         }
--- a/gossip/src/replay.rs
+++ b/gossip/src/replay.rs
@@ -1,7 +1,7 @@
 //! Who sent what already: a datagram counts once, and none of an ended life counts.
 
-use crate::life::Life;
-use crate::wire::{Envelope, Fault};
+use crate::datagram::{Envelope, Fault};
+use crate::incarnation::Incarnation;
 use plovercove::{Micros, Time};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -15,7 +15,7 @@
 
 struct Sender {
     /// Start of its process, and its turn.
-    life: (u64, u32),
+    incarnation: (u64, u32),
     top: u64,
     /// Which of the last datagrams came, the newest at the lowest bit.
     seen: u128,
@@ -26,9 +26,9 @@
 
 /// The senders that this router heard.
 #[derive(Default)]
-pub struct Replays(HashMap<SocketAddr, Sender>);
+pub struct ReplayGuard(HashMap<SocketAddr, Sender>);
 
-impl Replays {
+impl ReplayGuard {
     /// Takes a datagram; tells how much longer it was under way than the fastest from its sender.
     ///
     /// Two clocks are never compared: only how the difference between them changes.
@@ -38,7 +38,7 @@
     pub fn take(&mut self, now: Time, envelope: &Envelope, check: bool) -> Result<Micros, Fault> {
         let Envelope {
             from:
-                Life {
+                Incarnation {
                     address,
                     boot,
                     turn,
@@ -48,13 +48,17 @@
             stamp,
             ..
         } = envelope;
-        let life = (*boot, *turn);
+        let incarnation = (*boot, *turn);
         // Danger: a stamp is whatever a peer sends.
         let stamp = i64::try_from(*stamp)
             .unwrap_or(i64::MAX)
             .saturating_mul(1_000);
         let offset = (now as i64).saturating_sub(stamp);
-        if let Some(known) = self.0.get_mut(address).filter(|k| k.life == life) {
+        if let Some(known) = self
+            .0
+            .get_mut(address)
+            .filter(|k| k.incarnation == incarnation)
+        {
             if check {
                 if *seq > known.top {
                     known.seen = known
@@ -76,7 +80,12 @@
             }
             return Ok(offset.saturating_sub(faded) as Micros);
         }
-        if check && self.0.get(address).is_some_and(|known| known.life > life) {
+        if check
+            && self
+                .0
+                .get(address)
+                .is_some_and(|known| known.incarnation > incarnation)
+        {
             return Err(Fault::OldLife);
         }
         if self.0.len() >= SENDERS && !self.0.contains_key(address) {
@@ -90,7 +99,7 @@
         self.0.insert(
             *address,
             Sender {
-                life,
+                incarnation,
                 top: *seq,
                 seen: 1,
                 heard: now,
--- a/gossip/src/replay/tests.rs
+++ b/gossip/src/replay/tests.rs
@@ -3,9 +3,9 @@
 use super::*;
 
 fn told(port: u16, boot: u64, seq: u64, stamp: u64) -> Envelope {
-    let from = Life {
+    let from = Incarnation {
         boot,
-        ..Life::unknown(SocketAddr::from(([127, 0, 0, 1], port)))
+        ..Incarnation::unknown(SocketAddr::from(([127, 0, 0, 1], port)))
     };
     Envelope {
         from,
@@ -17,7 +17,7 @@
 
 #[test]
 fn each_datagram_counts_once_in_whatever_order_it_comes() {
-    let mut replays = Replays::default();
+    let mut replays = ReplayGuard::default();
     for seq in [5, 3, 9, 4, 200, 130] {
         assert_eq!(
             replays.take(1_000_000, &told(1, 7, seq, 0), true).map(drop),
@@ -36,7 +36,7 @@
 
 #[test]
 fn a_restart_begins_anew_and_its_old_life_is_over() {
-    let mut replays = Replays::default();
+    let mut replays = ReplayGuard::default();
     assert!(replays.take(0, &told(1, 7, 90, 0), true).is_ok());
     assert!(replays.take(0, &told(1, 8, 1, 0), true).is_ok());
     assert_eq!(
@@ -47,7 +47,7 @@
 
 #[test]
 fn what_was_long_under_way_is_told_apart_from_a_clock_that_differs() {
-    let mut replays = Replays::default();
+    let mut replays = ReplayGuard::default();
     // The sender's clock is 1,000 s behind; its datagrams take 1 to 3 ms.
     let at = |ms: u64| 1_000_000_000 + ms * 1_000;
     assert_eq!(replays.take(at(3), &told(1, 7, 1, 0), true), Ok(0));
@@ -60,7 +60,7 @@
 
 #[test]
 fn senders_are_bounded() {
-    let mut replays = Replays::default();
+    let mut replays = ReplayGuard::default();
     for port in 1..=SENDERS as u16 + 100 {
         assert!(
             replays
--- a/gossip/tests/common/mod.rs
+++ b/gossip/tests/common/mod.rs
@@ -5,7 +5,7 @@
     AttemptEnd, Endpoint, EndpointUpdate, LocalityPolicy, Micros, NodeId, RoutingQuery, Settings,
     Time,
 };
-use plovercove_gossip::{Keys, Level, Life, News, Peers, Rules, Witness};
+use plovercove_gossip::{Gossip, GossipEvent, Incarnation, Keys, Level, Observer, Rules};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::cmp::Reverse;
@@ -23,22 +23,22 @@
     Turn(usize),
     Came {
         to: usize,
-        life: u32,
+        incarnation: u32,
         bytes: Vec<u8>,
     },
     RoutingQuery(usize),
 }
 
 pub struct Router {
-    pub peers: Peers,
-    pub witness: Witness,
+    pub peers: Gossip,
+    pub observer: Observer,
     pub up: bool,
     pub stopped: bool,
-    life: u32,
+    incarnation: u32,
     /// What came while it stood still.
     held: Vec<Vec<u8>>,
     /// What it said, and when.
-    pub news: Vec<(Time, News)>,
+    pub news: Vec<(Time, GossipEvent)>,
 }
 
 /// What the network does to a datagram: none where it is lost, else how often it comes and after how long.
@@ -164,21 +164,21 @@
         net
     }
 
-    fn boot(&self, n: usize, life: u32, seed: u64) -> Router {
+    fn boot(&self, n: usize, incarnation: u32, seed: u64) -> Router {
         let rules = &self.rules;
-        let me = Life {
+        let me = Incarnation {
             address: address(n),
             boot: self.now + 1,
             turn: 0,
             name: format!("n{n}"),
             zone: (self.zone)(n).into(),
         };
-        let peers = Peers::new(
+        let peers = Gossip::new(
             rules.clone(),
             keys(KEY),
             me,
             self.now,
-            seed ^ (n as u64) << 8 ^ u64::from(life),
+            seed ^ (n as u64) << 8 ^ u64::from(incarnation),
         );
         let settings = Settings {
             classes: vec![plovercove::Class {
@@ -196,14 +196,14 @@
             }],
             ..Settings::default()
         };
-        let mut witness = Witness::new(rules, &settings, None);
-        witness.endpoints_changed(self.now, &EndpointUpdate::Full(self.nodes.clone()));
+        let mut observer = Observer::new(rules, &settings, None);
+        observer.endpoints_changed(self.now, &EndpointUpdate::Full(self.nodes.clone()));
         Router {
             peers,
-            witness,
+            observer,
             up: true,
             stopped: false,
-            life,
+            incarnation,
             held: Vec::new(),
             news: Vec::new(),
         }
@@ -219,11 +219,11 @@
     }
 
     pub fn start(&mut self, n: usize) {
-        let (life, news) = (
-            self.routers[n].life + 1,
+        let (incarnation, news) = (
+            self.routers[n].incarnation + 1,
             std::mem::take(&mut self.routers[n].news),
         );
-        let fresh = self.boot(n, life, 77);
+        let fresh = self.boot(n, incarnation, 77);
         self.routers[n] = Router { news, ..fresh };
         self.at(self.now, Event::Turn(n));
     }
@@ -259,18 +259,22 @@
                 Event::Turn(n) => {
                     if self.routers[n].up
                         && !self.routers[n].stopped
-                        && self.routers[n].peers.next() <= self.now
+                        && self.routers[n].peers.next_deadline() <= self.now
                     {
                         self.turn(n);
                     }
                 }
-                Event::Came { to, life, bytes } => {
+                Event::Came {
+                    to,
+                    incarnation,
+                    bytes,
+                } => {
                     let router = &mut self.routers[to];
-                    if router.up && router.life == life && router.stopped {
+                    if router.up && router.incarnation == incarnation && router.stopped {
                         if !self.full {
                             router.held.push(bytes);
                         }
-                    } else if router.up && router.life == life {
+                    } else if router.up && router.incarnation == incarnation {
                         router.peers.receive(self.now, &bytes);
                         self.send(to);
                     }
@@ -289,13 +293,13 @@
     fn turn(&mut self, n: usize) {
         let now = self.now;
         let router = &mut self.routers[n];
-        router.peers.turn(now, &mut router.witness);
+        router.peers.turn(now, &mut router.observer);
         self.send(n);
     }
 
     fn send(&mut self, n: usize) {
-        let out = self.routers[n].peers.take_out();
-        while let Some(news) = self.routers[n].peers.news() {
+        let out = self.routers[n].peers.take_outgoing();
+        while let Some(news) = self.routers[n].peers.next_event() {
             self.routers[n].news.push((self.now, news));
         }
         for (to, bytes) in out {
@@ -303,23 +307,31 @@
                 continue;
             };
             if let Some(spoils) = &mut self.spoils {
-                let (life, bytes) = (self.routers[to].life, spoils(&bytes, &mut self.dice));
+                let (incarnation, bytes) =
+                    (self.routers[to].incarnation, spoils(&bytes, &mut self.dice));
                 self.spoilt += 1;
-                self.at(self.now + 400, Event::Came { to, life, bytes });
+                self.at(
+                    self.now + 400,
+                    Event::Came {
+                        to,
+                        incarnation,
+                        bytes,
+                    },
+                );
             }
             for after in (self.weather)(self.now, n, to, &mut self.dice) {
-                let life = self.routers[to].life;
+                let incarnation = self.routers[to].incarnation;
                 self.at(
                     self.now + after,
                     Event::Came {
                         to,
-                        life,
+                        incarnation,
                         bytes: bytes.clone(),
                     },
                 );
             }
         }
-        let next = self.routers[n].peers.next();
+        let next = self.routers[n].peers.next_deadline();
         if next < Time::MAX {
             self.at(next.max(self.now + 1), Event::Turn(n));
         }
@@ -342,26 +354,26 @@
             .nodes
             .iter()
             .filter(|e| e.group == group as u64)
-            .filter(|e| router.witness.weight_share(now, &ask, &e.node).is_some())
+            .filter(|e| router.observer.weight_share(now, &ask, &e.node).is_some())
             .map(|e| e.node.clone())
             .collect();
         if able.is_empty() {
             return;
         }
         let node = able[self.dice.random_range(0..able.len())].clone();
-        router.witness.attempt_sent(now, &ask, &node);
+        router.observer.attempt_sent(now, &ask, &node);
         let (ending, elapsed) = (self.fate)(now, n, &node, &mut self.dice);
         if ending != AttemptEnd::Success {
             *self.lost.entry(node.clone()).or_default() += 1;
         }
         self.routers[n]
-            .witness
+            .observer
             .attempt_ended(now, &ask, &node, ending, elapsed);
     }
 
     pub fn list(&mut self, update: &EndpointUpdate) {
         for router in &mut self.routers {
-            router.witness.endpoints_changed(self.now, update);
+            router.observer.endpoints_changed(self.now, update);
         }
     }
 
@@ -369,7 +381,7 @@
         self.routers
             .iter()
             .filter(|r| r.up)
-            .map(|r| r.peers.seen())
+            .map(|r| r.peers.seen_count())
             .collect()
     }
 
@@ -378,7 +390,7 @@
         self.routers
             .iter()
             .filter(|r| r.up)
-            .map(|r| r.witness.level(&node.into()))
+            .map(|r| r.observer.level(&node.into()))
             .collect()
     }
 
@@ -407,7 +419,7 @@
     pub fn outs(&self) -> Vec<(Time, usize, String)> {
         let of = |(n, r): (usize, &Router)| {
             let told = r.news.iter().filter_map(move |(at, news)| match news {
-                News::Verdict { node, verdict, .. } if verdict.level == Level::Out => {
+                GossipEvent::Verdict { node, verdict, .. } if verdict.level == Level::Out => {
                     Some((*at, n, node.to_string()))
                 }
                 _ => None,
--- a/gossip/tests/decoder.rs
+++ b/gossip/tests/decoder.rs
@@ -3,12 +3,12 @@
 mod common;
 
 use common::{BEGIN, Net, S, address, keys};
-use plovercove_gossip::{Envelope, Life, Part, Record, Rules, Seen};
+use plovercove_gossip::{Envelope, Incarnation, Observation, Part, Record, Rules};
 use proptest::prelude::*;
 use rand::RngExt;
 
-fn life(port: usize, boot: u64) -> Life {
-    Life {
+fn incarnation(port: usize, boot: u64) -> Incarnation {
+    Incarnation {
         address: address(port),
         boot: BEGIN + boot,
         turn: 0,
@@ -31,7 +31,7 @@
         let mut sent = 0;
         for (port, boot, seq, stamp, parts) in datagrams {
             let parts = parts.into_iter().map(|(kind, body)| Part { kind, body }).collect();
-            let Some(sealed) = ours.seal(&Envelope { from: life(port, boot), seq, stamp, parts }) else { continue };
+            let Some(sealed) = ours.seal(&Envelope { from: incarnation(port, boot), seq, stamp, parts }) else { continue };
             sent += 1;
             net.inject(0, &sealed);
             net.run(S / 100);
@@ -85,13 +85,13 @@
     // Danger: in a rolling upgrade the first router of the new version would make all the old ones drop what it says.
     let ours = keys(common::KEY);
     let mut net = Net::new(1, 1, 1, Rules::default());
-    let seen = Seen {
+    let seen = Observation {
         silent: 30,
         nodes: 9,
         failing: 1,
-        ..Seen::default()
+        ..Observation::default()
     };
-    let record = Record::of_node(&life(20, 1), 1, &"s1".into(), None, &seen).expect("small");
+    let record = Record::of_node(&incarnation(20, 1), 1, &"s1".into(), None, &seen).expect("small");
     let newer = Record {
         kind: 99,
         subject: "something else".into(),
@@ -115,7 +115,7 @@
     ];
     let sealed = ours
         .seal(&Envelope {
-            from: life(20, 1),
+            from: incarnation(20, 1),
             seq: 1,
             stamp: 1,
             parts,
@@ -126,7 +126,7 @@
     assert_eq!(
         (
             router.peers.counts().unknown,
-            router.peers.belief(&router.witness).records
+            router.peers.snapshot(&router.observer).records
         ),
         (1, 1)
     );
--- a/gossip/tests/fleet.rs
+++ b/gossip/tests/fleet.rs
@@ -4,7 +4,9 @@
 
 use common::{BEGIN, Net, S, address, calm, dies, good, keys, lossy, zone};
 use plovercove::{AttemptEnd, Endpoint, EndpointUpdate, Micros, Time};
-use plovercove_gossip::{Envelope, Guard, Level, Life, News, Part, Record, Rules, Seen, carried};
+use plovercove_gossip::{
+    Envelope, GossipEvent, Guard, Incarnation, Level, Observation, Part, Record, Rules, carried,
+};
 
 fn nine(seed: u64) -> Net {
     Net::new(9, 3, seed, Rules::default())
@@ -50,7 +52,7 @@
     net.joined();
     let now = net.now;
     net.routers[4].peers.leave(now);
-    for (to, bytes) in net.routers[4].peers.take_out() {
+    for (to, bytes) in net.routers[4].peers.take_outgoing() {
         let to = (0..9).find(|n| address(*n) == to).expect("a router");
         net.inject(to, &bytes);
     }
@@ -150,7 +152,7 @@
     for n in 5..9 {
         let now = net.now;
         plovercove::LocalityPolicy::endpoints_changed(
-            &mut net.routers[n].witness,
+            &mut net.routers[n].observer,
             now,
             &EndpointUpdate::Changes(vec![again.clone()]),
         );
@@ -383,7 +385,7 @@
     net.routers[3]
         .news
         .iter()
-        .filter(|(_, news)| matches!(news, News::Down(_)))
+        .filter(|(_, news)| matches!(news, GossipEvent::Down(_)))
         .count()
 }
 
@@ -460,16 +462,16 @@
     net.asks = false;
     net.run(30 * S);
     let foreign = keys(b"another key, that of a stranger");
-    let seen = Seen {
+    let seen = Observation {
         silent: 50,
         nodes: 9,
         failing: 1,
-        ..Seen::default()
+        ..Observation::default()
     };
     for seq in 1..=100 {
         for (evil, zone) in [("x1", "a"), ("x2", "b"), ("x3", "c")] {
             let at = address(40 + usize::from(evil.as_bytes()[1]));
-            let from = Life {
+            let from = Incarnation {
                 address: at,
                 boot: BEGIN,
                 turn: 0,
@@ -497,7 +499,7 @@
     let told = net.routers[0]
         .news
         .iter()
-        .filter(|(_, news)| matches!(news, News::Dropped(..)))
+        .filter(|(_, news)| matches!(news, GossipEvent::Dropped(..)))
         .count();
     (
         told,
@@ -550,7 +552,7 @@
             .news
             .iter()
             .filter_map(|(at, news)| match news {
-                News::Verdict { verdict, .. } => Some((*at, verdict.level)),
+                GossipEvent::Verdict { verdict, .. } => Some((*at, verdict.level)),
                 _ => None,
             });
         told.collect::<Vec<_>>()
@@ -614,20 +616,20 @@
             net.routers[0].peers.post(now, address(1), kind, body)
                 == carried::RANGE.contains(&kind)
         );
-        for (to, bytes) in net.routers[0].peers.take_out() {
+        for (to, bytes) in net.routers[0].peers.take_outgoing() {
             let to = (0..9).find(|n| address(*n) == to).expect("a router");
             net.inject(to, &bytes);
         }
     };
     post(&mut net, carried::DUTY, vec![1, 2, 3]);
-    let came = net.routers[1].peers.arrived().expect("it came");
+    let came = net.routers[1].peers.next_received_part().expect("it came");
     assert_eq!(
         (came.from.name, came.kind, came.body, came.late),
         ("n0".into(), carried::DUTY, vec![1, 2, 3], 0)
     );
     // A kind of peers' own cannot be sent in their name.
     post(&mut net, 2, vec![1]);
-    assert_eq!(net.routers[1].peers.arrived(), None);
+    assert_eq!(net.routers[1].peers.next_received_part(), None);
     // Whoever does not ask for them holds no more than one bound of them.
     for n in 0..2_000u32 {
         let told = Envelope {
@@ -642,7 +644,7 @@
         let bytes = keys(common::KEY).seal(&told).expect("small");
         net.inject(1, &bytes);
     }
-    let left: Vec<_> = std::iter::from_fn(|| net.routers[1].peers.arrived()).collect();
+    let left: Vec<_> = std::iter::from_fn(|| net.routers[1].peers.next_received_part()).collect();
     assert_eq!(
         (left.len(), left.last().map(|a| a.body.clone())),
         (512, Some(1_999u32.to_le_bytes().to_vec()))
--- a/gossip/tests/stored_formats.rs
+++ b/gossip/tests/stored_formats.rs
@@ -3,7 +3,7 @@
 
 use plovercove::{Access, AttemptEnd, DedupScope, Idempotency};
 use plovercove::{Class, Endpoint, EndpointUpdate, LocalityPolicy, RoutingQuery, Settings, Time};
-use plovercove_gossip::{Keys, Life, Peers, Rules, Witness};
+use plovercove_gossip::{Gossip, Incarnation, Keys, Observer, Rules};
 use std::net::SocketAddr;
 
 const BEGIN: Time = 1_000_000_000_000;
@@ -14,8 +14,8 @@
     SocketAddr::from(([127, 0, 0, 1], 7_000 + n as u16))
 }
 
-fn life(n: usize) -> Life {
-    Life {
+fn incarnation(n: usize) -> Incarnation {
+    Incarnation {
         address: address(n),
         boot: BEGIN + n as u64,
         turn: 0,
@@ -53,8 +53,8 @@
 }
 
 struct Router {
-    peers: Peers,
-    witness: Witness,
+    peers: Gossip,
+    observer: Observer,
 }
 
 fn keys() -> Keys {
@@ -62,7 +62,7 @@
 }
 
 fn router(n: usize) -> Router {
-    let mut witness = Witness::new(&rules(), &settings(), None);
+    let mut observer = Observer::new(&rules(), &settings(), None);
     let node = |name: &str| Endpoint {
         node: name.into(),
         zone: "a".into(),
@@ -71,10 +71,10 @@
         ..Endpoint::default()
     };
     let nodes = vec![node("good"), node("bad")];
-    witness.endpoints_changed(BEGIN, &EndpointUpdate::Full(nodes));
+    observer.endpoints_changed(BEGIN, &EndpointUpdate::Full(nodes));
     Router {
-        peers: Peers::new(rules(), keys(), life(n), BEGIN, 7 + n as u64),
-        witness,
+        peers: Gossip::new(rules(), keys(), incarnation(n), BEGIN, 7 + n as u64),
+        observer,
     }
 }
 
@@ -95,19 +95,19 @@
     for step in 0..200 {
         let now = BEGIN + step * STEP;
         for n in 0..ROUTERS {
-            let witness = &mut routers[n].witness;
+            let observer = &mut routers[n].observer;
             for (node, end) in [("good", AttemptEnd::Success), ("bad", AttemptEnd::TimedOut)] {
                 let query = RoutingQuery {
                     request: step,
                     class: 0,
                     is_write: false,
                 };
-                witness.attempt_sent(now, &query, &node.into());
-                witness.attempt_ended(now, &query, &node.into(), end, 20_000);
+                observer.attempt_sent(now, &query, &node.into());
+                observer.attempt_ended(now, &query, &node.into(), end, 20_000);
             }
-            let Router { peers, witness } = &mut routers[n];
-            peers.turn(now, witness);
-            for (to, bytes) in peers.take_out() {
+            let Router { peers, observer } = &mut routers[n];
+            peers.turn(now, observer);
+            for (to, bytes) in peers.take_outgoing() {
                 let to = usize::from(to.port() - 7_000);
                 lines.push(format!("{n} {to} {}", hex(&bytes)));
                 routers[to].peers.receive(now, &bytes);
--- a/router/src/gossip.rs
+++ b/router/src/gossip.rs
@@ -8,7 +8,7 @@
 use crate::upstream::{NodeQuery, QueryOutcome};
 use plovercove::{Settings, Time};
 use plovercove_engine::{Deadline, Engine};
-use plovercove_gossip::{Keys, Life, MOST, News, Peers, Rules, Witness};
+use plovercove_gossip::{Gossip, GossipEvent, Incarnation, Keys, MOST, Observer, Rules};
 use plovercove_poller::{Interest, Poll, Registered};
 use std::any::Any;
 use std::io::ErrorKind;
@@ -34,9 +34,9 @@
 }
 
 /// The router among its peers.
-pub struct Gossip {
+pub struct GossipSocket {
     socket: Registered<UdpSocket>,
-    peers: Peers,
+    peers: Gossip,
     due: Option<Time>,
     advertise: SocketAddr,
     chores: Option<LeaseTasks>,
@@ -45,14 +45,14 @@
 }
 
 /// The witness that stands beside the module, where peers are on.
-pub fn witness(engine: &mut Engine) -> Option<&mut Witness> {
+pub fn observer(engine: &mut Engine) -> Option<&mut Observer> {
     engine
         .locality_policy()
         .map(|zoning| zoning as &mut dyn Any)
         .and_then(<dyn Any>::downcast_mut)
 }
 
-impl Gossip {
+impl GossipSocket {
     /// Opens the socket. Nobody is called yet.
     pub fn open(
         poll: &Poll,
@@ -72,7 +72,7 @@
         socket.set_nonblocking(true)?;
         let listen = socket.local_addr()?;
         let advertise = terms.advertise.unwrap_or(listen);
-        let me = Life {
+        let me = Incarnation {
             address: advertise,
             boot: now,
             turn: 0,
@@ -85,8 +85,8 @@
         let chores = terms
             .duties
             .map(|terms| LeaseTasks::new(terms, &me, routers, clock, seed));
-        let peers = Peers::new(terms.rules, terms.keys, me, now, seed);
-        Ok(Gossip {
+        let peers = Gossip::new(terms.rules, terms.keys, me, now, seed);
+        Ok(GossipSocket {
             socket,
             peers,
             due: None,
@@ -119,8 +119,8 @@
     /// Something of it is due.
     pub fn turn(&mut self, now: Time, engine: &mut Engine) {
         self.due = None;
-        if let Some(witness) = witness(engine) {
-            self.peers.turn(now, witness);
+        if let Some(observer) = observer(engine) {
+            self.peers.turn(now, observer);
         }
         self.flush(now, engine);
     }
@@ -154,10 +154,10 @@
     /// Sends, tells the log, and sets the next deadline.
     fn flush(&mut self, now: Time, engine: &mut Engine) {
         let (mut changed, mut others) = (false, false);
-        while let Some(news) = self.peers.news() {
-            changed |= matches!(news, News::Verdict { .. });
-            others |= matches!(news, News::Up(_) | News::Down(_));
-            if let (News::Stood(span), Some(chores)) = (&news, &mut self.chores) {
+        while let Some(news) = self.peers.next_event() {
+            changed |= matches!(news, GossipEvent::Verdict { .. });
+            others |= matches!(news, GossipEvent::Up(_) | GossipEvent::Down(_));
+            if let (GossipEvent::Stood(span), Some(chores)) = (&news, &mut self.chores) {
                 chores.stood(now, *span);
             }
             tell(news);
@@ -172,7 +172,7 @@
             // Requests that wait are decided anew.
             engine.wake();
         }
-        let next = self.peers.next().min(next);
+        let next = self.peers.next_deadline().min(next);
         let at = (next < Time::MAX).then(|| next.max(now + 1));
         engine.deadlines.set(&mut self.due, Deadline::Peers, at);
     }
@@ -185,7 +185,7 @@
         if others {
             chores.seen(now, self.peers.others());
         }
-        while let Some(part) = self.peers.arrived() {
+        while let Some(part) = self.peers.next_received_part() {
             chores.arrived(now, part);
         }
         chores.turn(now, engine);
@@ -198,7 +198,7 @@
     }
 
     fn send(&mut self) {
-        for (to, bytes) in self.peers.take_out() {
+        for (to, bytes) in self.peers.take_outgoing() {
             // One that cannot be sent is lost as others are.
             let _ = self.socket.send_to(&bytes, to);
         }
@@ -245,10 +245,10 @@
     /// Tells the log what this router believes.
     pub fn dump(&self, now: Time, engine: &mut Engine) {
         self.chores.iter().for_each(|chores| chores.dump(now));
-        let Some(witness) = witness(engine) else {
+        let Some(observer) = observer(engine) else {
             return;
         };
-        let belief = self.peers.belief(witness);
+        let belief = self.peers.snapshot(observer);
         let levels: Vec<String> = belief
             .levels
             .iter()
@@ -282,32 +282,32 @@
     }
 }
 
-fn tell(news: News) {
+fn tell(news: GossipEvent) {
     match news {
-        News::Up(life) => {
+        GossipEvent::Up(life) => {
             info!(reason = "peer up", router = life.name, address = %life.address, zone = life.zone, boot = life.boot, turn = life.turn, "a router is there");
         }
-        News::Down(life) => {
+        GossipEvent::Down(life) => {
             info!(reason = "peer down", router = life.name, address = %life.address, zone = life.zone, boot = life.boot, turn = life.turn, "a router is gone");
         }
-        News::Count { seen, should } => info!(reason = "peers", seen, should, "routers"),
-        News::Twins(a, b) => {
+        GossipEvent::Count { seen, should } => info!(reason = "peers", seen, should, "routers"),
+        GossipEvent::Twins(a, b) => {
             warn!(reason = "twins", router = a.name, address = %a.address, other = %b.address, "two routers have one name");
         }
-        News::Again(life) => {
+        GossipEvent::Again(life) => {
             info!(
                 reason = "again",
                 turn = life.turn,
                 "the others took this router for gone"
             );
         }
-        News::Taken => warn!(reason = "taken", "another router holds this one's address"),
-        News::Stood(span) => info!(
+        GossipEvent::Taken => warn!(reason = "taken", "another router holds this one's address"),
+        GossipEvent::Stood(span) => info!(
             reason = "stood",
             ms = span / 1_000,
             "this router stood still"
         ),
-        News::Dropped(fault, count) => {
+        GossipEvent::Dropped(fault, count) => {
             warn!(
                 reason = "dropped",
                 why = fault.word(),
@@ -316,7 +316,7 @@
                 "datagrams that cannot be taken"
             );
         }
-        News::Verdict {
+        GossipEvent::Verdict {
             node,
             was,
             verdict,
--- a/router/src/lease_tasks/mod.rs
+++ b/router/src/lease_tasks/mod.rs
@@ -21,7 +21,7 @@
 use plovercove_engine::Engine;
 use plovercove_fanout::{self as fanout, Client, Fault, Gateway, Publisher, Subscriber, Topic};
 use plovercove_fencing::{Duty, Refused, Token};
-use plovercove_gossip::{Arrived, Life, carried};
+use plovercove_gossip::{Incarnation, ReceivedPart, carried};
 use plovercove_leases::{Duties, Member, Wanted};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -75,7 +75,7 @@
     format!("positions/{group}")
 }
 
-fn member(life: &Life) -> Member {
+fn member(life: &Incarnation) -> Member {
     Member {
         name: life.name.clone(),
         zone: life.zone.clone(),
@@ -86,7 +86,13 @@
 
 impl LeaseTasks {
     /// A router that owns nothing yet. Reads the decider's file where it is one.
-    pub fn new(terms: LeaseTasksConfig, me: &Life, routers: u32, clock: Clock, seed: u64) -> Self {
+    pub fn new(
+        terms: LeaseTasksConfig,
+        me: &Incarnation,
+        routers: u32,
+        clock: Clock,
+        seed: u64,
+    ) -> Self {
         let now = clock.now();
         let me = member(me);
         let here = |d: &plovercove_leases::Decider| d.address == me.address;
@@ -165,7 +171,7 @@
     }
 
     /// Who is there has changed.
-    pub fn seen<'a>(&mut self, now: Time, others: impl Iterator<Item = &'a Life>) {
+    pub fn seen<'a>(&mut self, now: Time, others: impl Iterator<Item = &'a Incarnation>) {
         self.members = others.map(member).chain([self.me.clone()]).collect();
         self.duties.borrow_mut().members(now, self.members.clone());
         self.want(now);
@@ -222,7 +228,7 @@
     }
 
     /// A part came.
-    pub fn arrived(&mut self, now: Time, part: Arrived) {
+    pub fn arrived(&mut self, now: Time, part: ReceivedPart) {
         match part.kind {
             carried::DUTY => {
                 self.duties
--- a/router/src/serve.rs
+++ b/router/src/serve.rs
@@ -5,7 +5,7 @@
 use crate::config::{self, Config};
 use crate::discovery::{Discovery, Listing};
 use crate::front::Front;
-use crate::gossip::{self, Gossip};
+use crate::gossip::{self, GossipSocket};
 use crate::net::budget::Budget;
 use crate::net::signals::{Registration, Signal, Signals};
 use crate::net::{Source, split};
@@ -13,7 +13,7 @@
 use crate::upstream::Upstream;
 use plovercove::{EndpointUpdate, LocalityPolicy, Time};
 use plovercove_engine::{Command, Deadline, Engine, Lists, WatchSchedule};
-use plovercove_gossip::Witness;
+use plovercove_gossip::Observer;
 use plovercove_locality::ZoneFailover;
 use plovercove_poller::{Events, Poll};
 use plovercove_settings::Names;
@@ -46,7 +46,7 @@
     upstream: Upstream,
     discovery: Discovery,
     operators: Option<operators::Source>,
-    peers: Option<Gossip>,
+    peers: Option<GossipSocket>,
     /// SIGTERM has come.
     stopping: bool,
 }
@@ -94,11 +94,12 @@
         let zoning = tiers.map(|tiers| Box::new(tiers) as Box<dyn LocalityPolicy>);
         let zoning =
             match &peers {
-                Some(terms) => Some(Box::new(Witness::new(&terms.rules, &settings, zoning))
+                Some(terms) => Some(Box::new(Observer::new(&terms.rules, &settings, zoning))
                     as Box<dyn LocalityPolicy>),
                 None => zoning,
             };
-        let talk = |terms| Gossip::open(&poll, terms, &config.name, &settings, clock, config.seed);
+        let talk =
+            |terms| GossipSocket::open(&poll, terms, &config.name, &settings, clock, config.seed);
         let mut router = Router {
             peers: peers.map(talk).transpose()?,
             clock,
@@ -368,8 +369,8 @@
 
     /// Puts other tiers in the place of those in use; they go on from what these have learned.
     fn rezone(&mut self, mut tiers: Option<ZoneFailover>, now: Time) {
-        let old = match gossip::witness(&mut self.engine) {
-            Some(witness) => witness.inner(),
+        let old = match gossip::observer(&mut self.engine) {
+            Some(observer) => observer.inner(),
             None => self.engine.locality_policy(),
         };
         let old = old
@@ -379,11 +380,11 @@
             fresh.inherit(old);
         }
         let tiers = tiers.map(|tiers| Box::new(tiers) as Box<dyn LocalityPolicy>);
-        match gossip::witness(&mut self.engine) {
-            Some(witness) => {
-                let witness = witness.with(tiers);
+        match gossip::observer(&mut self.engine) {
+            Some(observer) => {
+                let observer = observer.with(tiers);
                 self.engine
-                    .replace_locality_policy(now, Some(Box::new(witness)));
+                    .replace_locality_policy(now, Some(Box::new(observer)));
             }
             None => self.engine.replace_locality_policy(now, tiers),
         }
--- a/simulation/src/world/talk.rs
+++ b/simulation/src/world/talk.rs
@@ -4,7 +4,7 @@
 use crate::spec::{PeerSpec, SpecFault};
 use plovercove::{LocalityPolicy, Micros, NodeId};
 use plovercove_engine::Engine;
-use plovercove_gossip::{Keys, Level, Life, News, Peers, Witness};
+use plovercove_gossip::{Gossip, GossipEvent, Incarnation, Keys, Level, Observer};
 use rand::RngExt;
 use std::any::Any;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -16,7 +16,7 @@
 
 /// One router's talk.
 pub(super) struct Talk {
-    pub(super) peers: Peers,
+    pub(super) peers: Gossip,
     /// When it is to be woken next.
     due: Option<plovercove::Time>,
 }
@@ -72,15 +72,15 @@
         let keys = Keys::new("model", b"one key for all of them", None);
         let keys = keys.map_err(|e| SpecFault(format!("peers: {e}")))?;
         let zone = self.spec.zones[self.routers[router].zone].name.clone();
-        let me = Life {
+        let me = Incarnation {
             address: address(router),
             boot: self.now,
             turn: 0,
             name: format!("n{router}"),
             zone,
         };
-        let witness = Witness::new(&rules, &self.settings[router], inner);
-        let peers = Peers::new(
+        let observer = Observer::new(&rules, &self.settings[router], inner);
+        let peers = Gossip::new(
             rules,
             keys,
             me,
@@ -88,7 +88,7 @@
             self.seed ^ ((router as u64) << 12),
         );
         self.routers[router].talk = Some(Talk { peers, due: None });
-        Ok(Box::new(witness))
+        Ok(Box::new(observer))
     }
 
     /// Something of a router's talk is due.
@@ -102,8 +102,8 @@
             return;
         }
         talk.due = None;
-        if let Some(witness) = witness(engine) {
-            talk.peers.turn(now, witness);
+        if let Some(observer) = observer(engine) {
+            talk.peers.turn(now, observer);
         }
         self.say(router);
     }
@@ -130,9 +130,9 @@
         let r = &mut self.routers[router as usize];
         let epoch = r.epoch;
         let Some(talk) = &mut r.talk else { return };
-        let out = talk.peers.take_out();
-        let news: Vec<News> = std::iter::from_fn(|| talk.peers.news()).collect();
-        let next = talk.peers.next().max(now + 1);
+        let out = talk.peers.take_outgoing();
+        let news: Vec<GossipEvent> = std::iter::from_fn(|| talk.peers.next_event()).collect();
+        let next = talk.peers.next_deadline().max(now + 1);
         if next < plovercove::Time::MAX && talk.due.is_none_or(|at| next < at) {
             talk.due = Some(next);
             self.at(next, Event::Talk { router, epoch });
@@ -163,7 +163,7 @@
         }
         let mut changed = false;
         for news in news {
-            changed |= matches!(news, News::Verdict { .. });
+            changed |= matches!(news, GossipEvent::Verdict { .. });
             self.heard(router, news);
         }
         if changed {
@@ -174,10 +174,10 @@
         }
     }
 
-    fn heard(&mut self, router: u32, news: News) {
+    fn heard(&mut self, router: u32, news: GossipEvent) {
         let now = self.now;
         match news {
-            News::Verdict { node, verdict, .. } if verdict.level == Level::Out => {
+            GossipEvent::Verdict { node, verdict, .. } if verdict.level == Level::Out => {
                 self.talked.outs += 1;
                 let evidence = self
                     .spec
@@ -193,7 +193,7 @@
                     self.all_out(n, &node);
                 }
             }
-            News::Down(life) => {
+            GossipEvent::Down(life) => {
                 let there = life
                     .name
                     .strip_prefix('n')
@@ -222,7 +222,7 @@
             return;
         }
         let out =
-            |engine: &mut Engine| witness(engine).is_some_and(|w| w.level(node) == Level::Out);
+            |engine: &mut Engine| observer(engine).is_some_and(|w| w.level(node) == Level::Out);
         if self
             .routers
             .iter_mut()
@@ -242,7 +242,7 @@
 }
 
 /// The witness beside a router's module.
-fn witness(engine: &mut Engine) -> Option<&mut Witness> {
+fn observer(engine: &mut Engine) -> Option<&mut Observer> {
     engine
         .locality_policy()
         .map(|zoning| zoning as &mut dyn Any)
