--- a/router/src/serve.rs
+++ b/router/src/serve.rs
@@ -1,4 +1,7 @@
-//! The one loop: it waits on the poller, hands what has come to the parts, lets the module decide, and carries that out.
+//! The one loop: it waits on the poller, hands what has come to the parts, lets the decisions be made, and carries them out.
+//!
+//! The phases of a turn are those of `Router::turn`, in this order: discovery, signals, gossip, nodes, answers on their way to
+//! clients, questions of the fleet, clients, new clients, deadlines, and the decisions on all of it.
 
 use crate::Error;
 use crate::clock::Clock;
@@ -12,7 +15,7 @@
 use crate::operators;
 use crate::upstream::Upstream;
 use plovercove::{EndpointUpdate, LocalityPolicy, Time};
-use plovercove_engine::{Command, Deadline, Engine, Lists, WatchSchedule};
+use plovercove_engine::{Command, Deadline, Engine, Key, Lists, WatchSchedule};
 use plovercove_gossip::Observer;
 use plovercove_locality::ZoneFailover;
 use plovercove_poller::{Events, Poll};
@@ -36,6 +39,32 @@
     })
 }
 
+/// What the poller says of one socket.
+struct ReadyEvent {
+    key: Key,
+    /// The other side has gone, or the connection broke.
+    hung_up: bool,
+}
+
+/// What the poller says in one turn, by whom it is for.
+struct Ready<'a> {
+    events: &'a Events,
+}
+
+impl<'a> Ready<'a> {
+    fn new(events: &'a Events) -> Self {
+        Ready { events }
+    }
+
+    fn of(&self, wanted: Source) -> impl Iterator<Item = ReadyEvent> {
+        self.events.iter().filter_map(move |event| {
+            let (source, key) = split(event.key);
+            let hung_up = event.is_interrupt() || event.is_err() == Some(true);
+            (source == Some(wanted)).then_some(ReadyEvent { key, hung_up })
+        })
+    }
+}
+
 /// The router: its parts and the loop round them.
 pub struct Router {
     clock: Clock,
@@ -165,62 +194,80 @@
         Ok(())
     }
 
-    /// One turn of the loop; true where something is left to decide at once.
+    /// One turn of the loop, phase by phase; true where something is left to decide at once.
     fn turn(&mut self, events: &Events) -> bool {
         let now = self.clock.now();
-        let all = || {
-            events.iter().map(|event| {
-                (
-                    split(event.key),
-                    event.is_interrupt() || event.is_err() == Some(true),
-                )
-            })
-        };
-        let of = |wanted: Source| {
-            all()
-                .filter(move |((source, _), _)| *source == Some(wanted))
-                .map(|((_, key), hung_up)| (key, hung_up))
-        };
-        // What discovery says goes first: whatever else is read in this turn is decided by the new list.
-        for _ in of(Source::Discovery) {
+        let ready = Ready::new(events);
+        // The endpoint list goes first: whatever else is read in this turn is decided by the new one.
+        self.read_discovery(&ready, now);
+        self.take_signals(&ready, now);
+        self.read_gossip(&ready, now);
+        self.read_nodes(&ready, now);
+        self.pass_on_answers(now);
+        self.exchange_fleet_queries(now);
+        self.read_clients(&ready, now);
+        self.accept_clients(&ready, now);
+        self.meet_deadlines(now);
+        self.exchange_fleet_queries(now);
+        self.front.pump(now, &mut self.engine);
+        self.decide(now)
+    }
+
+    fn read_discovery(&mut self, ready: &Ready<'_>, now: Time) {
+        for _ in ready.of(Source::Discovery) {
             if let Some(listing) = self.discovery.event(now, &mut self.engine) {
                 self.list(listing, false, now);
             }
         }
-        for _ in of(Source::Signal) {
+    }
+
+    fn take_signals(&mut self, ready: &Ready<'_>, now: Time) {
+        for _ in ready.of(Source::Signal) {
             for signal in self.signals.take() {
                 match signal {
                     Signal::Reload => self.reload(now),
                     Signal::Stop => self.terminate(now),
-                    Signal::Tell => self
-                        .peers
-                        .iter()
-                        .for_each(|peers| peers.dump(now, &mut self.engine)),
+                    Signal::Tell => {
+                        if let Some(peers) = &self.peers {
+                            peers.dump(now, &mut self.engine);
+                        }
+                    }
                 }
             }
         }
-        for _ in of(Source::Peers) {
-            self.peers
-                .iter_mut()
-                .for_each(|peers| peers.event(now, &mut self.engine));
+    }
+
+    fn read_gossip(&mut self, ready: &Ready<'_>, now: Time) {
+        for _ in ready.of(Source::Peers) {
+            if let Some(peers) = &mut self.peers {
+                peers.event(now, &mut self.engine);
+            }
         }
-        for (key, _) in of(Source::Backend) {
-            self.upstream.event(key, now, &mut self.engine);
+    }
+
+    fn read_nodes(&mut self, ready: &Ready<'_>, now: Time) {
+        for event in ready.of(Source::Backend) {
+            self.upstream.event(event.key, now, &mut self.engine);
         }
-        self.pass_on(now);
-        self.fleet(now);
-        for (key, hung_up) in of(Source::Client) {
-            self.front.event(key, hung_up, now, &mut self.engine);
+    }
+
+    fn read_clients(&mut self, ready: &Ready<'_>, now: Time) {
+        for event in ready.of(Source::Client) {
+            self.front
+                .event(event.key, event.hung_up, now, &mut self.engine);
         }
-        for (entry, _) in of(Source::Listener) {
-            self.front.accept(entry, now, &mut self.engine);
+    }
+
+    fn accept_clients(&mut self, ready: &Ready<'_>, now: Time) {
+        for event in ready.of(Source::Listener) {
+            self.front.accept(event.key, now, &mut self.engine);
         }
-        while let Some(due) = self.engine.deadlines.pop(now) {
-            self.due(due, now);
+    }
+
+    fn meet_deadlines(&mut self, now: Time) {
+        while let Some(deadline) = self.engine.deadlines.pop(now) {
+            self.due(deadline, now);
         }
-        self.fleet(now);
-        self.front.pump(now, &mut self.engine);
-        self.decide(now)
     }
 
     fn due(&mut self, due: Deadline, now: Time) {
@@ -253,7 +300,7 @@
             for command in commands {
                 self.carry_out(command, now);
             }
-            self.pass_on(now);
+            self.pass_on_answers(now);
             self.front.pump(now, &mut self.engine);
         }
         self.engine.has_pending_work() || self.front.has_marked()
@@ -284,7 +331,7 @@
     }
 
     /// Asks nodes what the fleet wants to know of them, and takes what they answered.
-    fn fleet(&mut self, now: Time) {
+    fn exchange_fleet_queries(&mut self, now: Time) {
         let Some(peers) = &mut self.peers else { return };
         let heard = self.upstream.take_query_outcomes();
         if !heard.is_empty() {
@@ -295,7 +342,7 @@
         }
     }
 
-    fn pass_on(&mut self, now: Time) {
+    fn pass_on_answers(&mut self, now: Time) {
         for served in self.upstream.take_served() {
             self.front
                 .pass_on(served.origin, served.request, served.reply, now);
