--- a/gossip/src/datagram.rs
+++ b/gossip/src/datagram.rs
@@ -23,7 +23,7 @@
     pub const MEMBERS: u8 = 6;
 }
 
-/// Kinds of parts that belong to other crates: what came of them is kept for whoever asks ([`crate::Gossip::arrived`]).
+/// Kinds of parts that belong to other crates: what came of them is kept for whoever asks ([`crate::Gossip::next_received_part`]).
 pub mod carried {
     /// Requests, votes and grants of duties.
     pub const DUTY: u8 = 16;
--- a/gossip/src/event.rs
+++ b/gossip/src/event.rs
@@ -49,7 +49,7 @@
 pub struct ReceivedPart {
     /// Who sent it; the tag vouches for a holder of the key, not for the name.
     pub from: Incarnation,
-    /// What it is, of [`carried`].
+    /// What it is, of [`carried`](crate::carried).
     pub kind: u8,
     /// Its content.
     pub body: Vec<u8>,
