--- a/emulator/src/server.rs
+++ b/emulator/src/server.rs
@@ -4,7 +4,7 @@
 //! It is written from the manual ("Frontend/Backend Protocol") and shares no framing with the router.
 
 use crate::wire;
-use plovercove_pgwire::verifier::{Exchange, Verifier};
+use plovercove_pgwire::verifier::{ScramExchange, Verifier};
 use std::io::{self, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -236,11 +236,12 @@
         Gate::Trust => true,
         Gate::Clear => text(&ask(stream, 3, &[])?) == PASSWORD.as_bytes(),
         Gate::Md5 => {
-            let kept = Verifier::md5_of(USER, PASSWORD.as_bytes());
-            kept.proves_md5([5, 6, 7, 8], &text(&ask(stream, 5, &[5, 6, 7, 8])?))
+            let kept = Verifier::md5_from_password(USER, PASSWORD.as_bytes());
+            kept.matches_md5_response([5, 6, 7, 8], &text(&ask(stream, 5, &[5, 6, 7, 8])?))
         }
         Gate::Scram => {
-            let Verifier::Scram(kept) = Verifier::scram_of(PASSWORD.as_bytes(), &[3; 16], 4_096)
+            let Verifier::Scram(kept) =
+                Verifier::scram_from_password(PASSWORD.as_bytes(), &[3; 16], 4_096)
             else {
                 return Ok(false);
             };
@@ -249,11 +250,12 @@
                 .strip_prefix(b"SCRAM-SHA-256\0")
                 .and_then(|s| s.get(4..))
                 .unwrap_or_default();
-            let Some((exchange, answer)) = Exchange::begin(&kept, first, "fromtheserver") else {
+            let Some((exchange, answer)) = ScramExchange::start(&kept, first, "fromtheserver")
+            else {
                 return Ok(false);
             };
             let last = ask(stream, 11, answer.as_bytes())?;
-            let Some(done) = exchange.end(&last) else {
+            let Some(done) = exchange.finish(&last) else {
                 return Ok(false);
             };
             stream.write_all(&message(
--- a/pgwire/src/cancel.rs
+++ b/pgwire/src/cancel.rs
@@ -22,15 +22,15 @@
 
 /// The keys that are out. `S` is whatever names a session.
 #[derive(Default)]
-pub struct Keys<S> {
+pub struct CancelKeys<S> {
     out: HashMap<u32, (Vec<u8>, S)>,
     last: u32,
 }
 
-impl<S: Copy> Keys<S> {
+impl<S: Copy> CancelKeys<S> {
     /// No keys.
     pub fn new() -> Self {
-        Keys {
+        CancelKeys {
             out: HashMap::new(),
             last: 0,
         }
@@ -61,7 +61,7 @@
     }
 
     /// The session is over.
-    pub fn withdraw(&mut self, id: u32) {
+    pub fn remove(&mut self, id: u32) {
         self.out.remove(&id);
     }
 
--- a/pgwire/src/cancel/tests.rs
+++ b/pgwire/src/cancel/tests.rs
@@ -4,7 +4,7 @@
 
 #[test]
 fn only_the_whole_key_of_a_session_that_is_there_finds_it() {
-    let mut keys = Keys::new();
+    let mut keys = CancelKeys::new();
     let old = keys.issue('a', Version::V30, [7; 32]);
     let new = keys.issue('b', Version::V32, [8; 32]);
     assert_eq!((old.secret.len(), new.secret.len()), (4, 32));
@@ -19,14 +19,14 @@
         }),
         None
     );
-    keys.withdraw(old.id);
+    keys.remove(old.id);
     assert_eq!((keys.find(&old), keys.len()), (None, 1));
     assert_eq!(format!("{new:?}"), "CancelKey(2)", "no secret in a log");
 }
 
 #[test]
 fn numbers_are_used_again_only_when_they_are_free() {
-    let mut keys = Keys {
+    let mut keys = CancelKeys {
         out: HashMap::new(),
         last: i32::MAX as u32 - 1,
     };
--- a/pgwire/src/catalogue.rs
+++ b/pgwire/src/catalogue.rs
@@ -28,18 +28,18 @@
     /// The router answers it itself.
     Answer,
     /// The one who sent it hears an error, or the attempt fails.
-    Refuse,
+    Reject,
 }
 
 impl Treatment {
     /// As the table writes it.
-    pub fn word(self) -> &'static str {
+    pub fn label(self) -> &'static str {
         match self {
             Treatment::Pass => "passed",
             Treatment::Rewrite => "rewritten",
             Treatment::Absorb => "absorbed",
             Treatment::Answer => "answered here",
-            Treatment::Refuse => "refused",
+            Treatment::Reject => "refused",
         }
     }
 }
@@ -62,7 +62,7 @@
 }
 
 use Side::{Client, Server};
-use Treatment::{Absorb, Answer, Pass, Refuse, Rewrite};
+use Treatment::{Absorb, Answer, Pass, Reject, Rewrite};
 const V2: &[Version] = &[Version::V2];
 const V3: &[Version] = &[Version::V30, Version::V32];
 const ALL: &[Version] = &[Version::V2, Version::V30, Version::V32];
@@ -164,7 +164,7 @@
         b'p',
         "GSSResponse",
         V3,
-        Refuse,
+        Reject,
         "GSSAPI is never asked for",
     ),
     of(
@@ -180,7 +180,7 @@
         b'F',
         "FunctionCall",
         ALL,
-        Refuse,
+        Reject,
         "nothing says whether a function writes; 0A000, and the session stays",
     ),
     of(
@@ -188,7 +188,7 @@
         b'P',
         "Parse",
         V3,
-        Refuse,
+        Reject,
         "extended queries: 0A000, and all up to Sync is skipped",
     ),
     of(
@@ -196,7 +196,7 @@
         b'B',
         "Bind",
         V3,
-        Refuse,
+        Reject,
         "extended queries: 0A000, and all up to Sync is skipped",
     ),
     of(
@@ -204,7 +204,7 @@
         b'D',
         "Describe",
         V3,
-        Refuse,
+        Reject,
         "extended queries: 0A000, and all up to Sync is skipped",
     ),
     of(
@@ -212,7 +212,7 @@
         b'E',
         "Execute",
         V3,
-        Refuse,
+        Reject,
         "extended queries: 0A000, and all up to Sync is skipped",
     ),
     of(
@@ -220,7 +220,7 @@
         b'C',
         "Close",
         V3,
-        Refuse,
+        Reject,
         "extended queries: 0A000, and all up to Sync is skipped",
     ),
     of(
@@ -228,7 +228,7 @@
         b'H',
         "Flush",
         V3,
-        Refuse,
+        Reject,
         "extended queries: 0A000, and all up to Sync is skipped",
     ),
     of(
@@ -270,7 +270,7 @@
         b'R',
         "AuthenticationKerberosV5",
         V3,
-        Refuse,
+        Reject,
         "the connection ends, and the log names what both sides can do",
     ),
     of(
@@ -294,7 +294,7 @@
         b'R',
         "AuthenticationGSS",
         V3,
-        Refuse,
+        Reject,
         "the connection ends, and the log names what both sides can do",
     ),
     of(
@@ -302,7 +302,7 @@
         b'R',
         "AuthenticationGSSContinue",
         V3,
-        Refuse,
+        Reject,
         "GSSAPI is never begun",
     ),
     of(
@@ -310,7 +310,7 @@
         b'R',
         "AuthenticationSSPI",
         V3,
-        Refuse,
+        Reject,
         "the connection ends, and the log names what both sides can do",
     ),
     of(
@@ -430,7 +430,7 @@
         b'G',
         "CopyInResponse",
         V3,
-        Refuse,
+        Reject,
         "the server is told CopyFail, and the client hears the error",
     ),
     of(
@@ -446,7 +446,7 @@
         b'W',
         "CopyBothResponse",
         V3,
-        Refuse,
+        Reject,
         "replication is no request; the attempt fails",
     ),
     of(Server, b'd', "CopyData", V3, Pass, "within a copy out only"),
@@ -463,7 +463,7 @@
         b'V',
         "FunctionCallResponse",
         V3,
-        Refuse,
+        Reject,
         "no function is ever called; the attempt fails",
     ),
     of(
@@ -471,7 +471,7 @@
         b'1',
         "ParseComplete",
         V3,
-        Refuse,
+        Reject,
         "answers an extended query, and none was asked; the attempt fails",
     ),
     of(
@@ -479,7 +479,7 @@
         b'2',
         "BindComplete",
         V3,
-        Refuse,
+        Reject,
         "see ParseComplete",
     ),
     of(
@@ -487,16 +487,16 @@
         b'3',
         "CloseComplete",
         V3,
-        Refuse,
+        Reject,
         "see ParseComplete",
     ),
-    of(Server, b'n', "NoData", V3, Refuse, "see ParseComplete"),
+    of(Server, b'n', "NoData", V3, Reject, "see ParseComplete"),
     of(
         Server,
         b's',
         "PortalSuspended",
         V3,
-        Refuse,
+        Reject,
         "see ParseComplete",
     ),
     of(
@@ -504,7 +504,7 @@
         b't',
         "ParameterDescription",
         V3,
-        Refuse,
+        Reject,
         "see ParseComplete",
     ),
 ];
@@ -540,7 +540,7 @@
             "| {from} | {}{tag} | {} | {} | {} |",
             entry.name,
             versions.join(", "),
-            entry.treatment.word(),
+            entry.treatment.label(),
             entry.why
         );
     }
--- a/pgwire/src/encoder.rs
+++ b/pgwire/src/encoder.rs
@@ -3,7 +3,7 @@
 use crate::Version;
 use crate::cancel::CancelKey;
 use crate::messages::{self, Column, Fields, Malformed, Message, code, put, put_text};
-use crate::values::Forms;
+use crate::values::ValueFormats;
 
 /// What a client is spoken to with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -11,7 +11,7 @@
     /// Its version.
     pub version: Version,
     /// The forms of its values.
-    pub forms: Forms,
+    pub formats: ValueFormats,
 }
 
 /// A reply that cannot be said in the client's version.
@@ -32,9 +32,9 @@
 
 impl Encoder {
     /// Whether a reply goes on just as it came, so that nothing needs to be written anew.
-    pub fn passes(&self, messages: &[u8]) -> bool {
+    pub fn passes_unchanged(&self, messages: &[u8]) -> bool {
         self.version != Version::V2
-            && self.forms == Forms::default()
+            && self.formats == ValueFormats::default()
             && self.only_known_fields(messages)
     }
 
@@ -42,8 +42,8 @@
     ///
     /// # Errors
     /// It cannot be said; nothing that was appended may be sent.
-    pub fn reply(&self, messages: &[u8], out: &mut Vec<u8>) -> Result<(), Untranslatable> {
-        if self.passes(messages) {
+    pub fn put_reply(&self, messages: &[u8], out: &mut Vec<u8>) -> Result<(), Untranslatable> {
+        if self.passes_unchanged(messages) {
             out.extend_from_slice(messages);
             return Ok(());
         }
@@ -51,7 +51,7 @@
         for message in messages::split(messages) {
             match message.kind {
                 b'T' => {
-                    columns = messages::columns(message.body)?;
+                    columns = messages::parse_columns(message.body)?;
                     self.description(&message, &columns, out)?;
                 }
                 b'D' => self.row(&message, &columns, out)?,
@@ -82,7 +82,7 @@
         messages::split(messages)
             .filter(|m| b"EN".contains(&m.kind))
             .all(|m| {
-                messages::error_fields(m.body)
+                messages::parse_error_fields(m.body)
                     .is_ok_and(|fields| fields.iter().all(|(kind, _)| OLD_FIELDS.contains(kind)))
             })
     }
@@ -121,7 +121,11 @@
         out: &mut Vec<u8>,
     ) -> Result<(), Untranslatable> {
         let v2 = self.version == Version::V2;
-        if !v2 && !columns.iter().any(|column| self.forms.changes(column.kind)) {
+        if !v2
+            && !columns
+                .iter()
+                .any(|column| self.formats.changes(column.kind))
+        {
             out.extend_from_slice(message.raw);
             return Ok(());
         }
@@ -158,7 +162,7 @@
             let new = if column.binary {
                 None
             } else {
-                self.forms.rewrite(column.kind, value)
+                self.formats.rewrite(column.kind, value)
             };
             let text = new.as_deref().unwrap_or(value);
             out.extend_from_slice(&(text.len() as u32 + more).to_be_bytes());
@@ -178,7 +182,7 @@
         message: &Message<'_>,
         out: &mut Vec<u8>,
     ) -> Result<(), Untranslatable> {
-        let fields = messages::error_fields(message.body)?;
+        let fields = messages::parse_error_fields(message.body)?;
         if self.version != Version::V2 {
             put(out, message.kind, |out| {
                 for (kind, text) in fields.iter().filter(|(kind, _)| OLD_FIELDS.contains(kind)) {
@@ -212,7 +216,7 @@
     }
 
     /// Appends an error that the router words itself. `detail`: when to come back, in milliseconds.
-    pub fn error(
+    pub fn put_error(
         &self,
         fatal: bool,
         code: &str,
@@ -226,10 +230,10 @@
         // 2.0 has no codes: what a program must know stands in the text.
         let severity = if fatal { "FATAL" } else { "ERROR" };
         let again = match (code, detail) {
-            (code::TURNED_AWAY | code::NOT_NOW, Some(wait)) => {
+            (code::TOO_MANY_CONNECTIONS | code::CANNOT_CONNECT_NOW, Some(wait)) => {
                 format!("HINT:  Try again after {wait} ms.\n")
             }
-            (code::TURNED_AWAY | code::NOT_NOW, None) => {
+            (code::TOO_MANY_CONNECTIONS | code::CANNOT_CONNECT_NOW, None) => {
                 "HINT:  Trying again is harmless.\n".into()
             }
             _ => String::new(),
@@ -242,7 +246,7 @@
     }
 
     /// Appends ReadyForQuery.
-    pub fn ready(&self, out: &mut Vec<u8>) {
+    pub fn put_ready(&self, out: &mut Vec<u8>) {
         match self.version {
             Version::V2 => out.push(b'Z'),
             _ => messages::put_ready(out),
@@ -250,7 +254,7 @@
     }
 
     /// Appends the answer to an empty query.
-    pub fn empty(&self, out: &mut Vec<u8>) {
+    pub fn put_empty_query_response(&self, out: &mut Vec<u8>) {
         match self.version {
             Version::V2 => out.extend_from_slice(b"I\0"),
             _ => put(out, b'I', |_| {}),
@@ -258,7 +262,7 @@
     }
 
     /// Appends the completion of a command that the router answers itself.
-    pub fn complete(&self, tag: &str, out: &mut Vec<u8>) {
+    pub fn put_complete(&self, tag: &str, out: &mut Vec<u8>) {
         match self.version {
             Version::V2 => {
                 out.push(b'C');
@@ -269,14 +273,14 @@
     }
 
     /// Appends what a setting is now; 2.0 has no word for it.
-    pub fn status(&self, name: &str, value: &str, out: &mut Vec<u8>) {
+    pub fn put_status(&self, name: &str, value: &str, out: &mut Vec<u8>) {
         if self.version != Version::V2 {
             messages::put_status(out, name, value);
         }
     }
 
     /// Appends what a client is greeted with once it is in.
-    pub fn greet(
+    pub fn put_greeting(
         &self,
         parameters: &[(String, String)],
         key: Option<&CancelKey>,
@@ -302,6 +306,6 @@
                 put(out, b'K', |out| out.extend_from_slice(&id));
             }
         }
-        self.ready(out);
+        self.put_ready(out);
     }
 }
--- a/pgwire/src/error.rs
+++ b/pgwire/src/error.rs
@@ -1,6 +1,6 @@
 //! What is wrong with what operators say of logins. Nothing here repeats what may be a password.
 
-use crate::verifier::MOST_USERS;
+use crate::verifier::MAX_USERS;
 
 /// What is wrong with a file of users, or with the limit on logins that fail.
 #[derive(
@@ -17,7 +17,7 @@
     #[error("line {0}: this user stands here twice")]
     Twice(usize),
     /// The file holds more users than may be.
-    #[error("line {0}: more users than a file may hold ({MOST_USERS})")]
+    #[error("line {0}: more users than a file may hold ({MAX_USERS})")]
     TooMany(usize),
     /// A limit out of its bounds.
     #[error("{key}: expected {want}")]
--- a/pgwire/src/lib.rs
+++ b/pgwire/src/lib.rs
@@ -60,7 +60,7 @@
     }
 
     /// As the first packet writes it: the major number in the high half, the minor one in the low.
-    pub fn code(self) -> u32 {
+    pub fn protocol_number(self) -> u32 {
         match self {
             Version::V2 => 2 << 16,
             Version::V30 => 3 << 16,
@@ -71,27 +71,27 @@
 
 /// Why a session or a request cannot go on: what the other side is told.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
+pub struct SqlError {
     /// The SQLSTATE.
     pub code: &'static str,
     /// The text; it holds no secret.
     pub text: String,
 }
 
-impl Fault {
+impl SqlError {
     /// A fault with this code and text.
     pub fn new(code: &'static str, text: impl Into<String>) -> Self {
-        Fault {
+        SqlError {
             code,
             text: text.into(),
         }
     }
 }
 
-impl std::fmt::Display for Fault {
+impl std::fmt::Display for SqlError {
     fn fmt(&self, to: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(to, "{} ({})", self.text, self.code)
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for SqlError {}
--- a/pgwire/src/login.rs
+++ b/pgwire/src/login.rs
@@ -16,12 +16,12 @@
     /// The password, where there is one.
     pub password: Option<String>,
     /// Whether it may go out in clear text.
-    pub clear: bool,
+    pub may_send_clear_text: bool,
     /// The newest version that is asked for.
     pub version: Version,
     /// Every server lets it in, as on the platform: what one says of the login is not looked at, and where something of
     /// that was spoilt on its way the connection is as good as before.
-    pub welcome: bool,
+    pub skip_authentication: bool,
 }
 
 /// It shows no password.
@@ -41,7 +41,7 @@
 #[derive(
     Clone, Debug, PartialEq, Eq, thiserror::Error, strum::IntoStaticStr, strum::VariantNames,
 )]
-pub enum Refused {
+pub enum LoginError {
     /// The server said so, with this code.
     #[error("the server refused the login with {0}")]
     Server(String),
@@ -53,26 +53,26 @@
     Malformed,
 }
 
-impl Refused {
+impl LoginError {
     /// What an operator can do.
     pub fn help(&self) -> &'static str {
         match self {
-            Refused::Server(_) => {
+            LoginError::Server(_) => {
                 "look the code up in the server's own log: user, database, password_file and pg_hba.conf are the usual causes"
             }
-            Refused::CannotMeet(_) => {
+            LoginError::CannotMeet(_) => {
                 "change servers in the operators' file, or pg_hba.conf of the server, so that both have a method in common"
             }
-            Refused::Malformed => {
+            LoginError::Malformed => {
                 "see whether a PostgreSQL server listens at the node's address; if one does, send in its version and what it sent"
             }
         }
     }
 }
 
-impl From<Malformed> for Refused {
+impl From<Malformed> for LoginError {
     fn from(_: Malformed) -> Self {
-        Refused::Malformed
+        LoginError::Malformed
     }
 }
 
@@ -98,7 +98,7 @@
     /// Begins one: the first packet.
     pub fn start(who: &Credentials, out: &mut Vec<u8>) -> Self {
         put_packet(out, |out| {
-            out.extend_from_slice(&who.version.code().to_be_bytes());
+            out.extend_from_slice(&who.version.protocol_number().to_be_bytes());
             for text in ["user", &who.user, "database", &who.database, ""] {
                 put_text(out, text.as_bytes());
             }
@@ -116,7 +116,7 @@
     }
 
     /// The server's number and secret for cancels.
-    pub fn key(&self) -> Option<&(u32, Vec<u8>)> {
+    pub fn cancel_key(&self) -> Option<&(u32, Vec<u8>)> {
         self.key.as_ref()
     }
 
@@ -124,15 +124,15 @@
     ///
     /// # Errors
     /// The connection is no good.
-    pub fn take(
+    pub fn read_message(
         &mut self,
         who: &Credentials,
         message: &Message<'_>,
         out: &mut Vec<u8>,
-    ) -> Result<bool, Refused> {
+    ) -> Result<bool, LoginError> {
         let mut fields = Fields(message.body);
         match message.kind {
-            b'R' | b'K' | b'v' | b'S' if who.welcome => self.proof = Proof::In,
+            b'R' | b'K' | b'v' | b'S' if who.skip_authentication => self.proof = Proof::In,
             b'R' => self.asked(who, fields.uint32()?, fields, out)?,
             b'v' => {
                 let minor = fields.uint32()? & 0xffff;
@@ -142,7 +142,7 @@
                     Version::V30
                 };
                 if version > self.version {
-                    return Err(Refused::Malformed);
+                    return Err(LoginError::Malformed);
                 }
                 self.version = version;
             }
@@ -150,23 +150,25 @@
                 let id = fields.uint32()?;
                 let most = if self.version >= Version::V32 { 256 } else { 4 };
                 if !(4..=most).contains(&fields.0.len()) {
-                    return Err(Refused::Malformed);
+                    return Err(LoginError::Malformed);
                 }
                 self.key = Some((id, fields.0.to_vec()));
             }
-            b'S' => drop(messages::status(message.body)?),
+            b'S' => drop(messages::parse_status(message.body)?),
             b'N' => {}
             b'E' => {
-                return Err(Refused::Server(
-                    messages::error_code(message.body)
+                return Err(LoginError::Server(
+                    messages::parse_error_code(message.body)
                         .ok_or(Malformed)?
                         .to_string(),
                 ));
             }
-            b'Z' if (who.welcome || matches!(self.proof, Proof::In)) && message.body == b"I" => {
+            b'Z' if (who.skip_authentication || matches!(self.proof, Proof::In))
+                && message.body == b"I" =>
+            {
                 return Ok(true);
             }
-            _ => return Err(Refused::Malformed),
+            _ => return Err(LoginError::Malformed),
         }
         Ok(false)
     }
@@ -177,10 +179,10 @@
         what: u32,
         mut fields: Fields<'_>,
         out: &mut Vec<u8>,
-    ) -> Result<(), Refused> {
+    ) -> Result<(), LoginError> {
         let password = || {
             let none = || {
-                Refused::CannotMeet(
+                LoginError::CannotMeet(
                     "the server asks for a password, and the operators' file names none".into(),
                 )
             };
@@ -190,9 +192,9 @@
         match (what, std::mem::replace(&mut self.proof, Proof::None)) {
             // Danger: whoever stands in the server's place could let everyone in. One that began SCRAM must end it.
             (0, Proof::None | Proof::Sent | Proof::Done) => self.proof = Proof::In,
-            (3, Proof::None) if !who.clear => {
+            (3, Proof::None) if !who.may_send_clear_text => {
                 let text = "the server asks for the password in clear text, and the operators' file does not allow it";
-                return Err(Refused::CannotMeet(text.into()));
+                return Err(LoginError::CannotMeet(text.into()));
             }
             (3, Proof::None) => {
                 say(out, password()?.as_bytes());
@@ -219,7 +221,7 @@
                         "the server takes {}, and the router {SCRAM_SHA_256}",
                         methods.join(" and ")
                     );
-                    return Err(Refused::CannotMeet(text));
+                    return Err(LoginError::CannotMeet(text));
                 }
                 let scram = ScramSha256::new(password()?.as_bytes(), ChannelBinding::unsupported());
                 put(out, b'p', |out| {
@@ -246,9 +248,9 @@
                 let text = format!(
                     "the server takes {name}, and the router trust, password, md5 and {SCRAM_SHA_256}"
                 );
-                return Err(Refused::CannotMeet(text));
+                return Err(LoginError::CannotMeet(text));
             }
-            _ => return Err(Refused::Malformed),
+            _ => return Err(LoginError::Malformed),
         }
         Ok(())
     }
--- a/pgwire/src/login_rate_limit.rs
+++ b/pgwire/src/login_rate_limit.rs
@@ -134,7 +134,7 @@
     ///
     /// # Errors
     /// How long it must wait.
-    pub fn may(&self, now: Time, address: IpAddr, user: &str) -> Result<(), Time> {
+    pub fn check(&self, now: Time, address: IpAddr, user: &str) -> Result<(), Time> {
         let each = self.each();
         let from = self.addresses.wait(now, &address, self.rules.address, each);
         let whose = match self.speaks(now, address, user) {
@@ -151,7 +151,7 @@
     }
 
     /// A login failed.
-    pub fn failed(&mut self, now: Time, address: IpAddr, user: &str) {
+    pub fn record_failure(&mut self, now: Time, address: IpAddr, user: &str) {
         let each = self.each();
         self.addresses.add(now, address, self.rules.address, each);
         if !self.speaks(now, address, user) {
@@ -160,7 +160,7 @@
     }
 
     /// A login succeeded.
-    pub fn succeeded(&mut self, now: Time, address: IpAddr, user: &str) {
+    pub fn record_success(&mut self, now: Time, address: IpAddr, user: &str) {
         if self.known.len() >= self.rules.most {
             self.known.retain(|_, until| *until > now);
         }
@@ -171,7 +171,7 @@
     }
 
     /// How many entries are held, of addresses, users and pairs.
-    pub fn held(&self) -> [usize; 3] {
+    pub fn entry_counts(&self) -> [usize; 3] {
         [
             self.addresses.until.len(),
             self.users.until.len(),
--- a/pgwire/src/messages.rs
+++ b/pgwire/src/messages.rs
@@ -3,29 +3,29 @@
 /// Codes of errors that the router words or reads.
 pub mod code {
     /// Turned away, harmless to repeat.
-    pub const TURNED_AWAY: &str = "53300";
+    pub const TOO_MANY_CONNECTIONS: &str = "53300";
     /// Not able to take it just now, harmless to repeat.
-    pub const NOT_NOW: &str = "57P03";
+    pub const CANNOT_CONNECT_NOW: &str = "57P03";
     /// A message that breaks the protocol.
-    pub const PROTOCOL: &str = "08P01";
+    pub const PROTOCOL_VIOLATION: &str = "08P01";
     /// The outcome is unknown.
     pub const UNKNOWN_OUTCOME: &str = "08007";
     /// A name that does not exist.
-    pub const UNDEFINED: &str = "42704";
+    pub const UNDEFINED_OBJECT: &str = "42704";
     /// Not spoken here.
-    pub const UNSUPPORTED: &str = "0A000";
+    pub const FEATURE_NOT_SUPPORTED: &str = "0A000";
     /// A write at a db node that is no primary.
-    pub const READ_ONLY: &str = "25006";
+    pub const READ_ONLY_TRANSACTION: &str = "25006";
     /// A read at a db node that is too far behind.
-    pub const TOO_OLD: &str = "72000";
+    pub const SNAPSHOT_TOO_OLD: &str = "72000";
     /// Cancelled because someone asked for it.
-    pub const CANCELLED: &str = "57014";
+    pub const QUERY_CANCELED: &str = "57014";
     /// The proof of who it is was wrong.
-    pub const WRONG_PASSWORD: &str = "28P01";
+    pub const INVALID_PASSWORD: &str = "28P01";
     /// Not let in.
-    pub const NOT_LET_IN: &str = "28000";
+    pub const INVALID_AUTHORIZATION: &str = "28000";
     /// A text that the client's encoding or version cannot hold.
-    pub const UNTRANSLATABLE: &str = "22P05";
+    pub const UNTRANSLATABLE_CHARACTER: &str = "22P05";
 }
 
 /// Framing that cannot be followed any further.
@@ -44,7 +44,7 @@
 }
 
 /// The message at the front of some bytes, if it is whole. One longer than `most` is malformed.
-pub fn message(bytes: &[u8], most: usize) -> Result<Option<Message<'_>>, Malformed> {
+pub fn parse_message(bytes: &[u8], most: usize) -> Result<Option<Message<'_>>, Malformed> {
     let Some((&kind, rest)) = bytes.split_first() else {
         return Ok(None);
     };
@@ -60,7 +60,7 @@
 }
 
 /// The packet without a kind at the front of some bytes, its length taken off, if it is whole; and how long all of it is.
-pub fn packet(bytes: &[u8], most: usize) -> Result<Option<(&[u8], usize)>, Malformed> {
+pub fn parse_packet(bytes: &[u8], most: usize) -> Result<Option<(&[u8], usize)>, Malformed> {
     let Some(length) = length(bytes, most)? else {
         return Ok(None);
     };
@@ -82,7 +82,7 @@
 /// The messages of some bytes that hold nothing but whole ones; it ends at the first that is not.
 pub fn split(mut bytes: &[u8]) -> impl Iterator<Item = Message<'_>> {
     std::iter::from_fn(move || {
-        let next = message(bytes, usize::MAX >> 1).ok()??;
+        let next = parse_message(bytes, usize::MAX >> 1).ok()??;
         bytes = &bytes[next.raw.len()..];
         Some(next)
     })
@@ -226,7 +226,7 @@
 }
 
 /// The code of an ErrorResponse; none where it is not the list of fields that it should be.
-pub fn error_code(body: &[u8]) -> Option<&str> {
+pub fn parse_error_code(body: &[u8]) -> Option<&str> {
     let mut fields = body.strip_suffix(&[0, 0])?.split(|byte| *byte == 0);
     let code = fields
         .find_map(|field| field.strip_prefix(b"C"))
@@ -237,7 +237,7 @@
 }
 
 /// The fields of an ErrorResponse or a notice: kind and text. Kinds that are not known are left to the caller.
-pub fn error_fields(body: &[u8]) -> Result<Vec<(u8, &[u8])>, Malformed> {
+pub fn parse_error_fields(body: &[u8]) -> Result<Vec<(u8, &[u8])>, Malformed> {
     let (mut fields, mut all) = (Fields(body), Vec::new());
     loop {
         match fields.byte()? {
@@ -248,7 +248,7 @@
 }
 
 /// The value of a DataRow of a single column.
-pub fn single_value(body: &[u8]) -> Option<&[u8]> {
+pub fn parse_single_value(body: &[u8]) -> Option<&[u8]> {
     let (head, value) = body.split_first_chunk::<6>()?;
     let [columns @ .., a, b, c, d] = *head;
     let length = usize::try_from(i32::from_be_bytes([a, b, c, d])).ok()?;
@@ -271,7 +271,7 @@
 }
 
 /// The columns of a RowDescription.
-pub fn columns(body: &[u8]) -> Result<Vec<Column<'_>>, Malformed> {
+pub fn parse_columns(body: &[u8]) -> Result<Vec<Column<'_>>, Malformed> {
     let mut fields = Fields(body);
     let count = usize::try_from(fields.int16()?).map_err(|_| Malformed)?;
     let mut all = Vec::with_capacity(count.min(body.len() / 19));
@@ -296,7 +296,7 @@
 }
 
 /// The values of a DataRow.
-pub fn row(body: &[u8]) -> Result<Vec<Option<&[u8]>>, Malformed> {
+pub fn parse_row(body: &[u8]) -> Result<Vec<Option<&[u8]>>, Malformed> {
     let mut fields = Fields(body);
     let count = usize::try_from(fields.int16()?).map_err(|_| Malformed)?;
     let mut all = Vec::with_capacity(count.min(body.len() / 4));
@@ -308,7 +308,7 @@
 
 /// The length of a function call of version 2.0 after its kind, if it is whole: a text, a number, and arguments with their
 /// lengths before them.
-pub fn old_function_call(bytes: &[u8], most: usize) -> Result<Option<usize>, Malformed> {
+pub fn v2_function_call_length(bytes: &[u8], most: usize) -> Result<Option<usize>, Malformed> {
     let mut fields = Fields(bytes);
     let mut whole = || -> Result<usize, Malformed> {
         fields.text()?;
@@ -328,7 +328,7 @@
 }
 
 /// ParameterStatus: two texts and nothing else.
-pub fn status(body: &[u8]) -> Result<(&str, &str), Malformed> {
+pub fn parse_status(body: &[u8]) -> Result<(&str, &str), Malformed> {
     let mut fields = Fields(body);
     let told = (fields.utf8()?, fields.utf8()?);
     fields.end().map(|()| told)
--- a/pgwire/src/reply.rs
+++ b/pgwire/src/reply.rs
@@ -5,11 +5,11 @@
 
 /// It is no reply that a server makes.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Spoilt;
+pub struct InvalidReply;
 
-impl From<messages::Malformed> for Spoilt {
+impl From<messages::Malformed> for InvalidReply {
     fn from(_: messages::Malformed) -> Self {
-        Spoilt
+        InvalidReply
     }
 }
 
@@ -44,13 +44,13 @@
 
 /// What is to be done with a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Taken<'a> {
+pub enum MessageAction<'a> {
     /// It belongs to what the client gets.
     Keep,
     /// It is no part of it.
     Skip,
     /// The server tells something of itself.
-    Told(&'a str, &'a str),
+    ParameterStatus(&'a str, &'a str),
     /// The server waits for data to copy: it must be told CopyFail.
     FailCopy,
 }
@@ -61,12 +61,12 @@
     /// It ran, and here is its answer.
     Served,
     /// Turned away untouched: no primary, or too far behind.
-    Missed,
+    Misdirected,
     /// Turned away unseen.
-    TurnedAway,
+    Overloaded,
     /// The server says that the statement itself is at fault and had no effect; that is its answer, and another server
     /// would give the same.
-    Faulted,
+    StatementError,
     /// An error, or no answer of use: it may have had an effect.
     Failed,
 }
@@ -91,29 +91,39 @@
     ///
     /// # Errors
     /// It cannot follow what came before, or has not the form that it must have.
-    pub fn take<'a>(&mut self, message: &Message<'a>) -> Result<Taken<'a>, Spoilt> {
+    pub fn read_message<'a>(
+        &mut self,
+        message: &Message<'a>,
+    ) -> Result<MessageAction<'a>, InvalidReply> {
         let any = self.shape == Shape::Any;
         let body = message.body;
         let next = match (&self.stage, message.kind) {
-            (_, b'N') => return Ok(if any { Taken::Keep } else { Taken::Skip }),
-            (_, b'A') if any => return Ok(Taken::Skip),
+            (_, b'N') => {
+                return Ok(if any {
+                    MessageAction::Keep
+                } else {
+                    MessageAction::Skip
+                });
+            }
+            (_, b'A') if any => return Ok(MessageAction::Skip),
             (_, b'S') => {
-                return Ok(messages::status(body).map(|(name, value)| Taken::Told(name, value))?);
+                return Ok(messages::parse_status(body)
+                    .map(|(name, value)| MessageAction::ParameterStatus(name, value))?);
             }
             (Stage::Start, b'T') if !any && describes_one_column(body) => Stage::Rows(1, 0),
             (Stage::Rows(..), b'D') if !any && self.stage != Stage::Rows(1, 0) => {
-                return Err(Spoilt);
+                return Err(InvalidReply);
             }
             (Stage::Rows(1, 0), b'D') if !any => {
-                messages::single_value(body).ok_or(Spoilt)?;
+                messages::parse_single_value(body).ok_or(InvalidReply)?;
                 Stage::Rows(1, 1)
             }
             (Stage::Start | Stage::Complete(_), b'T') if any => {
-                Stage::Rows(messages::columns(body)?.len(), 0)
+                Stage::Rows(messages::parse_columns(body)?.len(), 0)
             }
             (Stage::Rows(columns, rows), b'D') => {
-                if messages::row(body)?.len() != *columns {
-                    return Err(Spoilt);
+                if messages::parse_row(body)?.len() != *columns {
+                    return Err(InvalidReply);
                 }
                 Stage::Rows(*columns, rows + 1)
             }
@@ -130,11 +140,14 @@
             (Stage::CopyOut, b'c') if body.is_empty() => Stage::CopyEnded,
             (Stage::Start | Stage::Complete(_), b'G') if any => {
                 self.stage = Stage::CopyRefused;
-                return Ok(Taken::FailCopy);
-            }
-            (Stage::Start, b'E') => {
-                Stage::Refused(messages::error_code(body).ok_or(Spoilt)?.to_string(), false)
+                return Ok(MessageAction::FailCopy);
             }
+            (Stage::Start, b'E') => Stage::Refused(
+                messages::parse_error_code(body)
+                    .ok_or(InvalidReply)?
+                    .to_string(),
+                false,
+            ),
             (
                 Stage::Rows(..)
                 | Stage::CopyOut
@@ -142,20 +155,25 @@
                 | Stage::CopyRefused
                 | Stage::Complete(_),
                 b'E',
-            ) if any => Stage::Refused(messages::error_code(body).ok_or(Spoilt)?.to_string(), true),
-            _ => return Err(Spoilt),
+            ) if any => Stage::Refused(
+                messages::parse_error_code(body)
+                    .ok_or(InvalidReply)?
+                    .to_string(),
+                true,
+            ),
+            _ => return Err(InvalidReply),
         };
         self.stage = next;
-        Ok(Taken::Keep)
+        Ok(MessageAction::Keep)
     }
 
     /// ReadyForQuery has come, with this state. True where the connection can be used again.
     ///
     /// # Errors
     /// It comes too early.
-    pub fn ready(&mut self, state: &[u8]) -> Result<bool, Spoilt> {
+    pub fn read_ready(&mut self, state: &[u8]) -> Result<bool, InvalidReply> {
         match (self.shape, state) {
-            _ if !self.tells() => Err(Spoilt),
+            _ if !self.has_outcome() => Err(InvalidReply),
             (_, b"I") => Ok(true),
             // A transaction was left open: it is undone when the connection ends, so nothing has been done for good.
             (Shape::Any, b"T" | b"E") => {
@@ -164,12 +182,12 @@
                 }
                 Ok(false)
             }
-            _ => Err(Spoilt),
+            _ => Err(InvalidReply),
         }
     }
 
     /// Whether it says what became of the request, though no more may come.
-    pub fn tells(&self) -> bool {
+    pub fn has_outcome(&self) -> bool {
         matches!(self.stage, Stage::Complete(_) | Stage::Refused(..))
     }
 
@@ -188,13 +206,13 @@
         match &self.stage {
             Stage::Complete(rows) if *rows || self.shape == Shape::Any => Outcome::Served,
             Stage::Refused(said, false) => match said.as_str() {
-                code::READ_ONLY | code::TOO_OLD => Outcome::Missed,
-                code::TURNED_AWAY => Outcome::TurnedAway,
-                _ if self.faults(said) => Outcome::Faulted,
+                code::READ_ONLY_TRANSACTION | code::SNAPSHOT_TOO_OLD => Outcome::Misdirected,
+                code::TOO_MANY_CONNECTIONS => Outcome::Overloaded,
+                _ if self.faults(said) => Outcome::StatementError,
                 _ => Outcome::Failed,
             },
             // A statement that fails undoes those before it in the same query.
-            Stage::Refused(said, true) if self.faults(said) => Outcome::Faulted,
+            Stage::Refused(said, true) if self.faults(said) => Outcome::StatementError,
             _ => Outcome::Failed,
         }
     }
--- a/pgwire/src/reply/tests.rs
+++ b/pgwire/src/reply/tests.rs
@@ -6,10 +6,10 @@
 const ROW: &[u8] = b"\0\x01\0\0\0\x01v";
 const NO: &[u8] = b"SERROR\0C53300\0Mno\0\0";
 
-fn of(shape: Shape, messages: &[(u8, &[u8])]) -> Result<Outcome, Spoilt> {
+fn of(shape: Shape, messages: &[(u8, &[u8])]) -> Result<Outcome, InvalidReply> {
     let mut reply = Reply::new(shape);
     for (kind, body) in messages {
-        reply.take(&Message {
+        reply.read_message(&Message {
             kind: *kind,
             body,
             raw: body,
@@ -30,7 +30,7 @@
     let mut odd = COLUMN.to_vec();
     odd[20..].fill(0x7f);
     assert_eq!(one(&[(b'T', &odd), row, tag]), Ok(Outcome::Served));
-    assert_eq!(one(&[(b'E', NO)]), Ok(Outcome::TurnedAway));
+    assert_eq!(one(&[(b'E', NO)]), Ok(Outcome::Overloaded));
     for spoilt in [
         &[row][..],
         &[column, row, row],
@@ -52,7 +52,7 @@
         &[(b'A', b"\0\0\0\x01a\0b\0")],
         &[(b'H', b"\0\0\0")],
     ] {
-        assert_eq!(one(spoilt), Err(Spoilt), "{spoilt:?}");
+        assert_eq!(one(spoilt), Err(InvalidReply), "{spoilt:?}");
     }
 }
 
@@ -76,11 +76,11 @@
     ] {
         assert_eq!(any(served), Ok(Outcome::Served), "{served:?}");
     }
-    assert_eq!(any(&[no]), Ok(Outcome::TurnedAway));
+    assert_eq!(any(&[no]), Ok(Outcome::Overloaded));
     let blamed = (b'E', &b"SERROR\0C23505\0Mtwice\0\0"[..]);
     assert_eq!(
         (any(&[blamed]), any(&[column, row, tag, blamed])),
-        (Ok(Outcome::Faulted), Ok(Outcome::Faulted))
+        (Ok(Outcome::StatementError), Ok(Outcome::StatementError))
     );
     assert_eq!(
         of(Shape::OneValue, &[blamed]),
@@ -114,7 +114,7 @@
         &[(b'1', b"")],
         &[(b'W', b"\0\0\0")],
     ] {
-        assert_eq!(any(spoilt), Err(Spoilt), "{spoilt:?}");
+        assert_eq!(any(spoilt), Err(InvalidReply), "{spoilt:?}");
     }
 }
 
@@ -122,16 +122,16 @@
 fn a_transaction_left_open_has_failed_and_its_connection_ends() {
     let mut reply = Reply::new(Shape::Any);
     reply
-        .take(&Message {
+        .read_message(&Message {
             kind: b'C',
             body: b"BEGIN\0",
             raw: b"",
         })
         .expect("a tag");
     assert_eq!(
-        (reply.ready(b"T"), reply.outcome()),
+        (reply.read_ready(b"T"), reply.outcome()),
         (Ok(false), Outcome::Failed)
     );
     let mut early = Reply::new(Shape::Any);
-    assert_eq!(early.ready(b"I"), Err(Spoilt));
+    assert_eq!(early.read_ready(b"I"), Err(InvalidReply));
 }
--- a/pgwire/src/session.rs
+++ b/pgwire/src/session.rs
@@ -1,8 +1,8 @@
 //! What a session has set, where servers' connections are shared: settings that the router can keep itself.
 
-use crate::Fault;
+use crate::SqlError;
 use crate::messages::code;
-use crate::values::{Bytea, Dates, Forms};
+use crate::values::{Bytea, DateFormat, ValueFormats};
 
 /// Settings that change nothing of what clients get; they are taken and forgotten.
 const HARMLESS: [&str; 9] = [
@@ -26,19 +26,19 @@
 /// One session's settings.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Session {
-    start: Forms,
+    start: ValueFormats,
     /// The forms of its values.
-    pub forms: Forms,
+    pub formats: ValueFormats,
     /// Milliseconds that it waits for a statement, where it has said so.
     pub timeout_ms: Option<u64>,
 }
 
 impl Session {
     /// One whose values have these forms unless it sets others.
-    pub fn new(start: Forms) -> Self {
+    pub fn new(start: ValueFormats) -> Self {
         Session {
             start,
-            forms: start,
+            formats: start,
             timeout_ms: None,
         }
     }
@@ -51,24 +51,25 @@
         &mut self,
         name: &str,
         value: Option<&str>,
-    ) -> Result<Option<(&'static str, String)>, Fault> {
+    ) -> Result<Option<(&'static str, String)>, SqlError> {
         let name = name.to_ascii_lowercase();
         let value = value.filter(|v| !v.eq_ignore_ascii_case("default"));
         let wrong =
-            |value: &str| Fault::new("22023", format!("{name}: {value:?} is no value for it"));
+            |value: &str| SqlError::new("22023", format!("{name}: {value:?} is no value for it"));
         match name.as_str() {
             "all" => {
                 *self = Session::new(self.start);
                 Ok(None)
             }
             "datestyle" => {
-                let dates =
-                    value.map_or(Some(self.start.dates), |v| Dates::set(self.forms.dates, v));
-                self.forms.dates = dates.ok_or_else(|| wrong(value.unwrap_or_default()))?;
-                Ok(Some(("DateStyle", self.forms.dates.told())))
+                let dates = value.map_or(Some(self.start.dates), |v| {
+                    DateFormat::with_setting(self.formats.dates, v)
+                });
+                self.formats.dates = dates.ok_or_else(|| wrong(value.unwrap_or_default()))?;
+                Ok(Some(("DateStyle", self.formats.dates.setting_value())))
             }
             "bytea_output" => {
-                self.forms.bytea = match value.map(str::to_ascii_lowercase).as_deref() {
+                self.formats.bytea = match value.map(str::to_ascii_lowercase).as_deref() {
                     None => self.start.bytea,
                     Some("hex") => Bytea::Hex,
                     Some("escape") => Bytea::Escape,
@@ -97,12 +98,12 @@
             _ if HARMLESS.contains(&name.as_str()) => Ok(None),
             _ => match FIXED.iter().find(|(known, _)| *known == name) {
                 Some((_, fixed)) if value.is_none_or(|v| same(v, fixed)) => Ok(None),
-                Some((_, fixed)) => Err(Fault::new(
-                    code::UNSUPPORTED,
+                Some((_, fixed)) => Err(SqlError::new(
+                    code::FEATURE_NOT_SUPPORTED,
                     format!("{name}: only {fixed} is offered here"),
                 )),
-                None => Err(Fault::new(
-                    code::UNSUPPORTED,
+                None => Err(SqlError::new(
+                    code::FEATURE_NOT_SUPPORTED,
                     format!(
                         "SET {name} needs a session of its own with one server, which this listener does not give"
                     ),
--- a/pgwire/src/session/tests.rs
+++ b/pgwire/src/session/tests.rs
@@ -1,13 +1,13 @@
 //! Unit tests of `session`.
 
 use super::*;
-use crate::values::Style;
+use crate::values::DateStyle;
 
 #[test]
 fn what_the_router_keeps_is_set_and_set_back() {
-    let start = Forms {
+    let start = ValueFormats {
         bytea: Bytea::Escape,
-        ..Forms::default()
+        ..ValueFormats::default()
     };
     let mut session = Session::new(start);
     let told = session.set("DateStyle", Some("German")).expect("known");
@@ -16,14 +16,18 @@
     session.set("statement_timeout", Some("2s")).expect("known");
     assert_eq!(
         (
-            session.forms.dates.style,
-            session.forms.bytea,
+            session.formats.dates.style,
+            session.formats.bytea,
             session.timeout_ms
         ),
-        (Style::German, Bytea::Hex, Some(2_000))
+        (DateStyle::German, Bytea::Hex, Some(2_000))
     );
     session.set("bytea_output", None).expect("known");
-    assert_eq!(session.forms.bytea, Bytea::Escape, "as the listener has it");
+    assert_eq!(
+        session.formats.bytea,
+        Bytea::Escape,
+        "as the listener has it"
+    );
     session.set("all", None).expect("known");
     assert_eq!(session, Session::new(start));
     for (name, value) in [
@@ -38,12 +42,16 @@
 #[test]
 fn what_it_cannot_keep_is_refused_by_name() {
     // Danger: a setting that is taken and not kept changes what the client reads, and nobody would know.
-    let mut session = Session::new(Forms::default());
+    let mut session = Session::new(ValueFormats::default());
     for (name, value, code) in [
-        ("search_path", "other", code::UNSUPPORTED),
-        ("TimeZone", "UTC", code::UNSUPPORTED),
-        ("client_encoding", "LATIN1", code::UNSUPPORTED),
-        ("standard_conforming_strings", "off", code::UNSUPPORTED),
+        ("search_path", "other", code::FEATURE_NOT_SUPPORTED),
+        ("TimeZone", "UTC", code::FEATURE_NOT_SUPPORTED),
+        ("client_encoding", "LATIN1", code::FEATURE_NOT_SUPPORTED),
+        (
+            "standard_conforming_strings",
+            "off",
+            code::FEATURE_NOT_SUPPORTED,
+        ),
         ("DateStyle", "nonsense", "22023"),
         ("bytea_output", "base64", "22023"),
         ("statement_timeout", "soon", "22023"),
@@ -53,5 +61,5 @@
         assert_eq!(fault.code, code, "{name}: {fault}");
         assert!(fault.text.contains(&name.to_ascii_lowercase()));
     }
-    assert_eq!(session, Session::new(Forms::default()));
+    assert_eq!(session, Session::new(ValueFormats::default()));
 }
--- a/pgwire/src/startup.rs
+++ b/pgwire/src/startup.rs
@@ -1,12 +1,12 @@
 //! How a client comes in: what it says first, which version it speaks, and the proof of who it is.
 //!
 //! The door never waits and never reads: the front gives it what has come, writes what it says, and keeps the deadlines.
-//! Between [`Step::Named`] and [`Startup::identify`] the front looks the user up and asks the throttle.
+//! Between [`Step::UserNamed`] and [`Startup::identify`] the front looks the user up and asks the throttle.
 
 use crate::cancel::CancelKey;
 use crate::messages::{self, Fields, Malformed, code, put};
-use crate::verifier::{Exchange, Verifier};
-use crate::{Fault, Version};
+use crate::verifier::{ScramExchange, Verifier};
+use crate::{SqlError, Version};
 use serde::{Deserialize, Serialize};
 
 const CANCEL_REQUEST: u32 = 80_877_102;
@@ -64,7 +64,7 @@
 
 impl Rules {
     /// Those of the platform: 3.0, and everyone is welcome.
-    pub fn open() -> Self {
+    pub fn trust_everyone() -> Self {
         Rules {
             versions: vec![Version::V30],
             methods: vec![Method::Trust],
@@ -84,13 +84,13 @@
 #[derive(Debug, PartialEq, Eq)]
 pub enum Step {
     /// It goes on; there may be something to send.
-    Goes,
+    Continue,
     /// It wants a request cancelled; nothing more comes on this connection.
     Cancel(CancelKey),
     /// It has said who it wants to be: [`Startup::identify`] is next.
-    Named,
+    UserNamed,
     /// It is in.
-    In,
+    LoggedIn,
 }
 
 #[derive(Default)]
@@ -101,7 +101,7 @@
     Password(Verifier),
     Md5(Verifier, [u8; 4]),
     Scram(Verifier),
-    Proving(Box<Exchange>),
+    Proving(Box<ScramExchange>),
     In,
 }
 
@@ -163,7 +163,7 @@
     }
 
     /// Whether it is past its first packet.
-    pub fn opened(&self) -> bool {
+    pub fn has_read_first_packet(&self) -> bool {
         !matches!(self.state, State::Opening)
     }
 
@@ -171,16 +171,22 @@
     ///
     /// # Errors
     /// What the client is told before its connection ends.
-    pub fn take(
+    pub fn read_message(
         &mut self,
         rules: &Rules,
         bytes: &[u8],
         nonce: &str,
         out: &mut Vec<u8>,
-    ) -> Result<Option<(usize, Step)>, Fault> {
-        let wrong = |Malformed| Fault::new(code::PROTOCOL, "the first packet is not understood");
+    ) -> Result<Option<(usize, Step)>, SqlError> {
+        let wrong = |Malformed| {
+            SqlError::new(
+                code::PROTOCOL_VIOLATION,
+                "the first packet is not understood",
+            )
+        };
         if let State::Opening = self.state {
-            let Some((packet, length)) = messages::packet(bytes, LONGEST.0).map_err(wrong)? else {
+            let Some((packet, length)) = messages::parse_packet(bytes, LONGEST.0).map_err(wrong)?
+            else {
                 return Ok(None);
             };
             let mut fields = Fields(packet);
@@ -188,18 +194,19 @@
             return Ok(Some((length, self.open(rules, asked, fields, out)?)));
         }
         let wrong = |Malformed| {
-            Fault::new(
-                code::PROTOCOL,
+            SqlError::new(
+                code::PROTOCOL_VIOLATION,
                 "a password was waited for, and something else came",
             )
         };
         let (body, length) = if self.version == Version::V2 {
-            let Some((body, length)) = messages::packet(bytes, LONGEST.1).map_err(wrong)? else {
+            let Some((body, length)) = messages::parse_packet(bytes, LONGEST.1).map_err(wrong)?
+            else {
                 return Ok(None);
             };
             (body, length)
         } else {
-            let Some(message) = messages::message(bytes, LONGEST.1).map_err(wrong)? else {
+            let Some(message) = messages::parse_message(bytes, LONGEST.1).map_err(wrong)? else {
                 return Ok(None);
             };
             if message.kind != b'p' {
@@ -217,19 +224,24 @@
         asked: u32,
         mut fields: Fields<'_>,
         out: &mut Vec<u8>,
-    ) -> Result<Step, Fault> {
-        let wrong = |Malformed| Fault::new(code::PROTOCOL, "the first packet is not understood");
+    ) -> Result<Step, SqlError> {
+        let wrong = |Malformed| {
+            SqlError::new(
+                code::PROTOCOL_VIOLATION,
+                "the first packet is not understood",
+            )
+        };
         match asked {
             SSL_REQUEST | GSS_REQUEST => {
                 self.plain += 1;
                 if self.plain > MOST_PLAIN {
-                    return Err(Fault::new(
-                        code::PROTOCOL,
+                    return Err(SqlError::new(
+                        code::PROTOCOL_VIOLATION,
                         "encryption was asked for over and over",
                     ));
                 }
                 out.push(b'N');
-                return Ok(Step::Goes);
+                return Ok(Step::Continue);
             }
             CANCEL_REQUEST => {
                 let id = fields.uint32().map_err(wrong)?;
@@ -256,13 +268,13 @@
                 [self.database, self.user, ..] = texts;
             }
             (3, Some(newest)) => {
-                self.version = if newest.code() <= asked {
+                self.version = if newest.protocol_number() <= asked {
                     newest
                 } else {
                     Version::V30
                 };
-                self.newer =
-                    minor > newest.code() & 0xffff || (minor != 0 && self.version == Version::V30);
+                self.newer = minor > newest.protocol_number() & 0xffff
+                    || (minor != 0 && self.version == Version::V30);
                 self.read_parameters(fields, rules.methods == [Method::Trust])
                     .map_err(wrong)?;
             }
@@ -272,14 +284,14 @@
                     "version {major}.{minor} of the protocol is not spoken here, but {}",
                     spoken.join(" and ")
                 );
-                return Err(Fault::new(code::UNSUPPORTED, text));
+                return Err(SqlError::new(code::FEATURE_NOT_SUPPORTED, text));
             }
         }
         if self.database.is_empty() {
             self.database.clone_from(&self.user);
         }
         self.state = State::Named;
-        Ok(Step::Named)
+        Ok(Step::UserNamed)
     }
 
     /// Texts in pairs up to an empty one. Where everyone is welcome, what cannot be read is let be.
@@ -317,11 +329,11 @@
         secret: &[u8],
         salt: [u8; 4],
         out: &mut Vec<u8>,
-    ) -> Result<Step, Fault> {
+    ) -> Result<Step, SqlError> {
         debug_assert!(matches!(self.state, State::Named));
         if self.newer || !self.unknown.is_empty() {
             put(out, b'v', |out| {
-                out.extend_from_slice(&(self.version.code() & 0xffff).to_be_bytes());
+                out.extend_from_slice(&(self.version.protocol_number() & 0xffff).to_be_bytes());
                 out.extend_from_slice(&(self.unknown.len() as u32).to_be_bytes());
                 self.unknown
                     .iter()
@@ -330,15 +342,18 @@
         }
         if rules.methods.first() == Some(&Method::Trust) {
             self.state = State::In;
-            return Ok(Step::In);
+            return Ok(Step::LoggedIn);
         }
         if self.user.is_empty() {
-            return Err(Fault::new(code::NOT_LET_IN, "no user is named"));
+            return Err(SqlError::new(
+                code::INVALID_AUTHORIZATION,
+                "no user is named",
+            ));
         }
         self.real = verifier.is_some();
         let nobody = || {
             let scram = rules.methods.contains(&Method::Scram) && self.version > Version::V2;
-            Verifier::nobodys(
+            Verifier::for_unknown_user(
                 &self.user,
                 secret,
                 scram || !rules.methods.contains(&Method::Md5),
@@ -357,7 +372,7 @@
                 self.version.name(),
                 verifier.kind()
             );
-            return Err(Fault::new(code::NOT_LET_IN, text));
+            return Err(SqlError::new(code::INVALID_AUTHORIZATION, text));
         };
         let ask = |out: &mut Vec<u8>, number: u32, rest: &[u8]| {
             let number = number.to_be_bytes();
@@ -371,7 +386,7 @@
         match method {
             Method::Trust => {
                 self.state = State::In;
-                return Ok(Step::In);
+                return Ok(Step::LoggedIn);
             }
             Method::Password => {
                 ask(out, 3, &[]);
@@ -386,27 +401,27 @@
                 self.state = State::Scram(verifier);
             }
         }
-        Ok(Step::Goes)
+        Ok(Step::Continue)
     }
 
-    fn prove(&mut self, body: &[u8], nonce: &str, out: &mut Vec<u8>) -> Result<Step, Fault> {
+    fn prove(&mut self, body: &[u8], nonce: &str, out: &mut Vec<u8>) -> Result<Step, SqlError> {
         let refused = || {
-            Fault::new(
-                code::WRONG_PASSWORD,
+            SqlError::new(
+                code::INVALID_PASSWORD,
                 "the login failed: the user or the proof is wrong",
             )
         };
         let wrong = |Malformed| {
-            Fault::new(
-                code::PROTOCOL,
+            SqlError::new(
+                code::PROTOCOL_VIOLATION,
                 "a password was waited for, and something else came",
             )
         };
         // Old clients send the zero byte or leave it out.
         let text = body.strip_suffix(&[0]).unwrap_or(body);
         let proved = match std::mem::take(&mut self.state) {
-            State::Password(verifier) => verifier.proves_clear(&self.user, text),
-            State::Md5(verifier, salt) => verifier.proves_md5(salt, text),
+            State::Password(verifier) => verifier.matches_password(&self.user, text),
+            State::Md5(verifier, salt) => verifier.matches_md5_response(salt, text),
             State::Scram(Verifier::Scram(kept)) => {
                 let mut fields = Fields(body);
                 let method = fields.utf8().map_err(wrong)?;
@@ -414,15 +429,15 @@
                 fields.end().map_err(wrong)?;
                 if method != "SCRAM-SHA-256" {
                     let text = format!("{method:?} was not offered, but SCRAM-SHA-256");
-                    return Err(Fault::new(code::PROTOCOL, text));
+                    return Err(SqlError::new(code::PROTOCOL_VIOLATION, text));
                 }
                 let (exchange, answer) =
-                    Exchange::begin(&kept, said, nonce).ok_or_else(|| wrong(Malformed))?;
+                    ScramExchange::start(&kept, said, nonce).ok_or_else(|| wrong(Malformed))?;
                 put_sasl(out, 11, &answer);
                 self.state = State::Proving(Box::new(exchange));
-                return Ok(Step::Goes);
+                return Ok(Step::Continue);
             }
-            State::Proving(exchange) => match exchange.end(body) {
+            State::Proving(exchange) => match exchange.finish(body) {
                 Some(done) => {
                     put_sasl(out, 12, &done);
                     true
@@ -438,12 +453,12 @@
             return Err(refused());
         }
         self.state = State::In;
-        Ok(Step::In)
+        Ok(Step::LoggedIn)
     }
 
     /// Whether a failure here was one of proof, which the throttle counts.
-    pub fn tried(fault: &Fault) -> bool {
-        fault.code == code::WRONG_PASSWORD
+    pub fn is_wrong_password(fault: &SqlError) -> bool {
+        fault.code == code::INVALID_PASSWORD
     }
 }
 
--- a/pgwire/src/statement.rs
+++ b/pgwire/src/statement.rs
@@ -12,13 +12,13 @@
     /// Nothing: there is none.
     Empty,
     /// Any db node with data that is fresh enough.
-    Reads,
+    Read,
     /// The primary, once.
-    Writes,
+    Write,
     /// A setting of the session: what it sets and to what, or what is reset.
-    Sets(String, Option<String>),
+    Setting(String, Option<String>),
     /// A session of its own with one server, for this reason.
-    Session(&'static str),
+    NeedsSession(&'static str),
 }
 
 /// A statement's words in upper case, `"` for one in quotes, and `(` where one follows.
@@ -42,18 +42,21 @@
 
 /// Functions that write, or that live in the session, for all that they are called in a SELECT.
 const FUNCTIONS: [(&str, Kind); 12] = [
-    ("NEXTVAL", Kind::Writes),
-    ("SETVAL", Kind::Writes),
-    ("PG_NOTIFY", Kind::Writes),
-    ("LO_CREATE", Kind::Writes),
-    ("LO_UNLINK", Kind::Writes),
-    ("LO_IMPORT", Kind::Writes),
-    ("CURRVAL", Kind::Session("a sequence's last value")),
-    ("LASTVAL", Kind::Session("a sequence's last value")),
-    ("SET_CONFIG", Kind::Session("a setting")),
-    ("PG_ADVISORY_LOCK", Kind::Session("an advisory lock")),
-    ("PG_TRY_ADVISORY_LOCK", Kind::Session("an advisory lock")),
-    ("PG_ADVISORY_UNLOCK", Kind::Session("an advisory lock")),
+    ("NEXTVAL", Kind::Write),
+    ("SETVAL", Kind::Write),
+    ("PG_NOTIFY", Kind::Write),
+    ("LO_CREATE", Kind::Write),
+    ("LO_UNLINK", Kind::Write),
+    ("LO_IMPORT", Kind::Write),
+    ("CURRVAL", Kind::NeedsSession("a sequence's last value")),
+    ("LASTVAL", Kind::NeedsSession("a sequence's last value")),
+    ("SET_CONFIG", Kind::NeedsSession("a setting")),
+    ("PG_ADVISORY_LOCK", Kind::NeedsSession("an advisory lock")),
+    (
+        "PG_TRY_ADVISORY_LOCK",
+        Kind::NeedsSession("an advisory lock"),
+    ),
+    ("PG_ADVISORY_UNLOCK", Kind::NeedsSession("an advisory lock")),
 ];
 
 /// What may stand before a parenthesis and does not write: words of the language, types, and functions that every server
@@ -81,8 +84,8 @@
             .find(|(name, _)| *name == pair[0])
             .map(|(_, kind)| kind.clone());
         known.unwrap_or(match HARMLESS.contains(&format!(" {} ", pair[0])) {
-            true => Kind::Reads,
-            false => Kind::Writes,
+            true => Kind::Read,
+            false => Kind::Write,
         })
     };
     match first {
@@ -95,31 +98,31 @@
                 || second == "LOCAL"
                 || second == "CONSTRAINTS" =>
         {
-            Kind::Session("a setting of a transaction")
+            Kind::NeedsSession("a setting of a transaction")
         }
         "SET" | "RESET" => setting(tokens),
-        "DISCARD" => Kind::Sets("ALL".into(), None),
+        "DISCARD" => Kind::Setting("ALL".into(), None),
         "BEGIN" | "START" | "COMMIT" | "END" | "ROLLBACK" | "ABORT" | "SAVEPOINT" | "RELEASE" => {
-            Kind::Session(TRANSACTION)
+            Kind::NeedsSession(TRANSACTION)
         }
-        "PREPARE" | "EXECUTE" | "DEALLOCATE" => Kind::Session(PREPARED),
-        "DECLARE" | "FETCH" | "MOVE" | "CLOSE" => Kind::Session(CURSOR),
-        "LISTEN" | "UNLISTEN" => Kind::Session("notifications"),
-        "LOCK" => Kind::Session("a lock on a table"),
+        "PREPARE" | "EXECUTE" | "DEALLOCATE" => Kind::NeedsSession(PREPARED),
+        "DECLARE" | "FETCH" | "MOVE" | "CLOSE" => Kind::NeedsSession(CURSOR),
+        "LISTEN" | "UNLISTEN" => Kind::NeedsSession("notifications"),
+        "LOCK" => Kind::NeedsSession("a lock on a table"),
         "CREATE" if ["TEMP", "TEMPORARY", "LOCAL", "GLOBAL"].contains(&second) => {
-            Kind::Session("a temporary table")
+            Kind::NeedsSession("a temporary table")
         }
         "SELECT" if has(&["TEMP", "TEMPORARY"]) && has(&["INTO"]) => {
-            Kind::Session("a temporary table")
+            Kind::NeedsSession("a temporary table")
         }
         "SELECT" | "WITH" | "VALUES" | "TABLE" | "SHOW" | "EXPLAIN" => {
             let writes = has(&[
                 "INSERT", "UPDATE", "DELETE", "MERGE", "INTO", "ANALYZE", "ANALYSE",
             ]) || (has(&["FOR"]) && has(&["SHARE", "NO", "KEY"]));
-            let start = if writes { Kind::Writes } else { Kind::Reads };
+            let start = if writes { Kind::Write } else { Kind::Read };
             called.map(function).fold(start, both)
         }
-        _ => Kind::Writes,
+        _ => Kind::Write,
     }
 }
 
@@ -127,12 +130,12 @@
 fn both(a: Kind, b: Kind) -> Kind {
     match (a, b) {
         (Kind::Empty, other) | (other, Kind::Empty) => other,
-        (session @ Kind::Session(_), _) | (_, session @ Kind::Session(_)) => session,
-        (Kind::Sets(..), _) | (_, Kind::Sets(..)) => {
-            Kind::Session("a setting amid other statements")
+        (session @ Kind::NeedsSession(_), _) | (_, session @ Kind::NeedsSession(_)) => session,
+        (Kind::Setting(..), _) | (_, Kind::Setting(..)) => {
+            Kind::NeedsSession("a setting amid other statements")
         }
-        (Kind::Reads, Kind::Reads) => Kind::Reads,
-        _ => Kind::Writes,
+        (Kind::Read, Kind::Read) => Kind::Read,
+        _ => Kind::Write,
     }
 }
 
@@ -149,7 +152,7 @@
     let command = parts.next().unwrap_or_default().to_ascii_uppercase();
     let name = parts.next().unwrap_or_default();
     if command == "RESET" {
-        return Kind::Sets(name, None);
+        return Kind::Setting(name, None);
     }
     let mut rest: Vec<String> = parts.collect();
     let name = match (
@@ -171,13 +174,13 @@
             name
         }
     };
-    Kind::Sets(name, Some(rest.join(" ").replace(" ,", ",")))
+    Kind::Setting(name, Some(rest.join(" ").replace(" ,", ",")))
 }
 
 /// What a query text needs. One that cannot be taken apart counts as a write: the primary will say what is wrong with it.
-pub fn kind(text: &str) -> Kind {
+pub fn classify(text: &str) -> Kind {
     let Ok(tokens) = Tokenizer::new(&PostgreSqlDialect {}, text).tokenize() else {
-        return Kind::Writes;
+        return Kind::Write;
     };
     tokens
         .split(|token| *token == Token::SemiColon)
--- a/pgwire/src/statement/tests.rs
+++ b/pgwire/src/statement/tests.rs
@@ -30,7 +30,7 @@
         "'never ends",
         "$$ never ends",
     ] {
-        assert_eq!(kind(text), Kind::Writes, "{text}");
+        assert_eq!(classify(text), Kind::Write, "{text}");
     }
 }
 
@@ -50,10 +50,10 @@
         "SELECT count(*), max(day) FROM trips WHERE id IN (1, 2) AND (day > now() OR coalesce(a, 'x(') = lower(b))",
         "SELECT rank() OVER (PARTITION BY a) FROM trips t JOIN seats s USING (id) WHERE EXISTS (SELECT 1)",
     ] {
-        assert_eq!(kind(text), Kind::Reads, "{text}");
+        assert_eq!(classify(text), Kind::Read, "{text}");
     }
     for text in ["", "  ", ";", "-- nothing", "/* nothing */ ;;"] {
-        assert_eq!(kind(text), Kind::Empty, "{text:?}");
+        assert_eq!(classify(text), Kind::Empty, "{text:?}");
     }
 }
 
@@ -72,7 +72,7 @@
         ("SET LOCAL work_mem = 1", "a setting of a transaction"),
         ("SET a = 1; SELECT 1", "a setting amid other statements"),
     ] {
-        assert_eq!(kind(text), Kind::Session(why), "{text}");
+        assert_eq!(classify(text), Kind::NeedsSession(why), "{text}");
     }
 }
 
@@ -93,8 +93,8 @@
         ("DISCARD ALL", "ALL", None),
     ] {
         assert_eq!(
-            kind(text),
-            Kind::Sets(name.into(), value.map(Into::into)),
+            classify(text),
+            Kind::Setting(name.into(), value.map(Into::into)),
             "{text}"
         );
     }
--- a/pgwire/src/values.rs
+++ b/pgwire/src/values.rs
@@ -32,7 +32,7 @@
 
 /// The style of dates.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Style {
+pub enum DateStyle {
     /// 2026-12-01 17:20:00+07
     #[default]
     Iso,
@@ -46,22 +46,22 @@
 
 /// The style of dates, and whether the day comes before the month.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Dates {
+pub struct DateFormat {
     /// The style.
-    pub style: Style,
+    pub style: DateStyle,
     /// The day comes first.
     pub day_first: bool,
 }
 
-impl Dates {
+impl DateFormat {
     /// Reads what SET DateStyle takes, on top of what holds now; none where it is not understood.
-    pub fn set(mut self, text: &str) -> Option<Self> {
+    pub fn with_setting(mut self, text: &str) -> Option<Self> {
         for word in text.split([',', ' ']).filter(|word| !word.is_empty()) {
             match word.to_ascii_lowercase().as_str() {
-                "iso" => self.style = Style::Iso,
-                "sql" => self.style = Style::Sql,
-                "postgres" | "postgresql" => self.style = Style::Postgres,
-                "german" => (self.style, self.day_first) = (Style::German, true),
+                "iso" => self.style = DateStyle::Iso,
+                "sql" => self.style = DateStyle::Sql,
+                "postgres" | "postgresql" => self.style = DateStyle::Postgres,
+                "german" => (self.style, self.day_first) = (DateStyle::German, true),
                 "mdy" | "us" | "noneuro" | "noneuropean" => self.day_first = false,
                 "dmy" | "euro" | "european" => self.day_first = true,
                 _ => return None,
@@ -71,12 +71,12 @@
     }
 
     /// As ParameterStatus tells it.
-    pub fn told(self) -> String {
+    pub fn setting_value(self) -> String {
         let style = match self.style {
-            Style::Iso => "ISO",
-            Style::Sql => "SQL",
-            Style::Postgres => "Postgres",
-            Style::German => "German",
+            DateStyle::Iso => "ISO",
+            DateStyle::Sql => "SQL",
+            DateStyle::Postgres => "Postgres",
+            DateStyle::German => "German",
         };
         format!("{style}, {}", if self.day_first { "DMY" } else { "MDY" })
     }
@@ -84,19 +84,19 @@
 
 /// What one client's values look like.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Forms {
+pub struct ValueFormats {
     /// bytea.
     pub bytea: Bytea,
-    /// Dates and times.
-    pub dates: Dates,
+    /// DateFormat and times.
+    pub dates: DateFormat,
 }
 
-impl Forms {
+impl ValueFormats {
     /// Whether values of a type are written anew.
     pub fn changes(&self, kind: u32) -> bool {
         match kind {
             kind::BYTEA => self.bytea != Bytea::Hex,
-            kind::DATE | kind::TIMESTAMP | kind::TIMESTAMPTZ => self.dates.style != Style::Iso,
+            kind::DATE | kind::TIMESTAMP | kind::TIMESTAMPTZ => self.dates.style != DateStyle::Iso,
             _ => false,
         }
     }
@@ -157,7 +157,7 @@
         .rem_euclid(7) as usize
 }
 
-fn dated(dates: Dates, kind: u32, text: &str) -> Option<String> {
+fn dated(dates: DateFormat, kind: u32, text: &str) -> Option<String> {
     // Before Christ stands at the end whatever the style.
     let (text, era) = text
         .strip_suffix(" BC")
@@ -186,15 +186,15 @@
     }
     let (first, second) = if dates.day_first { (d, m) } else { (m, d) };
     let short = match dates.style {
-        Style::Iso => return None,
-        Style::Sql => format!("{first}/{second}/{y}"),
-        Style::Postgres => format!("{first}-{second}-{y}"),
-        Style::German => format!("{d}.{m}.{y}"),
+        DateStyle::Iso => return None,
+        DateStyle::Sql => format!("{first}/{second}/{y}"),
+        DateStyle::Postgres => format!("{first}-{second}-{y}"),
+        DateStyle::German => format!("{d}.{m}.{y}"),
     };
     let Some(time) = time else {
         return Some(short + era);
     };
-    if dates.style != Style::Postgres {
+    if dates.style != DateStyle::Postgres {
         return Some(format!("{short} {time}{era}"));
     }
     let (clock, zone) = match time.find(['+', '-']) {
--- a/pgwire/src/values/tests.rs
+++ b/pgwire/src/values/tests.rs
@@ -4,12 +4,12 @@
 
 #[test]
 fn bytea_is_escaped_as_before_9_0() {
-    let forms = Forms {
+    let formats = ValueFormats {
         bytea: Bytea::Escape,
-        ..Forms::default()
+        ..ValueFormats::default()
     };
     let said = |value: &[u8]| {
-        forms
+        formats
             .rewrite(kind::BYTEA, value)
             .map(|v| String::from_utf8(v).expect("ASCII"))
     };
@@ -21,17 +21,17 @@
     for odd in [&b"\\x9"[..], b"\\xzz", b"plain", b""] {
         assert_eq!(said(odd), None, "{odd:?} stays as it came");
     }
-    assert_eq!(forms.rewrite(25, b"\\x9f"), None, "a text is no bytea");
-    assert_eq!(Forms::default().rewrite(kind::BYTEA, b"\\x9f"), None);
+    assert_eq!(formats.rewrite(25, b"\\x9f"), None, "a text is no bytea");
+    assert_eq!(ValueFormats::default().rewrite(kind::BYTEA, b"\\x9f"), None);
 }
 
 #[test]
 fn dates_are_written_in_every_style() {
     let said = |style: &str, kind: u32, text: &str| {
-        let dates = Dates::default().set(style).expect("a style");
-        let new = Forms {
+        let dates = DateFormat::default().with_setting(style).expect("a style");
+        let new = ValueFormats {
             dates,
-            ..Forms::default()
+            ..ValueFormats::default()
         }
         .rewrite(kind, text.as_bytes());
         new.map(|v| String::from_utf8(v).expect("text"))
@@ -102,9 +102,12 @@
         );
     }
     assert_eq!(said("ISO", kind::DATE, "2026-12-01"), None);
-    assert_eq!(Dates::default().set("nonsense"), None);
+    assert_eq!(DateFormat::default().with_setting("nonsense"), None);
     assert_eq!(
-        Dates::default().set("German").map(Dates::told).as_deref(),
+        DateFormat::default()
+            .with_setting("German")
+            .map(DateFormat::setting_value)
+            .as_deref(),
         Some("German, DMY")
     );
 }
--- a/pgwire/src/verifier.rs
+++ b/pgwire/src/verifier.rs
@@ -18,7 +18,7 @@
 /// What a user that does not exist is given.
 const USUAL_ITERATIONS: u32 = 4_096;
 /// Users that one file may hold.
-pub const MOST_USERS: usize = 100_000;
+pub const MAX_USERS: usize = 100_000;
 
 /// SCRAM-SHA-256's part of a verifier.
 #[derive(Clone, PartialEq, Eq)]
@@ -110,12 +110,12 @@
     }
 
     /// The MD5 verifier of a password, as `pg_authid` writes it.
-    pub fn md5_of(user: &str, password: &[u8]) -> Self {
+    pub fn md5_from_password(user: &str, password: &[u8]) -> Self {
         Verifier::Md5(md5_hex(&[password, user.as_bytes()]))
     }
 
     /// The SCRAM verifier of a password.
-    pub fn scram_of(password: &[u8], salt: &[u8], iterations: u32) -> Self {
+    pub fn scram_from_password(password: &[u8], salt: &[u8], iterations: u32) -> Self {
         let salted = salted(password, salt, iterations);
         let stored = Sha256::digest(hmac(&salted, &[b"Client Key"])).into();
         let server = hmac(&salted, &[b"Server Key"]);
@@ -129,7 +129,7 @@
 
     /// What a user who does not exist is checked by: the same for each try, so that nobody learns who exists, and met by
     /// no password.
-    pub fn nobodys(user: &str, secret: &[u8], scram: bool) -> Self {
+    pub fn for_unknown_user(user: &str, secret: &[u8], scram: bool) -> Self {
         let mark = hmac(secret, &[b"nobody", user.as_bytes()]);
         if scram {
             let (stored, server) = (
@@ -147,7 +147,7 @@
     }
 
     /// Whether a password sent in clear text is the right one.
-    pub fn proves_clear(&self, user: &str, password: &[u8]) -> bool {
+    pub fn matches_password(&self, user: &str, password: &[u8]) -> bool {
         match self {
             Verifier::Md5(kept) => same(kept, &md5_hex(&[password, user.as_bytes()])),
             Verifier::Scram(kept) => {
@@ -161,7 +161,7 @@
     }
 
     /// Whether what a client made of an MD5 salt is right; never with a SCRAM verifier.
-    pub fn proves_md5(&self, salt: [u8; 4], said: &[u8]) -> bool {
+    pub fn matches_md5_response(&self, salt: [u8; 4], said: &[u8]) -> bool {
         let Verifier::Md5(kept) = self else {
             return false;
         };
@@ -182,7 +182,7 @@
 }
 
 /// One exchange of SCRAM-SHA-256, seen from the server's side.
-pub struct Exchange {
+pub struct ScramExchange {
     kept: Scram,
     /// What the client's channel binding must repeat, and the messages so far.
     header: String,
@@ -191,9 +191,9 @@
     nonce: String,
 }
 
-impl Exchange {
+impl ScramExchange {
     /// Reads the client's first message; the exchange, and the server's first message. `nonce` is the server's own part.
-    pub fn begin(kept: &Scram, said: &[u8], nonce: &str) -> Option<(Self, String)> {
+    pub fn start(kept: &Scram, said: &[u8], nonce: &str) -> Option<(Self, String)> {
         let said = std::str::from_utf8(said).ok()?;
         let (flag, rest) = said.split_once(',')?;
         let (name, bare) = rest.split_once(',')?;
@@ -216,7 +216,7 @@
             kept.iterations
         );
         let header = format!("{flag},{name},");
-        let exchange = Exchange {
+        let exchange = ScramExchange {
             kept: kept.clone(),
             header,
             first: bare.into(),
@@ -227,7 +227,7 @@
     }
 
     /// Checks the client's last message; the server's last message where the proof is right.
-    pub fn end(&self, said: &[u8]) -> Option<String> {
+    pub fn finish(&self, said: &[u8]) -> Option<String> {
         let said = std::str::from_utf8(said).ok()?;
         let (without, proof) = said.rsplit_once(",p=")?;
         let proof = <[u8; 32]>::try_from(STANDARD.decode(proof).ok()?).ok()?;
@@ -279,7 +279,7 @@
             if users.insert(user.to_string(), verifier).is_some() {
                 return Err(Error::Twice(number));
             }
-            if users.len() > MOST_USERS {
+            if users.len() > MAX_USERS {
                 return Err(Error::TooMany(number));
             }
         }
--- a/pgwire/tests/fuzz.rs
+++ b/pgwire/tests/fuzz.rs
@@ -9,7 +9,7 @@
 use plovercove_pgwire::session::Session;
 use plovercove_pgwire::startup::{Method, Rules, Startup, Step};
 use plovercove_pgwire::statement::{self, Kind};
-use plovercove_pgwire::values::{Bytea, Dates, Forms};
+use plovercove_pgwire::values::{Bytea, DateFormat, ValueFormats};
 use plovercove_pgwire::verifier::{Users, Verifier};
 use plovercove_pgwire::{Version, messages};
 use rand::RngExt;
@@ -22,8 +22,8 @@
 /// Made once: hashing is what SCRAM's verifier is dear in.
 static KEPT: LazyLock<[Verifier; 2]> = LazyLock::new(|| {
     [
-        Verifier::md5_of("app", b"right"),
-        Verifier::scram_of(b"right", b"0123456789abcdef", 1_024),
+        Verifier::md5_from_password("app", b"right"),
+        Verifier::scram_from_password(b"right", b"0123456789abcdef", 1_024),
     ]
 });
 
@@ -33,11 +33,13 @@
         methods: vec![Method::Scram, Method::Md5, Method::Password],
     };
     let (mut startup, mut out, mut rest) = (Startup::default(), Vec::new(), bytes);
-    while let Ok(Some((length, step))) = startup.take(&rules, rest, "0123456789abcdef", &mut out) {
+    while let Ok(Some((length, step))) =
+        startup.read_message(&rules, rest, "0123456789abcdef", &mut out)
+    {
         assert!(length > 0 && length <= rest.len(), "it takes what is there");
         rest = &rest[length..];
         match step {
-            Step::Named => {
+            Step::UserNamed => {
                 let verifier = KEPT.get(bytes.len() % 3);
                 if startup
                     .identify(&rules, verifier, &[1; 32], [1; 4], &mut out)
@@ -46,8 +48,8 @@
                     break;
                 }
             }
-            Step::In | Step::Cancel(_) => break,
-            Step::Goes => {}
+            Step::LoggedIn | Step::Cancel(_) => break,
+            Step::Continue => {}
         }
     }
     // What it has been sent, and what it says, is bounded by what came.
@@ -64,15 +66,15 @@
         user: "app".into(),
         database: "trips".into(),
         password: Some("right".into()),
-        clear: true,
+        may_send_clear_text: true,
         version: Version::V32,
-        welcome: false,
+        skip_authentication: false,
     };
     let mut out = Vec::new();
     let mut login = Login::start(&who, &mut out);
     let start = out.len();
     for message in messages::split(bytes) {
-        if login.take(&who, &message, &mut out) != Ok(false) {
+        if login.read_message(&who, &message, &mut out) != Ok(false) {
             break;
         }
     }
@@ -84,26 +86,28 @@
     let (mut reply, mut held) = (Reply::new(Shape::Any), Vec::new());
     for message in messages::split(bytes) {
         if message.kind == b'Z' {
-            if reply.ready(message.body).is_err() {
+            if reply.read_ready(message.body).is_err() {
                 break;
             }
             continue;
         }
-        if reply.take(&message).is_err() {
+        if reply.read_message(&message).is_err() {
             break;
         }
         held.extend_from_slice(message.raw);
         // Whatever came: an error that the server worded is never served.
         assert!(!(reply.is_error() && reply.outcome() == Outcome::Served));
     }
-    let forms = Forms {
+    let formats = ValueFormats {
         bytea: Bytea::Escape,
-        dates: Dates::default().set("Postgres, DMY").expect("a style"),
+        dates: DateFormat::default()
+            .with_setting("Postgres, DMY")
+            .expect("a style"),
     };
     let mut longest = held.len();
     for version in [Version::V2, Version::V30] {
         let mut out = Vec::new();
-        let _ = Encoder { version, forms }.reply(&held, &mut out);
+        let _ = Encoder { version, formats }.put_reply(&held, &mut out);
         // A byte of bytea in hex is two; escaped it is four at most. An error's fields gain a word each.
         assert!(
             out.len() <= held.len() * 12 + 64,
@@ -118,28 +122,28 @@
 
 fn text(bytes: &[u8]) -> usize {
     let text = String::from_utf8_lossy(bytes);
-    let mut session = Session::new(Forms::default());
-    if let Kind::Sets(name, value) = statement::kind(&text) {
+    let mut session = Session::new(ValueFormats::default());
+    if let Kind::Setting(name, value) = statement::classify(&text) {
         let _ = session.set(&name, value.as_deref());
     }
     let _ = (
         Users::parse(&text),
         Verifier::parse(&text),
-        Dates::default().set(&text),
+        DateFormat::default().with_setting(&text),
     );
     let _ = (
-        messages::old_function_call(bytes, 100),
-        messages::error_code(bytes),
-        messages::status(bytes),
-        messages::row(bytes),
+        messages::v2_function_call_length(bytes, 100),
+        messages::parse_error_code(bytes),
+        messages::parse_status(bytes),
+        messages::parse_row(bytes),
     );
-    let forms = Forms {
+    let formats = ValueFormats {
         bytea: Bytea::Escape,
-        dates: Dates::default().set("SQL").expect("a style"),
+        dates: DateFormat::default().with_setting("SQL").expect("a style"),
     };
     [17, 1082, 1114, 1184]
         .iter()
-        .filter_map(|kind| forms.rewrite(*kind, bytes))
+        .filter_map(|kind| formats.rewrite(*kind, bytes))
         .map(|v| v.len() / 2)
         .max()
         .unwrap_or(0)
--- a/pgwire/tests/logins.rs
+++ b/pgwire/tests/logins.rs
@@ -2,13 +2,13 @@
 //! against packets written by hand; and whatever bytes come, in whatever pieces.
 
 use plovercove_pgwire::encoder::Encoder;
-use plovercove_pgwire::login::{Credentials, Login, Refused};
+use plovercove_pgwire::login::{Credentials, Login, LoginError};
 use plovercove_pgwire::messages::{self, Message};
 use plovercove_pgwire::reply::{Reply, Shape};
 use plovercove_pgwire::startup::{Method, Rules, Startup, Step};
-use plovercove_pgwire::values::{Bytea, Dates, Forms};
+use plovercove_pgwire::values::{Bytea, DateFormat, ValueFormats};
 use plovercove_pgwire::verifier::{Users, Verifier};
-use plovercove_pgwire::{Fault, Version, statement};
+use plovercove_pgwire::{SqlError, Version, statement};
 use proptest::prelude::*;
 
 const SECRET: [u8; 32] = [9; 32];
@@ -28,9 +28,9 @@
         user,
         database,
         password: password.map(Into::into),
-        clear,
+        may_send_clear_text: clear,
         version: Version::V32,
-        welcome: false,
+        skip_authentication: false,
     }
 }
 
@@ -39,17 +39,17 @@
     methods: &[Method],
     kept: Option<&Verifier>,
     who: &Credentials,
-) -> Result<Result<Startup, Fault>, Refused> {
+) -> Result<Result<Startup, SqlError>, LoginError> {
     let rules = rules(methods);
     let (mut startup, mut to_door, mut to_client) = (Startup::default(), Vec::new(), Vec::new());
     let mut login = Login::start(who, &mut to_door);
     for _ in 0..10 {
         while !to_door.is_empty() {
-            let step = match startup.take(&rules, &to_door, NONCE, &mut to_client) {
+            let step = match startup.read_message(&rules, &to_door, NONCE, &mut to_client) {
                 Ok(Some((length, step))) => {
                     to_door.drain(..length);
                     match step {
-                        Step::Named => {
+                        Step::UserNamed => {
                             startup.identify(&rules, kept, &SECRET, SALT, &mut to_client)
                         }
                         step => Ok(step),
@@ -59,12 +59,12 @@
                 Err(fault) => Err(fault),
             };
             match step {
-                Ok(Step::In) => {
+                Ok(Step::LoggedIn) => {
                     let encoder = Encoder {
                         version: startup.version(),
-                        forms: Forms::default(),
+                        formats: ValueFormats::default(),
                     };
-                    encoder.greet(
+                    encoder.put_greeting(
                         &[("server_version".into(), "18.0".into())],
                         None,
                         &mut to_client,
@@ -76,7 +76,7 @@
         }
         let said = std::mem::take(&mut to_client);
         for message in messages::split(&said) {
-            if login.take(who, &message, &mut to_door)? {
+            if login.read_message(who, &message, &mut to_door)? {
                 return Ok(Ok(startup));
             }
         }
@@ -87,8 +87,8 @@
 #[test]
 fn every_method_lets_the_right_password_in_and_no_other() {
     let (md5, scram) = (
-        Verifier::md5_of("app", b"right"),
-        Verifier::scram_of(b"right", &[7; 16], 4_096),
+        Verifier::md5_from_password("app", b"right"),
+        Verifier::scram_from_password(b"right", &[7; 16], 4_096),
     );
     for (method, kept) in [
         (Method::Password, &md5),
@@ -105,13 +105,13 @@
         );
         let wrong = meet(&[method], Some(kept), &who(Some("wrong"), true)).expect("they agree");
         assert!(
-            wrong.is_err_and(|fault| Startup::tried(&fault)),
+            wrong.is_err_and(|fault| Startup::is_wrong_password(&fault)),
             "{method:?}"
         );
         // One who does not exist goes through the same steps, and no password is theirs.
         let nobody = meet(&[method], None, &who(Some("right"), true)).expect("they agree");
         assert!(
-            nobody.is_err_and(|fault| Startup::tried(&fault)),
+            nobody.is_err_and(|fault| Startup::is_wrong_password(&fault)),
             "{method:?}"
         );
     }
@@ -121,7 +121,7 @@
 
 #[test]
 fn a_method_that_neither_side_can_meet_ends_at_once_with_a_text_that_names_both() {
-    let scram = Verifier::scram_of(b"right", &[7; 16], 4_096);
+    let scram = Verifier::scram_from_password(b"right", &[7; 16], 4_096);
     let fault = meet(&[Method::Md5], Some(&scram), &who(Some("right"), true))
         .expect("they talk")
         .err()
@@ -149,11 +149,11 @@
         messages::put(&mut asked, b'R', |out| {
             out.extend_from_slice(&what.to_be_bytes())
         });
-        let message = messages::message(&asked, 100)
+        let message = messages::parse_message(&asked, 100)
             .expect("framed")
             .expect("whole");
         let refused = login
-            .take(&who(None, false), &message, &mut out)
+            .read_message(&who(None, false), &message, &mut out)
             .expect_err("no way");
         let text = refused.to_string();
         assert!(
@@ -175,11 +175,11 @@
     });
     messages::put(&mut said, b'R', |out| out.extend_from_slice(&[0; 4]));
     let mut messages = messages::split(&said);
-    let first = login.take(&who, &messages.next().expect("one"), &mut out);
+    let first = login.read_message(&who, &messages.next().expect("one"), &mut out);
     assert_eq!(first, Ok(false));
     assert_eq!(
-        login.take(&who, &messages.next().expect("two"), &mut out),
-        Err(Refused::Malformed)
+        login.read_message(&who, &messages.next().expect("two"), &mut out),
+        Err(LoginError::Malformed)
     );
 }
 
@@ -187,7 +187,7 @@
 fn where_everyone_is_welcome_a_spoilt_greeting_is_no_harm() {
     // Danger: on a network that spoils bytes, each connection lost to a greeting that nobody reads costs its request.
     let who = Credentials {
-        welcome: true,
+        skip_authentication: true,
         ..who(None, false)
     };
     let mut out = Vec::new();
@@ -204,7 +204,7 @@
     }
     messages::put_ready(&mut said);
     let all: Vec<_> = messages::split(&said)
-        .map(|m| login.take(&who, &m, &mut out))
+        .map(|m| login.read_message(&who, &m, &mut out))
         .collect();
     assert_eq!(all.last(), Some(&Ok(true)), "{all:?}");
 }
@@ -212,7 +212,7 @@
 #[test]
 fn the_published_example_of_scram_is_met() {
     // RFC 7677, section 3.
-    let kept = Verifier::scram_of(
+    let kept = Verifier::scram_from_password(
         b"pencil",
         b"[m\x99h\x9d\x125\x8e\xec\xa0K\x14\x126\xfa\x81",
         4_096,
@@ -221,7 +221,7 @@
         panic!("a SCRAM verifier")
     };
     let first = b"n,,n=user,r=rOprNGfwEbeRWgbNEkqO";
-    let (exchange, answer) = plovercove_pgwire::verifier::Exchange::begin(
+    let (exchange, answer) = plovercove_pgwire::verifier::ScramExchange::start(
         &kept,
         first,
         "%hvYDpWUa2RaTCAfuxFIlj)hNlF$k0",
@@ -233,7 +233,7 @@
     );
     let last = "c=biws,r=rOprNGfwEbeRWgbNEkqO%hvYDpWUa2RaTCAfuxFIlj)hNlF$k0,p=dHzbZapWIk4jUhN+Ute9ytag9zjfMHgsqmmiz7AndVQ=";
     assert_eq!(
-        exchange.end(last.as_bytes()).as_deref(),
+        exchange.finish(last.as_bytes()).as_deref(),
         Some("v=6rriTRBi23WpRR/wtup+mMhUZUn/dB5nLTJRsjl95G4=")
     );
     for spoilt in [
@@ -241,7 +241,7 @@
         last.replace("k0,p", "k1,p"),
         last.replace("p=dH", "p=dG"),
     ] {
-        assert_eq!(exchange.end(spoilt.as_bytes()), None, "{spoilt}");
+        assert_eq!(exchange.finish(spoilt.as_bytes()), None, "{spoilt}");
     }
 }
 
@@ -254,7 +254,7 @@
     assert!(
         users
             .get("old")
-            .is_some_and(|v| v.proves_clear("old", b"pencil"))
+            .is_some_and(|v| v.matches_password("old", b"pencil"))
     );
     assert_eq!(
         format!("{:?} {users:?}", users.get("app")),
@@ -281,7 +281,7 @@
     let open = |rules: &Rules, bytes: &[u8]| {
         let (mut startup, mut out) = (Startup::default(), Vec::new());
         startup
-            .take(rules, bytes, NONCE, &mut out)
+            .read_message(rules, bytes, NONCE, &mut out)
             .map(|step| (step.map(|(_, step)| step), startup, out))
     };
     let all = rules(&[Method::Password]);
@@ -292,7 +292,7 @@
     let (step, startup, _) = open(&all, &old).expect("2.0");
     assert_eq!(
         (step, startup.user(), startup.database(), startup.version()),
-        (Some(Step::Named), "app", "trips", Version::V2)
+        (Some(Step::UserNamed), "app", "trips", Version::V2)
     );
     let (step, ..) = open(&all, &old[..295]).expect("a part");
     assert_eq!(step, None);
@@ -310,7 +310,7 @@
         b"\0\0\0\x08\x04\xd2\x16\x30",
     ] {
         let (step, _, out) = open(&all, packet).expect("no encryption");
-        assert_eq!((step, &out[..]), (Some(Step::Goes), &b"N"[..]));
+        assert_eq!((step, &out[..]), (Some(Step::Continue), &b"N"[..]));
     }
     let (step, ..) = open(
         &all,
@@ -325,7 +325,7 @@
     });
     let (mut startup, mut out) = (Startup::default(), Vec::new());
     startup
-        .take(&all, &newer, NONCE, &mut out)
+        .read_message(&all, &newer, NONCE, &mut out)
         .expect("understood");
     startup
         .identify(&all, None, &SECRET, SALT, &mut out)
@@ -359,16 +359,18 @@
 
 #[test]
 fn a_reply_is_said_in_both_versions_and_in_the_forms_that_the_client_wants() {
-    let forms = Forms {
+    let formats = ValueFormats {
         bytea: Bytea::Escape,
-        dates: Dates::default().set("German").expect("a style"),
+        dates: DateFormat::default()
+            .with_setting("German")
+            .expect("a style"),
     };
     let mut old = Vec::new();
     Encoder {
         version: Version::V2,
-        forms,
+        formats,
     }
-    .reply(&sample(), &mut old)
+    .put_reply(&sample(), &mut old)
     .expect("said");
     let mut want = b"Pblank\0T\0\x03".to_vec();
     for (name, kind) in [(b'a', 17u32), (b'b', 1114), (b'c', 25)] {
@@ -386,9 +388,9 @@
     let mut new = Vec::new();
     Encoder {
         version: Version::V30,
-        forms: Forms::default(),
+        formats: ValueFormats::default(),
     }
-    .reply(&sample(), &mut new)
+    .put_reply(&sample(), &mut new)
     .expect("said");
     let kinds: Vec<u8> = messages::split(&new).map(|m| m.kind).collect();
     assert_eq!(kinds, b"TDNC");
@@ -407,13 +409,13 @@
         let (mut startup, mut out) = (Startup::default(), Vec::new());
         let all = rules(&[Method::Scram, Method::Md5]);
         let mut rest = &bytes[..];
-        while let Ok(Some((length, step))) = startup.take(&all, rest, NONCE, &mut out) {
+        while let Ok(Some((length, step))) = startup.read_message(&all, rest, NONCE, &mut out) {
             prop_assert!(length <= rest.len());
             rest = &rest[length..];
-            if step == Step::Named && startup.identify(&all, None, &SECRET, SALT, &mut out).is_err() {
+            if step == Step::UserNamed && startup.identify(&all, None, &SECRET, SALT, &mut out).is_err() {
                 break;
             }
-            if matches!(step, Step::In | Step::Cancel(_)) {
+            if matches!(step, Step::LoggedIn | Step::Cancel(_)) {
                 break;
             }
         }
@@ -426,25 +428,25 @@
         let mut login = Login::start(&who, &mut out);
         let (mut one, mut any) = (Reply::new(Shape::OneValue), Reply::new(Shape::Any));
         for message in messages::split(&framed) {
-            let _ = login.take(&who, &message, &mut out);
-            let _ = (one.take(&message), any.take(&message), any.ready(message.body));
+            let _ = login.read_message(&who, &message, &mut out);
+            let _ = (one.read_message(&message), any.read_message(&message), any.read_ready(message.body));
         }
-        let forms = Forms { bytea: Bytea::Escape, dates: Dates::default().set("Postgres").expect("a style") };
+        let formats = ValueFormats { bytea: Bytea::Escape, dates: DateFormat::default().with_setting("Postgres").expect("a style") };
         for version in [Version::V2, Version::V30] {
-            let _ = Encoder { version, forms }.reply(&framed, &mut Vec::new());
+            let _ = Encoder { version, formats }.put_reply(&framed, &mut Vec::new());
         }
         for kind in [17, 1082, 1114, 1184] {
-            let _ = forms.rewrite(kind, &bytes);
+            let _ = formats.rewrite(kind, &bytes);
         }
         let text = String::from_utf8_lossy(&bytes);
-        let _ = (statement::kind(&text), Users::parse(&text), Verifier::parse(&text));
-        let _ = messages::old_function_call(&bytes, 300);
+        let _ = (statement::classify(&text), Users::parse(&text), Verifier::parse(&text));
+        let _ = messages::v2_function_call_length(&bytes, 300);
     }
 
     /// However the bytes of a login are split, it goes the same way.
     #[test]
     fn any_split_of_the_bytes_is_read_alike(cuts in prop::collection::vec(1..40usize, 0..30), clear in any::<bool>()) {
-        let kept = Verifier::md5_of("app", b"right");
+        let kept = Verifier::md5_from_password("app", b"right");
         let all = rules(&[if clear { Method::Password } else { Method::Md5 }]);
         let mut sent = b"\0\0\0\x08\x04\xd2\x16\x2f".to_vec();
         messages::put_packet(&mut sent, |out| out.extend_from_slice(b"\0\x03\0\0user\0app\0database\0trips\0DateStyle\0German\0\0"));
@@ -454,12 +456,12 @@
             let (mut startup, mut out, mut held, mut is_in) = (Startup::default(), Vec::new(), Vec::new(), false);
             for piece in pieces {
                 held.extend_from_slice(piece);
-                while let Some((length, step)) = startup.take(&all, &held, NONCE, &mut out).expect("a good login") {
+                while let Some((length, step)) = startup.read_message(&all, &held, NONCE, &mut out).expect("a good login") {
                     held.drain(..length);
-                    if step == Step::Named {
+                    if step == Step::UserNamed {
                         startup.identify(&all, Some(&kept), &SECRET, SALT, &mut out).expect("asked");
                     }
-                    is_in |= step == Step::In;
+                    is_in |= step == Step::LoggedIn;
                     if is_in {
                         break;
                     }
@@ -488,9 +490,11 @@
         let mut reply = Reply::new(Shape::Any);
         let mut taken = 0;
         for message in messages::split(&whole[..cut]) {
-            reply.take(&Message { ..message }).expect("in order");
+            reply
+                .read_message(&Message { ..message })
+                .expect("in order");
             taken += message.raw.len();
         }
-        assert!(taken <= cut && !reply.tells(), "cut at {cut}");
+        assert!(taken <= cut && !reply.has_outcome(), "cut at {cut}");
     }
 }
--- a/router/src/front/accept.rs
+++ b/router/src/front/accept.rs
@@ -178,7 +178,7 @@
         } else {
             MESSAGE_TIMEOUT
         };
-        let session = Session::new(listener.config.forms);
+        let session = Session::new(listener.config.formats);
         let idle_timeout = listener.config.idle_timeout;
         let (poll, budget) = (&self.poll, &self.context.budget);
         let made = self.clients.insert_with(|key| {
@@ -217,7 +217,7 @@
         self.reschedule(key, engine);
         if !has_place {
             // What it has said already need not wait for the next turn: others wait for its descriptor.
-            self.event(key, false, now, engine);
+            self.handle_event(key, false, now, engine);
         }
     }
 }
--- a/router/src/front/answers.rs
+++ b/router/src/front/answers.rs
@@ -27,7 +27,7 @@
     }
 
     /// Passes on what a node answered: row description, row and completion.
-    pub fn pass_on(&mut self, origin: Key, request: Key, reply: Buffer, now: Time) {
+    pub fn send_reply(&mut self, origin: Key, request: Key, reply: Buffer, now: Time) {
         let Some(client) = self.clients.get_mut(origin) else {
             return;
         };
@@ -41,24 +41,26 @@
         }
         let encoder = client.encoder();
         let is_labelled = self.context.listeners[client.listener].wants_labels();
-        if is_labelled || encoder.passes(&reply) {
+        if is_labelled || encoder.passes_unchanged(&reply) {
             return self.queue_answer(origin, request, reply);
         }
         let mut translated = self.context.budget.buffer();
-        let result = translated.write(|out| encoder.reply(&reply, out));
+        let result = translated.write(|out| encoder.put_reply(&reply, out));
         if let Err(why) = result {
             let why = why.0;
             warn!(client = origin.number(), reason = "unsayable", "{why}");
             // What has been done is done; the client must not take this for a rejection.
             let text = format!("the statement ran, but its answer cannot be passed on: {why}");
             translated = self.context.budget.buffer();
-            translated.write(|out| encoder.error(false, code::UNTRANSLATABLE, &text, None, out));
+            translated.write(|out| {
+                encoder.put_error(false, code::UNTRANSLATABLE_CHARACTER, &text, None, out)
+            });
         }
         self.queue_answer(origin, request, translated);
     }
 
     /// Words a final answer that no node made.
-    pub fn conclude(&mut self, origin: Key, request: Key, answer: FinalAnswer) {
+    pub fn send_final_answer(&mut self, origin: Key, request: Key, answer: FinalAnswer) {
         let Some(encoder) = self.clients.get(origin).map(Client::encoder) else {
             return;
         };
@@ -67,11 +69,11 @@
             FinalAnswer::Rejected(retry_after) => {
                 let wait_ms = retry_after.map(clock::to_ms);
                 let text = "no db node can take this in time";
-                encoder.error(false, code::TURNED_AWAY, text, wait_ms, out);
+                encoder.put_error(false, code::TOO_MANY_CONNECTIONS, text, wait_ms, out);
             }
             FinalAnswer::Failed => {
                 let text = "the outcome is unknown: no db node answered in time";
-                encoder.error(false, code::UNKNOWN_OUTCOME, text, None, out);
+                encoder.put_error(false, code::UNKNOWN_OUTCOME, text, None, out);
             }
         });
         self.queue_answer(origin, request, worded);
@@ -86,7 +88,7 @@
         let Some(found) = pending.find(|pending| pending.is_for(request)) else {
             return;
         };
-        answer.write(|out| encoder.ready(out));
+        answer.write(|out| encoder.put_ready(out));
         found.answer = Some(answer);
         found.request = None;
         self.mark(origin);
--- a/router/src/front/cancellation.rs
+++ b/router/src/front/cancellation.rs
@@ -56,8 +56,8 @@
         let mut answer = self.context.budget.buffer();
         answer.write(|out| {
             let text = "cancelled on request; a write may have run all the same";
-            encoder.error(false, code::CANCELLED, text, None, out);
-            encoder.ready(out);
+            encoder.put_error(false, code::QUERY_CANCELED, text, None, out);
+            encoder.put_ready(out);
         });
         pending.answer = Some(answer);
         engine.cancel(forwarded.request, now);
@@ -77,10 +77,12 @@
     /// One that was told its end before it had said anything may want a cancel all the same: the two have crossed. Unheard,
     /// its request would be sent on for nobody. Returns whether the other side is there, while it is not known what it wants.
     pub(super) fn hear_late_cancel(&mut self, context: &mut Context) -> Option<Peer> {
-        let mut startup = self.startup.take_if(|startup| !startup.opened())?;
+        let mut startup = self
+            .startup
+            .take_if(|startup| !startup.has_read_first_packet())?;
         let peer = self.stream.fill();
         let rules = &context.listeners[self.listener].config.rules;
-        match startup.take(rules, self.stream.unread(), "", &mut Vec::new()) {
+        match startup.read_message(rules, self.stream.unread(), "", &mut Vec::new()) {
             Ok(None) => {
                 self.startup = Some(startup);
                 Some(peer)
--- a/router/src/front/client.rs
+++ b/router/src/front/client.rs
@@ -183,7 +183,7 @@
     pub(super) fn encoder(&self) -> Encoder {
         Encoder {
             version: self.version,
-            forms: self.session.forms,
+            formats: self.session.formats,
         }
     }
 
@@ -219,8 +219,8 @@
     pub(super) fn reply_error(&mut self, budget: &Budget, code: &str, text: &str) {
         let encoder = self.encoder();
         self.queue_reply(budget, |out| {
-            encoder.error(false, code, text, None, out);
-            encoder.ready(out);
+            encoder.put_error(false, code, text, None, out);
+            encoder.put_ready(out);
         });
     }
 
@@ -237,7 +237,7 @@
     /// An error that ends the session.
     pub(super) fn end_session(&mut self, budget: &Budget, code: &str, text: &str) {
         let encoder = self.encoder();
-        self.queue_reply(budget, |out| encoder.error(true, code, text, None, out));
+        self.queue_reply(budget, |out| encoder.put_error(true, code, text, None, out));
         self.phase = Phase::Closing;
     }
 
@@ -276,7 +276,7 @@
         };
         let encoder = self.encoder();
         self.stream
-            .put(|out| encoder.error(true, code::TURNED_AWAY, text, None, out));
+            .put(|out| encoder.put_error(true, code::TOO_MANY_CONNECTIONS, text, None, out));
         // One that cannot be told has gone.
         let _ = self.stream.flush();
     }
--- a/router/src/front/eviction.rs
+++ b/router/src/front/eviction.rs
@@ -251,7 +251,7 @@
         let listener = &mut self.context.listeners[client.listener];
         listener.placed_clients -= 1;
         if let Some(id) = client.cancel_id {
-            listener.cancel_keys.withdraw(id);
+            listener.cancel_keys.remove(id);
         }
         for forwarded in client.pending.into_iter().filter_map(|p| p.request) {
             engine.client_gone(forwarded.request);
--- a/router/src/front/exchange.rs
+++ b/router/src/front/exchange.rs
@@ -135,12 +135,12 @@
         now: Time,
         engine: &mut Engine,
     ) -> bool {
-        let message = match messages::message(self.stream.unread(), MAX_MESSAGE_BYTES) {
+        let message = match messages::parse_message(self.stream.unread(), MAX_MESSAGE_BYTES) {
             Ok(Some(message)) => message,
             Ok(None) => return false,
             Err(Malformed) => {
                 let text = "a message has an impossible length";
-                self.end_session(&context.budget, code::PROTOCOL, text);
+                self.end_session(&context.budget, code::PROTOCOL_VIOLATION, text);
                 return true;
             }
         };
@@ -157,26 +157,40 @@
             (_, _) if self.phase == Phase::SkippingToSync => {}
             (b'Q', Some(Some(text))) if text.contains(&0) => {
                 let text = "the query has a zero byte in it";
-                self.reply_protocol_error(budget, code::PROTOCOL, text);
+                self.reply_protocol_error(budget, code::PROTOCOL_VIOLATION, text);
             }
             (b'Q', Some(Some(text))) => self.read_query(context, key, text, now, engine),
             (b'Q', _) => {
-                self.reply_protocol_error(budget, code::PROTOCOL, "the query does not end");
+                self.reply_protocol_error(
+                    budget,
+                    code::PROTOCOL_VIOLATION,
+                    "the query does not end",
+                );
             }
             (b'F', _) => {
                 let text = "function calls are not supported";
-                self.reply_protocol_error(budget, code::UNSUPPORTED, text);
+                self.reply_protocol_error(budget, code::FEATURE_NOT_SUPPORTED, text);
             }
             (b'P' | b'B' | b'D' | b'E' | b'C' | b'H', _) => {
                 self.protocol_errors += 1;
                 self.queue_reply(budget, |out| {
-                    messages::put_error(out, false, code::UNSUPPORTED, ONLY_SIMPLE_QUERIES, None);
+                    messages::put_error(
+                        out,
+                        false,
+                        code::FEATURE_NOT_SUPPORTED,
+                        ONLY_SIMPLE_QUERIES,
+                        None,
+                    );
                 });
                 self.phase = Phase::SkippingToSync;
             }
             // Copy data that comes late, after an error, is ignored as a server does.
             (b'd' | b'c' | b'f', _) => {}
-            _ => self.end_session(budget, code::PROTOCOL, "a message of an unknown kind"),
+            _ => self.end_session(
+                budget,
+                code::PROTOCOL_VIOLATION,
+                "a message of an unknown kind",
+            ),
         }
         true
     }
@@ -197,7 +211,7 @@
                     let is_too_long = rest.len() > MAX_MESSAGE_BYTES;
                     if is_too_long {
                         let text = "the query is too long";
-                        self.end_session(&context.budget, code::PROTOCOL, text);
+                        self.end_session(&context.budget, code::PROTOCOL_VIOLATION, text);
                     }
                     return is_too_long;
                 };
@@ -206,21 +220,21 @@
                 self.read_query(context, key, text, now, engine);
             }
             b'X' => self.phase = Phase::Closing,
-            b'F' => match messages::old_function_call(rest, MAX_MESSAGE_BYTES) {
+            b'F' => match messages::v2_function_call_length(rest, MAX_MESSAGE_BYTES) {
                 Ok(None) => return false,
                 Ok(Some(length)) => {
                     self.stream.take(length + 1);
                     let text = "function calls are not supported";
-                    self.reply_protocol_error(&context.budget, code::UNSUPPORTED, text);
+                    self.reply_protocol_error(&context.budget, code::FEATURE_NOT_SUPPORTED, text);
                 }
                 Err(Malformed) => {
                     let text = "a malformed function call";
-                    self.end_session(&context.budget, code::PROTOCOL, text);
+                    self.end_session(&context.budget, code::PROTOCOL_VIOLATION, text);
                 }
             },
             _ => {
                 let text = "a message of an unknown kind";
-                self.end_session(&context.budget, code::PROTOCOL, text);
+                self.end_session(&context.budget, code::PROTOCOL_VIOLATION, text);
             }
         }
         true
@@ -238,7 +252,7 @@
             Ok(text) => self.query(context, key, &text, now, engine),
             Err(_) => {
                 let text = "the query is not UTF-8";
-                self.reply_protocol_error(&context.budget, code::PROTOCOL, text);
+                self.reply_protocol_error(&context.budget, code::PROTOCOL_VIOLATION, text);
             }
         }
     }
--- a/router/src/front/listener.rs
+++ b/router/src/front/listener.rs
@@ -2,10 +2,10 @@
 
 use plovercove::Micros;
 use plovercove_engine::Key;
-use plovercove_pgwire::cancel::Keys;
+use plovercove_pgwire::cancel::CancelKeys;
 use plovercove_pgwire::login_rate_limit::{self, LoginRateLimit};
 use plovercove_pgwire::startup::Rules;
-use plovercove_pgwire::values::Forms;
+use plovercove_pgwire::values::ValueFormats;
 use plovercove_pgwire::verifier::Users;
 use plovercove_poller::Registered;
 use std::net::TcpListener;
@@ -67,7 +67,7 @@
     /// What clients are told at their start.
     pub parameters: Vec<(String, String)>,
     /// The forms of values, unless a client sets others.
-    pub forms: Forms,
+    pub formats: ValueFormats,
     /// The labels of requests without any; none: they are rejected, as on the platform's listener.
     pub default_labels: Option<DefaultLabels>,
     /// The most clients.
@@ -82,11 +82,11 @@
         let owned = |(name, value): (&str, &str)| (name.to_string(), value.to_string());
         ListenerConfig {
             name: "platform".into(),
-            rules: Rules::open(),
+            rules: Rules::trust_everyone(),
             users: Users::default(),
             login_rate_limit: login_rate_limit::Rules::default(),
             parameters: PLATFORM_PARAMETERS.map(owned).to_vec(),
-            forms: Forms::default(),
+            formats: ValueFormats::default(),
             default_labels: None,
             max_clients,
             idle_timeout,
@@ -101,7 +101,7 @@
     pub(super) socket: Option<Registered<TcpListener>>,
     pub(super) login_rate_limit: LoginRateLimit,
     /// The cancel keys of its clients.
-    pub(super) cancel_keys: Keys<Key>,
+    pub(super) cancel_keys: CancelKeys<Key>,
     /// How many of its clients hold a place.
     pub(super) placed_clients: usize,
 }
@@ -112,7 +112,7 @@
             login_rate_limit: LoginRateLimit::new(config.login_rate_limit.clone()),
             config,
             socket: Some(socket),
-            cancel_keys: Keys::new(),
+            cancel_keys: CancelKeys::new(),
             placed_clients: 0,
         }
     }
--- a/router/src/front/login.rs
+++ b/router/src/front/login.rs
@@ -5,7 +5,7 @@
 use crate::clock;
 use plovercove::Time;
 use plovercove_engine::Key;
-use plovercove_pgwire::Fault;
+use plovercove_pgwire::SqlError;
 use plovercove_pgwire::messages::code;
 use plovercove_pgwire::startup::{Method, Startup, Step};
 use tracing::warn;
@@ -27,7 +27,7 @@
                 self.startup = Some(startup);
                 return false;
             }
-            Ok(Some(Step::Named)) => self.identify(context, &mut startup, now, &mut reply),
+            Ok(Some(Step::UserNamed)) => self.identify(context, &mut startup, now, &mut reply),
             Ok(Some(step)) => Ok(step),
             Err(fault) => Err(fault),
         };
@@ -35,9 +35,9 @@
             self.queue_reply(&context.budget, |out| out.append(&mut reply));
         }
         match step {
-            Ok(Step::Goes | Step::Named) => self.startup = Some(startup),
+            Ok(Step::Continue | Step::UserNamed) => self.startup = Some(startup),
             Ok(Step::Cancel(key)) => self.request_cancel(context, key),
-            Ok(Step::In) => self.begin_session(context, key, &startup, now),
+            Ok(Step::LoggedIn) => self.begin_session(context, key, &startup, now),
             Err(fault) => self.fail_login(context, &startup, &fault, now),
         }
         true
@@ -49,19 +49,22 @@
         context: &Context,
         startup: &mut Startup,
         reply: &mut Vec<u8>,
-    ) -> Result<Option<Step>, Fault> {
+    ) -> Result<Option<Step>, SqlError> {
         let bytes = self.stream.unread();
-        if startup.opened() && bytes.len() > MAX_LOGIN_BYTES {
-            return Err(Fault::new(code::PROTOCOL, "too much came before the login"));
+        if startup.has_read_first_packet() && bytes.len() > MAX_LOGIN_BYTES {
+            return Err(SqlError::new(
+                code::PROTOCOL_VIOLATION,
+                "too much came before the login",
+            ));
         }
         // Only a login needs one, and it is dear.
-        let nonce = if startup.opened() {
+        let nonce = if startup.has_read_first_packet() {
             nonce()
         } else {
             String::new()
         };
         let rules = &context.listeners[self.listener].config.rules;
-        let Some((length, step)) = startup.take(rules, bytes, &nonce, reply)? else {
+        let Some((length, step)) = startup.read_message(rules, bytes, &nonce, reply)? else {
             return Ok(None);
         };
         self.stream.take(length);
@@ -75,16 +78,19 @@
         startup: &mut Startup,
         now: Time,
         reply: &mut Vec<u8>,
-    ) -> Result<Step, Fault> {
+    ) -> Result<Step, SqlError> {
         if self.phase == Phase::Rejecting {
-            return Err(Fault::new(code::TURNED_AWAY, TOO_MANY_CONNECTIONS));
+            return Err(SqlError::new(
+                code::TOO_MANY_CONNECTIONS,
+                TOO_MANY_CONNECTIONS,
+            ));
         }
         let listener = &context.listeners[self.listener];
         let limit = &listener.login_rate_limit;
-        if let Err(wait) = limit.may(now, self.address, startup.user()) {
+        if let Err(wait) = limit.check(now, self.address, startup.user()) {
             let wait_ms = clock::to_ms(wait).max(1);
             let text = format!("too many logins failed; try again after {wait_ms} ms");
-            return Err(Fault::new(code::TURNED_AWAY, text));
+            return Err(SqlError::new(code::TOO_MANY_CONNECTIONS, text));
         }
         let rules = &listener.config.rules;
         let verifier = listener.config.users.get(startup.user()).cloned();
@@ -108,7 +114,7 @@
         self.cancel_id = Some(cancel_key.id);
         if !listener.wants_labels() {
             let limit = &mut listener.login_rate_limit;
-            limit.succeeded(now, self.address, startup.user());
+            limit.record_success(now, self.address, startup.user());
             self.has_requested = true;
             parameters.push(("session_authorization".into(), startup.user().into()));
             for (name, value) in startup.parameters() {
@@ -126,14 +132,20 @@
         }
         let encoder = self.encoder();
         self.queue_reply(&context.budget, |out| {
-            encoder.greet(&parameters, Some(&cancel_key), out);
+            encoder.put_greeting(&parameters, Some(&cancel_key), out);
         });
     }
 
-    fn fail_login(&mut self, context: &mut Context, startup: &Startup, fault: &Fault, now: Time) {
-        if Startup::tried(fault) {
+    fn fail_login(
+        &mut self,
+        context: &mut Context,
+        startup: &Startup,
+        fault: &SqlError,
+        now: Time,
+    ) {
+        if Startup::is_wrong_password(fault) {
             let limit = &mut context.listeners[self.listener].login_rate_limit;
-            limit.failed(now, self.address, startup.user());
+            limit.record_failure(now, self.address, startup.user());
             warn!(
                 user = startup.user(),
                 from = %self.address,
--- a/router/src/front/mod.rs
+++ b/router/src/front/mod.rs
@@ -120,12 +120,12 @@
     }
 
     /// How many clients are connected.
-    pub fn connected(&self) -> usize {
+    pub fn client_count(&self) -> usize {
         self.clients.len()
     }
 
     /// Whether something has happened that has not been pumped.
-    pub fn has_marked(&self) -> bool {
+    pub fn has_marked_clients(&self) -> bool {
         !self.marked.is_empty()
     }
 
@@ -133,7 +133,7 @@
     ///
     /// It tells of a reset whatever the socket waits for, over and over: a client that is not being read must be closed then,
     /// or the loop would spin.
-    pub fn event(&mut self, key: Key, hung_up: bool, now: Time, engine: &mut Engine) {
+    pub fn handle_event(&mut self, key: Key, hung_up: bool, now: Time, engine: &mut Engine) {
         let Some(client) = self.clients.get_mut(key) else {
             return;
         };
--- a/router/src/front/query.rs
+++ b/router/src/front/query.rs
@@ -6,7 +6,7 @@
 use crate::statement_labels::{self, Labels, Statement};
 use plovercove::{Access, Class, Micros, RequestInfo, Time};
 use plovercove_engine::{Engine, Key};
-use plovercove_pgwire::Fault;
+use plovercove_pgwire::SqlError;
 use plovercove_pgwire::messages::{self, code};
 use plovercove_pgwire::reply::Shape;
 use plovercove_pgwire::statement::{self, Kind};
@@ -21,14 +21,14 @@
 /// Why a query goes nowhere.
 enum Objection {
     /// The client has broken the protocol; many of these in a row end its session.
-    OfClient(Fault),
+    OfClient(SqlError),
     /// Nothing is said against the client.
-    OfRouter(Fault),
+    OfRouter(SqlError),
 }
 
 impl Objection {
     fn of_client(code: &'static str, text: impl Into<String>) -> Self {
-        Objection::OfClient(Fault::new(code, text))
+        Objection::OfClient(SqlError::new(code, text))
     }
 }
 
@@ -71,35 +71,35 @@
     /// A query of a client without labels: what it needs, and then the text with labels in front. None where it has been
     /// answered here.
     fn answer_or_label(&mut self, context: &mut Context, text: &str) -> Option<String> {
-        let kind = statement::kind(text);
+        let kind = statement::classify(text);
         let encoder = self.encoder();
         let budget = &context.budget;
         match kind {
             Kind::Empty => self.queue_reply(budget, |out| {
-                encoder.empty(out);
-                encoder.ready(out);
+                encoder.put_empty_query_response(out);
+                encoder.put_ready(out);
             }),
-            Kind::Sets(name, value) => match self.session.set(&name, value.as_deref()) {
+            Kind::Setting(name, value) => match self.session.set(&name, value.as_deref()) {
                 Ok(changed) => self.queue_reply(budget, |out| {
-                    encoder.complete(if value.is_some() { "SET" } else { "RESET" }, out);
+                    encoder.put_complete(if value.is_some() { "SET" } else { "RESET" }, out);
                     if let Some((name, value)) = changed {
-                        encoder.status(name, &value, out);
+                        encoder.put_status(name, &value, out);
                     }
-                    encoder.ready(out);
+                    encoder.put_ready(out);
                 }),
                 Err(fault) => self.reply_error(budget, fault.code, &fault.text),
             },
-            Kind::Session(what) => {
+            Kind::NeedsSession(what) => {
                 let text = format!(
                     "{what} needs a session of its own with one server, which this listener does not give"
                 );
-                self.reply_error(budget, code::UNSUPPORTED, &text);
+                self.reply_error(budget, code::FEATURE_NOT_SUPPORTED, &text);
             }
-            Kind::Reads | Kind::Writes => {
+            Kind::Read | Kind::Write => {
                 let id = context.id_generator.next();
                 let listener = &context.listeners[self.listener];
                 let labels = listener.config.default_labels.as_ref()?;
-                let reads = kind == Kind::Reads;
+                let reads = kind == Kind::Read;
                 return Some(labels.label(text, reads, &id, self.session.timeout_ms));
             }
         }
@@ -142,25 +142,28 @@
         engine: &mut Engine,
     ) -> Result<ForwardedRequest, Objection> {
         let labels = statement_labels::labels(text)
-            .map_err(|fault| Objection::of_client(code::PROTOCOL, fault.to_string()))?;
+            .map_err(|fault| Objection::of_client(code::PROTOCOL_VIOLATION, fault.to_string()))?;
         let Some(class) = context.names.class(labels.class) else {
             let text = format!("class {:?} does not exist", labels.class);
-            return Err(Objection::of_client(code::UNDEFINED, text));
+            return Err(Objection::of_client(code::UNDEFINED_OBJECT, text));
         };
         if !engine.knows_group(labels.group) {
             let text = format!("no db node of group {} is known", labels.group);
-            return Err(Objection::of_client(code::NOT_NOW, text));
+            return Err(Objection::of_client(code::CANNOT_CONNECT_NOW, text));
         }
         let class_rules = &engine.classes()[class];
         let time_left = checked_patience(&labels, class_rules)?;
         let tenant = checked_tenant(context, &labels)?;
         let Some(share) = context.budget.take(text.len()) else {
             let text = "too many statements are waiting";
-            return Err(Objection::OfRouter(Fault::new(code::TURNED_AWAY, text)));
+            return Err(Objection::OfRouter(SqlError::new(
+                code::TOO_MANY_CONNECTIONS,
+                text,
+            )));
         };
         if !context.recent_ids.take(labels.id, now) {
             let text = format!("id: {} is another request's", labels.id);
-            return Err(Objection::of_client(code::PROTOCOL, text));
+            return Err(Objection::of_client(code::PROTOCOL_VIOLATION, text));
         }
         let access = class_rules.access;
         let wants_labels = context.listeners[self.listener].wants_labels();
@@ -212,7 +215,7 @@
     let most = class.deadline.saturating_mul(MAX_PATIENCE_DEADLINES);
     if patience == 0 || patience > most {
         let text = format!("d: nobody waits for {} ms", labels.patience);
-        return Err(Objection::of_client(code::PROTOCOL, text));
+        return Err(Objection::of_client(code::PROTOCOL_VIOLATION, text));
     }
     Ok(patience)
 }
@@ -225,7 +228,7 @@
         Some(number) => Ok(Some(number)),
         None => {
             let text = format!("tenant {name:?} does not exist");
-            Err(Objection::of_client(code::UNDEFINED, text))
+            Err(Objection::of_client(code::UNDEFINED_OBJECT, text))
         }
     }
 }
--- a/router/src/operators.rs
+++ b/router/src/operators.rs
@@ -13,7 +13,7 @@
 use plovercove_pgwire::login::Credentials;
 use plovercove_pgwire::login_rate_limit;
 use plovercove_pgwire::startup::{self, Method};
-use plovercove_pgwire::values::{Bytea, Dates, Forms};
+use plovercove_pgwire::values::{Bytea, DateFormat, ValueFormats};
 use plovercove_pgwire::verifier::Users;
 use plovercove_starlark_config::Script;
 use serde::Deserialize;
@@ -215,7 +215,7 @@
         let limits = self.logins.check();
         limits
             .map_err(|e| KeyFault::under(&format!("{key}.logins"), &e.clone(), Wrong::Logins(e)))?;
-        let Some(dates) = Dates::default().set(&self.date_style) else {
+        let Some(dates) = DateFormat::default().with_setting(&self.date_style) else {
             return wrong("date_style", Wrong::Dates);
         };
         let users = match &self.credentials {
@@ -268,7 +268,7 @@
             ("server_version", &*self.server_version),
             ("server_encoding", "UTF8"),
             ("client_encoding", "UTF8"),
-            ("DateStyle", &dates.told()),
+            ("DateStyle", &dates.setting_value()),
             ("TimeZone", &self.time_zone),
             ("integer_datetimes", "on"),
             ("standard_conforming_strings", "on"),
@@ -285,7 +285,7 @@
             parameters: parameters
                 .map(|(name, value)| (name.into(), value.into()))
                 .to_vec(),
-            forms: Forms {
+            formats: ValueFormats {
                 bytea: self.bytea,
                 dates,
             },
@@ -368,9 +368,9 @@
             user,
             database,
             password,
-            clear: told.clear_text,
+            may_send_clear_text: told.clear_text,
             version: told.version,
-            welcome: false,
+            skip_authentication: false,
         };
         Ok(ConnectOptions {
             credentials,
--- a/router/src/serve.rs
+++ b/router/src/serve.rs
@@ -254,7 +254,7 @@
     fn read_clients(&mut self, ready: &Ready<'_>, now: Time) {
         for event in ready.of(Source::Client) {
             self.front
-                .event(event.key, event.hung_up, now, &mut self.engine);
+                .handle_event(event.key, event.hung_up, now, &mut self.engine);
         }
     }
 
@@ -303,7 +303,7 @@
             self.pass_on_answers(now);
             self.front.pump(now, &mut self.engine);
         }
-        self.engine.has_pending_work() || self.front.has_marked()
+        self.engine.has_pending_work() || self.front.has_marked_clients()
     }
 
     fn carry_out(&mut self, command: Command, now: Time) {
@@ -326,7 +326,7 @@
                 request,
                 origin,
                 answer,
-            } => self.front.conclude(origin, request, answer),
+            } => self.front.send_final_answer(origin, request, answer),
         }
     }
 
@@ -345,7 +345,7 @@
     fn pass_on_answers(&mut self, now: Time) {
         for served in self.upstream.take_served() {
             self.front
-                .pass_on(served.origin, served.request, served.reply, now);
+                .send_reply(served.origin, served.request, served.reply, now);
         }
     }
 
--- a/router/src/statement_labels/tests.rs
+++ b/router/src/statement_labels/tests.rs
@@ -45,16 +45,16 @@
 
 #[test]
 fn lengths_out_of_bounds_are_malformed_and_parts_are_waited_for() {
-    assert_eq!(message(b"Q\0\0\0\x03", 100), Err(Malformed));
-    assert_eq!(message(b"Q\xff\xff\xff\xff", 100), Err(Malformed));
+    assert_eq!(parse_message(b"Q\0\0\0\x03", 100), Err(Malformed));
+    assert_eq!(parse_message(b"Q\xff\xff\xff\xff", 100), Err(Malformed));
     for part in [&b""[..], b"Q", b"Q\0\0\0", b"Q\0\0\0\x06a"] {
-        assert_eq!(message(part, 100), Ok(None));
+        assert_eq!(parse_message(part, 100), Ok(None));
     }
-    assert_eq!(single_value(b"\0\x01\0\0\0\x02ab"), Some(&b"ab"[..]));
+    assert_eq!(parse_single_value(b"\0\x01\0\0\0\x02ab"), Some(&b"ab"[..]));
     assert_eq!(
         (
-            single_value(b"\0\x02\0\0\0\x02ab"),
-            single_value(b"\0\x01\xff\xff\xff\xff")
+            parse_single_value(b"\0\x02\0\0\0\x02ab"),
+            parse_single_value(b"\0\x01\xff\xff\xff\xff")
         ),
         (None, None)
     );
--- a/router/src/upstream/connection.rs
+++ b/router/src/upstream/connection.rs
@@ -110,9 +110,9 @@
             user: "worker".into(),
             database: "catalog".into(),
             password: None,
-            clear: false,
+            may_send_clear_text: false,
             version: Version::V30,
-            welcome: true,
+            skip_authentication: true,
         };
         ConnectOptions {
             credentials,
--- a/router/src/upstream/exchange.rs
+++ b/router/src/upstream/exchange.rs
@@ -9,9 +9,9 @@
 use crate::net::stream::Peer;
 use plovercove::{AttemptEnd, NodeId, NodeReport, Time};
 use plovercove_engine::{Engine, Key};
-use plovercove_pgwire::login::{Credentials, Login, Refused};
+use plovercove_pgwire::login::{Credentials, Login, LoginError};
 use plovercove_pgwire::messages::{self, Message, code};
-use plovercove_pgwire::reply::Spoilt;
+use plovercove_pgwire::reply::InvalidReply;
 use tracing::{debug, warn};
 
 /// The most bytes that are read ahead on a connection.
@@ -28,7 +28,7 @@
     /// The connection is ready for its next job.
     Ready { is_reusable: bool },
     /// The node does not let this router in.
-    LoginRefused(Refused),
+    LoginRefused(LoginError),
 }
 
 impl State {
@@ -38,17 +38,21 @@
         message: &Message<'_>,
         credentials: &Credentials,
         answer: &mut Vec<u8>,
-    ) -> Result<Progress, Spoilt> {
+    ) -> Result<Progress, InvalidReply> {
         match self {
             State::Busy(running) => running.take(message, answer),
             State::LoggingIn(login) => take_login(login, message, credentials, answer),
-            State::Connecting | State::Cancelling(_) | State::Idle => Err(Spoilt),
+            State::Connecting | State::Cancelling(_) | State::Idle => Err(InvalidReply),
         }
     }
 }
 
 impl RunningJob {
-    fn take(&mut self, message: &Message<'_>, answer: &mut Vec<u8>) -> Result<Progress, Spoilt> {
+    fn take(
+        &mut self,
+        message: &Message<'_>,
+        answer: &mut Vec<u8>,
+    ) -> Result<Progress, InvalidReply> {
         if message.kind == b'Z' {
             let is_reusable = self.reply.ready(message.body)?;
             return Ok(Progress::Ready { is_reusable });
@@ -68,11 +72,11 @@
     message: &Message<'_>,
     credentials: &Credentials,
     answer: &mut Vec<u8>,
-) -> Result<Progress, Spoilt> {
-    match login.take(credentials, message, answer) {
+) -> Result<Progress, InvalidReply> {
+    match login.read_message(credentials, message, answer) {
         Ok(true) => Ok(Progress::Ready { is_reusable: true }),
         Ok(false) => Ok(Progress::GoesOn),
-        Err(Refused::Malformed) => Err(Spoilt),
+        Err(LoginError::Malformed) => Err(InvalidReply),
         Err(why) => Ok(Progress::LoginRefused(why)),
     }
 }
@@ -171,7 +175,7 @@
             return false;
         };
         let most = reply::max_message_bytes(*kind);
-        let message = match most.map(|most| messages::message(unread, most)) {
+        let message = match most.map(|most| messages::parse_message(unread, most)) {
             Some(Ok(Some(message))) => message,
             Some(Ok(None)) => return false,
             Some(Err(messages::Malformed)) | None => {
@@ -202,12 +206,12 @@
         true
     }
 
-    fn login_refused(&mut self, key: Key, why: &Refused, now: Time, engine: &mut Engine) {
+    fn login_refused(&mut self, key: Key, why: &LoginError, now: Time, engine: &mut Engine) {
         let Some(connection) = self.connections.get(key) else {
             return;
         };
         let node = connection.node.clone();
-        let is_full = matches!(why, Refused::Server(code) if code == code::TURNED_AWAY);
+        let is_full = matches!(why, LoginError::Server(code) if code == code::TOO_MANY_CONNECTIONS);
         let end = if is_full {
             AttemptEnd::Overloaded
         } else {
@@ -231,7 +235,7 @@
         match std::mem::replace(&mut connection.state, State::Idle) {
             State::LoggingIn(login) => {
                 connection.backend_key = login
-                    .key()
+                    .cancel_key()
                     .cloned()
                     .map(|(process, secret)| BackendKey { process, secret });
                 if let Some(pool) = self.pools.get_mut(&id) {
--- a/router/src/upstream/reply.rs
+++ b/router/src/upstream/reply.rs
@@ -5,7 +5,7 @@
 use crate::net::budget::{Budget, Buffer};
 use plovercove::{AttemptEnd, NodeReport, Role};
 use plovercove_pgwire::messages::{self, Message};
-use plovercove_pgwire::reply::{self, Outcome, Shape, Spoilt, Taken};
+use plovercove_pgwire::reply::{self, InvalidReply, MessageAction, Outcome, Shape};
 
 /// The longest row. Values have 64 KiB by the protocol, but db nodes have been seen to give 400 KB; the budget of bytes
 /// is what protects the memory.
@@ -48,15 +48,16 @@
 
     /// Takes in what follows: any message but ReadyForQuery. True where the db node waits for data and must be told that
     /// there are none.
-    pub fn take(&mut self, message: &Message<'_>, is_report: bool) -> Result<bool, Spoilt> {
-        match self.order.take(message)? {
-            Taken::Told(name, value) => self.tell(name, value),
-            Taken::Skip => {}
-            Taken::FailCopy => return Ok(true),
-            Taken::Keep => {
+    pub fn take(&mut self, message: &Message<'_>, is_report: bool) -> Result<bool, InvalidReply> {
+        match self.order.read_message(message)? {
+            MessageAction::ParameterStatus(name, value) => self.tell(name, value),
+            MessageAction::Skip => {}
+            MessageAction::FailCopy => return Ok(true),
+            MessageAction::Keep => {
                 // A client's value may read like a report; it is none.
                 if is_report && message.kind == b'D' {
-                    self.load_report = report(messages::single_value(message.body).ok_or(Spoilt)?);
+                    self.load_report =
+                        report(messages::parse_single_value(message.body).ok_or(InvalidReply)?);
                 }
                 self.body.write(|body| body.extend_from_slice(message.raw));
             }
@@ -65,8 +66,8 @@
     }
 
     /// ReadyForQuery has come; true where the connection can be used again.
-    pub fn ready(&mut self, state: &[u8]) -> Result<bool, Spoilt> {
-        self.order.ready(state)
+    pub fn ready(&mut self, state: &[u8]) -> Result<bool, InvalidReply> {
+        self.order.read_ready(state)
     }
 
     fn tell(&mut self, name: &str, value: &str) {
@@ -86,15 +87,15 @@
 
     /// Whether it says what became of the request, though no more may come.
     pub fn tells(&self) -> bool {
-        self.order.tells()
+        self.order.has_outcome()
     }
 
     /// What became of the request. An error that blames the statement is its answer, as a row would be.
     pub fn end(&self) -> AttemptEnd {
         match self.order.outcome() {
-            Outcome::Served | Outcome::Faulted => AttemptEnd::Success,
-            Outcome::Missed => AttemptEnd::Misdirected,
-            Outcome::TurnedAway => AttemptEnd::Overloaded,
+            Outcome::Served | Outcome::StatementError => AttemptEnd::Success,
+            Outcome::Misdirected => AttemptEnd::Misdirected,
+            Outcome::Overloaded => AttemptEnd::Overloaded,
             Outcome::Failed => AttemptEnd::Failure,
         }
     }
--- a/router/tests/errors.rs
+++ b/router/tests/errors.rs
@@ -5,9 +5,9 @@
 use plovercove_emulator::page::{self, Row};
 use plovercove_gossip::{Keys, Rules as PeerRules};
 use plovercove_locality::{Rules as TierRules, ZoneFailover};
-use plovercove_pgwire::login::Refused;
+use plovercove_pgwire::login::LoginError;
 use plovercove_pgwire::login_rate_limit;
-use plovercove_pgwire::verifier::{MOST_USERS, Users};
+use plovercove_pgwire::verifier::{MAX_USERS, Users};
 use plovercove_router::error::Wrong;
 use plovercove_router::operators::{Operators, Source};
 use plovercove_router::{Error, config, statement_labels};
@@ -165,7 +165,7 @@
 
 fn of_dialect(all: &mut Vec<Seen>) {
     const MD5: &str = "md5f6d2ba4f1b0a1ee0e1c3c2c0e7a0b1c2";
-    let many: String = (0..=MOST_USERS).map(|n| format!("u{n} {MD5}\n")).collect();
+    let many: String = (0..=MAX_USERS).map(|n| format!("u{n} {MD5}\n")).collect();
     let wrong = |text: &str| Users::parse(text).expect_err("it is wrong");
     let limits = login_rate_limit::Rules {
         address: 0,
@@ -182,9 +182,9 @@
     }
     // The crate's own tests have servers say these.
     for refused in [
-        Refused::Server("28P01".into()),
-        Refused::CannotMeet("the server wants a clear password".into()),
-        Refused::Malformed,
+        LoginError::Server("28P01".into()),
+        LoginError::CannotMeet("the server wants a clear password".into()),
+        LoginError::Malformed,
     ] {
         all.push(seen("login", &refused, refused.help()));
     }
@@ -417,7 +417,7 @@
         named("peers", plovercove_gossip::Error::VARIANTS),
         named("datagram", plovercove_gossip::Fault::VARIANTS),
         named("dialect", plovercove_pgwire::Error::VARIANTS),
-        named("login", Refused::VARIANTS),
+        named("login", LoginError::VARIANTS),
         named("router", Error::VARIANTS),
         named("operators", Wrong::VARIANTS),
         named("labels", statement_labels::Mislabelled::VARIANTS),
--- a/router/tests/front_desk/mod.rs
+++ b/router/tests/front_desk/mod.rs
@@ -111,7 +111,8 @@
     pub fn turn(&mut self) {
         let (clients, door) = self.events();
         for (key, hung_up) in clients {
-            self.front.event(key, hung_up, self.now, &mut self.engine);
+            self.front
+                .handle_event(key, hung_up, self.now, &mut self.engine);
         }
         if door {
             self.front
@@ -153,7 +154,7 @@
                         origin,
                         answer,
                     } => {
-                        self.front.conclude(origin, request, answer);
+                        self.front.send_final_answer(origin, request, answer);
                     }
                     Command::CancelAttempt { .. }
                     | Command::HealthCheck(_)
@@ -201,7 +202,8 @@
             .expect("it is owed");
         let mut reply = self.budget.buffer();
         reply.write(|out| out.extend_from_slice(messages));
-        self.front.pass_on(origin, attempt.request, reply, self.now);
+        self.front
+            .send_reply(origin, attempt.request, reply, self.now);
         self.turn();
     }
 
--- a/router/tests/standing_crossings.rs
+++ b/router/tests/standing_crossings.rs
@@ -24,7 +24,7 @@
     desk.now += HEARD_OUT / 3;
     client.write(&query("a2"));
     desk.front.drain(desk.now, &mut desk.engine);
-    assert_eq!(desk.front.connected(), 1, "closed at once");
+    assert_eq!(desk.front.client_count(), 1, "closed at once");
     desk.turn();
     assert!(!client.is_reset(), "closed over unread bytes");
     desk.pass_by(HEARD_OUT);
@@ -90,9 +90,9 @@
     for n in 0..40 {
         ended.push(desk.resting(&format!("a{n:x}")));
         assert!(
-            desk.front.connected() <= 6 + BEYOND,
+            desk.front.client_count() <= 6 + BEYOND,
             "{} after {n}",
-            desk.front.connected()
+            desk.front.client_count()
         );
         desk.now += 1;
     }
@@ -148,7 +148,7 @@
     let mut client = desk.greeted();
     desk.ask(&mut client, "a1");
     let mut wishes = Client::dial(desk.to);
-    desk.until("it is taken in", |desk| desk.front.connected() == 2);
+    desk.until("it is taken in", |desk| desk.front.client_count() == 2);
     wishes.write(&wish(&client.key));
     wishes.finish();
     let _newcomer = Client::dial(desk.to);
@@ -169,7 +169,7 @@
         let mut client = desk.greeted();
         desk.ask(&mut client, "a1");
         let mut wishes = Client::dial(desk.to);
-        desk.until("it is taken in", |desk| desk.front.connected() == 2);
+        desk.until("it is taken in", |desk| desk.front.client_count() == 2);
         let _newcomer = Client::dial(desk.to);
         desk.front.accept(
             plovercove_engine::Key::from_number(0),
@@ -205,7 +205,7 @@
     let mut client = desk.greeted();
     desk.ask(&mut client, "a1");
     let mut wishes = Client::dial(desk.to);
-    desk.until("it is taken in", |desk| desk.front.connected() == 2);
+    desk.until("it is taken in", |desk| desk.front.client_count() == 2);
     let _newcomer = Client::dial(desk.to);
     desk.front.accept(
         plovercove_engine::Key::from_number(0),
@@ -241,7 +241,7 @@
     let mut beyond: Vec<Client> = (0..BEYOND).map(|_| Client::dial(desk.to)).collect();
     beyond.iter_mut().for_each(|client| client.write(say));
     desk.until("all are taken in", |desk| {
-        desk.front.connected() == places + BEYOND
+        desk.front.client_count() == places + BEYOND
     });
     (busy, beyond)
 }
@@ -451,7 +451,7 @@
             desk.until("it is begun", |desk| !desk.sent.is_empty());
         }
         desk.serve();
-        assert!(desk.front.connected() == 1, "closed after {n}");
+        assert!(desk.front.client_count() == 1, "closed after {n}");
     }
     for _ in 0..39 {
         assert_eq!(desk.hear(&mut client), Said::Ready);
@@ -535,7 +535,7 @@
         client.finish();
         desk.turn();
         assert_eq!(
-            (desk.front.connected(), desk.engine.pending_requests()),
+            (desk.front.client_count(), desk.engine.pending_requests()),
             (0, 0),
             "in back-off: {in_back_off}"
         );
@@ -564,7 +564,7 @@
         desk.ask(&mut newcomer, &format!("b{second}"));
         desk.serve();
         assert_eq!(desk.hear(&mut newcomer), Said::Ready);
-        assert!(desk.front.connected() <= 20 + BEYOND);
+        assert!(desk.front.client_count() <= 20 + BEYOND);
         drop(newcomer);
         desk.pass_by(1_000_000);
         for (client, end) in slow.iter_mut().zip(&mut ends) {
@@ -578,7 +578,7 @@
         "{ends:?}"
     );
     desk.pass_by(HEARD_OUT);
-    assert_eq!(desk.front.connected(), 0);
+    assert_eq!(desk.front.client_count(), 0);
 }
 
 #[test]
--- a/router/tests/translator.rs
+++ b/router/tests/translator.rs
@@ -655,7 +655,7 @@
     assert!(
         ENTRIES
             .iter()
-            .any(|e| e.treatment == Treatment::Refuse && e.name == "GSSResponse")
+            .any(|e| e.treatment == Treatment::Reject && e.name == "GSSResponse")
     );
     for secret in [APP, PASSWORD, "md5b", "STORED"] {
         assert!(!router.log().contains(secret), "{secret:?} in the log");
