--- a/engine/src/backoff.rs
+++ b/engine/src/backoff.rs
@@ -28,13 +28,13 @@
     }
 
     /// A call failed at this time. Returns when to make the next.
-    pub fn failed(&mut self, now: Time) -> Time {
-        self.failed_within(now, Micros::MAX)
+    pub fn record_failure(&mut self, now: Time) -> Time {
+        self.record_failure_within(now, Micros::MAX)
     }
 
     /// A call failed at this time, and the next has to be made within so much. The pause is drawn, also where there is less
     /// room than it would take: routers that were cut off at the end of their room would call in step.
-    pub fn failed_within(&mut self, now: Time, room: Micros) -> Time {
+    pub fn record_failure_within(&mut self, now: Time, room: Micros) -> Time {
         let pause = self.next.min(room);
         let half = pause / 2;
         self.next = (self.next * 2).min(self.longest);
@@ -42,7 +42,7 @@
     }
 
     /// A call was answered: the next failure is the first again.
-    pub fn answered(&mut self) {
+    pub fn record_success(&mut self) {
         self.next = self.first;
     }
 
--- a/engine/src/deadlines.rs
+++ b/engine/src/deadlines.rs
@@ -20,9 +20,9 @@
     /// Accepting may go on.
     Accept,
     /// A probe of another router, a round of gossip, a review of verdicts.
-    Peers,
+    Gossip,
     /// The next step of the way out.
-    Stop,
+    Shutdown,
 }
 
 /// The ordered set of deadlines.
--- a/engine/src/endpoints.rs
+++ b/engine/src/endpoints.rs
@@ -14,17 +14,17 @@
     endpoints: BTreeMap<NodeId, Endpoint>,
     dropped_draining: BTreeSet<NodeId>,
     /// Leaving the list closes no node.
-    dropped_stay_open: bool,
+    removed_nodes_stay_open: bool,
     /// Discovery itself has spoken; before that all that is known is what was remembered.
     is_confirmed: bool,
 }
 
 impl EndpointRegistry {
-    pub(crate) fn new(dropped_stay_open: bool) -> Self {
+    pub(crate) fn new(removed_nodes_stay_open: bool) -> Self {
         EndpointRegistry {
             endpoints: BTreeMap::new(),
             dropped_draining: BTreeSet::new(),
-            dropped_stay_open,
+            removed_nodes_stay_open,
             is_confirmed: false,
         }
     }
@@ -85,7 +85,7 @@
     pub(crate) fn is_open(&self, node: &NodeId) -> bool {
         match self.endpoints.get(node) {
             Some(endpoint) => endpoint.state == EndpointState::Serving,
-            None => self.dropped_stay_open && !self.dropped_draining.contains(node),
+            None => self.removed_nodes_stay_open && !self.dropped_draining.contains(node),
         }
     }
 
@@ -115,7 +115,7 @@
         let Some(endpoint) = self.endpoints.remove(node) else {
             return;
         };
-        if endpoint.state != EndpointState::Draining || !self.dropped_stay_open {
+        if endpoint.state != EndpointState::Draining || !self.removed_nodes_stay_open {
             return;
         }
         self.dropped_draining.insert(node.clone());
--- a/engine/src/engine.rs
+++ b/engine/src/engine.rs
@@ -39,7 +39,7 @@
     pub fn new(settings: Settings, seed: u64) -> Self {
         Engine {
             classes: settings.classes.clone(),
-            endpoints: EndpointRegistry::new(settings.dropped_stay_open),
+            endpoints: EndpointRegistry::new(settings.removed_nodes_stay_open),
             balancer: Balancer::new(settings, seed),
             requests: Table::new(),
             closed: Vec::new(),
@@ -123,7 +123,7 @@
     }
 
     /// The client wants it ended, and has been told that it is: what is in flight is stopped too.
-    pub fn cancel(&mut self, request: Key, now: Time) {
+    pub fn cancel_request(&mut self, request: Key, now: Time) {
         self.client_gone(request);
         let attempts = self
             .requests
@@ -221,7 +221,9 @@
         let attempt = request.attempts.get(id.number as usize);
         attempt.is_some_and(|a| a.is_in_flight() && a.node == *node)
             && request.may_run(&self.classes[request.class], id.number, now)
-            && self.balancer.still_fits(now, id.request.number(), node)
+            && self
+                .balancer
+                .is_send_still_valid(now, id.request.number(), node)
     }
 
     /// How long an attempt will be waited for from now on (us).
--- a/engine/src/engine/tests.rs
+++ b/engine/src/engine/tests.rs
@@ -154,7 +154,7 @@
     // Danger: a db node would go on with what nobody waits for, and its answer would come as a second one.
     let (mut engine, attempt) = writing();
     engine.attempt_written(attempt);
-    engine.cancel(attempt.request, NOW + 1);
+    engine.cancel_request(attempt.request, NOW + 1);
     let commands = engine.decide(NOW + 1);
     assert!(
         matches!(commands[..], [Command::CancelAttempt { attempt: stopped, .. }] if stopped == attempt)
@@ -264,7 +264,7 @@
 #[test]
 fn where_dropped_nodes_stay_open_only_a_drain_closes_one_and_outlives_its_entry() {
     let settings = Settings {
-        dropped_stay_open: true,
+        removed_nodes_stay_open: true,
         ..Settings::default()
     };
     let mut engine = Engine::new(settings, 1);
--- a/engine/src/watch_schedule.rs
+++ b/engine/src/watch_schedule.rs
@@ -26,9 +26,9 @@
 
 /// How a router comes by its lists.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Lists {
+pub enum ListSource {
     /// It asks for them at one service of fixed capacity that all routers share.
-    Asked,
+    Polled,
     /// They are pushed to an agent on its own machine, where calls are free; what the agent has counts as told at once.
     Pushed {
         /// How long after that a router may still send to a node that drains.
@@ -36,12 +36,12 @@
     },
 }
 
-impl Lists {
+impl ListSource {
     /// From one call to the next, at the longest: the clock, less an answer; or seven eighths of the grace.
     fn turn(self) -> Micros {
         match self {
-            Lists::Asked => CLOCK - ANSWER,
-            Lists::Pushed { grace } => (grace - grace / 8).clamp(LEAST, CLOCK - ANSWER),
+            ListSource::Polled => CLOCK - ANSWER,
+            ListSource::Pushed { grace } => (grace - grace / 8).clamp(LEAST, CLOCK - ANSWER),
         }
     }
 
@@ -51,8 +51,8 @@
         let turn = self.turn();
         match self {
             // Danger: calls that all fail at once are made again over half a second at first, and then ever more rarely.
-            Lists::Asked => (turn / 10, turn / 5, turn),
-            Lists::Pushed { .. } => (turn / 7, turn / 7, turn / 7),
+            ListSource::Polled => (turn / 10, turn / 5, turn),
+            ListSource::Pushed { .. } => (turn / 7, turn / 7, turn / 7),
         }
     }
 
@@ -60,8 +60,8 @@
     /// half a second a lost call and its pause fit in, too. An agent of one's own is called at once.
     fn spread(self) -> Micros {
         match self {
-            Lists::Asked => self.turn() / 10,
-            Lists::Pushed { .. } => 0,
+            ListSource::Polled => self.turn() / 10,
+            ListSource::Pushed { .. } => 0,
         }
     }
 }
@@ -91,7 +91,7 @@
 
 impl WatchSchedule {
     /// Before the first call; routers need different seeds.
-    pub fn new(lists: Lists, seed: u64) -> Self {
+    pub fn new(lists: ListSource, seed: u64) -> Self {
         let (rest, first, longest) = lists.pauses();
         WatchSchedule {
             turn: lists.turn(),
@@ -109,14 +109,14 @@
     }
 
     /// A connection is begun for the next call. Returns until when it is waited for.
-    pub fn connect(&mut self, now: Time) -> Time {
+    pub fn begin_connection(&mut self, now: Time) -> Time {
         (self.began, self.connecting) = (now, true);
         // Of the 5 s of lists that are asked for, enough for one lost SYN, which is sent again after 1 s.
         now + self.turn / 4
     }
 
     /// A call is made: for news, or for the whole list. Returns the wait to ask for and until when an answer is waited for.
-    pub fn call(&mut self, now: Time, news: bool) -> (Micros, Time) {
+    pub fn begin_call(&mut self, now: Time, news: bool) -> (Micros, Time) {
         if !std::mem::take(&mut self.connecting) {
             self.began = now;
         }
@@ -148,14 +148,14 @@
     }
 
     /// The call that is out was answered, with news or without. Returns when to make the next.
-    pub fn answered(&mut self, now: Time, news: bool) -> Time {
+    pub fn record_answer(&mut self, now: Time, news: bool) -> Time {
         let took = now.saturating_sub(self.called);
         // News that comes before the wait is over says nothing of how late the service is.
         if !news || took >= self.waits {
             self.late = (self.late + took.saturating_sub(self.waits)) / 2;
         }
         self.spoilt = false;
-        self.backoff.answered();
+        self.backoff.record_success();
         if news || took >= self.waits / 2 {
             now
         } else {
@@ -164,35 +164,35 @@
     }
 
     /// No answer came in time. Returns when to call again.
-    pub fn silent(&mut self, now: Time) -> Time {
+    pub fn record_silence(&mut self, now: Time) -> Time {
         // Danger: a service that answers later than a call is waited for would never be heard. Its wait gets shorter.
         self.late = self.patience();
-        self.failed(now)
+        self.record_failure(now)
     }
 
     /// The answer was spoilt, or none to be followed. Returns when to call again: at once, since news may stand in it.
-    pub fn spoilt(&mut self, now: Time) -> Time {
+    pub fn record_invalid_answer(&mut self, now: Time) -> Time {
         // Danger: a service that has nothing else to say would be called without end.
         if std::mem::replace(&mut self.spoilt, true) {
-            self.failed(now)
+            self.record_failure(now)
         } else {
             now
         }
     }
 
     /// The connection did not come up, or broke, or the call was refused. Returns when to call again.
-    pub fn failed(&mut self, now: Time) -> Time {
+    pub fn record_failure(&mut self, now: Time) -> Time {
         self.connecting = false;
         self.backoff
-            .failed_within(now, (self.began + self.turn).saturating_sub(now))
+            .record_failure_within(now, (self.began + self.turn).saturating_sub(now))
     }
 
     /// The next call goes to another service, or to one that is said to be well: what failed before counts no more. Returns
     /// when to make it: soon, and within the turn that has begun.
-    pub fn moved(&mut self, now: Time) -> Time {
+    pub fn record_service_change(&mut self, now: Time) -> Time {
         (self.late, self.connecting, self.spoilt) = (0, false, false);
         self.is_first_after_move = true;
-        self.backoff.answered();
+        self.backoff.record_success();
         // Danger: all routers are told in one instant, and would call a service that they share in it.
         now + self
             .backoff
--- a/engine/tests/backoff.rs
+++ b/engine/tests/backoff.rs
@@ -9,14 +9,14 @@
 fn pauses_double_up_to_the_longest_and_begin_anew_after_an_answer() {
     let mut backoff = Backoff::new(S, 8 * S, 7);
     for (longest, round) in [S, 2 * S, 4 * S, 8 * S, 8 * S, 8 * S].into_iter().zip(0..) {
-        let pause = backoff.failed(100 * S) - 100 * S;
+        let pause = backoff.record_failure(100 * S) - 100 * S;
         assert!(
             (longest / 2..=longest).contains(&pause),
             "failure {round}: {pause} us"
         );
     }
-    backoff.answered();
-    assert!(backoff.failed(0) <= S);
+    backoff.record_success();
+    assert!(backoff.record_failure(0) <= S);
 }
 
 #[test]
@@ -24,9 +24,9 @@
     let pause = |seed| {
         let mut backoff = Backoff::new(S, 8 * S, seed);
         for _ in 0..4 {
-            backoff.failed(0);
+            backoff.record_failure(0);
         }
-        backoff.failed_within(7, S / 2) - 7
+        backoff.record_failure_within(7, S / 2) - 7
     };
     let (least, most) = ((0..300).map(pause).min(), (0..300).map(pause).max());
     assert!(
@@ -38,7 +38,7 @@
             .is_some_and(|(most, least)| most - least > S / 5),
         "{least:?} to {most:?}"
     );
-    assert_eq!(Backoff::new(S, S, 1).failed_within(9, 0), 9);
+    assert_eq!(Backoff::new(S, S, 1).record_failure_within(9, 0), 9);
 }
 
 #[test]
@@ -50,7 +50,7 @@
         let mut now = 0;
         while let Some(count) = calls.get_mut((now / S) as usize) {
             *count += 1;
-            now = backoff.failed(now);
+            now = backoff.record_failure(now);
         }
     }
     assert!(calls[1..4].iter().all(|n| *n <= 300), "{calls:?}");
--- a/engine/tests/watch_schedule.rs
+++ b/engine/tests/watch_schedule.rs
@@ -1,7 +1,7 @@
 //! The waits of a watch, held against the one clock: call by call, and over drawn sequences of whatever discovery does.
 
 use plovercove::{Micros, Time};
-use plovercove_engine::{Lists, WatchSchedule};
+use plovercove_engine::{ListSource, WatchSchedule};
 
 const S: Micros = 1_000_000;
 const MS: Micros = 1_000;
@@ -14,12 +14,12 @@
 fn a_silence_is_over_and_the_watch_begun_anew_within_the_clock_by_which_a_router_counts_as_told() {
     // Stricter than it was: no wait prolongs the clock any more, and a second for the next call's answer is left.
     for seed in 0..200 {
-        let mut schedule = WatchSchedule::new(Lists::Asked, seed);
-        let (_, until) = schedule.call(0, true);
-        schedule.answered(1_000, true);
+        let mut schedule = WatchSchedule::new(ListSource::Polled, seed);
+        let (_, until) = schedule.begin_call(0, true);
+        schedule.record_answer(1_000, true);
         assert!(until <= 5 * S);
-        let (_, until) = schedule.call(1_000, true);
-        let again = schedule.silent(until);
+        let (_, until) = schedule.begin_call(1_000, true);
+        let again = schedule.record_silence(until);
         assert!(
             again <= 5 * S + 1_000,
             "seed {seed}: called again at {again}"
@@ -31,13 +31,13 @@
 fn patience_grows_while_answers_are_late_and_shrinks_when_they_are_prompt_again() {
     // Waits of up to 20 s, which late answers led to, were past the clock: patience grows in the place of waits now.
     let (mut schedule, mut now, mut patience) =
-        (WatchSchedule::new(Lists::Asked, 1), 0, Vec::new());
+        (WatchSchedule::new(ListSource::Polled, 1), 0, Vec::new());
     for late in [0, 0, S, S, S, S, 0, 0, 0, 0, 0, 0, 0] {
-        let (wait, until) = schedule.call(now, true);
+        let (wait, until) = schedule.begin_call(now, true);
         patience.push((until - now - wait) / MS);
         now += wait + late;
         assert!(now <= until, "an answer {late} us late is waited for");
-        schedule.answered(now, false);
+        schedule.record_answer(now, false);
     }
     assert!(patience[..3].iter().all(|p| *p <= 1_500), "{patience:?}");
     assert!(
@@ -49,20 +49,20 @@
 #[test]
 fn refusals_make_calls_rarer_and_silence_makes_patience_longer() {
     // Rarer by pauses, up to the clock: a longer wait of the call after them was past it.
-    let mut schedule = WatchSchedule::new(Lists::Asked, 2);
+    let mut schedule = WatchSchedule::new(ListSource::Polled, 2);
     let mut refused = || {
-        schedule.call(0, true);
-        schedule.failed(0)
+        schedule.begin_call(0, true);
+        schedule.record_failure(0)
     };
     let pauses = [refused(), refused(), refused(), refused()];
     assert!(
         pauses[0] <= S && pauses[3] > 5 * S / 2 && pauses[3] <= 5 * S,
         "{pauses:?}"
     );
-    let mut schedule = WatchSchedule::new(Lists::Asked, 2);
+    let mut schedule = WatchSchedule::new(ListSource::Polled, 2);
     let mut patience = || {
-        let (wait, until) = schedule.call(0, true);
-        schedule.silent(until);
+        let (wait, until) = schedule.begin_call(0, true);
+        schedule.record_silence(until);
         until - wait
     };
     assert_eq!(
@@ -73,7 +73,11 @@
 
 #[test]
 fn calls_of_many_routers_do_not_end_together() {
-    let ends = |seed| WatchSchedule::new(Lists::Asked, seed).call(0, true).0;
+    let ends = |seed| {
+        WatchSchedule::new(ListSource::Polled, seed)
+            .begin_call(0, true)
+            .0
+    };
     let (least, most) = ((0..300).map(ends).min(), (0..300).map(ends).max());
     assert!(
         most.zip(least)
@@ -84,14 +88,18 @@
 
 #[test]
 fn a_spoilt_list_is_asked_for_again_at_once_but_not_without_end() {
-    for lists in [Lists::Asked, Lists::Pushed { grace: S }] {
+    for lists in [ListSource::Polled, ListSource::Pushed { grace: S }] {
         let mut schedule = WatchSchedule::new(lists, 3);
-        schedule.call(0, true);
-        assert_eq!(schedule.spoilt(100), 100, "news may stand in it");
+        schedule.begin_call(0, true);
+        assert_eq!(
+            schedule.record_invalid_answer(100),
+            100,
+            "news may stand in it"
+        );
         let mut now = 100;
         for _ in 0..50 {
-            schedule.call(now, false);
-            let next = schedule.spoilt(now + 10);
+            schedule.begin_call(now, false);
+            let next = schedule.record_invalid_answer(now + 10);
             assert!(
                 next >= now + 50 * MS,
                 "{lists:?}: again after {} us",
@@ -99,24 +107,28 @@
             );
             now = next;
         }
-        schedule.call(now, false);
-        schedule.answered(now, true);
-        schedule.call(now, true);
-        assert_eq!(schedule.spoilt(now), now, "a good list lies between");
+        schedule.begin_call(now, false);
+        schedule.record_answer(now, true);
+        schedule.begin_call(now, true);
+        assert_eq!(
+            schedule.record_invalid_answer(now),
+            now,
+            "a good list lies between"
+        );
     }
 }
 
 #[test]
 fn an_agent_that_answers_a_watch_at_once_with_nothing_new_does_not_make_the_loop_spin() {
-    for lists in [Lists::Asked, Lists::Pushed { grace: S }] {
+    for lists in [ListSource::Polled, ListSource::Pushed { grace: S }] {
         let mut schedule = WatchSchedule::new(lists, 4);
-        schedule.call(0, true);
-        let next = schedule.answered(10, false);
+        schedule.begin_call(0, true);
+        let next = schedule.record_answer(10, false);
         // 200 ms are what a watch allows for.
         assert!((50 * MS..200 * MS).contains(&next), "{lists:?}: {next}");
-        schedule.call(next, true);
+        schedule.begin_call(next, true);
         assert_eq!(
-            schedule.answered(next + 10, true),
+            schedule.record_answer(next + 10, true),
             next + 10,
             "news is followed at once"
         );
@@ -126,18 +138,18 @@
 #[test]
 fn a_connection_that_comes_up_late_does_not_prolong_the_turn() {
     for (lists, turn) in [
-        (Lists::Asked, 5 * S),
-        (Lists::Pushed { grace: 800 * MS }, 700 * MS),
+        (ListSource::Polled, 5 * S),
+        (ListSource::Pushed { grace: 800 * MS }, 700 * MS),
     ] {
         for seed in 0..200 {
             let mut schedule = WatchSchedule::new(lists, seed);
-            let up = schedule.connect(0);
+            let up = schedule.begin_connection(0);
             assert!(
                 up <= turn / 4,
                 "{lists:?}: a connection is waited for up to {up}"
             );
-            let (_, until) = schedule.call(up, true);
-            let again = schedule.silent(until);
+            let (_, until) = schedule.begin_call(up, true);
+            let again = schedule.record_silence(until);
             assert!(
                 again <= turn,
                 "{lists:?}, seed {seed}: called again at {again}"
@@ -149,15 +161,15 @@
 #[test]
 fn a_service_that_always_answers_late_is_heard() {
     // Danger: with patience that stays, one that takes 3 s longer than the wait would never be.
-    let (mut schedule, mut now, mut heard) = (WatchSchedule::new(Lists::Asked, 7), 0, 0);
+    let (mut schedule, mut now, mut heard) = (WatchSchedule::new(ListSource::Polled, 7), 0, 0);
     for _ in 0..20 {
-        let (wait, until) = schedule.call(now, true);
+        let (wait, until) = schedule.begin_call(now, true);
         let comes = now + wait + 3 * S;
         if comes <= until {
             heard += 1;
-            now = schedule.answered(comes, false);
+            now = schedule.record_answer(comes, false);
         } else {
-            now = schedule.silent(until);
+            now = schedule.record_silence(until);
         }
     }
     assert!(heard >= 15, "{heard} of 20 answers were waited for");
@@ -165,14 +177,14 @@
 
 #[test]
 fn after_sighup_what_failed_before_counts_no_more() {
-    let mut schedule = WatchSchedule::new(Lists::Asked, 5);
+    let mut schedule = WatchSchedule::new(ListSource::Polled, 5);
     for _ in 0..6 {
-        schedule.call(0, true);
-        schedule.failed(0);
+        schedule.begin_call(0, true);
+        schedule.record_failure(0);
     }
-    schedule.moved(0);
-    schedule.call(0, true);
-    assert!(schedule.failed(0) <= S);
+    schedule.record_service_change(0);
+    schedule.begin_call(0, true);
+    assert!(schedule.record_failure(0) <= S);
 }
 
 #[test]
@@ -182,15 +194,15 @@
     const MOVED: Micros = 4 * S;
     let mut calls = [0_u64; 40];
     for router in 0..ROUTERS {
-        let mut schedule = WatchSchedule::new(Lists::Asked, router * 0x1234_5677 + 1);
-        schedule.call(0, true);
+        let mut schedule = WatchSchedule::new(ListSource::Polled, router * 0x1234_5677 + 1);
+        schedule.begin_call(0, true);
         let now = S;
-        let first = schedule.moved(now);
+        let first = schedule.record_service_change(now);
         calls[((first - now) / (S / 10)) as usize] += 1;
         // Its connection takes 50 ms; the call, for the whole list, is lost; half a second is left for the next answer.
-        schedule.connect(first);
-        let (_, until) = schedule.call(first + 50 * MS, false);
-        let again = schedule.silent(until);
+        schedule.begin_connection(first);
+        let (_, until) = schedule.begin_call(first + 50 * MS, false);
+        let again = schedule.record_silence(until);
         assert!(
             again + 500 * MS <= now + MOVED,
             "the second call comes {} us after the move",
@@ -208,14 +220,14 @@
     const MOVED: Micros = 4 * S;
     for seed in 0..200 {
         for grace in GRACES {
-            for lists in [Lists::Asked, Lists::Pushed { grace }] {
+            for lists in [ListSource::Polled, ListSource::Pushed { grace }] {
                 let mut schedule = WatchSchedule::new(lists, seed);
-                schedule.call(0, true);
+                schedule.begin_call(0, true);
                 let now = S;
-                let first = schedule.moved(now);
-                schedule.connect(first);
-                let (_, until) = schedule.call(first + 50 * MS, true);
-                let again = schedule.silent(until);
+                let first = schedule.record_service_change(now);
+                schedule.begin_connection(first);
+                let (_, until) = schedule.begin_call(first + 50 * MS, true);
+                let again = schedule.record_silence(until);
                 assert!(
                     again + 500 * MS <= now + MOVED,
                     "seed {seed}, {lists:?}: the second call comes {} us after the move",
@@ -229,20 +241,24 @@
 #[test]
 fn a_move_prolongs_no_turn_and_one_s_own_agent_is_called_at_once() {
     for seed in 0..200 {
-        let mut schedule = WatchSchedule::new(Lists::Asked, seed);
-        schedule.connect(7 * S);
-        schedule.call(7 * S, true);
-        let next = schedule.moved(12 * S - 100 * MS);
+        let mut schedule = WatchSchedule::new(ListSource::Polled, seed);
+        schedule.begin_connection(7 * S);
+        schedule.begin_call(7 * S, true);
+        let next = schedule.record_service_change(12 * S - 100 * MS);
         assert!(
             next <= 12 * S,
             "seed {seed}: called {} us after the last call",
             next - 7 * S
         );
-        assert_eq!(schedule.moved(13 * S), 13 * S, "the turn is over");
+        assert_eq!(
+            schedule.record_service_change(13 * S),
+            13 * S,
+            "the turn is over"
+        );
         for grace in GRACES {
-            let mut schedule = WatchSchedule::new(Lists::Pushed { grace }, seed);
-            schedule.call(7 * S, true);
-            assert_eq!(schedule.moved(7 * S + 1), 7 * S + 1);
+            let mut schedule = WatchSchedule::new(ListSource::Pushed { grace }, seed);
+            schedule.begin_call(7 * S, true);
+            assert_eq!(schedule.record_service_change(7 * S + 1), 7 * S + 1);
         }
     }
 }
@@ -305,7 +321,7 @@
 /// Plays one router against drawn weather. For each change: from when on discovery had it and could be reached for longer
 /// than it may take, and when the router knew it.
 fn play(
-    lists: Lists,
+    lists: ListSource,
     seed: u64,
     near: &Near,
     within: Micros,
@@ -350,40 +366,40 @@
     while now < end {
         let begun = now;
         if !connected {
-            let until = schedule.connect(now);
+            let until = schedule.begin_connection(now);
             let up = now + dice.between(1, near.up);
             match weather(now) {
                 Weather::Dark => {
-                    now = schedule.failed(until);
+                    now = schedule.record_failure(until);
                     continue;
                 }
                 Weather::Refuses => {
-                    now = schedule.failed(up.min(until));
+                    now = schedule.record_failure(up.min(until));
                     continue;
                 }
                 _ if up > until => {
-                    now = schedule.failed(until);
+                    now = schedule.record_failure(until);
                     continue;
                 }
                 _ => (now, connected) = (up, true),
             }
         }
         let known = heard.last().map_or(0, |h| h.0);
-        let (wait, until) = schedule.call(now, !whole);
+        let (wait, until) = schedule.begin_call(now, !whole);
         let came = weather(now);
         // A connection that was begun in silence stays silent.
         if came != Weather::Fine || matches!(weather(begun), Weather::Silent | Weather::Late) {
             connected = false;
             now = match came {
                 Weather::Overbooked | Weather::Refuses => {
-                    schedule.failed(now + dice.between(1, near.answer))
+                    schedule.record_failure(now + dice.between(1, near.answer))
                 }
-                Weather::Breaks => schedule.failed(dice.between(now, until)),
+                Weather::Breaks => schedule.record_failure(dice.between(now, until)),
                 Weather::Spoils => {
                     whole = true;
-                    schedule.spoilt(now + dice.between(1, near.answer))
+                    schedule.record_invalid_answer(now + dice.between(1, near.answer))
                 }
-                _ => schedule.silent(until),
+                _ => schedule.record_silence(until),
             };
             continue;
         }
@@ -405,26 +421,26 @@
             connected = false;
             now = match weather(ends) {
                 Weather::Refuses | Weather::Breaks | Weather::Overbooked => {
-                    schedule.failed(ends.clamp(now, until))
+                    schedule.record_failure(ends.clamp(now, until))
                 }
                 Weather::Spoils => {
                     whole = true;
-                    schedule.spoilt(ends.clamp(now, until))
+                    schedule.record_invalid_answer(ends.clamp(now, until))
                 }
-                _ => schedule.silent(until),
+                _ => schedule.record_silence(until),
             };
             continue;
         }
         let answered = told + dice.between(1, near.answer);
         if answered > until {
             connected = false;
-            now = schedule.silent(until);
+            now = schedule.record_silence(until);
             continue;
         }
         let news = whole || version(told) > known;
         heard.push((version(told), answered));
         whole = false;
-        now = schedule.answered(answered, news);
+        now = schedule.record_answer(answered, news);
     }
     for (number, change) in changes.iter().enumerate() {
         // From when on it could be reached, up to when the router knew it: the last time that it became fine by then.
@@ -452,7 +468,7 @@
     judged
 }
 
-fn holds(lists: Lists, near: &Near, within: Micros) {
+fn holds(lists: ListSource, near: &Near, within: Micros) {
     let (mut judged, mut worst) = (0, 0);
     for seed in 0..4_000 {
         for (due, knew) in play(lists, seed, near, within, 90 * S) {
@@ -472,7 +488,7 @@
 fn whatever_failed_before_a_change_is_known_within_the_clock_where_lists_are_asked_for() {
     // Of the second that is left for it, connecting takes up to 400 ms and an answer up to 500.
     holds(
-        Lists::Asked,
+        ListSource::Polled,
         &Near {
             up: 400 * MS,
             answer: 500 * MS,
@@ -487,7 +503,7 @@
     // Also where the call that is out has fallen silent. On the router's own machine all is quick.
     for grace in GRACES {
         holds(
-            Lists::Pushed { grace },
+            ListSource::Pushed { grace },
             &Near {
                 up: 5 * MS,
                 answer: 20 * MS,
@@ -508,7 +524,7 @@
             answer: 10 * MS,
             kinds: &SHOWN,
         };
-        holds(Lists::Pushed { grace }, &near, grace / 4);
+        holds(ListSource::Pushed { grace }, &near, grace / 4);
     }
 }
 
@@ -519,13 +535,13 @@
     const ROUTERS: u64 = 300;
     let mut calls = vec![0_u64; 600];
     for router in 0..ROUTERS {
-        let mut schedule = WatchSchedule::new(Lists::Asked, router * 0x1234_5677 + 1);
-        schedule.call(0, true);
-        let mut now = schedule.failed(S);
+        let mut schedule = WatchSchedule::new(ListSource::Polled, router * 0x1234_5677 + 1);
+        schedule.begin_call(0, true);
+        let mut now = schedule.record_failure(S);
         while let Some(count) = calls.get_mut((now / (S / 10)) as usize) {
             *count += 1;
-            schedule.connect(now);
-            now = schedule.failed(now + MS);
+            schedule.begin_connection(now);
+            now = schedule.record_failure(now + MS);
         }
     }
     let seconds: Vec<u64> = calls.windows(10).map(|w| w.iter().sum()).collect();
@@ -555,12 +571,12 @@
 fn where_lists_are_pushed_a_silent_agent_is_called_again_before_the_grace_is_over_and_not_without_end()
  {
     for grace in [0, 1, 500 * MS, S, 1_500 * MS, 3_600 * S] {
-        let mut schedule = WatchSchedule::new(Lists::Pushed { grace }, 6);
+        let mut schedule = WatchSchedule::new(ListSource::Pushed { grace }, 6);
         let mut now = 0;
         for _ in 0..100 {
-            schedule.connect(now);
-            let (_, until) = schedule.call(now, true);
-            let next = schedule.silent(until);
+            schedule.begin_connection(now);
+            let (_, until) = schedule.begin_call(now, true);
+            let next = schedule.record_silence(until);
             let took = next - now;
             assert!((100 * MS..=5 * S).contains(&took), "{grace}: {took}");
             assert!(took < grace.max(150 * MS), "{grace}: {took}");
--- a/gossip/src/members.rs
+++ b/gossip/src/members.rs
@@ -258,11 +258,11 @@
     /// Calls a seed or a member that is gone, as long as fewer are there than should be.
     fn seek(&mut self, now: Time) {
         if self.active.len() + 1 >= self.should {
-            self.pauses.answered();
+            self.pauses.record_success();
             self.seek_at = now + crate::ms(SEEK.1);
             return;
         }
-        self.seek_at = self.pauses.failed(now);
+        self.seek_at = self.pauses.record_failure(now);
         let gone = self.forgotten.keys().filter(|_| self.remembers);
         let mut all: Vec<SocketAddr> = self.seeds.iter().chain(gone).copied().collect();
         all.retain(|a| !self.active.contains_key(a));
--- a/locality/src/tiers.rs
+++ b/locality/src/tiers.rs
@@ -266,7 +266,7 @@
     fn log(&mut self, zone: usize, reason: &'static str, what: &str) {
         if self.news.len() < MOST_NEWS {
             self.news
-                .push_back(LogEvent::of_zone(&self.places[zone].name, reason, what));
+                .push_back(LogEvent::for_zone(&self.places[zone].name, reason, what));
         }
     }
 
--- a/router/src/discovery.rs
+++ b/router/src/discovery.rs
@@ -226,7 +226,7 @@
             (self.agent, self.index, self.failing) = (agent, None, false);
         }
         self.stream = None;
-        match self.schedule.moved(now) {
+        match self.schedule.record_service_change(now) {
             at if at > now => self.wait(Phase::Resting, at, engine),
             _ => self.call(now, engine),
         }
@@ -257,7 +257,7 @@
         if self.stream.is_some() {
             return self.request(now, engine);
         }
-        let until = self.schedule.connect(now);
+        let until = self.schedule.begin_connection(now);
         match self.connect() {
             Ok(stream) => {
                 self.stream = Some(stream);
@@ -269,7 +269,7 @@
 
     /// Writes the call to the connection, which is up.
     fn request(&mut self, now: Time, engine: &mut Engine) {
-        let (wait, until) = self.schedule.call(now, self.index.is_some());
+        let (wait, until) = self.schedule.begin_call(now, self.index.is_some());
         let path = match self.index {
             Some(index) => format!("/api/targets?after={index}&wait_ms={}", clock::to_ms(wait)),
             None => "/api/targets".to_string(),
@@ -299,12 +299,12 @@
         }
         self.stream = None;
         let at = match trouble {
-            Trouble::Silent if self.phase == Phase::Calling => self.schedule.silent(now),
+            Trouble::Silent if self.phase == Phase::Calling => self.schedule.record_silence(now),
             Trouble::Silent
             | Trouble::Connect(_)
             | Trouble::Unreachable
             | Trouble::Closed
-            | Trouble::Status(_) => self.schedule.failed(now),
+            | Trouble::Status(_) => self.schedule.record_failure(now),
             // Something was answered, and may have held news.
             Trouble::NotHttp(_)
             | Trouble::Length(_)
@@ -313,7 +313,7 @@
             | Trouble::List(_)
             | Trouble::Nobody
             | Trouble::Older(_)
-            | Trouble::Odd(_) => self.schedule.spoilt(now),
+            | Trouble::Odd(_) => self.schedule.record_invalid_answer(now),
         };
         debug!(%trouble, pause = at - now, "a call of discovery failed");
         self.wait(Phase::Resting, at, engine);
@@ -366,7 +366,7 @@
         let news = self.index != Some(listing.index);
         self.named |= !listing.entries.is_empty();
         self.index = Some(listing.index);
-        match self.schedule.answered(now, news) {
+        match self.schedule.record_answer(now, news) {
             at if at > now => self.wait(Phase::Resting, at, engine),
             // In the same turn: the watch goes on.
             _ => self.call(now, engine),
--- a/router/src/front/cancellation.rs
+++ b/router/src/front/cancellation.rs
@@ -60,7 +60,7 @@
             encoder.ready(out);
         });
         pending.answer = Some(answer);
-        engine.cancel(forwarded.request, now);
+        engine.cancel_request(forwarded.request, now);
     }
 }
 
--- a/router/src/gossip.rs
+++ b/router/src/gossip.rs
@@ -174,7 +174,7 @@
         }
         let next = self.peers.next_deadline().min(next);
         let at = (next < Time::MAX).then(|| next.max(now + 1));
-        engine.deadlines.set(&mut self.due, Deadline::Peers, at);
+        engine.deadlines.set(&mut self.due, Deadline::Gossip, at);
     }
 
     /// Drives what is done for the fleet; when something of it is due next.
--- a/router/src/serve.rs
+++ b/router/src/serve.rs
@@ -15,7 +15,7 @@
 use crate::operators;
 use crate::upstream::Upstream;
 use plovercove::{EndpointUpdate, LocalityPolicy, Time};
-use plovercove_engine::{Command, Deadline, Engine, Key, Lists, WatchSchedule};
+use plovercove_engine::{Command, Deadline, Engine, Key, ListSource, WatchSchedule};
 use plovercove_gossip::Observer;
 use plovercove_locality::ZoneFailover;
 use plovercove_poller::{Events, Poll};
@@ -114,8 +114,8 @@
         // What is known is of some version: only what came after it is asked for, a few lines instead of all of them.
         let index = Some(config.known.index).filter(|_| !config.known.entries.is_empty());
         let lists = match settings.subscribe {
-            true => Lists::Asked,
-            false => Lists::Pushed {
+            true => ListSource::Polled,
+            false => ListSource::Pushed {
                 grace: settings.drain_grace,
             },
         };
@@ -277,12 +277,12 @@
             Deadline::Backend(key) => self.upstream.connection_expired(key, now, &mut self.engine),
             Deadline::Client(key) => self.front.check_client(key, now, &mut self.engine),
             Deadline::Discovery => self.discovery.due(now, &mut self.engine),
-            Deadline::Peers => self
+            Deadline::Gossip => self
                 .peers
                 .iter_mut()
                 .for_each(|peers| peers.turn(now, &mut self.engine)),
             Deadline::Accept => self.front.resume_accepting(now, &mut self.engine),
-            Deadline::Stop => {
+            Deadline::Shutdown => {
                 // Handing over does not keep clients waiting.
                 self.peers.iter_mut().for_each(|peers| peers.end(now));
                 self.front.drain(now, &mut self.engine);
@@ -450,6 +450,6 @@
             .for_each(|peers| peers.leave(now, &mut self.engine));
         self.engine
             .deadlines
-            .add(now + STILL_ACCEPTING, Deadline::Stop);
+            .add(now + STILL_ACCEPTING, Deadline::Shutdown);
     }
 }
--- a/router/src/upstream/tests.rs
+++ b/router/src/upstream/tests.rs
@@ -697,7 +697,7 @@
     for stays in [true, false] {
         let node = node();
         let mut pools = Pools::new(Settings {
-            dropped_stay_open: stays,
+            removed_nodes_stay_open: stays,
             ..settings()
         });
         pools.told(true, &[("p", EndpointState::Serving, Some(at(&node)))]);
@@ -733,7 +733,7 @@
     for stays in [true, false] {
         let node = node();
         let mut pools = Pools::new(Settings {
-            dropped_stay_open: stays,
+            removed_nodes_stay_open: stays,
             ..settings()
         });
         pools.told(true, &[("p", EndpointState::Serving, Some(at(&node)))]);
@@ -760,7 +760,7 @@
     // Danger: where dropped nodes stay open, an attempt at one goes to whoever has its address now.
     let node = node();
     let mut pools = Pools::new(Settings {
-        dropped_stay_open: true,
+        removed_nodes_stay_open: true,
         ..settings()
     });
     pools.told(true, &[("p", EndpointState::Serving, Some(at(&node)))]);
@@ -862,7 +862,7 @@
     for whole in [true, false] {
         let (primary, replica) = (node(), node());
         let mut pools = Pools::new(Settings {
-            dropped_stay_open: true,
+            removed_nodes_stay_open: true,
             ..settings()
         });
         let (p, r) = (at(&primary), at(&replica));
@@ -900,7 +900,7 @@
 fn what_is_kept_of_dropped_nodes_is_bounded() {
     // Danger: over days of replacements it would grow without end.
     let mut pools = Pools::new(Settings {
-        dropped_stay_open: true,
+        removed_nodes_stay_open: true,
         ..settings()
     });
     for list in 0..3 {
@@ -1271,7 +1271,7 @@
                 answer(&mut pools);
             }
             First::GoneInOneTurn => {
-                pools.engine.cancel(request, pools.now);
+                pools.engine.cancel_request(request, pools.now);
                 answer(&mut pools);
             }
         }
@@ -1460,7 +1460,7 @@
             Why::Idle => pools.later(IDLE),
             Why::GivenUp => given_up
                 .iter()
-                .for_each(|request| pools.engine.cancel(*request, pools.now)),
+                .for_each(|request| pools.engine.cancel_request(*request, pools.now)),
         }
         pools.settle();
         assert_eq!(pools.open(), (0, 0), "{why:?}");
--- a/router/tests/front_desk/mod.rs
+++ b/router/tests/front_desk/mod.rs
@@ -129,8 +129,8 @@
                 Deadline::Attempt(id) => self.engine.attempt_timed_out(id, self.now),
                 Deadline::Client(key) => self.front.check_client(key, self.now, &mut self.engine),
                 Deadline::Accept => self.front.resume_accepting(self.now, &mut self.engine),
-                Deadline::Stop => self.front.drain(self.now, &mut self.engine),
-                Deadline::Backend(_) | Deadline::Discovery | Deadline::Peers => {}
+                Deadline::Shutdown => self.front.drain(self.now, &mut self.engine),
+                Deadline::Backend(_) | Deadline::Discovery | Deadline::Gossip => {}
             }
         }
     }
--- a/router/tests/standing_crossings.rs
+++ b/router/tests/standing_crossings.rs
@@ -410,7 +410,7 @@
     client.write(&query("a2"));
     desk.engine
         .deadlines
-        .add(desk.now, plovercove_engine::Deadline::Stop);
+        .add(desk.now, plovercove_engine::Deadline::Shutdown);
     desk.turn();
     desk.serve();
     assert_eq!(
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -406,7 +406,7 @@
             connection_idle: limits.maybe("ConnIdle", whole)?.unwrap_or(60_000_000),
             tick: top.get("Tick", whole)?,
             drain_grace: rules.get("DrainGrace", whole)?,
-            dropped_stay_open: yes(&rules, "DroppedStayOpen")?,
+            removed_nodes_stay_open: yes(&rules, "DroppedStayOpen")?,
             answer_grace: rules.maybe("GraceToAnswer", whole)?.unwrap_or(0),
             slow_start_min_share: rules.get("ColdShare", number)?,
             slow_start_duration: rules.get("Cold", whole)?,
--- a/simulation/src/world/list.rs
+++ b/simulation/src/world/list.rs
@@ -33,13 +33,13 @@
         let turn = self.calls_until.max(self.now);
         if rate > 0.0 && turn > self.now + most {
             let r = &mut self.routers[router as usize];
-            let (again, epoch) = (r.pauses.failed(self.now + most), r.epoch);
+            let (again, epoch) = (r.pauses.record_failure(self.now + most), r.epoch);
             return self.at(again, Event::Call { router, epoch });
         }
         if rate > 0.0 {
             self.calls_until = turn + us(1.0 / rate);
         }
-        self.routers[router as usize].pauses.answered();
+        self.routers[router as usize].pauses.record_success();
         let wait = self.uniform(LIST_CALL);
         self.at(
             turn + us(wait),
--- a/src/api/action.rs
+++ b/src/api/action.rs
@@ -67,7 +67,7 @@
     pub const PRIMARY: &'static str = "primary";
 
     /// What came about at a node.
-    pub fn of_node(node: &NodeId, reason: &'static str, text: String) -> Self {
+    pub fn for_node(node: &NodeId, reason: &'static str, text: String) -> Self {
         LogEvent {
             node: Some(node.clone()),
             reason,
@@ -77,7 +77,7 @@
     }
 
     /// What came about in a zone.
-    pub fn of_zone(zone: &str, reason: &'static str, what: &str) -> Self {
+    pub fn for_zone(zone: &str, reason: &'static str, what: &str) -> Self {
         LogEvent {
             zone: Some(zone.into()),
             reason,
--- a/src/api/settings.rs
+++ b/src/api/settings.rs
@@ -186,7 +186,7 @@
     /// Sends to a node that drains or is gone must stop within this time of the notice.
     pub drain_grace: Micros,
     /// Only nodes listed as draining, not those dropped from the list, are closed to sends.
-    pub dropped_stay_open: bool,
+    pub removed_nodes_stay_open: bool,
     /// A final answer still counts this long after the client's deadline.
     pub answer_grace: Micros,
     /// A node starts with at least this share of its capacity.
@@ -229,7 +229,7 @@
             connection_idle: 60_000_000,
             tick: 1_000,
             drain_grace: 1_000_000,
-            dropped_stay_open: false,
+            removed_nodes_stay_open: false,
             answer_grace: 0,
             slow_start_min_share: 1.0,
             slow_start_duration: 1,
--- a/src/endpoints.rs
+++ b/src/endpoints.rs
@@ -50,7 +50,7 @@
     }
 
     /// How many nodes are known, removed ones that are still in use among them.
-    pub fn known_nodes(&self) -> usize {
+    pub fn known_node_count(&self) -> usize {
         self.nodes.len()
     }
 
@@ -66,7 +66,7 @@
             if !listed.contains(id) {
                 node.set_state(
                     EndpointState::Removed,
-                    self.settings.dropped_stay_open,
+                    self.settings.removed_nodes_stay_open,
                     self.now,
                 );
             }
@@ -96,7 +96,7 @@
         if endpoint.started_at > node.endpoint.started_at {
             node.restart(router_count, now);
         }
-        node.set_state(endpoint.state, self.settings.dropped_stay_open, now);
+        node.set_state(endpoint.state, self.settings.removed_nodes_stay_open, now);
         let is_serving = endpoint.state == EndpointState::Serving;
         let named_primary =
             endpoint.listed_as_primary && is_serving && !node.denial_outranks_list(now);
--- a/src/freshness.rs
+++ b/src/freshness.rs
@@ -139,7 +139,7 @@
     /// Whether a send that waited for its connection may still leave: list, roles or data may have changed by then.
     ///
     /// `now` is the moment of the first byte (us), `request` and `node` those of the send.
-    pub fn still_fits(&self, now: Time, request: RequestId, node: &NodeId) -> bool {
+    pub fn is_send_still_valid(&self, now: Time, request: RequestId, node: &NodeId) -> bool {
         let (Some(request), Some(node)) = (self.requests.get(&request), self.nodes.get(node))
         else {
             return false;
--- a/src/outlier_detection.rs
+++ b/src/outlier_detection.rs
@@ -98,7 +98,7 @@
         self.outlier.answered(now);
         if std::mem::take(&mut self.outlier.is_ejected) {
             let text = format!("node {}: answers again", self.id());
-            actions.push(Action::Log(LogEvent::of_node(
+            actions.push(Action::Log(LogEvent::for_node(
                 self.id(),
                 LogEvent::ANSWERS_AGAIN,
                 text,
@@ -138,7 +138,7 @@
             self.id(),
             self.in_flight.len()
         );
-        actions.push(Action::Log(LogEvent::of_node(
+        actions.push(Action::Log(LogEvent::for_node(
             self.id(),
             LogEvent::EJECTED,
             text,
--- a/src/primary.rs
+++ b/src/primary.rs
@@ -120,7 +120,7 @@
                 node.denied_primary_at = None;
                 if group.observe_claim(id, evidence_at) {
                     let text = format!("group {}: primary is {id}", node.endpoint.group);
-                    actions.push(Action::Log(LogEvent::of_node(id, LogEvent::PRIMARY, text)));
+                    actions.push(Action::Log(LogEvent::for_node(id, LogEvent::PRIMARY, text)));
                 }
             }
             Some(Role::Replica) => {
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -160,7 +160,7 @@
     cfg.max_retry_after = 1_000 * MS;
     cfg.clients_carry_tokens = dice.chance(50);
     cfg.subscribe = dice.chance(30);
-    cfg.dropped_stay_open = dice.chance(30);
+    cfg.removed_nodes_stay_open = dice.chance(30);
     cfg.reports = [
         ReportSource::Answers,
         ReportSource::HealthChecks,
@@ -219,7 +219,7 @@
 }
 
 fn note_list(world: &mut World, now: Time, entries: &[Endpoint], full: bool) {
-    let open = world.cfg.dropped_stay_open;
+    let open = world.cfg.removed_nodes_stay_open;
     for e in entries {
         let was = world.nodes.get(&e.node).and_then(|(_, closed)| *closed);
         let closed = match e.state {
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -577,10 +577,14 @@
             }])
         };
         rig.event(Event::EndpointsChanged(list.clone()));
-        assert_eq!(rig.balancer.known_nodes(), 2, "a read is still out there");
+        assert_eq!(
+            rig.balancer.known_node_count(),
+            2,
+            "a read is still out there"
+        );
         rig.ends(1, 0, AttemptEnd::Success, NodeReport::default());
         rig.event(Event::EndpointsChanged(list));
-        assert_eq!(rig.balancer.known_nodes(), 1);
+        assert_eq!(rig.balancer.known_node_count(), 1);
         rig.event(Event::EndpointsChanged(EndpointUpdate::Full(vec![
             entry("p", true),
             entry("r1", false),
@@ -598,14 +602,14 @@
         };
         rig.event(Event::EndpointsChanged(EndpointUpdate::Changes(vec![gone])));
     }
-    assert!(rig.balancer.known_nodes() <= 3);
+    assert!(rig.balancer.known_node_count() <= 3);
 }
 
 #[test]
 fn dropped_nodes_that_stay_open_are_used_while_they_answer_and_then_forgotten() {
     // Danger: where dropping closes no node, days of replacements would fill the table, and every choice go through it.
     let cfg = Settings {
-        dropped_stay_open: true,
+        removed_nodes_stay_open: true,
         ..settings()
     };
     let mut balancer = Balancer::new(cfg, 1);
@@ -620,7 +624,7 @@
     for round in 0..200 {
         let now = T0 + round * step;
         balancer.handle(now, vec![list(round)], &mut Vec::new());
-        most = most.max(balancer.known_nodes());
+        most = most.max(balancer.known_node_count());
         for _ in 0..4 {
             id += 1;
             let mut actions = Vec::new();
