--- a/pgwire/src/cancel.rs
+++ b/pgwire/src/cancel.rs
@@ -1,78 +1,82 @@
-//! Cancel keys: the router's own, since a client's session and a connection to a server are not the same thing.
+//! Cancel keys of client sessions.
+//!
+//! The router issues its own keys and does not pass on those of servers: a client's session is not bound to one connection
+//! to a server.
 
 use crate::Version;
 use std::collections::HashMap;
 use subtle::ConstantTimeEq;
 
-/// What a client must show to have its request cancelled.
+/// The key that a client has to send to cancel the request of its session.
 #[derive(Clone, PartialEq, Eq)]
 pub struct CancelKey {
-    /// The number of its session, in the place of a process id.
+    /// Number of the session, sent in the field for the process id.
     pub id: u32,
-    /// The secret: four bytes up to 3.0, 32 for newer clients.
+    /// Secret bytes: four up to version 3.0, 32 in newer versions.
     pub secret: Vec<u8>,
 }
 
-/// It shows nothing of the secret.
+/// Prints the id without the secret, so that logs never contain a secret.
 impl std::fmt::Debug for CancelKey {
-    fn fmt(&self, to: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(to, "CancelKey({})", self.id)
+    fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        write!(formatter, "CancelKey({})", self.id)
     }
 }
 
-/// The keys that are out. `S` is whatever names a session.
+/// The cancel keys of all open sessions. `S` identifies a session.
 #[derive(Default)]
 pub struct CancelKeys<S> {
-    out: HashMap<u32, (Vec<u8>, S)>,
-    last: u32,
+    issued: HashMap<u32, (Vec<u8>, S)>,
+    last_id: u32,
 }
 
 impl<S: Copy> CancelKeys<S> {
-    /// No keys.
+    /// Returns an empty set of keys.
     pub fn new() -> Self {
         CancelKeys {
-            out: HashMap::new(),
-            last: 0,
+            issued: HashMap::new(),
+            last_id: 0,
         }
     }
 
-    /// A key for a session. `random` is as many random bytes as the longest secret has.
+    /// Issues a key for a session. The secret is taken from the front of `random`.
     pub fn issue(&mut self, session: S, version: Version, random: [u8; 32]) -> CancelKey {
         loop {
-            // Old clients hold it for a process id: over 0, and under 2^31.
-            self.last = self.last % (i32::MAX as u32) + 1;
-            if !self.out.contains_key(&self.last) {
+            // Old clients treat the id as a process id, which is above 0 and below 2^31.
+            self.last_id = self.last_id % (i32::MAX as u32) + 1;
+            if !self.issued.contains_key(&self.last_id) {
                 break;
             }
         }
-        let length = if version >= Version::V32 { 32 } else { 4 };
-        let secret = random[..length].to_vec();
-        self.out.insert(self.last, (secret.clone(), session));
+        let secret_length = if version >= Version::V32 { 32 } else { 4 };
+        let secret = random[..secret_length].to_vec();
+        self.issued.insert(self.last_id, (secret.clone(), session));
         CancelKey {
-            id: self.last,
+            id: self.last_id,
             secret,
         }
     }
 
-    /// The session that a key belongs to. A wrong one takes as long as a right one.
+    /// Returns the session that a key belongs to. Secrets are compared in constant time, so that the duration does not reveal
+    /// how much of a guessed secret is right.
     pub fn find(&self, key: &CancelKey) -> Option<S> {
-        let (secret, session) = self.out.get(&key.id)?;
+        let (secret, session) = self.issued.get(&key.id)?;
         bool::from(secret.ct_eq(&key.secret)).then_some(*session)
     }
 
-    /// The session is over.
+    /// Removes the key of a session that has ended.
     pub fn remove(&mut self, id: u32) {
-        self.out.remove(&id);
+        self.issued.remove(&id);
     }
 
-    /// How many are out.
+    /// Returns the number of issued keys.
     pub fn len(&self) -> usize {
-        self.out.len()
+        self.issued.len()
     }
 
-    /// Whether none is out.
+    /// Returns true if there are no keys.
     pub fn is_empty(&self) -> bool {
-        self.out.is_empty()
+        self.issued.is_empty()
     }
 }
 
--- a/pgwire/src/cancel/tests.rs
+++ b/pgwire/src/cancel/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn only_the_whole_key_of_a_session_that_is_there_finds_it() {
+fn only_the_complete_key_of_an_open_session_finds_it() {
     let mut keys = CancelKeys::new();
     let old = keys.issue('a', Version::V30, [7; 32]);
     let new = keys.issue('b', Version::V32, [8; 32]);
@@ -25,15 +25,15 @@
 }
 
 #[test]
-fn numbers_are_used_again_only_when_they_are_free() {
+fn ids_are_reused_only_when_they_are_free() {
     let mut keys = CancelKeys {
-        out: HashMap::new(),
-        last: i32::MAX as u32 - 1,
+        issued: HashMap::new(),
+        last_id: i32::MAX as u32 - 1,
     };
     let ids: Vec<u32> = (0..3)
         .map(|n| keys.issue(n, Version::V30, [1; 32]).id)
         .collect();
     assert_eq!(ids, [i32::MAX as u32, 1, 2]);
-    keys.last = 0;
+    keys.last_id = 0;
     assert_eq!(keys.issue(3, Version::V30, [1; 32]).id, 3);
 }
--- a/pgwire/src/catalogue.rs
+++ b/pgwire/src/catalogue.rs
@@ -1,38 +1,38 @@
-//! Every message that a client or a server can send, and what becomes of it.
+//! Every message that a client or a server can send, and what the router does with it.
 //!
-//! This is the table that the operators' page prints, that the router acts by, and that the test of translation walks: a
-//! message without a line here has no way through. Sources: "Frontend/Backend Protocol" of the PostgreSQL manuals, for 2.0
-//! that of release 7.3, for 3.0 and 3.2 that of release 18.
+//! The operators' page prints this table, and the translator test checks that the router handles each entry as stated. A
+//! message without an entry is never passed on. Sources: the chapter "Frontend/Backend Protocol" of the PostgreSQL manual,
+//! that of release 7.3 for version 2.0 and that of release 18 for versions 3.0 and 3.2.
 
 use crate::Version;
 use std::fmt::Write as _;
 
-/// Who sends a message.
+/// The sender of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Side {
-    /// A client, to the router.
+    /// A client sends it to the router.
     Client,
-    /// A server, to the router.
+    /// A server sends it to the router.
     Server,
 }
 
-/// What becomes of it.
+/// What the router does with a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Treatment {
-    /// It goes on, in the other side's version where that differs only in framing.
+    /// The message is forwarded; only its framing may change, to that of the receiver's version.
     Pass,
-    /// It goes on, and what it says changes.
+    /// The message is forwarded with changed contents.
     Rewrite,
-    /// The router reads it and passes nothing on.
+    /// The router reads the message and forwards nothing.
     Absorb,
-    /// The router answers it itself.
+    /// The router answers the message itself.
     Answer,
-    /// The one who sent it hears an error, or the attempt fails.
+    /// The sender receives an error, or the attempt fails.
     Reject,
 }
 
 impl Treatment {
-    /// As the table writes it.
+    /// Returns the text that the table prints.
     pub fn label(self) -> &'static str {
         match self {
             Treatment::Pass => "passed",
@@ -44,20 +44,20 @@
     }
 }
 
-/// One kind of message.
+/// One type of message.
 #[derive(Clone, Copy, Debug)]
 pub struct Entry {
-    /// Who sends it.
+    /// The sender.
     pub side: Side,
-    /// Its first byte; none for packets without a kind.
+    /// The first byte, or `None` for packets without a type byte.
     pub tag: Option<u8>,
-    /// Its name.
+    /// The name in the PostgreSQL manual.
     pub name: &'static str,
-    /// The versions that have it.
+    /// The versions that define this message.
     pub versions: &'static [Version],
-    /// What becomes of it.
+    /// What the router does with it.
     pub treatment: Treatment,
-    /// Why.
+    /// The reason for this treatment, as the table prints it.
     pub why: &'static str,
 }
 
@@ -67,7 +67,8 @@
 const V3: &[Version] = &[Version::V30, Version::V32];
 const ALL: &[Version] = &[Version::V2, Version::V30, Version::V32];
 
-const fn of(
+/// Returns one entry of the catalogue. A `tag` of 0 stands for a packet without a type byte.
+const fn entry(
     side: Side,
     tag: u8,
     name: &'static str,
@@ -85,9 +86,9 @@
     }
 }
 
-/// The catalogue.
+/// All messages, those of clients first.
 pub const ENTRIES: &[Entry] = &[
-    of(
+    entry(
         Client,
         0,
         "StartupMessage",
@@ -95,7 +96,7 @@
         Answer,
         "the session ends at the router; a newer minor version is told the newest that is spoken here",
     ),
-    of(
+    entry(
         Client,
         0,
         "StartupPacket",
@@ -103,7 +104,7 @@
         Answer,
         "the session ends at the router; texts of fixed width, without options",
     ),
-    of(
+    entry(
         Client,
         0,
         "SSLRequest",
@@ -111,7 +112,7 @@
         Answer,
         "N: no encryption on this listener",
     ),
-    of(
+    entry(
         Client,
         0,
         "GSSENCRequest",
@@ -119,7 +120,7 @@
         Answer,
         "N: no encryption on this listener",
     ),
-    of(
+    entry(
         Client,
         0,
         "CancelRequest",
@@ -127,7 +128,7 @@
         Answer,
         "the key is the router's own; the request under way is ended, and its server asked to stop",
     ),
-    of(
+    entry(
         Client,
         b'p',
         "PasswordMessage",
@@ -135,7 +136,7 @@
         Answer,
         "checked against the verifiers; no server ever sees it",
     ),
-    of(
+    entry(
         Client,
         0,
         "PasswordPacket",
@@ -143,7 +144,7 @@
         Answer,
         "checked against the verifiers; no server ever sees it",
     ),
-    of(
+    entry(
         Client,
         b'p',
         "SASLInitialResponse",
@@ -151,7 +152,7 @@
         Answer,
         "SCRAM-SHA-256 ends at the router",
     ),
-    of(
+    entry(
         Client,
         b'p',
         "SASLResponse",
@@ -159,7 +160,7 @@
         Answer,
         "SCRAM-SHA-256 ends at the router",
     ),
-    of(
+    entry(
         Client,
         b'p',
         "GSSResponse",
@@ -167,7 +168,7 @@
         Reject,
         "GSSAPI is never asked for",
     ),
-    of(
+    entry(
         Client,
         b'Q',
         "Query",
@@ -175,7 +176,7 @@
         Rewrite,
         "labels go in front, then it is a request like any other",
     ),
-    of(
+    entry(
         Client,
         b'F',
         "FunctionCall",
@@ -183,7 +184,7 @@
         Reject,
         "nothing says whether a function writes; 0A000, and the session stays",
     ),
-    of(
+    entry(
         Client,
         b'P',
         "Parse",
@@ -191,7 +192,7 @@
         Reject,
         "extended queries: 0A000, and all up to Sync is skipped",
     ),
-    of(
+    entry(
         Client,
         b'B',
         "Bind",
@@ -199,7 +200,7 @@
         Reject,
         "extended queries: 0A000, and all up to Sync is skipped",
     ),
-    of(
+    entry(
         Client,
         b'D',
         "Describe",
@@ -207,7 +208,7 @@
         Reject,
         "extended queries: 0A000, and all up to Sync is skipped",
     ),
-    of(
+    entry(
         Client,
         b'E',
         "Execute",
@@ -215,7 +216,7 @@
         Reject,
         "extended queries: 0A000, and all up to Sync is skipped",
     ),
-    of(
+    entry(
         Client,
         b'C',
         "Close",
@@ -223,7 +224,7 @@
         Reject,
         "extended queries: 0A000, and all up to Sync is skipped",
     ),
-    of(
+    entry(
         Client,
         b'H',
         "Flush",
@@ -231,7 +232,7 @@
         Reject,
         "extended queries: 0A000, and all up to Sync is skipped",
     ),
-    of(
+    entry(
         Client,
         b'S',
         "Sync",
@@ -239,7 +240,7 @@
         Answer,
         "ReadyForQuery ends the skipping",
     ),
-    of(
+    entry(
         Client,
         b'd',
         "CopyData",
@@ -247,9 +248,9 @@
         Absorb,
         "no copy is ever begun; what comes late, after an error, is skipped as servers do",
     ),
-    of(Client, b'c', "CopyDone", V3, Absorb, "see CopyData"),
-    of(Client, b'f', "CopyFail", V3, Absorb, "see CopyData"),
-    of(
+    entry(Client, b'c', "CopyDone", V3, Absorb, "see CopyData"),
+    entry(Client, b'f', "CopyFail", V3, Absorb, "see CopyData"),
+    entry(
         Client,
         b'X',
         "Terminate",
@@ -257,7 +258,7 @@
         Answer,
         "the session ends; pooled connections to servers stay",
     ),
-    of(
+    entry(
         Server,
         b'R',
         "AuthenticationOk",
@@ -265,7 +266,7 @@
         Absorb,
         "the router's own login",
     ),
-    of(
+    entry(
         Server,
         b'R',
         "AuthenticationKerberosV5",
@@ -273,7 +274,7 @@
         Reject,
         "the connection ends, and the log names what both sides can do",
     ),
-    of(
+    entry(
         Server,
         b'R',
         "AuthenticationCleartextPassword",
@@ -281,7 +282,7 @@
         Absorb,
         "the router's own login",
     ),
-    of(
+    entry(
         Server,
         b'R',
         "AuthenticationMD5Password",
@@ -289,7 +290,7 @@
         Absorb,
         "the router's own login",
     ),
-    of(
+    entry(
         Server,
         b'R',
         "AuthenticationGSS",
@@ -297,7 +298,7 @@
         Reject,
         "the connection ends, and the log names what both sides can do",
     ),
-    of(
+    entry(
         Server,
         b'R',
         "AuthenticationGSSContinue",
@@ -305,7 +306,7 @@
         Reject,
         "GSSAPI is never begun",
     ),
-    of(
+    entry(
         Server,
         b'R',
         "AuthenticationSSPI",
@@ -313,7 +314,7 @@
         Reject,
         "the connection ends, and the log names what both sides can do",
     ),
-    of(
+    entry(
         Server,
         b'R',
         "AuthenticationSASL",
@@ -321,7 +322,7 @@
         Absorb,
         "the router's own login, where SCRAM-SHA-256 is among the methods",
     ),
-    of(
+    entry(
         Server,
         b'R',
         "AuthenticationSASLContinue",
@@ -329,7 +330,7 @@
         Absorb,
         "the router's own login",
     ),
-    of(
+    entry(
         Server,
         b'R',
         "AuthenticationSASLFinal",
@@ -337,7 +338,7 @@
         Absorb,
         "the router's own login; a server that cannot prove itself is left",
     ),
-    of(
+    entry(
         Server,
         b'K',
         "BackendKeyData",
@@ -345,7 +346,7 @@
         Absorb,
         "kept for cancels; clients get keys of the router's own, of four bytes, as old clients read",
     ),
-    of(
+    entry(
         Server,
         b'v',
         "NegotiateProtocolVersion",
@@ -353,7 +354,7 @@
         Absorb,
         "the router goes on with the older minor version",
     ),
-    of(
+    entry(
         Server,
         b'S',
         "ParameterStatus",
@@ -361,7 +362,7 @@
         Absorb,
         "a pooled connection's settings are no client's; each client was told its own at the start",
     ),
-    of(
+    entry(
         Server,
         b'T',
         "RowDescription",
@@ -369,7 +370,7 @@
         Rewrite,
         "2.0 has neither table, column number nor format",
     ),
-    of(
+    entry(
         Server,
         b'D',
         "DataRow",
@@ -377,7 +378,7 @@
         Rewrite,
         "2.0 marks NULL in a bitmap; bytea and dates are written as the client's settings say",
     ),
-    of(
+    entry(
         Server,
         b'C',
         "CommandComplete",
@@ -385,7 +386,7 @@
         Rewrite,
         "2.0 knows SELECT and FETCH without a count",
     ),
-    of(
+    entry(
         Server,
         b'I',
         "EmptyQueryResponse",
@@ -393,7 +394,7 @@
         Pass,
         "2.0 has an empty text with it",
     ),
-    of(
+    entry(
         Server,
         b'E',
         "ErrorResponse",
@@ -401,7 +402,7 @@
         Rewrite,
         "2.0 has one text; fields that 3.0 did not have are left out",
     ),
-    of(
+    entry(
         Server,
         b'N',
         "NoticeResponse",
@@ -409,7 +410,7 @@
         Rewrite,
         "as ErrorResponse; it is no part of the outcome",
     ),
-    of(
+    entry(
         Server,
         b'A',
         "NotificationResponse",
@@ -417,7 +418,7 @@
         Absorb,
         "LISTEN is refused, so a notification on a pooled connection is for no client",
     ),
-    of(
+    entry(
         Server,
         b'Z',
         "ReadyForQuery",
@@ -425,7 +426,7 @@
         Rewrite,
         "2.0 has no state with it; a transaction left open fails the attempt, and the connection ends",
     ),
-    of(
+    entry(
         Server,
         b'G',
         "CopyInResponse",
@@ -433,7 +434,7 @@
         Reject,
         "the server is told CopyFail, and the client hears the error",
     ),
-    of(
+    entry(
         Server,
         b'H',
         "CopyOutResponse",
@@ -441,7 +442,7 @@
         Pass,
         "2.0 sends bare lines; held whole, and bounded, like any answer",
     ),
-    of(
+    entry(
         Server,
         b'W',
         "CopyBothResponse",
@@ -449,8 +450,8 @@
         Reject,
         "replication is no request; the attempt fails",
     ),
-    of(Server, b'd', "CopyData", V3, Pass, "within a copy out only"),
-    of(
+    entry(Server, b'd', "CopyData", V3, Pass, "within a copy out only"),
+    entry(
         Server,
         b'c',
         "CopyDone",
@@ -458,7 +459,7 @@
         Pass,
         "within a copy out only; 2.0 ends with a line of its own",
     ),
-    of(
+    entry(
         Server,
         b'V',
         "FunctionCallResponse",
@@ -466,7 +467,7 @@
         Reject,
         "no function is ever called; the attempt fails",
     ),
-    of(
+    entry(
         Server,
         b'1',
         "ParseComplete",
@@ -474,7 +475,7 @@
         Reject,
         "answers an extended query, and none was asked; the attempt fails",
     ),
-    of(
+    entry(
         Server,
         b'2',
         "BindComplete",
@@ -482,7 +483,7 @@
         Reject,
         "see ParseComplete",
     ),
-    of(
+    entry(
         Server,
         b'3',
         "CloseComplete",
@@ -490,8 +491,8 @@
         Reject,
         "see ParseComplete",
     ),
-    of(Server, b'n', "NoData", V3, Reject, "see ParseComplete"),
-    of(
+    entry(Server, b'n', "NoData", V3, Reject, "see ParseComplete"),
+    entry(
         Server,
         b's',
         "PortalSuspended",
@@ -499,7 +500,7 @@
         Reject,
         "see ParseComplete",
     ),
-    of(
+    entry(
         Server,
         b't',
         "ParameterDescription",
@@ -509,39 +510,39 @@
     ),
 ];
 
-/// What is done with a message that is not in the catalogue.
+/// What the router does with a message that is not in the catalogue, as the table prints it.
 pub const UNKNOWN: &str = "a client's ends its session with 08P01; a server's ends the connection, and the attempt has failed: \
 it may have run, and no message after it can be trusted to mean what it seems to";
 
-/// The entries for a tag.
+/// Returns the entries for a type byte in a version of the protocol.
 pub fn find(side: Side, tag: u8, version: Version) -> impl Iterator<Item = &'static Entry> {
-    ENTRIES
-        .iter()
-        .filter(move |e| e.side == side && e.tag == Some(tag) && e.versions.contains(&version))
+    ENTRIES.iter().filter(move |entry| {
+        entry.side == side && entry.tag == Some(tag) && entry.versions.contains(&version)
+    })
 }
 
-/// The table for the operators' page.
+/// Returns the table for the operators' page, in Markdown.
 pub fn table() -> String {
     let mut out = String::from(
         "| from | message | versions | what becomes of it | why |\n| --- | --- | --- | --- | --- |\n",
     );
-    for entry in ENTRIES {
-        let from = if entry.side == Client {
+    for message in ENTRIES {
+        let from = if message.side == Client {
             "client"
         } else {
             "server"
         };
-        let tag = entry
+        let tag = message
             .tag
             .map_or(String::new(), |tag| format!(" `{}`", tag as char));
-        let versions: Vec<&str> = entry.versions.iter().map(|v| v.name()).collect();
+        let versions: Vec<&str> = message.versions.iter().map(|v| v.name()).collect();
         let _ = writeln!(
             out,
             "| {from} | {}{tag} | {} | {} | {} |",
-            entry.name,
+            message.name,
             versions.join(", "),
-            entry.treatment.label(),
-            entry.why
+            message.treatment.label(),
+            message.why
         );
     }
     let _ = writeln!(
--- a/pgwire/src/catalogue/tests.rs
+++ b/pgwire/src/catalogue/tests.rs
@@ -3,12 +3,16 @@
 use super::*;
 
 #[test]
-fn no_message_stands_twice_and_every_line_says_why() {
-    for (n, a) in ENTRIES.iter().enumerate() {
-        assert!(!a.why.is_empty() && !a.versions.is_empty(), "{}", a.name);
-        let twice = ENTRIES[n + 1..]
+fn no_message_is_listed_twice_and_every_entry_has_a_reason() {
+    for (index, entry) in ENTRIES.iter().enumerate() {
+        assert!(
+            !entry.why.is_empty() && !entry.versions.is_empty(),
+            "{}",
+            entry.name
+        );
+        let is_repeated = ENTRIES[index + 1..]
             .iter()
-            .any(|b| (a.side, a.name) == (b.side, b.name));
-        assert!(!twice, "{} stands twice", a.name);
+            .any(|other| (entry.side, entry.name) == (other.side, other.name));
+        assert!(!is_repeated, "{} is listed twice", entry.name);
     }
 }
--- a/pgwire/src/encoder.rs
+++ b/pgwire/src/encoder.rs
@@ -1,20 +1,20 @@
-//! The words of replies, errors and greetings in a client's version, with values in the forms that it wants.
+//! Encodes replies, errors and greetings in a client's protocol version and value formats.
 
 use crate::Version;
 use crate::cancel::CancelKey;
 use crate::messages::{self, Column, Fields, Malformed, Message, code, put, put_text};
 use crate::values::ValueFormats;
 
-/// What a client is spoken to with.
+/// Encodes messages for one client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Encoder {
-    /// Its version.
+    /// The client's protocol version.
     pub version: Version,
-    /// The forms of its values.
+    /// The text formats of values that the client wants.
     pub formats: ValueFormats,
 }
 
-/// A reply that cannot be said in the client's version.
+/// A reply that the client's version cannot express; the text says why.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Untranslatable(pub &'static str);
 
@@ -24,24 +24,24 @@
     }
 }
 
-/// The most columns that 2.0 can number.
-const V2_COLUMNS: usize = 1_664;
-/// The fields of an error that 3.0 had when it was young; what came later (schema, table, column, constraint, the
-/// severity without translation) old clients may stumble over.
-const OLD_FIELDS: &[u8] = b"SCMDHPpqWFLR";
+/// Highest number of columns in a row description of version 2.0.
+const MAX_V2_COLUMNS: usize = 1_664;
+/// Fields of an error that version 3.0 had at first. Old clients may fail on the later ones: schema, table, column,
+/// constraint, and the untranslated severity.
+const V30_ERROR_FIELDS: &[u8] = b"SCMDHPpqWFLR";
 
 impl Encoder {
-    /// Whether a reply goes on just as it came, so that nothing needs to be written anew.
+    /// Returns true if a reply can be sent to the client without any change.
     pub fn passes_unchanged(&self, messages: &[u8]) -> bool {
         self.version != Version::V2
             && self.formats == ValueFormats::default()
-            && self.only_known_fields(messages)
+            && self.has_only_v30_error_fields(messages)
     }
 
-    /// Appends a whole reply, given in messages of version 3 without ReadyForQuery.
+    /// Appends a complete reply, given as messages of version 3 without ReadyForQuery.
     ///
     /// # Errors
-    /// It cannot be said; nothing that was appended may be sent.
+    /// Returns an error if the client's version cannot express the reply. Then nothing of what was appended may be sent.
     pub fn put_reply(&self, messages: &[u8], out: &mut Vec<u8>) -> Result<(), Untranslatable> {
         if self.passes_unchanged(messages) {
             out.extend_from_slice(messages);
@@ -52,17 +52,20 @@
             match message.kind {
                 b'T' => {
                     columns = messages::parse_columns(message.body)?;
-                    self.description(&message, &columns, out)?;
+                    self.put_row_description(&message, &columns, out)?;
                 }
-                b'D' => self.row(&message, &columns, out)?,
-                b'E' | b'N' => self.error_as_told(&message, out)?,
+                b'D' => self.put_data_row(&message, &columns, out)?,
+                b'E' | b'N' => self.put_server_error(&message, out)?,
                 _ if self.version != Version::V2 => out.extend_from_slice(message.raw),
                 b'C' => {
                     let tag = message.body.strip_suffix(&[0]).ok_or(Malformed)?;
-                    let known = [&b"SELECT"[..], b"FETCH", b"MOVE", b"COPY"];
-                    let word = known.into_iter().find(|word| tag.starts_with(word));
+                    let commands = [&b"SELECT"[..], b"FETCH", b"MOVE", b"COPY"];
+                    let command = commands
+                        .into_iter()
+                        .find(|command| tag.starts_with(command));
                     out.push(b'C');
-                    put_text(out, word.filter(|w| *w != b"MOVE").unwrap_or(tag));
+                    let without_count = command.filter(|command| *command != b"MOVE");
+                    put_text(out, without_count.unwrap_or(tag));
                 }
                 b'I' => out.extend_from_slice(b"I\0"),
                 b'H' => out.push(b'H'),
@@ -78,16 +81,19 @@
         Ok(())
     }
 
-    fn only_known_fields(&self, messages: &[u8]) -> bool {
+    fn has_only_v30_error_fields(&self, messages: &[u8]) -> bool {
         messages::split(messages)
-            .filter(|m| b"EN".contains(&m.kind))
-            .all(|m| {
-                messages::parse_error_fields(m.body)
-                    .is_ok_and(|fields| fields.iter().all(|(kind, _)| OLD_FIELDS.contains(kind)))
+            .filter(|message| b"EN".contains(&message.kind))
+            .all(|message| {
+                messages::parse_error_fields(message.body).is_ok_and(|fields| {
+                    fields
+                        .iter()
+                        .all(|(kind, _)| V30_ERROR_FIELDS.contains(kind))
+                })
             })
     }
 
-    fn description(
+    fn put_row_description(
         &self,
         message: &Message<'_>,
         columns: &[Column<'_>],
@@ -97,24 +103,24 @@
             out.extend_from_slice(message.raw);
             return Ok(());
         }
-        if columns.len() > V2_COLUMNS {
+        if columns.len() > MAX_V2_COLUMNS {
             return Err(Untranslatable(
                 "the answer has more columns than version 2.0 can number",
             ));
         }
-        // A cursor's name comes before its rows; that of a simple query is `blank`.
+        // CursorResponse precedes RowDescription; the cursor of a simple query is called `blank`.
         out.extend_from_slice(b"Pblank\0T");
         out.extend_from_slice(&(columns.len() as u16).to_be_bytes());
         for column in columns {
             put_text(out, column.name);
-            out.extend_from_slice(&column.kind.to_be_bytes());
-            out.extend_from_slice(&column.size.to_be_bytes());
-            out.extend_from_slice(&column.modifier.to_be_bytes());
+            out.extend_from_slice(&column.type_oid.to_be_bytes());
+            out.extend_from_slice(&column.type_size.to_be_bytes());
+            out.extend_from_slice(&column.type_modifier.to_be_bytes());
         }
         Ok(())
     }
 
-    fn row(
+    fn put_data_row(
         &self,
         message: &Message<'_>,
         columns: &[Column<'_>],
@@ -124,7 +130,7 @@
         if !v2
             && !columns
                 .iter()
-                .any(|column| self.formats.changes(column.kind))
+                .any(|column| self.formats.changes(column.type_oid))
         {
             out.extend_from_slice(message.raw);
             return Ok(());
@@ -133,23 +139,24 @@
         if usize::try_from(fields.int16()?) != Ok(columns.len()) {
             return Err(Malformed.into());
         }
-        // 2.0 has one form for a whole row: `D` for texts, whose lengths count themselves, and `B` for binary values.
-        let binary = columns.iter().filter(|column| column.binary).count();
-        if v2 && binary != 0 && binary != columns.len() {
+        // In version 2.0 all values of a row have one format: `D` is a row of texts, whose length fields count their own
+        // four bytes, and `B` is a row of binary values.
+        let binary_columns = columns.iter().filter(|column| column.binary).count();
+        if v2 && binary_columns != 0 && binary_columns != columns.len() {
             return Err(Untranslatable(
                 "the answer mixes texts and binary values, which version 2.0 cannot",
             ));
         }
-        let more = if v2 && binary == 0 { 4 } else { 0 };
-        let start = out.len();
+        let counted_length = if v2 && binary_columns == 0 { 4 } else { 0 };
+        let message_start = out.len();
         if v2 {
-            out.push(if binary > 0 { b'B' } else { b'D' });
-            out.resize(start + 1 + columns.len().div_ceil(8), 0);
+            out.push(if binary_columns > 0 { b'B' } else { b'D' });
+            out.resize(message_start + 1 + columns.len().div_ceil(8), 0);
         } else {
             out.extend_from_slice(&[b'D', 0, 0, 0, 0]);
             out.extend_from_slice(&(columns.len() as u16).to_be_bytes());
         }
-        for (n, column) in columns.iter().enumerate() {
+        for (index, column) in columns.iter().enumerate() {
             let Some(value) = fields.value()? else {
                 if !v2 {
                     out.extend_from_slice(&(-1i32).to_be_bytes());
@@ -157,27 +164,27 @@
                 continue;
             };
             if v2 {
-                out[start + 1 + n / 8] |= 0x80 >> (n % 8);
+                out[message_start + 1 + index / 8] |= 0x80 >> (index % 8);
             }
-            let new = if column.binary {
+            let rewritten = if column.binary {
                 None
             } else {
-                self.formats.rewrite(column.kind, value)
+                self.formats.rewrite(column.type_oid, value)
             };
-            let text = new.as_deref().unwrap_or(value);
-            out.extend_from_slice(&(text.len() as u32 + more).to_be_bytes());
-            out.extend_from_slice(text);
+            let encoded = rewritten.as_deref().unwrap_or(value);
+            out.extend_from_slice(&(encoded.len() as u32 + counted_length).to_be_bytes());
+            out.extend_from_slice(encoded);
         }
         fields.end()?;
         if !v2 {
-            let length = (out.len() - start - 1) as u32;
-            out[start + 1..start + 5].copy_from_slice(&length.to_be_bytes());
+            let length = (out.len() - message_start - 1) as u32;
+            out[message_start + 1..message_start + 5].copy_from_slice(&length.to_be_bytes());
         }
         Ok(())
     }
 
-    /// An error or a notice as the server told it.
-    fn error_as_told(
+    /// Appends an error or a notice of the server.
+    fn put_server_error(
         &self,
         message: &Message<'_>,
         out: &mut Vec<u8>,
@@ -185,7 +192,10 @@
         let fields = messages::parse_error_fields(message.body)?;
         if self.version != Version::V2 {
             put(out, message.kind, |out| {
-                for (kind, text) in fields.iter().filter(|(kind, _)| OLD_FIELDS.contains(kind)) {
+                for (kind, text) in fields
+                    .iter()
+                    .filter(|(kind, _)| V30_ERROR_FIELDS.contains(kind))
+                {
                     out.push(*kind);
                     put_text(out, text);
                 }
@@ -193,21 +203,22 @@
             });
             return Ok(());
         }
-        let of = |wanted: u8| {
+        let field_text = |wanted: u8| {
             fields
                 .iter()
                 .find(|(kind, _)| *kind == wanted)
                 .map(|(_, text)| *text)
         };
-        let severity = of(b'S').unwrap_or(if message.kind == b'E' {
+        let severity = field_text(b'S').unwrap_or(if message.kind == b'E' {
             b"ERROR"
         } else {
             b"NOTICE"
         });
-        let mut text = [severity, b":  ", of(b'M').unwrap_or_default(), b"\n"].concat();
+        let message_text = field_text(b'M').unwrap_or_default();
+        let mut text = [severity, b":  ", message_text, b"\n"].concat();
         for (kind, name) in [(b'D', "DETAIL"), (b'H', "HINT")] {
-            if let Some(more) = of(kind) {
-                text.extend_from_slice(&[name.as_bytes(), b":  ", more, b"\n"].concat());
+            if let Some(value) = field_text(kind) {
+                text.extend_from_slice(&[name.as_bytes(), b":  ", value, b"\n"].concat());
             }
         }
         out.push(message.kind);
@@ -215,7 +226,7 @@
         Ok(())
     }
 
-    /// Appends an error that the router words itself. `detail`: when to come back, in milliseconds.
+    /// Appends an error of the router's own. `detail` is the time in milliseconds after which the client may retry.
     pub fn put_error(
         &self,
         fatal: bool,
@@ -227,9 +238,9 @@
         if self.version != Version::V2 {
             return messages::put_error(out, fatal, code, text, detail);
         }
-        // 2.0 has no codes: what a program must know stands in the text.
+        // Version 2.0 has no field for the code or the time, so both are written into the text.
         let severity = if fatal { "FATAL" } else { "ERROR" };
-        let again = match (code, detail) {
+        let hint = match (code, detail) {
             (code::TOO_MANY_CONNECTIONS | code::CANNOT_CONNECT_NOW, Some(wait)) => {
                 format!("HINT:  Try again after {wait} ms.\n")
             }
@@ -241,11 +252,11 @@
         out.push(b'E');
         put_text(
             out,
-            format!("{severity}:  {text} ({code})\n{again}").as_bytes(),
+            format!("{severity}:  {text} ({code})\n{hint}").as_bytes(),
         );
     }
 
-    /// Appends ReadyForQuery.
+    /// Appends ReadyForQuery, outside a transaction.
     pub fn put_ready(&self, out: &mut Vec<u8>) {
         match self.version {
             Version::V2 => out.push(b'Z'),
@@ -253,7 +264,7 @@
         }
     }
 
-    /// Appends the answer to an empty query.
+    /// Appends EmptyQueryResponse.
     pub fn put_empty_query_response(&self, out: &mut Vec<u8>) {
         match self.version {
             Version::V2 => out.extend_from_slice(b"I\0"),
@@ -261,7 +272,7 @@
         }
     }
 
-    /// Appends the completion of a command that the router answers itself.
+    /// Appends CommandComplete for a command that the router answers itself.
     pub fn put_complete(&self, tag: &str, out: &mut Vec<u8>) {
         match self.version {
             Version::V2 => {
@@ -272,38 +283,38 @@
         }
     }
 
-    /// Appends what a setting is now; 2.0 has no word for it.
+    /// Appends ParameterStatus for a setting; version 2.0 has no such message, so nothing is appended.
     pub fn put_status(&self, name: &str, value: &str, out: &mut Vec<u8>) {
         if self.version != Version::V2 {
             messages::put_status(out, name, value);
         }
     }
 
-    /// Appends what a client is greeted with once it is in.
+    /// Appends the greeting after a successful login: parameters, cancel key and ReadyForQuery.
     pub fn put_greeting(
         &self,
         parameters: &[(String, String)],
         key: Option<&CancelKey>,
         out: &mut Vec<u8>,
     ) {
-        let none = CancelKey {
+        let no_key = CancelKey {
             id: 0,
             secret: vec![0; 4],
         };
-        let key = key.unwrap_or(&none);
-        let mut id = key.id.to_be_bytes().to_vec();
-        id.extend_from_slice(&key.secret);
+        let key = key.unwrap_or(&no_key);
+        let mut key_bytes = key.id.to_be_bytes().to_vec();
+        key_bytes.extend_from_slice(&key.secret);
         match self.version {
             Version::V2 => {
                 out.extend_from_slice(b"R\0\0\0\0K");
-                out.extend_from_slice(&id);
+                out.extend_from_slice(&key_bytes);
             }
             _ => {
                 put(out, b'R', |out| out.extend_from_slice(&[0; 4]));
                 parameters
                     .iter()
                     .for_each(|(name, value)| messages::put_status(out, name, value));
-                put(out, b'K', |out| out.extend_from_slice(&id));
+                put(out, b'K', |out| out.extend_from_slice(&key_bytes));
             }
         }
         self.put_ready(out);
--- a/pgwire/src/error.rs
+++ b/pgwire/src/error.rs
@@ -1,36 +1,36 @@
-//! What is wrong with what operators say of logins. Nothing here repeats what may be a password.
+//! Errors in the operators' settings for logins. No error text repeats input that may be a password.
 
 use crate::verifier::MAX_USERS;
 
-/// What is wrong with a file of users, or with the limit on logins that fail.
+/// An error in a credentials file, or in the limits on failed logins.
 #[derive(
     Clone, Debug, PartialEq, Eq, thiserror::Error, strum::IntoStaticStr, strum::VariantNames,
 )]
 pub enum Error {
-    /// A line that is no user and verifier.
+    /// A line does not consist of a user and a verifier.
     #[error("line {0}: expected a user and a verifier")]
     NoPair(usize),
-    /// What stands after the user is no verifier.
+    /// The text after the user is not a verifier.
     #[error("line {0}: expected md5... or SCRAM-SHA-256$...; passwords are not kept in plain text")]
     NoVerifier(usize),
-    /// A user for the second time.
+    /// A user is listed for the second time.
     #[error("line {0}: this user stands here twice")]
     Twice(usize),
-    /// The file holds more users than may be.
+    /// The file lists more users than [`MAX_USERS`].
     #[error("line {0}: more users than a file may hold ({MAX_USERS})")]
     TooMany(usize),
-    /// A limit out of its bounds.
+    /// A limit is out of its bounds.
     #[error("{key}: expected {want}")]
     Limit {
-        /// Its key.
+        /// The key of the setting.
         key: &'static str,
-        /// Its bounds.
+        /// The bounds of the setting.
         want: &'static str,
     },
 }
 
 impl Error {
-    /// What an operator can do.
+    /// Returns what an operator can do about the error.
     pub fn help(&self) -> &'static str {
         match self {
             Error::NoPair(_) => {
--- a/pgwire/src/lib.rs
+++ b/pgwire/src/lib.rs
@@ -1,22 +1,23 @@
-//! The PostgreSQL wire protocol in the versions that plovercove meets: 2.0 and 3.0 of old clients, 3.0 and 3.2 of servers.
+//! The PostgreSQL wire protocol in the versions that plovercove supports: 2.0, 3.0 and 3.2 with clients, 3.0 and 3.2 with
+//! servers.
 //!
-//! Everything here is a state machine without I/O or a clock: bytes go in, bytes and decisions come out. Fronts and
-//! upstreams of the router own the sockets, the deadlines and the budget of bytes.
+//! All modules are state machines without I/O or a clock: they consume bytes and return bytes and decisions. The router's
+//! modules `front` and `upstream` own the sockets, the deadlines and the memory budget.
 //!
-//! | module | what it decides |
+//! | module | purpose |
 //! | --- | --- |
-//! | [`catalogue`] | what becomes of every message that either side can send, and why |
-//! | [`startup`] | how a client comes in: version, user, proof of who it is |
-//! | [`verifier`] | what is kept to check clients by; never a password |
-//! | [`login_rate_limit`] | who may try to log in again, and when |
-//! | [`messages`] | framing of messages, and the words that both sides use |
-//! | [`login`] | how the router itself logs in to a server |
-//! | [`reply`] | whether a server's reply has the order and form that it must, and what it says became of the request |
-//! | [`encoder`] | the words of a reply, an error or a greeting in a client's version |
+//! | [`catalogue`] | what the router does with every message that a client or a server can send, and why |
+//! | [`startup`] | startup and login of a client: version, user, authentication |
+//! | [`verifier`] | MD5 and SCRAM verifiers by which clients are authenticated; passwords are never stored |
+//! | [`login_rate_limit`] | which addresses and users may try to log in again, and when |
+//! | [`messages`] | framing and parsing of messages, error codes |
+//! | [`login`] | login of the router at a server |
+//! | [`reply`] | checks a server's reply for order and form, and derives the outcome of the request from it |
+//! | [`encoder`] | encodes replies, errors and greetings in a client's version |
 //! | [`values`] | values whose text differs between versions: bytea, dates |
-//! | [`session`] | which settings the router keeps for a client, since servers' connections are shared |
-//! | [`cancel`] | the router's own cancel keys |
-//! | [`statement`] | whether a statement without labels reads or writes, or needs a session of its own |
+//! | [`session`] | settings that the router keeps for each client, since connections to servers are shared |
+//! | [`cancel`] | cancel keys that the router issues |
+//! | [`statement`] | whether a statement without labels reads, writes, or needs an exclusive server session |
 
 pub mod cancel;
 pub mod catalogue;
@@ -35,22 +36,22 @@
 pub use error::Error;
 use serde::{Deserialize, Serialize};
 
-/// A version of the protocol, as the first packet of a session names it.
+/// A version of the protocol, which a client requests in its first packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Version {
-    /// 2.0: PostgreSQL 6.4 to 7.3. Messages without lengths, errors as one text.
+    /// Version 2.0, of PostgreSQL 6.4 to 7.3. Messages have no length field, and an error is a single text.
     #[serde(rename = "2.0")]
     V2,
-    /// 3.0: PostgreSQL 7.4 and later.
+    /// Version 3.0, of PostgreSQL 7.4 and later.
     #[serde(rename = "3.0")]
     V30,
-    /// 3.2: PostgreSQL 18. Secret keys of up to 256 bytes.
+    /// Version 3.2, of PostgreSQL 18. Secret keys have up to 256 bytes.
     #[serde(rename = "3.2")]
     V32,
 }
 
 impl Version {
-    /// As people write it.
+    /// Returns the version as text, such as `3.0`.
     pub fn name(self) -> &'static str {
         match self {
             Version::V2 => "2.0",
@@ -59,7 +60,7 @@
         }
     }
 
-    /// As the first packet writes it: the major number in the high half, the minor one in the low.
+    /// Returns the number in the first packet: the major version in the upper 16 bits, the minor version in the lower.
     pub fn protocol_number(self) -> u32 {
         match self {
             Version::V2 => 2 << 16,
@@ -69,17 +70,17 @@
     }
 }
 
-/// Why a session or a request cannot go on: what the other side is told.
+/// An error that is sent to the client, and ends its request or its session.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SqlError {
     /// The SQLSTATE.
     pub code: &'static str,
-    /// The text; it holds no secret.
+    /// The error message. It never contains a secret.
     pub text: String,
 }
 
 impl SqlError {
-    /// A fault with this code and text.
+    /// Returns an error with this code and text.
     pub fn new(code: &'static str, text: impl Into<String>) -> Self {
         SqlError {
             code,
@@ -89,8 +90,8 @@
 }
 
 impl std::fmt::Display for SqlError {
-    fn fmt(&self, to: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(to, "{} ({})", self.text, self.code)
+    fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        write!(formatter, "{} ({})", self.text, self.code)
     }
 }
 
--- a/pgwire/src/login.rs
+++ b/pgwire/src/login.rs
@@ -1,34 +1,36 @@
-//! How the router logs in to a server.
+//! Login of the router at a server.
 
 use crate::Version;
-use crate::messages::{self, Fields, Malformed, Message, put, put_packet, put_text};
+use crate::messages::{
+    self, CANCEL_REQUEST, Fields, Malformed, Message, auth, put, put_packet, put_text,
+};
 use postgres_protocol::authentication::md5_hash;
 use postgres_protocol::authentication::sasl::{ChannelBinding, SCRAM_SHA_256, ScramSha256};
 use std::fmt;
 
-/// Who the router is to its servers.
+/// The router's credentials at its servers.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Credentials {
     /// The user.
     pub user: String,
     /// The database.
     pub database: String,
-    /// The password, where there is one.
+    /// The password, if one is configured.
     pub password: Option<String>,
-    /// Whether it may go out in clear text.
+    /// Whether the password may be sent in clear text.
     pub may_send_clear_text: bool,
-    /// The newest version that is asked for.
+    /// The newest protocol version, which the router requests.
     pub version: Version,
-    /// Every server lets it in, as on the platform: what one says of the login is not looked at, and where something of
-    /// that was spoilt on its way the connection is as good as before.
+    /// Whether the router ignores what a server sends during the login, because every server accepts it, as on the
+    /// platform. Then corrupted login messages do no harm to the connection.
     pub skip_authentication: bool,
 }
 
-/// It shows no password.
+/// Prints the credentials without the password.
 impl fmt::Debug for Credentials {
-    fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
-            to,
+            formatter,
             "{} at {} over {}",
             self.user,
             self.database,
@@ -37,24 +39,24 @@
     }
 }
 
-/// Why a login fails.
+/// The reason why a login fails.
 #[derive(
     Clone, Debug, PartialEq, Eq, thiserror::Error, strum::IntoStaticStr, strum::VariantNames,
 )]
 pub enum LoginError {
-    /// The server said so, with this code.
+    /// The server rejected the login with this SQLSTATE.
     #[error("the server refused the login with {0}")]
     Server(String),
-    /// Neither side can do what the other wants; the text names both.
+    /// The router and the server have no authentication method in common; the text names the methods of both.
     #[error("{0}")]
     CannotMeet(String),
-    /// It sent what no server sends here.
+    /// The server sent a message that the protocol does not allow here.
     #[error("the server does not log in as the protocol says")]
     Malformed,
 }
 
 impl LoginError {
-    /// What an operator can do.
+    /// Returns what an operator can do about the error.
     pub fn help(&self) -> &'static str {
         match self {
             LoginError::Server(_) => {
@@ -76,64 +78,77 @@
     }
 }
 
-enum Proof {
-    /// Nothing was asked for yet.
-    None,
-    Sent,
+/// State of the authentication.
+enum Authentication {
+    /// The server has not requested anything yet.
+    NotRequested,
+    /// The password has been sent, in clear text or as MD5 hash.
+    PasswordSent,
+    /// A SCRAM exchange is in progress.
     Scram(Box<ScramSha256>),
-    /// The server has proved itself, or did not have to.
-    Done,
-    In,
+    /// The SCRAM exchange has ended, and the server has proved that it knows the verifier.
+    ServerVerified,
+    /// The server has accepted the login.
+    Accepted,
 }
 
-/// One login under way.
+/// A login in progress.
 pub struct Login {
-    proof: Proof,
-    /// What a cancel request for this connection must show.
-    key: Option<(u32, Vec<u8>)>,
+    state: Authentication,
+    /// Process id and secret that a cancel request for this connection has to contain.
+    cancel_key: Option<(u32, Vec<u8>)>,
     version: Version,
 }
 
 impl Login {
-    /// Begins one: the first packet.
-    pub fn start(who: &Credentials, out: &mut Vec<u8>) -> Self {
+    /// Starts a login: appends the startup packet.
+    pub fn start(credentials: &Credentials, out: &mut Vec<u8>) -> Self {
         put_packet(out, |out| {
-            out.extend_from_slice(&who.version.protocol_number().to_be_bytes());
-            for text in ["user", &who.user, "database", &who.database, ""] {
+            out.extend_from_slice(&credentials.version.protocol_number().to_be_bytes());
+            for text in [
+                "user",
+                &credentials.user,
+                "database",
+                &credentials.database,
+                "",
+            ] {
                 put_text(out, text.as_bytes());
             }
         });
         Login {
-            proof: Proof::None,
-            key: None,
-            version: who.version,
+            state: Authentication::NotRequested,
+            cancel_key: None,
+            version: credentials.version,
         }
     }
 
-    /// The version that is spoken after all.
+    /// Returns the negotiated protocol version.
     pub fn version(&self) -> Version {
         self.version
     }
 
-    /// The server's number and secret for cancels.
+    /// Returns the process id and secret for cancel requests, if the server has sent them.
     pub fn cancel_key(&self) -> Option<&(u32, Vec<u8>)> {
-        self.key.as_ref()
+        self.cancel_key.as_ref()
     }
 
-    /// Reads one message; true once the server is ready for a query.
+    /// Reads one message of the server and appends what has to be sent in reply. Returns true once the server is ready for
+    /// a query.
     ///
     /// # Errors
-    /// The connection is no good.
+    /// Returns the reason why the login has failed; the connection has to be closed.
     pub fn read_message(
         &mut self,
-        who: &Credentials,
+        credentials: &Credentials,
         message: &Message<'_>,
         out: &mut Vec<u8>,
     ) -> Result<bool, LoginError> {
         let mut fields = Fields(message.body);
         match message.kind {
-            b'R' | b'K' | b'v' | b'S' if who.skip_authentication => self.proof = Proof::In,
-            b'R' => self.asked(who, fields.uint32()?, fields, out)?,
+            b'R' | b'K' | b'v' | b'S' if credentials.skip_authentication => {
+                self.state = Authentication::Accepted
+            }
+            b'R' => self.read_authentication_request(credentials, fields.uint32()?, fields, out)?,
             b'v' => {
                 let minor = fields.uint32()? & 0xffff;
                 let version = if minor >= 2 {
@@ -148,11 +163,11 @@
             }
             b'K' => {
                 let id = fields.uint32()?;
-                let most = if self.version >= Version::V32 { 256 } else { 4 };
-                if !(4..=most).contains(&fields.0.len()) {
+                let max_secret_bytes = if self.version >= Version::V32 { 256 } else { 4 };
+                if !(4..=max_secret_bytes).contains(&fields.0.len()) {
                     return Err(LoginError::Malformed);
                 }
-                self.key = Some((id, fields.0.to_vec()));
+                self.cancel_key = Some((id, fields.0.to_vec()));
             }
             b'S' => drop(messages::parse_status(message.body)?),
             b'N' => {}
@@ -163,7 +178,8 @@
                         .to_string(),
                 ));
             }
-            b'Z' if (who.skip_authentication || matches!(self.proof, Proof::In))
+            b'Z' if (credentials.skip_authentication
+                || matches!(self.state, Authentication::Accepted))
                 && message.body == b"I" =>
             {
                 return Ok(true);
@@ -173,42 +189,54 @@
         Ok(false)
     }
 
-    fn asked(
+    fn read_authentication_request(
         &mut self,
-        who: &Credentials,
-        what: u32,
+        credentials: &Credentials,
+        method_code: u32,
         mut fields: Fields<'_>,
         out: &mut Vec<u8>,
     ) -> Result<(), LoginError> {
         let password = || {
-            let none = || {
+            let no_password = || {
                 LoginError::CannotMeet(
                     "the server asks for a password, and the operators' file names none".into(),
                 )
             };
-            who.password.as_deref().ok_or_else(none)
+            credentials.password.as_deref().ok_or_else(no_password)
         };
-        let say = |out: &mut Vec<u8>, text: &[u8]| put(out, b'p', |out| put_text(out, text));
-        match (what, std::mem::replace(&mut self.proof, Proof::None)) {
-            // Danger: whoever stands in the server's place could let everyone in. One that began SCRAM must end it.
-            (0, Proof::None | Proof::Sent | Proof::Done) => self.proof = Proof::In,
-            (3, Proof::None) if !who.may_send_clear_text => {
+        let put_password_message =
+            |out: &mut Vec<u8>, text: &[u8]| put(out, b'p', |out| put_text(out, text));
+        match (
+            method_code,
+            std::mem::replace(&mut self.state, Authentication::NotRequested),
+        ) {
+            // A server that has started SCRAM must complete it. Otherwise an impostor could skip its own proof by simply
+            // accepting the login, and would receive the router's statements.
+            (
+                auth::OK,
+                Authentication::NotRequested
+                | Authentication::PasswordSent
+                | Authentication::ServerVerified,
+            ) => self.state = Authentication::Accepted,
+            (auth::CLEARTEXT_PASSWORD, Authentication::NotRequested)
+                if !credentials.may_send_clear_text =>
+            {
                 let text = "the server asks for the password in clear text, and the operators' file does not allow it";
                 return Err(LoginError::CannotMeet(text.into()));
             }
-            (3, Proof::None) => {
-                say(out, password()?.as_bytes());
-                self.proof = Proof::Sent;
+            (auth::CLEARTEXT_PASSWORD, Authentication::NotRequested) => {
+                put_password_message(out, password()?.as_bytes());
+                self.state = Authentication::PasswordSent;
             }
-            (5, Proof::None) => {
+            (auth::MD5_PASSWORD, Authentication::NotRequested) => {
                 let salt = fields.take(4)?.try_into().map_err(|_| Malformed)?;
-                say(
+                put_password_message(
                     out,
-                    md5_hash(who.user.as_bytes(), password()?.as_bytes(), salt).as_bytes(),
+                    md5_hash(credentials.user.as_bytes(), password()?.as_bytes(), salt).as_bytes(),
                 );
-                self.proof = Proof::Sent;
+                self.state = Authentication::PasswordSent;
             }
-            (10, Proof::None) => {
+            (auth::SASL, Authentication::NotRequested) => {
                 let mut methods = Vec::new();
                 loop {
                     match fields.utf8()? {
@@ -229,21 +257,25 @@
                     out.extend_from_slice(&(scram.message().len() as u32).to_be_bytes());
                     out.extend_from_slice(scram.message());
                 });
-                self.proof = Proof::Scram(Box::new(scram));
+                self.state = Authentication::Scram(Box::new(scram));
             }
-            (11, Proof::Scram(mut scram)) => {
+            (auth::SASL_CONTINUE, Authentication::Scram(mut scram)) => {
                 scram.update(fields.0).map_err(|_| Malformed)?;
                 put(out, b'p', |out| out.extend_from_slice(scram.message()));
-                self.proof = Proof::Scram(scram);
+                self.state = Authentication::Scram(scram);
             }
-            (12, Proof::Scram(mut scram)) => {
+            (auth::SASL_FINAL, Authentication::Scram(mut scram)) => {
                 scram.finish(fields.0).map_err(|_| Malformed)?;
-                self.proof = Proof::Done;
+                self.state = Authentication::ServerVerified;
             }
-            (2 | 7 | 9, Proof::None) => {
-                let name = [(2, "Kerberos"), (7, "GSSAPI"), (9, "SSPI")]
-                    .iter()
-                    .find(|(n, _)| *n == what);
+            (auth::KERBEROS_V5 | auth::GSS | auth::SSPI, Authentication::NotRequested) => {
+                let name = [
+                    (auth::KERBEROS_V5, "Kerberos"),
+                    (auth::GSS, "GSSAPI"),
+                    (auth::SSPI, "SSPI"),
+                ]
+                .iter()
+                .find(|(code, _)| *code == method_code);
                 let name = name.map_or("", |(_, name)| name);
                 let text = format!(
                     "the server takes {name}, and the router trust, password, md5 and {SCRAM_SHA_256}"
@@ -256,10 +288,10 @@
     }
 }
 
-/// Appends the packet that asks a server to stop what a connection does.
+/// Appends a CancelRequest, which asks a server to cancel the running statement of a connection.
 pub fn put_cancel(out: &mut Vec<u8>, (id, secret): &(u32, Vec<u8>)) {
     put_packet(out, |out| {
-        out.extend_from_slice(&80_877_102u32.to_be_bytes());
+        out.extend_from_slice(&CANCEL_REQUEST.to_be_bytes());
         out.extend_from_slice(&id.to_be_bytes());
         out.extend_from_slice(secret);
     });
--- a/pgwire/src/messages.rs
+++ b/pgwire/src/messages.rs
@@ -1,54 +1,82 @@
-//! Framing: messages of version 3, packets without a kind, and the texts and numbers within them.
+//! Framing and parsing of messages of version 3 and of packets without a type byte, and the error codes in them.
+
+/// First number of a CancelRequest, in place of the protocol version.
+pub const CANCEL_REQUEST: u32 = 80_877_102;
+
+/// Codes of authentication requests, the first field of a message of type `R`.
+pub mod auth {
+    /// AuthenticationOk
+    pub const OK: u32 = 0;
+    /// AuthenticationKerberosV5
+    pub const KERBEROS_V5: u32 = 2;
+    /// AuthenticationCleartextPassword
+    pub const CLEARTEXT_PASSWORD: u32 = 3;
+    /// AuthenticationMD5Password
+    pub const MD5_PASSWORD: u32 = 5;
+    /// AuthenticationGSS
+    pub const GSS: u32 = 7;
+    /// AuthenticationSSPI
+    pub const SSPI: u32 = 9;
+    /// AuthenticationSASL
+    pub const SASL: u32 = 10;
+    /// AuthenticationSASLContinue
+    pub const SASL_CONTINUE: u32 = 11;
+    /// AuthenticationSASLFinal
+    pub const SASL_FINAL: u32 = 12;
+}
 
-/// Codes of errors that the router words or reads.
+/// SQLSTATE codes that the router sends or interprets.
 pub mod code {
-    /// Turned away, harmless to repeat.
+    /// The request was rejected for lack of capacity without any effect; repeating it is safe.
     pub const TOO_MANY_CONNECTIONS: &str = "53300";
-    /// Not able to take it just now, harmless to repeat.
+    /// The request cannot be accepted at the moment and had no effect; repeating it is safe.
     pub const CANNOT_CONNECT_NOW: &str = "57P03";
-    /// A message that breaks the protocol.
+    /// A message violates the protocol.
     pub const PROTOCOL_VIOLATION: &str = "08P01";
-    /// The outcome is unknown.
+    /// The outcome of the request is unknown.
     pub const UNKNOWN_OUTCOME: &str = "08007";
-    /// A name that does not exist.
+    /// A class or tenant of this name does not exist.
     pub const UNDEFINED_OBJECT: &str = "42704";
-    /// Not spoken here.
+    /// The router does not support this feature of the protocol.
     pub const FEATURE_NOT_SUPPORTED: &str = "0A000";
-    /// A write at a db node that is no primary.
+    /// A write was sent to a db node that is not the primary.
     pub const READ_ONLY_TRANSACTION: &str = "25006";
-    /// A read at a db node that is too far behind.
+    /// A read was sent to a db node whose position is too old.
     pub const SNAPSHOT_TOO_OLD: &str = "72000";
-    /// Cancelled because someone asked for it.
+    /// The request was cancelled by a cancel request.
     pub const QUERY_CANCELED: &str = "57014";
-    /// The proof of who it is was wrong.
+    /// The authentication failed: the password or the proof is wrong, or the user does not exist.
     pub const INVALID_PASSWORD: &str = "28P01";
-    /// Not let in.
+    /// The login was rejected before any authentication.
     pub const INVALID_AUTHORIZATION: &str = "28000";
-    /// A text that the client's encoding or version cannot hold.
+    /// A setting has an invalid value.
+    pub const INVALID_PARAMETER_VALUE: &str = "22023";
+    /// The answer cannot be expressed in the client's protocol version.
     pub const UNTRANSLATABLE_CHARACTER: &str = "22P05";
 }
 
-/// Framing that cannot be followed any further.
+/// The bytes violate the format of the message, so that nothing after them can be parsed either.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Malformed;
 
-/// One message, without its length.
+/// One message of version 3.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Message<'a> {
-    /// Its kind.
+    /// The type byte.
     pub kind: u8,
-    /// What follows the length.
+    /// The bytes after the length field.
     pub body: &'a [u8],
-    /// The whole of it, as it came.
+    /// The complete message with type byte and length field, as received.
     pub raw: &'a [u8],
 }
 
-/// The message at the front of some bytes, if it is whole. One longer than `most` is malformed.
-pub fn parse_message(bytes: &[u8], most: usize) -> Result<Option<Message<'_>>, Malformed> {
+/// Parses the message at the front of `bytes`. Returns `None` if it is not complete yet. A message whose length field
+/// exceeds `max_length` is malformed.
+pub fn parse_message(bytes: &[u8], max_length: usize) -> Result<Option<Message<'_>>, Malformed> {
     let Some((&kind, rest)) = bytes.split_first() else {
         return Ok(None);
     };
-    let Some(length) = length(rest, most)? else {
+    let Some(length) = length(rest, max_length)? else {
         return Ok(None);
     };
     let raw = bytes.get(..length + 1);
@@ -59,27 +87,28 @@
     }))
 }
 
-/// The packet without a kind at the front of some bytes, its length taken off, if it is whole; and how long all of it is.
-pub fn parse_packet(bytes: &[u8], most: usize) -> Result<Option<(&[u8], usize)>, Malformed> {
-    let Some(length) = length(bytes, most)? else {
+/// Parses the packet without a type byte at the front of `bytes`. Returns its body and the length of the complete packet,
+/// or `None` if it is not complete yet.
+pub fn parse_packet(bytes: &[u8], max_length: usize) -> Result<Option<(&[u8], usize)>, Malformed> {
+    let Some(length) = length(bytes, max_length)? else {
         return Ok(None);
     };
     Ok(bytes.get(4..length).map(|body| (body, length)))
 }
 
-fn length(bytes: &[u8], most: usize) -> Result<Option<usize>, Malformed> {
+fn length(bytes: &[u8], max_length: usize) -> Result<Option<usize>, Malformed> {
     let Some(field) = bytes.first_chunk::<4>() else {
         return Ok(None);
     };
     let length = u32::from_be_bytes(*field) as usize;
-    if (4..=most).contains(&length) {
+    if (4..=max_length).contains(&length) {
         Ok(Some(length))
     } else {
         Err(Malformed)
     }
 }
 
-/// The messages of some bytes that hold nothing but whole ones; it ends at the first that is not.
+/// Iterates over the messages in `bytes`; it ends at the first one that is incomplete or malformed.
 pub fn split(mut bytes: &[u8]) -> impl Iterator<Item = Message<'_>> {
     std::iter::from_fn(move || {
         let next = parse_message(bytes, usize::MAX >> 1).ok()??;
@@ -88,12 +117,12 @@
     })
 }
 
-/// Reads numbers and texts off the front of a body; whatever is missing is malformed.
+/// Reads numbers and texts from the front of a message body. A missing field is an error.
 #[derive(Clone, Copy, Debug)]
 pub struct Fields<'a>(pub &'a [u8]);
 
 impl<'a> Fields<'a> {
-    /// So many bytes.
+    /// Reads `count` bytes.
     pub fn take(&mut self, count: usize) -> Result<&'a [u8], Malformed> {
         let (taken, rest) = self.0.split_at_checked(count).ok_or(Malformed)?;
         self.0 = rest;
@@ -106,27 +135,27 @@
         Ok(*taken)
     }
 
-    /// One byte.
+    /// Reads one byte.
     pub fn byte(&mut self) -> Result<u8, Malformed> {
         self.chunk::<1>().map(|[byte]| byte)
     }
 
-    /// A number of 16 bits.
+    /// Reads a signed number of 16 bits.
     pub fn int16(&mut self) -> Result<i16, Malformed> {
         self.chunk().map(i16::from_be_bytes)
     }
 
-    /// A number of 32 bits.
+    /// Reads a signed number of 32 bits.
     pub fn int32(&mut self) -> Result<i32, Malformed> {
         self.chunk().map(i32::from_be_bytes)
     }
 
-    /// A number of 32 bits without sign.
+    /// Reads an unsigned number of 32 bits.
     pub fn uint32(&mut self) -> Result<u32, Malformed> {
         self.chunk().map(u32::from_be_bytes)
     }
 
-    /// A text up to its zero byte, which is taken too.
+    /// Reads a text and the zero byte that ends it; returns the text without the zero byte.
     pub fn text(&mut self) -> Result<&'a [u8], Malformed> {
         let end = self.0.iter().position(|byte| *byte == 0).ok_or(Malformed)?;
         let text = self.take(end)?;
@@ -134,12 +163,12 @@
         Ok(text)
     }
 
-    /// A text that must be UTF-8.
+    /// Reads a text that must be UTF-8.
     pub fn utf8(&mut self) -> Result<&'a str, Malformed> {
         std::str::from_utf8(self.text()?).map_err(|_| Malformed)
     }
 
-    /// A value with its length before it; none for NULL.
+    /// Reads a value that is preceded by its length. Returns `None` for NULL, whose length is -1.
     pub fn value(&mut self) -> Result<Option<&'a [u8]>, Malformed> {
         match self.int32()? {
             -1 => Ok(None),
@@ -150,7 +179,7 @@
         }
     }
 
-    /// Nothing may be left.
+    /// Returns an error if any bytes are left.
     pub fn end(self) -> Result<(), Malformed> {
         if self.0.is_empty() {
             Ok(())
@@ -160,13 +189,13 @@
     }
 }
 
-/// Appends a message whose body is written by a closure.
+/// Appends a message of this type, whose body the closure writes.
 pub fn put(out: &mut Vec<u8>, kind: u8, body: impl FnOnce(&mut Vec<u8>)) {
     out.push(kind);
     put_packet(out, body);
 }
 
-/// Appends a packet without a kind.
+/// Appends a packet without a type byte, whose body the closure writes.
 pub fn put_packet(out: &mut Vec<u8>, body: impl FnOnce(&mut Vec<u8>)) {
     let start = out.len();
     out.extend_from_slice(&[0; 4]);
@@ -204,7 +233,7 @@
     });
 }
 
-/// Appends ErrorResponse.
+/// Appends ErrorResponse. `detail` becomes the field DETAIL: the time in milliseconds after which the client may retry.
 pub fn put_error(out: &mut Vec<u8>, fatal: bool, code: &str, text: &str, detail: Option<u64>) {
     let severity = if fatal { "FATAL" } else { "ERROR" };
     put(out, b'E', |out| {
@@ -225,7 +254,7 @@
     });
 }
 
-/// The code of an ErrorResponse; none where it is not the list of fields that it should be.
+/// Returns the SQLSTATE of an ErrorResponse, or `None` if the body is not a list of fields with a valid code.
 pub fn parse_error_code(body: &[u8]) -> Option<&str> {
     let mut fields = body.strip_suffix(&[0, 0])?.split(|byte| *byte == 0);
     let code = fields
@@ -236,81 +265,85 @@
         .filter(|code| code.bytes().all(|byte| byte.is_ascii_alphanumeric()))
 }
 
-/// The fields of an ErrorResponse or a notice: kind and text. Kinds that are not known are left to the caller.
+/// Returns the fields of an ErrorResponse or NoticeResponse as pairs of field type and text, unknown field types included.
 pub fn parse_error_fields(body: &[u8]) -> Result<Vec<(u8, &[u8])>, Malformed> {
-    let (mut fields, mut all) = (Fields(body), Vec::new());
+    let (mut fields, mut parsed) = (Fields(body), Vec::new());
     loop {
         match fields.byte()? {
-            0 => return fields.end().map(|()| all),
-            kind => all.push((kind, fields.text()?)),
+            0 => return fields.end().map(|()| parsed),
+            kind => parsed.push((kind, fields.text()?)),
         }
     }
 }
 
-/// The value of a DataRow of a single column.
+/// Returns the value of a DataRow with a single column, or `None` if the body is anything else or the value is NULL.
 pub fn parse_single_value(body: &[u8]) -> Option<&[u8]> {
     let (head, value) = body.split_first_chunk::<6>()?;
-    let [columns @ .., a, b, c, d] = *head;
+    let [column_count @ .., a, b, c, d] = *head;
     let length = usize::try_from(i32::from_be_bytes([a, b, c, d])).ok()?;
-    (columns == [0, 1] && value.len() == length).then_some(value)
+    (column_count == [0, 1] && value.len() == length).then_some(value)
 }
 
-/// A column as RowDescription tells it.
+/// A column of a RowDescription.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Column<'a> {
-    /// Its name.
+    /// The name of the column.
     pub name: &'a [u8],
-    /// The type's number.
-    pub kind: u32,
-    /// The type's size and modifier.
-    pub size: i16,
-    /// See `size`.
-    pub modifier: i32,
-    /// Whether values come in binary form.
+    /// The object id of the type.
+    pub type_oid: u32,
+    /// The size of the type.
+    pub type_size: i16,
+    /// The modifier of the type.
+    pub type_modifier: i32,
+    /// Whether values are in binary format.
     pub binary: bool,
 }
 
-/// The columns of a RowDescription.
+/// Parses the columns of a RowDescription.
 pub fn parse_columns(body: &[u8]) -> Result<Vec<Column<'_>>, Malformed> {
     let mut fields = Fields(body);
     let count = usize::try_from(fields.int16()?).map_err(|_| Malformed)?;
-    let mut all = Vec::with_capacity(count.min(body.len() / 19));
+    let mut parsed = Vec::with_capacity(count.min(body.len() / 19));
     for _ in 0..count {
         let name = fields.text()?;
         let (_table, _number) = (fields.int32()?, fields.int16()?);
-        let (kind, size, modifier) = (fields.uint32()?, fields.int16()?, fields.int32()?);
+        let (type_oid, type_size, type_modifier) =
+            (fields.uint32()?, fields.int16()?, fields.int32()?);
         let binary = match fields.int16()? {
             0 => false,
             1 => true,
             _ => return Err(Malformed),
         };
-        all.push(Column {
+        parsed.push(Column {
             name,
-            kind,
-            size,
-            modifier,
+            type_oid,
+            type_size,
+            type_modifier,
             binary,
         });
     }
-    fields.end().map(|()| all)
+    fields.end().map(|()| parsed)
 }
 
-/// The values of a DataRow.
+/// Parses the values of a DataRow.
 pub fn parse_row(body: &[u8]) -> Result<Vec<Option<&[u8]>>, Malformed> {
     let mut fields = Fields(body);
     let count = usize::try_from(fields.int16()?).map_err(|_| Malformed)?;
-    let mut all = Vec::with_capacity(count.min(body.len() / 4));
+    let mut parsed = Vec::with_capacity(count.min(body.len() / 4));
     for _ in 0..count {
-        all.push(fields.value()?);
+        parsed.push(fields.value()?);
     }
-    fields.end().map(|()| all)
+    fields.end().map(|()| parsed)
 }
 
-/// The length of a function call of version 2.0 after its kind, if it is whole: a text, a number, and arguments with their
-/// lengths before them.
-pub fn v2_function_call_length(bytes: &[u8], most: usize) -> Result<Option<usize>, Malformed> {
+/// Returns the length of a FunctionCall of version 2.0 without its type byte, or `None` if it is not complete yet. The
+/// message is a text, a number, and arguments that are each preceded by their length.
+pub fn v2_function_call_length(
+    bytes: &[u8],
+    max_length: usize,
+) -> Result<Option<usize>, Malformed> {
     let mut fields = Fields(bytes);
-    let mut whole = || -> Result<usize, Malformed> {
+    let mut parse = || -> Result<usize, Malformed> {
         fields.text()?;
         fields.take(4)?;
         for _ in 0..fields.int32()?.max(0) {
@@ -319,17 +352,17 @@
         }
         Ok(bytes.len() - fields.0.len())
     };
-    match whole() {
+    match parse() {
         Ok(length) => Ok(Some(length)),
-        // Too short so far; too long for good.
-        Err(Malformed) if bytes.len() <= most => Ok(None),
+        // The message may still be incomplete, unless more bytes than the longest message have been received.
+        Err(Malformed) if bytes.len() <= max_length => Ok(None),
         Err(Malformed) => Err(Malformed),
     }
 }
 
-/// ParameterStatus: two texts and nothing else.
+/// Parses ParameterStatus: a name, a value and nothing else.
 pub fn parse_status(body: &[u8]) -> Result<(&str, &str), Malformed> {
     let mut fields = Fields(body);
-    let told = (fields.utf8()?, fields.utf8()?);
-    fields.end().map(|()| told)
+    let parameter = (fields.utf8()?, fields.utf8()?);
+    fields.end().map(|()| parameter)
 }
--- a/pgwire/src/reply.rs
+++ b/pgwire/src/reply.rs
@@ -1,9 +1,10 @@
-//! A server's reply to one simple query: whether its messages have the order and form that they must, and what it says
-//! became of the request. What has the wrong order, length or form was spoilt on its way, and nothing that it says counts.
+//! Checks a server's reply to one simple query and derives the outcome of the request from it.
+//!
+//! A reply whose messages have a wrong order, length or form was corrupted on its way, and none of its contents is used.
 
 use crate::messages::{self, Message, code};
 
-/// It is no reply that a server makes.
+/// The reply is not one that a server sends; it was corrupted on its way.
 #[derive(Debug, PartialEq, Eq)]
 pub struct InvalidReply;
 
@@ -13,65 +14,74 @@
     }
 }
 
-/// What replies may look like.
+/// The allowed shape of a reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Shape {
-    /// The platform's: one row of one column, or an error.
+    /// One row with one column, or an error. The platform's db nodes reply like this.
     OneValue,
-    /// Whatever simple queries bring: any results, empty ones, copies out.
+    /// Any reply to a simple query: results of any size, several results, COPY TO STDOUT.
     Any,
 }
 
-/// A transaction was left open: no server worded that, so nothing is passed on.
-const LEFT_OPEN: &str = "25000";
+/// Code of an error that the router itself assigns to a reply after which a transaction is still open.
+const TRANSACTION_LEFT_OPEN: &str = "25000";
+/// Code of an error after which the outcome of the statement is unknown.
+const STATEMENT_COMPLETION_UNKNOWN: &str = "40003";
 
-/// How far it has come.
+/// The messages received so far.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 enum Stage {
     #[default]
     Start,
-    /// Described: so many columns, so many rows.
-    Rows(usize, usize),
+    /// A result has been described, with this number of columns, and this number of rows has followed.
+    Rows {
+        columns: usize,
+        rows: usize,
+    },
     CopyOut,
     CopyEnded,
-    /// The server was told to fail the copy, and says so next.
-    CopyRefused,
-    /// One result, or more, is complete; the last one with a row or without.
-    Complete(bool),
-    /// An error of that code; whether a result was complete before it.
-    Refused(String, bool),
+    /// The server waits for data to copy and is sent CopyFail; its error follows.
+    CopyRejected,
+    /// One or more results are complete.
+    Complete {
+        last_has_rows: bool,
+    },
+    /// The server sent an error with this code, first or after other messages of the reply.
+    Error {
+        code: String,
+        is_first: bool,
+    },
 }
 
-/// What is to be done with a message.
+/// What the caller has to do with a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MessageAction<'a> {
-    /// It belongs to what the client gets.
+    /// Append the message to the reply for the client.
     Keep,
-    /// It is no part of it.
+    /// Drop the message.
     Skip,
-    /// The server tells something of itself.
+    /// Evaluate a parameter of the server, given by name and value; the message is not part of the reply.
     ParameterStatus(&'a str, &'a str),
-    /// The server waits for data to copy: it must be told CopyFail.
+    /// Send CopyFail, because the server waits for data to copy.
     FailCopy,
 }
 
-/// What a reply says became of the request. See the protocol's table of outcomes.
+/// The outcome of a request according to its reply.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It ran, and here is its answer.
+    /// The statement ran, and the reply contains its answer.
     Served,
-    /// Turned away untouched: no primary, or too far behind.
+    /// The db node rejected the statement without any effect, because it is not the primary or its position is too old.
     Misdirected,
-    /// Turned away unseen.
+    /// The db node rejected the statement for lack of capacity, without any effect.
     Overloaded,
-    /// The server says that the statement itself is at fault and had no effect; that is its answer, and another server
-    /// would give the same.
+    /// The statement itself is wrong and had no effect. The error is the answer: another db node would return the same.
     StatementError,
-    /// An error, or no answer of use: it may have had an effect.
+    /// The reply is an error or unusable; the statement may have had an effect.
     Failed,
 }
 
-/// What has come of a reply.
+/// A reply that is being received.
 #[derive(Debug)]
 pub struct Reply {
     shape: Shape,
@@ -79,7 +89,7 @@
 }
 
 impl Reply {
-    /// A reply of which nothing has come.
+    /// Returns a reply of which no message has been received yet.
     pub fn new(shape: Shape) -> Self {
         Reply {
             shape,
@@ -87,98 +97,132 @@
         }
     }
 
-    /// Takes in what follows: any message but ReadyForQuery.
+    /// Reads the next message, which may be any but ReadyForQuery.
     ///
     /// # Errors
-    /// It cannot follow what came before, or has not the form that it must have.
+    /// Returns an error if the message cannot follow the previous ones, or is malformed.
     pub fn read_message<'a>(
         &mut self,
         message: &Message<'a>,
     ) -> Result<MessageAction<'a>, InvalidReply> {
-        let any = self.shape == Shape::Any;
+        let is_any = self.shape == Shape::Any;
         let body = message.body;
         let next = match (&self.stage, message.kind) {
             (_, b'N') => {
-                return Ok(if any {
+                return Ok(if is_any {
                     MessageAction::Keep
                 } else {
                     MessageAction::Skip
                 });
             }
-            (_, b'A') if any => return Ok(MessageAction::Skip),
+            (_, b'A') if is_any => return Ok(MessageAction::Skip),
             (_, b'S') => {
                 return Ok(messages::parse_status(body)
                     .map(|(name, value)| MessageAction::ParameterStatus(name, value))?);
             }
-            (Stage::Start, b'T') if !any && describes_one_column(body) => Stage::Rows(1, 0),
-            (Stage::Rows(..), b'D') if !any && self.stage != Stage::Rows(1, 0) => {
+            (Stage::Start, b'T') if !is_any && describes_one_column(body) => Stage::Rows {
+                columns: 1,
+                rows: 0,
+            },
+            (Stage::Rows { .. }, b'D')
+                if !is_any
+                    && self.stage
+                        != Stage::Rows {
+                            columns: 1,
+                            rows: 0,
+                        } =>
+            {
                 return Err(InvalidReply);
             }
-            (Stage::Rows(1, 0), b'D') if !any => {
+            (
+                Stage::Rows {
+                    columns: 1,
+                    rows: 0,
+                },
+                b'D',
+            ) if !is_any => {
                 messages::parse_single_value(body).ok_or(InvalidReply)?;
-                Stage::Rows(1, 1)
-            }
-            (Stage::Start | Stage::Complete(_), b'T') if any => {
-                Stage::Rows(messages::parse_columns(body)?.len(), 0)
+                Stage::Rows {
+                    columns: 1,
+                    rows: 1,
+                }
             }
-            (Stage::Rows(columns, rows), b'D') => {
+            (Stage::Start | Stage::Complete { .. }, b'T') if is_any => Stage::Rows {
+                columns: messages::parse_columns(body)?.len(),
+                rows: 0,
+            },
+            (Stage::Rows { columns, rows }, b'D') => {
                 if messages::parse_row(body)?.len() != *columns {
                     return Err(InvalidReply);
                 }
-                Stage::Rows(*columns, rows + 1)
+                Stage::Rows {
+                    columns: *columns,
+                    rows: rows + 1,
+                }
             }
-            (Stage::Rows(_, rows), b'C') if is_tag(body) => Stage::Complete(*rows > 0),
-            (Stage::Start, b'C') if is_tag(body) => Stage::Complete(false),
-            (Stage::Complete(_) | Stage::CopyEnded, b'C') if any && is_tag(body) => {
-                Stage::Complete(true)
+            (Stage::Rows { rows, .. }, b'C') if is_tag(body) => Stage::Complete {
+                last_has_rows: *rows > 0,
+            },
+            (Stage::Start, b'C') if is_tag(body) => Stage::Complete {
+                last_has_rows: false,
+            },
+            (Stage::Complete { .. } | Stage::CopyEnded, b'C') if is_any && is_tag(body) => {
+                Stage::Complete {
+                    last_has_rows: true,
+                }
             }
-            (Stage::Start | Stage::Complete(_), b'I') if any && body.is_empty() => {
-                Stage::Complete(false)
+            (Stage::Start | Stage::Complete { .. }, b'I') if is_any && body.is_empty() => {
+                Stage::Complete {
+                    last_has_rows: false,
+                }
             }
-            (Stage::Start | Stage::Complete(_), b'H') if any => Stage::CopyOut,
+            (Stage::Start | Stage::Complete { .. }, b'H') if is_any => Stage::CopyOut,
             (Stage::CopyOut, b'd') => Stage::CopyOut,
             (Stage::CopyOut, b'c') if body.is_empty() => Stage::CopyEnded,
-            (Stage::Start | Stage::Complete(_), b'G') if any => {
-                self.stage = Stage::CopyRefused;
+            (Stage::Start | Stage::Complete { .. }, b'G') if is_any => {
+                self.stage = Stage::CopyRejected;
                 return Ok(MessageAction::FailCopy);
             }
-            (Stage::Start, b'E') => Stage::Refused(
-                messages::parse_error_code(body)
+            (Stage::Start, b'E') => Stage::Error {
+                code: messages::parse_error_code(body)
                     .ok_or(InvalidReply)?
                     .to_string(),
-                false,
-            ),
+                is_first: true,
+            },
             (
-                Stage::Rows(..)
+                Stage::Rows { .. }
                 | Stage::CopyOut
                 | Stage::CopyEnded
-                | Stage::CopyRefused
-                | Stage::Complete(_),
+                | Stage::CopyRejected
+                | Stage::Complete { .. },
                 b'E',
-            ) if any => Stage::Refused(
-                messages::parse_error_code(body)
+            ) if is_any => Stage::Error {
+                code: messages::parse_error_code(body)
                     .ok_or(InvalidReply)?
                     .to_string(),
-                true,
-            ),
+                is_first: false,
+            },
             _ => return Err(InvalidReply),
         };
         self.stage = next;
         Ok(MessageAction::Keep)
     }
 
-    /// ReadyForQuery has come, with this state. True where the connection can be used again.
+    /// Reads ReadyForQuery with this transaction state. Returns true if the connection can be reused.
     ///
     /// # Errors
-    /// It comes too early.
+    /// Returns an error if the reply is not complete yet, or the state is invalid.
     pub fn read_ready(&mut self, state: &[u8]) -> Result<bool, InvalidReply> {
         match (self.shape, state) {
             _ if !self.has_outcome() => Err(InvalidReply),
             (_, b"I") => Ok(true),
-            // A transaction was left open: it is undone when the connection ends, so nothing has been done for good.
+            // A transaction is still open. Closing the connection rolls it back, so the statement has no lasting effect.
             (Shape::Any, b"T" | b"E") => {
-                if !matches!(self.stage, Stage::Refused(..)) {
-                    self.stage = Stage::Refused(LEFT_OPEN.into(), true);
+                if !matches!(self.stage, Stage::Error { .. }) {
+                    self.stage = Stage::Error {
+                        code: TRANSACTION_LEFT_OPEN.into(),
+                        is_first: false,
+                    };
                 }
                 Ok(false)
             }
@@ -186,55 +230,69 @@
         }
     }
 
-    /// Whether it says what became of the request, though no more may come.
+    /// Returns true if the messages so far determine the outcome, even if no further ones arrive.
     pub fn has_outcome(&self) -> bool {
-        matches!(self.stage, Stage::Complete(_) | Stage::Refused(..))
+        matches!(self.stage, Stage::Complete { .. } | Stage::Error { .. })
     }
 
-    /// Whether the server itself worded an error.
+    /// Returns true if the reply ends with an error.
     pub fn is_error(&self) -> bool {
-        matches!(self.stage, Stage::Refused(..))
+        matches!(self.stage, Stage::Error { .. })
     }
 
-    fn faults(&self, said: &str) -> bool {
-        let known = said.get(..2).is_some_and(|class| BLAME.contains(&class));
-        self.shape == Shape::Any && known && said != "40003" && said != LEFT_OPEN
+    fn blames_statement(&self, code: &str) -> bool {
+        let is_statement_error = code
+            .get(..2)
+            .is_some_and(|class| STATEMENT_ERROR_CLASSES.contains(&class));
+        self.shape == Shape::Any
+            && is_statement_error
+            && code != STATEMENT_COMPLETION_UNKNOWN
+            && code != TRANSACTION_LEFT_OPEN
     }
 
-    /// What became of the request.
+    /// Returns the outcome of the request.
     pub fn outcome(&self) -> Outcome {
         match &self.stage {
-            Stage::Complete(rows) if *rows || self.shape == Shape::Any => Outcome::Served,
-            Stage::Refused(said, false) => match said.as_str() {
+            Stage::Complete { last_has_rows } if *last_has_rows || self.shape == Shape::Any => {
+                Outcome::Served
+            }
+            Stage::Error {
+                code,
+                is_first: true,
+            } => match code.as_str() {
                 code::READ_ONLY_TRANSACTION | code::SNAPSHOT_TOO_OLD => Outcome::Misdirected,
                 code::TOO_MANY_CONNECTIONS => Outcome::Overloaded,
-                _ if self.faults(said) => Outcome::StatementError,
+                _ if self.blames_statement(code) => Outcome::StatementError,
                 _ => Outcome::Failed,
             },
-            // A statement that fails undoes those before it in the same query.
-            Stage::Refused(said, true) if self.faults(said) => Outcome::StatementError,
+            // A statement that fails rolls back those before it in the same query.
+            Stage::Error {
+                code,
+                is_first: false,
+            } if self.blames_statement(code) => Outcome::StatementError,
             _ => Outcome::Failed,
         }
     }
 }
 
-/// Classes of errors that blame the statement or its data: it was undone, wherever it ran. Not among them: 08 and 40003 (the
-/// outcome is unknown), 53 and 57 (the server is short of something, or stops), 58, F0 and XX (the server is at fault).
-const BLAME: [&str; 19] = [
+/// Classes of errors that the statement or its data cause: the statement was rolled back. Not among them are 08 and 40003
+/// (the outcome is unknown), 53 and 57 (the server lacks resources or shuts down), and 58, F0 and XX (the server itself is
+/// at fault).
+const STATEMENT_ERROR_CLASSES: [&str; 19] = [
     "0A", "21", "22", "23", "24", "25", "26", "2B", "2F", "34", "38", "39", "3B", "3D", "3F", "40",
     "42", "44", "P0",
 ];
 
-/// A description of one column: its name, and 18 bytes on where it comes from and how it is written. On the platform
-/// nothing is made of those, so they are not looked at: the value is what counts.
+/// Returns true if a RowDescription describes one column: its name, and 18 bytes about its origin, type and format. Clients
+/// of the platform do not use those 18 bytes, so their contents are not checked: corrupted ones do not spoil the answer.
 fn describes_one_column(body: &[u8]) -> bool {
-    let name = body
+    let name_length = body
         .strip_prefix(&[0, 1])
         .and_then(|rest| rest.iter().position(|byte| *byte == 0));
-    name.is_some_and(|name| body.len() == 2 + name + 1 + 18)
+    name_length.is_some_and(|name_length| body.len() == 2 + name_length + 1 + 18)
 }
 
-/// A command's tag: words and numbers.
+/// Returns true if `body` is the tag of a CommandComplete, which consists of words and numbers.
 fn is_tag(body: &[u8]) -> bool {
     let tag = body.strip_suffix(&[0]).unwrap_or_default();
     tag.first().is_some_and(u8::is_ascii_uppercase)
--- a/pgwire/src/reply/tests.rs
+++ b/pgwire/src/reply/tests.rs
@@ -4,9 +4,9 @@
 
 const COLUMN: &[u8] = b"\0\x01body\0\0\0\0\0\0\0\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\x01";
 const ROW: &[u8] = b"\0\x01\0\0\0\x01v";
-const NO: &[u8] = b"SERROR\0C53300\0Mno\0\0";
+const TOO_MANY_CONNECTIONS_ERROR: &[u8] = b"SERROR\0C53300\0Mno\0\0";
 
-fn of(shape: Shape, messages: &[(u8, &[u8])]) -> Result<Outcome, InvalidReply> {
+fn outcome_of(shape: Shape, messages: &[(u8, &[u8])]) -> Result<Outcome, InvalidReply> {
     let mut reply = Reply::new(shape);
     for (kind, body) in messages {
         reply.read_message(&Message {
@@ -19,19 +19,26 @@
 }
 
 #[test]
-fn on_the_platform_only_a_whole_reply_in_its_order_is_served() {
-    // Danger: a client served with anything but the value made for its request loses it.
+fn with_one_value_only_a_complete_reply_in_order_is_served() {
+    // A client that receives anything but the value made for its request takes it for the answer and never gets its own.
     let (column, row, tag) = ((b'T', COLUMN), (b'D', ROW), (b'C', &b"SELECT 1\0"[..]));
     let status = (b'S', &b"replication_role\0standby\0"[..]);
-    let one = |messages: &[(u8, &[u8])]| of(Shape::OneValue, messages);
-    assert_eq!(one(&[column, row, tag, status]), Ok(Outcome::Served));
-    assert_eq!(one(&[column, tag]), Ok(Outcome::Failed));
-    // Danger: the column's type or form spoilt on its way would cost an answer whose value is whole.
-    let mut odd = COLUMN.to_vec();
-    odd[20..].fill(0x7f);
-    assert_eq!(one(&[(b'T', &odd), row, tag]), Ok(Outcome::Served));
-    assert_eq!(one(&[(b'E', NO)]), Ok(Outcome::Overloaded));
-    for spoilt in [
+    let one_value = |messages: &[(u8, &[u8])]| outcome_of(Shape::OneValue, messages);
+    assert_eq!(one_value(&[column, row, tag, status]), Ok(Outcome::Served));
+    assert_eq!(one_value(&[column, tag]), Ok(Outcome::Failed));
+    // The type and format of the column may be corrupted on the way; rejecting the reply for it would lose an answer whose
+    // value is intact.
+    let mut corrupted_column = COLUMN.to_vec();
+    corrupted_column[20..].fill(0x7f);
+    assert_eq!(
+        one_value(&[(b'T', &corrupted_column), row, tag]),
+        Ok(Outcome::Served)
+    );
+    assert_eq!(
+        one_value(&[(b'E', TOO_MANY_CONNECTIONS_ERROR)]),
+        Ok(Outcome::Overloaded)
+    );
+    for invalid in [
         &[row][..],
         &[column, row, row],
         &[column, row, tag, row],
@@ -43,7 +50,7 @@
         &[column, (b'D', b"\0\x01\xff\xff\xff\xff")],
         &[column, row, (b'C', b"SELECT 1")],
         &[column, row, (b'C', b"\x7f\x01\0")],
-        &[column, row, (b'E', NO)],
+        &[column, row, (b'E', TOO_MANY_CONNECTIONS_ERROR)],
         &[(b'E', b"SERROR\0C53")],
         &[(b'E', b"noise")],
         &[(b'S', b"replication_role\0standby")],
@@ -52,15 +59,15 @@
         &[(b'A', b"\0\0\0\x01a\0b\0")],
         &[(b'H', b"\0\0\0")],
     ] {
-        assert_eq!(one(spoilt), Err(InvalidReply), "{spoilt:?}");
+        assert_eq!(one_value(invalid), Err(InvalidReply), "{invalid:?}");
     }
 }
 
 #[test]
-fn elsewhere_results_of_every_kind_are_taken_and_an_error_never_looks_like_success() {
+fn with_any_shape_all_results_are_served_and_an_error_is_never_taken_for_success() {
     let (column, row, tag) = ((b'T', COLUMN), (b'D', ROW), (b'C', &b"SELECT 1\0"[..]));
-    let (no, empty) = ((b'E', NO), (b'I', &b""[..]));
-    let any = |messages: &[(u8, &[u8])]| of(Shape::Any, messages);
+    let (rejected, empty) = ((b'E', TOO_MANY_CONNECTIONS_ERROR), (b'I', &b""[..]));
+    let any_shape = |messages: &[(u8, &[u8])]| outcome_of(Shape::Any, messages);
     for served in [
         &[column, row, row, tag][..],
         &[column, tag],
@@ -74,52 +81,55 @@
             (b'C', b"COPY 1\0"),
         ],
     ] {
-        assert_eq!(any(served), Ok(Outcome::Served), "{served:?}");
+        assert_eq!(any_shape(served), Ok(Outcome::Served), "{served:?}");
     }
-    assert_eq!(any(&[no]), Ok(Outcome::Overloaded));
-    let blamed = (b'E', &b"SERROR\0C23505\0Mtwice\0\0"[..]);
+    assert_eq!(any_shape(&[rejected]), Ok(Outcome::Overloaded));
+    let unique_violation = (b'E', &b"SERROR\0C23505\0Mtwice\0\0"[..]);
     assert_eq!(
-        (any(&[blamed]), any(&[column, row, tag, blamed])),
+        (
+            any_shape(&[unique_violation]),
+            any_shape(&[column, row, tag, unique_violation])
+        ),
         (Ok(Outcome::StatementError), Ok(Outcome::StatementError))
     );
     assert_eq!(
-        of(Shape::OneValue, &[blamed]),
+        outcome_of(Shape::OneValue, &[unique_violation]),
         Ok(Outcome::Failed),
-        "the platform's table knows no such thing"
+        "with one value, no error is taken for an error of the statement"
     );
     for code in [
         "XX000", "40003", "57P01", "53200", "58030", "08006", "99999",
     ] {
         let text = format!("SERROR\0C{code}\0Mno\0\0");
         assert_eq!(
-            any(&[(b'E', text.as_bytes())]),
+            any_shape(&[(b'E', text.as_bytes())]),
             Ok(Outcome::Failed),
             "{code} may have had an effect"
         );
     }
     for failed in [
-        &[column, row, no][..],
-        &[column, row, tag, no],
-        &[(b'H', b"\0\0\0"), (b'd', b"1\n"), no],
-        &[(b'G', b"\0\0\0"), no],
+        &[column, row, rejected][..],
+        &[column, row, tag, rejected],
+        &[(b'H', b"\0\0\0"), (b'd', b"1\n"), rejected],
+        &[(b'G', b"\0\0\0"), rejected],
         &[column, row],
         &[],
     ] {
-        assert_eq!(any(failed), Ok(Outcome::Failed), "{failed:?}");
+        assert_eq!(any_shape(failed), Ok(Outcome::Failed), "{failed:?}");
     }
-    for spoilt in [
-        &[column, no, tag][..],
+    for invalid in [
+        &[column, rejected, tag][..],
         &[(b'd', b"")],
         &[column, (b'D', b"\0\0")],
         &[(b'1', b"")],
         &[(b'W', b"\0\0\0")],
     ] {
-        assert_eq!(any(spoilt), Err(InvalidReply), "{spoilt:?}");
+        assert_eq!(any_shape(invalid), Err(InvalidReply), "{invalid:?}");
     }
 }
 
 #[test]
-fn a_transaction_left_open_has_failed_and_its_connection_ends() {
+fn a_reply_that_leaves_a_transaction_open_fails_and_its_connection_is_not_reused() {
     let mut reply = Reply::new(Shape::Any);
     reply
         .read_message(&Message {
@@ -132,6 +142,6 @@
         (reply.read_ready(b"T"), reply.outcome()),
         (Ok(false), Outcome::Failed)
     );
-    let mut early = Reply::new(Shape::Any);
-    assert_eq!(early.read_ready(b"I"), Err(InvalidReply));
+    let mut incomplete = Reply::new(Shape::Any);
+    assert_eq!(incomplete.read_ready(b"I"), Err(InvalidReply));
 }
--- a/pgwire/src/session/tests.rs
+++ b/pgwire/src/session/tests.rs
@@ -4,14 +4,14 @@
 use crate::values::DateStyle;
 
 #[test]
-fn what_the_router_keeps_is_set_and_set_back() {
+fn settings_that_the_router_keeps_are_set_and_reset() {
     let start = ValueFormats {
         bytea: Bytea::Escape,
         ..ValueFormats::default()
     };
     let mut session = Session::new(start);
-    let told = session.set("DateStyle", Some("German")).expect("known");
-    assert_eq!(told, Some(("DateStyle", "German, DMY".into())));
+    let reported = session.set("DateStyle", Some("German")).expect("known");
+    assert_eq!(reported, Some(("DateStyle", "German, DMY".into())));
     session.set("bytea_output", Some("hex")).expect("known");
     session.set("statement_timeout", Some("2s")).expect("known");
     assert_eq!(
@@ -26,7 +26,7 @@
     assert_eq!(
         session.formats.bytea,
         Bytea::Escape,
-        "as the listener has it"
+        "the listener's default"
     );
     session.set("all", None).expect("known");
     assert_eq!(session, Session::new(start));
@@ -40,8 +40,8 @@
 }
 
 #[test]
-fn what_it_cannot_keep_is_refused_by_name() {
-    // Danger: a setting that is taken and not kept changes what the client reads, and nobody would know.
+fn settings_that_the_router_cannot_keep_are_rejected_by_name() {
+    // If the router accepted a setting and did not keep it, the client would misread values without any error.
     let mut session = Session::new(ValueFormats::default());
     for (name, value, code) in [
         ("search_path", "other", code::FEATURE_NOT_SUPPORTED),
--- a/pgwire/src/startup.rs
+++ b/pgwire/src/startup.rs
@@ -1,40 +1,42 @@
-//! How a client comes in: what it says first, which version it speaks, and the proof of who it is.
+//! Startup and login of a client: its first packet, the choice of the protocol version, and the authentication.
 //!
-//! The door never waits and never reads: the front gives it what has come, writes what it says, and keeps the deadlines.
-//! Between [`Step::UserNamed`] and [`Startup::identify`] the front looks the user up and asks the throttle.
+//! [`Startup`] does no I/O: the front passes it the received bytes, sends its replies, and keeps the deadlines. Between
+//! [`Step::UserNamed`] and [`Startup::identify`] the front looks up the user and checks the login rate limit.
 
 use crate::cancel::CancelKey;
-use crate::messages::{self, Fields, Malformed, code, put};
+use crate::messages::{self, CANCEL_REQUEST, Fields, Malformed, auth, code, put};
 use crate::verifier::{ScramExchange, Verifier};
 use crate::{SqlError, Version};
 use serde::{Deserialize, Serialize};
 
-const CANCEL_REQUEST: u32 = 80_877_102;
 const SSL_REQUEST: u32 = 80_877_103;
-const GSS_REQUEST: u32 = 80_877_104;
-/// The longest first packet, and the longest that may come during the login.
-const LONGEST: (usize, usize) = (10_000, 2_048);
-/// The width of a 2.0 startup packet after its length and version, and of its texts: database, user, options, unused, tty.
-const V2_TEXTS: [usize; 5] = [64, 32, 64, 64, 64];
-/// Requests for encryption that one connection may make: each may be made once.
-const MOST_PLAIN: u32 = 2;
+const GSSENC_REQUEST: u32 = 80_877_104;
+/// Maximum length of the first packet.
+const MAX_FIRST_PACKET_BYTES: usize = 10_000;
+/// Maximum length of a message during the login.
+const MAX_LOGIN_MESSAGE_BYTES: usize = 2_048;
+/// Widths of the text fields of a startup packet of version 2.0, which follow its length and version: database, user,
+/// options, unused, tty.
+const V2_FIELD_WIDTHS: [usize; 5] = [64, 32, 64, 64, 64];
+/// Maximum number of requests for encryption on one connection: one SSLRequest and one GSSENCRequest.
+const MAX_ENCRYPTION_REQUESTS: u32 = 2;
 
-/// A way to prove who one is.
+/// An authentication method.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Method {
-    /// No proof.
+    /// No authentication.
     Trust,
-    /// The password in clear text.
+    /// The client sends the password in clear text.
     Password,
-    /// MD5 of the password, the user and a salt.
+    /// The client sends an MD5 hash of the password, the user and a salt.
     Md5,
-    /// SCRAM-SHA-256.
+    /// The client and the router run a SCRAM-SHA-256 exchange.
     Scram,
 }
 
 impl Method {
-    /// For messages.
+    /// Returns the name for error messages.
     pub fn name(self) -> &'static str {
         match self {
             Method::Trust => "trust",
@@ -44,7 +46,8 @@
         }
     }
 
-    fn fits(self, version: Version, verifier: &Verifier) -> bool {
+    /// Returns true if this method works with a client's version and the verifier of its user.
+    fn can_authenticate(self, version: Version, verifier: &Verifier) -> bool {
         match self {
             Method::Trust | Method::Password => true,
             Method::Md5 => matches!(verifier, Verifier::Md5(_)),
@@ -53,17 +56,17 @@
     }
 }
 
-/// Who may come in, and how.
+/// The protocol versions and authentication methods of a listener.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rules {
-    /// Versions that are spoken.
+    /// Supported protocol versions.
     pub versions: Vec<Version>,
-    /// Methods that clients may be asked for, best first.
+    /// Allowed methods, in order of preference.
     pub methods: Vec<Method>,
 }
 
 impl Rules {
-    /// Those of the platform: 3.0, and everyone is welcome.
+    /// Returns the rules of the platform's listener: version 3.0 without authentication.
     pub fn trust_everyone() -> Self {
         Rules {
             versions: vec![Version::V30],
@@ -80,97 +83,110 @@
     }
 }
 
-/// What came of some bytes.
+/// The result of reading a message.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Step {
-    /// It goes on; there may be something to send.
+    /// The startup continues; there may be a reply to send.
     Continue,
-    /// It wants a request cancelled; nothing more comes on this connection.
+    /// The client requests that the query of another session is cancelled. It sends nothing more on this connection.
     Cancel(CancelKey),
-    /// It has said who it wants to be: [`Startup::identify`] is next.
+    /// The client has named its user; the front has to call [`Startup::identify`] next.
     UserNamed,
-    /// It is in.
+    /// The client is logged in.
     LoggedIn,
 }
 
 #[derive(Default)]
 enum State {
+    /// The first packet has not been received.
     #[default]
-    Opening,
-    Named,
-    Password(Verifier),
-    Md5(Verifier, [u8; 4]),
-    Scram(Verifier),
-    Proving(Box<ScramExchange>),
-    In,
+    AwaitingFirstPacket,
+    /// The user is known, and no authentication has been requested yet.
+    UserNamed,
+    /// The client has been asked for its password in clear text.
+    AwaitingPassword(Verifier),
+    /// The client has been asked for an MD5 hash with this salt.
+    AwaitingMd5(Verifier, [u8; 4]),
+    /// The client has been offered SCRAM-SHA-256.
+    AwaitingScram(Verifier),
+    /// The server's first SCRAM message has been sent.
+    ScramStarted(Box<ScramExchange>),
+    LoggedIn,
 }
 
-/// One client on its way in.
+/// The startup of one client.
 pub struct Startup {
     state: State,
     version: Version,
     user: String,
     database: String,
     parameters: Vec<(String, String)>,
-    /// Options of the protocol that it named and that are not known here; and whether its minor version is newer.
-    unknown: Vec<String>,
-    newer: bool,
-    plain: u32,
-    /// Whether the user is a real one.
-    real: bool,
+    /// Protocol options in the startup packet, none of which is supported.
+    unknown_options: Vec<String>,
+    /// Whether the client requested a newer minor version than the negotiated one.
+    requested_newer_minor: bool,
+    /// Number of requests for encryption so far.
+    encryption_requests: u32,
+    /// Whether the user exists.
+    user_exists: bool,
 }
 
 impl Default for Startup {
     fn default() -> Self {
         Startup {
-            state: State::Opening,
+            state: State::AwaitingFirstPacket,
             version: Version::V30,
             user: String::new(),
             database: String::new(),
             parameters: Vec::new(),
-            unknown: Vec::new(),
-            newer: false,
-            plain: 0,
-            real: false,
+            unknown_options: Vec::new(),
+            requested_newer_minor: false,
+            encryption_requests: 0,
+            user_exists: false,
         }
     }
 }
 
-fn trimmed(field: &[u8]) -> String {
-    let end = field.iter().position(|b| *b == 0).unwrap_or(field.len());
+/// Returns the text of a field of fixed width, which ends at the first zero byte.
+fn fixed_width_text(field: &[u8]) -> String {
+    let end = field
+        .iter()
+        .position(|byte| *byte == 0)
+        .unwrap_or(field.len());
     String::from_utf8_lossy(&field[..end]).into_owned()
 }
 
 impl Startup {
-    /// The version that it speaks, once it has said so.
+    /// Returns the negotiated version; version 3.0 before the first packet.
     pub fn version(&self) -> Version {
         self.version
     }
 
-    /// Who it wants to be.
+    /// Returns the user that the client named.
     pub fn user(&self) -> &str {
         &self.user
     }
 
-    /// The database that it wants.
+    /// Returns the database that the client named; the user's name by default.
     pub fn database(&self) -> &str {
         &self.database
     }
 
-    /// What it wants set at its start, as it said it.
+    /// Returns the settings in the startup packet, as names and values.
     pub fn parameters(&self) -> &[(String, String)] {
         &self.parameters
     }
 
-    /// Whether it is past its first packet.
+    /// Returns true once the first packet with a protocol version has been read.
     pub fn has_read_first_packet(&self) -> bool {
-        !matches!(self.state, State::Opening)
+        !matches!(self.state, State::AwaitingFirstPacket)
     }
 
-    /// Reads what has come; how many bytes it took, and what came of them. None where nothing is whole.
+    /// Reads one message from the front of `bytes`. Returns its length and the result, or `None` if it is not complete yet.
+    /// `nonce` is the router's part of the SCRAM nonce.
     ///
     /// # Errors
-    /// What the client is told before its connection ends.
+    /// Returns the error to send to the client before the connection is closed.
     pub fn read_message(
         &mut self,
         rules: &Rules,
@@ -178,63 +194,52 @@
         nonce: &str,
         out: &mut Vec<u8>,
     ) -> Result<Option<(usize, Step)>, SqlError> {
-        let wrong = |Malformed| {
-            SqlError::new(
-                code::PROTOCOL_VIOLATION,
-                "the first packet is not understood",
-            )
-        };
-        if let State::Opening = self.state {
-            let Some((packet, length)) = messages::parse_packet(bytes, LONGEST.0).map_err(wrong)?
+        if let State::AwaitingFirstPacket = self.state {
+            let Some((packet, length)) = messages::parse_packet(bytes, MAX_FIRST_PACKET_BYTES)
+                .map_err(malformed_first_packet)?
             else {
                 return Ok(None);
             };
             let mut fields = Fields(packet);
-            let asked = fields.uint32().map_err(wrong)?;
-            return Ok(Some((length, self.open(rules, asked, fields, out)?)));
+            let requested = fields.uint32().map_err(malformed_first_packet)?;
+            return Ok(Some((
+                length,
+                self.read_first_packet(rules, requested, fields, out)?,
+            )));
         }
-        let wrong = |Malformed| {
-            SqlError::new(
-                code::PROTOCOL_VIOLATION,
-                "a password was waited for, and something else came",
-            )
-        };
         let (body, length) = if self.version == Version::V2 {
-            let Some((body, length)) = messages::parse_packet(bytes, LONGEST.1).map_err(wrong)?
+            let Some((body, length)) = messages::parse_packet(bytes, MAX_LOGIN_MESSAGE_BYTES)
+                .map_err(unexpected_message)?
             else {
                 return Ok(None);
             };
             (body, length)
         } else {
-            let Some(message) = messages::parse_message(bytes, LONGEST.1).map_err(wrong)? else {
+            let Some(message) = messages::parse_message(bytes, MAX_LOGIN_MESSAGE_BYTES)
+                .map_err(unexpected_message)?
+            else {
                 return Ok(None);
             };
             if message.kind != b'p' {
-                return Err(wrong(Malformed));
+                return Err(unexpected_message(Malformed));
             }
             (message.body, message.raw.len())
         };
-        self.prove(body, nonce, out)
+        self.verify_proof(body, nonce, out)
             .map(|step| Some((length, step)))
     }
 
-    fn open(
+    fn read_first_packet(
         &mut self,
         rules: &Rules,
-        asked: u32,
+        requested: u32,
         mut fields: Fields<'_>,
         out: &mut Vec<u8>,
     ) -> Result<Step, SqlError> {
-        let wrong = |Malformed| {
-            SqlError::new(
-                code::PROTOCOL_VIOLATION,
-                "the first packet is not understood",
-            )
-        };
-        match asked {
-            SSL_REQUEST | GSS_REQUEST => {
-                self.plain += 1;
-                if self.plain > MOST_PLAIN {
+        match requested {
+            SSL_REQUEST | GSSENC_REQUEST => {
+                self.encryption_requests += 1;
+                if self.encryption_requests > MAX_ENCRYPTION_REQUESTS {
                     return Err(SqlError::new(
                         code::PROTOCOL_VIOLATION,
                         "encryption was asked for over and over",
@@ -244,10 +249,10 @@
                 return Ok(Step::Continue);
             }
             CANCEL_REQUEST => {
-                let id = fields.uint32().map_err(wrong)?;
+                let id = fields.uint32().map_err(malformed_first_packet)?;
                 let secret = fields.0;
                 if !(4..=256).contains(&secret.len()) {
-                    return Err(wrong(Malformed));
+                    return Err(malformed_first_packet(Malformed));
                 }
                 return Ok(Step::Cancel(CancelKey {
                     id,
@@ -256,33 +261,33 @@
             }
             _ => {}
         }
-        let (major, minor) = (asked >> 16, asked & 0xffff);
+        let (major, minor) = (requested >> 16, requested & 0xffff);
         match (major, rules.newest_minor()) {
             (2, _) if rules.versions.contains(&Version::V2) => {
                 self.version = Version::V2;
-                let mut texts = [const { String::new() }; V2_TEXTS.len()];
-                for (text, width) in texts.iter_mut().zip(V2_TEXTS) {
-                    *text = trimmed(fields.take(width).map_err(wrong)?);
+                let mut texts = [const { String::new() }; V2_FIELD_WIDTHS.len()];
+                for (text, width) in texts.iter_mut().zip(V2_FIELD_WIDTHS) {
+                    *text = fixed_width_text(fields.take(width).map_err(malformed_first_packet)?);
                 }
-                fields.end().map_err(wrong)?;
+                fields.end().map_err(malformed_first_packet)?;
                 [self.database, self.user, ..] = texts;
             }
             (3, Some(newest)) => {
-                self.version = if newest.protocol_number() <= asked {
+                self.version = if newest.protocol_number() <= requested {
                     newest
                 } else {
                     Version::V30
                 };
-                self.newer = minor > newest.protocol_number() & 0xffff
+                self.requested_newer_minor = minor > newest.protocol_number() & 0xffff
                     || (minor != 0 && self.version == Version::V30);
                 self.read_parameters(fields, rules.methods == [Method::Trust])
-                    .map_err(wrong)?;
+                    .map_err(malformed_first_packet)?;
             }
             _ => {
-                let spoken: Vec<&str> = rules.versions.iter().map(|v| v.name()).collect();
+                let supported: Vec<&str> = rules.versions.iter().map(|v| v.name()).collect();
                 let text = format!(
                     "version {major}.{minor} of the protocol is not spoken here, but {}",
-                    spoken.join(" and ")
+                    supported.join(" and ")
                 );
                 return Err(SqlError::new(code::FEATURE_NOT_SUPPORTED, text));
             }
@@ -290,11 +295,11 @@
         if self.database.is_empty() {
             self.database.clone_from(&self.user);
         }
-        self.state = State::Named;
+        self.state = State::UserNamed;
         Ok(Step::UserNamed)
     }
 
-    /// Texts in pairs up to an empty one. Where everyone is welcome, what cannot be read is let be.
+    /// Reads pairs of name and value up to an empty name. With `lenient`, parameters that cannot be read are ignored.
     fn read_parameters(&mut self, mut fields: Fields<'_>, lenient: bool) -> Result<(), Malformed> {
         loop {
             let name = match fields.utf8() {
@@ -311,17 +316,17 @@
             match name {
                 "user" => self.user = value,
                 "database" => self.database = value,
-                _ if name.starts_with("_pq_.") => self.unknown.push(name.to_string()),
+                _ if name.starts_with("_pq_.") => self.unknown_options.push(name.to_string()),
                 _ => self.parameters.push((name.to_string(), value)),
             }
         }
     }
 
-    /// Says how the user is to prove who they are, or that nothing needs to be proved. `verifier` is none for a user who
-    /// does not exist; `secret` is the router's own and never changes while it runs; `salt` is random.
+    /// Starts the authentication of the user, or skips it if the rules trust everyone. `verifier` is `None` if the user does
+    /// not exist. `secret` is a secret of the router that stays the same while it runs; `salt` is random.
     ///
     /// # Errors
-    /// No method fits: the text names what both sides can do.
+    /// Returns an error if no user is named or no method is possible; the text then names the methods of both sides.
     pub fn identify(
         &mut self,
         rules: &Rules,
@@ -330,18 +335,18 @@
         salt: [u8; 4],
         out: &mut Vec<u8>,
     ) -> Result<Step, SqlError> {
-        debug_assert!(matches!(self.state, State::Named));
-        if self.newer || !self.unknown.is_empty() {
+        debug_assert!(matches!(self.state, State::UserNamed));
+        if self.requested_newer_minor || !self.unknown_options.is_empty() {
             put(out, b'v', |out| {
                 out.extend_from_slice(&(self.version.protocol_number() & 0xffff).to_be_bytes());
-                out.extend_from_slice(&(self.unknown.len() as u32).to_be_bytes());
-                self.unknown
+                out.extend_from_slice(&(self.unknown_options.len() as u32).to_be_bytes());
+                self.unknown_options
                     .iter()
                     .for_each(|name| messages::put_text(out, name.as_bytes()));
             });
         }
         if rules.methods.first() == Some(&Method::Trust) {
-            self.state = State::In;
+            self.state = State::LoggedIn;
             return Ok(Step::LoggedIn);
         }
         if self.user.is_empty() {
@@ -350,8 +355,8 @@
                 "no user is named",
             ));
         }
-        self.real = verifier.is_some();
-        let nobody = || {
+        self.user_exists = verifier.is_some();
+        let unknown_user = || {
             let scram = rules.methods.contains(&Method::Scram) && self.version > Version::V2;
             Verifier::for_unknown_user(
                 &self.user,
@@ -359,112 +364,133 @@
                 scram || !rules.methods.contains(&Method::Md5),
             )
         };
-        let verifier = verifier.cloned().unwrap_or_else(nobody);
+        let verifier = verifier.cloned().unwrap_or_else(unknown_user);
         let Some(method) = rules
             .methods
             .iter()
-            .find(|m| m.fits(self.version, &verifier))
+            .find(|m| m.can_authenticate(self.version, &verifier))
         else {
-            let asked: Vec<&str> = rules.methods.iter().map(|m| m.name()).collect();
+            let allowed: Vec<&str> = rules.methods.iter().map(|m| m.name()).collect();
             let text = format!(
                 "no way to log in: this listener takes {} from clients of version {}, and what is kept of the user is {}",
-                asked.join(" and "),
+                allowed.join(" and "),
                 self.version.name(),
                 verifier.kind()
             );
             return Err(SqlError::new(code::INVALID_AUTHORIZATION, text));
         };
-        let ask = |out: &mut Vec<u8>, number: u32, rest: &[u8]| {
-            let number = number.to_be_bytes();
+        let put_authentication_request = |out: &mut Vec<u8>, method_code: u32, data: &[u8]| {
+            let method_code = method_code.to_be_bytes();
             match self.version {
-                Version::V2 => out.extend_from_slice(&[b"R", &number[..], rest].concat()),
+                Version::V2 => out.extend_from_slice(&[b"R", &method_code[..], data].concat()),
                 _ => put(out, b'R', |out| {
-                    out.extend_from_slice(&[&number[..], rest].concat())
+                    out.extend_from_slice(&[&method_code[..], data].concat())
                 }),
             }
         };
         match method {
             Method::Trust => {
-                self.state = State::In;
+                self.state = State::LoggedIn;
                 return Ok(Step::LoggedIn);
             }
             Method::Password => {
-                ask(out, 3, &[]);
-                self.state = State::Password(verifier);
+                put_authentication_request(out, auth::CLEARTEXT_PASSWORD, &[]);
+                self.state = State::AwaitingPassword(verifier);
             }
             Method::Md5 => {
-                ask(out, 5, &salt);
-                self.state = State::Md5(verifier, salt);
+                put_authentication_request(out, auth::MD5_PASSWORD, &salt);
+                self.state = State::AwaitingMd5(verifier, salt);
             }
             Method::Scram => {
-                ask(out, 10, b"SCRAM-SHA-256\0\0");
-                self.state = State::Scram(verifier);
+                put_authentication_request(out, auth::SASL, b"SCRAM-SHA-256\0\0");
+                self.state = State::AwaitingScram(verifier);
             }
         }
         Ok(Step::Continue)
     }
 
-    fn prove(&mut self, body: &[u8], nonce: &str, out: &mut Vec<u8>) -> Result<Step, SqlError> {
-        let refused = || {
+    fn verify_proof(
+        &mut self,
+        body: &[u8],
+        nonce: &str,
+        out: &mut Vec<u8>,
+    ) -> Result<Step, SqlError> {
+        let wrong_password = || {
             SqlError::new(
                 code::INVALID_PASSWORD,
                 "the login failed: the user or the proof is wrong",
             )
         };
-        let wrong = |Malformed| {
-            SqlError::new(
-                code::PROTOCOL_VIOLATION,
-                "a password was waited for, and something else came",
-            )
-        };
-        // Old clients send the zero byte or leave it out.
+        // Some old clients omit the zero byte at the end.
         let text = body.strip_suffix(&[0]).unwrap_or(body);
-        let proved = match std::mem::take(&mut self.state) {
-            State::Password(verifier) => verifier.matches_password(&self.user, text),
-            State::Md5(verifier, salt) => verifier.matches_md5_response(salt, text),
-            State::Scram(Verifier::Scram(kept)) => {
+        let is_proved = match std::mem::take(&mut self.state) {
+            State::AwaitingPassword(verifier) => verifier.matches_password(&self.user, text),
+            State::AwaitingMd5(verifier, salt) => verifier.matches_md5_response(salt, text),
+            State::AwaitingScram(Verifier::Scram(verifier)) => {
                 let mut fields = Fields(body);
-                let method = fields.utf8().map_err(wrong)?;
-                let said = fields.value().map_err(wrong)?.unwrap_or_default();
-                fields.end().map_err(wrong)?;
+                let method = fields.utf8().map_err(unexpected_message)?;
+                let client_first = fields
+                    .value()
+                    .map_err(unexpected_message)?
+                    .unwrap_or_default();
+                fields.end().map_err(unexpected_message)?;
                 if method != "SCRAM-SHA-256" {
                     let text = format!("{method:?} was not offered, but SCRAM-SHA-256");
                     return Err(SqlError::new(code::PROTOCOL_VIOLATION, text));
                 }
-                let (exchange, answer) =
-                    ScramExchange::start(&kept, said, nonce).ok_or_else(|| wrong(Malformed))?;
-                put_sasl(out, 11, &answer);
-                self.state = State::Proving(Box::new(exchange));
+                let (exchange, answer) = ScramExchange::start(&verifier, client_first, nonce)
+                    .ok_or_else(|| unexpected_message(Malformed))?;
+                put_sasl(out, auth::SASL_CONTINUE, &answer);
+                self.state = State::ScramStarted(Box::new(exchange));
                 return Ok(Step::Continue);
             }
-            State::Proving(exchange) => match exchange.finish(body) {
-                Some(done) => {
-                    put_sasl(out, 12, &done);
+            State::ScramStarted(exchange) => match exchange.finish(body) {
+                Some(server_final) => {
+                    put_sasl(out, auth::SASL_FINAL, &server_final);
                     true
                 }
                 None => false,
             },
-            State::Opening | State::Named | State::In | State::Scram(_) => {
-                return Err(wrong(Malformed));
+            State::AwaitingFirstPacket
+            | State::UserNamed
+            | State::LoggedIn
+            | State::AwaitingScram(_) => {
+                return Err(unexpected_message(Malformed));
             }
         };
-        // A verifier that nobody's password meets is met by nobody; the flag stands for a change that would forget it.
-        if !(proved && self.real) {
-            return Err(refused());
+        // No password matches the verifier of an unknown user. The flag is a second safeguard, in case a later change
+        // breaks this property.
+        if !(is_proved && self.user_exists) {
+            return Err(wrong_password());
         }
-        self.state = State::In;
+        self.state = State::LoggedIn;
         Ok(Step::LoggedIn)
     }
 
-    /// Whether a failure here was one of proof, which the throttle counts.
-    pub fn is_wrong_password(fault: &SqlError) -> bool {
-        fault.code == code::INVALID_PASSWORD
+    /// Returns true if the error is a failed authentication, which counts against the login rate limit.
+    pub fn is_wrong_password(error: &SqlError) -> bool {
+        error.code == code::INVALID_PASSWORD
     }
 }
 
-fn put_sasl(out: &mut Vec<u8>, number: u32, text: &str) {
+fn malformed_first_packet(Malformed: Malformed) -> SqlError {
+    SqlError::new(
+        code::PROTOCOL_VIOLATION,
+        "the first packet is not understood",
+    )
+}
+
+fn unexpected_message(Malformed: Malformed) -> SqlError {
+    SqlError::new(
+        code::PROTOCOL_VIOLATION,
+        "a password was waited for, and something else came",
+    )
+}
+
+/// Appends an authentication request of version 3 with a SCRAM message.
+fn put_sasl(out: &mut Vec<u8>, method_code: u32, text: &str) {
     put(out, b'R', |out| {
-        out.extend_from_slice(&number.to_be_bytes());
+        out.extend_from_slice(&method_code.to_be_bytes());
         out.extend_from_slice(text.as_bytes());
     });
 }
--- a/pgwire/src/statement.rs
+++ b/pgwire/src/statement.rs
@@ -1,30 +1,31 @@
-//! Whether a statement without labels reads or writes, or needs a session of its own.
+//! Classifies statements without labels: whether they read, write, or need an exclusive session with one server.
 //!
-//! Only words are looked at, as sqlparser's tokenizer tells them from comments, texts and names in quotes. What is not
-//! known to read counts as a write: a write at a replica would be turned away, a read at the primary only costs more.
+//! The classification looks at words only; sqlparser's tokenizer separates them from comments, literals and quoted names.
+//! A statement that is not known to be a read counts as a write: a replica would reject a write, while a read at the
+//! primary merely costs more.
 
 use sqlparser::dialect::PostgreSqlDialect;
 use sqlparser::tokenizer::{Token, Tokenizer};
 
-/// What a statement needs.
+/// What a statement does or needs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// Nothing: there is none.
+    /// The text contains no statement.
     Empty,
-    /// Any db node with data that is fresh enough.
+    /// The statement only reads; any db node that is fresh enough can run it.
     Read,
-    /// The primary, once.
+    /// The statement may write; it has to run at the primary, and only once.
     Write,
-    /// A setting of the session: what it sets and to what, or what is reset.
+    /// The statement changes a setting of the session: name and new value, or `None` to reset it.
     Setting(String, Option<String>),
-    /// A session of its own with one server, for this reason.
+    /// The statement needs an exclusive session with one server, for this feature.
     NeedsSession(&'static str),
 }
 
-/// A statement's words in upper case, `"` for one in quotes, and `(` where one follows.
-fn words(tokens: &[Token]) -> Vec<String> {
-    let meant = tokens.iter().filter(|t| !matches!(t, Token::Whitespace(_)));
-    meant
+/// Returns the words of a statement in upper case, with `"` in place of a quoted name, and `(` for each opening parenthesis.
+fn extract_words(tokens: &[Token]) -> Vec<String> {
+    let significant = tokens.iter().filter(|t| !matches!(t, Token::Whitespace(_)));
+    significant
         .filter_map(|token| match token {
             Token::Word(word) if word.quote_style.is_none() => {
                 Some(word.value.to_ascii_uppercase())
@@ -36,12 +37,13 @@
         .collect()
 }
 
+/// Features for which a statement needs an exclusive session, as error messages name them.
 const TRANSACTION: &str = "a transaction";
 const CURSOR: &str = "a cursor";
 const PREPARED: &str = "a prepared statement";
 
-/// Functions that write, or that live in the session, for all that they are called in a SELECT.
-const FUNCTIONS: [(&str, Kind); 12] = [
+/// Functions that write or depend on the session, although a SELECT may call them.
+const SIDE_EFFECT_FUNCTIONS: [(&str, Kind); 12] = [
     ("NEXTVAL", Kind::Write),
     ("SETVAL", Kind::Write),
     ("PG_NOTIFY", Kind::Write),
@@ -59,9 +61,9 @@
     ("PG_ADVISORY_UNLOCK", Kind::NeedsSession("an advisory lock")),
 ];
 
-/// What may stand before a parenthesis and does not write: words of the language, types, and functions that every server
-/// has and that change nothing. Whatever else is called may write, and a write that counts as a read may run twice.
-const HARMLESS: &str = " ( ABS ALL AND ANY ARRAY ARRAY_AGG AS AVG BETWEEN BY CASE CAST CEIL CEILING CHAR CHARACTER COALESCE CONCAT \
+/// Words that may precede a parenthesis and do not write: keywords, types, and built-in functions without side effects. Any
+/// other function may write; if it counted as a read, a retry could run the write twice.
+const READ_ONLY_NAMES: &str = " ( ABS ALL AND ANY ARRAY ARRAY_AGG AS AVG BETWEEN BY CASE CAST CEIL CEILING CHAR CHARACTER COALESCE CONCAT \
 CONCAT_WS COUNT CUME_DIST CURRENT_DATABASE CURRENT_SCHEMA CURRENT_SETTING DATE DATE_PART DATE_TRUNC DECIMAL DENSE_RANK DISTINCT \
 ELSE EXCEPT EXISTS EXTRACT FILTER FIRST_VALUE FLOOR FROM GENERATE_SERIES GREATEST HAVING IN INITCAP INTERSECT INTERVAL JOIN \
 JSON_AGG JSONB_AGG LAG LAST_VALUE LATERAL LEAD LEAST LEFT LENGTH LIKE LIMIT LOWER LPAD LTRIM MATERIALIZED MAX MIN MOD NOT NOW \
@@ -69,21 +71,22 @@
 RPAD RTRIM SELECT SETS SPLIT_PART STRING_AGG STRPOS SUBSTR SUBSTRING SUM THEN TIME TIMESTAMP TIMESTAMPTZ TO_CHAR TO_DATE \
 TO_NUMBER TO_TIMESTAMP TRIM TRUNC UNION UNNEST UPPER USING VALUES VARCHAR VERSION WHEN WHERE WITHIN ";
 
-fn one(tokens: &[Token]) -> Kind {
-    let words = words(tokens);
+/// Classifies a single statement.
+fn classify_statement(tokens: &[Token]) -> Kind {
+    let words = extract_words(tokens);
     let has = |wanted: &[&str]| words.iter().any(|word| wanted.contains(&word.as_str()));
     let mut rest = words.iter().map(String::as_str).filter(|word| *word != "(");
     let (first, second) = (
         rest.next().unwrap_or_default(),
         rest.next().unwrap_or_default(),
     );
-    let called = words.windows(2).filter(|pair| pair[1] == "(");
-    let function = |pair: &[String]| {
-        let known = FUNCTIONS
+    let calls = words.windows(2).filter(|pair| pair[1] == "(");
+    let classify_call = |pair: &[String]| {
+        let known = SIDE_EFFECT_FUNCTIONS
             .iter()
             .find(|(name, _)| *name == pair[0])
             .map(|(_, kind)| kind.clone());
-        known.unwrap_or(match HARMLESS.contains(&format!(" {} ", pair[0])) {
+        known.unwrap_or(match READ_ONLY_NAMES.contains(&format!(" {} ", pair[0])) {
             true => Kind::Read,
             false => Kind::Write,
         })
@@ -100,7 +103,7 @@
         {
             Kind::NeedsSession("a setting of a transaction")
         }
-        "SET" | "RESET" => setting(tokens),
+        "SET" | "RESET" => parse_setting(tokens),
         "DISCARD" => Kind::Setting("ALL".into(), None),
         "BEGIN" | "START" | "COMMIT" | "END" | "ROLLBACK" | "ABORT" | "SAVEPOINT" | "RELEASE" => {
             Kind::NeedsSession(TRANSACTION)
@@ -119,16 +122,16 @@
             let writes = has(&[
                 "INSERT", "UPDATE", "DELETE", "MERGE", "INTO", "ANALYZE", "ANALYSE",
             ]) || (has(&["FOR"]) && has(&["SHARE", "NO", "KEY"]));
-            let start = if writes { Kind::Write } else { Kind::Read };
-            called.map(function).fold(start, both)
+            let own_kind = if writes { Kind::Write } else { Kind::Read };
+            calls.map(classify_call).fold(own_kind, combine)
         }
         _ => Kind::Write,
     }
 }
 
-/// What two statements need together.
-fn both(a: Kind, b: Kind) -> Kind {
-    match (a, b) {
+/// Returns the kind of two statements, or of a statement and a function that it calls, taken together.
+fn combine(first: Kind, second: Kind) -> Kind {
+    match (first, second) {
         (Kind::Empty, other) | (other, Kind::Empty) => other,
         (session @ Kind::NeedsSession(_), _) | (_, session @ Kind::NeedsSession(_)) => session,
         (Kind::Setting(..), _) | (_, Kind::Setting(..)) => {
@@ -139,8 +142,8 @@
     }
 }
 
-/// `SET name = value`, `SET name TO value`, `SET TIME ZONE value`, `SET NAMES value`, `RESET name`.
-fn setting(tokens: &[Token]) -> Kind {
+/// Parses `SET name = value`, `SET name TO value`, `SET TIME ZONE value`, `SET NAMES value` and `RESET name`.
+fn parse_setting(tokens: &[Token]) -> Kind {
     let mut parts = tokens
         .iter()
         .filter(|t| !matches!(t, Token::Whitespace(_)))
@@ -177,15 +180,16 @@
     Kind::Setting(name, Some(rest.join(" ").replace(" ,", ",")))
 }
 
-/// What a query text needs. One that cannot be taken apart counts as a write: the primary will say what is wrong with it.
+/// Classifies a query, which may consist of several statements. A query that cannot be tokenized counts as a write, so that
+/// the primary reports the error.
 pub fn classify(text: &str) -> Kind {
     let Ok(tokens) = Tokenizer::new(&PostgreSqlDialect {}, text).tokenize() else {
         return Kind::Write;
     };
     tokens
         .split(|token| *token == Token::SemiColon)
-        .map(one)
-        .fold(Kind::Empty, both)
+        .map(classify_statement)
+        .fold(Kind::Empty, combine)
 }
 
 #[cfg(test)]
--- a/pgwire/src/statement/tests.rs
+++ b/pgwire/src/statement/tests.rs
@@ -3,8 +3,8 @@
 use super::*;
 
 #[test]
-fn writes_are_never_taken_for_reads() {
-    // Danger: a booking sent to a replica is turned away at best.
+fn writes_are_never_classified_as_reads() {
+    // A write that counts as a read is sent to a replica, which at best rejects it, and may be retried after it has run.
     for text in [
         "INSERT INTO seats VALUES (1)",
         "insert into seats values (1) returning id",
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn reads_are_known_whatever_stands_in_their_texts_and_comments() {
+fn reads_are_recognized_whatever_their_literals_and_comments_contain() {
     for text in [
         "SELECT 1",
         "  /* INSERT */ select 'DELETE FROM seats; UPDATE', \"update\" FROM seats -- DELETE",
@@ -58,8 +58,8 @@
 }
 
 #[test]
-fn what_needs_a_session_of_its_own_is_named() {
-    for (text, why) in [
+fn statements_that_need_an_exclusive_session_name_the_feature() {
+    for (text, feature) in [
         ("BEGIN", TRANSACTION),
         ("begin; select 1; commit", TRANSACTION),
         ("PREPARE x AS SELECT 1", PREPARED),
@@ -72,12 +72,12 @@
         ("SET LOCAL work_mem = 1", "a setting of a transaction"),
         ("SET a = 1; SELECT 1", "a setting amid other statements"),
     ] {
-        assert_eq!(classify(text), Kind::NeedsSession(why), "{text}");
+        assert_eq!(classify(text), Kind::NeedsSession(feature), "{text}");
     }
 }
 
 #[test]
-fn settings_are_read_in_every_form() {
+fn settings_are_parsed_in_every_syntax() {
     for (text, name, value) in [
         ("SET DateStyle TO 'German'", "DateStyle", Some("German")),
         ("set datestyle = iso, mdy", "datestyle", Some("iso, mdy")),
--- a/pgwire/src/values.rs
+++ b/pgwire/src/values.rs
@@ -1,14 +1,13 @@
-//! Values whose text differs between versions and settings: bytea (hex since 9.0, escapes before) and dates.
+//! Values whose text format depends on version and settings: bytea (hex since 9.0, escape format before) and dates.
 //!
-//! Servers are asked for nothing: connections to them are shared, so their settings are the installation's, which must be
-//! `bytea_output = hex` and `DateStyle = ISO`. What is not in the form that those give is passed on as it came. Values
-//! within arrays and records are passed on as they are. Source: the PostgreSQL manual, "Date/Time Output", "Binary Data
-//! Types".
+//! The router does not change settings of servers, because connections to them are shared. Servers must be configured with
+//! `bytea_output = hex` and `DateStyle = ISO`. Values in any other format are passed on unchanged, and so are values within
+//! arrays and records. Source: the PostgreSQL manual, "Date/Time Output", "Binary Data Types".
 
 use serde::{Deserialize, Serialize};
 
-/// The numbers of the types that are written anew.
-pub mod kind {
+/// Object ids of the types whose values are reformatted.
+pub mod type_oid {
     /// bytea
     pub const BYTEA: u32 = 17;
     /// date
@@ -19,7 +18,7 @@
     pub const TIMESTAMPTZ: u32 = 1184;
 }
 
-/// How bytea is written.
+/// The text format of bytea values.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Bytea {
@@ -30,7 +29,7 @@
     Escape,
 }
 
-/// The style of dates.
+/// The output style of dates.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum DateStyle {
     /// 2026-12-01 17:20:00+07
@@ -44,17 +43,18 @@
     German,
 }
 
-/// The style of dates, and whether the day comes before the month.
+/// The setting DateStyle: the style of dates, and whether the day precedes the month.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DateFormat {
     /// The style.
     pub style: DateStyle,
-    /// The day comes first.
+    /// Whether the day precedes the month.
     pub day_first: bool,
 }
 
 impl DateFormat {
-    /// Reads what SET DateStyle takes, on top of what holds now; none where it is not understood.
+    /// Returns the format after `SET DateStyle` with this value, or `None` if the value is invalid. What the value does not
+    /// mention stays unchanged.
     pub fn with_setting(mut self, text: &str) -> Option<Self> {
         for word in text.split([',', ' ']).filter(|word| !word.is_empty()) {
             match word.to_ascii_lowercase().as_str() {
@@ -70,7 +70,7 @@
         Some(self)
     }
 
-    /// As ParameterStatus tells it.
+    /// Returns the value of DateStyle as ParameterStatus reports it.
     pub fn setting_value(self) -> String {
         let style = match self.style {
             DateStyle::Iso => "ISO",
@@ -82,39 +82,42 @@
     }
 }
 
-/// What one client's values look like.
+/// The text formats of the values that a client receives.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ValueFormats {
-    /// bytea.
+    /// The format of bytea.
     pub bytea: Bytea,
     /// DateFormat and times.
     pub dates: DateFormat,
 }
 
 impl ValueFormats {
-    /// Whether values of a type are written anew.
-    pub fn changes(&self, kind: u32) -> bool {
-        match kind {
-            kind::BYTEA => self.bytea != Bytea::Hex,
-            kind::DATE | kind::TIMESTAMP | kind::TIMESTAMPTZ => self.dates.style != DateStyle::Iso,
+    /// Returns true if values of a type are reformatted.
+    pub fn changes(&self, type_oid: u32) -> bool {
+        match type_oid {
+            type_oid::BYTEA => self.bytea != Bytea::Hex,
+            type_oid::DATE | type_oid::TIMESTAMP | type_oid::TIMESTAMPTZ => {
+                self.dates.style != DateStyle::Iso
+            }
             _ => false,
         }
     }
 
-    /// Writes a value anew; none where it stays as it is.
-    pub fn rewrite(&self, kind: u32, value: &[u8]) -> Option<Vec<u8>> {
-        if !self.changes(kind) {
+    /// Reformats a value. Returns `None` if the value stays unchanged.
+    pub fn rewrite(&self, type_oid: u32, value: &[u8]) -> Option<Vec<u8>> {
+        if !self.changes(type_oid) {
             return None;
         }
-        match kind {
-            kind::BYTEA => escape(value),
-            _ => dated(self.dates, kind, std::str::from_utf8(value).ok()?).map(String::into_bytes),
+        match type_oid {
+            type_oid::BYTEA => hex_to_escape(value),
+            _ => format_date_value(self.dates, type_oid, std::str::from_utf8(value).ok()?)
+                .map(String::into_bytes),
         }
     }
 }
 
-/// From hex to escapes: zero, bytes over 126 and under 32 in octal, the backslash twice.
-fn escape(value: &[u8]) -> Option<Vec<u8>> {
+/// Converts bytea from hex to escape format: bytes below 32 and above 126 in octal, and the backslash doubled.
+fn hex_to_escape(value: &[u8]) -> Option<Vec<u8>> {
     let digits = value
         .strip_prefix(b"\\x")
         .filter(|digits| digits.len() % 2 == 0)?;
@@ -146,7 +149,7 @@
     "Jan", "Feb", "Mar", "Apr", "May", "Jun", "Jul", "Aug", "Sep", "Oct", "Nov", "Dec",
 ];
 
-/// The day of the week, 0 for Sunday, of a day in the Gregorian calendar (Sakamoto's rule).
+/// Returns the day of the week, 0 for Sunday, of a date in the Gregorian calendar (Sakamoto's algorithm).
 fn weekday(year: i64, month: usize, day: i64) -> usize {
     const SHIFT: [i64; 12] = [0, 3, 2, 5, 0, 3, 5, 1, 4, 6, 2, 4];
     let year = if month < 3 { year - 1 } else { year };
@@ -157,58 +160,70 @@
         .rem_euclid(7) as usize
 }
 
-fn dated(dates: DateFormat, kind: u32, text: &str) -> Option<String> {
-    // Before Christ stands at the end whatever the style.
+/// Converts a date or timestamp from ISO format, or returns `None` if it is in another format.
+fn format_date_value(dates: DateFormat, type_oid: u32, text: &str) -> Option<String> {
+    // The suffix ` BC` stands at the end in every style.
     let (text, era) = text
         .strip_suffix(" BC")
         .map_or((text, ""), |rest| (rest, " BC"));
     let (date, time) = match text.split_once(' ') {
-        Some((date, time)) if kind != kind::DATE => (date, Some(time)),
-        None if kind == kind::DATE => (text, None),
-        // `infinity`, and whatever else stands alone.
+        Some((date, time)) if type_oid != type_oid::DATE => (date, Some(time)),
+        None if type_oid == type_oid::DATE => (text, None),
+        // `infinity`, or another value that is not a date and a time.
         _ => return None,
     };
     let mut parts = date.split('-');
-    let (Some(y), Some(m), Some(d), None) =
+    let (Some(year_text), Some(month_text), Some(day_text), None) =
         (parts.next(), parts.next(), parts.next(), parts.next())
     else {
         return None;
     };
-    let digits = |text: &str| text.bytes().all(|b| b.is_ascii_digit());
-    let fits = y.len() >= 4 && m.len() == 2 && d.len() == 2 && digits(y) && digits(m) && digits(d);
+    let is_numeric = |text: &str| text.bytes().all(|b| b.is_ascii_digit());
+    let is_iso_date = year_text.len() >= 4
+        && month_text.len() == 2
+        && day_text.len() == 2
+        && is_numeric(year_text)
+        && is_numeric(month_text)
+        && is_numeric(day_text);
     let (month, day, year) = (
-        m.parse::<usize>().ok()?,
-        d.parse::<i64>().ok()?,
-        y.parse::<i64>().ok()?,
+        month_text.parse::<usize>().ok()?,
+        day_text.parse::<i64>().ok()?,
+        year_text.parse::<i64>().ok()?,
     );
-    if !fits || !(1..=12).contains(&month) {
+    if !is_iso_date || !(1..=12).contains(&month) {
         return None;
     }
-    let (first, second) = if dates.day_first { (d, m) } else { (m, d) };
-    let short = match dates.style {
+    let (first_part, second_part) = if dates.day_first {
+        (day_text, month_text)
+    } else {
+        (month_text, day_text)
+    };
+    let formatted_date = match dates.style {
         DateStyle::Iso => return None,
-        DateStyle::Sql => format!("{first}/{second}/{y}"),
-        DateStyle::Postgres => format!("{first}-{second}-{y}"),
-        DateStyle::German => format!("{d}.{m}.{y}"),
+        DateStyle::Sql => format!("{first_part}/{second_part}/{year_text}"),
+        DateStyle::Postgres => format!("{first_part}-{second_part}-{year_text}"),
+        DateStyle::German => format!("{day_text}.{month_text}.{year_text}"),
     };
     let Some(time) = time else {
-        return Some(short + era);
+        return Some(formatted_date + era);
     };
     if dates.style != DateStyle::Postgres {
-        return Some(format!("{short} {time}{era}"));
+        return Some(format!("{formatted_date} {time}{era}"));
     }
-    let (clock, zone) = match time.find(['+', '-']) {
-        Some(at) => (&time[..at], format!(" {}", &time[at..])),
+    let (time_of_day, zone) = match time.find(['+', '-']) {
+        Some(zone_start) => (&time[..zone_start], format!(" {}", &time[zone_start..])),
         None => (time, String::new()),
     };
-    // The year 1 BC is the year 0 of the calendar that days are counted by.
-    let name = DAYS[weekday(if era.is_empty() { year } else { 1 - year }, month, day)];
-    let middle = if dates.day_first {
-        format!("{d} {}", MONTHS[month - 1])
+    // 1 BC is the year 0 of the proleptic Gregorian calendar, by which weekdays are computed.
+    let weekday_name = DAYS[weekday(if era.is_empty() { year } else { 1 - year }, month, day)];
+    let month_and_day = if dates.day_first {
+        format!("{day_text} {}", MONTHS[month - 1])
     } else {
-        format!("{} {d}", MONTHS[month - 1])
+        format!("{} {day_text}", MONTHS[month - 1])
     };
-    Some(format!("{name} {middle} {clock} {y}{zone}{era}"))
+    Some(format!(
+        "{weekday_name} {month_and_day} {time_of_day} {year_text}{zone}{era}"
+    ))
 }
 
 #[cfg(test)]
--- a/pgwire/src/values/tests.rs
+++ b/pgwire/src/values/tests.rs
@@ -3,40 +3,47 @@
 use super::*;
 
 #[test]
-fn bytea_is_escaped_as_before_9_0() {
+fn bytea_is_converted_to_the_escape_format_of_old_versions() {
     let formats = ValueFormats {
         bytea: Bytea::Escape,
         ..ValueFormats::default()
     };
-    let said = |value: &[u8]| {
+    let reformat = |value: &[u8]| {
         formats
-            .rewrite(kind::BYTEA, value)
+            .rewrite(type_oid::BYTEA, value)
             .map(|v| String::from_utf8(v).expect("ASCII"))
     };
     assert_eq!(
-        said(b"\\x9f0041205c7e7f").as_deref(),
+        reformat(b"\\x9f0041205c7e7f").as_deref(),
         Some("\\237\\000A \\\\~\\177")
     );
-    assert_eq!(said(b"\\x").as_deref(), Some(""));
-    for odd in [&b"\\x9"[..], b"\\xzz", b"plain", b""] {
-        assert_eq!(said(odd), None, "{odd:?} stays as it came");
+    assert_eq!(reformat(b"\\x").as_deref(), Some(""));
+    for unchanged in [&b"\\x9"[..], b"\\xzz", b"plain", b""] {
+        assert_eq!(reformat(unchanged), None, "{unchanged:?} stays unchanged");
     }
-    assert_eq!(formats.rewrite(25, b"\\x9f"), None, "a text is no bytea");
-    assert_eq!(ValueFormats::default().rewrite(kind::BYTEA, b"\\x9f"), None);
+    assert_eq!(
+        formats.rewrite(25, b"\\x9f"),
+        None,
+        "a text is not converted"
+    );
+    assert_eq!(
+        ValueFormats::default().rewrite(type_oid::BYTEA, b"\\x9f"),
+        None
+    );
 }
 
 #[test]
-fn dates_are_written_in_every_style() {
-    let said = |style: &str, kind: u32, text: &str| {
+fn dates_are_reformatted_in_every_style() {
+    let reformat = |style: &str, type_oid: u32, text: &str| {
         let dates = DateFormat::default().with_setting(style).expect("a style");
-        let new = ValueFormats {
+        let reformatted = ValueFormats {
             dates,
             ..ValueFormats::default()
         }
-        .rewrite(kind, text.as_bytes());
-        new.map(|v| String::from_utf8(v).expect("text"))
+        .rewrite(type_oid, text.as_bytes());
+        reformatted.map(|v| String::from_utf8(v).expect("text"))
     };
-    for (style, date, stamp, zoned) in [
+    for (style, date, timestamp, timestamp_tz) in [
         (
             "SQL, MDY",
             "12/01/2026",
@@ -68,25 +75,28 @@
             "01.12.2026 17:20:00+07",
         ),
     ] {
-        assert_eq!(said(style, kind::DATE, "2026-12-01").as_deref(), Some(date));
         assert_eq!(
-            said(style, kind::TIMESTAMP, "2026-12-01 17:20:00.5").as_deref(),
-            Some(stamp)
+            reformat(style, type_oid::DATE, "2026-12-01").as_deref(),
+            Some(date)
+        );
+        assert_eq!(
+            reformat(style, type_oid::TIMESTAMP, "2026-12-01 17:20:00.5").as_deref(),
+            Some(timestamp)
         );
         assert_eq!(
-            said(style, kind::TIMESTAMPTZ, "2026-12-01 17:20:00+07").as_deref(),
-            Some(zoned)
+            reformat(style, type_oid::TIMESTAMPTZ, "2026-12-01 17:20:00+07").as_deref(),
+            Some(timestamp_tz)
         );
     }
     assert_eq!(
-        said("SQL", kind::DATE, "0044-03-15 BC").as_deref(),
+        reformat("SQL", type_oid::DATE, "0044-03-15 BC").as_deref(),
         Some("03/15/0044 BC")
     );
     assert_eq!(
-        said("Postgres", kind::TIMESTAMP, "2000-02-29 00:00:00").as_deref(),
+        reformat("Postgres", type_oid::TIMESTAMP, "2000-02-29 00:00:00").as_deref(),
         Some("Tue Feb 29 00:00:00 2000")
     );
-    for odd in [
+    for unchanged in [
         "infinity",
         "-infinity",
         "2026-13-01",
@@ -96,12 +106,12 @@
         "2026-12-01-01",
     ] {
         assert_eq!(
-            said("SQL", kind::DATE, odd),
+            reformat("SQL", type_oid::DATE, unchanged),
             None,
-            "{odd:?} stays as it came"
+            "{unchanged:?} stays unchanged"
         );
     }
-    assert_eq!(said("ISO", kind::DATE, "2026-12-01"), None);
+    assert_eq!(reformat("ISO", type_oid::DATE, "2026-12-01"), None);
     assert_eq!(DateFormat::default().with_setting("nonsense"), None);
     assert_eq!(
         DateFormat::default()
--- a/pgwire/src/verifier.rs
+++ b/pgwire/src/verifier.rs
@@ -1,6 +1,6 @@
-//! What clients are checked by: MD5 and SCRAM-SHA-256 verifiers, never a password.
+//! MD5 and SCRAM-SHA-256 verifiers, by which clients are authenticated. Passwords are never stored.
 //!
-//! Sources: RFC 5802 and 7677 for SCRAM, the PostgreSQL manual ("Password Authentication", "pg_authid") for both forms.
+//! Sources: RFC 5802 and 7677 for SCRAM, the PostgreSQL manual ("Password Authentication", "pg_authid") for both formats.
 
 use crate::Error;
 use base64::Engine;
@@ -12,38 +12,38 @@
 use std::fmt;
 use subtle::ConstantTimeEq;
 
-/// Iterations that a verifier may ask for: fewer are worth little, and each costs the router a hash when a client sends
-/// its password in clear text.
-const ITERATIONS: std::ops::RangeInclusive<u32> = 1_024..=100_000;
-/// What a user that does not exist is given.
-const USUAL_ITERATIONS: u32 = 4_096;
-/// Users that one file may hold.
+/// Allowed numbers of iterations of a verifier. Fewer protect too little; more cost the router too much, since it computes
+/// one hash for each iteration when a client sends its password in clear text.
+const ALLOWED_ITERATIONS: std::ops::RangeInclusive<u32> = 1_024..=100_000;
+/// Number of iterations that a user who does not exist appears to have.
+const UNKNOWN_USER_ITERATIONS: u32 = 4_096;
+/// Maximum number of users in one credentials file.
 pub const MAX_USERS: usize = 100_000;
 
-/// SCRAM-SHA-256's part of a verifier.
+/// A SCRAM-SHA-256 verifier.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Scram {
-    /// Rounds of the hash.
+    /// The number of iterations of the hash.
     pub iterations: u32,
     /// The salt.
     pub salt: Vec<u8>,
-    stored: [u8; 32],
-    server: [u8; 32],
+    stored_key: [u8; 32],
+    server_key: [u8; 32],
 }
 
-/// What one user is checked by.
+/// The verifier of one user's password.
 #[derive(Clone, PartialEq, Eq)]
 pub enum Verifier {
-    /// `md5` and the hash of password and user in 32 hex digits.
+    /// Written as `md5` and 32 hex digits: the hash of password and user.
     Md5([u8; 32]),
-    /// `SCRAM-SHA-256$iterations:salt$stored:server`.
+    /// Written as `SCRAM-SHA-256$iterations:salt$StoredKey:ServerKey`.
     Scram(Scram),
 }
 
-/// It shows nothing of what it holds.
+/// Prints only the kind, so that logs never contain a verifier.
 impl fmt::Debug for Verifier {
-    fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
-        to.write_str(self.kind())
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str(self.kind())
     }
 }
 
@@ -53,29 +53,29 @@
     mac.finalize().into_bytes().into()
 }
 
-fn hex(bytes: &[u8]) -> [u8; 32] {
-    let mut out = [0; 32];
-    for (pair, byte) in out.chunks_exact_mut(2).zip(bytes) {
+fn hex_digits(bytes: &[u8]) -> [u8; 32] {
+    let mut digits = [0; 32];
+    for (pair, byte) in digits.chunks_exact_mut(2).zip(bytes) {
         pair.copy_from_slice(&[
             b"0123456789abcdef"[usize::from(byte >> 4)],
             b"0123456789abcdef"[usize::from(byte & 15)],
         ]);
     }
-    out
+    digits
 }
 
 fn md5_hex(parts: &[&[u8]]) -> [u8; 32] {
     let mut hash = Md5::new();
     parts.iter().for_each(|part| hash.update(part));
-    hex(&hash.finalize())
+    hex_digits(&hash.finalize())
 }
 
-fn same(a: &[u8], b: &[u8]) -> bool {
-    a.ct_eq(b).into()
+fn equal_in_constant_time(left: &[u8], right: &[u8]) -> bool {
+    left.ct_eq(right).into()
 }
 
 impl Verifier {
-    /// What it is, for messages.
+    /// Returns a description of the kind for error messages.
     pub fn kind(&self) -> &'static str {
         match self {
             Verifier::Md5(_) => "an MD5 verifier",
@@ -83,20 +83,23 @@
         }
     }
 
-    /// Reads the form that `pg_authid` has.
+    /// Parses a verifier in the format of `pg_authid`. Returns `None` if it is malformed.
     pub fn parse(text: &str) -> Option<Self> {
         if let Some(digits) = text.strip_prefix("md5") {
             let digits: [u8; 32] = digits.as_bytes().try_into().ok()?;
             return digits
                 .iter()
-                .all(|b| b.is_ascii_digit() || (b'a'..=b'f').contains(b))
+                .all(|byte| byte.is_ascii_digit() || (b'a'..=b'f').contains(byte))
                 .then_some(Verifier::Md5(digits));
         }
         let (head, keys) = text.strip_prefix("SCRAM-SHA-256$")?.split_once('$')?;
         let (iterations, salt) = head.split_once(':')?;
-        let (stored, server) = keys.split_once(':')?;
+        let (stored_key, server_key) = keys.split_once(':')?;
         let key = |text: &str| <[u8; 32]>::try_from(STANDARD.decode(text).ok()?).ok();
-        let iterations = iterations.parse().ok().filter(|n| ITERATIONS.contains(n))?;
+        let iterations = iterations
+            .parse()
+            .ok()
+            .filter(|n| ALLOWED_ITERATIONS.contains(n))?;
         let salt = STANDARD
             .decode(salt)
             .ok()
@@ -104,167 +107,188 @@
         Some(Verifier::Scram(Scram {
             iterations,
             salt,
-            stored: key(stored)?,
-            server: key(server)?,
+            stored_key: key(stored_key)?,
+            server_key: key(server_key)?,
         }))
     }
 
-    /// The MD5 verifier of a password, as `pg_authid` writes it.
+    /// Returns the MD5 verifier of a password.
     pub fn md5_from_password(user: &str, password: &[u8]) -> Self {
         Verifier::Md5(md5_hex(&[password, user.as_bytes()]))
     }
 
-    /// The SCRAM verifier of a password.
+    /// Returns the SCRAM-SHA-256 verifier of a password.
     pub fn scram_from_password(password: &[u8], salt: &[u8], iterations: u32) -> Self {
-        let salted = salted(password, salt, iterations);
-        let stored = Sha256::digest(hmac(&salted, &[b"Client Key"])).into();
-        let server = hmac(&salted, &[b"Server Key"]);
+        let salted = salted_password(password, salt, iterations);
+        let stored_key = Sha256::digest(hmac(&salted, &[b"Client Key"])).into();
+        let server_key = hmac(&salted, &[b"Server Key"]);
         Verifier::Scram(Scram {
             iterations,
             salt: salt.to_vec(),
-            stored,
-            server,
+            stored_key,
+            server_key,
         })
     }
 
-    /// What a user who does not exist is checked by: the same for each try, so that nobody learns who exists, and met by
-    /// no password.
+    /// Returns a verifier for a user who does not exist. No password matches it. It is the same at each attempt, so that
+    /// clients cannot find out which users exist.
     pub fn for_unknown_user(user: &str, secret: &[u8], scram: bool) -> Self {
-        let mark = hmac(secret, &[b"nobody", user.as_bytes()]);
+        let user_hash = hmac(secret, &[b"nobody", user.as_bytes()]);
         if scram {
-            let (stored, server) = (
-                hmac(secret, &[b"stored", &mark]),
-                hmac(secret, &[b"server", &mark]),
+            let (stored_key, server_key) = (
+                hmac(secret, &[b"stored", &user_hash]),
+                hmac(secret, &[b"server", &user_hash]),
             );
             return Verifier::Scram(Scram {
-                iterations: USUAL_ITERATIONS,
-                salt: mark[..16].to_vec(),
-                stored,
-                server,
+                iterations: UNKNOWN_USER_ITERATIONS,
+                salt: user_hash[..16].to_vec(),
+                stored_key,
+                server_key,
             });
         }
-        Verifier::Md5(hex(&mark[..16]))
+        Verifier::Md5(hex_digits(&user_hash[..16]))
     }
 
-    /// Whether a password sent in clear text is the right one.
+    /// Returns true if a password sent in clear text is right.
     pub fn matches_password(&self, user: &str, password: &[u8]) -> bool {
         match self {
-            Verifier::Md5(kept) => same(kept, &md5_hex(&[password, user.as_bytes()])),
-            Verifier::Scram(kept) => {
-                let client = hmac(
-                    &salted(password, &kept.salt, kept.iterations),
+            Verifier::Md5(verifier) => {
+                equal_in_constant_time(verifier, &md5_hex(&[password, user.as_bytes()]))
+            }
+            Verifier::Scram(verifier) => {
+                let client_key = hmac(
+                    &salted_password(password, &verifier.salt, verifier.iterations),
                     &[b"Client Key"],
                 );
-                same(&kept.stored, &Sha256::digest(client))
+                equal_in_constant_time(&verifier.stored_key, &Sha256::digest(client_key))
             }
         }
     }
 
-    /// Whether what a client made of an MD5 salt is right; never with a SCRAM verifier.
-    pub fn matches_md5_response(&self, salt: [u8; 4], said: &[u8]) -> bool {
-        let Verifier::Md5(kept) = self else {
+    /// Returns true if a client's response to an MD5 salt is right; always false for a SCRAM verifier.
+    pub fn matches_md5_response(&self, salt: [u8; 4], response: &[u8]) -> bool {
+        let Verifier::Md5(verifier) = self else {
             return false;
         };
-        let want = md5_hex(&[kept, &salt]);
-        same(&[b"md5", &want[..]].concat(), said)
+        let expected = md5_hex(&[verifier, &salt]);
+        equal_in_constant_time(&[b"md5", &expected[..]].concat(), response)
     }
 }
 
-fn salted(password: &[u8], salt: &[u8], iterations: u32) -> [u8; 32] {
-    // A password that is no UTF-8, or cannot be prepared, counts as it is: so servers do.
+/// Returns the SaltedPassword of SCRAM.
+fn salted_password(password: &[u8], salt: &[u8], iterations: u32) -> [u8; 32] {
+    // A password that is not UTF-8, or that SASLprep rejects, is used unchanged, as PostgreSQL does.
     let prepared = std::str::from_utf8(password)
         .ok()
         .and_then(|text| stringprep::saslprep(text).ok());
     let password = prepared.as_deref().map_or(password, str::as_bytes);
-    let mut out = [0; 32];
-    pbkdf2::pbkdf2_hmac::<Sha256>(password, salt, iterations, &mut out);
-    out
+    let mut salted = [0; 32];
+    pbkdf2::pbkdf2_hmac::<Sha256>(password, salt, iterations, &mut salted);
+    salted
 }
 
-/// One exchange of SCRAM-SHA-256, seen from the server's side.
+/// The server side of one SCRAM-SHA-256 exchange.
 pub struct ScramExchange {
-    kept: Scram,
-    /// What the client's channel binding must repeat, and the messages so far.
-    header: String,
-    first: String,
-    answer: String,
+    verifier: Scram,
+    /// The header of the client's first message, which its channel binding has to repeat.
+    gs2_header: String,
+    /// The client's first message without the header.
+    client_first_bare: String,
+    /// The server's first message.
+    server_first: String,
+    /// The nonces of client and server together.
     nonce: String,
 }
 
 impl ScramExchange {
-    /// Reads the client's first message; the exchange, and the server's first message. `nonce` is the server's own part.
-    pub fn start(kept: &Scram, said: &[u8], nonce: &str) -> Option<(Self, String)> {
-        let said = std::str::from_utf8(said).ok()?;
-        let (flag, rest) = said.split_once(',')?;
+    /// Starts an exchange with the client's first message. Returns the exchange and the server's first message, or `None` if
+    /// the client's message is malformed. `nonce` is the server's part of the nonce.
+    pub fn start(verifier: &Scram, client_first: &[u8], nonce: &str) -> Option<(Self, String)> {
+        let client_first = std::str::from_utf8(client_first).ok()?;
+        let (flag, rest) = client_first.split_once(',')?;
         let (name, bare) = rest.split_once(',')?;
-        // `y`: the client would bind the channel, had it been offered. `p=`: it does, and that was not offered.
+        // `n`: the client does not support channel binding. `y`: it does, but knows that the server has not offered it.
+        // `p=`: it uses channel binding although that was not offered.
         if !(flag == "n" || flag == "y") || !(name.is_empty() || name.starts_with("a=")) {
             return None;
         }
         let (user, rest) = bare.split_once(',')?;
-        let theirs = rest.split(',').next()?.strip_prefix("r=")?;
-        let fits = |text: &str| {
-            (8..=256).contains(&text.len()) && text.bytes().all(|b| (0x21..=0x7e).contains(&b))
+        let client_nonce = rest.split(',').next()?.strip_prefix("r=")?;
+        let is_valid_nonce = |text: &str| {
+            (8..=256).contains(&text.len())
+                && text.bytes().all(|byte| (0x21..=0x7e).contains(&byte))
         };
-        if !user.starts_with("n=") || !fits(theirs) {
+        if !user.starts_with("n=") || !is_valid_nonce(client_nonce) {
             return None;
         }
-        let nonce = format!("{theirs}{nonce}");
-        let answer = format!(
+        let nonce = format!("{client_nonce}{nonce}");
+        let server_first = format!(
             "r={nonce},s={},i={}",
-            STANDARD.encode(&kept.salt),
-            kept.iterations
+            STANDARD.encode(&verifier.salt),
+            verifier.iterations
         );
-        let header = format!("{flag},{name},");
+        let gs2_header = format!("{flag},{name},");
         let exchange = ScramExchange {
-            kept: kept.clone(),
-            header,
-            first: bare.into(),
-            answer: answer.clone(),
+            verifier: verifier.clone(),
+            gs2_header,
+            client_first_bare: bare.into(),
+            server_first: server_first.clone(),
             nonce,
         };
-        Some((exchange, answer))
+        Some((exchange, server_first))
     }
 
-    /// Checks the client's last message; the server's last message where the proof is right.
-    pub fn finish(&self, said: &[u8]) -> Option<String> {
-        let said = std::str::from_utf8(said).ok()?;
-        let (without, proof) = said.rsplit_once(",p=")?;
+    /// Checks the client's last message. Returns the server's last message if the proof is right.
+    pub fn finish(&self, client_final: &[u8]) -> Option<String> {
+        let client_final = std::str::from_utf8(client_final).ok()?;
+        let (without_proof, proof) = client_final.rsplit_once(",p=")?;
         let proof = <[u8; 32]>::try_from(STANDARD.decode(proof).ok()?).ok()?;
-        let mut parts = without.split(',');
+        let mut parts = without_proof.split(',');
         let binding = parts.next()?.strip_prefix("c=")?;
         let nonce = parts.next()?.strip_prefix("r=")?;
-        let all = [&self.first, ",", &self.answer, ",", without].concat();
-        let signature = hmac(&self.kept.stored, &[all.as_bytes()]);
-        let client: Vec<u8> = proof.iter().zip(signature).map(|(a, b)| a ^ b).collect();
-        let right = same(&self.kept.stored, &Sha256::digest(client));
-        let bound = STANDARD
+        let auth_message = [
+            &self.client_first_bare,
+            ",",
+            &self.server_first,
+            ",",
+            without_proof,
+        ]
+        .concat();
+        let signature = hmac(&self.verifier.stored_key, &[auth_message.as_bytes()]);
+        let client_key: Vec<u8> = proof
+            .iter()
+            .zip(signature)
+            .map(|(left, right)| left ^ right)
+            .collect();
+        let is_proof_valid =
+            equal_in_constant_time(&self.verifier.stored_key, &Sha256::digest(client_key));
+        let is_binding_valid = STANDARD
             .decode(binding)
             .ok()
-            .is_some_and(|b| b == self.header.as_bytes());
-        let done = format!(
+            .is_some_and(|header| header == self.gs2_header.as_bytes());
+        let server_final = format!(
             "v={}",
-            STANDARD.encode(hmac(&self.kept.server, &[all.as_bytes()]))
+            STANDARD.encode(hmac(&self.verifier.server_key, &[auth_message.as_bytes()]))
         );
-        (right && bound && nonce == self.nonce).then_some(done)
+        (is_proof_valid && is_binding_valid && nonce == self.nonce).then_some(server_final)
     }
 }
 
-/// The users of a front, and what each is checked by.
+/// The users of a listener and their verifiers.
 #[derive(Clone, Default, PartialEq, Eq)]
 pub struct Users(HashMap<String, Verifier>);
 
 impl fmt::Debug for Users {
-    fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(to, "{} users", self.0.len())
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(formatter, "{} users", self.0.len())
     }
 }
 
 impl Users {
-    /// Reads a credentials file: a user and a verifier a line, blanks between; `#` begins a comment.
+    /// Parses a credentials file. Each line has a user and a verifier, separated by blanks; `#` starts a comment.
     ///
     /// # Errors
-    /// Names the line, and repeats nothing of what may be a password.
+    /// Returns an error that names the line, and does not repeat any text that may be a password.
     pub fn parse(text: &str) -> Result<Self, Error> {
         let mut users = HashMap::new();
         for (number, line) in (1..).zip(text.lines()) {
@@ -286,17 +310,17 @@
         Ok(Users(users))
     }
 
-    /// What a user is checked by.
+    /// Returns the verifier of a user, or `None` if the user does not exist.
     pub fn get(&self, user: &str) -> Option<&Verifier> {
         self.0.get(user)
     }
 
-    /// How many there are.
+    /// Returns the number of users.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// Whether there are none.
+    /// Returns true if there are no users.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
