--- a/pgwire/src/reply.rs
+++ b/pgwire/src/reply.rs
@@ -284,7 +284,7 @@
 ];
 
 /// Returns true if a RowDescription describes one column: its name, and 18 bytes about its origin, type and format. Clients
-/// of the platform do not use those 18 bytes, so their contents are not checked: corrupted ones do not spoil the answer.
+/// of the platform do not use those 18 bytes, so their contents are not checked: corrupted ones do not invalidate the answer.
 fn describes_one_column(body: &[u8]) -> bool {
     let name_length = body
         .strip_prefix(&[0, 1])
--- a/pgwire/tests/fuzz.rs
+++ b/pgwire/tests/fuzz.rs
@@ -1,5 +1,5 @@
-//! Every decoder under mutated inputs, from a corpus of good ones and a fixed seed. CI plays 200,000; PLOVERCOVE_FUZZ sets
-//! another number:
+//! Fuzzes every decoder with mutations of a corpus of valid inputs, from fixed seeds. CI runs 200,000 inputs;
+//! PLOVERCOVE_FUZZ sets another number:
 //!
 //!     PLOVERCOVE_FUZZ=10000000 cargo test --release -p plovercove-pgwire --test fuzz -- --nocapture
 
@@ -16,18 +16,18 @@
 use rand_pcg::Pcg64Mcg;
 use std::sync::LazyLock;
 
-/// What one decoder makes of some bytes; how many bytes it holds or has made.
+/// Runs one decoder on an input. Returns how many bytes the decoder retains or has produced.
 type Target = fn(&[u8]) -> usize;
 
-/// Made once: hashing is what SCRAM's verifier is dear in.
-static KEPT: LazyLock<[Verifier; 2]> = LazyLock::new(|| {
+/// Verifiers of `app`. They are computed only once, because the hash iterations of SCRAM are expensive.
+static VERIFIERS: LazyLock<[Verifier; 2]> = LazyLock::new(|| {
     [
         Verifier::md5_from_password("app", b"right"),
         Verifier::scram_from_password(b"right", b"0123456789abcdef", 1_024),
     ]
 });
 
-fn startup(bytes: &[u8]) -> usize {
+fn fuzz_startup(bytes: &[u8]) -> usize {
     let rules = Rules {
         versions: vec![Version::V2, Version::V30, Version::V32],
         methods: vec![Method::Scram, Method::Md5, Method::Password],
@@ -36,11 +36,14 @@
     while let Ok(Some((length, step))) =
         startup.read_message(&rules, rest, "0123456789abcdef", &mut out)
     {
-        assert!(length > 0 && length <= rest.len(), "it takes what is there");
+        assert!(
+            length > 0 && length <= rest.len(),
+            "it consumes received bytes only"
+        );
         rest = &rest[length..];
         match step {
             Step::UserNamed => {
-                let verifier = KEPT.get(bytes.len() % 3);
+                let verifier = VERIFIERS.get(bytes.len() % 3);
                 if startup
                     .identify(&rules, verifier, &[1; 32], [1; 4], &mut out)
                     .is_err()
@@ -52,7 +55,7 @@
             Step::Continue => {}
         }
     }
-    // What it has been sent, and what it says, is bounded by what came.
+    // What is retained of a startup is bounded by the input.
     startup.user().len()
         + startup
             .parameters()
@@ -61,8 +64,8 @@
             .sum::<usize>()
 }
 
-fn login(bytes: &[u8]) -> usize {
-    let who = Credentials {
+fn fuzz_login(bytes: &[u8]) -> usize {
+    let credentials = Credentials {
         user: "app".into(),
         database: "trips".into(),
         password: Some("right".into()),
@@ -71,19 +74,19 @@
         skip_authentication: false,
     };
     let mut out = Vec::new();
-    let mut login = Login::start(&who, &mut out);
-    let start = out.len();
+    let mut login = Login::start(&credentials, &mut out);
+    let sent_before = out.len();
     for message in messages::split(bytes) {
-        if login.read_message(&who, &message, &mut out) != Ok(false) {
+        if login.read_message(&credentials, &message, &mut out) != Ok(false) {
             break;
         }
     }
-    // One proof is the longest that it ever says; a message of a server brings at most one.
-    (out.len() - start).min(bytes.len() + 400)
+    // The longest output is one proof, and a message of a server causes at most one.
+    (out.len() - sent_before).min(bytes.len() + 400)
 }
 
-fn reply(bytes: &[u8]) -> usize {
-    let (mut reply, mut held) = (Reply::new(Shape::Any), Vec::new());
+fn fuzz_reply(bytes: &[u8]) -> usize {
+    let (mut reply, mut retained_bytes) = (Reply::new(Shape::Any), Vec::new());
     for message in messages::split(bytes) {
         if message.kind == b'Z' {
             if reply.read_ready(message.body).is_err() {
@@ -94,8 +97,8 @@
         if reply.read_message(&message).is_err() {
             break;
         }
-        held.extend_from_slice(message.raw);
-        // Whatever came: an error that the server worded is never served.
+        retained_bytes.extend_from_slice(message.raw);
+        // An error of the server is never taken for success, whatever the input.
         assert!(!(reply.is_error() && reply.outcome() == Outcome::Served));
     }
     let formats = ValueFormats {
@@ -104,23 +107,23 @@
             .with_setting("Postgres, DMY")
             .expect("a style"),
     };
-    let mut longest = held.len();
+    let mut longest = retained_bytes.len();
     for version in [Version::V2, Version::V30] {
         let mut out = Vec::new();
-        let _ = Encoder { version, formats }.put_reply(&held, &mut out);
-        // A byte of bytea in hex is two; escaped it is four at most. An error's fields gain a word each.
+        let _ = Encoder { version, formats }.put_reply(&retained_bytes, &mut out);
+        // A byte of bytea takes two characters in hex and up to four in escape format. Each field of an error gains a label.
         assert!(
-            out.len() <= held.len() * 12 + 64,
+            out.len() <= retained_bytes.len() * 12 + 64,
             "{} from {}",
             out.len(),
-            held.len()
+            retained_bytes.len()
         );
         longest = longest.max(out.len() / 12);
     }
     longest
 }
 
-fn text(bytes: &[u8]) -> usize {
+fn fuzz_text(bytes: &[u8]) -> usize {
     let text = String::from_utf8_lossy(bytes);
     let mut session = Session::new(ValueFormats::default());
     if let Kind::Setting(name, value) = statement::classify(&text) {
@@ -160,29 +163,35 @@
         messages::put(&mut out, kind, |out| out.extend_from_slice(body));
         out
     };
-    let mut old = vec![0u8; 296];
-    old[..8].copy_from_slice(b"\0\0\x01\x28\0\x02\0\0");
-    old[72..75].copy_from_slice(b"app");
-    old.extend(packet(b"right\0"));
-    let start = packet(b"\0\x03\0\x02user\0app\0database\0trips\0DateStyle\0ISO\0_pq_.x\0y\0\0");
-    let scram = b"SCRAM-SHA-256\0\0\0\0\x20n,,n=,r=0123456789abcdefghijklmn";
-    let last =
+    let mut v2_startup = vec![0u8; 296];
+    v2_startup[..8].copy_from_slice(b"\0\0\x01\x28\0\x02\0\0");
+    v2_startup[72..75].copy_from_slice(b"app");
+    v2_startup.extend(packet(b"right\0"));
+    let startup_packet =
+        packet(b"\0\x03\0\x02user\0app\0database\0trips\0DateStyle\0ISO\0_pq_.x\0y\0\0");
+    let scram_client_first = b"SCRAM-SHA-256\0\0\0\0\x20n,,n=,r=0123456789abcdefghijklmn";
+    let scram_client_final =
         b"c=biws,r=0123456789abcdefghijklmn0123456789abcdef,p=AAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAA=";
-    let doors = vec![
-        old,
+    let startups = vec![
+        v2_startup,
         [
-            start.clone(),
+            startup_packet.clone(),
             message(b'p', b"md50123456789abcdef0123456789abcdef\0"),
         ]
         .concat(),
-        [start, message(b'p', scram), message(b'p', last)].concat(),
+        [
+            startup_packet,
+            message(b'p', scram_client_first),
+            message(b'p', scram_client_final),
+        ]
+        .concat(),
         [
             packet(b"\x04\xd2\x16\x2f"),
             packet(b"\x04\xd2\x16\x2e\0\0\0\x07abcd"),
         ]
         .concat(),
     ];
-    let hello = [
+    let scram_login = [
         message(b'v', b"\0\0\0\0\0\0\0\x01_pq_.x\0"),
         message(b'R', b"\0\0\0\x0aSCRAM-SHA-256\0\0"),
         message(b'R', b"\0\0\0\x0br=x,s=c2FsdA==,i=4096"),
@@ -190,7 +199,7 @@
     ]
     .concat();
     let logins = vec![
-        hello,
+        scram_login,
         [
             message(b'R', b"\0\0\0\x05salt"),
             message(b'R', &[0; 4]),
@@ -251,33 +260,33 @@
     ];
     let texts = texts.map(|t| t.as_bytes().to_vec()).to_vec();
     vec![
-        (startup, doors),
-        (login, logins),
-        (reply, replies),
-        (text, texts),
+        (fuzz_startup, startups),
+        (fuzz_login, logins),
+        (fuzz_reply, replies),
+        (fuzz_text, texts),
     ]
 }
 
 fn mutate(input: &mut Vec<u8>, other: &[u8], random: &mut Pcg64Mcg) {
     for _ in 0..random.random_range(0..5) {
-        let at = random.random_range(0..=input.len());
+        let position = random.random_range(0..=input.len());
         match random.random_range(0..7) {
-            0 if at < input.len() => input[at] ^= 1 << random.random_range(0..8),
-            1 if at < input.len() => {
-                input[at] = [0, 1, 0x7f, 0x80, 0xff, b'\\', b','][random.random_range(0..7)]
+            0 if position < input.len() => input[position] ^= 1 << random.random_range(0..8),
+            1 if position < input.len() => {
+                input[position] = [0, 1, 0x7f, 0x80, 0xff, b'\\', b','][random.random_range(0..7)]
             }
-            2 => input.truncate(at),
-            3 => input.insert(at, random.random()),
-            4 if at < input.len() => drop(input.remove(at)),
+            2 => input.truncate(position),
+            3 => input.insert(position, random.random()),
+            4 if position < input.len() => drop(input.remove(position)),
             5 => {
                 let from = random.random_range(0..=other.len());
-                input.truncate(at);
+                input.truncate(position);
                 input.extend_from_slice(&other[from..]);
             }
-            6 if at + 4 <= input.len() => {
+            6 if position + 4 <= input.len() => {
                 let length = [0u32, 3, 4, 5, 255, 65_536, 0x7fff_ffff, 0xffff_ffff]
                     [random.random_range(0..8)];
-                input[at..at + 4].copy_from_slice(&length.to_be_bytes());
+                input[position..position + 4].copy_from_slice(&length.to_be_bytes());
             }
             _ => {}
         }
@@ -285,7 +294,7 @@
 }
 
 #[test]
-fn mutated_inputs_neither_panic_nor_grow() {
+fn mutated_inputs_neither_panic_nor_grow_memory() {
     let inputs: u64 = std::env::var("PLOVERCOVE_FUZZ")
         .ok()
         .and_then(|n| n.parse().ok())
@@ -303,10 +312,10 @@
                     let other = &seeds[random.random_range(0..seeds.len())];
                     let mut input = seed.clone();
                     mutate(&mut input, other, &mut random);
-                    let held = target(&input);
+                    let retained_bytes = target(&input);
                     assert!(
-                        held <= input.len() + 400,
-                        "{held} bytes held of {}: {}",
+                        retained_bytes <= input.len() + 400,
+                        "{retained_bytes} bytes retained of {}: {}",
                         input.len(),
                         input.escape_ascii()
                     );
--- a/pgwire/tests/logins.rs
+++ b/pgwire/tests/logins.rs
@@ -1,5 +1,5 @@
-//! Logins from both ends: the router's door against the router's own login at servers, whose SCRAM is another's work, and
-//! against packets written by hand; and whatever bytes come, in whatever pieces.
+//! Logins on both sides: the router's startup of clients against the router's own login at servers, whose SCRAM is that of
+//! another crate, and against handwritten packets; also arbitrary bytes, split arbitrarily.
 
 use plovercove_pgwire::encoder::Encoder;
 use plovercove_pgwire::login::{Credentials, Login, LoginError};
@@ -22,7 +22,7 @@
     }
 }
 
-fn who(password: Option<&str>, clear: bool) -> Credentials {
+fn credentials(password: Option<&str>, clear: bool) -> Credentials {
     let (user, database) = ("app".into(), "trips".into());
     Credentials {
         user,
@@ -34,29 +34,29 @@
     }
 }
 
-/// The router as a client of its own door. What the client learns, or why it is not let in.
-fn meet(
+/// Logs the router in to its own startup. Returns the startup or the error that it sends, or the error of the login.
+fn run_login(
     methods: &[Method],
-    kept: Option<&Verifier>,
-    who: &Credentials,
+    verifier: Option<&Verifier>,
+    credentials: &Credentials,
 ) -> Result<Result<Startup, SqlError>, LoginError> {
     let rules = rules(methods);
-    let (mut startup, mut to_door, mut to_client) = (Startup::default(), Vec::new(), Vec::new());
-    let mut login = Login::start(who, &mut to_door);
+    let (mut startup, mut to_server, mut to_client) = (Startup::default(), Vec::new(), Vec::new());
+    let mut login = Login::start(credentials, &mut to_server);
     for _ in 0..10 {
-        while !to_door.is_empty() {
-            let step = match startup.read_message(&rules, &to_door, NONCE, &mut to_client) {
+        while !to_server.is_empty() {
+            let step = match startup.read_message(&rules, &to_server, NONCE, &mut to_client) {
                 Ok(Some((length, step))) => {
-                    to_door.drain(..length);
+                    to_server.drain(..length);
                     match step {
                         Step::UserNamed => {
-                            startup.identify(&rules, kept, &SECRET, SALT, &mut to_client)
+                            startup.identify(&rules, verifier, &SECRET, SALT, &mut to_client)
                         }
                         step => Ok(step),
                     }
                 }
-                Ok(None) => panic!("whole packets were sent"),
-                Err(fault) => Err(fault),
+                Ok(None) => panic!("complete packets were sent"),
+                Err(error) => Err(error),
             };
             match step {
                 Ok(Step::LoggedIn) => {
@@ -71,91 +71,104 @@
                     );
                 }
                 Ok(_) => {}
-                Err(fault) => return Ok(Err(fault)),
+                Err(error) => return Ok(Err(error)),
             }
         }
-        let said = std::mem::take(&mut to_client);
-        for message in messages::split(&said) {
-            if login.read_message(who, &message, &mut to_door)? {
+        let received = std::mem::take(&mut to_client);
+        for message in messages::split(&received) {
+            if login.read_message(credentials, &message, &mut to_server)? {
                 return Ok(Ok(startup));
             }
         }
     }
-    panic!("it never ends")
+    panic!("the login does not end")
 }
 
 #[test]
-fn every_method_lets_the_right_password_in_and_no_other() {
+fn every_method_accepts_the_right_password_only() {
     let (md5, scram) = (
         Verifier::md5_from_password("app", b"right"),
         Verifier::scram_from_password(b"right", &[7; 16], 4_096),
     );
-    for (method, kept) in [
+    for (method, verifier) in [
         (Method::Password, &md5),
         (Method::Password, &scram),
         (Method::Md5, &md5),
         (Method::Scram, &scram),
     ] {
-        let startup = meet(&[method], Some(kept), &who(Some("right"), true))
-            .expect("they agree")
-            .expect("let in");
+        let startup = run_login(&[method], Some(verifier), &credentials(Some("right"), true))
+            .expect("a common method")
+            .expect("logged in");
         assert_eq!(
             (startup.user(), startup.database(), startup.version()),
             ("app", "trips", Version::V32)
         );
-        let wrong = meet(&[method], Some(kept), &who(Some("wrong"), true)).expect("they agree");
+        let wrong = run_login(&[method], Some(verifier), &credentials(Some("wrong"), true))
+            .expect("a common method");
         assert!(
-            wrong.is_err_and(|fault| Startup::is_wrong_password(&fault)),
+            wrong.is_err_and(|error| Startup::is_wrong_password(&error)),
             "{method:?}"
         );
-        // One who does not exist goes through the same steps, and no password is theirs.
-        let nobody = meet(&[method], None, &who(Some("right"), true)).expect("they agree");
+        // A user who does not exist goes through the same steps, and no password is accepted.
+        let unknown_user =
+            run_login(&[method], None, &credentials(Some("right"), true)).expect("a common method");
         assert!(
-            nobody.is_err_and(|fault| Startup::is_wrong_password(&fault)),
+            unknown_user.is_err_and(|error| Startup::is_wrong_password(&error)),
             "{method:?}"
         );
     }
-    let open = meet(&[Method::Trust], None, &who(None, false)).expect("they agree");
+    let open =
+        run_login(&[Method::Trust], None, &credentials(None, false)).expect("a common method");
     assert!(open.is_ok());
 }
 
 #[test]
-fn a_method_that_neither_side_can_meet_ends_at_once_with_a_text_that_names_both() {
+fn without_a_common_method_the_login_fails_and_names_the_methods_of_both_sides() {
     let scram = Verifier::scram_from_password(b"right", &[7; 16], 4_096);
-    let fault = meet(&[Method::Md5], Some(&scram), &who(Some("right"), true))
-        .expect("they talk")
-        .err()
-        .expect("no way");
+    let error = run_login(
+        &[Method::Md5],
+        Some(&scram),
+        &credentials(Some("right"), true),
+    )
+    .expect("the login error is the server's")
+    .err()
+    .expect("no common method");
     assert!(
-        fault.text.contains("takes md5") && fault.text.contains("a SCRAM-SHA-256 verifier"),
-        "{fault}"
+        error.text.contains("takes md5") && error.text.contains("a SCRAM-SHA-256 verifier"),
+        "{error}"
     );
-    let refused = meet(
+    let login_error = run_login(
         &[Method::Password],
         Some(&scram),
-        &who(Some("right"), false),
+        &credentials(Some("right"), false),
     )
     .err()
     .expect("no clear text");
-    assert!(refused.to_string().contains("clear text"), "{refused}");
-    let refused = meet(&[Method::Scram], Some(&scram), &who(None, false))
+    assert!(
+        login_error.to_string().contains("clear text"),
+        "{login_error}"
+    );
+    let login_error = run_login(&[Method::Scram], Some(&scram), &credentials(None, false))
         .err()
         .expect("no password");
-    assert!(refused.to_string().contains("names none"), "{refused}");
-    for (what, name) in [(7u32, "GSSAPI"), (9, "SSPI"), (2, "Kerberos")] {
+    assert!(
+        login_error.to_string().contains("names none"),
+        "{login_error}"
+    );
+    for (method_code, name) in [(7u32, "GSSAPI"), (9, "SSPI"), (2, "Kerberos")] {
         let mut out = Vec::new();
-        let mut login = Login::start(&who(None, false), &mut out);
-        let mut asked = Vec::new();
-        messages::put(&mut asked, b'R', |out| {
-            out.extend_from_slice(&what.to_be_bytes())
+        let mut login = Login::start(&credentials(None, false), &mut out);
+        let mut request = Vec::new();
+        messages::put(&mut request, b'R', |out| {
+            out.extend_from_slice(&method_code.to_be_bytes())
         });
-        let message = messages::parse_message(&asked, 100)
-            .expect("framed")
-            .expect("whole");
-        let refused = login
-            .read_message(&who(None, false), &message, &mut out)
-            .expect_err("no way");
-        let text = refused.to_string();
+        let message = messages::parse_message(&request, 100)
+            .expect("a valid length")
+            .expect("complete");
+        let login_error = login
+            .read_message(&credentials(None, false), &message, &mut out)
+            .expect_err("no common method");
+        let text = login_error.to_string();
         assert!(
             text.contains(name) && text.contains("SCRAM-SHA-256"),
             "{text}"
@@ -164,35 +177,35 @@
 }
 
 #[test]
-fn a_server_that_cannot_prove_itself_is_left() {
-    // Danger: whoever takes a server's place would be given bookings.
+fn a_server_that_skips_its_proof_is_rejected() {
+    // Otherwise an impostor of a server would receive bookings.
     let mut out = Vec::new();
-    let who = who(Some("right"), true);
-    let mut login = Login::start(&who, &mut out);
-    let mut said = Vec::new();
-    messages::put(&mut said, b'R', |out| {
+    let credentials = credentials(Some("right"), true);
+    let mut login = Login::start(&credentials, &mut out);
+    let mut received = Vec::new();
+    messages::put(&mut received, b'R', |out| {
         out.extend_from_slice(b"\0\0\0\x0aSCRAM-SHA-256\0\0")
     });
-    messages::put(&mut said, b'R', |out| out.extend_from_slice(&[0; 4]));
-    let mut messages = messages::split(&said);
-    let first = login.read_message(&who, &messages.next().expect("one"), &mut out);
+    messages::put(&mut received, b'R', |out| out.extend_from_slice(&[0; 4]));
+    let mut messages = messages::split(&received);
+    let first = login.read_message(&credentials, &messages.next().expect("one"), &mut out);
     assert_eq!(first, Ok(false));
     assert_eq!(
-        login.read_message(&who, &messages.next().expect("two"), &mut out),
+        login.read_message(&credentials, &messages.next().expect("two"), &mut out),
         Err(LoginError::Malformed)
     );
 }
 
 #[test]
-fn where_everyone_is_welcome_a_spoilt_greeting_is_no_harm() {
-    // Danger: on a network that spoils bytes, each connection lost to a greeting that nobody reads costs its request.
-    let who = Credentials {
+fn a_login_without_authentication_survives_a_corrupted_greeting() {
+    // On a network that corrupts bytes, each connection that is closed for a greeting which unknown_user reads costs a request.
+    let credentials = Credentials {
         skip_authentication: true,
-        ..who(None, false)
+        ..credentials(None, false)
     };
     let mut out = Vec::new();
-    let mut login = Login::start(&who, &mut out);
-    let mut said = Vec::new();
+    let mut login = Login::start(&credentials, &mut out);
+    let mut received = Vec::new();
     for (kind, body) in [
         (b'R', &b"\xff\x7f"[..]),
         (b'S', b"no end"),
@@ -200,29 +213,29 @@
         (b'v', b"?"),
         (b'N', b""),
     ] {
-        messages::put(&mut said, kind, |out| out.extend_from_slice(body));
+        messages::put(&mut received, kind, |out| out.extend_from_slice(body));
     }
-    messages::put_ready(&mut said);
-    let all: Vec<_> = messages::split(&said)
-        .map(|m| login.read_message(&who, &m, &mut out))
+    messages::put_ready(&mut received);
+    let all: Vec<_> = messages::split(&received)
+        .map(|m| login.read_message(&credentials, &m, &mut out))
         .collect();
     assert_eq!(all.last(), Some(&Ok(true)), "{all:?}");
 }
 
 #[test]
-fn the_published_example_of_scram_is_met() {
+fn the_scram_example_of_rfc_7677_is_reproduced() {
     // RFC 7677, section 3.
-    let kept = Verifier::scram_from_password(
+    let verifier = Verifier::scram_from_password(
         b"pencil",
         b"[m\x99h\x9d\x125\x8e\xec\xa0K\x14\x126\xfa\x81",
         4_096,
     );
-    let Verifier::Scram(kept) = kept else {
+    let Verifier::Scram(verifier) = verifier else {
         panic!("a SCRAM verifier")
     };
     let first = b"n,,n=user,r=rOprNGfwEbeRWgbNEkqO";
     let (exchange, answer) = plovercove_pgwire::verifier::ScramExchange::start(
-        &kept,
+        &verifier,
         first,
         "%hvYDpWUa2RaTCAfuxFIlj)hNlF$k0",
     )
@@ -236,17 +249,17 @@
         exchange.finish(last.as_bytes()).as_deref(),
         Some("v=6rriTRBi23WpRR/wtup+mMhUZUn/dB5nLTJRsjl95G4=")
     );
-    for spoilt in [
+    for altered in [
         last.replace("biws", "eSws"),
         last.replace("k0,p", "k1,p"),
         last.replace("p=dH", "p=dG"),
     ] {
-        assert_eq!(exchange.finish(spoilt.as_bytes()), None, "{spoilt}");
+        assert_eq!(exchange.finish(altered.as_bytes()), None, "{altered}");
     }
 }
 
 #[test]
-fn verifiers_are_read_in_the_form_of_pg_authid_and_plain_text_is_named_by_line_only() {
+fn verifiers_are_parsed_as_in_pg_authid_and_errors_name_only_the_line() {
     let text = "# users\napp md5f6d2ba4f1b0a1ee0e1c3c2c0e7a0b1c2\n\nold  SCRAM-SHA-256$4096:W22ZaJ0SNY7soEsUEjb6gQ==$\
                 WG5d8oPm3OtcPnkdi4Uo7BkeZkBFzpcXkuLmtbsT4qY=:wfPLwcE6nTWhTAmQ7tl2KeoiWGPlZqQxSrmfPwDl2dU=\n";
     let users = Users::parse(text).expect("good");
@@ -266,10 +279,10 @@
         ("\napp", "line 2"),
         ("a md5xyz", "line 1"),
     ] {
-        let said = Users::parse(wrong).expect_err(wrong).to_string();
+        let message = Users::parse(wrong).expect_err(wrong).to_string();
         assert!(
-            said.starts_with(line) && !said.contains("hunter2"),
-            "{said}"
+            message.starts_with(line) && !message.contains("hunter2"),
+            "{message}"
         );
     }
     let twice = format!("{text}app md5f6d2ba4f1b0a1ee0e1c3c2c0e7a0b1c2");
@@ -277,7 +290,7 @@
 }
 
 #[test]
-fn the_first_packets_of_every_version_are_understood() {
+fn the_first_packets_of_every_version_are_parsed() {
     let open = |rules: &Rules, bytes: &[u8]| {
         let (mut startup, mut out) = (Startup::default(), Vec::new());
         startup
@@ -285,25 +298,27 @@
             .map(|step| (step.map(|(_, step)| step), startup, out))
     };
     let all = rules(&[Method::Password]);
-    let mut old = vec![0u8; 296];
-    old[..8].copy_from_slice(b"\0\0\x01\x28\0\x02\0\0");
-    old[8..13].copy_from_slice(b"trips");
-    old[72..75].copy_from_slice(b"app");
-    let (step, startup, _) = open(&all, &old).expect("2.0");
+    let mut v2_packet = vec![0u8; 296];
+    v2_packet[..8].copy_from_slice(b"\0\0\x01\x28\0\x02\0\0");
+    v2_packet[8..13].copy_from_slice(b"trips");
+    v2_packet[72..75].copy_from_slice(b"app");
+    let (step, startup, _) = open(&all, &v2_packet).expect("2.0");
     assert_eq!(
         (step, startup.user(), startup.database(), startup.version()),
         (Some(Step::UserNamed), "app", "trips", Version::V2)
     );
-    let (step, ..) = open(&all, &old[..295]).expect("a part");
+    let (step, ..) = open(&all, &v2_packet[..295]).expect("a part");
     assert_eq!(step, None);
     let only_new = Rules {
         versions: vec![Version::V30],
         methods: vec![Method::Trust],
     };
-    let fault = open(&only_new, &old).err().expect("not spoken");
+    let error = open(&only_new, &v2_packet)
+        .err()
+        .expect("unsupported version");
     assert!(
-        fault.text.contains("version 2.0") && fault.text.contains("3.0"),
-        "{fault}"
+        error.text.contains("version 2.0") && error.text.contains("3.0"),
+        "{error}"
     );
     for packet in [
         &b"\0\0\0\x08\x04\xd2\x16\x2f"[..],
@@ -318,7 +333,7 @@
     )
     .expect("a cancel");
     assert!(matches!(step, Some(Step::Cancel(key)) if key.id == 7 && key.secret == [1, 2, 3, 4]));
-    // A newer minor version and options that nobody knows are told what is spoken.
+    // A newer minor version and unknown options are answered with the supported version.
     let mut newer = Vec::new();
     messages::put_packet(&mut newer, |out| {
         out.extend_from_slice(b"\0\x03\0\x63user\0app\0_pq_.magic\0on\0\0")
@@ -333,7 +348,7 @@
     assert_eq!(&out[..24], b"v\0\0\0\x17\0\0\0\x02\0\0\0\x01_pq_.magic\0");
 }
 
-/// A reply as a server might give it, and what an old client hears of it.
+/// Returns a reply of a server with values that differ between versions.
 fn sample() -> Vec<u8> {
     let mut out = Vec::new();
     messages::put(&mut out, b'T', |out| {
@@ -358,54 +373,54 @@
 }
 
 #[test]
-fn a_reply_is_said_in_both_versions_and_in_the_forms_that_the_client_wants() {
+fn a_reply_is_encoded_in_both_versions_and_in_the_formats_of_the_client() {
     let formats = ValueFormats {
         bytea: Bytea::Escape,
         dates: DateFormat::default()
             .with_setting("German")
             .expect("a style"),
     };
-    let mut old = Vec::new();
+    let mut v2_reply = Vec::new();
     Encoder {
         version: Version::V2,
         formats,
     }
-    .put_reply(&sample(), &mut old)
-    .expect("said");
-    let mut want = b"Pblank\0T\0\x03".to_vec();
+    .put_reply(&sample(), &mut v2_reply)
+    .expect("encoded");
+    let mut expected = b"Pblank\0T\0\x03".to_vec();
     for (name, kind) in [(b'a', 17u32), (b'b', 1114), (b'c', 25)] {
-        want.extend_from_slice(&[name, 0]);
-        want.extend_from_slice(&kind.to_be_bytes());
-        want.extend_from_slice(b"\xff\xff\xff\xff\xff\xff");
+        expected.extend_from_slice(&[name, 0]);
+        expected.extend_from_slice(&kind.to_be_bytes());
+        expected.extend_from_slice(b"\xff\xff\xff\xff\xff\xff");
     }
-    want.extend_from_slice(
+    expected.extend_from_slice(
         b"D\xc0\0\0\0\x09\\237A\0\0\0\x1701.12.2026 17:20:00NNOTICE:  hello\n\0CSELECT\0",
     );
     assert_eq!(
-        old.escape_ascii().to_string(),
-        want.escape_ascii().to_string()
+        v2_reply.escape_ascii().to_string(),
+        expected.escape_ascii().to_string()
     );
-    let mut new = Vec::new();
+    let mut v3_reply = Vec::new();
     Encoder {
         version: Version::V30,
         formats: ValueFormats::default(),
     }
-    .put_reply(&sample(), &mut new)
-    .expect("said");
-    let kinds: Vec<u8> = messages::split(&new).map(|m| m.kind).collect();
+    .put_reply(&sample(), &mut v3_reply)
+    .expect("encoded");
+    let kinds: Vec<u8> = messages::split(&v3_reply).map(|m| m.kind).collect();
     assert_eq!(kinds, b"TDNC");
     assert!(
-        !new.windows(7).any(|w| w == b"sseats\0"),
-        "a field that 3.0 did not have when it was young"
+        !v3_reply.windows(7).any(|w| w == b"sseats\0"),
+        "version 3.0 did not have this field at first"
     );
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 3_000, failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(8), ..ProptestConfig::default() })]
 
-    /// Fuzzing with a fixed seed: whatever comes, nothing panics, and nothing is taken that was not there.
+    /// Fuzzing with a fixed seed: nothing panics, and no more bytes are consumed than were received.
     #[test]
-    fn whatever_bytes_come_nothing_panics(bytes in prop::collection::vec(any::<u8>(), 0..400), kinds in prop::collection::vec(prop::sample::select(b"RKvSTDCIENAZGHWdcV123nstX".to_vec()), 0..12)) {
+    fn arbitrary_bytes_never_panic(bytes in prop::collection::vec(any::<u8>(), 0..400), kinds in prop::collection::vec(prop::sample::select(b"RKvSTDCIENAZGHWdcV123nstX".to_vec()), 0..12)) {
         let (mut startup, mut out) = (Startup::default(), Vec::new());
         let all = rules(&[Method::Scram, Method::Md5]);
         let mut rest = &bytes[..];
@@ -424,11 +439,11 @@
         for (n, kind) in kinds.iter().enumerate() {
             messages::put(&mut framed, *kind, |out| out.extend_from_slice(&bytes[n * size..(n + 1) * size]));
         }
-        let who = who(Some("right"), true);
-        let mut login = Login::start(&who, &mut out);
+        let credentials = credentials(Some("right"), true);
+        let mut login = Login::start(&credentials, &mut out);
         let (mut one, mut any) = (Reply::new(Shape::OneValue), Reply::new(Shape::Any));
         for message in messages::split(&framed) {
-            let _ = login.read_message(&who, &message, &mut out);
+            let _ = login.read_message(&credentials, &message, &mut out);
             let _ = (one.read_message(&message), any.read_message(&message), any.read_ready(message.body));
         }
         let formats = ValueFormats { bytea: Bytea::Escape, dates: DateFormat::default().with_setting("Postgres").expect("a style") };
@@ -443,31 +458,31 @@
         let _ = messages::v2_function_call_length(&bytes, 300);
     }
 
-    /// However the bytes of a login are split, it goes the same way.
+    /// The result of a login does not depend on how its bytes are split.
     #[test]
-    fn any_split_of_the_bytes_is_read_alike(cuts in prop::collection::vec(1..40usize, 0..30), clear in any::<bool>()) {
-        let kept = Verifier::md5_from_password("app", b"right");
+    fn any_split_of_the_bytes_gives_the_same_result(cuts in prop::collection::vec(1..40usize, 0..30), clear in any::<bool>()) {
+        let verifier = Verifier::md5_from_password("app", b"right");
         let all = rules(&[if clear { Method::Password } else { Method::Md5 }]);
         let mut sent = b"\0\0\0\x08\x04\xd2\x16\x2f".to_vec();
         messages::put_packet(&mut sent, |out| out.extend_from_slice(b"\0\x03\0\0user\0app\0database\0trips\0DateStyle\0German\0\0"));
         let proof = postgres_protocol::authentication::md5_hash(b"app", b"right", SALT);
         messages::put(&mut sent, b'p', |out| messages::put_text(out, if clear { b"right" } else { proof.as_bytes() }));
         let run = |pieces: Vec<&[u8]>| {
-            let (mut startup, mut out, mut held, mut is_in) = (Startup::default(), Vec::new(), Vec::new(), false);
+            let (mut startup, mut out, mut unread, mut is_logged_in) = (Startup::default(), Vec::new(), Vec::new(), false);
             for piece in pieces {
-                held.extend_from_slice(piece);
-                while let Some((length, step)) = startup.read_message(&all, &held, NONCE, &mut out).expect("a good login") {
-                    held.drain(..length);
+                unread.extend_from_slice(piece);
+                while let Some((length, step)) = startup.read_message(&all, &unread, NONCE, &mut out).expect("a good login") {
+                    unread.drain(..length);
                     if step == Step::UserNamed {
-                        startup.identify(&all, Some(&kept), &SECRET, SALT, &mut out).expect("asked");
+                        startup.identify(&all, Some(&verifier), &SECRET, SALT, &mut out).expect("asked");
                     }
-                    is_in |= step == Step::LoggedIn;
-                    if is_in {
+                    is_logged_in |= step == Step::LoggedIn;
+                    if is_logged_in {
                         break;
                     }
                 }
             }
-            (out, is_in, startup.parameters().to_vec())
+            (out, is_logged_in, startup.parameters().to_vec())
         };
         let (mut pieces, mut rest) = (Vec::new(), &sent[..]);
         for cut in cuts {
@@ -483,8 +498,8 @@
 }
 
 #[test]
-fn any_prefix_of_a_reply_tells_no_more_than_it_says() {
-    // Danger: a reply cut short that counts as whole is a booking that looks made.
+fn a_truncated_reply_has_no_outcome() {
+    // If a truncated reply counted as complete, a booking that may not exist would look confirmed.
     let whole = sample();
     for cut in 0..whole.len() {
         let mut reply = Reply::new(Shape::Any);
