--- a/src/admission.rs
+++ b/src/admission.rs
@@ -1,12 +1,15 @@
-//! Admission: whether a node could still answer in time, what a waiting request is worth, and when one is given up.
+//! Admission control: whether a node can still answer a request in time, what a waiting request is worth, and when the
+//! router gives a request up.
 //!
-//! It guards against congestion collapse: what a full queue takes in is answered late, runs all the same, and its client
-//! comes back for more. A request that can earn nothing any more is answered at once, so that its client need not wait.
+//! It prevents congestion collapse. A request that joins a full queue is answered too late, still costs the node its
+//! work, and its client then sends it again. A request whose answer can no longer be of use is therefore answered at
+//! once, so that its client need not wait.
 //!
-//! **Why was this request rejected?** One of these, in [`Balancer::gives_up`] and [`Balancer::answer_overdue_requests`]:
-//! the nodes it could go to are closed to it ([`Request::is_shut_out`]), no answer could come in time
-//! ([`Balancer::is_hopeless`]), no attempt is left ([`retry::is_exhausted`]), or its deadline has come. It is rejected where
-//! trying again is harmless ([`retry::may_reject`]) and failed otherwise.
+//! **Why was this request rejected?** For one of these reasons, which [`Balancer::should_give_up`] and
+//! [`Balancer::answer_overdue_requests`] check: the nodes that it could go to do not admit it ([`Request::is_denied`]),
+//! no answer can come in time ([`Balancer::is_too_late`]), no attempt is left ([`retry::is_exhausted`]), or its
+//! deadline has passed. The request is rejected if a retry by the client is harmless ([`retry::may_reject`]), and
+//! failed otherwise.
 
 use crate::api::{Access, Action, Micros, RequestId, RequestInfo};
 use crate::balancer::Balancer;
@@ -15,21 +18,23 @@
 use crate::request::{AttemptState, Request};
 use crate::retry;
 
-/// A wait may be so many times what is foreseen: work is spread unevenly, and reports are a fifth of a second old.
+/// Factor by which the estimated wait is raised: work is spread unevenly over nodes, and load reports are a fifth of a
+/// second old.
 const WAIT_UNCERTAINTY: f64 = 1.5;
-/// A read at the primary must promise so much more again: writes have no other place to go.
+/// Factor by which the estimated wait is raised again for a read at the primary, because writes can go nowhere else.
 const READ_AT_PRIMARY_MARGIN: f64 = 1.6;
-/// A request beyond its tenant's quota may use so much of a node's limit, ...
+/// Share of a node's concurrency limit that is open to requests beyond their tenant's quota.
 const OVER_QUOTA_SHARE_OF_LIMIT: f64 = 0.25;
-/// ... and, where waits are foreseen, only so much of the time that is left.
+/// Share of the remaining time within which a request beyond its tenant's quota has to be answered, if the router
+/// estimates waits.
 const OVER_QUOTA_SHARE_OF_TIME: f64 = 0.5;
-/// The final answer comes so many ticks before the client's patience ends.
+/// Number of ticks before the client's timeout at which the router gives its final answer.
 const ANSWER_MARGIN_TICKS: u64 = 2;
-/// A client leaves early when it goes before so many tenths of its patience are over.
+/// A client that leaves before this many tenths of its announced time are over counts as an early departure.
 const EARLY_DEPARTURE_TENTHS: u64 = 9;
 
 impl Balancer {
-    /// Takes in a request.
+    /// Admits a new request to the queue of waiting requests.
     pub(crate) fn admit_request(&mut self, info: RequestInfo) {
         let class = &self.settings.classes[info.class];
         let id = info.id;
@@ -38,7 +43,8 @@
                 .time_left
                 .saturating_sub(ANSWER_MARGIN_TICKS * self.settings.tick);
         let required_position = self.required_position(&info);
-        // The objective counts from the client's first attempt. A marked retry is known by what less patience it has left.
+        // The latency objective counts from the client's first attempt. A request marked as a retry is recognised as
+        // one if it has less time left than first attempts have.
         let longest_patience = &mut self.classes[info.class].longest_patience;
         *longest_patience = info.time_left.max(*longest_patience);
         let is_known_retry = info.is_retry && info.time_left < *longest_patience;
@@ -62,7 +68,7 @@
             is_open: true,
             is_streaming: false,
             quota_weight,
-            is_shut_out: false,
+            is_denied: false,
             position_check: None,
         };
         self.requests.insert(id, request);
@@ -70,11 +76,11 @@
         self.waiting.insert(id);
     }
 
-    /// Whether a node would answer in time, as far as this router can tell. One that warms up needs room in its slow start,
-    /// too; `candidates` is how many nodes the request could go to.
+    /// Returns whether a node would answer in time, as far as this router can tell. A node that is warming up must also
+    /// have room in its slow start. `candidates` is the number of nodes that the request could go to.
     ///
-    /// A router that sees little of a node's load goes by the queue that the node reports; one that sees much goes by its
-    /// own concurrency limit.
+    /// A router with a sparse view relies on the queue length that the node reports. A router that sees much of the
+    /// node's load itself relies on its own concurrency limit.
     pub(crate) fn admits(&self, request: &Request, node: &Node, candidates: f64) -> bool {
         let is_over_quota = request.quota_weight < 1.0 && self.may_reject(request);
         let has_capacity = if self.has_sparse_view {
@@ -82,7 +88,8 @@
         } else {
             !is_over_quota || node.has_room(self.now, OVER_QUOTA_SHARE_OF_LIMIT)
         };
-        // A warming node that turned the request away gets it no second time: each counts towards pushing it over.
+        // A warming node that rejected this request does not get it a second time: each rejection adds to the load that
+        // can overload the node.
         has_capacity
             && (self.is_warm(node)
                 || (!request.has_tried(node.id())
@@ -115,7 +122,7 @@
         self.now as f64 + wait / share_of_time <= earns_until
     }
 
-    /// Until when an answer earns the full weight (us).
+    /// Returns the time (us) until which an answer earns the full priority weight.
     fn full_weight_until(&self, request: &Request) -> f64 {
         let class = &self.settings.classes[request.info.class];
         let cost = request.info.cost_hint.unwrap_or(0) as f64;
@@ -123,7 +130,7 @@
             + class.objective_per_cost * cost
     }
 
-    /// What a waiting request may still earn for each microsecond of its cost.
+    /// Returns the weight that a waiting request can still earn for each microsecond of its cost.
     pub(crate) fn value(&self, request: &Request) -> f64 {
         let class = &self.settings.classes[request.info.class];
         let latency = self.classes[request.info.class].latency;
@@ -136,8 +143,8 @@
         class.priority_weight * request.quota_weight * share / latency
     }
 
-    /// Whether a waiting request cannot earn anything any more: its answer would come too late, or its client be gone.
-    fn is_hopeless(&self, request: &Request) -> bool {
+    /// Returns whether an answer would come too late to earn any weight, or after the client has left.
+    fn is_too_late(&self, request: &Request) -> bool {
         let class = &self.settings.classes[request.info.class];
         let stats = &self.classes[request.info.class];
         let deadline = request.deadline as f64;
@@ -152,14 +159,14 @@
         self.now as f64 + stats.latency > earns_until
     }
 
-    /// Whether a request that waits for a node is given up.
-    pub(crate) fn gives_up(&self, request: &Request) -> bool {
-        request.is_shut_out
-            || self.is_hopeless(request)
+    /// Returns whether the router gives up a request that waits for a node.
+    pub(crate) fn should_give_up(&self, request: &Request) -> bool {
+        request.is_denied
+            || self.is_too_late(request)
             || retry::is_exhausted(&self.settings, request)
     }
 
-    /// Gives their final answer to requests whose deadline has come.
+    /// Sends the final answer of each request whose deadline has passed.
     pub(crate) fn answer_overdue_requests(&mut self, actions: &mut Vec<Action>) {
         while let Some(&(deadline, id)) = self.deadlines.first() {
             if deadline > self.now {
@@ -170,7 +177,7 @@
         }
     }
 
-    /// The final answer, at once: rejected where trying again is harmless, failed otherwise.
+    /// Answers a request at once: with a rejection if a retry is harmless, with a failure otherwise.
     pub(crate) fn reject_or_fail(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id).filter(|r| r.awaits_answer()) else {
             return;
@@ -194,7 +201,7 @@
         self.close_request(id);
     }
 
-    /// When a rejected client should come back, where clients are told.
+    /// Returns the advised delay before a rejected client retries, or `None` if clients do not receive such advice.
     fn retry_after(&self, request: &Request) -> Option<Micros> {
         if !self.settings.retry_after_allowed {
             return None;
@@ -210,7 +217,8 @@
         retry::may_reject(&self.settings.classes[request.info.class], request)
     }
 
-    /// The client has gone. Where clients leave long before the time that they name, that is learned from it.
+    /// Closes a request whose client has left. Clients that leave long before the time that they announced are
+    /// recorded, so that later requests of the class are expected to leave early too.
     pub(crate) fn client_gone(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get(&id).filter(|r| r.is_open) {
             let waited = self.now.saturating_sub(request.arrived_at);
@@ -222,7 +230,7 @@
         self.close_request(id);
     }
 
-    /// The request is over; it is forgotten once its last attempt has ended.
+    /// Closes a request. Its entry is removed once its last attempt has ended.
     pub(crate) fn close_request(&mut self, id: RequestId) {
         self.waiting.remove(&id);
         if let Some(request) = self.requests.get_mut(&id) {
--- a/src/api/action.rs
+++ b/src/api/action.rs
@@ -1,72 +1,72 @@
-//! What the decisions ask of the router, to be carried out in the order given.
+//! The actions that the decisions request from the router, to be carried out in the order given.
 
 use super::{Micros, NodeId, RequestId};
 
-/// What the module asks of the router.
+/// An action that the decisions request from the router.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Start an attempt.
+    /// Send an attempt of a request to a node.
     Send {
         /// The request.
         request: RequestId,
         /// The node.
         node: NodeId,
-        /// Stop waiting after this long.
+        /// Time after which the attempt times out.
         timeout: Micros,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt.
     Cancel {
         /// The request.
         request: RequestId,
         /// The attempt.
         attempt: u32,
     },
-    /// Final answer: refused; trying again is harmless.
+    /// Give the final answer that the request is rejected; a retry is harmless.
     Reject {
         /// The request.
         request: RequestId,
-        /// When to come back.
+        /// Advised delay before the client retries.
         retry_after: Option<Micros>,
     },
-    /// Final answer: failed; nothing is promised.
+    /// Give the final answer that the request has failed; nothing is promised about its effect.
     Fail {
         /// The request.
         request: RequestId,
     },
-    /// Wake the module after this long.
+    /// Call [`crate::Balancer::handle`] again after this time.
     Wake(Micros),
-    /// Ask a node for its report.
+    /// Poll a node for its load report.
     HealthCheck(NodeId),
     /// Close this router's idle connections to a node.
     CloseIdle(NodeId),
-    /// Subscribe to list changes.
+    /// Subscribe to changes of the endpoint list.
     Subscribe,
-    /// A line for the log.
+    /// Write a log line.
     Log(LogEvent),
 }
 
-/// What a line of the log says, and of whom.
+/// The content of a log line.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LogEvent {
-    /// The node, where it is of one.
+    /// The node that the line is about, if any.
     pub node: Option<NodeId>,
-    /// The zone, where it is of one.
+    /// The zone that the line is about, if any.
     pub zone: Option<String>,
-    /// What came about, in a word or two that programs can look for.
+    /// What happened, as a short fixed text that programs can search for.
     pub reason: &'static str,
-    /// The line for people.
+    /// The text for human readers.
     pub text: String,
 }
 
 impl LogEvent {
-    /// The reason of a node's ejection by outlier detection.
+    /// The reason logged when outlier detection ejects a node.
     pub const EJECTED: &'static str = "ejected";
-    /// The reason of an ejected node's return.
+    /// The reason logged when an ejected node answers again.
     pub const ANSWERS_AGAIN: &'static str = "answers again";
-    /// The reason of a change of a group's primary.
+    /// The reason logged when the primary of a group changes.
     pub const PRIMARY: &'static str = "primary";
 
-    /// What came about at a node.
+    /// Creates a log line about a node.
     pub fn for_node(node: &NodeId, reason: &'static str, text: String) -> Self {
         LogEvent {
             node: Some(node.clone()),
@@ -76,7 +76,7 @@
         }
     }
 
-    /// What came about in a zone.
+    /// Creates a log line about a zone.
     pub fn for_zone(zone: &str, reason: &'static str, what: &str) -> Self {
         LogEvent {
             zone: Some(zone.into()),
--- a/src/api/attempt.rs
+++ b/src/api/attempt.rs
@@ -1,4 +1,4 @@
-//! How attempts end, and what nodes say of themselves.
+//! The ends of attempts, and the reports of nodes about themselves.
 
 use super::{Micros, Time};
 
@@ -7,26 +7,26 @@
 pub enum AttemptEnd {
     /// Served.
     Success,
-    /// The node returned an error; it may have had an effect.
+    /// The node returned an error; the attempt may have been executed.
     Failure,
-    /// Sent back unseen: the queue is full, or the node drains.
+    /// Rejected without being executed: the node's queue is full, or the node is draining.
     Overloaded,
-    /// No answer in time; it may have run or be running.
+    /// No answer arrived in time; the attempt may have been executed, or still be running.
     TimedOut,
-    /// No connection could be made; it never ran.
+    /// No connection could be opened; the attempt was never executed.
     Unreachable,
-    /// The connection broke; it may have run.
+    /// The connection broke; the attempt may have been executed.
     Reset,
-    /// Cancelled; it may have run.
+    /// Cancelled; the attempt may have been executed.
     Cancelled,
-    /// Never sent.
+    /// The attempt was never sent.
     NeverSent,
-    /// Turned away untouched: a write at a replica, or a read that the node lags behind for.
+    /// Rejected without being executed: a write at a replica, or a read for which the node lags too far behind.
     Misdirected,
 }
 
 impl AttemptEnd {
-    /// Whether an attempt that ended so may have had an effect.
+    /// Returns whether an attempt that ended like this may have been executed.
     pub fn may_have_executed(self) -> bool {
         match self {
             AttemptEnd::Overloaded
@@ -41,7 +41,7 @@
         }
     }
 
-    /// In a word or two, for logs.
+    /// Returns a short name for logs.
     pub fn label(self) -> &'static str {
         match self {
             AttemptEnd::Success => "served",
@@ -60,24 +60,24 @@
 /// A node's role.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// It takes the group's writes.
+    /// The node executes the group's writes.
     Primary,
-    /// It follows the primary's log.
+    /// The node applies the primary's log.
     Replica,
 }
 
-/// What a node says of itself in an answer or a report.
+/// What a node reports about itself in an answer or in a load report.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct NodeReport {
-    /// A moment up to which it has applied every commit.
+    /// Time up to which the node has applied every commit.
     pub position: Option<Time>,
-    /// Its role.
+    /// The node's role.
     pub role: Option<Role>,
-    /// How many requests it holds, those of all routers together.
+    /// Number of requests in flight at the node, from all routers together.
     pub in_flight: Option<u32>,
-    /// How busy its cores are, in thousandths.
+    /// Utilization of the node's cores, in thousandths.
     pub utilization_permille: Option<u32>,
-    /// How long ago it was asked, where another router asked: that, and the longest time its word was under way. 0 where
-    /// this router asked itself.
+    /// Age of the report if another router requested it: the time since that request, including the longest possible
+    /// transit time of its message. 0 if this router requested the report itself.
     pub age: Micros,
 }
--- a/src/api/endpoint.rs
+++ b/src/api/endpoint.rs
@@ -1,49 +1,49 @@
-//! The endpoint list, as discovery tells it.
+//! The endpoint list, as discovery reports it.
 
 use super::{GroupId, NodeId, Time};
 
-/// What the list says of a node's state.
+/// The state of a node in the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointState {
-    /// It takes requests.
+    /// The node takes requests.
     #[default]
     Serving,
-    /// It finishes its work; send nothing new.
+    /// The node finishes its work and gets no new requests.
     Draining,
-    /// It is removed.
+    /// The node is removed.
     Removed,
 }
 
-/// One entry of the node list.
+/// One entry of the endpoint list.
 #[derive(Clone, Debug, Default)]
 pub struct Endpoint {
     /// The node.
     pub node: NodeId,
-    /// The zone it stands in.
+    /// The zone of the node.
     pub zone: String,
-    /// Its kind of machine.
+    /// The machine kind of the node.
     pub machine_kind: String,
-    /// Whether the list holds it for the primary of its group.
+    /// Whether the list names the node as the primary of its group.
     pub listed_as_primary: bool,
-    /// Its group.
+    /// The group of the node.
     pub group: GroupId,
-    /// Its state.
+    /// The state of the node.
     pub state: EndpointState,
-    /// Its weight against other nodes.
+    /// The weight of the node relative to other nodes.
     pub weight: f64,
-    /// When it last started; `None` for long ago.
+    /// Time of the last start of the node; `None` if it started long ago.
     pub started_at: Option<Time>,
 }
 
-/// A message from discovery.
+/// An update from discovery.
 #[derive(Clone, Debug)]
 pub enum EndpointUpdate {
     /// These entries changed.
     Changes(Vec<Endpoint>),
-    /// The complete list: what is missing from it is gone.
+    /// The complete list; nodes missing from it are removed.
     Full(Vec<Endpoint>),
-    /// The list as this router last held it before it was restarted; maybe out of date.
+    /// The list that this router had stored before it was restarted; it may be out of date.
     Restored(Vec<Endpoint>),
-    /// A subscription or a call failed; the last list stays in force.
+    /// A subscription or a poll failed; the last list stays valid.
     Failed,
 }
--- a/src/api/event.rs
+++ b/src/api/event.rs
@@ -1,4 +1,4 @@
-//! What the router tells the decisions: one batch of events for each turn of its loop.
+//! The events that the router reports to the decisions, one batch for each turn of its event loop.
 
 use super::{AttemptEnd, EndpointUpdate, GroupId, Micros, NodeId, NodeReport, RequestId};
 use std::sync::Arc;
@@ -6,34 +6,34 @@
 /// A request from a client.
 #[derive(Clone, Debug, Default)]
 pub struct RequestInfo {
-    /// Its number.
+    /// The identifier of the request.
     pub id: RequestId,
-    /// Its class, by place in the settings.
+    /// Index of its class in the settings.
     pub class: usize,
-    /// Its tenant, by place in the settings.
+    /// Index of its tenant in the settings.
     pub tenant: Option<usize>,
-    /// Its session, where it has one.
+    /// Its session, if it has one.
     pub session: Option<Arc<str>>,
-    /// How long the client waits for this try.
+    /// Time that the client still waits for an answer.
     pub time_left: Micros,
-    /// Expected work on a standard core, where told.
+    /// Expected work on a standard core, if the client states it.
     pub cost_hint: Option<Micros>,
-    /// The group it is for.
+    /// The group that it is addressed to.
     pub group: GroupId,
-    /// How long ago the session's last write was committed, where told and where there is one.
+    /// Time since the session's last write was committed, if there was one and the client states it.
     pub last_write_age: Option<Micros>,
-    /// Whether the client marked it as a repeat.
+    /// Whether the client marked it as a retry.
     pub is_retry: bool,
 }
 
-/// What the router reports to the module.
+/// An event that the router reports to the decisions.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Discovery says something.
+    /// Discovery sent an update.
     EndpointsChanged(EndpointUpdate),
     /// A request arrived.
     RequestArrived(RequestInfo),
-    /// A streamed answer began; the request now belongs to that attempt.
+    /// A streamed answer began; from now on only the attempt that delivers it can finish the request.
     StreamStarted {
         /// The request.
         request: RequestId,
@@ -42,40 +42,40 @@
     AttemptEnded {
         /// The request.
         request: RequestId,
-        /// The attempt, counted from 0 in the order of sends.
+        /// The number of the attempt, counted from 0 in the order of sends.
         attempt: u32,
         /// How it ended.
         end: AttemptEnd,
-        /// Time since the send.
+        /// Time between the send and the end.
         elapsed: Micros,
         /// Whether the request is over.
         request_over: bool,
-        /// What the answer's note says of the node.
+        /// What the answer itself reports about the node.
         answer_report: NodeReport,
-        /// What the report carried along says of the node; as old as the report.
+        /// What a load report that came with the answer says about the node; as old as that report.
         load_report: NodeReport,
     },
-    /// The client left, or an answer is overdue; the request is over.
+    /// The client left, or its final answer is overdue; the request is over.
     ClientGone {
         /// The request.
         request: RequestId,
     },
-    /// A timer fell due.
+    /// A timer expired.
     Timer,
-    /// A probe ended.
+    /// A health check ended.
     HealthChecked {
         /// The node.
         node: NodeId,
-        /// Whether it answered.
+        /// Whether the node answered.
         answered: bool,
-        /// What it said of itself.
+        /// What the node reported about itself.
         load_report: NodeReport,
     },
-    /// A message from a peer. The module follows none: routers share nothing.
+    /// A message from another router. The decisions ignore it, since routers share no state.
     Peer {
-        /// The sender's number.
+        /// The index of the sender.
         from: u32,
-        /// The bytes.
+        /// The content of the message.
         payload: Vec<u8>,
     },
 }
--- a/src/api/locality_policy.rs
+++ b/src/api/locality_policy.rs
@@ -1,41 +1,44 @@
-//! The port through which a policy on zones stands beside the decisions.
+//! The interface of a policy that decides which zones a request may use.
 
 use super::{AttemptEnd, EndpointUpdate, LogEvent, Micros, NodeId, RequestId, Time};
 
-/// What [`LocalityPolicy`] is asked about: one request that is to be placed.
+/// The part of a request that a [`LocalityPolicy`] needs.
 #[derive(Clone, Copy, Debug)]
 pub struct RoutingQuery {
     /// The request.
     pub request: RequestId,
-    /// Its class, by place in the settings.
+    /// Index of its class in the settings.
     pub class: usize,
-    /// Whether only the primary takes it.
+    /// Whether only the primary can execute it.
     pub is_write: bool,
 }
 
-/// Says which zones a request may use now. It stands beside the module, which asks it of each node before it chooses,
-/// and tells it what it sent and what came of it. Without one, zones matter as little as they do to the nodes' cost.
+/// Decides which zones a request may use now. The balancer queries it for each node before it selects one, and reports
+/// to it which attempts were sent and how they ended. Without a policy, zones matter only through the cost of crossing
+/// them.
 pub trait LocalityPolicy: std::any::Any {
-    /// Discovery said something.
+    /// Handles an update from discovery.
     fn endpoints_changed(&mut self, now: Time, update: &EndpointUpdate);
-    /// How much of a node's weight counts for a request now, over 0; none: the request may not go there.
-    fn weight_share(&mut self, now: Time, ask: &RoutingQuery, node: &NodeId) -> Option<f64>;
-    /// An attempt was sent.
-    fn attempt_sent(&mut self, now: Time, ask: &RoutingQuery, node: &NodeId);
-    /// An attempt ended, so long after it was sent.
+    /// Returns the share of a node's weight that counts for a request now, which is over 0. `None` means that the
+    /// request may not use the node.
+    fn weight_share(&mut self, now: Time, query: &RoutingQuery, node: &NodeId) -> Option<f64>;
+    /// Records that an attempt was sent.
+    fn attempt_sent(&mut self, now: Time, query: &RoutingQuery, node: &NodeId);
+    /// Records that an attempt ended, this long after it was sent.
     fn attempt_ended(
         &mut self,
         now: Time,
-        ask: &RoutingQuery,
+        query: &RoutingQuery,
         node: &NodeId,
-        ending: AttemptEnd,
+        end: AttemptEnd,
         elapsed: Micros,
     );
-    /// When a request that is refused should come back, `most` from now at the latest.
-    fn retry_after(&self, ask: &RoutingQuery, most: Micros) -> Micros;
-    /// A line for the log, while there is one.
+    /// Returns the advised delay before the client of a rejected request retries, at most `max_wait`.
+    fn retry_after(&self, query: &RoutingQuery, max_wait: Micros) -> Micros;
+    /// Returns the next log line, or `None` if there are no more.
     fn next_log_event(&mut self) -> Option<LogEvent>;
-    /// Whether it gives each cold node an allowance of its own. Where it does not, the module paces them as without it.
+    /// Returns whether the policy itself limits the load of each warming node. If not, the balancer does it, as it does
+    /// without a policy.
     fn paces_slow_start(&self) -> bool {
         true
     }
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -1,6 +1,6 @@
-//! Plain types through which a router and the decisions talk: settings, events and actions.
+//! The types by which a router and the decisions communicate: settings, events and actions.
 //!
-//! Nothing here decides anything. Times are whole microseconds on the router's own clock.
+//! They contain no decisions. Times are whole microseconds on the router's own clock.
 
 mod action;
 mod attempt;
--- a/src/api/settings.rs
+++ b/src/api/settings.rs
@@ -1,41 +1,41 @@
-//! What a router is told once, at its start. Who reads it from a file is the crate `plovercove-settings`.
+//! The settings of a router, which it gets once at its start. The crate `plovercove-settings` reads them from a file.
 
 use super::Micros;
 
-/// Whether a request may take effect more than once.
+/// Whether a request may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Repeats do no harm.
+    /// Repeated execution is harmless.
     Idempotent,
-    /// Carries a key by which a set of nodes drops repeats for a while.
+    /// The request carries a key by which a set of nodes discards repeats for a limited time.
     Deduplicated,
-    /// Must never run twice.
+    /// The request must never be executed twice.
     AtMostOnce,
 }
 
-/// Which nodes drop a repeat of a deduplicated request.
+/// Which nodes discard a repeat of a deduplicated request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupScope {
     /// All nodes.
     All,
-    /// Nodes in the zone of the first attempt's node.
+    /// The nodes in the zone of the first attempt's node.
     Zone,
-    /// Nodes in the request's group.
+    /// The nodes in the request's group.
     Group,
 }
 
-/// What data a class of requests needs.
+/// The data that a class of requests needs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Access {
-    /// Only the primary takes it.
+    /// A write, which only the primary executes.
     Write,
     /// A read that must see every commit made before it arrived.
     Latest,
     /// A read that must see what its session has written.
     OwnWrites,
-    /// A read of data no older than this when it is sent.
+    /// A read of data that is no older than this when the read is sent.
     Bounded(Micros),
-    /// A read that any member may answer.
+    /// A read that any member of the group may answer.
     Any,
 }
 
@@ -44,165 +44,168 @@
 pub struct Class {
     /// Its name, for log lines only.
     pub name: String,
-    /// What data it needs.
+    /// The data that it needs.
     pub access: Access,
-    /// Answered within this time it earns its full worth.
+    /// Time within which an answer earns the full priority weight.
     pub latency_objective: Micros,
-    /// The aim grows by this many times the work of the request.
+    /// Factor on the work of a request by which its latency objective grows.
     pub objective_per_cost: f64,
-    /// The client's whole patience, over all its tries.
+    /// Time that a client waits in total, over all its attempts.
     pub deadline: Micros,
-    /// The worth of one request.
+    /// Weight of one request.
     pub priority_weight: f64,
-    /// The share of the worth that a late answer still earns.
+    /// Share of the weight that a late answer still earns.
     pub late_weight_share: f64,
-    /// Whether it may be repeated.
+    /// Whether it may be executed more than once.
     pub idempotency: Idempotency,
-    /// For deduplicated classes: who drops repeats.
+    /// For deduplicated classes: the nodes that discard repeats.
     pub dedup_scope: DedupScope,
-    /// For deduplicated classes: for how long after the first send that may have run.
+    /// For deduplicated classes: time after the first attempt that may have been executed, during which repeats are
+    /// discarded.
     pub dedup_window: Micros,
     /// Whether answers are streamed.
     pub stream: bool,
 }
 
-/// A customer with an agreed share of the service.
+/// A customer with an agreed quota.
 #[derive(Clone, Debug)]
 pub struct Tenant {
     /// Its name, for log lines only.
     pub name: String,
-    /// Requests a second, over all routers, that earn full worth: 0 where none does, infinite where no share is agreed.
+    /// Requests a second, over all routers, that earn full weight: 0 if none does, infinite if no quota is agreed.
     pub quota_per_s: f64,
 }
 
-/// What a replica does with a read that it lags too far behind for.
+/// What a replica does with a read for which it lags too far behind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplicaCheck {
-    /// It answers from what it has: only the router guards freshness.
+    /// It answers from the data that it has; only the router guards freshness.
     None,
-    /// It turns the read away at once.
+    /// It rejects the read at once.
     Reject,
-    /// It waits up to this long to catch up, then turns the read away.
+    /// It waits up to this long to catch up, and then rejects the read.
     Wait(Micros),
 }
 
-/// How the node list tells who is primary.
+/// How the endpoint list names primaries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RoleSource {
-    /// Seconds late.
+    /// The list names the current primary, seconds late.
     Late,
-    /// As it was at the start, for ever.
+    /// The list names the primary at the start and never changes it.
     Initial,
-    /// Not at all.
+    /// The list names no primary.
     None,
 }
 
-/// Where nodes' own reports come from.
+/// The source of nodes' load reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportSource {
-    /// With outcomes and probe results.
+    /// Reports come with answers and with health checks.
     Answers,
-    /// With probe results only.
+    /// Reports come with health checks only.
     HealthChecks,
-    /// There are none.
+    /// There are no reports.
     None,
 }
 
-/// What a node's list weight means.
+/// The meaning of a node's weight in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WeightMeaning {
-    /// Nothing; it is always 1.
+    /// It has no meaning and is always 1.
     None,
-    /// The registered size, exactly or roughly.
+    /// It is the registered size of the node, exactly or roughly.
     Size,
-    /// The size divided by one more than the requests held a core, some time ago.
+    /// It is the size divided by one more than the requests in flight for each core, some time ago.
     Live,
 }
 
-/// Prices charged against the worth earned, each per unit of its own rate.
+/// Prices charged against the weight earned, each per unit of its own rate.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Prices {
-    /// Attempts that cross zones, per first try.
+    /// Price of attempts that cross zones, per first attempt.
     pub cross_zone: f64,
-    /// Node work that answered nothing, as a share of the work offered.
+    /// Price of node work that led to no answer, as a share of the work offered.
     pub waste: f64,
-    /// Probes per first try.
+    /// Price of health checks, per first attempt.
     pub probe: f64,
-    /// Peer messages of 256 bytes, per first try.
+    /// Price of messages of 256 bytes between routers, per first attempt.
     pub peer: f64,
-    /// Worth that ended unserved after its aim, as a share of the worth offered.
+    /// Price of weight that ended unserved after its latency objective, as a share of the weight offered.
     pub late_fail: f64,
 }
 
-/// What a router is told once, at its start.
+/// The settings of a router.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// This router's number among its peers, from 0.
+    /// Index of this router among all routers, from 0.
     pub router_index: u32,
-    /// How many routers there are.
+    /// Number of routers.
     pub router_count: u32,
-    /// The zone this router stands in.
+    /// The zone of this router.
     pub zone: String,
-    /// The classes; requests name them by their place here.
+    /// The classes; requests refer to them by index.
     pub classes: Vec<Class>,
-    /// The tenants; requests name them by their place here. One that names none, or another, is never over a share.
+    /// The tenants; requests refer to them by index. A request without a tenant, or with an unknown one, is never
+    /// beyond a quota.
     pub tenants: Vec<Tenant>,
-    /// The worth of a request beyond its tenant's share, as a fraction.
+    /// Share of its weight that a request beyond its tenant's quota earns.
     pub over_quota_weight: f64,
-    /// Whether worth counts by the unit of work instead of by the request.
+    /// Whether weight counts per unit of work instead of per request.
     pub weight_per_work: bool,
-    /// What replicas do with reads that they lag behind for.
+    /// What replicas do with reads for which they lag too far behind.
     pub replica_check: ReplicaCheck,
-    /// How the node list tells roles.
+    /// How the endpoint list names primaries.
     pub role_source: RoleSource,
-    /// Where reports come from.
+    /// The source of load reports.
     pub reports: ReportSource,
-    /// Whether requests carry the age of their session's last write. If not, the router remembers it.
+    /// Whether requests carry the age of their session's last write. If not, the router remembers that write.
     pub clients_carry_tokens: bool,
-    /// What list weights mean.
+    /// The meaning of weights in the endpoint list.
     pub weight_meaning: WeightMeaning,
-    /// Whether list changes come only when asked for.
+    /// Whether the router has to subscribe to get changes of the endpoint list.
     pub subscribe: bool,
-    /// Without a subscription the router counts as told of the list after this long.
+    /// Time after which a router without a subscription is expected to know a change of the endpoint list.
     pub poll_interval: Micros,
-    /// Whether probes are allowed.
+    /// Whether health checks are allowed.
     pub health_checks_allowed: bool,
     /// Whether attempts may be cancelled.
     pub cancel_allowed: bool,
-    /// Whether two attempts of one request may be out at once. None is sent on purpose: a cancelled one may overlap.
+    /// Whether two attempts of one request may be in flight at once. The router never hedges on purpose, but a
+    /// cancelled attempt may overlap the next one.
     pub hedging_allowed: bool,
-    /// Whether advice on when to return reaches clients.
+    /// Whether clients receive advice on when to retry.
     pub retry_after_allowed: bool,
-    /// The longest wait that a client follows.
+    /// Longest advised delay that a client follows.
     pub max_retry_after: Micros,
-    /// Attempts allowed for one request.
+    /// Maximum number of attempts of one request.
     pub max_attempts: u32,
-    /// A connection that is not up after this long is given up.
+    /// Time after which an attempt to open a connection is given up.
     pub connect_timeout: Micros,
-    /// Idle connections are closed by themselves after this long.
+    /// Time after which idle connections are closed.
     pub connection_idle: Micros,
-    /// The shortest time between two batches.
+    /// Minimum time between two batches of events.
     pub tick: Micros,
-    /// Sends to a node that drains or is gone must stop within this time of the notice.
+    /// Time after the notice within which sends to a draining or removed node must stop.
     pub drain_grace: Micros,
-    /// Only nodes listed as draining, not those dropped from the list, are closed to sends.
+    /// Whether nodes removed from the list still take requests, so that only draining closes a node.
     pub removed_nodes_stay_open: bool,
-    /// A final answer still counts this long after the client's deadline.
+    /// Time after the client's deadline during which a final answer still counts.
     pub answer_grace: Micros,
-    /// A node starts with at least this share of its capacity.
+    /// Share of its capacity that a node has at least when it starts.
     pub slow_start_min_share: f64,
-    /// A node is warm at the latest this long after its start.
+    /// Time after its start by which a node is warm at the latest.
     pub slow_start_duration: Micros,
-    /// A cold node falls over at this multiple of its present capacity ...
+    /// Multiple of its present capacity at which a warming node fails ...
     pub overload_factor: f64,
-    /// ... kept up for this long.
+    /// ... if the load lasts for this long.
     pub overload_duration: Micros,
-    /// What the operators charge for.
+    /// The prices that the operators charge.
     pub prices: Prices,
 }
 
 impl Default for Settings {
-    /// A lone router of a small site where nodes check reads and everything optional is off.
+    /// The settings of a single router at a small site, in which nodes check reads and all optional features are off.
     fn default() -> Self {
         Settings {
             router_index: 0,
--- a/src/api/time.rs
+++ b/src/api/time.rs
@@ -2,13 +2,13 @@
 
 use std::sync::Arc;
 
-/// A moment on the router's clock, in microseconds. It never runs backwards.
+/// A time on the router's clock, in microseconds. The clock never runs backwards.
 pub type Time = u64;
-/// A length of time in microseconds.
+/// A duration in microseconds.
 pub type Micros = u64;
-/// A request, as the router numbers it.
+/// The router's identifier of a request.
 pub type RequestId = u64;
-/// A server's name, opaque to the module.
+/// The name of a database node, which has no meaning to the decisions.
 pub type NodeId = Arc<str>;
-/// A replication group: one primary and its replicas.
+/// The identifier of a replication group, which is one primary and its replicas.
 pub type GroupId = u64;
--- a/src/attempt_outcome.rs
+++ b/src/attempt_outcome.rs
@@ -1,7 +1,8 @@
-//! What the end of an attempt tells: of its request, of its node and of its class.
+//! Updates the state of a request, its node and its class when an attempt ends.
 //!
-//! Each concern learns in a step of its own, always in this order: the request and the locality policy, what the node says of
-//! itself, its health, its speed and limit, the class's latency, the connection; last the request waits, or is over.
+//! Each concern is updated in a step of its own, always in this order: the request and the locality policy, what the
+//! node reports about itself, its health, its speed and concurrency limit, the latency of the class, the connection.
+//! Finally the request waits for another attempt or is closed.
 
 use crate::api::{Action, AttemptEnd, Micros, NodeId, NodeReport, RequestId};
 use crate::balancer::Balancer;
@@ -10,24 +11,24 @@
 use crate::node::{AttemptKey, InFlight};
 use crate::request::{AttemptState, Request};
 
-/// A node that turned work away as full, or cut a connection, gets nothing for this long. A connection refused sooner than
-/// this was refused because the node's table of connections is full.
+/// Time during which a node gets no requests after it rejected work because its queue was full, or broke a connection.
+/// A connection that is refused within this time was refused because the node's connection table is full.
 const FULL_NODE_BACKOFF: Micros = 30_000;
 
-/// The end of one attempt, as the router tells it.
+/// The end of one attempt, as the router reports it.
 pub(crate) struct EndedAttempt {
     pub(crate) key: AttemptKey,
     pub(crate) end: AttemptEnd,
-    /// Time since the send.
+    /// Time between the send and the end of the attempt.
     pub(crate) elapsed: Micros,
     pub(crate) request_over: bool,
-    /// What the answer says of the node: as new as the answer.
+    /// What the answer reports about the node; as recent as the answer.
     pub(crate) answer_report: NodeReport,
-    /// What a report carried along says of it: maybe older.
+    /// What a load report that came with the answer says about the node; it may be older than the answer.
     pub(crate) load_report: NodeReport,
 }
 
-/// An ended attempt, with what its request says of it.
+/// An ended attempt, with the facts about its request that the updates need.
 struct Observation {
     node: NodeId,
     class: usize,
@@ -37,7 +38,7 @@
 }
 
 impl Observation {
-    /// The node was too busy to serve it.
+    /// Returns whether the node was too busy to serve the attempt.
     fn is_lost(&self) -> bool {
         matches!(self.end, AttemptEnd::TimedOut | AttemptEnd::Overloaded)
     }
@@ -51,7 +52,7 @@
     }
 }
 
-/// Whether the node itself spoke.
+/// Returns whether the node itself answered.
 fn is_answer(end: AttemptEnd) -> bool {
     matches!(
         end,
@@ -63,7 +64,7 @@
 }
 
 impl Balancer {
-    /// Takes the end of an attempt; one of a request or attempt that is not known says nothing.
+    /// Handles the end of an attempt. The end of an unknown request or attempt is ignored.
     pub(crate) fn attempt_ended(&mut self, ended: EndedAttempt, actions: &mut Vec<Action>) {
         let Some(observation) = self.record_end(&ended) else {
             return;
@@ -85,7 +86,7 @@
         self.resume_or_close(&ended);
     }
 
-    /// What a node says of itself, in an answer or in a report, which may be older.
+    /// Records what a node reports about itself, either in an answer or in a load report, which may be older.
     pub(crate) fn observe_report(
         &mut self,
         id: &NodeId,
@@ -93,19 +94,19 @@
         is_answer: bool,
         actions: &mut Vec<Action>,
     ) {
-        let (now, asked_at) = (self.now, load::asked_at(self.now, report.age));
+        let (now, requested_at) = (self.now, load::requested_at(self.now, report.age));
         let Some(node) = self.nodes.get_mut(id) else {
             return;
         };
-        node.reported_at = node.reported_at.max(asked_at);
-        // A position from the future would let stale reads through.
+        node.reported_at = node.reported_at.max(requested_at);
+        // A position from the future would let stale reads through, so it is ignored.
         if let Some(position) = report.position.filter(|position| *position <= now) {
-            node.position.observe(position, asked_at);
+            node.position.observe(position, requested_at);
         }
-        let newer = |_: &u32| node.external_load.is_superseded_by(asked_at);
+        let newer = |_: &u32| node.external_load.is_superseded_by(requested_at);
         if let Some(in_flight) = report.in_flight.filter(newer) {
             let others = (f64::from(in_flight) - node.in_flight.len() as f64).max(0.0);
-            node.external_load.set(others, asked_at);
+            node.external_load.set(others, requested_at);
             let group = self.groups.entry(node.endpoint.group).or_default();
             group.external_load.observe_member(now, others);
             self.cores.observe(in_flight, report);
@@ -113,7 +114,7 @@
         self.observe_role(id, report, is_answer, actions);
     }
 
-    /// Records the end with the request and the locality policy.
+    /// Records the end of an attempt in its request and in the locality policy.
     fn record_end(&mut self, ended: &EndedAttempt) -> Option<Observation> {
         let request = self.requests.get_mut(&ended.key.request)?;
         let attempt = request.attempts.get_mut(ended.key.attempt as usize)?;
@@ -140,7 +141,7 @@
         Some(observation)
     }
 
-    /// What an attempt's end says of its node and its class.
+    /// Updates what is known of the node and the class of an ended attempt.
     fn observe_end(
         &mut self,
         observation: &Observation,
@@ -196,7 +197,7 @@
         }
     }
 
-    /// The node's slowness and the limit of what may be in flight there.
+    /// Updates the node's slowness and its concurrency limit.
     fn observe_speed(&mut self, observation: &Observation) {
         let (now, sparse) = (self.now, self.has_sparse_view);
         let class_latency = self.classes[observation.class].latency;
@@ -204,11 +205,12 @@
             .nodes
             .get_mut(&observation.node)
             .expect("looked up before");
-        // Routers that have few answers each would miss a jam that shows in lost attempts alone.
-        let tells_speed = observation.is_served() || (sparse && observation.is_lost());
-        if tells_speed && observation.end == AttemptEnd::Overloaded {
+        // A router with a sparse view has few answers from each node, and would miss an overload that shows only in
+        // lost attempts.
+        let shows_speed = observation.is_served() || (sparse && observation.is_lost());
+        if shows_speed && observation.end == AttemptEnd::Overloaded {
             node.slowness.observe_overload(now, sparse);
-        } else if tells_speed {
+        } else if shows_speed {
             let ratio = observation.elapsed_us() / class_latency.max(1.0);
             node.slowness.observe(now, ratio, sparse);
         }
@@ -223,7 +225,8 @@
         node.limit.observe(now, signal, node.in_flight.len());
     }
 
-    /// The latency of the class, and the work of one request as warm nodes without a queue show it.
+    /// Updates the mean latency of the class, and the work of one request, which is the latency at warm nodes without a
+    /// queue.
     fn observe_latency(&mut self, observation: &Observation) {
         let node = &self.nodes[&observation.node];
         let elapsed_us = observation.elapsed_us();
@@ -236,22 +239,24 @@
         if observation.is_served() && is_past_slow_start && present < self.cores.cores() {
             stats.observe_queueless(elapsed_us);
         }
-        // Waits in vain count as well, or the mean would know only the quick answers of a jam.
-        let ended_in_vain = matches!(
+        // Unanswered waits count too: during an overload only the quick answers come back, and the mean would fall.
+        let ended_unanswered = matches!(
             observation.end,
             AttemptEnd::TimedOut | AttemptEnd::Cancelled
         );
-        let waited_in_vain =
-            ended_in_vain && elapsed_us > stats.latency && !node.outlier.is_ejected;
-        if observation.is_served() || waited_in_vain {
+        let waited_unanswered =
+            ended_unanswered && elapsed_us > stats.latency && !node.outlier.is_ejected;
+        if observation.is_served() || waited_unanswered {
             stats.observe(elapsed_us);
         }
     }
 
-    /// Whether a connection to the node is open, and whether it may stay so.
+    /// Updates whether a connection to the node is open, and closes idle connections if the node's connection table is
+    /// full.
     ///
-    /// Hundreds of routers fill a node's table of connections; it then refuses one at once, and idle ones must go. Only to
-    /// such a node: a dead one refuses at once too, and a slow handshake asks for the opposite.
+    /// The connections of hundreds of routers fill a node's connection table. The node then refuses new connections at
+    /// once, and idle ones have to be closed. Connections to other nodes stay open: a dead node refuses at once too,
+    /// and slow handshakes are a reason to keep connections.
     fn observe_connection(&mut self, observation: &Observation, actions: &mut Vec<Action>) {
         let now = self.now;
         let node = self
@@ -278,7 +283,7 @@
         }
     }
 
-    /// Remembers a session's write, where clients carry no tokens.
+    /// Records the position of a session's write, if clients carry no session tokens.
     fn remember_write(
         &mut self,
         observation: &Observation,
@@ -300,7 +305,7 @@
             .remember(session, committed_at, applied_everywhere);
     }
 
-    /// A client that was answered later than others leave shows that not all do.
+    /// Records that a client was still waiting at a time when others of its class would have left.
     fn observe_patience(&mut self, request: RequestId) {
         let request = &self.requests[&request];
         let departures = &mut self.classes[request.info.class].departures;
@@ -310,8 +315,8 @@
         }
     }
 
-    /// The request is over, waits for its next attempt, or goes on elsewhere. A waiting one is decided on later in this
-    /// batch, since its client may leave in it.
+    /// Closes the request, queues it for another attempt, or leaves it to an attempt that is still in flight. A queued
+    /// request is placed later in this batch, since its client may leave in the same batch.
     fn resume_or_close(&mut self, ended: &EndedAttempt) {
         let id = ended.key.request;
         let waits = |request: &Request| request.is_open && !request.is_in_flight();
--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -1,4 +1,4 @@
-//! The state of one router's decisions, and the order in which one batch of events is handled.
+//! The state of one router's decisions, and the order in which it handles one batch of events.
 
 use crate::api::{
     Access, Action, Event, GroupId, LocalityPolicy, Micros, NodeId, RequestId, RoutingQuery,
@@ -16,56 +16,57 @@
 use crate::random::Random;
 use crate::request::Request;
 use crate::retry;
-use crate::slow_start::{self, TurnInputs};
+use crate::slow_start::{self, SlotInputs};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// While any request is in flight or waits, the decisions look at all of it again after this.
+/// Time after which the balancer reviews all requests again, as long as any request waits or is in flight.
 const REVIEW_INTERVAL: Micros = 20_000;
 
-/// The decisions of one router.
+/// The routing decisions of one router.
 ///
-/// It does no I/O and reads no clock: [`Balancer::handle`] takes the events of one moment and says what to do. The same
-/// code runs in the router, in the simulator's adapter and in the model of the fleet.
+/// It does no I/O and reads no clock: [`Balancer::handle`] takes the events of one moment and returns the actions to
+/// carry out. The same code runs in the router, in the simulator's adapter and in the model of the fleet.
 pub struct Balancer {
     pub(crate) settings: Settings,
     pub(crate) now: Time,
-    /// When this process handled its first batch.
+    /// Time at which this process handled its first batch.
     pub(crate) started_at: Option<Time>,
     pub(crate) random: Random,
-    /// Counts reads placed, from the router's number: near ties go by it.
+    /// Number of reads sent, starting from the router's index. It decides between near ties.
     pub(crate) reads_placed: u64,
     pub(crate) nodes: BTreeMap<NodeId, Node>,
     pub(crate) groups: BTreeMap<GroupId, Group>,
     pub(crate) requests: BTreeMap<RequestId, Request>,
-    /// When the final answers of open requests are due.
+    /// Deadlines for the final answers of open requests.
     pub(crate) deadlines: BTreeSet<(Time, RequestId)>,
-    /// Requests that wait for a node.
+    /// Requests that wait to be sent to a node.
     pub(crate) waiting: BTreeSet<RequestId>,
-    /// Nodes that outlier detection looks at: with attempts in flight or just ended, or ejected.
+    /// Nodes that outlier detection checks: nodes that have attempts in flight or had one that just ended, and ejected
+    /// nodes.
     pub(crate) monitored: BTreeSet<NodeId>,
-    /// A router's part of a node's first limit is under one request. It sees too little of a node to judge it by its own
-    /// requests, and goes by what nodes report.
+    /// Whether this router's share of a node's initial concurrency limit is under one request. Such a router sees too
+    /// little of a node to judge it by its own requests, and relies on the load reports of nodes.
     pub(crate) has_sparse_view: bool,
-    /// Warming nodes are spared by chance instead of by turns.
-    pub(crate) slow_start_by_chance: bool,
-    /// Nodes that may get requests, by the endpoint list.
+    /// Whether slow start admits requests by a random draw instead of by time slots.
+    pub(crate) has_random_slow_start: bool,
+    /// Number of nodes that may get requests according to the endpoint list.
     pub(crate) serving_count: usize,
-    /// By place in the settings.
+    /// Statistics of each class, in the order of the settings.
     pub(crate) classes: Vec<ClassStats>,
-    /// Data older than this is of use only to reads that any data will do for.
+    /// Age beyond which data is of use only to reads that accept data of any age.
     pub(crate) stale_age: Micros,
     pub(crate) tenant_usage: TenantUsage,
     pub(crate) cores: CoreEstimate,
     pub(crate) session_writes: SessionWrites,
     wake_at: Option<Time>,
     pub(crate) resubscribe_at: Option<Time>,
-    /// Says which zones a request may use now; where there is none, all of them.
+    /// Decides which zones a request may use now. Without a policy it may use all of them.
     pub locality: Option<Box<dyn LocalityPolicy>>,
 }
 
 impl Balancer {
-    /// A router that has just started, with its settings and a seed for its random numbers.
+    /// Creates the state of a router that has just started, from its settings and the seed of its random numbers.
     pub fn new(settings: Settings, seed: u64) -> Self {
         Balancer {
             now: 0,
@@ -79,7 +80,7 @@
             waiting: BTreeSet::new(),
             monitored: BTreeSet::new(),
             has_sparse_view: INITIAL_FLEET_LIMIT < f64::from(settings.router_count),
-            slow_start_by_chance: slow_start::is_by_chance(&settings),
+            has_random_slow_start: slow_start::uses_random_draw(&settings),
             serving_count: 0,
             classes: settings.classes.iter().map(ClassStats::new).collect(),
             stale_age: stale_age(&settings),
@@ -93,15 +94,15 @@
         }
     }
 
-    /// Takes the events of one moment and says what to do.
+    /// Handles the events of one moment and appends the actions to carry out.
     ///
-    /// `now` is that moment (us); one that is earlier than the last counts as the last. Actions are added at the end, to be
-    /// carried out in their order.
+    /// `now` is that moment (us). If it is earlier than in the last call, the time of the last call counts. The actions
+    /// have to be carried out in the order in which they are appended.
     pub fn handle(&mut self, now: Time, events: Vec<Event>, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
         self.started_at.get_or_insert(self.now);
         for event in events {
-            self.take(event, actions);
+            self.apply_event(event, actions);
         }
         self.renew_subscription(actions);
         self.eject_silent_nodes(actions);
@@ -111,7 +112,7 @@
         self.schedule_wake(actions);
     }
 
-    fn take(&mut self, event: Event, actions: &mut Vec<Action>) {
+    fn apply_event(&mut self, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::EndpointsChanged(update) => self.update_endpoints(update),
             Event::RequestArrived(info) => self.admit_request(info),
@@ -141,12 +142,12 @@
                 answered: true,
                 load_report,
             } => self.observe_report(&node, &load_report, false, actions),
-            // Routers share nothing, so messages of peers are not followed.
+            // Routers share no state, so messages from peers are ignored.
             Event::Timer | Event::HealthChecked { .. } | Event::Peer { .. } => {}
         }
     }
 
-    /// Its answer belongs to one attempt from now on, and no deadline of the router's ends it.
+    /// Marks a request as streaming: one attempt now delivers its answer, and no deadline of the router ends it.
     fn stream_started(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.is_streaming = true;
@@ -160,7 +161,7 @@
         }
     }
 
-    /// Places what waits, the most valuable first, and gives up what no node may get any more.
+    /// Sends waiting requests to nodes, the most valuable first, and gives up those that no node may get any more.
     fn place_waiting_requests(&mut self, actions: &mut Vec<Action>) {
         let mut queue: Vec<RequestId> = self.waiting.iter().copied().collect();
         queue.sort_by_cached_key(|id| {
@@ -169,8 +170,8 @@
             (most_valuable_first, request.first_attempt_at, *id)
         });
         for id in queue {
-            self.place(id, actions);
-            if self.waiting.contains(&id) && self.gives_up(&self.requests[&id]) {
+            self.place_request(id, actions);
+            if self.waiting.contains(&id) && self.should_give_up(&self.requests[&id]) {
                 self.reject_or_fail(id, actions);
             }
         }
@@ -185,7 +186,7 @@
         }
     }
 
-    /// Asks to be woken for the next deadline, the next review or the next subscription, whichever is first.
+    /// Requests a wake-up at the next deadline, review or subscription, whichever comes first.
     fn schedule_wake(&mut self, actions: &mut Vec<Action>) {
         let deadline = self.deadlines.first().map(|(at, _)| *at);
         let review = (!self.requests.is_empty()).then_some(self.now + REVIEW_INTERVAL);
@@ -201,7 +202,7 @@
     }
 }
 
-/// Shorthands: a rule's inputs out of the state.
+/// Helpers that derive the inputs of the rules from the state.
 impl Balancer {
     pub(crate) fn is_write(&self, request: &Request) -> bool {
         retry::is_write(&self.settings, request)
@@ -213,7 +214,7 @@
             .is_some_and(|request| self.is_write(request))
     }
 
-    /// A request as the locality policy is asked about it.
+    /// Returns the part of a request that the locality policy needs.
     pub(crate) fn routing_query(&self, request: &Request) -> RoutingQuery {
         RoutingQuery {
             request: request.id(),
@@ -222,13 +223,14 @@
         }
     }
 
-    /// What a member of a group has in flight for other routers, in the mean.
+    /// Returns the mean number of requests that a member of a group has in flight for other routers.
     pub(crate) fn mean_external_load(&self, group: GroupId) -> f64 {
         let group = self.groups.get(&group);
         group.map_or(0.0, |group| group.external_load.group_mean(self.now))
     }
 
-    /// What other routers have in flight at a node, in requests. Where routers are few, each knows enough by its own.
+    /// Returns the number of requests that other routers have in flight at a node. It is 0 unless this router has a
+    /// sparse view: a few routers each know enough from their own requests.
     pub(crate) fn external_load(&self, node: &Node) -> f64 {
         if !self.has_sparse_view {
             return 0.0;
@@ -241,7 +243,7 @@
         health_check::position_check_pays(&self.settings, node, self.now)
     }
 
-    /// The share of its full capacity that a node has by now.
+    /// Returns the share of its full capacity that a node has reached by now.
     pub(crate) fn warm_share(&self, node: &Node) -> f64 {
         slow_start::warm_share(&self.settings, node.endpoint.started_at, self.now)
     }
@@ -250,12 +252,12 @@
         self.warm_share(node) >= 1.0
     }
 
-    pub(crate) fn slow_start_turn(&self, node: &Node) -> Time {
-        slow_start::turn_start(&self.settings, node.endpoint.started_at, self.now)
+    pub(crate) fn slow_start_slot(&self, node: &Node) -> Time {
+        slow_start::slot_start(&self.settings, node.endpoint.started_at, self.now)
     }
 
-    /// Whether a warming node may have a request now. `candidates` is how many nodes the request could go to. Where the
-    /// locality policy paces warming nodes itself, it alone decides.
+    /// Returns whether a warming node may get a request now. `candidates` is the number of nodes that the request could
+    /// go to. If the locality policy paces slow start itself, it alone decides.
     pub(crate) fn slow_start_admits(
         &self,
         request: &Request,
@@ -267,19 +269,19 @@
         if warm_share >= 1.0 || paced_elsewhere() {
             return true;
         }
-        if self.slow_start_by_chance {
-            return slow_start::passes_by_chance(request.random_draw, warm_share, candidates);
+        if self.has_random_slow_start {
+            return slow_start::passes_random_draw(request.random_draw, warm_share, candidates);
         }
-        let turn = self.slow_start_turn(node);
-        let inputs = TurnInputs {
+        let slot = self.slow_start_slot(node);
+        let inputs = SlotInputs {
             node: node.id(),
-            turn,
+            slot,
             warm_share,
             cores: self.cores.cautious_cores(),
-            spent_us: node.turn_spending.in_turn(turn),
+            spent_us: node.slot_spending.in_slot(slot),
             work_us: self.classes[request.info.class].work(),
             router_started_at: self.started_at,
         };
-        slow_start::fits_turn(&self.settings, &inputs)
+        slow_start::fits_slot(&self.settings, &inputs)
     }
 }
--- a/src/endpoints.rs
+++ b/src/endpoints.rs
@@ -1,20 +1,22 @@
-//! The endpoint list: which nodes there are, which of them drain, and when one is forgotten.
+//! The endpoint list: which nodes exist, which of them are draining, and when a node is forgotten.
 //!
-//! A node that drains or is removed gets nothing from the moment this router is told. It is forgotten only when nothing is
-//! in flight there and no request remembers it; but then it must be, since day by day new nodes take old ones' places.
+//! A draining or removed node gets no requests from the moment when this router learns of it. Its state is dropped only
+//! once nothing is in flight there and no request refers to it. It has to be dropped then, because replaced nodes come
+//! back under new names and the table would grow without bound.
 
 use crate::api::{Endpoint, EndpointState, EndpointUpdate, Micros, NodeId, Time};
 use crate::balancer::Balancer;
 use crate::node::Node;
 use std::collections::BTreeSet;
 
-/// A removed node that may still be used is forgotten so long after its last answer.
+/// Time after its last answer at which a removed node is forgotten, if the settings let removed nodes be used.
 const REMOVED_NODE_REMEMBERED: Micros = 60_000_000;
-/// Least wait before a failed subscription to the list is renewed; up to as much again comes by chance.
+/// Minimum wait before a failed subscription to the list is renewed. A random wait of up to the same length is added.
 const MIN_RESUBSCRIBE_BACKOFF: Micros = 500_000;
 
 impl Node {
-    /// Takes the list's word on its state. `removed_stay_open`: leaving the list does not close a node.
+    /// Applies the state in the endpoint list. `removed_stay_open` says that removal from the list does not close a
+    /// node.
     fn set_state(&mut self, state: EndpointState, removed_stay_open: bool, now: Time) {
         let closes = match state {
             EndpointState::Serving => {
@@ -32,7 +34,7 @@
 }
 
 impl Balancer {
-    /// Takes what discovery says.
+    /// Applies an update from discovery.
     pub(crate) fn update_endpoints(&mut self, update: EndpointUpdate) {
         if let Some(locality) = &mut self.locality {
             locality.endpoints_changed(self.now, &update);
@@ -49,7 +51,7 @@
         self.forget_removed_nodes();
     }
 
-    /// How many nodes are known, removed ones that are still in use among them.
+    /// Returns the number of known nodes, including removed ones that are still in use.
     pub fn known_node_count(&self) -> usize {
         self.nodes.len()
     }
@@ -89,7 +91,7 @@
                 router_count,
                 now,
             );
-            // A removed node that is not known may have drained and been forgotten.
+            // An unknown node that is listed as removed may have been drained and forgotten before.
             new.closed_at = (endpoint.state == EndpointState::Removed).then_some(now);
             new
         });
--- a/src/freshness.rs
+++ b/src/freshness.rs
@@ -1,8 +1,9 @@
 //! Freshness: which replica may serve which read.
 //!
-//! It guards against stale reads: one that misses what its own session wrote, or that is older than its class allows. A
-//! replica's position is the moment up to which it has applied the primary's log. Where nodes check reads themselves, a
-//! position may be extrapolated and a mistake costs one attempt; where they do not, only a position that was told counts.
+//! It prevents stale reads: reads that miss what their own session wrote, or whose data is older than their class
+//! allows. A replica's position is the time up to which it has applied the primary's log. If nodes check reads
+//! themselves, the router may extrapolate a position, and a mistake costs one attempt. If they do not, only a reported
+//! position counts.
 
 use crate::api::{Access, Micros, NodeId, ReplicaCheck, RequestId, RequestInfo, Settings, Time};
 use crate::balancer::Balancer;
@@ -11,19 +12,19 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// A session's token may have been rounded by up to this.
+/// Maximum rounding error of the age of a session's last write, as the client states it.
 const TOKEN_ROUNDING: Micros = 1_000;
-/// Where no class is bounded, data older than this is of use only to reads that any data will do for.
+/// Age beyond which data is of use only to reads that accept data of any age, if no class has bounded staleness.
 const DEFAULT_STALE_AGE: Micros = 1_000_000;
-/// The table of sessions' writes is pruned when its size is a multiple of this.
+/// The table of sessions' writes is pruned whenever its size is a multiple of this.
 const PRUNE_EVERY_SESSIONS: usize = 1_024;
 
-/// How far a node has applied the primary's log, as far as this router was told.
+/// The position up to which a node has applied the primary's log, as far as this router knows.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ReplicationPosition {
-    /// Every commit up to here is applied; 0 while nothing was told.
+    /// Every commit up to this time is applied; 0 while no position has been reported.
     pub(crate) applied_up_to: Time,
-    /// When that was learned.
+    /// Time at which this position was requested.
     pub(crate) updated_at: Time,
 }
 
@@ -39,26 +40,27 @@
         self.applied_up_to == 0
     }
 
-    /// How far behind it was at its last word; none while nothing was told.
+    /// Returns the lag at the time of the last report, or `None` if no position has been reported.
     pub(crate) fn last_lag(&self) -> Option<Micros> {
         (!self.is_unknown()).then(|| self.updated_at.saturating_sub(self.applied_up_to))
     }
 
-    /// A position was told. One that stands still counts too: otherwise a replica that is stuck would seem to keep its lag.
-    pub(crate) fn observe(&mut self, applied_up_to: Time, asked_at: Time) {
+    /// Records a reported position. An unchanged position is recorded too: otherwise a stalled replica would seem to
+    /// keep its lag.
+    pub(crate) fn observe(&mut self, applied_up_to: Time, requested_at: Time) {
         if applied_up_to >= self.applied_up_to {
             self.applied_up_to = applied_up_to;
-            self.updated_at = self.updated_at.max(asked_at);
+            self.updated_at = self.updated_at.max(requested_at);
         }
     }
 
-    /// The position by now, if the lag holds still.
+    /// Returns the expected position now, on the assumption that the lag is unchanged.
     fn extrapolated(&self, now: Time) -> Time {
         self.applied_up_to + now.saturating_sub(self.updated_at)
     }
 }
 
-/// The age beyond which data is of use only to reads that any data will do for.
+/// Returns the age beyond which data is of use only to reads that accept data of any age.
 pub(crate) fn stale_age(settings: &Settings) -> Micros {
     let bound = |access: Access| match access {
         Access::Bounded(bound) => Some(bound),
@@ -71,19 +73,19 @@
     bounds.max().unwrap_or(DEFAULT_STALE_AGE)
 }
 
-/// The last write of each session, where clients carry no tokens and the router must remember.
+/// The last write of each session. It is used if clients carry no session tokens.
 #[derive(Debug, Default)]
 pub(crate) struct SessionWrites {
     committed_at: BTreeMap<Arc<str>, Time>,
 }
 
 impl SessionWrites {
-    fn last_of(&self, session: &str) -> Option<Time> {
+    fn last_write_of(&self, session: &str) -> Option<Time> {
         self.committed_at.get(session).copied()
     }
 
-    /// A write of a session was answered. `applied_everywhere` is what all open nodes have applied: what is no newer needs
-    /// no token any more. It is worked out only when the table is pruned.
+    /// Records the position of a session's write. `applied_everywhere` returns the position that all open nodes have
+    /// applied: writes up to it need no record any more. It is called only when the table is pruned.
     pub(crate) fn remember(
         &mut self,
         session: Arc<str>,
@@ -100,7 +102,8 @@
 }
 
 impl Balancer {
-    /// The position that a replica must have reached to serve a request; none where any will do, or its age decides.
+    /// Returns the position that a replica must have reached to serve a request. It is `None` if any replica will do,
+    /// or if the age of its data decides.
     pub(crate) fn required_position(&self, info: &RequestInfo) -> Option<Time> {
         match self.settings.classes[info.class].access {
             Access::Latest => Some(self.now),
@@ -109,36 +112,38 @@
                 .map(|age| self.now.saturating_sub(age) + TOKEN_ROUNDING),
             Access::OwnWrites => {
                 let session = info.session.as_ref()?;
-                self.session_writes.last_of(session)
+                self.session_writes.last_write_of(session)
             }
             Access::Write | Access::Bounded(_) | Access::Any => None,
         }
     }
 
-    /// Whether a replica's data will do for a read: proved where nodes check nothing, expected where they do.
+    /// Returns whether a replica's data is fresh enough for a read. The position must be proved if nodes do not check
+    /// reads; if they do, an expected position is enough.
     pub(crate) fn is_fresh_enough(&self, now: Time, node: &Node, request: &Request) -> bool {
         let required = match self.settings.classes[request.info.class].access {
             Access::Write => return false,
             Access::Any => return true,
-            // Ages are told in whole ticks.
+            // Ages are stated in whole ticks.
             Access::Bounded(bound) => (now + self.settings.tick).saturating_sub(bound),
             Access::OwnWrites | Access::Latest => request.required_position.unwrap_or(0),
         };
         let node_waits = match self.settings.replica_check {
             ReplicaCheck::None => return node.position.applied_up_to >= required,
             ReplicaCheck::Reject => 0,
-            ReplicaCheck::Wait(most) => most / 2,
+            ReplicaCheck::Wait(max_wait) => max_wait / 2,
         };
-        // A replica that was not heard of yet may be tried, but one that warms up has an old copy.
+        // A replica that has not reported yet may be tried, except while it warms up: then its data is old.
         if node.position.is_unknown() {
             return self.warm_share(node) >= 1.0;
         }
         node.position.extrapolated(now) + node_waits >= required
     }
 
-    /// Whether a send that waited for its connection may still leave: list, roles or data may have changed by then.
+    /// Returns whether an attempt that waited for its connection may still be sent: the endpoint list, the roles or the
+    /// data may have changed in the meantime.
     ///
-    /// `now` is the moment of the first byte (us), `request` and `node` those of the send.
+    /// `now` is the time of the first byte (us); `request` and `node` are those of the attempt.
     pub fn is_send_still_valid(&self, now: Time, request: RequestId, node: &NodeId) -> bool {
         let (Some(request), Some(node)) = (self.requests.get(&request), self.nodes.get(node))
         else {
--- a/src/health_check.rs
+++ b/src/health_check.rs
@@ -1,18 +1,18 @@
-//! Health checks: when this router asks a node for its report beside the requests that it sends.
+//! Health checks: when this router polls a node for its load report, in addition to the requests that it sends.
 //!
-//! They serve outlier detection, which asks before it ejects, and freshness, which asks a replica how far it is. Hundreds
-//! of routers that ask for every read would make a large part of all traffic, so each question needs a reason.
+//! Outlier detection polls a node before it ejects it, and freshness polls a replica for its position. If hundreds of
+//! routers polled for every read, the polls would be a large part of all traffic, so each poll needs a reason.
 
 use crate::api::{Micros, ReportSource, Settings, Time};
 use crate::node::Node;
 
-/// Least time between two checks of a node: its reports are no newer than that.
+/// Minimum time between two health checks of a node; its reports do not change faster than this.
 pub(crate) const MIN_TIME_BETWEEN_CHECKS: Micros = 100_000;
-/// A read waits so long for the report that may prove a replica fresh.
+/// Maximum time that a read waits for a report that may prove a replica fresh.
 pub(crate) const MAX_WAIT_FOR_REPORT: Micros = 20_000;
 
-/// Whether asking a node for its position pays: it may have moved on since its last word. A lag takes about as long to make
-/// good as it took to build up.
+/// Returns whether it is worthwhile to poll a node for its position, that is, whether the position may have advanced
+/// enough since the last report. A replica takes about as long to catch up as the lag took to build up.
 pub(crate) fn position_check_pays(settings: &Settings, node: &Node, now: Time) -> bool {
     if !settings.health_checks_allowed || settings.reports == ReportSource::None {
         return false;
--- a/src/outlier_detection.rs
+++ b/src/outlier_detection.rs
@@ -1,88 +1,89 @@
-//! Outlier detection: nodes that take work and answer nothing are ejected, and tried again at growing intervals.
+//! Outlier detection: nodes that accept work and do not answer are ejected, and tried again at growing intervals.
 //!
-//! It guards against a node that accepts requests and never answers: its queue looks short, so it would get ever more. A
-//! node is judged by how long its attempts have waited in vain, in mean latencies, since its last answer. A busy node looks
-//! silent too, since requests in one queue are late together; where health checks are allowed it must leave one of those
-//! unanswered as well. When most nodes look bad the cause is common (a jam, this router's own link), and no more are ejected.
+//! It guards against a node that accepts requests and never answers: its queue looks short, so it would get ever more.
+//! A node is judged by the time that its attempts have waited without an answer since its last answer, in mean
+//! latencies. A busy node looks silent too, since the requests in one queue are late together; if health checks are
+//! allowed, the node must leave one of them unanswered as well. If most nodes look silent the cause is common (an
+//! overload, or this router's own network link), and no more nodes are ejected.
 
 use crate::api::{Action, Idempotency, LogEvent, Micros, NodeId, Time};
 use crate::balancer::Balancer;
 use crate::health_check::MIN_TIME_BETWEEN_CHECKS;
 use crate::node::{InFlight, Node};
 
-/// Waits in vain, in mean latencies, that eject a node.
+/// Sum of unanswered waits, in mean latencies, at which a node is ejected.
 const EJECTION_WAITS: f64 = 9.0;
-/// The most that a single attempt adds to them, so that a few lost answers eject nobody.
+/// Maximum that a single attempt adds to this sum, so that a few lost answers do not eject a node.
 const MAX_WAITS_PER_ATTEMPT: f64 = 3.5;
-/// A node that answered within this time is asked for a report before it is ejected.
-const BENEFIT_OF_DOUBT: Micros = 600_000;
-/// It must have answered that health check by then.
+/// A node whose last answer is more recent than this is ejected only after a health check has failed.
+const CHECKED_BEFORE_EJECTION_WITHIN: Micros = 600_000;
+/// Time within which the node must answer that health check.
 const HEALTH_CHECK_TIMEOUT: Micros = 60_000;
-/// Wait before the first trial of an ejected node; it doubles with each that fails.
+/// Wait before the first trial of an ejected node; it doubles with each failed trial.
 pub(crate) const FIRST_TRIAL_BACKOFF: Micros = 500_000;
-/// The longest wait between two trials.
+/// Maximum wait between two trials.
 const MAX_TRIAL_BACKOFF: Micros = 4_000_000;
-/// The largest share of the nodes in service that may be ejected at once. One always may.
+/// Maximum share of the nodes in service that may be ejected at once. One node may always be ejected.
 const MAX_EJECTED_SHARE: f64 = 0.5;
 
-/// What outlier detection knows of one node.
+/// The state of outlier detection for one node.
 #[derive(Clone, Debug)]
 pub(crate) struct OutlierState {
     pub(crate) last_answer_at: Time,
-    /// How long attempts that have ended waited in vain since the last answer, in mean latencies.
-    waits_in_vain: f64,
+    /// Sum of the unanswered waits of ended attempts since the last answer, in mean latencies.
+    unanswered_waits: f64,
     pub(crate) is_ejected: bool,
     trial_at: Time,
     trial_backoff: Micros,
 }
 
 impl OutlierState {
-    /// A node that nothing is held against.
+    /// Creates the state of a node without failures.
     pub(crate) fn new(now: Time) -> Self {
         OutlierState {
             last_answer_at: now,
-            waits_in_vain: 0.0,
+            unanswered_waits: 0.0,
             is_ejected: false,
             trial_at: 0,
             trial_backoff: FIRST_TRIAL_BACKOFF,
         }
     }
 
-    /// Its process is a new one.
+    /// Resets the state because the node's process has restarted.
     pub(crate) fn restart(&mut self, now: Time) {
         self.is_ejected = false;
         self.answered(now);
     }
 
-    /// It answered, so it is alive.
+    /// Clears the recorded failures after an answer.
     fn answered(&mut self, now: Time) {
-        self.waits_in_vain = 0.0;
+        self.unanswered_waits = 0.0;
         self.last_answer_at = now;
         self.trial_backoff = FIRST_TRIAL_BACKOFF;
     }
 
-    /// An attempt ended without an answer after so many mean latencies.
+    /// Records an attempt that ended without an answer after this many mean latencies.
     pub(crate) fn observe_wait(&mut self, mean_latencies: f64) {
-        self.waits_in_vain += mean_latencies.min(MAX_WAITS_PER_ATTEMPT);
+        self.unanswered_waits += mean_latencies.min(MAX_WAITS_PER_ATTEMPT);
     }
 
-    /// A connection broke or could not be made: as bad as the longest wait.
+    /// Records a connection that broke or could not be opened. It counts as much as the longest wait.
     pub(crate) fn observe_broken_connection(&mut self) {
-        self.waits_in_vain += MAX_WAITS_PER_ATTEMPT;
+        self.unanswered_waits += MAX_WAITS_PER_ATTEMPT;
     }
 
-    /// A trial failed, or the node is ejected now: the next trial is due later than the one before.
+    /// Schedules the next trial after an ejection or a failed trial, and doubles the wait before the one after it.
     pub(crate) fn back_off(&mut self, now: Time) {
         self.trial_at = now + self.trial_backoff;
         self.trial_backoff = (self.trial_backoff * 2).min(MAX_TRIAL_BACKOFF);
     }
 
-    /// It is ejected, and the wait before its next trial is over.
+    /// Returns whether the node is ejected and its next trial is due.
     pub(crate) fn trial_is_due(&self, now: Time) -> bool {
         self.is_ejected && now >= self.trial_at
     }
 
-    /// How long one attempt in flight has waited since the last answer, in mean latencies.
+    /// Returns the time that an attempt in flight has waited since the last answer, in mean latencies.
     fn wait_since_answer(&self, attempt: &InFlight, now: Time) -> f64 {
         let waited = |until: Time| {
             let elapsed = until.saturating_sub(attempt.sent_at) as f64;
@@ -93,7 +94,7 @@
 }
 
 impl Node {
-    /// It answered: whatever was held against it is forgotten.
+    /// Records an answer: it clears all recorded failures and ends an ejection.
     pub(crate) fn observe_answer(&mut self, now: Time, actions: &mut Vec<Action>) {
         self.outlier.answered(now);
         if std::mem::take(&mut self.outlier.is_ejected) {
@@ -106,19 +107,20 @@
         }
     }
 
-    /// Whether its attempts have waited for so long that it looks silent.
+    /// Returns whether the node's attempts have waited so long without an answer that it counts as silent.
     fn looks_silent(&self, now: Time) -> bool {
         let waits: f64 = self
             .in_flight
             .values()
             .map(|attempt| self.outlier.wait_since_answer(attempt, now))
             .sum();
-        waits + self.outlier.waits_in_vain >= EJECTION_WAITS
+        waits + self.outlier.unanswered_waits >= EJECTION_WAITS
     }
 
-    /// Whether it is given time to answer a health check first; asks for one where none is under way.
-    fn has_benefit_of_doubt(&mut self, now: Time, actions: &mut Vec<Action>) -> bool {
-        if now >= self.outlier.last_answer_at + BENEFIT_OF_DOUBT {
+    /// Returns whether the ejection has to wait for the answer to a health check. Sends the health check unless one is
+    /// already in flight.
+    fn awaits_check_before_ejection(&mut self, now: Time, actions: &mut Vec<Action>) -> bool {
+        if now >= self.outlier.last_answer_at + CHECKED_BEFORE_EJECTION_WITHIN {
             return false;
         }
         let last_check_answered = self.reported_at >= self.checked_at;
@@ -147,7 +149,7 @@
 }
 
 impl Balancer {
-    /// Ejects nodes that have fallen silent and takes back from them what may be sent elsewhere.
+    /// Ejects nodes that no longer answer, and cancels those of their attempts that may be sent elsewhere.
     pub(crate) fn eject_silent_nodes(&mut self, actions: &mut Vec<Action>) {
         let ejected = self.find_silent_nodes(actions);
         self.monitored.retain(|id| {
@@ -174,7 +176,9 @@
             if !may_eject || !node.looks_silent(self.now) {
                 continue;
             }
-            if self.settings.health_checks_allowed && node.has_benefit_of_doubt(self.now, actions) {
+            if self.settings.health_checks_allowed
+                && node.awaits_check_before_ejection(self.now, actions)
+            {
                 continue;
             }
             node.eject(self.now, actions);
@@ -184,8 +188,8 @@
         ejected
     }
 
-    /// Cancels what is in flight at a node and may run elsewhere. What must not run twice stays where it is: after a cancel
-    /// it could not be sent again.
+    /// Cancels the attempts in flight at a node that may be sent elsewhere. Attempts of requests that must not run
+    /// twice stay, since after a cancellation they could not be sent again.
     fn cancel_retryable_attempts(&self, node: &NodeId, actions: &mut Vec<Action>) {
         if !self.settings.cancel_allowed {
             return;
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -1,10 +1,10 @@
-//! Placement: the way of one request to one node, as a list of phases.
+//! Placement: how one request gets to one node, in phases.
 //!
-//! 1. The locality policy says how much of each member counts ([`Balancer::ask_locality`]).
-//! 2. The rules on repeats leave the nodes that may get an attempt ([`crate::retry`]).
-//! 3. Admission leaves those that would answer in time and, while they warm up, have room ([`crate::admission`]).
-//! 4. By what it reads or writes, the request goes to the primary or to a replica ([`crate::replica_selection`]).
-//! 5. A read that only a report can prove a replica fresh for waits for that report for a moment.
+//! 1. The locality policy says how much of each member's weight counts ([`Balancer::apply_locality_policy`]).
+//! 2. The retry rules leave the nodes that may get an attempt ([`crate::retry`]).
+//! 3. Admission leaves the nodes that would answer in time and, while they warm up, have room ([`crate::admission`]).
+//! 4. A write goes to the primary, a read to a replica or the primary ([`crate::replica_selection`]).
+//! 5. A read that needs a report to prove a replica fresh waits a moment for that report.
 //! 6. The attempt is recorded and sent.
 
 use crate::api::{Access, Action, NodeId, ReplicaCheck, RequestId};
@@ -17,18 +17,18 @@
 use crate::retry;
 use crate::slow_start;
 
-/// What a search among the nodes comes to.
+/// The result of a search for a node.
 #[derive(Default)]
 struct SearchResult {
     node: Option<NodeId>,
-    /// Some node that the request could go to does not admit it now.
+    /// Whether a node of the intended kind does not admit the request now.
     is_denied_admission: bool,
     position_check: Option<NodeId>,
 }
 
 impl Balancer {
-    /// Sends a waiting request to a node, if one will have it.
-    pub(crate) fn place(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+    /// Sends a waiting request to a node, if a node admits it.
+    pub(crate) fn place_request(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let time_left = self.requests[&id].deadline.saturating_sub(self.now);
         let node = self.choose_node(id, actions);
         if let Some(node) = node.filter(|_| time_left >= self.settings.tick) {
@@ -36,14 +36,16 @@
         }
     }
 
-    /// Where a request goes now, if anywhere.
+    /// Returns the node that a request goes to now, if there is one, and starts the position check that the search asks
+    /// for.
     fn choose_node(&mut self, id: RequestId, actions: &mut Vec<Action>) -> Option<NodeId> {
-        let is_closed_by_locality = self.ask_locality(id);
-        let found = self.search(&self.requests[&id]);
+        let is_closed_by_locality = self.apply_locality_policy(id);
+        let found = self.search_nodes(&self.requests[&id]);
         let waits = self.waits_for_report(&self.requests[&id], &found);
         let request = self.requests.get_mut(&id).expect("placed requests exist");
-        // A request that waits for the word of a warm replica must not be shed for a warming one beside it.
-        request.is_shut_out = !waits
+        // A request that waits for the report of a warm replica must not be rejected because a warming replica denies
+        // it.
+        request.is_denied = !waits
             && found.position_check.is_none()
             && (found.is_denied_admission || (is_closed_by_locality && found.node.is_none()));
         if let Some(node) = found.position_check {
@@ -52,8 +54,9 @@
         found.node.filter(|_| !waits)
     }
 
-    /// Asks the locality policy how much each member counts for a request; true where all are closed to it.
-    fn ask_locality(&mut self, id: RequestId) -> bool {
+    /// Stores, for each member of the group, the share of its weight that the locality policy allows for a request.
+    /// Returns true if the policy exists and closes all members to it.
+    fn apply_locality_policy(&mut self, id: RequestId) -> bool {
         let query = self.routing_query(&self.requests[&id]);
         let Some(locality) = &mut self.locality else {
             return false;
@@ -68,8 +71,9 @@
         all_closed
     }
 
-    /// Where a request may go, whether nodes that it could go to do not admit it, and whom to ask for a position.
-    fn search(&self, request: &Request) -> SearchResult {
+    /// Searches for a node: returns the node that the request may go to, whether nodes of the intended kind deny it,
+    /// and the node to poll for its position.
+    fn search_nodes(&self, request: &Request) -> SearchResult {
         let Some(group) = self.groups.get(&request.group()) else {
             return SearchResult::default();
         };
@@ -82,7 +86,7 @@
         let (admitting, denying): (Vec<&Node>, Vec<&Node>) = allowed
             .into_iter()
             .partition(|node| self.admits(request, node, candidates));
-        let selection = self.select(request, &admitting);
+        let selection = self.select_node(request, &admitting);
         let may_send_now = |node: &&Node| self.may_send_now(request, node);
         SearchResult {
             node: selection
@@ -90,13 +94,14 @@
                 .filter(may_send_now)
                 .map(|node| node.id().clone()),
             is_denied_admission: denying.iter().any(|node| {
-                self.is_wanted(request, node) && !self.waits_for_turn(request, node, candidates)
+                self.is_intended_kind(request, node)
+                    && !self.waits_for_slot(request, node, candidates)
             }),
             position_check: selection.position_check.map(|node| node.id().clone()),
         }
     }
 
-    /// Nodes that the locality policy and the rules on repeats leave.
+    /// Returns the nodes that the locality policy and the retry rules allow.
     fn allowed_nodes<'a>(
         &self,
         request: &Request,
@@ -120,10 +125,10 @@
         members.filter(is_allowed).collect()
     }
 
-    /// How many nodes a request could go to, as slow start by chance counts them.
+    /// Returns the number of nodes that a request could go to, as random slow start counts them.
     fn count_candidates(&self, request: &Request, allowed: &[&Node]) -> f64 {
         if self.is_write(request) {
-            return slow_start::WRITE_CANDIDATES_BY_CHANCE;
+            return slow_start::RANDOM_WRITE_CANDIDATES;
         }
         let could_serve =
             |node: &&&Node| node.is_serving() && self.is_fresh_enough(self.now, node, request);
@@ -131,8 +136,8 @@
         count.max(1) as f64
     }
 
-    /// The choice by what the request reads or writes.
-    fn select<'a>(&self, request: &Request, admitting: &[&'a Node]) -> Selection<'a> {
+    /// Selects a node by the data that the class of the request reads or writes.
+    fn select_node<'a>(&self, request: &Request, admitting: &[&'a Node]) -> Selection<'a> {
         let known_primary = self.primary(request.group());
         let is_primary = |node: &&Node| Some(node.id()) == known_primary;
         let primary = admitting
@@ -140,16 +145,16 @@
             .copied()
             .find(|node| is_primary(node) && node.is_usable(self.now));
         match self.settings.classes[request.info.class].access {
-            Access::Write if known_primary.is_some() => Selection::of(primary),
+            Access::Write if known_primary.is_some() => Selection::send_to(primary),
             Access::Write => {
-                let (node, position_check) = self.look_for_primary(request, admitting);
+                let (node, position_check) = self.find_primary(request, admitting);
                 Selection {
                     node,
                     position_check,
                 }
             }
             Access::Latest => {
-                Selection::of(primary.or_else(|| self.most_advanced(request, admitting)))
+                Selection::send_to(primary.or_else(|| self.find_most_advanced(request, admitting)))
             }
             Access::OwnWrites | Access::Bounded(_) | Access::Any => {
                 let may_serve =
@@ -160,7 +165,8 @@
         }
     }
 
-    /// A write pauses between attempts, except at a known primary that has not had it yet.
+    /// Returns whether a request may be sent to a node now. A write waits between attempts, except for its first
+    /// attempt at a known primary.
     fn may_send_now(&self, request: &Request, node: &Node) -> bool {
         let has_primary = self.primary(request.group()).is_some();
         !self.is_write(request)
@@ -168,21 +174,23 @@
             || (has_primary && !request.has_tried(node.id()))
     }
 
-    /// Whether it is the kind of node that the request is for: the primary for writes, a replica for reads.
-    fn is_wanted(&self, request: &Request, node: &Node) -> bool {
+    /// Returns whether the node is of the kind that the request is intended for: the primary for writes, a replica for
+    /// reads.
+    fn is_intended_kind(&self, request: &Request, node: &Node) -> bool {
         let is_primary = Some(node.id()) == self.primary(request.group());
         is_primary == self.is_write(request)
     }
 
-    /// Nobody but a warming primary takes writes, so they wait for their turn at it.
-    fn waits_for_turn(&self, request: &Request, node: &Node, candidates: f64) -> bool {
+    /// Returns whether a write waits for its time slot at a warming primary. It is not rejected, since no other node
+    /// takes writes.
+    fn waits_for_slot(&self, request: &Request, node: &Node, candidates: f64) -> bool {
         self.is_write(request)
-            && !self.slow_start_by_chance
+            && !self.has_random_slow_start
             && !self.slow_start_admits(request, node, candidates)
     }
 
-    /// Where only a report proves a replica fresh, a read waits for the one that it asked for, unless it has something as
-    /// good already.
+    /// Returns whether a read waits for the report that it requested. It does so if only a report can prove a replica
+    /// fresh and the search found nothing equally good.
     fn waits_for_report(&self, request: &Request, found: &SearchResult) -> bool {
         let needs_proof =
             self.settings.replica_check == ReplicaCheck::None && !self.is_write(request);
@@ -194,18 +202,18 @@
                 let is_unanswered = self
                     .nodes
                     .get(&check.node)
-                    .is_some_and(|node| node.reported_at < check.asked_at);
-                let has_time = self.now < check.asked_at + MAX_WAIT_FOR_REPORT;
+                    .is_some_and(|node| node.reported_at < check.requested_at);
+                let has_time = self.now < check.requested_at + MAX_WAIT_FOR_REPORT;
                 is_unanswered && has_time && self.is_worse(request, found, &check.node)
             }
             None => {
-                let to_ask = found.position_check.as_ref();
-                to_ask.is_some_and(|node| self.is_worse(request, found, node))
+                let to_check = found.position_check.as_ref();
+                to_check.is_some_and(|node| self.is_worse(request, found, node))
             }
         }
     }
 
-    /// Whether what was found is nothing, the primary, or in a less preferred zone than another node.
+    /// Returns whether the search found nothing, the primary, or a node in a less preferred zone than another node's.
     fn is_worse(&self, request: &Request, found: &SearchResult, than: &NodeId) -> bool {
         let share = |node: &NodeId| {
             let node = self.nodes.get(node);
@@ -216,16 +224,16 @@
         })
     }
 
-    /// Asks a node for its position on behalf of a request.
+    /// Polls a node for its position on behalf of a request.
     fn check_position(&mut self, id: RequestId, node: NodeId, actions: &mut Vec<Action>) {
-        let asked_at = self.now;
+        let requested_at = self.now;
         let request = self.requests.get_mut(&id).expect("placed requests exist");
         request.position_check.get_or_insert(PositionCheck {
             node: node.clone(),
-            asked_at,
+            requested_at,
         });
         let checked = self.nodes.get_mut(&node).expect("members are known");
-        checked.checked_at = asked_at;
+        checked.checked_at = requested_at;
         actions.push(Action::HealthCheck(node));
     }
 
@@ -248,12 +256,12 @@
             cost: self.cost(node, request),
             expected_latency: stats.latency * slowness,
         };
-        let (work, turn) = (stats.work(), self.slow_start_turn(node));
+        let (work, slot) = (stats.work(), self.slow_start_slot(node));
         let query = self.routing_query(request);
         let request = self.requests.get_mut(&id).expect("placed requests exist");
         let node = self.nodes.get_mut(&node_id).expect("members are known");
         let attempt = request.attempts.len() as u32;
-        node.turn_spending.spend(turn, work);
+        node.slot_spending.spend(slot, work);
         node.in_flight.insert(
             AttemptKey {
                 request: id,
--- a/src/primary.rs
+++ b/src/primary.rs
@@ -1,8 +1,8 @@
-//! Which member of a group is believed to be its primary.
+//! Which member of a group this router takes for its primary.
 //!
-//! The newest evidence wins: an answer counts as of now, a report as of the position that it tells, the endpoint list only
-//! where nothing else is known, since it is seconds late. It guards against two failures: a believed primary that changes
-//! back and forth on old news, and writes that wait for a primary that nobody names.
+//! The newest evidence wins: an answer counts as of now, and a report as of the position that it states. The endpoint
+//! list counts only if nothing else is known, since it is seconds late. This prevents two failures: a presumed primary
+//! that changes back and forth on outdated reports, and writes that wait for a primary that no list names.
 
 use crate::api::{Action, GroupId, LogEvent, Micros, NodeId, NodeReport, Role, Time};
 use crate::balancer::Balancer;
@@ -11,30 +11,30 @@
 use crate::request::Request;
 use std::collections::BTreeSet;
 
-/// A member that denied being primary is not asked again for so long.
+/// Time during which a member that denied being primary gets no further writes as a presumed primary.
 const DENIAL_PAUSE: Micros = 250_000;
-/// Its denial outranks the endpoint list for so long.
+/// Time during which its denial outranks the endpoint list.
 const DENIAL_OUTRANKS_LIST: Micros = 6_000_000;
 
-/// Who is believed primary, and why.
+/// The node that is presumed to be primary, and the age of the evidence.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct PrimaryBelief {
     pub(crate) node: NodeId,
-    /// The time of the newest evidence; 0 where only the list says so.
+    /// The time of the newest evidence; 0 if the endpoint list is the only evidence.
     pub(crate) evidence_at: Time,
 }
 
-/// A replication group: its members and what is known of them together.
+/// A replication group: its members, and the state that they share.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Group {
     pub(crate) members: BTreeSet<NodeId>,
     pub(crate) primary: Option<PrimaryBelief>,
-    /// What its members hold for other routers, in the mean.
+    /// Mean number of requests that its members have in flight for other routers.
     pub(crate) external_load: ExternalLoad,
 }
 
 impl Group {
-    /// The list names a primary. It counts only while nothing better is known.
+    /// Records the primary that the endpoint list names. It counts only if nothing better is known.
     pub(crate) fn list_names_primary(&mut self, node: NodeId) {
         self.primary.get_or_insert(PrimaryBelief {
             node,
@@ -42,7 +42,7 @@
         });
     }
 
-    /// A node says that it is primary; true where it was not believed before.
+    /// Records that a node claims to be primary. Returns true if it was not the presumed primary before.
     fn observe_claim(&mut self, node: &NodeId, evidence_at: Time) -> bool {
         let old = self.primary.take();
         let is_new = old.as_ref().is_none_or(|old| old.node != *node);
@@ -54,48 +54,50 @@
         is_new
     }
 
-    /// Whether a claim of this node is believed: the newest is, and so is any of the present primary.
-    fn believes_claim(&self, node: &NodeId, evidence_at: Time) -> bool {
+    /// Returns whether a node's claim to be primary is accepted: the newest claim is, and so is any claim of the
+    /// presumed primary.
+    fn accepts_claim(&self, node: &NodeId, evidence_at: Time) -> bool {
         self.primary
             .as_ref()
             .is_none_or(|old| evidence_at > old.evidence_at || old.node == *node)
     }
 
-    /// It is not the primary, whoever is.
+    /// Forgets the presumed primary if it is this node.
     pub(crate) fn forget_primary(&mut self, node: &NodeId) {
         self.primary.take_if(|primary| primary.node == *node);
     }
 }
 
 impl Node {
-    /// It denied being primary so lately that the list's word to the contrary does not count.
+    /// Returns whether the node denied being primary so recently that its denial outranks the endpoint list.
     pub(crate) fn denial_outranks_list(&self, now: Time) -> bool {
         self.denied_primary_at
             .is_some_and(|at| now < at + DENIAL_OUTRANKS_LIST)
     }
 
-    /// It denied being primary so lately that asking again is in vain.
-    fn has_just_denied(&self, now: Time) -> bool {
+    /// Returns whether the node denied being primary so recently that another write would only be rejected.
+    fn has_recently_denied(&self, now: Time) -> bool {
         self.denied_primary_at
             .is_some_and(|at| now < at + DENIAL_PAUSE)
     }
 }
 
 impl Balancer {
-    /// The node that is believed to be primary of a group.
+    /// Returns the presumed primary of a group.
     pub(crate) fn primary(&self, group: GroupId) -> Option<&NodeId> {
         let group = self.groups.get(&group)?;
         group.primary.as_ref().map(|primary| &primary.node)
     }
 
-    /// This node is not the primary of its group any more, if it was.
+    /// Forgets the presumed primary of a group if it is this node.
     pub(crate) fn forget_primary(&mut self, group: GroupId, node: &NodeId) {
         if let Some(group) = self.groups.get_mut(&group) {
             group.forget_primary(node);
         }
     }
 
-    /// What a node says of its role. An answer's word is as new as the answer; a report's as old as its position.
+    /// Records what a node reports about its role. In an answer the role is as recent as the answer; in a load report
+    /// it is as old as the position.
     pub(crate) fn observe_role(
         &mut self,
         id: &NodeId,
@@ -109,14 +111,14 @@
         let Some(group) = self.groups.get_mut(&node.endpoint.group) else {
             return;
         };
-        let told_position = report.position.filter(|position| *position <= self.now);
+        let reported_position = report.position.filter(|position| *position <= self.now);
         let evidence_at = if is_answer {
             self.now
         } else {
-            told_position.unwrap_or(0)
+            reported_position.unwrap_or(0)
         };
         match report.role {
-            Some(Role::Primary) if group.believes_claim(id, evidence_at) => {
+            Some(Role::Primary) if group.accepts_claim(id, evidence_at) => {
                 node.denied_primary_at = None;
                 if group.observe_claim(id, evidence_at) {
                     let text = format!("group {}: primary is {id}", node.endpoint.group);
@@ -125,14 +127,14 @@
             }
             Some(Role::Replica) => {
                 let is_newer = |evidence: Time| is_answer || evidence_at > evidence;
-                let unseated = group
+                let is_demoted = group
                     .primary
                     .as_ref()
                     .is_some_and(|primary| primary.node == *id && is_newer(primary.evidence_at));
-                if is_answer || unseated {
+                if is_answer || is_demoted {
                     node.denied_primary_at = Some(self.now);
                 }
-                if unseated {
+                if is_demoted {
                     group.primary = None;
                 }
             }
@@ -140,34 +142,36 @@
         }
     }
 
-    /// Where a write goes while no primary is known: one write at a time asks the members, the most advanced first. A member
-    /// that is not primary turns it away untouched, so it costs nothing but the attempt.
+    /// Finds the primary of a group in which none is known. One write at a time is sent to a member, the most advanced
+    /// first. A member that is not primary rejects the write without executing it, so the only cost is the attempt.
     ///
-    /// Returns the member to try, and one to ask for its report where routers are few enough to afford it.
-    pub(crate) fn look_for_primary<'a>(
+    /// Returns the member to try, and a member to poll for its role. Hundreds of routers would poll too often, so
+    /// routers with a sparse view poll none.
+    pub(crate) fn find_primary<'a>(
         &self,
         request: &Request,
         members: &[&'a Node],
     ) -> (Option<&'a Node>, Option<&'a Node>) {
-        let to_ask = self.member_to_ask_for_role(members);
-        let asks = |node: &&Node| {
+        let to_check = self.find_member_to_check(members);
+        let has_write_in_flight = |node: &&Node| {
             node.in_flight
                 .keys()
                 .any(|key| self.is_write_id(key.request))
         };
-        if members.iter().any(asks) && !request.is_in_flight() {
-            return (None, to_ask);
+        if members.iter().any(has_write_in_flight) && !request.is_in_flight() {
+            return (None, to_check);
         }
         let to_try = members.iter().copied().filter(|node| {
             let is_ready = node.is_usable(self.now) || node.accepts_trial(self.now);
-            is_ready && !node.has_just_denied(self.now)
+            is_ready && !node.has_recently_denied(self.now)
         });
         let most_advanced = to_try.max_by_key(|node| node.position.applied_up_to);
-        (most_advanced, to_ask)
+        (most_advanced, to_check)
     }
 
-    /// Hundreds of routers that ask for a lost primary made a fifth of all health checks; there writes alone find it.
-    fn member_to_ask_for_role<'a>(&self, members: &[&'a Node]) -> Option<&'a Node> {
+    /// Returns the member to poll for its role. With a sparse view it is `None`: when hundreds of routers polled for a
+    /// lost primary, these polls were a fifth of all health checks. Writes alone find the primary there.
+    fn find_member_to_check<'a>(&self, members: &[&'a Node]) -> Option<&'a Node> {
         if self.has_sparse_view {
             return None;
         }
--- a/src/quota.rs
+++ b/src/quota.rs
@@ -1,19 +1,20 @@
-//! Tenants' quotas: how much of its weight a request beyond its tenant's agreed share earns.
+//! Tenants' quotas: the share of its weight that a request beyond its tenant's quota earns.
 //!
-//! It guards against a tenant that floods: its excess would take the room of all others. Nobody is shut out; what exceeds a
-//! quota weighs less, waits behind the rest and is the first to be shed ([`crate::admission`]).
+//! They guard against a tenant that floods the fleet: its excess would take the capacity of all others. No tenant is
+//! shut out. Requests beyond a quota have less weight, wait behind the others and are shed first
+//! ([`crate::admission`]).
 
 use crate::api::{Settings, Time};
 use crate::decay;
 
-/// Requests of a tenant are counted with this time constant.
+/// Time constant of the decaying count of a tenant's requests.
 const USAGE_TIME_CONSTANT_US: f64 = 3e6;
-/// A count is beyond its quota only by more than so many standard deviations of chance, ...
-const CHANCE_DEVIATIONS: f64 = 2.0;
-/// ... and by more than so many requests: a router that has seen little cannot tell.
-const CHANCE_REQUESTS: f64 = 2.0;
+/// Number of standard deviations by which a count must exceed the quota, so that random variation alone does not count.
+const NOISE_DEVIATIONS: f64 = 2.0;
+/// Number of requests by which a count must exceed the quota in addition, since small counts show little.
+const NOISE_REQUESTS: f64 = 2.0;
 
-/// How many requests each tenant has sent of late, as seen by this router.
+/// The number of recent requests of each tenant, as seen by this router.
 #[derive(Debug, Default)]
 pub(crate) struct TenantUsage {
     requests: Vec<f64>,
@@ -28,8 +29,8 @@
         }
     }
 
-    /// Counts a request, and says which part of its weight it earns: as many of a tenant's requests as exceed its quota
-    /// earn less. `random_draw` picks them.
+    /// Counts a request and returns the share of its weight that it earns. The share of a tenant's requests that
+    /// exceeds its quota earns less; `random_draw` selects these requests.
     pub(crate) fn weight_of_request(
         &mut self,
         settings: &Settings,
@@ -43,8 +44,8 @@
         self.count(now, tenant);
         let quota = self.quota_in_requests(settings, tenant);
         let used = self.requests[tenant];
-        let most_by_chance = quota + CHANCE_DEVIATIONS * quota.sqrt() + CHANCE_REQUESTS;
-        if used > most_by_chance && random_draw > quota / used {
+        let max_within_noise = quota + NOISE_DEVIATIONS * quota.sqrt() + NOISE_REQUESTS;
+        if used > max_within_noise && random_draw > quota / used {
             settings.over_quota_weight
         } else {
             1.0
@@ -60,8 +61,8 @@
         self.requests[tenant] += 1.0;
     }
 
-    /// This router's part of a tenant's quota, in counted requests. Routers see uneven parts of the traffic, so the quota's
-    /// part of all that this one has seen holds where that is more.
+    /// Returns this router's part of a tenant's quota, in counted requests. Routers see uneven parts of the traffic, so
+    /// the part is the larger of an even share and the quota's share of all requests that this router has counted.
     fn quota_in_requests(&self, settings: &Settings, tenant: usize) -> f64 {
         let quota_per_s = settings.tenants[tenant].quota_per_s;
         let all_quotas_per_s: f64 = settings.tenants.iter().map(|t| t.quota_per_s).sum();
--- a/src/random.rs
+++ b/src/random.rs
@@ -1,18 +1,18 @@
-//! Random numbers and hashes that follow from the seed and the settings alone.
+//! Random numbers and hashes that depend on the seed and the settings alone.
 
-/// A generator of random numbers (xorshift*).
+/// A pseudo-random number generator (xorshift*).
 #[derive(Debug)]
 pub(crate) struct Random {
     state: u64,
 }
 
 impl Random {
-    /// A generator; every seed but its lowest bit gives a sequence of its own.
+    /// Creates a generator. Seeds that differ only in the lowest bit give the same sequence.
     pub(crate) fn new(seed: u64) -> Self {
         Random { state: seed | 1 }
     }
 
-    /// The next number, over the whole range.
+    /// Returns the next number, over the whole range.
     pub(crate) fn next(&mut self) -> u64 {
         self.state ^= self.state << 13;
         self.state ^= self.state >> 7;
@@ -20,13 +20,13 @@
         self.state.wrapping_mul(0x2545_f491_4f6c_dd1d)
     }
 
-    /// The next number, at least 0 and under 1.
+    /// Returns the next number, at least 0 and less than 1.
     pub(crate) fn next_unit(&mut self) -> f64 {
         (self.next() >> 11) as f64 / (1u64 << 53) as f64
     }
 }
 
-/// A name's place in an order that differs from salt to salt (FNV-1a, then mixed).
+/// Hashes a name with a salt, to order names differently for each salt (FNV-1a, then mixed).
 pub(crate) fn salted_hash(name: &str, salt: u32) -> u64 {
     let step = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
     let bytes = salt.to_le_bytes().into_iter().chain(name.bytes());
--- a/src/replica_selection.rs
+++ b/src/replica_selection.rs
@@ -1,11 +1,12 @@
 //! Replica selection: the cost-weighted choice among the replicas that are fresh enough (C-DBRD).
 //!
-//! A read goes where its estimated cost, discounted by its similarity to what the replica has lately served, plus the load
-//! already there is least against the replica's weight. Near ties take turns, from a start set by the router's number, so
-//! that routers do not move in step. `docs/design.md` names the source and the departures from it.
+//! Each replica has a score: the estimated cost of the read, discounted by its similarity to the recent reads of the
+//! replica, plus the load already there, divided by the replica's weight. A read goes to the lowest score. Near ties
+//! are resolved round robin, starting from the router's index, so that routers do not choose in step. `docs/design.md`
+//! names the source and the differences from it.
 //!
-//! **Why was this read sent to the primary?** See [`Balancer::select_replica`]: no replica is fresh enough, or those that
-//! are have no room and the primary has.
+//! **Why was this read sent to the primary?** See [`Balancer::select_replica`]: no replica is fresh enough, or the
+//! fresh replicas have no room and the primary has.
 
 use crate::api::{Access, Micros, ReplicaCheck, RequestInfo, WeightMeaning};
 use crate::balancer::Balancer;
@@ -14,44 +15,46 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// Reads remembered for each node; the paper's n.
+/// Number of recent reads kept for each node (n in the paper).
 const RECENT_READS: usize = 15;
-/// Effect of similarity on cost; the paper's alpha.
+/// Weight of similarity in the cost (alpha in the paper).
 const SIMILARITY_WEIGHT: f64 = 0.8;
-/// Scores within this factor of the least are a tie.
+/// Factor within which scores count as tied with the lowest.
 const NEAR_TIE_FACTOR: f64 = 1.05;
-/// What crossing a zone adds to a read's cost, as a share of its class's latency.
+/// Cost of crossing a zone, as a share of the latency of the read's class.
 const CROSS_ZONE_COST: f64 = 0.3;
-/// What opening a connection adds, likewise, where routers are many: nodes' tables of connections fill.
+/// Cost of opening a connection, as a share of the same latency, for routers with a sparse view: the connections of
+/// many routers fill the nodes' connection tables.
 const NEW_CONNECTION_COST: f64 = 0.3;
-/// A read that any data will do for costs so many times as much where the data is of use to others.
+/// Factor on the cost of a read that accepts data of any age, at replicas whose data is fresh enough for other reads.
 const FRESH_DATA_FACTOR: f64 = 2.0;
-/// A class is long when it takes so many times the least latency of all: where it runs it may hold up replication.
+/// Factor over the lowest class latency from which a class counts as long. Long reads may delay replication where they
+/// run.
 const LONG_CLASS_FACTOR: f64 = 4.0;
-/// A replica so many times as loaded as the mean makes it worth finding another.
+/// Factor over the mean load from which a replica counts as crowded, so that polling another one is worthwhile.
 const CROWDED_FACTOR: f64 = 2.0;
-/// Share of the primary's limit that is open to reads for which replicas have no room.
+/// Share of the primary's concurrency limit that is open to reads for which the replicas have no room.
 const SPILL_SHARE_OF_PRIMARY: f64 = 0.6;
-/// A node whose last word put it too far behind is not tried blindly for so long.
-const LAST_WORD_TRUSTED: Micros = 1_000_000;
-/// List weights are never taken for less.
+/// Time during which a node that reported too large a lag is not tried as the last resort.
+const LAST_REPORT_TRUSTED: Micros = 1_000_000;
+/// Lower bound of the weights in the endpoint list.
 const MIN_LISTED_WEIGHT: f64 = 0.01;
 
-/// One read that a node has served.
+/// A read that a node has recently served.
 #[derive(Clone, Debug)]
 struct RecentRead {
     session: Arc<str>,
     class: usize,
 }
 
-/// The reads that a node has lately got, the newest last: what its caches hold.
+/// The reads that a node has recently received, the newest last. They estimate what its caches hold.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RecentReads {
     reads: VecDeque<RecentRead>,
 }
 
 impl RecentReads {
-    /// A read is sent to the node. One without a session names no object and is not remembered.
+    /// Records a read that is sent to the node. A read without a session names no object and is not recorded.
     pub(crate) fn push(&mut self, info: &RequestInfo) {
         let Some(session) = &info.session else {
             return;
@@ -64,8 +67,8 @@
         self.reads.drain(..excess);
     }
 
-    /// How much of a read's statement and objects the recent reads share, from 0 to 1: half for its session, half for the
-    /// same class with it. A read without a session resembles nothing.
+    /// Returns the similarity of a read to the recent reads, from 0 to 1: one half if a recent read has the same
+    /// session, and the other half if one has the same session and class. A read without a session has similarity 0.
     fn similarity(&self, info: &RequestInfo) -> f64 {
         let Some(session) = &info.session else {
             return 0.0;
@@ -82,17 +85,17 @@
     }
 }
 
-/// What the choice among replicas comes to.
+/// The result of the choice among replicas.
 #[derive(Default)]
 pub(crate) struct Selection<'a> {
-    /// Where the read goes, if anywhere.
+    /// The node that the read goes to, if there is one.
     pub(crate) node: Option<&'a Node>,
-    /// A replica to ask for its position, since it may turn out fresh enough.
+    /// A replica to poll for its position, since it may turn out to be fresh enough.
     pub(crate) position_check: Option<&'a Node>,
 }
 
 impl<'a> Selection<'a> {
-    pub(crate) fn of(node: Option<&'a Node>) -> Self {
+    pub(crate) fn send_to(node: Option<&'a Node>) -> Self {
         Selection {
             node,
             position_check: None,
@@ -101,15 +104,16 @@
 }
 
 impl Balancer {
-    /// Selects a replica for a read. `replicas` are those that admit it, `primary` the primary where it does and has room.
+    /// Selects a replica for a read. `replicas` are the replicas that admit it. `primary` is the primary, if it admits
+    /// the read and has room.
     pub(crate) fn select_replica<'a>(
         &self,
         request: &Request,
         replicas: &[&'a Node],
         primary: Option<&'a Node>,
     ) -> Selection<'a> {
-        if let Some(on_trial) = self.replica_on_trial(request, replicas) {
-            return Selection::of(Some(on_trial));
+        if let Some(trial_replica) = self.find_replica_for_trial(request, replicas) {
+            return Selection::send_to(Some(trial_replica));
         }
         let serving = replicas
             .iter()
@@ -117,14 +121,14 @@
             .filter(|node| self.is_selectable(node));
         let (fresh, behind): (Vec<&Node>, Vec<&Node>) =
             serving.partition(|node| self.is_fresh_enough(self.now, node, request));
-        let position_check = self.replica_to_ask(request, &fresh, &behind);
-        let tied = self.cheapest(request, &fresh);
+        let position_check = self.find_replica_to_check(request, &fresh, &behind);
+        let tied = self.find_cheapest(request, &fresh);
         let node = match tied.len() {
-            // Where fresh replicas exist but are full, the primary keeps room for its writes.
+            // If fresh replicas exist but are full, the primary keeps room for its writes.
             0 if !fresh.is_empty() => {
                 primary.filter(|node| node.has_room(self.now, SPILL_SHARE_OF_PRIMARY))
             }
-            0 => primary.or_else(|| self.most_advanced(request, replicas)),
+            0 => primary.or_else(|| self.find_most_advanced(request, replicas)),
             ties => Some(tied[((self.reads_placed + 1) % ties as u64) as usize]),
         };
         Selection {
@@ -133,9 +137,9 @@
         }
     }
 
-    /// The last resort where nodes check reads themselves: the most advanced, but none whose last word proves it too far
-    /// behind to serve.
-    pub(crate) fn most_advanced<'a>(
+    /// Returns the last resort if nodes check reads themselves: the most advanced node, except nodes whose last report
+    /// proves that they are too far behind.
+    pub(crate) fn find_most_advanced<'a>(
         &self,
         request: &Request,
         nodes: &[&'a Node],
@@ -144,7 +148,7 @@
             return None;
         }
         let may_have_caught_up =
-            |node: &Node| self.now > node.position.updated_at + LAST_WORD_TRUSTED;
+            |node: &Node| self.now > node.position.updated_at + LAST_REPORT_TRUSTED;
         let candidates = nodes.iter().copied().filter(|node| {
             node.is_usable(self.now)
                 && !request.was_misdirected_to(node.id())
@@ -153,8 +157,8 @@
         candidates.max_by_key(|node| node.position.applied_up_to)
     }
 
-    /// The cost of a read at a node (us). There is no discount at a node that may have swallowed an answer of it: it would
-    /// be chosen over and over.
+    /// Returns the cost of a read at a node (us). A node that may have executed an earlier attempt of this read gets no
+    /// discount: if it loses answers it would be chosen over and over.
     pub(crate) fn cost(&self, node: &Node, request: &Request) -> f64 {
         let similarity = if request.may_have_executed_at(node.id()) {
             0.0
@@ -164,8 +168,12 @@
         (1.0 - SIMILARITY_WEIGHT * similarity) * self.classes[request.info.class].latency
     }
 
-    /// An ejected replica whose trial this read may be.
-    fn replica_on_trial<'a>(&self, request: &Request, replicas: &[&'a Node]) -> Option<&'a Node> {
+    /// Returns an ejected replica that is due for a trial, which this read may be.
+    fn find_replica_for_trial<'a>(
+        &self,
+        request: &Request,
+        replicas: &[&'a Node],
+    ) -> Option<&'a Node> {
         if !request.attempts.is_empty() {
             return None;
         }
@@ -174,16 +182,18 @@
         })
     }
 
-    /// Where routers are many, a node that has just turned work away is left alone altogether.
+    /// Returns whether a node can be selected. With a sparse view, a node that has just rejected work is not selected
+    /// at all.
     fn is_selectable(&self, node: &Node) -> bool {
         let backs_off = self.has_sparse_view && self.now < node.backoff_until;
         node.is_serving() && !backs_off
     }
 
-    /// The replica behind to ask for its position, if that pays. A few routers ask whenever one falls out of freshness, or
-    /// all reads would crowd on the one asked last; hundreds pay for each other's questions, and ask only when the answer
-    /// may win a read its first good replica.
-    fn replica_to_ask<'a>(
+    /// Returns the lagging replica to poll for its position, if polling is worthwhile. A few routers poll whenever a
+    /// replica is no longer fresh, or all reads would crowd on the replica that was polled last. With a sparse view a
+    /// router polls only if the answer may give the read its first uncrowded replica, since the nodes have to answer
+    /// the polls of hundreds of routers.
+    fn find_replica_to_check<'a>(
         &self,
         request: &Request,
         fresh: &[&Node],
@@ -196,24 +206,25 @@
         if !needed {
             return None;
         }
-        let askable = behind
+        let checkable = behind
             .iter()
             .copied()
             .filter(|node| self.position_check_pays(node));
-        // Nodes never asked tie. In one common order all routers would crowd on the same one, so each has its own.
-        askable.min_by_key(|node| (is_remote(node), node.checked_at, node.router_order))
+        // Nodes that were never polled tie. Each router breaks ties by an order of its own; in a common order all
+        // routers would crowd on the same node.
+        checkable.min_by_key(|node| (is_remote(node), node.checked_at, node.router_order))
     }
 
-    /// Near, usable, and not much more loaded than the mean.
+    /// Returns whether the node is usable, not remote, and not much more loaded than the mean.
     fn is_uncrowded(&self, request: &Request, node: &Node) -> bool {
-        let most = CROWDED_FACTOR * (self.mean_external_load(request.group()) + 1.0);
+        let max_load = CROWDED_FACTOR * (self.mean_external_load(request.group()) + 1.0);
         !is_remote(node)
             && node.is_usable(self.now)
-            && (self.external_load(node) + 1.0) / self.weight(node) <= most
+            && (self.external_load(node) + 1.0) / self.weight(node) <= max_load
     }
 
-    /// Those whose score is within a near tie of the least.
-    fn cheapest<'a>(&self, request: &Request, fresh: &[&'a Node]) -> Vec<&'a Node> {
+    /// Returns the nodes whose score is within a near tie of the lowest.
+    fn find_cheapest<'a>(&self, request: &Request, fresh: &[&'a Node]) -> Vec<&'a Node> {
         let spreading = FreshnessSpreading::new(self, request, fresh);
         let usable = fresh
             .iter()
@@ -227,16 +238,16 @@
                 )
             })
             .collect();
-        let least = scored
+        let lowest = scored
             .iter()
             .map(|(score, _)| *score)
             .fold(f64::INFINITY, f64::min);
-        let is_tied = |(score, _): &(f64, &Node)| *score <= least * NEAR_TIE_FACTOR;
+        let is_tied = |(score, _): &(f64, &Node)| *score <= lowest * NEAR_TIE_FACTOR;
         let tied = scored.into_iter().filter(is_tied);
         tied.map(|(_, node)| node).collect()
     }
 
-    /// Load and cost against weight: the less the better.
+    /// Returns the score of a node, load plus cost divided by weight. Lower is better.
     fn score(&self, request: &Request, node: &Node, spreading_factor: f64) -> f64 {
         let latency = self.classes[request.info.class].latency;
         let own_load: f64 = node
@@ -256,7 +267,8 @@
         (load + cost) * spreading_factor / self.weight(node)
     }
 
-    /// A node's weight: the list's, over its observed slowness, times its warm share and what locality leaves of it.
+    /// Returns a node's effective weight: its listed weight divided by its slowness, times its warm share and the share
+    /// that the locality policy allows.
     fn weight(&self, node: &Node) -> f64 {
         let listed = if self.settings.weight_meaning == WeightMeaning::None {
             1.0
@@ -269,10 +281,10 @@
     }
 }
 
-/// A read that any data will do for leaves fresh replicas to those that need them, and a long one goes to the few that are
-/// furthest behind: spread over all, long reads would keep the log from being applied anywhere.
+/// Steers reads that accept data of any age away from fresh replicas, which other reads need. Long reads go to the few
+/// replicas that are furthest behind: spread over all replicas, they would delay the log everywhere.
 struct FreshnessSpreading<'a> {
-    /// The fresh replicas, the furthest behind first; empty where the read is not of that kind.
+    /// The fresh replicas, the furthest behind first; empty if the read does not accept data of any age.
     by_position: Vec<&'a Node>,
     is_long: bool,
 }
@@ -287,30 +299,30 @@
         };
         by_position.sort_by_key(|node| node.position.applied_up_to);
         let latencies = balancer.classes.iter().map(|class| class.latency);
-        let least = latencies.fold(f64::INFINITY, f64::min);
+        let lowest = latencies.fold(f64::INFINITY, f64::min);
         let latency = balancer.classes[request.info.class].latency;
         FreshnessSpreading {
             by_position,
-            is_long: latency >= least * LONG_CLASS_FACTOR,
+            is_long: latency >= lowest * LONG_CLASS_FACTOR,
         }
     }
 
-    /// How many times its cost a read counts at this node.
+    /// Returns the factor on the cost of a read at this node.
     fn factor(&self, balancer: &Balancer, node: &Node) -> f64 {
-        let place = self
+        let index = self
             .by_position
             .iter()
             .position(|other| other.id() == node.id());
         let age = balancer.now.saturating_sub(node.position.applied_up_to);
-        match place {
-            Some(place) if self.is_long => 1.0 + place as f64,
+        match index {
+            Some(index) if self.is_long => 1.0 + index as f64,
             Some(_) if age <= balancer.stale_age => FRESH_DATA_FACTOR,
             _ => 1.0,
         }
     }
 }
 
-/// The locality policy lets only a part of it count: it stands in a less preferred zone.
+/// Returns whether the locality policy allows only a part of the node's weight, because it is in a less preferred zone.
 fn is_remote(node: &Node) -> bool {
     node.locality_share.is_some_and(|share| share < 1.0)
 }
--- a/src/retry.rs
+++ b/src/retry.rs
@@ -1,30 +1,31 @@
 //! Retries: which further attempt of a request the rules allow, and what may be promised to its client.
 //!
-//! It guards against double effects. An attempt whose last byte has left may have run, whatever became of it; a request
-//! that must not run twice is then neither sent again nor rejected, since a rejection promises that trying again is
-//! harmless.
+//! The rules prevent double execution. An attempt whose last byte has been sent may have been executed, however it
+//! ended. A request that must not run twice is then neither sent again nor rejected, since a rejection promises that a
+//! retry is harmless.
 
 use crate::api::{Access, Class, DedupScope, Idempotency, Micros, Settings, Time};
 use crate::node::Node;
 use crate::request::{Attempt, Request};
 
-/// A write that twice did not run goes again after this, doubled with each further attempt. A dead primary refuses
-/// connections at once: without a pause all attempts are spent long before there is a new one.
+/// Base pause before a write is sent again after two attempts; it doubles with each further attempt. A dead primary
+/// refuses connections at once: without a pause all attempts would be used up long before there is a new primary.
 const WRITE_BACKOFF: Micros = 50_000;
-/// The pause doubles so often at the most.
+/// Maximum number of doublings of the pause.
 const MAX_WRITE_BACKOFF_DOUBLINGS: usize = 6;
-/// So many ticks are kept before the end of a deduplication window: it must not close between the decision and the send.
+/// Number of ticks before the end of a deduplication window at which retries stop, since the window must not close
+/// between the decision and the send.
 const WINDOW_MARGIN_TICKS: u64 = 2;
 
-/// Whether the rules allow a request another attempt at all, wherever. In flight it has at most one, unless hedging is
-/// allowed.
+/// Returns whether the rules allow a request another attempt at any node. It has at most one attempt in flight unless
+/// hedging is allowed.
 pub(crate) fn allows_attempt(settings: &Settings, request: &Request) -> bool {
     let overlaps = request.is_in_flight() && !settings.hedging_allowed;
     request.awaits_answer() && !overlaps && has_attempts_left(settings, request)
 }
 
-/// Whether the rules allow another attempt at one node, given that [`allows_attempt`] holds. `zone_of_attempt` tells the
-/// zone of an earlier attempt's node.
+/// Returns whether the rules allow another attempt at one node, provided that [`allows_attempt`] returned true.
+/// `zone_of_attempt` returns the zone of an earlier attempt's node.
 pub(crate) fn allows_attempt_at<'a>(
     settings: &Settings,
     request: &Request,
@@ -51,21 +52,22 @@
     }
 }
 
-/// Whether a request may be rejected, which promises that trying again is harmless.
+/// Returns whether a request may be rejected, which promises that a retry is harmless.
 pub(crate) fn may_reject(class: &Class, request: &Request) -> bool {
     !request.may_take_effect()
         || class.idempotency == Idempotency::Idempotent
         || (class.idempotency == Idempotency::Deduplicated && class.dedup_scope == DedupScope::All)
 }
 
-/// Whether no node may get a waiting request any more: kept back, it would only hold up its client.
+/// Returns whether no node may get a waiting request any more, so that waiting longer would only delay its client.
 pub(crate) fn is_exhausted(settings: &Settings, request: &Request) -> bool {
     let class = &settings.classes[request.info.class];
     let must_not_repeat = class.idempotency == Idempotency::AtMostOnce && request.may_take_effect();
     !has_attempts_left(settings, request) || must_not_repeat
 }
 
-/// Whether a write has waited long enough since its last attempt to go again. The first two attempts need no pause.
+/// Returns whether a write has waited long enough since its last attempt to be sent again. The first two attempts need
+/// no pause.
 pub(crate) fn write_backoff_is_over(request: &Request, now: Time) -> bool {
     let attempts = request.attempts.len();
     let backoff = if attempts < 2 {
@@ -77,7 +79,7 @@
     last.is_none_or(|attempt| now >= attempt.sent_at + backoff)
 }
 
-/// Whether a request changes data.
+/// Returns whether a request changes data.
 pub(crate) fn is_write(settings: &Settings, request: &Request) -> bool {
     settings.classes[request.info.class].access == Access::Write
 }
