--- a/engine/src/command.rs
+++ b/engine/src/command.rs
@@ -1,37 +1,37 @@
-//! What the engine asks of the parts that own sockets.
+//! The commands of the engine to the parts that own sockets.
 
 use crate::Key;
 use plovercove::{Micros, NodeId};
 
-/// One attempt of one request.
+/// Identifies one attempt of one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId {
     /// The request.
     pub request: Key,
-    /// The attempt, counted from 0.
+    /// The number of the attempt, counted from 0.
     pub number: u32,
 }
 
-/// What was decided, to be carried out in the order given.
+/// A decision, to be carried out in the order given.
 #[derive(Debug)]
 pub enum Command {
-    /// Start an attempt for a request of this client.
+    /// Send an attempt for a request of this client.
     Send {
         /// The attempt.
         attempt: AttemptId,
-        /// The client, as the front named it.
+        /// The client's key, as given in [`crate::Engine::begin_request`].
         origin: Key,
-        /// Where it goes.
+        /// The node to send it to.
         node: NodeId,
     },
-    /// Stop an attempt: its answer must reach nobody.
+    /// Stop an attempt. Its answer must not reach the client.
     CancelAttempt {
         /// The attempt.
         attempt: AttemptId,
-        /// Where it went.
+        /// The node that it was sent to.
         node: NodeId,
     },
-    /// Ask a node for its report.
+    /// Poll a node for its load report.
     HealthCheck(NodeId),
     /// Close the idle connections to a node.
     CloseIdle(NodeId),
@@ -39,18 +39,18 @@
     Answer {
         /// The request.
         request: Key,
-        /// Its client.
+        /// The client's key.
         origin: Key,
-        /// What it is told.
+        /// The answer.
         answer: FinalAnswer,
     },
 }
 
-/// A final answer that no node made.
+/// A final answer that the router gives itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinalAnswer {
-    /// Trying again is harmless, after this long (us) where told.
+    /// A retry is harmless, after the given delay (us) if there is one.
     Rejected(Option<Micros>),
-    /// Nothing is promised.
+    /// Nothing is promised about the effect of the request.
     Failed,
 }
--- a/engine/src/deadlines.rs
+++ b/engine/src/deadlines.rs
@@ -1,27 +1,27 @@
-//! All deadlines of the router, in one ordered structure.
+//! All deadlines of the router, in one ordered set.
 
 use crate::{AttemptId, Key};
 use plovercove::Time;
 use std::collections::BTreeSet;
 
-/// What falls due.
+/// The subject of a deadline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Deadline {
-    /// The module asked to be woken.
+    /// The decisions requested a wake-up.
     Wake,
-    /// An attempt has waited long enough.
+    /// An attempt times out.
     Attempt(AttemptId),
-    /// A connection to a db node has been dialled, probed or idle long enough.
+    /// A connection to a database node has been opening, under a health check or idle for too long.
     Backend(Key),
-    /// A client's connection is to be looked over.
+    /// A client's connection has to be checked.
     Client(Key),
-    /// The agent is to be called, or has not answered.
+    /// The discovery service has to be called, or has not answered in time.
     Discovery,
-    /// Accepting may go on.
+    /// The router may accept connections again.
     Accept,
-    /// A probe of another router, a round of gossip, a review of verdicts.
+    /// A probe of another router, a gossip round, or a review of outlier verdicts.
     Gossip,
-    /// The next step of the way out.
+    /// The next step of the shutdown.
     Shutdown,
 }
 
@@ -30,34 +30,35 @@
 pub struct Deadlines(BTreeSet<(Time, Deadline)>);
 
 impl Deadlines {
-    /// Something falls due then, beside what does already.
-    pub fn add(&mut self, at: Time, due: Deadline) {
-        self.0.insert((at, due));
+    /// Adds a deadline.
+    pub fn add(&mut self, at: Time, deadline: Deadline) {
+        self.0.insert((at, deadline));
     }
 
-    /// That is off.
-    pub fn remove(&mut self, at: Time, due: Deadline) {
-        self.0.remove(&(at, due));
+    /// Removes a deadline.
+    pub fn remove(&mut self, at: Time, deadline: Deadline) {
+        self.0.remove(&(at, deadline));
     }
 
-    /// Moves the one deadline of something, whose present time stands in `held`.
-    pub fn set(&mut self, held: &mut Option<Time>, due: Deadline, at: Option<Time>) {
-        if let Some(old) = std::mem::replace(held, at) {
-            self.remove(old, due);
+    /// Moves the only deadline of a subject from the time in `scheduled`, which is updated, to `at`. `None` means no
+    /// deadline.
+    pub fn set(&mut self, scheduled: &mut Option<Time>, deadline: Deadline, at: Option<Time>) {
+        if let Some(old) = std::mem::replace(scheduled, at) {
+            self.remove(old, deadline);
         }
         if let Some(new) = at {
-            self.add(new, due);
+            self.add(new, deadline);
         }
     }
 
-    /// When the next one falls due.
+    /// Returns the time of the next deadline.
     pub fn next(&self) -> Option<Time> {
         self.0.first().map(|(at, _)| *at)
     }
 
-    /// Takes out one that is due.
+    /// Removes and returns one deadline that has passed.
     pub fn pop(&mut self, now: Time) -> Option<Deadline> {
         self.next().filter(|at| *at <= now)?;
-        self.0.pop_first().map(|(_, due)| due)
+        self.0.pop_first().map(|(_, deadline)| deadline)
     }
 }
--- a/engine/src/endpoints.rs
+++ b/engine/src/endpoints.rs
@@ -1,21 +1,21 @@
-//! The endpoint list as it was last told. It counts from the moment when it was told, also before the decisions have heard
-//! of it.
+//! The endpoint list of the last update. It applies from the moment when the update arrives, which may be before the
+//! decisions have handled it.
 
 use plovercove::{Endpoint, EndpointState, EndpointUpdate, GroupId, NodeId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Names that are remembered of nodes that were dropped from the list while they drained: many times a fleet's. Beyond them
-/// the decisions still hold attempts back; only this router's own questions are not.
+/// Maximum number of node names kept of nodes that were dropped from the list while draining; many times the size of a
+/// fleet. Beyond it, only the router's own queries reach such a node: the decisions still send it no attempts.
 const MAX_DROPPED_DRAINING: usize = 4_096;
 
-/// The endpoints that the list names, and what was dropped from it while it drained.
+/// The endpoints that the list names, and the nodes that were dropped from it while draining.
 #[derive(Debug)]
 pub(crate) struct EndpointRegistry {
     endpoints: BTreeMap<NodeId, Endpoint>,
     dropped_draining: BTreeSet<NodeId>,
-    /// Leaving the list closes no node.
+    /// Whether nodes removed from the list still take requests.
     removed_nodes_stay_open: bool,
-    /// Discovery itself has spoken; before that all that is known is what was remembered.
+    /// Whether discovery has sent a list. Before that only the stored list of an earlier process is known.
     is_confirmed: bool,
 }
 
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Takes what discovery told.
+    /// Applies an update from discovery.
     pub(crate) fn update(&mut self, update: &EndpointUpdate) {
         match update {
             EndpointUpdate::Changes(endpoints) => {
@@ -49,7 +49,7 @@
         }
     }
 
-    /// The whole list, as an update for who has not heard it.
+    /// Returns the complete list, as an update for a locality policy that has not received it.
     pub(crate) fn snapshot(&self) -> EndpointUpdate {
         let endpoints = self.endpoints.values().cloned().collect();
         if self.is_confirmed {
@@ -69,19 +69,19 @@
             .any(|endpoint| endpoint.group == group)
     }
 
-    /// The zone of a node that the list names.
+    /// Returns the zone of a node that the list names.
     pub(crate) fn known_zone(&self, node: &NodeId) -> Option<&str> {
         self.endpoints
             .get(node)
             .map(|endpoint| endpoint.zone.as_str())
     }
 
-    /// The zone of a node; empty where the list does not name it.
+    /// Returns the zone of a node, or an empty text if the list does not name the node.
     pub(crate) fn zone_of(&self, node: &NodeId) -> &str {
         self.known_zone(node).unwrap_or("")
     }
 
-    /// Whether anything may be sent to a node, by the list alone.
+    /// Returns whether anything may be sent to a node, according to the list alone.
     pub(crate) fn is_open(&self, node: &NodeId) -> bool {
         match self.endpoints.get(node) {
             Some(endpoint) => endpoint.state == EndpointState::Serving,
@@ -110,7 +110,8 @@
         }
     }
 
-    /// Where leaving the list closes no node, one that drained stays closed all the same.
+    /// Removes an endpoint. A node that was draining stays closed, even if nodes removed from the list still take
+    /// requests.
     fn drop_endpoint(&mut self, node: &NodeId) {
         let Some(endpoint) = self.endpoints.remove(node) else {
             return;
--- a/engine/src/engine.rs
+++ b/engine/src/engine.rs
@@ -1,8 +1,10 @@
-//! Turns requests, attempts' ends and list changes into events for the decisions, and their actions into commands.
+//! Turns requests, ends of attempts and list changes into events for the decisions, and their actions into commands.
 //!
-//! It knows no protocol: a front hands it requests and carries out their answers, an upstream carries out attempts and
-//! reports how they end. Here are the table of requests, their attempts and the deadlines, and the rules that no decision
-//! may break: one final answer each, no promise that repeating is harmless for what may have run, no send once over.
+//! The engine knows no protocol. The client-facing part of the router passes requests to it and delivers its final
+//! answers; the node-facing part sends attempts and reports how they end. The engine holds the table of requests, their
+//! attempts and the deadlines, and enforces the rules that no decision may break: each request gets one final answer, a
+//! request that may have been executed is not rejected as harmless to retry, and nothing is sent for a request that is
+//! over.
 
 use crate::endpoints::EndpointRegistry;
 use crate::request::{Attempt, Request};
@@ -14,28 +16,29 @@
 use std::convert::Infallible;
 use tracing::{debug, info, warn};
 
-/// What may pass in a client's buffers and our own before a request is counted: its patience runs from its sending.
+/// Time that a request may have spent in the buffers of the client and the router before it arrives here. The client
+/// counts its waiting time from when it sent the request.
 const TIME_IN_BUFFERS: Micros = 5_000;
 
-/// The decisions, with the tables by which they are carried out.
+/// The routing decisions, with the tables that are needed to carry them out.
 pub struct Engine {
     balancer: Balancer,
     classes: Vec<Class>,
     requests: Table<Request>,
     endpoints: EndpointRegistry,
-    /// Requests that are owed no answer any more, whose attempts may still wait for their first or last byte.
+    /// Requests that are closed since the last batch, and may have attempts that are not completely written.
     closed: Vec<Key>,
     events: Vec<Event>,
-    /// Kept between batches for its room alone.
+    /// Kept between batches only to reuse its allocation.
     actions: Vec<Action>,
     commands: Vec<Command>,
     /// All deadlines of the router.
     pub deadlines: Deadlines,
 }
 
-/// Settings, endpoints and what is known of them.
+/// Settings, endpoints and the locality policy.
 impl Engine {
-    /// An engine without requests. `seed` is that of all random numbers of the decisions.
+    /// Creates an engine without requests. `seed` is the seed of all random numbers of the decisions.
     pub fn new(settings: Settings, seed: u64) -> Self {
         Engine {
             classes: settings.classes.clone(),
@@ -50,58 +53,59 @@
         }
     }
 
-    /// From now on this says which zones a request may use.
+    /// Sets the policy that decides which zones a request may use.
     pub fn with_locality_policy(mut self, policy: Box<dyn LocalityPolicy>) -> Self {
         self.balancer.locality = Some(policy);
         self
     }
 
-    /// What says which zones a request may use, if anything does.
+    /// Returns the policy that decides which zones a request may use, if there is one.
     pub fn locality_policy(&mut self) -> Option<&mut dyn LocalityPolicy> {
         self.balancer.locality.as_deref_mut()
     }
 
-    /// Puts something else, or nothing, in the place of what says which zones a request may use. It is told the list as
-    /// it is known; attempts in flight stay so, and it hears of their ends.
+    /// Replaces or removes the policy that decides which zones a request may use. The new policy receives the current
+    /// list. It also receives the ends of attempts in flight.
     pub fn replace_locality_policy(&mut self, now: Time, policy: Option<Box<dyn LocalityPolicy>>) {
         self.balancer.locality = policy;
         if let Some(policy) = &mut self.balancer.locality {
             policy.endpoints_changed(now, &self.endpoints.snapshot());
         }
-        // Requests that wait are decided anew.
+        // Waiting requests are decided again.
         self.events.push(Event::Timer);
     }
 
-    /// The classes, by number.
+    /// Returns the classes, in the order of the settings.
     pub fn classes(&self) -> &[Class] {
         &self.classes
     }
 
-    /// The endpoints that the list names.
+    /// Returns the endpoints that the list names.
     pub fn endpoints(&self) -> impl Iterator<Item = &Endpoint> {
         self.endpoints.iter()
     }
 
-    /// Whether the list names a member of this group.
+    /// Returns whether the list names a member of this group.
     pub fn knows_group(&self, group: GroupId) -> bool {
         self.endpoints.has_group(group)
     }
 
-    /// Discovery told something.
+    /// Handles an update from discovery.
     pub fn update_endpoints(&mut self, update: EndpointUpdate) {
         self.endpoints.update(&update);
         self.events.push(Event::EndpointsChanged(update));
     }
 }
 
-/// The life of a request.
+/// Requests, from arrival to final answer.
 impl Engine {
-    /// How many requests are owed an answer or have an attempt in flight.
+    /// Returns the number of requests that have no final answer yet or have an attempt in flight.
     pub fn pending_requests(&self) -> usize {
         self.requests.len()
     }
 
-    /// Takes a request on. It is owed one final answer, through [`Command::Answer`] or [`Engine::attempt_ended`].
+    /// Adds a request and returns its key. It gets one final answer, through [`Command::Answer`] or
+    /// [`Engine::attempt_ended`].
     pub fn begin_request(&mut self, origin: Key, mut info: RequestInfo) -> Key {
         let request = Request::new(origin, info.class);
         let Ok(key) = self.requests.insert_with(|_| Ok::<_, Infallible>(request));
@@ -111,7 +115,7 @@
         key
     }
 
-    /// The client has gone; nothing is owed any more.
+    /// Closes a request whose client has left; it gets no answer.
     pub fn client_gone(&mut self, request: Key) {
         let Some(found) = self.requests.get_mut(request).filter(|r| r.is_open) else {
             return;
@@ -122,7 +126,8 @@
         self.close(request);
     }
 
-    /// The client wants it ended, and has been told that it is: what is in flight is stopped too.
+    /// Closes a request that its client has cancelled, and stops its attempts in flight. The caller has already
+    /// answered the client.
     pub fn cancel_request(&mut self, request: Key, now: Time) {
         self.client_gone(request);
         let attempts = self
@@ -144,7 +149,7 @@
             let request = request.number();
             warn!(
                 request,
-                "a rejection was turned into a failure: the write may have run"
+                "rejection replaced by a failure, because the write may have been executed"
             );
         }
         let origin = found.origin;
@@ -157,13 +162,13 @@
         self.close(request);
     }
 
-    /// Nothing is owed any more.
+    /// Notes a closed request, and frees its slot if it has no attempt in flight.
     fn close(&mut self, request: Key) {
         self.closed.push(request);
         self.forget_if_done(request);
     }
 
-    /// Gives a request's slot back.
+    /// Frees the slot of a request that is done.
     fn forget_if_done(&mut self, request: Key) {
         if self.requests.get(request).is_some_and(Request::is_done) {
             self.requests.remove(request);
@@ -185,14 +190,14 @@
                 attempt.end.map_or("in flight", AttemptEnd::label)
             }),
             ?answer,
-            "given up"
+            "final answer given by the router"
         );
     }
 }
 
-/// The life of an attempt.
+/// Attempts, from sending to end.
 impl Engine {
-    /// The last byte of an attempt has been written: from here on it may have run.
+    /// Records that the last byte of an attempt has been written: from now on it may have been executed.
     pub fn attempt_written(&mut self, id: AttemptId) {
         let request = self.requests.get_mut(id.request);
         if let Some(attempt) = request.and_then(|r| r.attempts.get_mut(id.number as usize)) {
@@ -200,21 +205,22 @@
         }
     }
 
-    /// Whether this attempt, or where there is none a question of the router's own, may begin at this node now.
+    /// Returns whether an attempt, or without one a query of the router itself, may be sent to this node now.
     ///
-    /// It is the one check on every way to a node, at the moment of the first byte: the decision may be old by then. The
-    /// list counts as it was last told, and a request that is over is sent nowhere.
+    /// All sends to a node pass this check, at the moment of the first byte, because the decision may be outdated by
+    /// then. The check uses the last list update, and rejects attempts of requests that are over.
     pub fn may_send(&self, attempt: Option<AttemptId>, node: &NodeId, now: Time) -> bool {
-        self.endpoints.is_open(node) && attempt.is_none_or(|id| self.fits(id, node, now))
+        self.endpoints.is_open(node)
+            && attempt.is_none_or(|id| self.is_attempt_still_valid(id, node, now))
     }
 
-    /// [`Engine::may_send`] for an attempt at the node that it was decided for.
+    /// Returns the result of [`Engine::may_send`] for an attempt at the node that it was decided for.
     pub fn may_still_send(&self, id: AttemptId, now: Time) -> bool {
         let attempt = self.attempt(id);
         attempt.is_some_and(|attempt| self.may_send(Some(id), &attempt.node, now))
     }
 
-    fn fits(&self, id: AttemptId, node: &NodeId, now: Time) -> bool {
+    fn is_attempt_still_valid(&self, id: AttemptId, node: &NodeId, now: Time) -> bool {
         let Some(request) = self.requests.get(id.request).filter(|r| r.is_open) else {
             return false;
         };
@@ -226,13 +232,14 @@
                 .is_send_still_valid(now, id.request.number(), node)
     }
 
-    /// How long an attempt will be waited for from now on (us).
+    /// Returns the time left until an attempt times out (us).
     pub fn attempt_time_left(&self, id: AttemptId, now: Time) -> Micros {
         let attempt = self.attempt(id);
         attempt.map_or(0, |attempt| attempt.deadline.saturating_sub(now))
     }
 
-    /// An attempt ended. Returns the client that its answer is to be passed on to, if it is the final one.
+    /// Handles the end of an attempt. Returns the client to pass the answer on to, if it is the final answer of the
+    /// request.
     pub fn attempt_ended(
         &mut self,
         now: Time,
@@ -261,15 +268,15 @@
         is_served.then_some(origin)
     }
 
-    /// An attempt was waited for long enough.
+    /// Handles the timeout of an attempt.
     pub fn attempt_timed_out(&mut self, id: AttemptId, now: Time) {
-        self.stop(id, now, AttemptEnd::TimedOut, AttemptEnd::Unreachable);
+        self.stop_attempt(id, now, AttemptEnd::TimedOut, AttemptEnd::Unreachable);
     }
 
-    /// An attempt that can't be carried out: its client has gone in this very turn.
+    /// Handles an attempt that cannot be sent because its client has left in the same turn.
     pub fn attempt_not_sent(&mut self, id: AttemptId, now: Time) {
-        let nothing = NodeReport::default();
-        self.attempt_ended(now, id, AttemptEnd::NeverSent, nothing, nothing);
+        let no_report = NodeReport::default();
+        self.attempt_ended(now, id, AttemptEnd::NeverSent, no_report, no_report);
     }
 
     fn attempt(&self, id: AttemptId) -> Option<&Attempt> {
@@ -277,7 +284,7 @@
         request.attempts.get(id.number as usize)
     }
 
-    /// Records the end of an attempt in flight; returns how long it was out.
+    /// Records the end of an attempt in flight. Returns the time that it was in flight.
     fn record_end(&mut self, now: Time, id: AttemptId, end: AttemptEnd) -> Option<Micros> {
         let request = self.requests.get_mut(id.request)?;
         let attempt = request.attempts.get(id.number as usize);
@@ -299,11 +306,17 @@
     }
 
     fn cancel_attempt(&mut self, id: AttemptId, now: Time) {
-        self.stop(id, now, AttemptEnd::Cancelled, AttemptEnd::NeverSent);
+        self.stop_attempt(id, now, AttemptEnd::Cancelled, AttemptEnd::NeverSent);
     }
 
-    /// Ends an attempt from this side: what has not been written whole never ran.
-    fn stop(&mut self, id: AttemptId, now: Time, if_written: AttemptEnd, if_unwritten: AttemptEnd) {
+    /// Stops an attempt in flight. An attempt that is not completely written was not executed.
+    fn stop_attempt(
+        &mut self,
+        id: AttemptId,
+        now: Time,
+        if_written: AttemptEnd,
+        if_unwritten: AttemptEnd,
+    ) {
         let attempt = self.attempt(id).filter(|attempt| attempt.is_in_flight());
         let Some(attempt) = attempt else {
             return;
@@ -316,12 +329,12 @@
         let node = attempt.node.clone();
         self.commands
             .push(Command::CancelAttempt { attempt: id, node });
-        let nothing = NodeReport::default();
-        self.attempt_ended(now, id, end, nothing, nothing);
+        let no_report = NodeReport::default();
+        self.attempt_ended(now, id, end, no_report, no_report);
     }
 
-    /// Stops what closed requests still wait to send: a connection may come up long after the client has gone, and a node
-    /// would work for nobody.
+    /// Stops the attempts of closed requests that are not completely written. Their connections may open long after the
+    /// client has left, and a node would then work in vain.
     fn stop_unwritten(&mut self, now: Time) {
         for request in std::mem::take(&mut self.closed) {
             let attempts = self.requests.get(request).map_or(&[][..], |r| &r.attempts);
@@ -335,9 +348,9 @@
     }
 }
 
-/// Deciding, and carrying out what was decided.
+/// Making decisions, and carrying them out.
 impl Engine {
-    /// A health check ended, with what the node said of itself if it answered.
+    /// Handles the end of a health check, with the node's load report if it answered.
     pub fn health_check_ended(&mut self, node: NodeId, answer: Option<NodeReport>) {
         self.events.push(Event::HealthChecked {
             node,
@@ -346,17 +359,17 @@
         });
     }
 
-    /// A deadline of the decisions or of an attempt fell due.
+    /// Handles a deadline of the decisions or of an attempt.
     pub fn wake(&mut self) {
         self.events.push(Event::Timer);
     }
 
-    /// Whether something has come that the decisions have not been told.
+    /// Returns whether there are events that the decisions have not handled, or commands to carry out.
     pub fn has_pending_work(&self) -> bool {
         !self.events.is_empty() || !self.commands.is_empty()
     }
 
-    /// Lets the decisions be made on what has come since the last time; nothing where nothing has come.
+    /// Lets the decisions handle the events since the last call, and returns the commands to carry out.
     pub fn decide(&mut self, now: Time) -> Vec<Command> {
         self.stop_unwritten(now);
         if !self.events.is_empty() {
@@ -364,7 +377,7 @@
             let events = std::mem::take(&mut self.events);
             self.balancer.handle(now, events, &mut actions);
             for action in actions.drain(..) {
-                self.act(action, now);
+                self.carry_out(action, now);
             }
             self.actions = actions;
             self.stop_unwritten(now);
@@ -372,7 +385,7 @@
         std::mem::take(&mut self.commands)
     }
 
-    fn act(&mut self, action: Action, now: Time) {
+    fn carry_out(&mut self, action: Action, now: Time) {
         match action {
             Action::Send {
                 request,
@@ -398,7 +411,7 @@
             Action::HealthCheck(node) => self.commands.push(Command::HealthCheck(node)),
             Action::CloseIdle(node) => self.commands.push(Command::CloseIdle(node)),
             Action::Log(event) => self.log(&event),
-            // The watch on the endpoint list is always on.
+            // The router always watches the endpoint list.
             Action::Subscribe => {}
         }
     }
--- a/engine/src/lib.rs
+++ b/engine/src/lib.rs
@@ -1,10 +1,11 @@
-//! A router without its sockets: the table of requests, their attempts and all deadlines round the routing decisions.
+//! The request engine of a router, without its sockets: the table of requests, their attempts and all deadlines, driven
+//! by the routing decisions.
 //!
-//! The same code runs under the router's loop and under the virtual time of the `simulation` crate.
+//! The same code runs in the router's event loop and in the virtual time of the `simulation` crate.
 //!
-//! - [`Engine`] turns what happens into events for the decisions and their actions into [`Command`]s.
-//! - [`Deadlines`] holds everything that falls due, [`Table`] what is numbered.
-//! - [`WatchSchedule`] says when the watch on the endpoint list calls, with [`Backoff`] after failures.
+//! - [`Engine`] turns what happens into events for the decisions, and their actions into [`Command`]s.
+//! - [`Deadlines`] holds all deadlines, and [`Table`] holds entries under keys that are never reused.
+//! - [`WatchSchedule`] says when the watch on the endpoint list makes its calls, with [`Backoff`] after failures.
 
 mod backoff;
 mod command;
--- a/engine/src/request.rs
+++ b/engine/src/request.rs
@@ -1,4 +1,4 @@
-//! One request of a client, its attempts, and the rules on it that no decision may break.
+//! One request of a client, its attempts, and the rules that no decision may break.
 
 use crate::{FinalAnswer, Key};
 use plovercove::{AttemptEnd, Class, DedupScope, Idempotency, NodeId, Time};
@@ -8,11 +8,11 @@
 pub(crate) struct Attempt {
     pub(crate) node: NodeId,
     pub(crate) sent_at: Time,
-    /// It is waited for until then.
+    /// Time at which it times out.
     pub(crate) deadline: Time,
-    /// Its last byte has been written: from then on it may have run.
+    /// Whether its last byte has been written: from then on it may have been executed.
     pub(crate) is_written: bool,
-    /// How it ended; none while it is in flight.
+    /// How it ended; `None` while it is in flight.
     pub(crate) end: Option<AttemptEnd>,
 }
 
@@ -21,21 +21,21 @@
         self.end.is_none()
     }
 
-    /// It is in flight, or ended so that it may have had an effect.
+    /// Returns whether it is in flight, or ended in a way that it may have been executed.
     fn may_take_effect(&self) -> bool {
         self.end.is_none_or(AttemptEnd::may_have_executed)
     }
 }
 
-/// A request that is owed an answer, or has attempts in flight.
+/// A request that has no final answer yet, or has attempts in flight.
 #[derive(Debug)]
 pub(crate) struct Request {
-    /// Its client, as the front named it.
+    /// The client's key, as the client-facing part of the router gave it.
     pub(crate) origin: Key,
     pub(crate) class: usize,
-    /// Its final answer is still owed.
+    /// Whether it still has to get a final answer.
     pub(crate) is_open: bool,
-    /// Some attempt ended so that it may have had an effect.
+    /// Whether an attempt ended in a way that it may have been executed.
     may_have_executed: bool,
     pub(crate) attempts: Vec<Attempt>,
 }
@@ -51,7 +51,7 @@
         }
     }
 
-    /// An attempt of it ended.
+    /// Records the end of one of its attempts.
     pub(crate) fn record_end(&mut self, number: u32, end: AttemptEnd) {
         self.may_have_executed |= end.may_have_executed();
         if let Some(attempt) = self.attempts.get_mut(number as usize) {
@@ -59,13 +59,14 @@
         }
     }
 
-    /// Nothing is owed and no attempt is in flight.
+    /// Returns whether it is closed and has no attempt in flight.
     pub(crate) fn is_done(&self) -> bool {
         !self.is_open && !self.attempts.iter().any(Attempt::is_in_flight)
     }
 
-    /// Whether one of its attempts may run beside the others that may have run by now. Their window is counted from the
-    /// decision on the first of them: its bytes left then, or later.
+    /// Returns whether one of its attempts may still be sent, given the other attempts that may have been executed.
+    ///
+    /// The deduplication window counts from the decision on the first of them, since its bytes were sent then or later.
     pub(crate) fn may_run(&self, class: &Class, number: u32, now: Time) -> bool {
         let others = (0u32..)
             .zip(&self.attempts)
@@ -81,11 +82,12 @@
         }
     }
 
-    /// The last guard of the rule on rejections: what may have run, and must not run twice, is never called harmless.
+    /// Replaces a rejection by a failure if the request may have been executed and must not run twice, since a
+    /// rejection promises that a retry is harmless.
     pub(crate) fn guard_answer(&self, class: &Class, answer: FinalAnswer) -> FinalAnswer {
         let may_repeat = match class.idempotency {
             Idempotency::Idempotent => true,
-            // A client's retry may reach nodes beyond those that drop it.
+            // A client's retry may reach nodes beyond those that discard repeats.
             Idempotency::Deduplicated => class.dedup_scope == DedupScope::All,
             Idempotency::AtMostOnce => false,
         };
--- a/engine/src/table.rs
+++ b/engine/src/table.rs
@@ -1,20 +1,21 @@
-//! Tables of numbered slots whose numbers are not mistaken for one another when a slot is used again.
+//! Tables of slots whose keys stay distinct when a slot is reused.
 
 use slab::Slab;
 
 const SLOT_BITS: u32 = 20;
 
-/// Names one entry of a table: its slot, and a serial number against mistaking it for the slot's next tenant.
+/// Identifies one entry of a table by its slot and a serial number. The serial number distinguishes it from later
+/// entries in the same slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Key(u64);
 
 impl Key {
-    /// The key as a plain number under 2^52.
+    /// Returns the key as a plain number under 2^52.
     pub fn number(self) -> u64 {
         self.0
     }
 
-    /// The key that gave this number.
+    /// Returns the key with this number.
     pub fn from_number(number: u64) -> Self {
         Key(number)
     }
@@ -24,7 +25,7 @@
     }
 }
 
-/// A table of numbered slots.
+/// A table of entries under unique keys.
 pub struct Table<T> {
     slots: Slab<(Key, T)>,
     serial: u32,
@@ -40,17 +41,17 @@
 }
 
 impl<T> Table<T> {
-    /// An empty table.
+    /// Creates an empty table.
     pub fn new() -> Self {
         Table::default()
     }
 
-    /// How many entries there are.
+    /// Returns the number of entries.
     pub fn len(&self) -> usize {
         self.slots.len()
     }
 
-    /// Adds the entry made for its key.
+    /// Adds an entry, which `make` creates for its key. Adds nothing if `make` fails.
     pub fn insert_with<E>(&mut self, make: impl FnOnce(Key) -> Result<T, E>) -> Result<Key, E> {
         self.serial = self.serial.wrapping_add(1);
         let vacant = self.slots.vacant_entry();
@@ -59,7 +60,7 @@
         Ok(key)
     }
 
-    /// The entry, while it is there.
+    /// Returns the entry with this key, if it exists.
     pub fn get(&self, key: Key) -> Option<&T> {
         self.slots
             .get(key.slot())
@@ -67,7 +68,7 @@
             .map(|(_, entry)| entry)
     }
 
-    /// The entry, to be changed.
+    /// Returns the entry with this key for modification, if it exists.
     pub fn get_mut(&mut self, key: Key) -> Option<&mut T> {
         self.slots
             .get_mut(key.slot())
@@ -75,18 +76,18 @@
             .map(|(_, entry)| entry)
     }
 
-    /// Takes the entry out.
+    /// Removes and returns the entry with this key.
     pub fn remove(&mut self, key: Key) -> Option<T> {
         self.get(key)?;
         Some(self.slots.remove(key.slot()).1)
     }
 
-    /// Whether there is none.
+    /// Returns whether the table has no entries.
     pub fn is_empty(&self) -> bool {
         self.slots.is_empty()
     }
 
-    /// All entries.
+    /// Returns all entries with their keys.
     pub fn iter(&self) -> impl Iterator<Item = (Key, &T)> {
         self.slots.iter().map(|(_, (key, entry))| (*key, entry))
     }
--- a/engine/tests/watch_schedule.rs
+++ b/engine/tests/watch_schedule.rs
@@ -88,7 +88,7 @@
 
 #[test]
 fn a_spoilt_list_is_asked_for_again_at_once_but_not_without_end() {
-    for lists in [ListSource::Polled, ListSource::Pushed { grace: S }] {
+    for lists in [ListSource::Polled, ListSource::Pushed { drain_grace: S }] {
         let mut schedule = WatchSchedule::new(lists, 3);
         schedule.begin_call(0, true);
         assert_eq!(
@@ -120,7 +120,7 @@
 
 #[test]
 fn an_agent_that_answers_a_watch_at_once_with_nothing_new_does_not_make_the_loop_spin() {
-    for lists in [ListSource::Polled, ListSource::Pushed { grace: S }] {
+    for lists in [ListSource::Polled, ListSource::Pushed { drain_grace: S }] {
         let mut schedule = WatchSchedule::new(lists, 4);
         schedule.begin_call(0, true);
         let next = schedule.record_answer(10, false);
@@ -139,7 +139,12 @@
 fn a_connection_that_comes_up_late_does_not_prolong_the_turn() {
     for (lists, turn) in [
         (ListSource::Polled, 5 * S),
-        (ListSource::Pushed { grace: 800 * MS }, 700 * MS),
+        (
+            ListSource::Pushed {
+                drain_grace: 800 * MS,
+            },
+            700 * MS,
+        ),
     ] {
         for seed in 0..200 {
             let mut schedule = WatchSchedule::new(lists, seed);
@@ -220,7 +225,10 @@
     const MOVED: Micros = 4 * S;
     for seed in 0..200 {
         for grace in GRACES {
-            for lists in [ListSource::Polled, ListSource::Pushed { grace }] {
+            for lists in [
+                ListSource::Polled,
+                ListSource::Pushed { drain_grace: grace },
+            ] {
                 let mut schedule = WatchSchedule::new(lists, seed);
                 schedule.begin_call(0, true);
                 let now = S;
@@ -256,7 +264,7 @@
             "the turn is over"
         );
         for grace in GRACES {
-            let mut schedule = WatchSchedule::new(ListSource::Pushed { grace }, seed);
+            let mut schedule = WatchSchedule::new(ListSource::Pushed { drain_grace: grace }, seed);
             schedule.begin_call(7 * S, true);
             assert_eq!(schedule.record_service_change(7 * S + 1), 7 * S + 1);
         }
@@ -503,7 +511,7 @@
     // Also where the call that is out has fallen silent. On the router's own machine all is quick.
     for grace in GRACES {
         holds(
-            ListSource::Pushed { grace },
+            ListSource::Pushed { drain_grace: grace },
             &Near {
                 up: 5 * MS,
                 answer: 20 * MS,
@@ -524,7 +532,7 @@
             answer: 10 * MS,
             kinds: &SHOWN,
         };
-        holds(ListSource::Pushed { grace }, &near, grace / 4);
+        holds(ListSource::Pushed { drain_grace: grace }, &near, grace / 4);
     }
 }
 
@@ -571,7 +579,7 @@
 fn where_lists_are_pushed_a_silent_agent_is_called_again_before_the_grace_is_over_and_not_without_end()
  {
     for grace in [0, 1, 500 * MS, S, 1_500 * MS, 3_600 * S] {
-        let mut schedule = WatchSchedule::new(ListSource::Pushed { grace }, 6);
+        let mut schedule = WatchSchedule::new(ListSource::Pushed { drain_grace: grace }, 6);
         let mut now = 0;
         for _ in 0..100 {
             schedule.begin_connection(now);
--- a/router/src/serve.rs
+++ b/router/src/serve.rs
@@ -116,7 +116,7 @@
         let lists = match settings.subscribe {
             true => ListSource::Polled,
             false => ListSource::Pushed {
-                grace: settings.drain_grace,
+                drain_grace: settings.drain_grace,
             },
         };
         let clock = Clock::default();
