--- a/experiments/src/faults/check.rs
+++ b/experiments/src/faults/check.rs
@@ -282,7 +282,7 @@
 
     /// After the last fault all that are up see each other by the bound, and agree on every node.
     fn agreement(&mut self) {
-        let bound = self.rules().agree_within() as f64 / 1e6 + SLACK;
+        let bound = self.rules().max_convergence_delay() as f64 / 1e6 + SLACK;
         let last = self.record.last;
         let closing = self.record.closing;
         let up: Vec<&Life> = self
@@ -369,7 +369,7 @@
 
     /// The times at which a node's fault was in force, with what it takes until the evidence is over.
     fn at_fault(&self, number: usize, at: f64) -> bool {
-        let oldest = self.rules().oldest_evidence() as f64 / 1e6;
+        let oldest = self.rules().max_evidence_age() as f64 / 1e6;
         let of = self.record.nodes.iter().filter(|n| n.whom == number);
         of.into_iter()
             .any(|n| n.from - SLACK <= at && at <= n.until + oldest + SLACK)
@@ -412,7 +412,7 @@
 
     /// No node is out without fault, or longer than its evidence lives, or beyond a third of its group.
     fn verdicts(&mut self) {
-        let oldest = self.rules().oldest_evidence() as f64 / 1e6;
+        let oldest = self.rules().max_evidence_age() as f64 / 1e6;
         let mut found = Vec::new();
         for life in &self.record.lives {
             let mut levels: BTreeMap<&str, &str> = BTreeMap::new();
@@ -548,7 +548,7 @@
 
     /// All that could hear of it have taken a bad node out by the bound.
     fn acts(&mut self) {
-        let bound = self.rules().act_within() as f64 / 1e6 + MEETS;
+        let bound = self.rules().max_reaction_delay() as f64 / 1e6 + MEETS;
         for wanted in &self.trial.out {
             let Some((number, _)) = self::node(wanted) else {
                 continue;
@@ -654,7 +654,7 @@
                 }
             }
         }
-        if self.record.passed.longest > plovercove_gossip::MOST {
+        if self.record.passed.longest > plovercove_gossip::MAX_DATAGRAM_BYTES {
             let what = format!("a datagram of {} bytes", self.record.passed.longest);
             self.add("budgets", 0.0, "links".into(), what);
         }
--- a/experiments/src/faults/play.rs
+++ b/experiments/src/faults/play.rs
@@ -768,10 +768,10 @@
         return;
     };
     let seen = Observation {
-        silent: 50,
-        lasted: 50,
-        nodes: 9,
-        failing: 1,
+        no_reply: 50,
+        duration_tenths_s: 50,
+        nodes_seen: 9,
+        nodes_failing: 1,
         ..Observation::default()
     };
     let mut seq = 0;
@@ -781,16 +781,16 @@
         let from = Incarnation {
             address: SocketAddr::from(([127, 0, 0, 9], 9 + who as u16)),
             boot: u64::MAX / 2,
-            turn: 0,
+            renewals: 0,
             name: format!("n{}", who * 20),
             zone: ["a", "b", "c"][(who % 3) as usize].into(),
         };
-        let record = GossipRecord::of_node(&from, seq, &"s4".into(), None, &seen);
+        let record = GossipRecord::from_observation(&from, seq, &"s4".into(), None, &seen);
         let parts = record.and_then(|r| r.part()).into_iter().collect();
         if let Some(bytes) = keys.seal(&Envelope {
             from,
             seq,
-            stamp: seq,
+            clock_ms: seq,
             parts,
         }) {
             let _ = socket.send_to(&bytes, to);
@@ -975,7 +975,8 @@
     rig.record.last = rig.now();
     if ended.is_ok() {
         let rules = rules(trial)?;
-        let within = Duration::from_micros(rules.agree_within() + rules.oldest_evidence());
+        let within =
+            Duration::from_micros(rules.max_convergence_delay() + rules.max_evidence_age());
         let proofs = Duration::from_secs(16);
         let within = trial
             .wait_s
--- a/gossip/src/datagram.rs
+++ b/gossip/src/datagram.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 /// No datagram is longer: it fits in one frame of every usual network, whatever tunnels it.
-pub const MOST: usize = 1_200;
+pub const MAX_DATAGRAM_BYTES: usize = 1_200;
 /// The version of the frame. What a newer version adds comes as further kinds of parts, which are skipped.
 const VERSION: u8 = 1;
 const HEAD: usize = 5;
@@ -24,13 +24,13 @@
 }
 
 /// Kinds of parts that belong to other crates: what came of them is kept for whoever asks ([`crate::Gossip::next_received_part`]).
-pub mod carried {
+pub mod payload_kind {
     /// Requests, votes and grants of duties.
-    pub const DUTY: u8 = 16;
+    pub const LEASE: u8 = 16;
     /// Subscriptions, lists and news.
     pub const FANOUT: u8 = 17;
     /// Questions to the fleet and what gateways answer.
-    pub const QUESTION: u8 = 18;
+    pub const QUERY: u8 = 18;
     /// The least and greatest of them.
     pub const RANGE: std::ops::RangeInclusive<u8> = 16..=31;
 }
@@ -39,7 +39,7 @@
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, strum::IntoStaticStr, strum::VariantNames,
 )]
-pub enum Fault {
+pub enum DatagramFault {
     /// It is of another installation, or no datagram of routers at all.
     Foreign,
     /// It is of a version that is not spoken.
@@ -58,48 +58,48 @@
     TooMuch,
 }
 
-impl Fault {
+impl DatagramFault {
     /// In a word, for logs.
-    pub fn word(self) -> &'static str {
+    pub fn label(self) -> &'static str {
         match self {
-            Fault::Foreign => "foreign",
-            Fault::Version => "version",
-            Fault::Tag => "tag",
-            Fault::Malformed => "malformed",
-            Fault::Replayed => "replayed",
-            Fault::OldLife => "old life",
-            Fault::Own => "own",
-            Fault::TooMuch => "too much",
+            DatagramFault::Foreign => "foreign",
+            DatagramFault::Version => "version",
+            DatagramFault::Tag => "tag",
+            DatagramFault::Malformed => "malformed",
+            DatagramFault::Replayed => "replayed",
+            DatagramFault::OldLife => "old life",
+            DatagramFault::Own => "own",
+            DatagramFault::TooMuch => "too much",
         }
     }
 }
 
-impl Fault {
+impl DatagramFault {
     /// What an operator can do.
     pub fn help(self) -> &'static str {
         match self {
-            Fault::Foreign => {
+            DatagramFault::Foreign => {
                 "see who sends here: another installation, or something that is no router; the port is for routers alone"
             }
-            Fault::Version => {
+            DatagramFault::Version => {
                 "routers of a newer version are about; finish the update, and the count stops"
             }
-            Fault::Tag => {
+            DatagramFault::Tag => {
                 "give all routers the same key file; while the key changes, also_key_file holds the other one"
             }
-            Fault::Malformed => {
+            DatagramFault::Malformed => {
                 "nobody can act on this one: send in both routers' versions and the log line"
             }
-            Fault::Replayed => {
+            DatagramFault::Replayed => {
                 "a few are the network's doing; many mean that somebody records datagrams and sends them again"
             }
-            Fault::OldLife => {
+            DatagramFault::OldLife => {
                 "nothing while a router restarts; if it goes on, two processes have one name or address"
             }
-            Fault::Own => {
+            DatagramFault::Own => {
                 "take this router's own address out of seeds, and see that advertise is not another's"
             }
-            Fault::TooMuch => {
+            DatagramFault::TooMuch => {
                 "more routers talk than rules allow for: see that routers of other installations are kept apart"
             }
         }
@@ -123,7 +123,7 @@
     /// Counts this life's datagrams.
     pub seq: u64,
     /// The sender's own clock (ms since the start of its process), compared only with others from it.
-    pub stamp: u64,
+    pub clock_ms: u64,
     /// What it brings.
     pub parts: Vec<Part>,
 }
@@ -166,25 +166,34 @@
         let mut out = postcard::to_extend(envelope, out).ok()?;
         let tag = blake3::keyed_hash(&self.ours, &out);
         out.extend_from_slice(tag.as_bytes());
-        (out.len() <= MOST).then_some(out)
+        (out.len() <= MAX_DATAGRAM_BYTES).then_some(out)
     }
 
     /// How much room parts have in a datagram of this life.
     pub fn room(from: &Incarnation) -> usize {
         // Numbers and lengths take ten bytes each at the most.
-        MOST - HEAD - TAG - (19 + 10 + 5 + from.name.len() + from.zone.len() + 4) - 10 - 10 - 2
+        MAX_DATAGRAM_BYTES
+            - HEAD
+            - TAG
+            - (19 + 10 + 5 + from.name.len() + from.zone.len() + 4)
+            - 10
+            - 10
+            - 2
     }
 
     /// Opens a datagram.
     ///
     /// # Errors
     /// Why it must be dropped.
-    pub fn open(&self, bytes: &[u8], check: bool) -> Result<Envelope, Fault> {
-        if bytes.len() < HEAD + TAG || bytes.len() > MOST || bytes[1..HEAD] != self.installation {
-            return Err(Fault::Foreign);
+    pub fn open(&self, bytes: &[u8], check: bool) -> Result<Envelope, DatagramFault> {
+        if bytes.len() < HEAD + TAG
+            || bytes.len() > MAX_DATAGRAM_BYTES
+            || bytes[1..HEAD] != self.installation
+        {
+            return Err(DatagramFault::Foreign);
         }
         if bytes[0] != VERSION {
-            return Err(Fault::Version);
+            return Err(DatagramFault::Version);
         }
         let (signed, tag) = bytes.split_at(bytes.len() - TAG);
         let mut told = [0; TAG];
@@ -193,12 +202,12 @@
         // Hashes are compared in a time that tells nothing of them.
         let good = |key: &[u8; 32]| blake3::keyed_hash(key, signed) == told;
         if check && !good(&self.ours) && !self.also.as_ref().is_some_and(good) {
-            return Err(Fault::Tag);
+            return Err(DatagramFault::Tag);
         }
         let envelope: Envelope =
-            postcard::from_bytes(&signed[HEAD..]).map_err(|_| Fault::Malformed)?;
+            postcard::from_bytes(&signed[HEAD..]).map_err(|_| DatagramFault::Malformed)?;
         if envelope.parts.len() > PARTS || !envelope.from.fits() {
-            return Err(Fault::Malformed);
+            return Err(DatagramFault::Malformed);
         }
         Ok(envelope)
     }
--- a/gossip/src/datagram/tests.rs
+++ b/gossip/src/datagram/tests.rs
@@ -6,14 +6,14 @@
     let from = Incarnation {
         address: "127.0.0.1:7".parse().expect("an address"),
         boot: 9,
-        turn: 0,
+        renewals: 0,
         name: "n1".into(),
         zone: "a".into(),
     };
     Envelope {
         from,
         seq: 1,
-        stamp: 5,
+        clock_ms: 5,
         parts,
     }
 }
@@ -37,7 +37,7 @@
         keys(OLD, None)
             .seal(&envelope(vec![Part {
                 kind: 7,
-                body: vec![1; MOST]
+                body: vec![1; MAX_DATAGRAM_BYTES]
             }]))
             .is_none()
     );
@@ -61,7 +61,7 @@
     }
     assert_eq!(
         steps[0].open(&steps[3].seal(&told).expect("small"), true),
-        Err(Fault::Tag)
+        Err(DatagramFault::Tag)
     );
 }
 
@@ -79,8 +79,11 @@
         for flip in [1, 128] {
             let mut changed = sealed.clone();
             changed[at] ^= flip;
-            let want = [Fault::Version, Fault::Foreign, Fault::Tag]
-                [usize::from(at > 0) + usize::from(at >= HEAD)];
+            let want = [
+                DatagramFault::Version,
+                DatagramFault::Foreign,
+                DatagramFault::Tag,
+            ][usize::from(at > 0) + usize::from(at >= HEAD)];
             assert_eq!(ours.open(&changed, true), Err(want), "byte {at}");
         }
     }
@@ -88,6 +91,6 @@
         assert!(ours.open(&sealed[..length], true).is_err());
     }
     let there = Keys::new("there", OLD.as_bytes(), None).expect("long enough");
-    assert_eq!(there.open(&sealed, true), Err(Fault::Foreign));
+    assert_eq!(there.open(&sealed, true), Err(DatagramFault::Foreign));
     assert!(Keys::new("here", b"short", None).is_err());
 }
--- a/gossip/src/event.rs
+++ b/gossip/src/event.rs
@@ -1,6 +1,6 @@
 //! What a router's gossip tells its surroundings: events for the log, parts for other crates, counts and a snapshot.
 
-use crate::datagram::Fault;
+use crate::datagram::DatagramFault;
 use crate::incarnation::Incarnation;
 use crate::observations::Observation;
 use crate::outlier_vote::{Level, Verdict};
@@ -13,38 +13,38 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum GossipEvent {
     /// A router is there.
-    Up(Incarnation),
+    MemberUp(Incarnation),
     /// A router is gone: it left, or says nothing.
-    Down(Incarnation),
+    MemberDown(Incarnation),
     /// How many are there, this one among them, of how many there should be.
-    Count {
+    MemberCount {
         /// Seen.
         seen: usize,
         /// By the settings.
-        should: u32,
+        expected: u32,
     },
     /// Two routers have one name.
-    Twins(Incarnation, Incarnation),
+    DuplicateName(Incarnation, Incarnation),
     /// The others took this router for gone.
-    Again(Incarnation),
+    Rejoined(Incarnation),
     /// Another router holds this one's address.
-    Taken,
+    AddressTaken,
     /// This router stood still for so long.
-    Stood(Micros),
+    Stalled(Micros),
     /// Datagrams that were dropped since this was told last.
-    Dropped(Fault, u64),
+    Dropped(DatagramFault, u64),
     /// The verdict on a node changed.
     Verdict {
         /// The node.
         node: NodeId,
         /// What was held of it.
-        was: Level,
+        previous: Level,
         /// What is.
         verdict: Verdict,
         /// Whether this router tries it for all.
-        tries: bool,
+        runs_trials: bool,
         /// What was said of the node at that moment.
-        testimonies: Vec<Testimony>,
+        reports: Vec<ObserverReport>,
     },
     /// This router tells the others what it saw of a node.
     Observed {
@@ -57,7 +57,7 @@
 
 /// What one router says of a node, with the names that operators know.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Testimony {
+pub struct ObserverReport {
     /// Who says it.
     pub observer: String,
     /// The zone it stands in.
@@ -68,9 +68,9 @@
     pub age: Micros,
 }
 
-impl fmt::Display for Testimony {
+impl fmt::Display for ObserverReport {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Testimony {
+        let ObserverReport {
             observer,
             zone,
             observation,
@@ -89,7 +89,7 @@
 pub struct ReceivedPart {
     /// Who sent it; the tag vouches for a holder of the key, not for the name.
     pub from: Incarnation,
-    /// What it is, of [`carried`](crate::carried).
+    /// What it is, of [`payload_kind`](crate::payload_kind).
     pub kind: u8,
     /// Its content.
     pub body: Vec<u8>,
@@ -103,17 +103,21 @@
     /// Datagrams and bytes sent.
     pub sent: (u64, u64),
     /// Datagrams and bytes that came and were good.
-    pub came: (u64, u64),
+    #[serde(rename = "came")]
+    pub received: (u64, u64),
     /// Datagrams that the budget kept from being sent.
-    pub held_back: u64,
+    #[serde(rename = "held_back")]
+    pub over_budget: u64,
     /// Datagrams that were dropped, by reason.
     pub dropped: BTreeMap<&'static str, u64>,
     /// Records of kinds that are not known.
-    pub unknown: u64,
+    #[serde(rename = "unknown")]
+    pub unknown_records: u64,
     /// Datagrams that were long under way.
     pub late: u64,
     /// Messages of membership that made no sense.
-    pub odd: u64,
+    #[serde(rename = "odd")]
+    pub invalid_messages: u64,
 }
 
 /// What a router believes, for people.
@@ -124,7 +128,8 @@
     /// Routers that are seen, this one among them.
     pub seen: usize,
     /// Routers that there should be.
-    pub should: u32,
+    #[serde(rename = "should")]
+    pub expected: u32,
     /// Their names.
     pub members: Vec<String>,
     /// Records held.
--- a/gossip/src/gossip.rs
+++ b/gossip/src/gossip.rs
@@ -1,7 +1,7 @@
 //! One router's gossip: datagrams in and out, the time, and what follows for the nodes.
 
 use crate::budget::Budget;
-use crate::datagram::{Envelope, Fault, Keys, Part, carried, kind};
+use crate::datagram::{DatagramFault, Envelope, Keys, Part, kind, payload_kind};
 use crate::event::{Counts, GossipEvent, ReceivedPart, Snapshot};
 use crate::incarnation::Incarnation;
 use crate::members::{Change, Members, Roll};
@@ -58,7 +58,7 @@
     events: VecDeque<GossipEvent>,
     received_parts: VecDeque<ReceivedPart>,
     counted: Option<usize>,
-    dropped: BTreeMap<Fault, (u64, Time)>,
+    dropped: BTreeMap<DatagramFault, (u64, Time)>,
     counts: Counts,
     left: bool,
 }
@@ -70,7 +70,7 @@
         let mut dice = Pcg64Mcg::seed_from_u64(seed ^ me.boot);
         let members = Members::new(me.clone(), &rules, room, dice.random());
         let mut store = RecordStore::new(
-            rules.evidence(),
+            rules.evidence_lifetime(),
             rules.sends(),
             rules.on(Guard::Age),
             rules.on(Guard::OldLife),
@@ -117,7 +117,7 @@
     }
 
     /// Other keys hold from now on.
-    pub fn rekey(&mut self, keys: Keys) {
+    pub fn replace_keys(&mut self, keys: Keys) {
         self.keys = keys;
     }
 
@@ -150,9 +150,9 @@
     }
 
     /// Sends a part of another crate, within the budget; false where it was not sent.
-    pub fn post(&mut self, now: Time, to: SocketAddr, kind: u8, body: Vec<u8>) -> bool {
+    pub fn send_part(&mut self, now: Time, to: SocketAddr, kind: u8, body: Vec<u8>) -> bool {
         let before = self.seq;
-        if !self.left && carried::RANGE.contains(&kind) {
+        if !self.left && payload_kind::RANGE.contains(&kind) {
             self.send(now, to, vec![Part { kind, body }]);
         }
         self.seq > before
@@ -164,12 +164,12 @@
     }
 
     /// This life.
-    pub fn me(&self) -> &Incarnation {
+    pub fn identity(&self) -> &Incarnation {
         self.members.me()
     }
 
     /// The other routers that are up, as far as can be told.
-    pub fn others(&self) -> impl Iterator<Item = &Incarnation> {
+    pub fn members(&self) -> impl Iterator<Item = &Incarnation> {
         self.members.active().values()
     }
 
@@ -181,7 +181,7 @@
     /// What was counted.
     pub fn counts(&self) -> Counts {
         Counts {
-            odd: self.members.odd,
+            invalid_messages: self.members.invalid_messages,
             ..self.counts.clone()
         }
     }
@@ -192,7 +192,7 @@
         Snapshot {
             me: format!("{:?}", self.members.me()),
             seen: self.seen_count(),
-            should: self.rules.routers,
+            expected: self.rules.routers,
             members: self
                 .members
                 .active()
@@ -203,7 +203,7 @@
             levels: observer
                 .levels()
                 .iter()
-                .map(|(n, l)| (n.to_string(), l.word(), ages(n)))
+                .map(|(n, l)| (n.to_string(), l.label(), ages(n)))
                 .collect(),
             counts: self.counts(),
         }
@@ -215,8 +215,8 @@
         }
     }
 
-    fn drop_datagram(&mut self, now: Time, fault: Fault) {
-        *self.counts.dropped.entry(fault.word()).or_default() += 1;
+    fn drop_datagram(&mut self, now: Time, fault: DatagramFault) {
+        *self.counts.dropped.entry(fault.label()).or_default() += 1;
         let (count, told) = self.dropped.entry(fault).or_default();
         *count += 1;
         if now >= *told {
@@ -233,22 +233,22 @@
         }
         match self.take(now, bytes) {
             Ok(()) => {
-                self.counts.came.0 += 1;
-                self.counts.came.1 += bytes.len() as u64;
+                self.counts.received.0 += 1;
+                self.counts.received.1 += bytes.len() as u64;
             }
             Err(fault) => self.drop_datagram(now, fault),
         }
         self.send_membership(now);
     }
 
-    fn take(&mut self, now: Time, bytes: &[u8]) -> Result<(), Fault> {
+    fn take(&mut self, now: Time, bytes: &[u8]) -> Result<(), DatagramFault> {
         let envelope = self.keys.open(bytes, self.rules.on(Guard::Tag))?;
         let from = envelope.from.address;
         if from == self.me.address && envelope.from.boot <= self.me.boot {
-            return Err(Fault::Own);
+            return Err(DatagramFault::Own);
         }
         if self.members.is_full() && !self.members.is_member(&from) {
-            return Err(Fault::TooMuch);
+            return Err(DatagramFault::TooMuch);
         }
         let late = self.lateness(now, &envelope)?;
         let sender = &envelope.from;
@@ -267,7 +267,7 @@
     }
 
     /// How much longer a datagram was under way than the fastest of its sender, where that is worth counting.
-    fn lateness(&mut self, now: Time, envelope: &Envelope) -> Result<Micros, Fault> {
+    fn lateness(&mut self, now: Time, envelope: &Envelope) -> Result<Micros, DatagramFault> {
         let guards_replay = self.rules.on(Guard::Replay);
         let late = self.replays.take(now, envelope, guards_replay)?;
         if late <= crate::ms(self.rules.late_ms) {
@@ -281,18 +281,23 @@
         })
     }
 
-    fn take_records(&mut self, now: Time, envelope: &Envelope, late: Micros) -> Result<(), Fault> {
+    fn take_records(
+        &mut self,
+        now: Time,
+        envelope: &Envelope,
+        late: Micros,
+    ) -> Result<(), DatagramFault> {
         let mut result = Ok(());
         for body in of(envelope, kind::RECORDS) {
             let Ok(records) = RecordStore::unpack(body) else {
-                result = Err(Fault::Malformed);
+                result = Err(DatagramFault::Malformed);
                 continue;
             };
             for record in records {
                 if record.kind == about::NODE {
                     self.store.put(now, record, late);
                 } else {
-                    self.counts.unknown += 1;
+                    self.counts.unknown_records += 1;
                 }
             }
         }
@@ -300,9 +305,9 @@
     }
 
     /// Parts for other crates. Nobody who does not ask holds them: past a bound the oldest go.
-    fn take_carried(&mut self, envelope: &Envelope, late: Micros) -> Result<(), Fault> {
+    fn take_carried(&mut self, envelope: &Envelope, late: Micros) -> Result<(), DatagramFault> {
         let parts = envelope.parts.iter();
-        for part in parts.filter(|part| carried::RANGE.contains(&part.kind)) {
+        for part in parts.filter(|part| payload_kind::RANGE.contains(&part.kind)) {
             if self.received_parts.len() >= MAX_RECEIVED_PARTS {
                 self.received_parts.pop_front();
             }
@@ -316,7 +321,7 @@
         Ok(())
     }
 
-    fn take_digests(&mut self, now: Time, envelope: &Envelope) -> Result<(), Fault> {
+    fn take_digests(&mut self, now: Time, envelope: &Envelope) -> Result<(), DatagramFault> {
         let (digests, result) = decode::<Digest>(envelope, kind::DIGEST);
         for digest in digests {
             self.answer_digest(now, envelope.from.address, &digest);
@@ -324,7 +329,7 @@
         result
     }
 
-    fn take_wanted(&mut self, now: Time, envelope: &Envelope) -> Result<(), Fault> {
+    fn take_wanted(&mut self, now: Time, envelope: &Envelope) -> Result<(), DatagramFault> {
         let (wanted, result) = decode::<Vec<u64>>(envelope, kind::WANT);
         for names in wanted {
             let part = self.store.wanted(now, &names, self.room);
@@ -333,7 +338,7 @@
         result
     }
 
-    fn take_rolls(&mut self, now: Time, envelope: &Envelope) -> Result<(), Fault> {
+    fn take_rolls(&mut self, now: Time, envelope: &Envelope) -> Result<(), DatagramFault> {
         if !self.rules.on(Guard::Repair) {
             return Ok(());
         }
@@ -348,7 +353,12 @@
         result
     }
 
-    fn take_members(&mut self, now: Time, envelope: &Envelope, late: Micros) -> Result<(), Fault> {
+    fn take_members(
+        &mut self,
+        now: Time,
+        envelope: &Envelope,
+        late: Micros,
+    ) -> Result<(), DatagramFault> {
         if late > 0 {
             return Ok(());
         }
@@ -365,7 +375,7 @@
         now: Time,
         envelope: &Envelope,
         late: Micros,
-    ) -> Result<(), Fault> {
+    ) -> Result<(), DatagramFault> {
         if late == 0 {
             for body in of(envelope, kind::SWIM) {
                 self.members.receive(now, body);
@@ -387,18 +397,18 @@
         if parts.is_empty() {
             return;
         }
-        let stamp = now.saturating_sub(self.began) / 1_000;
+        let clock_ms = now.saturating_sub(self.began) / 1_000;
         let from = self.members.me().clone();
         let Some(bytes) = self.keys.seal(&Envelope {
             from,
             seq: self.seq + 1,
-            stamp,
+            clock_ms,
             parts,
         }) else {
             return;
         };
         if !self.budget.take(now, bytes.len()) {
-            self.counts.held_back += 1;
+            self.counts.over_budget += 1;
             return;
         }
         self.seq += 1;
@@ -426,22 +436,22 @@
                         .filter(|l| l.name == incarnation.name && l.address != incarnation.address)
                         .min();
                     if let Some(twin) = twin.cloned() {
-                        self.tell(GossipEvent::Twins(incarnation.clone(), twin));
+                        self.tell(GossipEvent::DuplicateName(incarnation.clone(), twin));
                     }
                     self.store.started(&incarnation.name, incarnation.boot);
-                    self.tell(GossipEvent::Up(incarnation));
+                    self.tell(GossipEvent::MemberUp(incarnation));
                 }
-                Change::Down(incarnation) => self.tell(GossipEvent::Down(incarnation)),
-                Change::Again(incarnation) => self.tell(GossipEvent::Again(incarnation)),
-                Change::Taken => self.tell(GossipEvent::Taken),
+                Change::Down(incarnation) => self.tell(GossipEvent::MemberDown(incarnation)),
+                Change::Again(incarnation) => self.tell(GossipEvent::Rejoined(incarnation)),
+                Change::Taken => self.tell(GossipEvent::AddressTaken),
             }
         }
         let seen = self.seen_count();
         if self.counted != Some(seen) {
             self.counted = Some(seen);
-            self.tell(GossipEvent::Count {
+            self.tell(GossipEvent::MemberCount {
                 seen,
-                should: self.rules.routers,
+                expected: self.rules.routers,
             });
         }
     }
@@ -455,7 +465,7 @@
             if self.rules.on(Guard::Stopped) {
                 observer.observations.awoke(now, DOUBT_AFTER_STOP);
             }
-            self.tell(GossipEvent::Stood(stood));
+            self.tell(GossipEvent::Stalled(stood));
             // What was believed is as old as the stop is long.
             self.review_at = now;
         }
@@ -507,13 +517,16 @@
 }
 
 /// The parts of one kind that can be read, and whether all could.
-fn decode<T: DeserializeOwned>(envelope: &Envelope, kind: u8) -> (Vec<T>, Result<(), Fault>) {
+fn decode<T: DeserializeOwned>(
+    envelope: &Envelope,
+    kind: u8,
+) -> (Vec<T>, Result<(), DatagramFault>) {
     let mut result = Ok(());
     let mut decoded = Vec::new();
     for body in of(envelope, kind) {
         match postcard::from_bytes::<T>(body) {
             Ok(part) => decoded.push(part),
-            Err(_) => result = Err(Fault::Malformed),
+            Err(_) => result = Err(DatagramFault::Malformed),
         }
     }
     (decoded, result)
--- a/gossip/src/incarnation.rs
+++ b/gossip/src/incarnation.rs
@@ -13,7 +13,7 @@
     /// Rises with each start: Unix time at the start (us).
     pub boot: u64,
     /// Rises where peers took this life for ended and it was not.
-    pub turn: u32,
+    pub renewals: u32,
     /// Its name.
     pub name: String,
     /// The zone it stands in.
@@ -26,7 +26,7 @@
         Incarnation {
             address,
             boot: 0,
-            turn: 0,
+            renewals: 0,
             name: String::new(),
             zone: String::new(),
         }
@@ -43,7 +43,7 @@
         write!(
             to,
             "{}@{}#{}.{}",
-            self.name, self.address, self.boot, self.turn
+            self.name, self.address, self.boot, self.renewals
         )
     }
 }
@@ -53,7 +53,7 @@
 
     fn renew(&self) -> Option<Self> {
         Some(Incarnation {
-            turn: self.turn + 1,
+            renewals: self.renewals + 1,
             ..self.clone()
         })
     }
@@ -64,6 +64,6 @@
 
     fn win_addr_conflict(&self, other: &Self) -> bool {
         // The names decide where two began in the same microsecond, so that all decide alike.
-        (self.boot, self.turn, &self.name) > (other.boot, other.turn, &other.name)
+        (self.boot, self.renewals, &self.name) > (other.boot, other.renewals, &other.name)
     }
 }
--- a/gossip/src/lib.rs
+++ b/gossip/src/lib.rs
@@ -1,5 +1,5 @@
 //! Routers that know each other. Who is there ([`Incarnation`], by SWIM with suspicion), what each saw of the db nodes (records
-//! that are gossiped and repaired), and what follows for all ([`judge`], a pure function of fresh records).
+//! that are gossiped and repaired), and what follows for all ([`decide_verdicts`], a pure function of fresh records).
 //!
 //! Nothing here does I/O or reads a clock: the router's loop, the model's virtual time and the tests hand in datagrams
 //! and the time, and take datagrams, levels and news out. Without a `peers` block none of it exists.
@@ -20,14 +20,14 @@
 mod review;
 mod rules;
 
-pub use datagram::{Envelope, Fault, Keys, MOST, Part, carried};
+pub use datagram::{DatagramFault, Envelope, Keys, MAX_DATAGRAM_BYTES, Part, payload_kind};
 pub use error::Error;
-pub use event::{Counts, GossipEvent, ReceivedPart, Snapshot, Testimony};
+pub use event::{Counts, GossipEvent, ObserverReport, ReceivedPart, Snapshot};
 pub use gossip::{Datagram, Gossip};
 pub use incarnation::Incarnation;
 pub use observations::{Observation, Observations, PeerEvidence};
 pub use observer::Observer;
-pub use outlier_vote::{Level, Opinion, Subject, Verdict, judge};
+pub use outlier_vote::{Level, Opinion, Subject, Verdict, decide_verdicts};
 pub use records::{Record, RecordStore};
 pub use replay::ReplayGuard;
 pub use rules::{Guard, Rules};
--- a/gossip/src/members.rs
+++ b/gossip/src/members.rs
@@ -63,7 +63,7 @@
     doubts: bool,
     pub(crate) changes: VecDeque<Change>,
     /// Messages that made no sense.
-    pub(crate) odd: u64,
+    pub(crate) invalid_messages: u64,
 }
 
 fn config(rules: &Rules, room: usize) -> Config {
@@ -119,7 +119,7 @@
             remembers: rules.on(Guard::Forgotten),
             doubts: rules.on(Guard::Stopped),
             changes: VecDeque::new(),
-            odd: 0,
+            invalid_messages: 0,
         }
     }
 
@@ -144,12 +144,12 @@
     pub(crate) fn roll(&self) -> Roll {
         let mut roll = Roll::default();
         for incarnation in self.active.values().chain([self.me()]) {
-            let (boot, turn) = (
+            let (boot, renewals) = (
                 incarnation.boot.to_le_bytes(),
-                incarnation.turn.to_le_bytes(),
+                incarnation.renewals.to_le_bytes(),
             );
             roll[place(&incarnation.address)] ^=
-                crate::draw(&[incarnation.address.to_string().as_bytes(), &boot, &turn]);
+                crate::draw(&[incarnation.address.to_string().as_bytes(), &boot, &renewals]);
         }
         roll
     }
@@ -291,7 +291,7 @@
     }
 
     fn settle(&mut self, now: Time, result: Result<(), foca::Error>) {
-        self.odd += u64::from(result.is_err());
+        self.invalid_messages += u64::from(result.is_err());
         while let Some((after, timer)) = self.runtime.to_schedule() {
             self.order += 1;
             let at = now.saturating_sub(self.stood) + after.as_micros() as Micros;
--- a/gossip/src/observations.rs
+++ b/gossip/src/observations.rs
@@ -33,26 +33,26 @@
     /// Errors, in tenths.
     pub errors: u16,
     /// Time-outs and connections that broke, in tenths.
-    pub silent: u16,
+    pub no_reply: u16,
     /// Connections that did not come up, in tenths.
     pub unreachable: u16,
     /// Writes that it turned away as no primary, in tenths.
-    pub denies: u16,
+    pub misdirected: u16,
     /// How many times slower than other nodes it answers, in tenths; 0 where too few were seen.
-    pub slow: u16,
+    pub slowness_tenths: u16,
     /// For how long it has been so, failing or slow, when this was told, in tenths of a second.
-    pub lasted: u16,
+    pub duration_tenths_s: u16,
     /// Of how many nodes the router saw anything ...
-    pub nodes: u16,
+    pub nodes_seen: u16,
     /// ... and how many of them fail.
-    pub failing: u16,
+    pub nodes_failing: u16,
 }
 
 impl Observation {
     /// Failures of all kinds.
     pub fn failures(&self) -> f64 {
         f64::from(self.errors) / 10.0
-            + f64::from(self.silent) / 10.0
+            + f64::from(self.no_reply) / 10.0
             + f64::from(self.unreachable) / 10.0
     }
 
@@ -69,7 +69,7 @@
         }
         Observation {
             errors: told.errors,
-            silent: told.silent,
+            no_reply: told.no_reply,
             unreachable: told.unreachable,
             ..self
         }
@@ -86,13 +86,13 @@
     }
 
     /// For how long it had been so when this was told (us).
-    pub fn lasted(&self) -> Micros {
-        Micros::from(self.lasted) * 100_000
+    pub fn duration(&self) -> Micros {
+        Micros::from(self.duration_tenths_s) * 100_000
     }
 
     /// How many times slower than others it answers; none where too few were seen.
     pub fn slowness(&self) -> Option<f64> {
-        (self.slow > 0).then_some(f64::from(self.slow) / 10.0)
+        (self.slowness_tenths > 0).then_some(f64::from(self.slowness_tenths) / 10.0)
     }
 }
 
@@ -104,9 +104,9 @@
             self.failures(),
             f64::from(self.answers) / 10.0,
             self.slowness().unwrap_or(0.0),
-            f64::from(self.lasted) / 10.0,
-            self.failing,
-            self.nodes
+            f64::from(self.duration_tenths_s) / 10.0,
+            self.nodes_failing,
+            self.nodes_seen
         )
     }
 }
@@ -159,7 +159,7 @@
     fn seen(&self, now: Time, half: f64) -> Observation {
         let factor = 0.5_f64.powf(now.saturating_sub(self.at) as f64 / half);
         let tenths = |count: f64| (count * factor * 10.0).round().min(65_535.0) as u16;
-        let [answers, errors, silent, unreachable, denies] = self.counts.map(tenths);
+        let [answers, errors, silent, unreachable, misdirected] = self.counts.map(tenths);
         let answers = if self.failures_in_a_row < FAILURES_IN_A_ROW {
             answers
         } else {
@@ -173,10 +173,10 @@
         Observation {
             answers,
             errors,
-            silent,
+            no_reply: silent,
             unreachable,
-            denies,
-            slow,
+            misdirected,
+            slowness_tenths: slow,
             ..Observation::default()
         }
     }
@@ -209,7 +209,7 @@
 impl Observations {
     /// A ledger for so many classes.
     pub fn new(rules: &Rules, classes: usize) -> Self {
-        let half = rules.evidence() as f64 / 3.0;
+        let half = rules.evidence_lifetime() as f64 / 3.0;
         Observations {
             nodes: BTreeMap::new(),
             usual: vec![0.0; classes],
@@ -328,7 +328,7 @@
         rules: &Rules,
         others: impl Fn(&NodeId) -> PeerEvidence,
     ) -> Vec<(NodeId, Option<Time>, Observation)> {
-        let (half, incarnation) = (self.half, rules.evidence());
+        let (half, incarnation) = (self.half, rules.evidence_lifetime());
         let seen: Vec<(NodeId, Observation)> = self
             .nodes
             .iter()
@@ -385,9 +385,9 @@
                     .map_or(0, |from| now.saturating_sub(from) / 100_000)
                     .min(65_535) as u16;
                 let seen = Observation {
-                    nodes: reach.nodes().min(65_535) as u16,
-                    failing: reach.failing.min(65_535) as u16,
-                    lasted,
+                    nodes_seen: reach.nodes().min(65_535) as u16,
+                    nodes_failing: reach.failing.min(65_535) as u16,
+                    duration_tenths_s: lasted,
                     ..seen
                 };
                 let seen = seen.with_failures_of(&told);
--- a/gossip/src/observations/tests.rs
+++ b/gossip/src/observations/tests.rs
@@ -47,7 +47,7 @@
     observations.ended(S, 0, false, &"y".into(), AttemptEnd::Unreachable, 5_000);
     let told = tell(&mut observations, &rules, S, false);
     assert!(
-        told.len() == 1 && told[0].0 == "y" && told[0].1.fails() && told[0].1.nodes == 2,
+        told.len() == 1 && told[0].0 == "y" && told[0].1.fails() && told[0].1.nodes_seen == 2,
         "{told:?}"
     );
     assert!(
@@ -105,7 +105,7 @@
 fn a_further_failure_makes_an_accusation_no_weaker_and_without_one_it_ends() {
     // Failure: counts fade, and an accusation that was told again took a node back in that still failed.
     let (mut observations, rules) = observations(&["x"]);
-    let third = rules.evidence() / 3;
+    let third = rules.evidence_lifetime() / 3;
     for n in 0..3 {
         observations.ended(S + n, 0, false, &"x".into(), AttemptEnd::TimedOut, S);
     }
--- a/gossip/src/observer.rs
+++ b/gossip/src/observer.rs
@@ -48,13 +48,13 @@
     }
 
     /// What says which zones a request may use.
-    pub fn inner(&mut self) -> Option<&mut dyn LocalityPolicy> {
+    pub fn locality_policy(&mut self) -> Option<&mut dyn LocalityPolicy> {
         self.inner.as_deref_mut()
     }
 
     /// A witness that goes on from what this one saw and judged, before something else that says which zones a request
     /// may use.
-    pub fn with(&mut self, inner: Option<Box<dyn LocalityPolicy>>) -> Observer {
+    pub fn with_locality_policy(&mut self, inner: Option<Box<dyn LocalityPolicy>>) -> Observer {
         Observer {
             inner,
             only_primary: self.only_primary.clone(),
@@ -96,12 +96,12 @@
 
     /// From now on this is the level of a node; where it is out, `tries` says how often this router tries it for all.
     pub(crate) fn set(&mut self, now: Time, node: &NodeId, level: Level, tries: Option<Micros>) {
-        if level == Level::In {
+        if level == Level::InService {
             self.levels.remove(node);
         } else {
             self.levels.insert(node.clone(), level);
         }
-        match tries.filter(|_| level == Level::Out) {
+        match tries.filter(|_| level == Level::Ejected) {
             Some(every) => {
                 self.trials
                     .entry(node.clone())
@@ -151,12 +151,14 @@
             .as_mut()
             .map_or(Some(1.0), |inner| inner.weight_share(now, ask, node))?;
         match self.levels.get(node) {
-            None | Some(Level::In) => Some(base),
-            Some(Level::Doubted) => Some(base * DOUBTED),
-            Some(Level::Out) if ask.is_write || self.only_primary.get(ask.class) == Some(&true) => {
+            None | Some(Level::InService) => Some(base),
+            Some(Level::ReducedWeight) => Some(base * DOUBTED),
+            Some(Level::Ejected)
+                if ask.is_write || self.only_primary.get(ask.class) == Some(&true) =>
+            {
                 Some(base)
             }
-            Some(Level::Out) => self
+            Some(Level::Ejected) => self
                 .trials
                 .get(node)
                 .filter(|trial| now >= trial.next)
--- a/gossip/src/outlier_vote.rs
+++ b/gossip/src/outlier_vote.rs
@@ -19,20 +19,20 @@
 pub enum Level {
     /// It takes part.
     #[default]
-    In,
+    InService,
     /// It counts for less.
-    Doubted,
+    ReducedWeight,
     /// It gets nothing but what only it can do, and trials by a few.
-    Out,
+    Ejected,
 }
 
 impl Level {
     /// In a word, for logs.
-    pub fn word(self) -> &'static str {
+    pub fn label(self) -> &'static str {
         match self {
-            Level::In => "in",
-            Level::Doubted => "doubted",
-            Level::Out => "out",
+            Level::InService => "in",
+            Level::ReducedWeight => "doubted",
+            Level::Ejected => "out",
         }
     }
 }
@@ -122,7 +122,7 @@
     // What is bad for longer stays the worse: whom a group cannot spare must not change from one review to the next.
     let lasted = |bad: &[&Opinion]| {
         bad.iter()
-            .map(|o| o.age + o.seen.lasted())
+            .map(|o| o.age + o.seen.duration())
             .max()
             .unwrap_or(0)
     };
@@ -145,7 +145,7 @@
         f64::INFINITY
     };
     // An accusation counts once those who saw the node serve had time to say so.
-    let settled = |o: &&&Opinion| o.age + o.seen.lasted() >= settle;
+    let settled = |o: &&&Opinion| o.age + o.seen.duration() >= settle;
     let failures: f64 = bad
         .iter()
         .filter(settled)
@@ -154,12 +154,12 @@
     let need = f64::from(rules.failures) - 0.5;
     if enough(&bad) && failures >= need && share(&bad) >= SHARE.0 {
         if !spread(&bad) {
-            return (verdict(&bad, Level::In, "one zone"), 0);
+            return (verdict(&bad, Level::InService, "one zone"), 0);
         }
         let level = if share(&bad) >= SHARE.1 {
-            Level::Out
+            Level::Ejected
         } else {
-            Level::Doubted
+            Level::ReducedWeight
         };
         return (verdict(&bad, level, "fails"), lasted(&bad));
     }
@@ -169,13 +169,17 @@
             .filter(|o| o.seen.slowness().is_some_and(|s| s >= by))
             .collect::<Vec<_>>()
     };
-    for (by, level) in [(SLOW.1, Level::Out), (SLOW.0, Level::Doubted)] {
+    for (by, level) in [(SLOW.1, Level::Ejected), (SLOW.0, Level::ReducedWeight)] {
         let slow = slower(by);
-        let old = slow.iter().any(|o| o.age + o.seen.lasted() >= settle);
+        let old = slow.iter().any(|o| o.age + o.seen.duration() >= settle);
         if enough(&slow) && !slow.is_empty() && old && share(&slow) >= SHARE.1 && spread(&slow) {
             let spared = subject.primary && rules.on(Guard::Primary);
             return (
-                verdict(&slow, if spared { Level::Doubted } else { level }, "slow"),
+                verdict(
+                    &slow,
+                    if spared { Level::ReducedWeight } else { level },
+                    "slow",
+                ),
                 lasted(&slow),
             );
         }
@@ -185,7 +189,7 @@
 
 /// The verdicts on these nodes, all that serve, each with the fresh opinions on it. `zones` is in how many zones routers
 /// stand.
-pub fn judge(
+pub fn decide_verdicts(
     rules: &Rules,
     cases: &[(Subject, Vec<Opinion>)],
     zones: usize,
@@ -199,8 +203,8 @@
         .filter(|_| rules.on(Guard::Blame))
     {
         let (failing, nodes, accused) = sights.entry(opinion.observer).or_default();
-        *failing = (*failing).max(opinion.seen.failing);
-        *nodes = (*nodes).max(opinion.seen.nodes);
+        *failing = (*failing).max(opinion.seen.nodes_failing);
+        *nodes = (*nodes).max(opinion.seen.nodes_seen);
         *accused += u16::from(opinion.seen.fails());
     }
     let blames = |(failing, nodes, accused): (u16, u16, u16)| {
@@ -215,7 +219,7 @@
     let mut out: BTreeMap<GroupId, Vec<(Micros, NodeId)>> = BTreeMap::new();
     for (subject, told) in cases.iter().filter(|(_, told)| !told.is_empty()) {
         let (verdict, weight) = weigh(rules, subject, told, zones, &blind);
-        if verdict.level == Level::Out {
+        if verdict.level == Level::Ejected {
             out.entry(subject.group)
                 .or_default()
                 .push((weight, subject.node.clone()));
@@ -236,7 +240,7 @@
         for (_, node) in nodes.into_iter().skip(allowed) {
             verdicts
                 .entry(node)
-                .and_modify(|v| (v.level, v.why) = (Level::Doubted, "no more of its group"));
+                .and_modify(|v| (v.level, v.why) = (Level::ReducedWeight, "no more of its group"));
         }
     }
     verdicts
--- a/gossip/src/records.rs
+++ b/gossip/src/records.rs
@@ -1,7 +1,7 @@
 //! What each router says of what it saw: versioned by origin, start and sequence, ended by age, and repaired.
 
 use crate::datagram::{Envelope, Part, kind};
-use crate::event::Testimony;
+use crate::event::ObserverReport;
 use crate::incarnation::Incarnation;
 use crate::observations::Observation;
 use crate::outlier_vote::Opinion;
@@ -50,7 +50,7 @@
 
 impl Record {
     /// What a router of this life saw of a node since that node's start.
-    pub fn of_node(
+    pub fn from_observation(
         incarnation: &Incarnation,
         seq: u64,
         node: &NodeId,
@@ -308,11 +308,11 @@
     }
 
     /// What is said of one subject, with the names of who says it.
-    pub(crate) fn testimonies(&self, now: Time, subject: &str) -> Vec<Testimony> {
+    pub(crate) fn testimonies(&self, now: Time, subject: &str) -> Vec<ObserverReport> {
         let held = self.held.values();
         let of_subject = held.filter(|held| held.record.subject == subject);
         of_subject
-            .map(|held| Testimony {
+            .map(|held| ObserverReport {
                 observer: held.record.origin.clone(),
                 zone: held.record.zone.clone(),
                 observation: held.seen,
--- a/gossip/src/replay.rs
+++ b/gossip/src/replay.rs
@@ -1,6 +1,6 @@
 //! Who sent what already: a datagram counts once, and none of an ended life counts.
 
-use crate::datagram::{Envelope, Fault};
+use crate::datagram::{DatagramFault, Envelope};
 use crate::incarnation::Incarnation;
 use plovercove::{Micros, Time};
 use std::collections::HashMap;
@@ -20,7 +20,7 @@
     /// Which of the last datagrams came, the newest at the lowest bit.
     seen: u128,
     heard: Time,
-    /// The least of the receiver's clock less the sender's stamp so far, and when that was (us).
+    /// The least of the receiver's clock less the sender's clock_ms so far, and when that was (us).
     least: (i64, Time),
 }
 
@@ -35,25 +35,30 @@
     ///
     /// # Errors
     /// It was here before, or its sender's life has ended.
-    pub fn take(&mut self, now: Time, envelope: &Envelope, check: bool) -> Result<Micros, Fault> {
+    pub fn take(
+        &mut self,
+        now: Time,
+        envelope: &Envelope,
+        check: bool,
+    ) -> Result<Micros, DatagramFault> {
         let Envelope {
             from:
                 Incarnation {
                     address,
                     boot,
-                    turn,
+                    renewals,
                     ..
                 },
             seq,
-            stamp,
+            clock_ms,
             ..
         } = envelope;
-        let incarnation = (*boot, *turn);
-        // Danger: a stamp is whatever a peer sends.
-        let stamp = i64::try_from(*stamp)
+        let incarnation = (*boot, *renewals);
+        // Danger: a clock_ms is whatever a peer sends.
+        let clock_ms = i64::try_from(*clock_ms)
             .unwrap_or(i64::MAX)
             .saturating_mul(1_000);
-        let offset = (now as i64).saturating_sub(stamp);
+        let offset = (now as i64).saturating_sub(clock_ms);
         if let Some(known) = self
             .0
             .get_mut(address)
@@ -67,7 +72,7 @@
                         .unwrap_or(0);
                     known.top = *seq;
                 } else if known.top - seq >= WINDOW || known.seen & (1 << (known.top - seq)) != 0 {
-                    return Err(Fault::Replayed);
+                    return Err(DatagramFault::Replayed);
                 }
                 known.seen |= 1 << (known.top - seq);
             }
@@ -86,7 +91,7 @@
                 .get(address)
                 .is_some_and(|known| known.incarnation > incarnation)
         {
-            return Err(Fault::OldLife);
+            return Err(DatagramFault::OldLife);
         }
         if self.0.len() >= SENDERS && !self.0.contains_key(address) {
             let least = self
--- a/gossip/src/replay/tests.rs
+++ b/gossip/src/replay/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-fn told(port: u16, boot: u64, seq: u64, stamp: u64) -> Envelope {
+fn told(port: u16, boot: u64, seq: u64, clock_ms: u64) -> Envelope {
     let from = Incarnation {
         boot,
         ..Incarnation::unknown(SocketAddr::from(([127, 0, 0, 1], port)))
@@ -10,7 +10,7 @@
     Envelope {
         from,
         seq,
-        stamp,
+        clock_ms,
         parts: Vec::new(),
     }
 }
@@ -28,7 +28,7 @@
     for seq in [5, 3, 9, 4, 200, 130, 72, 0] {
         assert_eq!(
             replays.take(1_000_000, &told(1, 7, seq, 0), true),
-            Err(Fault::Replayed),
+            Err(DatagramFault::Replayed),
             "{seq}"
         );
     }
@@ -41,7 +41,7 @@
     assert!(replays.take(0, &told(1, 8, 1, 0), true).is_ok());
     assert_eq!(
         replays.take(0, &told(1, 7, 91, 0), true),
-        Err(Fault::OldLife)
+        Err(DatagramFault::OldLife)
     );
 }
 
--- a/gossip/src/review.rs
+++ b/gossip/src/review.rs
@@ -7,7 +7,7 @@
 use crate::gossip::Gossip;
 use crate::observations::PeerEvidence;
 use crate::observer::Observer;
-use crate::outlier_vote::{Level, Opinion, Subject, Verdict, judge, without_outvoted};
+use crate::outlier_vote::{Level, Opinion, Subject, Verdict, decide_verdicts, without_outvoted};
 use crate::records::{Record, subject};
 use crate::rules::{Guard, Rules};
 use plovercove::{Micros, NodeId, Time};
@@ -61,11 +61,15 @@
         self.store.fade(now);
         let cases = self.cases(now, observer);
         self.tell_observations(now, observer, &cases);
-        let verdicts = judge(&self.rules, &cases, self.zones_seen());
+        let verdicts = decide_verdicts(&self.rules, &cases, self.zones_seen());
         // Who comes back in does so before another goes out: not for a moment are more out than a group can spare.
         let known = self.verdicts.keys().chain(verdicts.keys()).cloned();
         let known: BTreeSet<NodeId> = known.collect();
-        let is_out = |node: &NodeId| verdicts.get(node).is_some_and(|v| v.level == Level::Out);
+        let is_out = |node: &NodeId| {
+            verdicts
+                .get(node)
+                .is_some_and(|v| v.level == Level::Ejected)
+        };
         let (out, rest): (Vec<NodeId>, Vec<NodeId>) = known.into_iter().partition(is_out);
         for node in rest.into_iter().chain(out) {
             let verdict = verdicts.get(&node).cloned().unwrap_or_default();
@@ -131,7 +135,8 @@
         let told = observer.observations.news(now, rules, evidence);
         for (node, started, observation) in told {
             self.records += 1;
-            let record = Record::of_node(&self.me, self.records, &node, started, &observation);
+            let record =
+                Record::from_observation(&self.me, self.records, &node, started, &observation);
             if let Some(record) = record {
                 self.store.put(now, record, 0);
                 self.tell(GossipEvent::Observed { node, observation });
@@ -148,29 +153,29 @@
         mut verdict: Verdict,
     ) {
         let was = observer.level(node);
-        if was == Level::Out && verdict.level != Level::Out {
+        if was == Level::Ejected && verdict.level != Level::Ejected {
             let flaps = self.flaps.entry(node.clone()).or_default();
             flaps.observe_return(now);
         }
         let flaps = self.flaps.get(node).filter(|_| self.rules.on(Guard::Flap));
         let is_on_probation = flaps.is_some_and(|flaps| flaps.is_on_probation(now));
-        if verdict.level == Level::In && is_on_probation {
-            verdict.level = Level::Doubted;
+        if verdict.level == Level::InService && is_on_probation {
+            verdict.level = Level::ReducedWeight;
             verdict.why = "has to prove itself";
         }
         let level = verdict.level;
-        let tries = level == Level::Out && self.tries(node);
-        let trial_interval = self.rules.evidence() / 8;
+        let tries = level == Level::Ejected && self.tries(node);
+        let trial_interval = self.rules.evidence_lifetime() / 8;
         observer.set(now, node, level, tries.then_some(trial_interval));
         if was != level {
             let subject = subject(node, observer.started_at(node));
             let testimonies = self.store.testimonies(now, &subject);
             self.tell(GossipEvent::Verdict {
                 node: node.clone(),
-                was,
+                previous: was,
                 verdict,
-                tries,
-                testimonies,
+                runs_trials: tries,
+                reports: testimonies,
             });
         }
     }
--- a/gossip/src/rules.rs
+++ b/gossip/src/rules.rs
@@ -41,7 +41,7 @@
 
 impl Guard {
     /// The guard of this name, as scripts write it.
-    pub fn named(name: &str) -> Option<Guard> {
+    pub fn from_name(name: &str) -> Option<Guard> {
         use serde::de::IntoDeserializer;
         let name: serde::de::value::StrDeserializer<'_, serde::de::value::Error> =
             name.into_deserializer();
@@ -86,7 +86,7 @@
     /// Tests only: the guard that is off.
     #[cfg(feature = "mutations")]
     #[serde(skip)]
-    pub without: Option<Guard>,
+    pub disabled_guard: Option<Guard>,
 }
 
 impl Default for Rules {
@@ -108,7 +108,7 @@
             datagrams_per_s: 80,
             bytes_per_s: 40_000,
             #[cfg(feature = "mutations")]
-            without: None,
+            disabled_guard: None,
         }
     }
 }
@@ -117,7 +117,7 @@
     /// Whether a guard is on. It is, but in tests that take it away.
     #[cfg(feature = "mutations")]
     pub(crate) fn on(&self, guard: Guard) -> bool {
-        self.without != Some(guard)
+        self.disabled_guard != Some(guard)
     }
 
     /// Whether a guard is on. It is, but in tests that take it away.
@@ -127,7 +127,7 @@
     }
 
     /// Evidence counts for so long.
-    pub fn evidence(&self) -> Micros {
+    pub fn evidence_lifetime(&self) -> Micros {
         (self.evidence_s * 1e6) as Micros
     }
 
@@ -138,7 +138,7 @@
 
     /// That a node serves is believed for so long: those who say it say it again while it does.
     pub(crate) fn fresh(&self) -> Micros {
-        self.evidence() * 2 / 5
+        self.evidence_lifetime() * 2 / 5
     }
 
     /// A record is sent so often, a little more than its way to all of them takes.
@@ -165,7 +165,7 @@
     /// How long until all who can hear each other act on a verdict, from when the evidence for it is complete (us): what an
     /// observer holds back, the rounds that gossip needs where a fifth of the datagrams is lost, two comparisons for whom
     /// it still missed, and the time between two reviews.
-    pub fn act_within(&self) -> Micros {
+    pub fn max_reaction_delay(&self) -> Micros {
         self.settle()
             + crate::ms(self.rounds() * self.gossip_ms * 3 / 2 + 3 * self.repair_ms)
             + REVIEW
@@ -173,13 +173,13 @@
     }
 
     /// The greatest age of evidence that is acted on (us): its life, and what a datagram may be late unnoticed.
-    pub fn oldest_evidence(&self) -> Micros {
-        self.evidence() + crate::ms(self.late_ms) + REVIEW
+    pub fn max_evidence_age(&self) -> Micros {
+        self.evidence_lifetime() + crate::ms(self.late_ms) + REVIEW
     }
 
     /// How long after a cut is healed until all who can hear each other agree on who is there and on what they saw (us).
-    pub fn agree_within(&self) -> Micros {
-        crate::ms(SEEK.1 + 2 * self.probe_ms + self.suspect_ms) + self.act_within()
+    pub fn max_convergence_delay(&self) -> Micros {
+        crate::ms(SEEK.1 + 2 * self.probe_ms + self.suspect_ms) + self.max_reaction_delay()
     }
 
     /// Checks what cannot be meant.
--- a/gossip/tests/common/mod.rs
+++ b/gossip/tests/common/mod.rs
@@ -169,7 +169,7 @@
         let me = Incarnation {
             address: address(n),
             boot: self.now + 1,
-            turn: 0,
+            renewals: 0,
             name: format!("n{n}"),
             zone: (self.zone)(n).into(),
         };
@@ -419,7 +419,7 @@
     pub fn outs(&self) -> Vec<(Time, usize, String)> {
         let of = |(n, r): (usize, &Router)| {
             let told = r.news.iter().filter_map(move |(at, news)| match news {
-                GossipEvent::Verdict { node, verdict, .. } if verdict.level == Level::Out => {
+                GossipEvent::Verdict { node, verdict, .. } if verdict.level == Level::Ejected => {
                     Some((*at, n, node.to_string()))
                 }
                 _ => None,
--- a/gossip/tests/decoder.rs
+++ b/gossip/tests/decoder.rs
@@ -11,7 +11,7 @@
     Incarnation {
         address: address(port),
         boot: BEGIN + boot,
-        turn: 0,
+        renewals: 0,
         name: format!("x{port}"),
         zone: "z".into(),
     }
@@ -29,15 +29,15 @@
         let ours = keys(common::KEY);
         let mut net = Net::new(1, 1, 1, Rules::default());
         let mut sent = 0;
-        for (port, boot, seq, stamp, parts) in datagrams {
+        for (port, boot, seq, clock_ms, parts) in datagrams {
             let parts = parts.into_iter().map(|(kind, body)| Part { kind, body }).collect();
-            let Some(sealed) = ours.seal(&Envelope { from: incarnation(port, boot), seq, stamp, parts }) else { continue };
+            let Some(sealed) = ours.seal(&Envelope { from: incarnation(port, boot), seq, clock_ms, parts }) else { continue };
             sent += 1;
             net.inject(0, &sealed);
             net.run(S / 100);
         }
         let counts = net.routers[0].peers.counts();
-        prop_assert_eq!(counts.came.0 + counts.dropped.values().sum::<u64>(), sent);
+        prop_assert_eq!(counts.received.0 + counts.dropped.values().sum::<u64>(), sent);
     }
 }
 
@@ -86,12 +86,13 @@
     let ours = keys(common::KEY);
     let mut net = Net::new(1, 1, 1, Rules::default());
     let seen = Observation {
-        silent: 30,
-        nodes: 9,
-        failing: 1,
+        no_reply: 30,
+        nodes_seen: 9,
+        nodes_failing: 1,
         ..Observation::default()
     };
-    let record = Record::of_node(&incarnation(20, 1), 1, &"s1".into(), None, &seen).expect("small");
+    let record =
+        Record::from_observation(&incarnation(20, 1), 1, &"s1".into(), None, &seen).expect("small");
     let newer = Record {
         kind: 99,
         subject: "something else".into(),
@@ -117,7 +118,7 @@
         .seal(&Envelope {
             from: incarnation(20, 1),
             seq: 1,
-            stamp: 1,
+            clock_ms: 1,
             parts,
         })
         .expect("small");
@@ -125,10 +126,10 @@
     let router = &net.routers[0];
     assert_eq!(
         (
-            router.peers.counts().unknown,
+            router.peers.counts().unknown_records,
             router.peers.snapshot(&router.observer).records
         ),
         (1, 1)
     );
-    assert_eq!(router.peers.counts().came.0, 1, "it is no fault");
+    assert_eq!(router.peers.counts().received.0, 1, "it is no fault");
 }
--- a/gossip/tests/fleet.rs
+++ b/gossip/tests/fleet.rs
@@ -5,7 +5,8 @@
 use common::{BEGIN, Net, S, address, calm, dies, good, keys, lossy, zone};
 use plovercove::{AttemptEnd, Endpoint, EndpointUpdate, Micros, NodeId, Time};
 use plovercove_gossip::{
-    Envelope, GossipEvent, Guard, Incarnation, Level, Observation, Part, Record, Rules, carried,
+    Envelope, GossipEvent, Guard, Incarnation, Level, Observation, Part, Record, Rules,
+    payload_kind,
 };
 
 fn nine(seed: u64) -> Net {
@@ -19,7 +20,7 @@
         3,
         seed,
         Rules {
-            without: Some(guard),
+            disabled_guard: Some(guard),
             ..Rules::default()
         },
     )
@@ -68,9 +69,9 @@
     net.weather = lossy(0.2);
     net.fate = dies("s4", net.now);
     // Evidence is complete when two have failed twice, in two zones; each asks a node about once a second.
-    let bound = net.rules.act_within() + 3 * S;
+    let bound = net.rules.max_reaction_delay() + 3 * S;
     (
-        net.until(bound, |net| all(&net.levels("s4"), Level::Out)),
+        net.until(bound, |net| all(&net.levels("s4"), Level::Ejected)),
         bound,
     )
 }
@@ -101,8 +102,8 @@
             (AttemptEnd::NeverSent, 1)
         }
     });
-    let bound = net.rules.act_within() + 3 * S;
-    net.until(bound, |net| all(&net.levels("s4"), Level::Out))
+    let bound = net.rules.max_reaction_delay() + 3 * S;
+    net.until(bound, |net| all(&net.levels("s4"), Level::Ejected))
         .map(|_| net.now - died_at)
 }
 
@@ -119,7 +120,7 @@
     net.joined();
     net.fate = dies("s4", net.now);
     assert!(
-        net.until(20 * S, |net| all(&net.levels("s4"), Level::Out))
+        net.until(20 * S, |net| all(&net.levels("s4"), Level::Ejected))
             .is_some(),
         "it is taken out first"
     );
@@ -136,8 +137,8 @@
     net.stop(2);
     net.run(10 * S);
     net.go_on(2);
-    net.until(30 * S, |net| !net.levels("s4").contains(&Level::Out));
-    (net.now - last, net.rules.oldest_evidence())
+    net.until(30 * S, |net| !net.levels("s4").contains(&Level::Ejected));
+    (net.now - last, net.rules.max_evidence_age())
 }
 
 #[test]
@@ -191,7 +192,7 @@
     net.run(30 * S + (minutes - 1) * 60 * S);
     net.weather = calm();
     net.fate = good();
-    let bound = net.rules.agree_within();
+    let bound = net.rules.max_convergence_delay();
     let took = net.until(bound, |net| net.seen().iter().all(|n| *n == 9));
     (took, bound)
 }
@@ -222,7 +223,7 @@
 fn who_missed_that_others_came_back_is_told() {
     let longest = |without: Option<Guard>| {
         let rules = || Rules {
-            without,
+            disabled_guard: without,
             ..Rules::default()
         };
         (0..4)
@@ -235,7 +236,7 @@
         routers: 66,
         ..Rules::default()
     }
-    .agree_within();
+    .max_convergence_delay();
     eprintln!("{with} us, {alone} us without repair");
     assert!(
         with <= bound && with * 3 / 2 < alone,
@@ -248,7 +249,7 @@
     net.joined();
     net.kill(8);
     net.fate = dies("s4", net.now);
-    let out = |net: &Net| all(&net.levels("s4"), Level::Out);
+    let out = |net: &Net| all(&net.levels("s4"), Level::Ejected);
     assert!(net.until(20 * S, out).is_some(), "it is taken out first");
     net.asks = false;
     net.run(5 * S);
@@ -281,7 +282,7 @@
     net.run(12 * 60 * S);
     net.kill(0);
     net.weather = calm();
-    let bound = net.rules.agree_within();
+    let bound = net.rules.max_convergence_delay();
     net.until(bound, |net| net.seen().iter().all(|n| *n == 8))
 }
 
@@ -297,7 +298,7 @@
         3,
         1,
         Rules {
-            without: Some(Guard::Forgotten),
+            disabled_guard: Some(Guard::Forgotten),
             ..rules()
         },
     ));
@@ -330,7 +331,7 @@
         );
     }
     let believed = Rules {
-        without: Some(Guard::Observers),
+        disabled_guard: Some(Guard::Observers),
         ..Rules::default()
     };
     assert!(
@@ -454,7 +455,7 @@
     net.routers[3]
         .news
         .iter()
-        .filter(|(_, news)| matches!(news, GossipEvent::Down(_)))
+        .filter(|(_, news)| matches!(news, GossipEvent::MemberDown(_)))
         .count()
 }
 
@@ -479,7 +480,7 @@
     net.run(2 * S);
     (0..21).for_each(|n| net.start(n));
     let took = net.joined();
-    assert!(took < net.rules.agree_within(), "{took} us");
+    assert!(took < net.rules.max_convergence_delay(), "{took} us");
 }
 
 #[test]
@@ -488,7 +489,7 @@
     (0..3).for_each(|n| net.kill(n));
     net.run(20 * S);
     (0..3).for_each(|n| net.start(n));
-    assert!(net.joined() < net.rules.agree_within());
+    assert!(net.joined() < net.rules.max_convergence_delay());
 }
 
 #[test]
@@ -504,14 +505,14 @@
     });
     net.fate = dies("s4", net.now);
     assert!(
-        net.until(20 * S, |net| all(&net.levels("s4"), Level::Out))
+        net.until(20 * S, |net| all(&net.levels("s4"), Level::Ejected))
             .is_some()
     );
     net.fate = good();
     let well = net.now;
-    net.until(60 * S, |net| !net.levels("s4").contains(&Level::Out));
+    net.until(60 * S, |net| !net.levels("s4").contains(&Level::Ejected));
     assert!(
-        net.now - well <= net.rules.oldest_evidence(),
+        net.now - well <= net.rules.max_evidence_age(),
         "{} us",
         net.now - well
     );
@@ -532,9 +533,9 @@
     net.run(30 * S);
     let foreign = keys(b"another key, that of a stranger");
     let seen = Observation {
-        silent: 50,
-        nodes: 9,
-        failing: 1,
+        no_reply: 50,
+        nodes_seen: 9,
+        nodes_failing: 1,
         ..Observation::default()
     };
     for seq in 1..=100 {
@@ -543,17 +544,18 @@
             let from = Incarnation {
                 address: at,
                 boot: BEGIN,
-                turn: 0,
+                renewals: 0,
                 name: evil.into(),
                 zone: zone.into(),
             };
-            let record = Record::of_node(&from, seq, &"s4".into(), None, &seen).expect("small");
+            let record =
+                Record::from_observation(&from, seq, &"s4".into(), None, &seen).expect("small");
             let parts = record.part().into_iter().collect();
             let sealed = foreign
                 .seal(&Envelope {
                     from,
                     seq,
-                    stamp: seq * 20,
+                    clock_ms: seq * 20,
                     parts,
                 })
                 .expect("small");
@@ -630,7 +632,7 @@
     let told = at(0);
     let proofs: Vec<Micros> = told
         .windows(2)
-        .filter(|w| w[0].1 == Level::Doubted && w[1].1 == Level::In)
+        .filter(|w| w[0].1 == Level::ReducedWeight && w[1].1 == Level::InService)
         .map(|w| w[1].0 - w[0].0)
         .collect();
     assert!(
@@ -668,7 +670,7 @@
             most.0 <= f64::from(net.rules.datagrams_per_s)
                 && most.1 <= f64::from(net.rules.bytes_per_s)
         );
-        let out = net.until(20 * S, |net| all(&net.levels("s4"), Level::Out));
+        let out = net.until(20 * S, |net| all(&net.levels("s4"), Level::Ejected));
         assert!(out.is_some(), "{routers}: {:?}", net.levels("s4"));
         rates.push(mean.0);
     }
@@ -682,19 +684,19 @@
     let now = net.now;
     let post = |net: &mut Net, kind, body: Vec<u8>| {
         assert!(
-            net.routers[0].peers.post(now, address(1), kind, body)
-                == carried::RANGE.contains(&kind)
+            net.routers[0].peers.send_part(now, address(1), kind, body)
+                == payload_kind::RANGE.contains(&kind)
         );
         for (to, bytes) in net.routers[0].peers.take_outgoing() {
             let to = (0..9).find(|n| address(*n) == to).expect("a router");
             net.inject(to, &bytes);
         }
     };
-    post(&mut net, carried::DUTY, vec![1, 2, 3]);
+    post(&mut net, payload_kind::LEASE, vec![1, 2, 3]);
     let came = net.routers[1].peers.next_received_part().expect("it came");
     assert_eq!(
         (came.from.name, came.kind, came.body, came.late),
-        ("n0".into(), carried::DUTY, vec![1, 2, 3], 0)
+        ("n0".into(), payload_kind::LEASE, vec![1, 2, 3], 0)
     );
     // A kind of peers' own cannot be sent in their name.
     post(&mut net, 2, vec![1]);
@@ -702,11 +704,11 @@
     // Whoever does not ask for them holds no more than one bound of them.
     for n in 0..2_000u32 {
         let told = Envelope {
-            from: net.routers[0].peers.me().clone(),
+            from: net.routers[0].peers.identity().clone(),
             seq: 1_000_000 + u64::from(n),
-            stamp: 1,
+            clock_ms: 1,
             parts: vec![Part {
-                kind: carried::FANOUT,
+                kind: payload_kind::FANOUT,
                 body: n.to_le_bytes().to_vec(),
             }],
         };
--- a/gossip/tests/stored_formats.rs
+++ b/gossip/tests/stored_formats.rs
@@ -18,7 +18,7 @@
     Incarnation {
         address: address(n),
         boot: BEGIN + n as u64,
-        turn: 0,
+        renewals: 0,
         name: format!("n{n}"),
         zone: "a".into(),
     }
@@ -140,6 +140,6 @@
         }
     }
     let counts = listener.peers.counts();
-    assert!(counts.came.0 > 10, "{counts:?}");
+    assert!(counts.received.0 > 10, "{counts:?}");
     assert!(counts.dropped.is_empty(), "{:?}", counts.dropped);
 }
--- a/locality/src/lib.rs
+++ b/locality/src/lib.rs
@@ -13,7 +13,7 @@
 pub mod evidence;
 pub mod ramp;
 mod rules;
-mod tiers;
+mod zone_failover;
 
 pub use rules::*;
-pub use tiers::*;
+pub use zone_failover::*;
--- a/locality/src/rules.rs
+++ b/locality/src/rules.rs
@@ -101,9 +101,9 @@
 #[derive(
     Clone, Debug, PartialEq, Eq, thiserror::Error, strum::IntoStaticStr, strum::VariantNames,
 )]
-pub enum Wrong {
+pub enum RuleFaultKind {
     /// No zones, or too many.
-    #[error("expected 1 to {MOST_ZONES} zones")]
+    #[error("expected 1 to {MAX_ZONES} zones")]
     Count,
     /// Two zones of one name.
     #[error("two zones have the same name")]
@@ -128,47 +128,51 @@
     Range(&'static str),
 }
 
-impl Wrong {
+impl RuleFaultKind {
     /// What an operator can do.
     pub fn help(&self) -> &'static str {
         match self {
-            Wrong::Count => {
+            RuleFaultKind::Count => {
                 "list every zone of the installation once under tiers.zones; more than 64 need one file for each part"
             }
-            Wrong::SameName => "give each zone the name that the node list writes, once",
-            Wrong::NoName => "name the zone as the node list does",
-            Wrong::NoZone(_) => "correct the name under prefer, or add that zone to tiers.zones",
-            Wrong::Twice(_) => {
+            RuleFaultKind::SameName => "give each zone the name that the node list writes, once",
+            RuleFaultKind::NoName => "name the zone as the node list does",
+            RuleFaultKind::NoZone(_) => {
+                "correct the name under prefer, or add that zone to tiers.zones"
+            }
+            RuleFaultKind::Twice(_) => {
                 "name each other zone once over all tiers of prefer, and the zone itself never"
             }
-            Wrong::NoHome => "leave home out, or set it to a name of tiers.zones",
-            Wrong::Elsewhere(_) => {
+            RuleFaultKind::NoHome => "leave home out, or set it to a name of tiers.zones",
+            RuleFaultKind::Elsewhere(_) => {
                 "add the zone that the platform tells this router (settings.Zone) to tiers.zones, or set tiers.home"
             }
-            Wrong::Range(_) => "set this key within these bounds, or leave it out for the default",
+            RuleFaultKind::Range(_) => {
+                "set this key within these bounds, or leave it out for the default"
+            }
         }
     }
 }
 
 /// What is wrong with the rules: the key at fault and why.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{key}: {why}")]
+#[error("{key}: {kind}")]
 pub struct RuleFault {
     /// The path of the key.
     pub key: String,
     /// What is wrong with it.
-    pub why: Wrong,
+    pub kind: RuleFaultKind,
 }
 
 impl RuleFault {
     /// What an operator can do.
     pub fn help(&self) -> &'static str {
-        self.why.help()
+        self.kind.help()
     }
 }
 
 /// No more zones than this: each is looked at for every request that spills.
-pub const MOST_ZONES: usize = 64;
+pub const MAX_ZONES: usize = 64;
 
 impl Rules {
     /// Checks the rules as a whole.
@@ -176,55 +180,64 @@
     /// # Errors
     /// Names the key at fault.
     pub fn check(&self) -> Result<(), RuleFault> {
-        let fault = |key: String, why| Err(RuleFault { key, why });
+        let fault = |key: String, kind| Err(RuleFault { key, kind });
         let share = |v: f64| v > 0.0 && v <= 1.0;
-        if self.zones.is_empty() || self.zones.len() > MOST_ZONES {
-            return fault("zones".into(), Wrong::Count);
+        if self.zones.is_empty() || self.zones.len() > MAX_ZONES {
+            return fault("zones".into(), RuleFaultKind::Count);
         }
         let names: BTreeSet<&str> = self.zones.iter().map(|z| z.name.as_str()).collect();
         if names.len() < self.zones.len() {
-            return fault("zones".into(), Wrong::SameName);
+            return fault("zones".into(), RuleFaultKind::SameName);
         }
         for (place, zone) in self.zones.iter().enumerate() {
             let key = |name: &str| format!("zones[{place}].{name}");
             if zone.name.is_empty() {
-                return fault(key("name"), Wrong::NoName);
+                return fault(key("name"), RuleFaultKind::NoName);
             }
             let mut seen = BTreeSet::new();
             for other in zone.prefer.iter().flatten() {
                 if !names.contains(other.as_str()) {
-                    return fault(key("prefer"), Wrong::NoZone(other.clone()));
+                    return fault(key("prefer"), RuleFaultKind::NoZone(other.clone()));
                 }
                 if other == &zone.name || !seen.insert(other) {
-                    return fault(key("prefer"), Wrong::Twice(other.clone()));
+                    return fault(key("prefer"), RuleFaultKind::Twice(other.clone()));
                 }
             }
         }
         if !self.home.is_empty() && !names.contains(self.home.as_str()) {
-            return fault("home".into(), Wrong::NoHome);
+            return fault("home".into(), RuleFaultKind::NoHome);
         }
         if !(0.0..=1.0).contains(&self.spill) {
-            return fault("spill".into(), Wrong::Range("a share from 0 to 1"));
+            return fault("spill".into(), RuleFaultKind::Range("a share from 0 to 1"));
         }
         if let Some((kind, _)) = self.cores.iter().find(|(_, n)| !(**n > 0.0 && **n < 1e6)) {
-            return fault(format!("cores.{kind}"), Wrong::Range("a number over 0"));
+            return fault(
+                format!("cores.{kind}"),
+                RuleFaultKind::Range("a number over 0"),
+            );
         }
         let (ramp, flap) = (&self.ramp, &self.flap);
         if !share(ramp.start) {
-            return fault("ramp.start".into(), Wrong::Range("a share over 0, to 1"));
+            return fault(
+                "ramp.start".into(),
+                RuleFaultKind::Range("a share over 0, to 1"),
+            );
         }
         if !(ramp.back > 0.0 && ramp.back < 1.0) {
-            return fault("ramp.back".into(), Wrong::Range("a share between 0 and 1"));
+            return fault(
+                "ramp.back".into(),
+                RuleFaultKind::Range("a share between 0 and 1"),
+            );
         }
         if ramp.answers == 0 {
-            return fault("ramp.answers".into(), Wrong::Range("1 or more"));
+            return fault("ramp.answers".into(), RuleFaultKind::Range("1 or more"));
         }
         for (key, ms) in [
             ("ramp.double_ms", ramp.double_ms),
             ("flap.half_life_ms", flap.half_life_ms),
         ] {
             if ms == 0 || ms > 3_600_000 {
-                return fault(key.into(), Wrong::Range("1 to 3600000 ms"));
+                return fault(key.into(), RuleFaultKind::Range("1 to 3600000 ms"));
             }
         }
         if !(flap.each > 0.0
@@ -234,7 +247,7 @@
         {
             return fault(
                 "flap".into(),
-                Wrong::Range("0 < reuse < suppress <= most, and each over 0"),
+                RuleFaultKind::Range("0 < reuse < suppress <= most, and each over 0"),
             );
         }
         Ok(())
--- a/locality/src/tiers.rs
+++ b/locality/src/zone_failover.rs
@@ -3,7 +3,7 @@
 use crate::allowance::Allowance;
 use crate::evidence::{self, Cause, Seen, Sign};
 use crate::ramp::{Flap, Ramp};
-use crate::rules::{MOST_ZONES, RuleFault, Rules, Wrong, Zone, ms};
+use crate::rules::{MAX_ZONES, RuleFault, RuleFaultKind, Rules, Zone, ms};
 use plovercove::*;
 use std::collections::{BTreeMap, VecDeque};
 
@@ -97,7 +97,7 @@
 
 /// One zone, for people and programs that watch.
 #[derive(Clone, Debug, PartialEq)]
-pub struct View {
+pub struct ZoneStatus {
     /// Its name.
     pub zone: String,
     /// Its tier from here, 0 for home.
@@ -169,7 +169,7 @@
         let Some(home) = rules.home_of(settings) else {
             return Err(RuleFault {
                 key: "home".into(),
-                why: Wrong::Elsewhere(settings.zone.clone()),
+                kind: RuleFaultKind::Elsewhere(settings.zone.clone()),
             });
         };
         let prefer = &rules.zones[home].prefer;
@@ -219,7 +219,7 @@
 
     /// Goes on from where another left off, in service: what it has learned of zones and nodes, ramps under way,
     /// penalties and what its allowances held stay, and only the rules are new. Zones that they no longer name come last.
-    pub fn inherit(&mut self, old: &mut ZoneFailover) {
+    pub fn inherit_state(&mut self, old: &mut ZoneFailover) {
         let mut moved = Vec::with_capacity(old.places.len());
         for place in std::mem::take(&mut old.places) {
             let zone = self.zone(&place.name);
@@ -250,8 +250,8 @@
     }
 
     /// How things stand.
-    pub fn view(&self) -> Vec<View> {
-        let view = |p: &Place| View {
+    pub fn zone_statuses(&self) -> Vec<ZoneStatus> {
+        let view = |p: &Place| ZoneStatus {
             zone: p.name.clone(),
             tier: p.tier,
             cause: p.cause,
@@ -275,7 +275,7 @@
         if let Some(place) = self.places.iter().position(|p| p.name == name) {
             return place;
         }
-        if self.places.len() >= MOST_ZONES {
+        if self.places.len() >= MAX_ZONES {
             return self.places.len() - 1;
         }
         let tier = self.places.iter().map(|p| p.tier).max().unwrap_or(0) + 1;
--- a/locality/tests/random.rs
+++ b/locality/tests/random.rs
@@ -137,13 +137,13 @@
                     let mut turned = rules();
                     turned.zones.rotate_left(turn);
                     let mut fresh = ZoneFailover::new(turned, &settings(), 5).expect("good rules");
-                    fresh.inherit(&mut tiers);
+                    fresh.inherit_state(&mut tiers);
                     tiers = fresh;
                 }
             }
             let wait = tiers.retry_after(&RoutingQuery { request, class: 0, is_write: false }, 500_000);
             prop_assert!((100_000..=500_000).contains(&wait));
-            for view in tiers.view() {
+            for view in tiers.zone_statuses() {
                 prop_assert!(view.ramp > 0.0 && view.ramp <= 1.0);
                 prop_assert!(view.spill >= 0.0 && view.spill <= rules().spill * view.capacity.1 + 1e-9);
             }
@@ -170,7 +170,7 @@
     let share = |started| {
         let mut tiers = ZoneFailover::new(rules(), &settings(), 5).expect("good rules");
         tiers.endpoints_changed(now, &list(started));
-        tiers.view()[0].ramp
+        tiers.zone_statuses()[0].ramp
     };
     assert_eq!(share(None), 1.0, "a zone that has long been up");
     assert!(
@@ -220,7 +220,7 @@
     };
     now += 1_000_000;
     assert!(spend(&mut tiers, now) > 0, "zone b had something to give");
-    let before = tiers.view();
+    let before = tiers.zone_statuses();
     assert!(before[0].suppressed && before[0].ramp < 1.0, "{before:?}");
     let mut turned = Rules {
         spill: 0.2,
@@ -234,10 +234,10 @@
         prefer: vec![vec!["b".into()]],
     });
     let mut fresh = ZoneFailover::new(turned, &settings(), 5).expect("good rules");
-    fresh.inherit(&mut tiers);
+    fresh.inherit_state(&mut tiers);
     assert_eq!(spend(&mut fresh, now), 0, "what was spent stays spent");
-    let after = fresh.view();
-    let of = |view: &[plovercove_locality::View], zone: &str| {
+    let after = fresh.zone_statuses();
+    let of = |view: &[plovercove_locality::ZoneStatus], zone: &str| {
         view.iter()
             .find(|v| v.zone == zone)
             .cloned()
@@ -256,7 +256,7 @@
     now += 200_000;
     fresh.weight_share(now, &ask(2_000), &node);
     assert!(
-        of(&fresh.view(), "b").spill < before[1].spill * 0.6,
+        of(&fresh.zone_statuses(), "b").spill < before[1].spill * 0.6,
         "the new limit"
     );
 }
--- a/router/src/error.rs
+++ b/router/src/error.rs
@@ -156,7 +156,7 @@
     Logins(#[source] plovercove_pgwire::Error),
     /// A fault of the tiers.
     #[error("{0}")]
-    Locality(#[source] tiers::Wrong),
+    Locality(#[source] tiers::RuleFaultKind),
     /// A fault of the rules or keys of peers.
     #[error("{}", bare(.0))]
     Peers(#[source] plovercove_gossip::Error),
--- a/router/src/gossip.rs
+++ b/router/src/gossip.rs
@@ -8,7 +8,9 @@
 use crate::upstream::{NodeQuery, QueryOutcome};
 use plovercove::{Settings, Time};
 use plovercove_engine::{Deadline, Engine};
-use plovercove_gossip::{Gossip, GossipEvent, Incarnation, Keys, MOST, Observer, Rules};
+use plovercove_gossip::{
+    Gossip, GossipEvent, Incarnation, Keys, MAX_DATAGRAM_BYTES, Observer, Rules,
+};
 use plovercove_poller::{Interest, Poll, Registered};
 use std::any::Any;
 use std::io::ErrorKind;
@@ -75,7 +77,7 @@
         let me = Incarnation {
             address: advertise,
             boot: now,
-            turn: 0,
+            renewals: 0,
             name: name.into(),
             zone: settings.zone.clone(),
         };
@@ -103,7 +105,7 @@
 
     /// Datagrams have come.
     pub fn event(&mut self, now: Time, engine: &mut Engine) {
-        let mut bytes = [0; MOST + 1];
+        let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
         for _ in 0..EACH_TURN {
             match self.socket.recv(&mut bytes) {
                 Ok(length) => self.peers.receive(now, &bytes[..length]),
@@ -156,8 +158,8 @@
         let (mut changed, mut others) = (false, false);
         while let Some(news) = self.peers.next_event() {
             changed |= matches!(news, GossipEvent::Verdict { .. });
-            others |= matches!(news, GossipEvent::Up(_) | GossipEvent::Down(_));
-            if let (GossipEvent::Stood(span), Some(chores)) = (&news, &mut self.chores) {
+            others |= matches!(news, GossipEvent::MemberUp(_) | GossipEvent::MemberDown(_));
+            if let (GossipEvent::Stalled(span), Some(chores)) = (&news, &mut self.chores) {
                 chores.stood(now, *span);
             }
             tell(news);
@@ -183,14 +185,14 @@
             return Time::MAX;
         };
         if others {
-            chores.seen(now, self.peers.others());
+            chores.seen(now, self.peers.members());
         }
         while let Some(part) = self.peers.next_received_part() {
             chores.arrived(now, part);
         }
         chores.turn(now, engine);
         for (to, kind, body) in chores.take_out() {
-            if !self.peers.post(now, to, kind, body) {
+            if !self.peers.send_part(now, to, kind, body) {
                 chores.unsent();
             }
         }
@@ -217,7 +219,7 @@
                 "SIGHUP: of peers only keys are taken over; the rest needs a restart"
             );
         }
-        self.peers.rekey(terms.keys);
+        self.peers.replace_keys(terms.keys);
     }
 
     /// This router ends: what it owns is handed over, then the others are told.
@@ -264,19 +266,19 @@
             reason = "belief",
             me = belief.me,
             seen = belief.seen,
-            should = belief.should,
+            should = belief.expected,
             members = belief.members.join(" "),
             records = belief.records,
             levels = levels.join(", "),
             sent = counts.sent.0,
             sent_bytes = counts.sent.1,
-            came = counts.came.0,
-            came_bytes = counts.came.1,
-            held_back = counts.held_back,
+            came = counts.received.0,
+            came_bytes = counts.received.1,
+            held_back = counts.over_budget,
             dropped = dropped.join(", "),
             late = counts.late,
-            unknown = counts.unknown,
-            odd = counts.odd,
+            unknown = counts.unknown_records,
+            odd = counts.invalid_messages,
             "what this router believes"
         );
     }
@@ -284,25 +286,29 @@
 
 fn tell(news: GossipEvent) {
     match news {
-        GossipEvent::Up(life) => {
-            info!(reason = "peer up", router = life.name, address = %life.address, zone = life.zone, boot = life.boot, turn = life.turn, "a router is there");
+        GossipEvent::MemberUp(life) => {
+            info!(reason = "peer up", router = life.name, address = %life.address, zone = life.zone, boot = life.boot, turn = life.renewals, "a router is there");
         }
-        GossipEvent::Down(life) => {
-            info!(reason = "peer down", router = life.name, address = %life.address, zone = life.zone, boot = life.boot, turn = life.turn, "a router is gone");
+        GossipEvent::MemberDown(life) => {
+            info!(reason = "peer down", router = life.name, address = %life.address, zone = life.zone, boot = life.boot, turn = life.renewals, "a router is gone");
         }
-        GossipEvent::Count { seen, should } => info!(reason = "peers", seen, should, "routers"),
-        GossipEvent::Twins(a, b) => {
+        GossipEvent::MemberCount { seen, expected } => {
+            info!(reason = "peers", seen, should = expected, "routers")
+        }
+        GossipEvent::DuplicateName(a, b) => {
             warn!(reason = "twins", router = a.name, address = %a.address, other = %b.address, "two routers have one name");
         }
-        GossipEvent::Again(life) => {
+        GossipEvent::Rejoined(life) => {
             info!(
                 reason = "again",
-                turn = life.turn,
+                turn = life.renewals,
                 "the others took this router for gone"
             );
         }
-        GossipEvent::Taken => warn!(reason = "taken", "another router holds this one's address"),
-        GossipEvent::Stood(span) => info!(
+        GossipEvent::AddressTaken => {
+            warn!(reason = "taken", "another router holds this one's address")
+        }
+        GossipEvent::Stalled(span) => info!(
             reason = "stood",
             ms = span / 1_000,
             "this router stood still"
@@ -310,7 +316,7 @@
         GossipEvent::Dropped(fault, count) => {
             warn!(
                 reason = "dropped",
-                why = fault.word(),
+                why = fault.label(),
                 count,
                 help = fault.help(),
                 "datagrams that cannot be taken"
@@ -321,24 +327,24 @@
         }
         GossipEvent::Verdict {
             node,
-            was,
+            previous,
             verdict,
-            tries,
-            testimonies,
+            runs_trials,
+            reports,
         } => {
-            let testimonies: Vec<String> = testimonies.iter().map(ToString::to_string).collect();
-            debug!(reason = "testimonies", %node, said = testimonies.join("; "), "what the verdict rests on");
+            let reports: Vec<String> = reports.iter().map(ToString::to_string).collect();
+            debug!(reason = "testimonies", %node, said = reports.join("; "), "what the verdict rests on");
             info!(
                 reason = "verdict",
                 %node,
-                was = was.word(),
-                level = verdict.level.word(),
+                was = previous.label(),
+                level = verdict.level.label(),
                 why = verdict.why,
                 observers = verdict.observers,
                 oldest_ms = verdict.oldest / 1_000,
-                tries,
+                tries = runs_trials,
                 "node {node}: {}",
-                verdict.level.word()
+                verdict.level.label()
             );
         }
     }
--- a/router/src/lease_tasks/mod.rs
+++ b/router/src/lease_tasks/mod.rs
@@ -21,7 +21,7 @@
 use plovercove_engine::Engine;
 use plovercove_fanout::{self as fanout, Client, Fault, Gateway, Publisher, Subscriber, Topic};
 use plovercove_fencing::{Duty, Refused, Token};
-use plovercove_gossip::{Incarnation, ReceivedPart, carried};
+use plovercove_gossip::{Incarnation, ReceivedPart, payload_kind};
 use plovercove_leases::{Duties, Member, Wanted};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -230,12 +230,12 @@
     /// A part came.
     pub fn arrived(&mut self, now: Time, part: ReceivedPart) {
         match part.kind {
-            carried::DUTY => {
+            payload_kind::LEASE => {
                 self.duties
                     .borrow_mut()
                     .receive(now, &member(&part.from), &part.body, part.late);
             }
-            carried::FANOUT => self.fanout(now, part.from.address, &part.body, part.late),
+            payload_kind::FANOUT => self.fanout(now, part.from.address, &part.body, part.late),
             _ => {}
         }
     }
@@ -301,7 +301,7 @@
             }
             for (kind, body) in std::mem::take(&mut self.own) {
                 match kind {
-                    carried::FANOUT => self.fanout(now, self.me.address, &body, 0),
+                    payload_kind::FANOUT => self.fanout(now, self.me.address, &body, 0),
                     _ => self.duties.borrow_mut().receive(now, &self.me, &body, 0),
                 }
             }
@@ -407,7 +407,7 @@
             .borrow_mut()
             .out()
             .into_iter()
-            .map(|(to, body)| (to, carried::DUTY, body));
+            .map(|(to, body)| (to, payload_kind::LEASE, body));
         let mut all: Vec<_> = duties.collect();
         let fanout = [
             self.publisher.out(),
@@ -421,7 +421,7 @@
             fanout
                 .into_iter()
                 .flatten()
-                .map(|(to, body)| (to, carried::FANOUT, body)),
+                .map(|(to, body)| (to, payload_kind::FANOUT, body)),
         );
         for (to, kind, body) in all {
             if to == self.me.address {
--- a/router/src/operators.rs
+++ b/router/src/operators.rs
@@ -395,8 +395,8 @@
         if let Ok(guard) = std::env::var("PLOVERCOVE_WITHOUT")
             && !guard.contains('/')
         {
-            let known = plovercove_gossip::Guard::named(&guard);
-            rules.without = Some(
+            let known = plovercove_gossip::Guard::from_name(&guard);
+            rules.disabled_guard = Some(
                 known.ok_or_else(|| KeyFault::new("PLOVERCOVE_WITHOUT", Wrong::NoGuard(guard)))?,
             );
         }
@@ -461,7 +461,7 @@
 }
 
 fn of_tiers(fault: RuleFault) -> KeyFault {
-    KeyFault::new(format!("tiers.{}", fault.key), Wrong::Locality(fault.why))
+    KeyFault::new(format!("tiers.{}", fault.key), Wrong::Locality(fault.kind))
 }
 
 /// The operators' file of a router that serves, and what its parts are made with.
--- a/router/src/serve.rs
+++ b/router/src/serve.rs
@@ -393,7 +393,7 @@
         self.discovery
             .move_to(config.discovery, now, &mut self.engine);
         if let Some(told) = told {
-            let zones = told.tiers.as_ref().map_or(0, |t| t.view().len());
+            let zones = told.tiers.as_ref().map_or(0, |t| t.zone_statuses().len());
             self.rezone(told.tiers, now);
             for (address, terms) in told.fronts {
                 // Those who are in stay in; what is asked of newcomers changes.
@@ -417,19 +417,19 @@
     /// Puts other tiers in the place of those in use; they go on from what these have learned.
     fn rezone(&mut self, mut tiers: Option<ZoneFailover>, now: Time) {
         let old = match gossip::observer(&mut self.engine) {
-            Some(observer) => observer.inner(),
+            Some(observer) => observer.locality_policy(),
             None => self.engine.locality_policy(),
         };
         let old = old
             .map(|zoning| zoning as &mut dyn Any)
             .and_then(<dyn Any>::downcast_mut);
         if let (Some(fresh), Some(old)) = (&mut tiers, old) {
-            fresh.inherit(old);
+            fresh.inherit_state(old);
         }
         let tiers = tiers.map(|tiers| Box::new(tiers) as Box<dyn LocalityPolicy>);
         match gossip::observer(&mut self.engine) {
             Some(observer) => {
-                let observer = observer.with(tiers);
+                let observer = observer.with_locality_policy(tiers);
                 self.engine
                     .replace_locality_policy(now, Some(Box::new(observer)));
             }
--- a/router/tests/errors.rs
+++ b/router/tests/errors.rs
@@ -130,7 +130,7 @@
         let fault = ZoneFailover::new(rules, &Settings::default(), 1)
             .err()
             .expect("a fault");
-        all.push(seen("tiers", &fault.why, fault.help()));
+        all.push(seen("tiers", &fault.kind, fault.help()));
     }
 }
 
@@ -150,14 +150,14 @@
     for fault in &faults {
         all.push(seen("peers", fault, fault.help()));
     }
-    use plovercove_gossip::Fault::*;
+    use plovercove_gossip::DatagramFault::*;
     for fault in [
         Foreign, Version, Tag, Malformed, Replayed, OldLife, Own, TooMuch,
     ] {
         let name: &'static str = (&fault).into();
         all.push(Seen(
             format!("datagram::{name}"),
-            fault.word().into(),
+            fault.label().into(),
             fault.help(),
         ));
     }
@@ -413,9 +413,9 @@
     let variants: BTreeSet<String> = [
         named("settings", settings::Fault::VARIANTS),
         named("script", Cause::VARIANTS),
-        named("tiers", plovercove_locality::Wrong::VARIANTS),
+        named("tiers", plovercove_locality::RuleFaultKind::VARIANTS),
         named("peers", plovercove_gossip::Error::VARIANTS),
-        named("datagram", plovercove_gossip::Fault::VARIANTS),
+        named("datagram", plovercove_gossip::DatagramFault::VARIANTS),
         named("dialect", plovercove_pgwire::Error::VARIANTS),
         named("login", Refused::VARIANTS),
         named("router", Error::VARIANTS),
--- a/simulation/src/world/talk.rs
+++ b/simulation/src/world/talk.rs
@@ -75,7 +75,7 @@
         let me = Incarnation {
             address: address(router),
             boot: self.now,
-            turn: 0,
+            renewals: 0,
             name: format!("n{router}"),
             zone,
         };
@@ -177,13 +177,13 @@
     fn heard(&mut self, router: u32, news: GossipEvent) {
         let now = self.now;
         match news {
-            GossipEvent::Verdict { node, verdict, .. } if verdict.level == Level::Out => {
+            GossipEvent::Verdict { node, verdict, .. } if verdict.level == Level::Ejected => {
                 self.talked.outs += 1;
                 let evidence = self
                     .spec
                     .peers
                     .as_ref()
-                    .map_or(0, |p| p.rules.oldest_evidence());
+                    .map_or(0, |p| p.rules.max_evidence_age());
                 let number = self.names.get(&node).copied();
                 let fault = number.and_then(|n| self.faulty[n as usize]);
                 let excused =
@@ -193,7 +193,7 @@
                     self.all_out(n, &node);
                 }
             }
-            GossipEvent::Down(life) => {
+            GossipEvent::MemberDown(life) => {
                 let there = life
                     .name
                     .strip_prefix('n')
@@ -205,7 +205,7 @@
                     .spec
                     .peers
                     .as_ref()
-                    .map_or(0, |p| p.rules.agree_within());
+                    .map_or(0, |p| p.rules.max_convergence_delay());
                 let calm = |at: Option<plovercove::Time>| at.is_none_or(|at| now > at + window);
                 let (a, b) = (&self.routers[there], &self.routers[router as usize]);
                 if calm(a.struck) && calm(b.struck) && calm(self.cut_at) {
@@ -222,7 +222,7 @@
             return;
         }
         let out =
-            |engine: &mut Engine| observer(engine).is_some_and(|w| w.level(node) == Level::Out);
+            |engine: &mut Engine| observer(engine).is_some_and(|w| w.level(node) == Level::Ejected);
         if self
             .routers
             .iter_mut()
