--- a/poller/src/lib.rs
+++ b/poller/src/lib.rs
@@ -101,7 +101,7 @@
 
 impl<S: Socket> Registered<S> {
     /// Changes what it waits for; costs nothing where that is the same.
-    pub fn want(&mut self, interest: Interest) -> io::Result<()> {
+    pub fn set_interest(&mut self, interest: Interest) -> io::Result<()> {
         if self.interest != interest {
             self.poller.modify_with_mode(
                 &self.socket,
--- a/router/src/config.rs
+++ b/router/src/config.rs
@@ -3,7 +3,9 @@
 use crate::Error;
 use crate::discovery::{self, Listing};
 use plovercove::Settings;
-use plovercove_settings::{Fault, Part, Read, Value, number, parse, settings, text, whole};
+use plovercove_settings::{
+    Fault, ReadResult, Section, Value, number, parse, read_settings, text, unsigned,
+};
 use simd_json::prelude::*;
 use std::env;
 use std::fs;
@@ -28,17 +30,17 @@
     /// The agent that knows the db nodes.
     pub discovery: SocketAddr,
     /// The list of db nodes as it was last known.
-    pub known: Listing,
+    pub remembered_list: Listing,
     /// The seed of its random numbers.
     pub seed: u64,
     /// The most connections of clients.
-    pub clients: usize,
+    pub max_clients: usize,
     /// The most connections to db nodes.
-    pub backends: usize,
+    pub max_node_connections: usize,
     /// The most bytes held for clients and db nodes.
-    pub buffered: usize,
+    pub max_buffered_bytes: usize,
     /// How much is logged.
-    pub log: tracing::Level,
+    pub log_level: tracing::Level,
     /// What the module is told.
     pub settings: Settings,
 }
@@ -81,13 +83,15 @@
 fn from_json(json: Vec<u8>, variable: impl Fn(&str) -> Option<String>) -> Result<Config, Error> {
     let value = parse(json)?;
     if !value.is_object() {
-        return Err(plovercove_settings::bad("the configuration", "an object", &value).into());
+        return Err(
+            plovercove_settings::wrong_kind("the configuration", "an object", &value).into(),
+        );
     }
-    let top = Part::new(&value, "");
+    let top = Section::new(&value, "");
     let told = |name: &str, key: &str| -> Result<_, Error> {
         match variable(name) {
             Some(given) => Ok((given, name.to_string())),
-            None => Ok((top.get(key, text)?.to_string(), key.to_string())),
+            None => Ok((top.required(key, text)?.to_string(), key.to_string())),
         }
     };
     let address = |name: &str, key: &str| {
@@ -97,11 +101,11 @@
             got: given,
         })
     };
-    let limits = top.maybe_sub("limits")?;
+    let limits = top.optional_section("limits")?;
     let limit = |key: &str| {
         limits
             .as_ref()
-            .map_or(Ok(None), |part| part.maybe(key, number))
+            .map_or(Ok(None), |part| part.optional(key, number))
     };
     let sockets = limit("sockets")?.map_or(SOCKETS, |n| n as u64);
     if sockets < LEAST.0 {
@@ -124,33 +128,33 @@
         name: told("PROXY_NAME", "name")?.0,
         listen: address("PROXY_LISTEN", "listen")?,
         discovery: address("PROXY_DISCOVERY", "discovery")?,
-        known: top.maybe("known", known)?.unwrap_or_default(),
-        seed: top.maybe("seed", seed)?.unwrap_or(1),
-        clients: clients as usize,
-        backends: (sockets - RESERVED - clients) as usize,
-        buffered: (memory * MEMORY.1 * 1e6) as usize,
-        log: match variable("PROXY_LOG") {
+        remembered_list: top.optional("known", known)?.unwrap_or_default(),
+        seed: top.optional("seed", seed)?.unwrap_or(1),
+        max_clients: clients as usize,
+        max_node_connections: (sockets - RESERVED - clients) as usize,
+        max_buffered_bytes: (memory * MEMORY.1 * 1e6) as usize,
+        log_level: match variable("PROXY_LOG") {
             Some(word) => word.parse().map_err(|_| Error::Level(word))?,
             None => tracing::Level::INFO,
         },
-        settings: settings(top.get("settings", |v, _| Ok(v))?, "settings.")?.settings,
+        settings: read_settings(top.required("settings", |v, _| Ok(v))?, "settings.")?.settings,
     })
 }
 
 /// What was remembered is this program's own form: a status that it does not know is a mistake there.
-fn known(value: &Value, what: &str) -> Read<Listing> {
-    let listing = discovery::listing(value, &format!("{what}."))?;
+fn known(value: &Value, what: &str) -> ReadResult<Listing> {
+    let listing = discovery::read_listing(value, &format!("{what}."))?;
     listing
-        .odd
+        .unknown_status
         .clone()
         .map_or(Ok(listing), |odd| Err(Fault::new(odd)))
 }
 
-fn seed(value: &Value, what: &str) -> Read<u64> {
+fn seed(value: &Value, what: &str) -> ReadResult<u64> {
     let hex = value
         .as_str()
         .and_then(|digits| u64::from_str_radix(digits, 16).ok());
-    hex.map_or_else(|| whole(value, what), Ok)
+    hex.map_or_else(|| unsigned(value, what), Ok)
 }
 
 #[cfg(test)]
--- a/router/src/config/tests.rs
+++ b/router/src/config/tests.rs
@@ -76,7 +76,7 @@
         ("127.0.0.9:9", "n1")
     );
     assert_eq!(
-        (config.seed, config.clients, config.backends),
+        (config.seed, config.max_clients, config.max_node_connections),
         (0x8c1f_30d2_7a5b_e964, 500, 500)
     );
 }
--- a/router/src/discovery.rs
+++ b/router/src/discovery.rs
@@ -5,12 +5,14 @@
 
 use crate::clock;
 use crate::net::budget::Budget;
-use crate::net::stream::{Peer, Stream};
-use crate::net::{Source, begin_connect, poll_key};
+use crate::net::stream::{PeerState, Stream};
+use crate::net::{EventSource, begin_connect, poll_key};
 use plovercove::{Endpoint, EndpointState, Time};
 use plovercove_engine::{Deadline, Engine, WatchSchedule};
 use plovercove_poller::{Interest, Poll};
-use plovercove_settings::{Fault, Part, Read, Value, flag, list, number, parse, text, whole};
+use plovercove_settings::{
+    Fault, ReadResult, Section, Value, boolean, list, number, parse, text, unsigned,
+};
 use std::io;
 use std::net::SocketAddr;
 use tracing::{debug, info, warn};
@@ -31,36 +33,36 @@
     /// Its version.
     pub index: u64,
     /// Whether it is the whole list.
-    pub whole: bool,
+    pub is_complete: bool,
     /// Its entries, with the addresses they are reached at.
     pub entries: Vec<(Endpoint, Option<SocketAddr>)>,
     /// A status that this router does not know, and where it stands; its entry counts as draining.
-    pub odd: Option<String>,
+    pub unknown_status: Option<String>,
 }
 
 /// Reads a list; complaints name its keys from this path on.
-pub fn listing(value: &Value, path: &str) -> Read<Listing> {
-    let top = Part::new(value, path);
-    let (mut entries, mut odd) = (Vec::new(), None);
-    for (place, value) in top.get("endpoints", list)?.iter().enumerate() {
-        let part = Part::new(value, format!("{path}endpoints[{place}]."));
-        part.get("status", text)?;
-        let state = part.word("status", &STATES).unwrap_or_else(|fault| {
-            odd = Some(fault.to_string());
+pub fn read_listing(value: &Value, path: &str) -> ReadResult<Listing> {
+    let top = Section::new(value, path);
+    let (mut entries, mut unknown_status) = (Vec::new(), None);
+    for (place, value) in top.required("endpoints", list)?.iter().enumerate() {
+        let part = Section::new(value, format!("{path}endpoints[{place}]."));
+        part.required("status", text)?;
+        let state = part.one_of("status", &STATES).unwrap_or_else(|fault| {
+            unknown_status = Some(fault.to_string());
             EndpointState::Draining
         });
         entries.push(entry(&part, state)?);
     }
     Ok(Listing {
-        index: top.get("index", whole)?,
-        whole: top.get("snapshot", flag)?,
+        index: top.required("index", unsigned)?,
+        is_complete: top.required("snapshot", boolean)?,
         entries,
-        odd,
+        unknown_status,
     })
 }
 
-fn entry(part: &Part<'_>, state: EndpointState) -> Read<(Endpoint, Option<SocketAddr>)> {
-    let address = part.maybe("address", |value, what| {
+fn entry(part: &Section<'_>, state: EndpointState) -> ReadResult<(Endpoint, Option<SocketAddr>)> {
+    let address = part.optional("address", |value, what| {
         let given = text(value, what)?;
         given.parse().map_err(|_| {
             Fault::new(format!(
@@ -74,17 +76,17 @@
         address?
     };
     let started = part
-        .maybe("since_ms", whole)?
+        .optional("since_ms", unsigned)?
         .filter(|ms| *ms > 0)
         .map(clock::from_ms);
     let entry = Endpoint {
-        node: part.get("name", text)?.into(),
-        zone: part.maybe("zone", text)?.unwrap_or("").to_string(),
-        machine_kind: part.maybe("type", text)?.unwrap_or("").to_string(),
-        listed_as_primary: part.maybe("replication", text)? == Some("primary"),
-        group: part.maybe("group", whole)?.unwrap_or(0),
+        node: part.required("name", text)?.into(),
+        zone: part.optional("zone", text)?.unwrap_or("").to_string(),
+        machine_kind: part.optional("type", text)?.unwrap_or("").to_string(),
+        listed_as_primary: part.optional("replication", text)? == Some("primary"),
+        group: part.optional("group", unsigned)?.unwrap_or(0),
         state,
-        weight: part.maybe("weight", number)?.unwrap_or(1.0),
+        weight: part.optional("weight", number)?.unwrap_or(1.0),
         started_at: started,
     };
     Ok((entry, address))
@@ -234,7 +236,7 @@
 
     fn connect(&self) -> io::Result<Stream> {
         let socket = begin_connect(self.agent)?;
-        let key = poll_key(Source::Discovery, None);
+        let key = poll_key(EventSource::Discovery, None);
         // Whatever clients hold, the list must come through.
         Stream::new(
             &self.poll,
@@ -282,10 +284,10 @@
         let Some(stream) = &mut self.stream else {
             return;
         };
-        stream.put(|out| out.extend_from_slice(request.as_bytes()));
+        stream.queue_output(|out| out.extend_from_slice(request.as_bytes()));
         // What can't be written yet goes once there is room; that it broke is told by the next event.
         let _ = stream.flush();
-        stream.wait_for(true);
+        stream.set_read_interest(true);
     }
 
     /// The call failed: the list stays, and the next call asks for news of it, which costs less than the whole.
@@ -331,16 +333,16 @@
     /// Why a list that can be read is not to be followed, if it is not. Danger: an agent that has lost what it knew would
     /// close every db node with one answer.
     fn doubt(&mut self, listing: &Listing) -> Option<Trouble> {
-        if listing.whole && listing.entries.is_empty() && self.named {
+        if listing.is_complete && listing.entries.is_empty() && self.named {
             return Some(Trouble::Nobody);
         }
-        if !listing.whole && self.index.is_some_and(|known| listing.index < known) {
+        if !listing.is_complete && self.index.is_some_and(|known| listing.index < known) {
             self.index = None;
             return Some(Trouble::Older(listing.index));
         }
         // A spoilt answer differs the next time; a word that comes again is one that this version does not know.
         let odd = listing
-            .odd
+            .unknown_status
             .clone()
             .filter(|odd| self.odd.as_ref() != Some(odd))?;
         self.index = None;
@@ -353,11 +355,11 @@
             info!("discovery answers again");
             // It was doubted just now, so this is told once, and not with every list that has it.
             listing
-                .odd
+                .unknown_status
                 .iter()
                 .for_each(|odd| warn!("discovery: {odd}; its node counts as draining"));
         }
-        self.odd.clone_from(&listing.odd);
+        self.odd.clone_from(&listing.unknown_status);
         debug!(
             index = listing.index,
             entries = listing.entries.len(),
@@ -377,7 +379,7 @@
     pub fn event(&mut self, now: Time, engine: &mut Engine) -> Option<Listing> {
         let stream = self.stream.as_mut()?;
         if self.phase == Phase::Connecting {
-            match stream.connected() {
+            match stream.is_connected() {
                 true => self.request(now, engine),
                 false => self.failed(&Trouble::Unreachable, now, engine),
             }
@@ -386,26 +388,30 @@
         // What was said before a connection broke is read all the same; that it broke is asked once only, since asking
         // takes it away and the next read would find an end.
         let broke = stream.flush().is_err();
-        stream.wait_for(true);
+        stream.set_read_interest(true);
         let peer = match stream.fill() {
-            Peer::Gone if broke => Peer::Reset,
+            PeerState::Closed if broke => PeerState::Reset,
             peer => peer,
         };
         let length = stream.unread().len();
         if self.phase == Phase::Resting {
-            if peer != Peer::Open || length > 0 {
+            if peer != PeerState::Open || length > 0 {
                 self.stream = None;
             }
             return None;
         }
         // A reset is no end: what has no length is whole only where the other side ended it.
-        let (body, end) = match answer(stream.unread(), peer == Peer::Gone) {
+        let (body, end) = match answer(stream.unread(), peer == PeerState::Closed) {
             Ok(Some(whole)) => whole,
             Ok(None) => {
                 match peer {
-                    Peer::Open if length < LONGEST => {}
-                    Peer::Open | Peer::TooMuch => self.failed(&Trouble::TooLong, now, engine),
-                    Peer::Gone | Peer::Reset => self.failed(&Trouble::Closed, now, engine),
+                    PeerState::Open if length < LONGEST => {}
+                    PeerState::Open | PeerState::OverBudget => {
+                        self.failed(&Trouble::TooLong, now, engine)
+                    }
+                    PeerState::Closed | PeerState::Reset => {
+                        self.failed(&Trouble::Closed, now, engine)
+                    }
                 }
                 return None;
             }
@@ -416,12 +422,12 @@
         };
         // Danger: an answer that nobody asked for would be taken for the one to the next call, and each one from then on
         // for the one after it. What it holds is asked for on a new connection.
-        if peer != Peer::Open || end < length {
+        if peer != PeerState::Open || end < length {
             self.stream = None;
         } else {
-            stream.take(end);
+            stream.consume(end);
         }
-        let listing = match parse(body).and_then(|value| listing(&value, "")) {
+        let listing = match parse(body).and_then(|value| read_listing(&value, "")) {
             Ok(listing) => listing,
             Err(fault) => {
                 // What could not be read may have held news: it is asked for whole.
--- a/router/src/error.rs
+++ b/router/src/error.rs
@@ -58,13 +58,13 @@
     #[error(transparent)]
     Script(#[from] plovercove_starlark_config::Fault),
     /// A fault of a key of the operators' file.
-    #[error("{place}: {wrong}")]
+    #[error("{place}: {cause}")]
     Operators {
         /// The file, the line and the key.
         place: Box<Place>,
         /// What is wrong.
         #[source]
-        wrong: Wrong,
+        cause: KeyFaultCause,
     },
     /// Signals cannot be caught.
     #[error("cannot catch signals: {0}")]
@@ -104,7 +104,7 @@
             Error::Level(_) => "set PROXY_LOG to one of these words, or leave it out for info",
             Error::Setting(fault) => fault.help(),
             Error::Script(fault) => fault.help(),
-            Error::Operators { wrong, .. } => wrong.help(),
+            Error::Operators { cause, .. } => cause.help(),
             Error::Signals(_) => {
                 "raise the limit on open files; if that is not it, send in this line and the system's version"
             }
@@ -128,7 +128,7 @@
 
 /// What is wrong with a key of the operators' file.
 #[derive(Debug, thiserror::Error, strum::IntoStaticStr, strum::VariantNames)]
-pub enum Wrong {
+pub enum KeyFaultCause {
     /// A file of secrets that cannot be read.
     #[error("{path} cannot be read: {source}")]
     Unreadable {
@@ -206,47 +206,49 @@
     NoGuard(String),
 }
 
-impl Wrong {
+impl KeyFaultCause {
     /// What an operator can do.
     pub fn help(&self) -> &'static str {
         match self {
-            Wrong::Unreadable { .. } => {
+            KeyFaultCause::Unreadable { .. } => {
                 "name a file that is there, seen from the operators' file, and that the router's user owns"
             }
-            Wrong::Open(_) => {
+            KeyFaultCause::Open(_) => {
                 "run chmod 600 on the file, and change the secrets in it: others may have read them"
             }
-            Wrong::TooLong(_) => {
+            KeyFaultCause::TooLong(_) => {
                 "name the file of secrets and not another; it holds a key, a password or users"
             }
-            Wrong::Users { source, .. } | Wrong::Logins(source) => source.help(),
-            Wrong::Locality(wrong) => wrong.help(),
-            Wrong::Peers(error) => error.help(),
-            Wrong::Duties(fault) => fault.help(),
-            Wrong::NoMethod => {
+            KeyFaultCause::Users { source, .. } | KeyFaultCause::Logins(source) => source.help(),
+            KeyFaultCause::Locality(fault) => fault.help(),
+            KeyFaultCause::Peers(error) => error.help(),
+            KeyFaultCause::Duties(fault) => fault.help(),
+            KeyFaultCause::NoMethod => {
                 "list at least one of versions and one of methods, or take the front out"
             }
-            Wrong::TrustBeside => {
+            KeyFaultCause::TrustBeside => {
                 "leave trust alone in methods, or take it out: with it nobody would be asked for a proof"
             }
-            Wrong::NoUsers => {
+            KeyFaultCause::NoUsers => {
                 "set credentials to a file of users and verifiers, seen from the operators' file"
             }
-            Wrong::Clients => "set clients to 1 or more and idle_s to 1 to 86400",
-            Wrong::NoName => "name the front; the log tells of it by that name",
-            Wrong::Dates => "set date_style as PostgreSQL's DateStyle, such as \"ISO, MDY\"",
-            Wrong::NameTwice => "give each front a name of its own",
-            Wrong::NoClass(_) => "name a class of the configuration's settings.Profiles",
-            Wrong::ClassDoes { .. } => {
+            KeyFaultCause::Clients => "set clients to 1 or more and idle_s to 1 to 86400",
+            KeyFaultCause::NoName => "name the front; the log tells of it by that name",
+            KeyFaultCause::Dates => {
+                "set date_style as PostgreSQL's DateStyle, such as \"ISO, MDY\""
+            }
+            KeyFaultCause::NameTwice => "give each front a name of its own",
+            KeyFaultCause::NoClass(_) => "name a class of the configuration's settings.Profiles",
+            KeyFaultCause::ClassDoes { .. } => {
                 "name a class that reads under reads, and one whose ClassRead is update under writes"
             }
-            Wrong::Version => {
+            KeyFaultCause::Version => {
                 "set servers.version to \"3.0\" or \"3.2\"; servers that speak only 2.0 cannot be used"
             }
-            Wrong::Advertise => {
+            KeyFaultCause::Advertise => {
                 "set peers.advertise to this machine's own address and port, since listen is an address of no machine"
             }
-            Wrong::NoGuard(_) => {
+            KeyFaultCause::NoGuard(_) => {
                 "take PLOVERCOVE_WITHOUT out of the environment; it is for tests alone"
             }
         }
@@ -263,30 +265,30 @@
 
 /// What is wrong with a key of the operators' file, before its line is known.
 #[derive(Debug, thiserror::Error)]
-#[error("{key}: {wrong}")]
+#[error("{key}: {cause}")]
 pub struct KeyFault {
     /// The path of the key.
     pub key: String,
     /// What is wrong.
     #[source]
-    pub wrong: Wrong,
+    pub cause: KeyFaultCause,
 }
 
 impl KeyFault {
     /// A fault of this key.
-    pub(crate) fn new(key: impl Into<String>, wrong: Wrong) -> Self {
+    pub(crate) fn new(key: impl Into<String>, cause: KeyFaultCause) -> Self {
         KeyFault {
             key: key.into(),
-            wrong,
+            cause,
         }
     }
 
     /// A fault whose text begins with the key, seen from this one.
-    pub(crate) fn under(key: &str, complaint: &impl Display, wrong: Wrong) -> Self {
+    pub(crate) fn under(key: &str, complaint: &impl Display, cause: KeyFaultCause) -> Self {
         let text = complaint.to_string();
         let key = text
             .split_once(": ")
             .map_or(key.to_string(), |(inner, _)| format!("{key}.{inner}"));
-        KeyFault { key, wrong }
+        KeyFault { key, cause }
     }
 }
--- a/router/src/front/accept.rs
+++ b/router/src/front/accept.rs
@@ -7,7 +7,7 @@
 use super::listener::{Listener, ListenerConfig};
 use super::shutdown::{FIRST_REQUEST_TIMEOUT_DRAINING, MESSAGE_TIMEOUT_DRAINING};
 use crate::net::stream::Stream;
-use crate::net::{Source, poll_key};
+use crate::net::{EventSource, poll_key};
 use plovercove::{Micros, Time};
 use plovercove_engine::{Deadline, Engine, Key};
 use plovercove_pgwire::Version;
@@ -52,7 +52,7 @@
         socket.set_nonblocking(true)?;
         SockRef::from(&socket).listen(LISTEN_BACKLOG)?;
         let number = Key::from_number(self.context.listeners.len() as u64);
-        let key = poll_key(Source::Listener, Some(number));
+        let key = poll_key(EventSource::Listener, Some(number));
         let socket = self.poll.register(socket, key, Interest::Read)?;
         self.context.listeners.push(Listener::new(config, socket));
         Ok(())
@@ -146,7 +146,7 @@
     fn set_listeners_interest(&mut self, interest: Interest) {
         let listeners = self.context.listeners.iter_mut();
         for socket in listeners.filter_map(|listener| listener.socket.as_mut()) {
-            if let Err(e) = socket.want(interest) {
+            if let Err(e) = socket.set_interest(interest) {
                 warn!("a listener's interest cannot be changed: {e}");
             }
         }
@@ -182,7 +182,7 @@
         let idle_timeout = listener.config.idle_timeout;
         let (poll, budget) = (&self.poll, &self.context.budget);
         let made = self.clients.insert_with(|key| {
-            let key = poll_key(Source::Client, Some(key));
+            let key = poll_key(EventSource::Client, Some(key));
             let most = MAX_MESSAGE_BYTES + 8;
             let stream = Stream::new(poll, budget, socket, key, Interest::Read, most)?;
             Ok::<_, io::Error>(Client {
--- a/router/src/front/cancellation.rs
+++ b/router/src/front/cancellation.rs
@@ -2,7 +2,7 @@
 
 use super::client::{Client, Phase};
 use super::{Context, Front};
-use crate::net::stream::Peer;
+use crate::net::stream::PeerState;
 use crate::statement_labels::code;
 use plovercove::Time;
 use plovercove_engine::Engine;
@@ -35,8 +35,8 @@
         // The query may have come before the wish and be read after it: unread, it would run for nobody.
         if client.pending.is_empty() {
             let peer = client.receive(&mut self.context, key, now);
-            let exchanged =
-                peer == Peer::Open && client.exchange(&mut self.context, key, now, engine).is_ok();
+            let exchanged = peer == PeerState::Open
+                && client.exchange(&mut self.context, key, now, engine).is_ok();
             if !exchanged {
                 return self.close(key, engine);
             }
@@ -76,7 +76,7 @@
 
     /// One that was told its end before it had said anything may want a cancel all the same: the two have crossed. Unheard,
     /// its request would be sent on for nobody. Returns whether the other side is there, while it is not known what it wants.
-    pub(super) fn hear_late_cancel(&mut self, context: &mut Context) -> Option<Peer> {
+    pub(super) fn hear_late_cancel(&mut self, context: &mut Context) -> Option<PeerState> {
         let mut startup = self.startup.take_if(|startup| !startup.opened())?;
         let peer = self.stream.fill();
         let rules = &context.listeners[self.listener].config.rules;
--- a/router/src/front/client.rs
+++ b/router/src/front/client.rs
@@ -1,7 +1,7 @@
 //! One client's connection: where its session stands, what is owed to it, and how long it is waited for.
 
 use super::eviction::{EvictionKind, EvictionRank};
-use crate::net::budget::{Budget, Buffer, Share};
+use crate::net::budget::{Budget, Buffer, Reservation};
 use crate::net::stream::Stream;
 use crate::statement_labels::{Statement, code};
 use plovercove::{Micros, Time};
@@ -57,7 +57,7 @@
     pub(super) statement: Rc<Statement>,
     pub(super) is_write: bool,
     /// The statement's bytes in the budget, for as long as it is held.
-    pub(super) _share: Share,
+    pub(super) _reservation: Reservation,
 }
 
 /// One thing that is owed to a client, in order.
@@ -200,7 +200,7 @@
     pub(super) fn wants_input(&self) -> bool {
         let may_read_ahead = || {
             let is_short = self.stream.unread().len() < MAX_READ_AHEAD_BYTES;
-            is_short && self.stream.may_hoard()
+            is_short && self.stream.may_read_ahead()
         };
         self.is_lingering() || self.may_begin_message() || may_read_ahead()
     }
@@ -251,7 +251,7 @@
             is_delivering: self.stream.is_delivering(),
         });
         self.last_progress_at = now;
-        self.stream.finish();
+        self.stream.shut_down_write();
     }
 
     /// The time of a lingering client is up: whether it lingers on, since its answer has not left the system's buffer.
@@ -276,7 +276,7 @@
         };
         let encoder = self.encoder();
         self.stream
-            .put(|out| encoder.error(true, code::TURNED_AWAY, text, None, out));
+            .queue_output(|out| encoder.error(true, code::TURNED_AWAY, text, None, out));
         // One that cannot be told has gone.
         let _ = self.stream.flush();
     }
--- a/router/src/front/eviction.rs
+++ b/router/src/front/eviction.rs
@@ -5,7 +5,7 @@
 
 use super::Front;
 use super::client::Client;
-use crate::net::stream::Peer;
+use crate::net::stream::PeerState;
 use plovercove::{Micros, Time};
 use plovercove_engine::{Deadline, Engine, Key};
 use std::collections::BTreeSet;
@@ -268,6 +268,6 @@
             return true;
         }
         let peer = self.receive(context, key, now);
-        peer == Peer::Open && self.stream.unread().len() > unread_before
+        peer == PeerState::Open && self.stream.unread().len() > unread_before
     }
 }
--- a/router/src/front/exchange.rs
+++ b/router/src/front/exchange.rs
@@ -2,7 +2,7 @@
 
 use super::Context;
 use super::client::{Client, MAX_READ_AHEAD_BYTES, MAX_UNSENT_BYTES, Phase};
-use crate::net::stream::Peer;
+use crate::net::stream::PeerState;
 use plovercove::Time;
 use plovercove_engine::{Engine, Key};
 use plovercove_pgwire::Version;
@@ -28,9 +28,9 @@
 impl Client {
     /// Reads what a client has sent, up to its end where that can be reached. Whoever wants a request cancelled need not wait
     /// for our end of the connection.
-    pub(super) fn receive(&mut self, context: &mut Context, key: Key, now: Time) -> Peer {
+    pub(super) fn receive(&mut self, context: &mut Context, key: Key, now: Time) -> PeerState {
         let peer = self.fill();
-        if peer != Peer::Open {
+        if peer != PeerState::Open {
             let is_logging_in =
                 |client: &Client| client.startup.is_some() && client.phase != Phase::Closing;
             while is_logging_in(self) && self.advance_login(context, key, now) {}
@@ -40,25 +40,25 @@
 
     /// Reads ahead, too: with a client's end left for the next turn, requests would begin though it has gone while the loop
     /// was busy.
-    fn fill(&mut self) -> Peer {
+    fn fill(&mut self) -> PeerState {
         // What one that lingers sends is dropped elsewhere.
         if self.is_lingering() {
-            return Peer::Open;
+            return PeerState::Open;
         }
         while self.wants_input() {
             let unread_before = self.stream.unread().len();
             match self.stream.fill() {
-                Peer::Open if self.stream.unread().len() > unread_before => {
+                PeerState::Open if self.stream.unread().len() > unread_before => {
                     if self.stream.unread().len() >= MAX_READ_AHEAD_BYTES {
                         break;
                     }
                 }
                 // What is read ahead need not be: there is memory for it later.
-                Peer::TooMuch if !self.may_begin_message() => break,
+                PeerState::OverBudget if !self.may_begin_message() => break,
                 peer => return peer,
             }
         }
-        Peer::Open
+        PeerState::Open
     }
 
     /// Queues the answers whose turn it is, takes in what there is room for, and writes.
@@ -72,7 +72,7 @@
         key: Key,
         now: Time,
         engine: &mut Engine,
-    ) -> Result<Exchanged, Peer> {
+    ) -> Result<Exchanged, PeerState> {
         let mut messages_left = MAX_MESSAGES_PER_TURN;
         loop {
             self.write_answers_in_order();
@@ -102,7 +102,8 @@
 
     fn write_answers_in_order(&mut self) {
         while let Some(answer) = self.pending.front_mut().and_then(|p| p.answer.take()) {
-            self.stream.put(|out| out.extend_from_slice(&answer));
+            self.stream
+                .queue_output(|out| out.extend_from_slice(&answer));
             self.pending.pop_front();
         }
     }
@@ -146,7 +147,7 @@
         };
         let (kind, length) = (message.kind, message.raw.len());
         let query = (kind == b'Q').then(|| message.body.strip_suffix(&[0]).map(<[u8]>::to_vec));
-        self.stream.take(length);
+        self.stream.consume(length);
         let budget = &context.budget;
         match (kind, query) {
             (b'X', _) => self.phase = Phase::Closing,
@@ -202,14 +203,14 @@
                     return is_too_long;
                 };
                 let text = rest[..end].to_vec();
-                self.stream.take(end + 2);
+                self.stream.consume(end + 2);
                 self.read_query(context, key, text, now, engine);
             }
             b'X' => self.phase = Phase::Closing,
             b'F' => match messages::old_function_call(rest, MAX_MESSAGE_BYTES) {
                 Ok(None) => return false,
                 Ok(Some(length)) => {
-                    self.stream.take(length + 1);
+                    self.stream.consume(length + 1);
                     let text = "function calls are not supported";
                     self.reply_protocol_error(&context.budget, code::UNSUPPORTED, text);
                 }
--- a/router/src/front/login.rs
+++ b/router/src/front/login.rs
@@ -64,7 +64,7 @@
         let Some((length, step)) = startup.take(rules, bytes, &nonce, reply)? else {
             return Ok(None);
         };
-        self.stream.take(length);
+        self.stream.consume(length);
         Ok(Some(step))
     }
 
--- a/router/src/front/mod.rs
+++ b/router/src/front/mod.rs
@@ -30,7 +30,7 @@
 pub use listener::{DefaultClass, DefaultLabels, ListenerConfig};
 
 use crate::net::budget::Budget;
-use crate::net::stream::Peer;
+use crate::net::stream::PeerState;
 use cancellation::CancelRequest;
 use client::{Client, Phase};
 use eviction::{EvictionOrder, IDLE_LINGER_TIMEOUT};
@@ -138,7 +138,7 @@
             return;
         };
         let peer = client.receive(&mut self.context, key, now);
-        if hung_up || peer != Peer::Open {
+        if hung_up || peer != PeerState::Open {
             debug!(client = key.number(), ?peer, hung_up, "closed");
             return self.close(key, engine);
         }
@@ -199,7 +199,7 @@
             client.may_begin_message() && !exchanged.has_more && !client.stream.unread().is_empty();
         let began_at = client.message_began_at.unwrap_or(now);
         client.message_began_at = has_partial_message.then_some(began_at);
-        client.stream.wait_for(client.wants_input());
+        client.stream.set_read_interest(client.wants_input());
         let may_end = self.is_draining
             && client.has_requested
             && client.is_idle()
@@ -226,7 +226,7 @@
         };
         let peer = client.receive(&mut self.context, key, now);
         let goes_on =
-            peer == Peer::Open && client.exchange(&mut self.context, key, now, engine).is_ok();
+            peer == PeerState::Open && client.exchange(&mut self.context, key, now, engine).is_ok();
         if !goes_on {
             return self.close(key, engine);
         }
--- a/router/src/front/query.rs
+++ b/router/src/front/query.rs
@@ -43,7 +43,7 @@
     ) {
         let wants_labels = context.listeners[self.listener].wants_labels();
         let has_labels =
-            || text.trim_start().starts_with("/*") && statement_labels::labels(text).is_ok();
+            || text.trim_start().starts_with("/*") && statement_labels::read_labels(text).is_ok();
         if !wants_labels && !has_labels() {
             if let Some(text) = self.answer_or_label(context, text) {
                 self.forward_or_object(context, key, &text, now, engine);
@@ -141,7 +141,7 @@
         now: Time,
         engine: &mut Engine,
     ) -> Result<ForwardedRequest, Objection> {
-        let labels = statement_labels::labels(text)
+        let labels = statement_labels::read_labels(text)
             .map_err(|fault| Objection::of_client(code::PROTOCOL, fault.to_string()))?;
         let Some(class) = context.names.class(labels.class) else {
             let text = format!("class {:?} does not exist", labels.class);
@@ -154,7 +154,7 @@
         let class_rules = &engine.classes()[class];
         let time_left = checked_patience(&labels, class_rules)?;
         let tenant = checked_tenant(context, &labels)?;
-        let Some(share) = context.budget.take(text.len()) else {
+        let Some(reservation) = context.budget.reserve(text.len()) else {
             let text = "too many statements are waiting";
             return Err(Objection::OfRouter(Fault::new(code::TURNED_AWAY, text)));
         };
@@ -168,11 +168,11 @@
         let info = RequestInfo {
             class,
             tenant,
-            session: labels.key.filter(|_| has_session).map(Into::into),
+            session: labels.quoted_key.filter(|_| has_session).map(Into::into),
             time_left,
             group: labels.group,
             last_write_age: self.last_write_age(&labels, access, wants_labels, now),
-            is_retry: labels.repeat,
+            is_retry: labels.is_retry,
             ..RequestInfo::default()
         };
         let shape = if wants_labels {
@@ -184,7 +184,7 @@
             statement: Rc::new(Statement::new(text, &labels, shape)),
             is_write: access == Access::Write,
             request: engine.begin_request(key, info),
-            _share: share,
+            _reservation: reservation,
         })
     }
 
@@ -197,7 +197,7 @@
         wants_labels: bool,
         now: Time,
     ) -> Option<Micros> {
-        let carried = labels.after.filter(|at| *at > 0);
+        let carried = labels.min_position_ms.filter(|at| *at > 0);
         if let Some(at_ms) = carried {
             return Some(clock::age(now, clock::from_ms(at_ms)));
         }
@@ -208,10 +208,10 @@
 }
 
 fn checked_patience(labels: &Labels<'_>, class: &Class) -> Result<Micros, Objection> {
-    let patience = clock::from_ms(labels.patience);
+    let patience = clock::from_ms(labels.timeout_ms);
     let most = class.deadline.saturating_mul(MAX_PATIENCE_DEADLINES);
     if patience == 0 || patience > most {
-        let text = format!("d: nobody waits for {} ms", labels.patience);
+        let text = format!("d: nobody waits for {} ms", labels.timeout_ms);
         return Err(Objection::of_client(code::PROTOCOL, text));
     }
     Ok(patience)
--- a/router/src/front/shutdown.rs
+++ b/router/src/front/shutdown.rs
@@ -5,7 +5,7 @@
 use super::Front;
 use super::accept::{Backlog, LISTEN_BACKLOG, MAX_ACCEPTS_PER_TURN};
 use super::client::Client;
-use crate::net::stream::Peer;
+use crate::net::stream::PeerState;
 use plovercove::{Micros, Time};
 use plovercove_engine::{Engine, Key};
 
@@ -81,7 +81,7 @@
             self.begin_linger(now, LINGER_TIMEOUT);
         }
         if let Some(peer) = self.hear_late_cancel(context) {
-            return peer != Peer::Open;
+            return peer != PeerState::Open;
         }
         let Some(linger) = &mut self.linger else {
             return true;
--- a/router/src/gossip.rs
+++ b/router/src/gossip.rs
@@ -4,7 +4,7 @@
 use crate::Error;
 use crate::clock::Clock;
 use crate::lease_tasks::{self, LeaseTasks};
-use crate::net::{Source, poll_key};
+use crate::net::{EventSource, poll_key};
 use crate::upstream::{NodeQuery, QueryOutcome};
 use plovercove::{Settings, Time};
 use plovercove_engine::{Deadline, Engine};
@@ -30,7 +30,7 @@
     /// All else.
     pub rules: Rules,
     /// What it does for the fleet, if anything.
-    pub duties: Option<lease_tasks::LeaseTasksConfig>,
+    pub lease_tasks: Option<lease_tasks::LeaseTasksConfig>,
 }
 
 /// The router among its peers.
@@ -80,10 +80,10 @@
             zone: settings.zone.clone(),
         };
         info!(reason = "peers", peers = %listen, advertise = %advertise, boot = now, "talks with other routers");
-        let socket = poll.register(socket, poll_key(Source::Peers, None), Interest::Read)?;
+        let socket = poll.register(socket, poll_key(EventSource::Gossip, None), Interest::Read)?;
         let routers = terms.rules.routers;
         let chores = terms
-            .duties
+            .lease_tasks
             .map(|terms| LeaseTasks::new(terms, &me, routers, clock, seed));
         let peers = Gossip::new(terms.rules, terms.keys, me, now, seed);
         Ok(GossipSocket {
@@ -206,7 +206,7 @@
 
     /// Takes over what a running router can: keys.
     pub fn change(&mut self, terms: GossipConfig) {
-        if terms.duties.as_ref() != self.chores.as_ref().map(LeaseTasks::terms) {
+        if terms.lease_tasks.as_ref() != self.chores.as_ref().map(LeaseTasks::terms) {
             warn!(reason = "duties", "SIGHUP: other duties need a restart");
         }
         if terms.rules != *self.peers.rules()
--- a/router/src/lease_tasks/mod.rs
+++ b/router/src/lease_tasks/mod.rs
@@ -15,7 +15,7 @@
 pub use terms::{Block, LeaseTasksConfig, TermsFault};
 
 use crate::clock::Clock;
-use crate::upstream::{Look, NodeQuery, QueryOutcome};
+use crate::upstream::{LeaseCheck, NodeQuery, QueryOutcome};
 use nodes::Nodes;
 use plovercove::{GroupId, Micros, Time};
 use plovercove_engine::Engine;
@@ -360,14 +360,14 @@
             // Against: an owner that stood still since this turn began, or whose question waited for a connection, asks
             // after its lease. A node cannot look at a token, so the clock is read anew when the question leaves.
             let (duties, clock) = (self.duties.clone(), self.clock);
-            let look: Look =
+            let lease_check: LeaseCheck =
                 Rc::new(move || duties.borrow().may_act(clock.now(), &duty) == Some(token));
             for node in self.nodes.serving(group) {
                 if self.watches.ask(now, group, node) {
                     self.counts.asked += 1;
                     self.asks.push(NodeQuery {
                         node: node.clone(),
-                        look: look.clone(),
+                        lease_check: lease_check.clone(),
                     });
                 }
             }
--- a/router/src/main.rs
+++ b/router/src/main.rs
@@ -2,7 +2,7 @@
 //! decision module. All of it is in the library; here are the command line, the log and the exit code.
 
 use clap::{Parser, Subcommand, ValueEnum};
-use plovercove_router::operators::{Operators, Source, Told};
+use plovercove_router::operators::{OperatorSettings, Operators, OperatorsFile};
 use plovercove_router::{Error, config, net, serve};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -84,7 +84,7 @@
 
 fn serve(line: &Line, signals: net::signals::Signals) -> Result<(), Error> {
     let config = config::read()?;
-    let source = |path: &PathBuf| Source {
+    let source = |path: &PathBuf| OperatorsFile {
         path: path.clone(),
         settings: config.settings.clone(),
         seed: config.seed,
@@ -92,12 +92,12 @@
     let operators = line.operators.as_ref().map(source);
     let told = operators
         .as_ref()
-        .map_or_else(|| Ok(Told::nothing()), Source::read)?;
+        .map_or_else(|| Ok(OperatorSettings::without_file()), OperatorsFile::read)?;
     let log = tracing_subscriber::fmt()
         .with_writer(std::io::stderr)
         .with_ansi(false)
         .with_target(false)
-        .with_max_level(config.log);
+        .with_max_level(config.log_level);
     match line.log_format {
         LogFormat::Text => log.init(),
         LogFormat::Json => log.json().flatten_event(true).init(),
--- a/router/src/net/budget.rs
+++ b/router/src/net/budget.rs
@@ -11,8 +11,8 @@
 const KEPT: usize = 1024;
 
 struct Account {
-    most: usize,
-    held: Cell<usize>,
+    limit: usize,
+    reserved: Cell<usize>,
 }
 
 /// A budget of bytes.
@@ -20,7 +20,7 @@
 pub struct Budget(Rc<Account>);
 
 /// Bytes taken out of a budget for as long as this is kept.
-pub struct Share {
+pub struct Reservation {
     account: Rc<Account>,
     bytes: usize,
 }
@@ -28,22 +28,22 @@
 /// Bytes that are booked to a budget.
 pub struct Buffer {
     bytes: Vec<u8>,
-    share: Share,
+    share: Reservation,
 }
 
 impl Budget {
     /// A budget of so many bytes.
-    pub fn new(most: usize) -> Self {
+    pub fn new(limit: usize) -> Self {
         Budget(Rc::new(Account {
-            most,
-            held: Cell::new(0),
+            limit,
+            reserved: Cell::new(0),
         }))
     }
 
     /// Takes a share, if anything is left.
-    pub fn take(&self, bytes: usize) -> Option<Share> {
-        (self.0.held.get() < self.0.most).then(|| {
-            let mut share = Share {
+    pub fn reserve(&self, bytes: usize) -> Option<Reservation> {
+        (self.0.reserved.get() < self.0.limit).then(|| {
+            let mut share = Reservation {
                 account: Rc::clone(&self.0),
                 bytes: 0,
             };
@@ -56,7 +56,7 @@
     pub fn buffer(&self) -> Buffer {
         Buffer {
             bytes: Vec::new(),
-            share: Share {
+            share: Reservation {
                 account: Rc::clone(&self.0),
                 bytes: 0,
             },
@@ -64,15 +64,15 @@
     }
 }
 
-impl Share {
+impl Reservation {
     fn set(&mut self, bytes: usize) {
-        let held = self.account.held.get() + bytes - self.bytes;
-        self.account.held.set(held);
+        let reserved = self.account.reserved.get() + bytes - self.bytes;
+        self.account.reserved.set(reserved);
         self.bytes = bytes;
     }
 }
 
-impl Drop for Share {
+impl Drop for Reservation {
     fn drop(&mut self) {
         self.set(0);
     }
@@ -90,13 +90,13 @@
     }
 
     /// Whether it may not grow: it is no small one, and the budget is spent.
-    pub fn is_over(&self) -> bool {
-        self.bytes.len() >= SMALL && self.share.account.held.get() >= self.share.account.most
+    pub fn is_over_budget(&self) -> bool {
+        self.bytes.len() >= SMALL && self.share.account.reserved.get() >= self.share.account.limit
     }
 
     /// Whether no more than half of the budget is spent. Danger: what is held ahead would leave nothing for others.
-    pub fn has_plenty(&self) -> bool {
-        self.share.account.held.get() <= self.share.account.most / 2
+    pub fn has_ample_room(&self) -> bool {
+        self.share.account.reserved.get() <= self.share.account.limit / 2
     }
 }
 
--- a/router/src/net/budget/tests.rs
+++ b/router/src/net/budget/tests.rs
@@ -8,14 +8,14 @@
     let budget = Budget::new(10 * SMALL);
     let (mut large, mut small) = (budget.buffer(), budget.buffer());
     large.write(|b| b.resize(2 * SMALL, 0));
-    let share = budget.take(9 * SMALL).expect("there is room");
+    let share = budget.reserve(9 * SMALL).expect("there is room");
     small.write(|b| b.push(0));
-    assert!(large.is_over() && !small.is_over() && budget.take(1).is_none());
+    assert!(large.is_over_budget() && !small.is_over_budget() && budget.reserve(1).is_none());
     drop(share);
-    assert!(!large.is_over());
+    assert!(!large.is_over_budget());
     large.write(Vec::clear);
     assert_eq!(
-        budget.0.held.get(),
+        budget.0.reserved.get(),
         small.share.bytes,
         "an empty buffer gives its bytes back"
     );
--- a/router/src/net/mod.rs
+++ b/router/src/net/mod.rs
@@ -11,7 +11,7 @@
 
 /// Whom an event of the poller is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Source {
+pub enum EventSource {
     /// The listener.
     Listener = 1,
     /// A signal that has come.
@@ -21,27 +21,27 @@
     /// A client.
     Client = 4,
     /// A connection to a db node.
-    Backend = 5,
+    Node = 5,
     /// Other routers.
-    Peers = 6,
+    Gossip = 6,
 }
 
 const SOURCE_SHIFT: u32 = 56;
 
 /// The number under which a socket hangs on the poller.
-pub fn poll_key(source: Source, key: Option<Key>) -> usize {
+pub fn poll_key(source: EventSource, key: Option<Key>) -> usize {
     (source as usize) << SOURCE_SHIFT | key.map_or(0, |k| k.number() as usize)
 }
 
 /// Whom that number stands for.
-pub fn split(number: usize) -> (Option<Source>, Key) {
+pub fn split_poll_key(number: usize) -> (Option<EventSource>, Key) {
     let sources = [
-        Source::Listener,
-        Source::Signal,
-        Source::Discovery,
-        Source::Client,
-        Source::Backend,
-        Source::Peers,
+        EventSource::Listener,
+        EventSource::Signal,
+        EventSource::Discovery,
+        EventSource::Client,
+        EventSource::Node,
+        EventSource::Gossip,
     ];
     let source = sources
         .into_iter()
--- a/router/src/net/signals.rs
+++ b/router/src/net/signals.rs
@@ -1,6 +1,6 @@
 //! The signals that the program answers to, as a socket of the loop.
 
-use super::{Source, poll_key};
+use super::{EventSource, poll_key};
 use plovercove_poller::{Interest, Poll, Registered};
 use signal_hook::consts::{SIGHUP, SIGTERM, SIGUSR1};
 use std::io::{self, ErrorKind, Read};
@@ -16,7 +16,7 @@
     /// SIGTERM: finish.
     Stop,
     /// SIGUSR1: tell the log what is believed.
-    Tell,
+    DumpState,
 }
 
 /// The signals that came and have not been taken.
@@ -48,8 +48,8 @@
     }
 
     /// Catches the one that asks what is believed, too: only where there is something to tell.
-    pub fn catch_tell(&mut self) -> io::Result<()> {
-        self.add(SIGUSR1, Signal::Tell)
+    pub fn catch_dump_state(&mut self) -> io::Result<()> {
+        self.add(SIGUSR1, Signal::DumpState)
     }
 
     fn add(&mut self, number: i32, signal: Signal) -> io::Result<()> {
@@ -63,7 +63,11 @@
 
     /// Lets the poller tell of them.
     pub fn register(self, poll: &Poll) -> io::Result<Registration> {
-        let woken = poll.register(self.woken, poll_key(Source::Signal, None), Interest::Read)?;
+        let woken = poll.register(
+            self.woken,
+            poll_key(EventSource::Signal, None),
+            Interest::Read,
+        )?;
         Ok(Registration {
             flags: self.flags,
             woken,
--- a/router/src/net/stream.rs
+++ b/router/src/net/stream.rs
@@ -14,15 +14,15 @@
 
 /// What a read found out about the other side.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Peer {
+pub enum PeerState {
     /// It may say more.
     Open,
     /// It has ended the connection.
-    Gone,
+    Closed,
     /// The connection broke: what has come may be a part of what was sent.
     Reset,
     /// It says more than there is memory for.
-    TooMuch,
+    OverBudget,
 }
 
 /// A connected socket, bytes that came and bytes that are to go.
@@ -59,14 +59,14 @@
     }
 
     /// Reads what has come, up to the most that the input may hold.
-    pub fn fill(&mut self) -> Peer {
+    pub fn fill(&mut self) -> PeerState {
         let mut chunk = [0; CHUNK];
         for _ in 0..CHUNKS {
             if self.unread().len() >= self.most {
                 break;
             }
-            if self.input.is_over() {
-                return Peer::TooMuch;
+            if self.input.is_over_budget() {
+                return PeerState::OverBudget;
             }
             match self.receive(&mut chunk) {
                 Ok(count) => {
@@ -79,42 +79,42 @@
                 Err(peer) => return peer,
             }
         }
-        Peer::Open
+        PeerState::Open
     }
 
     /// Reads what has come and keeps none of it; says how much it was.
-    pub fn discard(&mut self) -> Result<usize, Peer> {
-        self.take(self.unread().len());
+    pub fn discard(&mut self) -> Result<usize, PeerState> {
+        self.consume(self.unread().len());
         let mut chunk = [0; CHUNK];
         match self.receive(&mut chunk) {
             Ok(count) => Ok(count),
-            Err(Peer::Open) => Ok(0),
+            Err(PeerState::Open) => Ok(0),
             Err(peer) => Err(peer),
         }
     }
 
     /// Bytes that have come; `Open` where there are none just now.
-    fn receive(&self, chunk: &mut [u8]) -> Result<usize, Peer> {
+    fn receive(&self, chunk: &mut [u8]) -> Result<usize, PeerState> {
         loop {
             match (&*self.socket).read(chunk) {
-                Ok(0) => return Err(Peer::Gone),
+                Ok(0) => return Err(PeerState::Closed),
                 Ok(count) => return Ok(count),
-                Err(e) if e.kind() == ErrorKind::WouldBlock => return Err(Peer::Open),
+                Err(e) if e.kind() == ErrorKind::WouldBlock => return Err(PeerState::Open),
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                Err(_) => return Err(Peer::Reset),
+                Err(_) => return Err(PeerState::Reset),
             }
         }
     }
 
     /// Says that nothing more will be sent.
-    pub fn finish(&self) {
+    pub fn shut_down_write(&self) {
         // It fails only where the other side has gone, which the next read tells.
         let _ = self.socket.shutdown(Shutdown::Write);
     }
 
     /// Whether it may read what is not needed yet: half of the memory for all is left.
-    pub fn may_hoard(&self) -> bool {
-        self.input.has_plenty()
+    pub fn may_read_ahead(&self) -> bool {
+        self.input.has_ample_room()
     }
 
     /// The bytes that came and have not been taken.
@@ -123,7 +123,7 @@
     }
 
     /// Takes bytes off the front of what came.
-    pub fn take(&mut self, count: usize) {
+    pub fn consume(&mut self, count: usize) {
         self.read += count;
         if self.read == self.input.len() || self.read > CHUNK {
             let read = std::mem::take(&mut self.read);
@@ -132,7 +132,7 @@
     }
 
     /// Adds to what is to go.
-    pub fn put<T>(&mut self, word: impl FnOnce(&mut Vec<u8>) -> T) -> T {
+    pub fn queue_output<T>(&mut self, word: impl FnOnce(&mut Vec<u8>) -> T) -> T {
         self.output.write(word)
     }
 
@@ -150,19 +150,19 @@
     }
 
     /// Whether nothing of what is to go has left yet.
-    pub fn untouched(&self) -> bool {
+    pub fn is_output_untouched(&self) -> bool {
         self.written == 0
     }
 
     /// Writes what it can; true once nothing is left.
-    pub fn flush(&mut self) -> Result<bool, Peer> {
+    pub fn flush(&mut self) -> Result<bool, PeerState> {
         while self.written < self.output.len() {
             match (&*self.socket).write(&self.output[self.written..]) {
-                Ok(0) => return Err(Peer::Gone),
+                Ok(0) => return Err(PeerState::Closed),
                 Ok(n) => self.written += n,
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(false),
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                Err(_) => return Err(Peer::Gone),
+                Err(_) => return Err(PeerState::Closed),
             }
         }
         self.written = 0;
@@ -171,25 +171,25 @@
     }
 
     /// Sets what the socket waits for: room to write while there is something to go, and bytes where wanted.
-    pub fn wait_for(&mut self, reading: bool) {
+    pub fn set_read_interest(&mut self, reading: bool) {
         let interest = match (reading, self.unsent() > 0) {
             (true, true) => Interest::Both,
             (true, false) => Interest::Read,
             (false, true) => Interest::Write,
             (false, false) => Interest::Nothing,
         };
-        if let Err(e) = self.socket.want(interest) {
+        if let Err(e) = self.socket.set_interest(interest) {
             tracing::error!("a socket's interest cannot be changed: {e}");
         }
     }
 
     /// Whether a connection attempt came through; asked once the socket is writable.
-    pub fn connected(&self) -> bool {
+    pub fn is_connected(&self) -> bool {
         matches!(self.socket.take_error(), Ok(None)) && self.socket.peer_addr().is_ok()
     }
 
     /// Whether an idle connection is still good: nothing has come, and the other side has not closed it.
-    pub fn quiet(&self) -> bool {
+    pub fn is_quiet(&self) -> bool {
         let mut byte = [0];
         matches!(self.socket.peek(&mut byte), Err(e) if e.kind() == ErrorKind::WouldBlock)
     }
--- a/router/src/operators.rs
+++ b/router/src/operators.rs
@@ -1,7 +1,7 @@
 //! The operators' file: a Starlark script of settings that belong to an installation and not to the platform. It is
 //! evaluated when the router starts, and again on SIGHUP.
 
-use crate::error::{Error, KeyFault, Wrong};
+use crate::error::{Error, KeyFault, KeyFaultCause};
 use crate::front::{DefaultClass, DefaultLabels, ListenerConfig};
 use crate::gossip;
 use crate::lease_tasks::{self, TermsFault};
@@ -149,42 +149,42 @@
 }
 
 /// What the operators' file comes to, for one router.
-pub struct Told {
+pub struct OperatorSettings {
     /// Which zones a request may use.
-    pub tiers: Option<ZoneFailover>,
+    pub zone_failover: Option<ZoneFailover>,
     /// Further listeners.
-    pub fronts: Vec<(SocketAddr, ListenerConfig)>,
+    pub listeners: Vec<(SocketAddr, ListenerConfig)>,
     /// Who the router is to its db nodes.
     pub connect_options: ConnectOptions,
     /// How it talks with other routers, if it does.
-    pub peers: Option<gossip::GossipConfig>,
+    pub gossip: Option<gossip::GossipConfig>,
 }
 
-impl Told {
+impl OperatorSettings {
     /// What holds without a file.
-    pub fn nothing() -> Self {
-        Told {
-            tiers: None,
-            fronts: Vec::new(),
+    pub fn without_file() -> Self {
+        OperatorSettings {
+            zone_failover: None,
+            listeners: Vec::new(),
             connect_options: ConnectOptions::platform(),
-            peers: None,
+            gossip: None,
         }
     }
 }
 
 /// A file of secrets: nobody but its owner may read it.
-fn secret(path: &Path) -> Result<String, Wrong> {
+fn secret(path: &Path) -> Result<String, KeyFaultCause> {
     let shown = || path.display().to_string();
-    let unreadable = |source| Wrong::Unreadable {
+    let unreadable = |source| KeyFaultCause::Unreadable {
         path: shown(),
         source,
     };
     let about = std::fs::metadata(path).map_err(unreadable)?;
     if about.mode() & 0o077 != 0 {
-        return Err(Wrong::Open(shown()));
+        return Err(KeyFaultCause::Open(shown()));
     }
     if about.len() > 64 * 1024 * 1024 {
-        return Err(Wrong::TooLong(shown()));
+        return Err(KeyFaultCause::TooLong(shown()));
     }
     std::fs::read_to_string(path).map_err(unreadable)
 }
@@ -198,25 +198,30 @@
     ) -> Result<ListenerConfig, KeyFault> {
         let wrong = |name: &str, why| Err(KeyFault::new(format!("{key}.{name}"), why));
         if self.versions.is_empty() || self.methods.is_empty() {
-            return wrong("methods", Wrong::NoMethod);
+            return wrong("methods", KeyFaultCause::NoMethod);
         }
         if self.methods.contains(&Method::Trust) && self.methods.len() > 1 {
-            return wrong("methods", Wrong::TrustBeside);
+            return wrong("methods", KeyFaultCause::TrustBeside);
         }
         if self.methods != [Method::Trust] && self.credentials.is_none() {
-            return wrong("credentials", Wrong::NoUsers);
+            return wrong("credentials", KeyFaultCause::NoUsers);
         }
         if self.clients == 0 || self.idle_s == 0 || self.idle_s > 86_400 {
-            return wrong("clients", Wrong::Clients);
+            return wrong("clients", KeyFaultCause::Clients);
         }
         if self.name.is_empty() {
-            return wrong("name", Wrong::NoName);
+            return wrong("name", KeyFaultCause::NoName);
         }
         let limits = self.logins.check();
-        limits
-            .map_err(|e| KeyFault::under(&format!("{key}.logins"), &e.clone(), Wrong::Logins(e)))?;
+        limits.map_err(|e| {
+            KeyFault::under(
+                &format!("{key}.logins"),
+                &e.clone(),
+                KeyFaultCause::Logins(e),
+            )
+        })?;
         let Some(dates) = Dates::default().set(&self.date_style) else {
-            return wrong("date_style", Wrong::Dates);
+            return wrong("date_style", KeyFaultCause::Dates);
         };
         let users = match &self.credentials {
             None => Users::default(),
@@ -224,7 +229,7 @@
                 let path = folder.join(path);
                 let users = secret(&path).and_then(|text| {
                     let users = Users::parse(&text);
-                    users.map_err(|source| Wrong::Users {
+                    users.map_err(|source| KeyFaultCause::Users {
                         path: path.display().to_string(),
                         source,
                     })
@@ -243,7 +248,7 @@
             let Some(place) = found else {
                 return Err(KeyFault::new(
                     format!("{key}.{name}"),
-                    Wrong::NoClass(wanted.to_string()),
+                    KeyFaultCause::NoClass(wanted.to_string()),
                 ));
             };
             let class = &settings.classes[place];
@@ -252,7 +257,7 @@
                 let class = wanted.to_string();
                 return Err(KeyFault::new(
                     format!("{key}.{name}"),
-                    Wrong::ClassDoes { class, does },
+                    KeyFaultCause::ClassDoes { class, does },
                 ));
             }
             Ok(DefaultClass {
@@ -306,7 +311,7 @@
     let text = fault.to_string();
     KeyFault::new(
         text.split_once(": ").map_or("duties", |(key, _)| key),
-        Wrong::Duties(Box::new(fault)),
+        KeyFaultCause::Duties(Box::new(fault)),
     )
 }
 
@@ -343,7 +348,10 @@
         for (place, front) in self.fronts.iter().enumerate() {
             let key = format!("fronts[{place}]");
             if all.iter().any(|(_, known)| known.name == front.name) {
-                return Err(KeyFault::new(format!("{key}.name"), Wrong::NameTwice));
+                return Err(KeyFault::new(
+                    format!("{key}.name"),
+                    KeyFaultCause::NameTwice,
+                ));
             }
             all.push((front.listen, front.terms(&key, folder, settings)?));
         }
@@ -355,7 +363,7 @@
             return Ok(ConnectOptions::platform());
         };
         if told.version == Version::V2 {
-            return Err(KeyFault::new("servers.version", Wrong::Version));
+            return Err(KeyFault::new("servers.version", KeyFaultCause::Version));
         }
         let folder = path.parent().unwrap_or(Path::new(""));
         let read = |file: &PathBuf| {
@@ -396,14 +404,14 @@
             && !guard.contains('/')
         {
             let known = plovercove_gossip::Guard::named(&guard);
-            rules.without = Some(
-                known.ok_or_else(|| KeyFault::new("PLOVERCOVE_WITHOUT", Wrong::NoGuard(guard)))?,
-            );
+            rules.without = Some(known.ok_or_else(|| {
+                KeyFault::new("PLOVERCOVE_WITHOUT", KeyFaultCause::NoGuard(guard))
+            })?);
         }
         let checked = rules.check();
-        checked.map_err(|e| KeyFault::under("peers.rules", &e.clone(), Wrong::Peers(e)))?;
+        checked.map_err(|e| KeyFault::under("peers.rules", &e.clone(), KeyFaultCause::Peers(e)))?;
         if told.advertise.unwrap_or(told.listen).ip().is_unspecified() {
-            return Err(KeyFault::new("peers.advertise", Wrong::Advertise));
+            return Err(KeyFault::new("peers.advertise", KeyFaultCause::Advertise));
         }
         let folder = path.parent().unwrap_or(Path::new(""));
         let read = |key: &str, file: &PathBuf| {
@@ -421,7 +429,7 @@
             &bytes(&ours),
             also.as_deref().map(bytes).as_deref(),
         );
-        let keys = keys.map_err(|e| KeyFault::new("peers.key_file", Wrong::Peers(e)))?;
+        let keys = keys.map_err(|e| KeyFault::new("peers.key_file", KeyFaultCause::Peers(e)))?;
         let address = told.advertise.unwrap_or(told.listen);
         let duties = self
             .duties
@@ -434,7 +442,7 @@
             advertise: told.advertise,
             keys,
             rules,
-            duties,
+            lease_tasks: duties,
         }))
     }
 
@@ -456,16 +464,19 @@
 fn placed(script: &Script, fault: KeyFault) -> Error {
     Error::Operators {
         place: Box::new(script.place(&fault.key)),
-        wrong: fault.wrong,
+        cause: fault.cause,
     }
 }
 
 fn of_tiers(fault: RuleFault) -> KeyFault {
-    KeyFault::new(format!("tiers.{}", fault.key), Wrong::Locality(fault.why))
+    KeyFault::new(
+        format!("tiers.{}", fault.key),
+        KeyFaultCause::Locality(fault.why),
+    )
 }
 
 /// The operators' file of a router that serves, and what its parts are made with.
-pub struct Source {
+pub struct OperatorsFile {
     /// Where it lies.
     pub path: PathBuf,
     /// What the platform tells the router.
@@ -474,21 +485,21 @@
     pub seed: u64,
 }
 
-impl Source {
+impl OperatorsFile {
     /// Reads the file: what it comes to for this router. Tiers know nothing yet.
     ///
     /// # Errors
     /// Names the file, and the line and the key at fault.
-    pub fn read(&self) -> Result<Told, Error> {
+    pub fn read(&self) -> Result<OperatorSettings, Error> {
         let (told, script) = Operators::load(&self.path)?;
         let here = |e| placed(&script, e);
-        Ok(Told {
-            tiers: told.tiers(&self.settings, self.seed).map_err(here)?,
-            fronts: told
+        Ok(OperatorSettings {
+            zone_failover: told.tiers(&self.settings, self.seed).map_err(here)?,
+            listeners: told
                 .fronts(&self.path, Some(&self.settings))
                 .map_err(here)?,
             connect_options: told.connect_options(&self.path).map_err(here)?,
-            peers: told.peers(&self.path, Some(&self.settings)).map_err(here)?,
+            gossip: told.peers(&self.path, Some(&self.settings)).map_err(here)?,
         })
     }
 }
--- a/router/src/serve.rs
+++ b/router/src/serve.rs
@@ -11,7 +11,7 @@
 use crate::gossip::{self, GossipSocket};
 use crate::net::budget::Budget;
 use crate::net::signals::{Registration, Signal, Signals};
-use crate::net::{Source, split};
+use crate::net::{EventSource, split_poll_key};
 use crate::operators;
 use crate::upstream::Upstream;
 use plovercove::{EndpointUpdate, LocalityPolicy, Time};
@@ -56,9 +56,9 @@
         Ready { events }
     }
 
-    fn of(&self, wanted: Source) -> impl Iterator<Item = ReadyEvent> {
+    fn of(&self, wanted: EventSource) -> impl Iterator<Item = ReadyEvent> {
         self.events.iter().filter_map(move |event| {
-            let (source, key) = split(event.key);
+            let (source, key) = split_poll_key(event.key);
             let hung_up = event.is_interrupt() || event.is_err() == Some(true);
             (source == Some(wanted)).then_some(ReadyEvent { key, hung_up })
         })
@@ -74,7 +74,7 @@
     front: Front,
     upstream: Upstream,
     discovery: Discovery,
-    operators: Option<operators::Source>,
+    operators: Option<operators::OperatorsFile>,
     peers: Option<GossipSocket>,
     /// SIGTERM has come.
     stopping: bool,
@@ -86,33 +86,34 @@
     /// `told` is what operators say; `operators` is the file that it comes from, read again on SIGHUP.
     pub fn new(
         config: Config,
-        told: operators::Told,
-        operators: Option<operators::Source>,
+        told: operators::OperatorSettings,
+        operators: Option<operators::OperatorsFile>,
         mut signals: Signals,
     ) -> Result<Self, Error> {
-        let operators::Told {
-            tiers,
-            fronts,
+        let operators::OperatorSettings {
+            zone_failover: tiers,
+            listeners: fronts,
             connect_options,
-            peers,
+            gossip: peers,
         } = told;
         let poll = Poll::new()?;
         if peers.is_some() {
-            signals.catch_tell()?;
+            signals.catch_dump_state()?;
         }
         let signals = signals.register(&poll)?;
         let listener = bind(config.listen, "clients")?;
         let listen = listener.local_addr()?;
-        let (settings, budget) = (config.settings, Budget::new(config.buffered));
+        let (settings, budget) = (config.settings, Budget::new(config.max_buffered_bytes));
         let longest = settings
             .classes
             .iter()
             .map(|class| class.deadline)
             .max()
             .unwrap_or(0);
-        let names = Names::of(&settings);
+        let names = Names::new(&settings);
         // What is known is of some version: only what came after it is asked for, a few lines instead of all of them.
-        let index = Some(config.known.index).filter(|_| !config.known.entries.is_empty());
+        let index = Some(config.remembered_list.index)
+            .filter(|_| !config.remembered_list.entries.is_empty());
         let lists = match settings.subscribe {
             true => Lists::Asked,
             false => Lists::Pushed {
@@ -133,12 +134,12 @@
             peers: peers.map(talk).transpose()?,
             clock,
             signals,
-            front: Front::new(&poll, &budget, listener, config.clients, names, longest)?,
+            front: Front::new(&poll, &budget, listener, config.max_clients, names, longest)?,
             upstream: Upstream::new(
                 &poll,
                 &budget,
                 connect_options,
-                config.backends,
+                config.max_node_connections,
                 settings.connect_timeout,
                 settings.connection_idle,
             ),
@@ -162,7 +163,7 @@
             router.front.add_listener(listener, terms)?;
         }
         let now = router.clock.now();
-        router.list(config.known, true, now);
+        router.list(config.remembered_list, true, now);
         info!(name = config.name, %listen, "serving");
         Ok(router)
     }
@@ -214,7 +215,7 @@
     }
 
     fn read_discovery(&mut self, ready: &Ready<'_>, now: Time) {
-        for _ in ready.of(Source::Discovery) {
+        for _ in ready.of(EventSource::Discovery) {
             if let Some(listing) = self.discovery.event(now, &mut self.engine) {
                 self.list(listing, false, now);
             }
@@ -222,12 +223,12 @@
     }
 
     fn take_signals(&mut self, ready: &Ready<'_>, now: Time) {
-        for _ in ready.of(Source::Signal) {
+        for _ in ready.of(EventSource::Signal) {
             for signal in self.signals.take() {
                 match signal {
                     Signal::Reload => self.reload(now),
                     Signal::Stop => self.terminate(now),
-                    Signal::Tell => {
+                    Signal::DumpState => {
                         if let Some(peers) = &self.peers {
                             peers.dump(now, &mut self.engine);
                         }
@@ -238,7 +239,7 @@
     }
 
     fn read_gossip(&mut self, ready: &Ready<'_>, now: Time) {
-        for _ in ready.of(Source::Peers) {
+        for _ in ready.of(EventSource::Gossip) {
             if let Some(peers) = &mut self.peers {
                 peers.event(now, &mut self.engine);
             }
@@ -246,20 +247,20 @@
     }
 
     fn read_nodes(&mut self, ready: &Ready<'_>, now: Time) {
-        for event in ready.of(Source::Backend) {
+        for event in ready.of(EventSource::Node) {
             self.upstream.event(event.key, now, &mut self.engine);
         }
     }
 
     fn read_clients(&mut self, ready: &Ready<'_>, now: Time) {
-        for event in ready.of(Source::Client) {
+        for event in ready.of(EventSource::Client) {
             self.front
                 .event(event.key, event.hung_up, now, &mut self.engine);
         }
     }
 
     fn accept_clients(&mut self, ready: &Ready<'_>, now: Time) {
-        for event in ready.of(Source::Listener) {
+        for event in ready.of(EventSource::Listener) {
             self.front.accept(event.key, now, &mut self.engine);
         }
     }
@@ -359,7 +360,7 @@
             .map(|(entry, _)| entry.clone())
             .collect();
         self.engine
-            .update_endpoints(match (restored, listing.whole) {
+            .update_endpoints(match (restored, listing.is_complete) {
                 (true, _) => EndpointUpdate::Restored(entries),
                 (false, true) => EndpointUpdate::Full(entries),
                 (false, false) => EndpointUpdate::Changes(entries),
@@ -377,7 +378,7 @@
         let told = self
             .operators
             .as_ref()
-            .map(operators::Source::read)
+            .map(operators::OperatorsFile::read)
             .transpose();
         let (config, told) = match (config::reread(), told) {
             (Ok(config), Ok(told)) => (config, told),
@@ -393,16 +394,16 @@
         self.discovery
             .move_to(config.discovery, now, &mut self.engine);
         if let Some(told) = told {
-            let zones = told.tiers.as_ref().map_or(0, |t| t.view().len());
-            self.rezone(told.tiers, now);
-            for (address, terms) in told.fronts {
+            let zones = told.zone_failover.as_ref().map_or(0, |t| t.view().len());
+            self.rezone(told.zone_failover, now);
+            for (address, terms) in told.listeners {
                 // Those who are in stay in; what is asked of newcomers changes.
                 if !self.front.change_listener(&terms) {
                     warn!(front = terms.name, %address, "SIGHUP: a further front needs a restart");
                 }
             }
             self.upstream.change_options(told.connect_options);
-            match (&mut self.peers, told.peers) {
+            match (&mut self.peers, told.gossip) {
                 (Some(peers), Some(terms)) => peers.change(terms),
                 (None, None) => {}
                 _ => warn!(
--- a/router/src/statement_labels.rs
+++ b/router/src/statement_labels.rs
@@ -10,7 +10,7 @@
 pub struct Statement {
     text: String,
     /// Where the digits of `d` stand.
-    patience: Range<usize>,
+    timeout_digits: Range<usize>,
     /// What its answer may look like.
     pub shape: Shape,
 }
@@ -25,16 +25,16 @@
     /// The tenant, where told.
     pub tenant: Option<&'a str>,
     /// The client's patience in milliseconds.
-    pub patience: u64,
+    pub timeout_ms: u64,
     /// Whether the client marked a repeat.
-    pub repeat: bool,
+    pub is_retry: bool,
     /// The group.
     pub group: u64,
     /// The position that the read must see, in Unix milliseconds.
-    pub after: Option<u64>,
+    pub min_position_ms: Option<u64>,
     /// The first quoted text of the statement.
-    pub key: Option<&'a str>,
-    patience_at: Range<usize>,
+    pub quoted_key: Option<&'a str>,
+    timeout_digits: Range<usize>,
 }
 
 /// What is wrong with the comment in front of a statement. Clients are told the text; nothing is allocated for it.
@@ -99,14 +99,14 @@
 ///
 /// # Errors
 /// Says what is wrong with it.
-pub fn labels(text: &str) -> Result<Labels<'_>, Mislabelled<'_>> {
+pub fn read_labels(text: &str) -> Result<Labels<'_>, Mislabelled<'_>> {
     let trimmed = text.trim_start();
     let start = text.len() - trimmed.len();
     let inner = trimmed.strip_prefix("/*").ok_or(Mislabelled::NoComment)?;
     let (comment, statement) = inner.split_once("*/").ok_or(Mislabelled::Endless)?;
     let mut found = Labels::default();
     let mut at = start + 2;
-    let (mut id, mut class, mut group, mut patience) = (None, None, None, None);
+    let (mut id, mut class, mut group, mut timeout_ms) = (None, None, None, None);
     let mut seen: Vec<&str> = Vec::new();
     for part in comment.split(',') {
         let (name, value) = part.split_once('=').ok_or(Mislabelled::NoPair(part))?;
@@ -139,12 +139,12 @@
             "d" => {
                 let lead = value.len() - value.trim_start().len();
                 let begin = at + name_length + 1 + lead;
-                patience = Some(number()?);
-                found.patience_at = begin..begin + trimmed_value.len();
+                timeout_ms = Some(number()?);
+                found.timeout_digits = begin..begin + trimmed_value.len();
             }
-            "r" => found.repeat = trimmed_value == "1",
+            "r" => found.is_retry = trimmed_value == "1",
             "cluster" => group = Some(number()?),
-            "after" => found.after = Some(number()?),
+            "after" => found.min_position_ms = Some(number()?),
             _ => {}
         }
         at += part.len() + 1;
@@ -152,8 +152,8 @@
     found.class = class.ok_or(Mislabelled::Missing("c, the class,"))?;
     found.group = group.ok_or(Mislabelled::Missing("cluster, the group,"))?;
     found.id = id.ok_or(Mislabelled::Missing("id"))?;
-    found.patience = patience.ok_or(Mislabelled::Missing("d, the patience,"))?;
-    found.key = statement.split('\'').nth(1);
+    found.timeout_ms = timeout_ms.ok_or(Mislabelled::Missing("d, the patience,"))?;
+    found.quoted_key = statement.split('\'').nth(1);
     Ok(found)
 }
 
@@ -162,18 +162,18 @@
     pub fn new(text: &str, labels: &Labels<'_>, shape: Shape) -> Self {
         Statement {
             text: text.to_string(),
-            patience: labels.patience_at.clone(),
+            timeout_digits: labels.timeout_digits.clone(),
             shape,
         }
     }
 
     /// Appends it as a query that tells this patience in milliseconds.
-    pub fn put(&self, out: &mut Vec<u8>, patience: u64) {
+    pub fn append_query(&self, out: &mut Vec<u8>, timeout_ms: u64) {
         let (before, after) = (
-            &self.text[..self.patience.start],
-            &self.text[self.patience.end..],
+            &self.text[..self.timeout_digits.start],
+            &self.text[self.timeout_digits.end..],
         );
-        put_query(out, &format!("{before}{patience}{after}"));
+        put_query(out, &format!("{before}{timeout_ms}{after}"));
     }
 }
 
--- a/router/src/statement_labels/tests.rs
+++ b/router/src/statement_labels/tests.rs
@@ -6,17 +6,17 @@
 
 #[test]
 fn only_the_patience_of_a_statement_changes() {
-    let found = labels(READ).expect("well formed");
+    let found = read_labels(READ).expect("well formed");
     assert_eq!(
         (found.class, found.tenant, found.group),
         ("basket", Some("acme"), 2)
     );
     assert_eq!(
-        (found.patience, found.after, found.key),
+        (found.timeout_ms, found.min_position_ms, found.quoted_key),
         (480, Some(17), Some("7f3a"))
     );
     let mut out = Vec::new();
-    Statement::new(READ, &found, Shape::OneValue).put(&mut out, 33);
+    Statement::new(READ, &found, Shape::OneValue).append_query(&mut out, 33);
     let mut want = Vec::new();
     put_query(&mut want, &READ.replace("d=480", "d=33"));
     assert_eq!(out, want);
@@ -38,7 +38,7 @@
         ("/* id=1,c=a,cluster=1 */", "d, the patience"),
         ("/* id=1,c=a,cluster=1,d=-5 */", "d: \"-5\""),
     ] {
-        let said = labels(text).expect_err(text).to_string();
+        let said = read_labels(text).expect_err(text).to_string();
         assert!(said.contains(complaint), "{text}: {said}");
     }
 }
--- a/router/src/upstream/connection.rs
+++ b/router/src/upstream/connection.rs
@@ -1,7 +1,7 @@
 //! One connection to a node: what it carries, and what it may be used for next.
 
 use super::reply::Reply;
-use super::watch::Look;
+use super::watch::LeaseCheck;
 use crate::net::stream::Stream;
 use crate::statement_labels::Statement;
 use plovercove::{NodeId, Time};
@@ -21,7 +21,10 @@
     /// A question of this router's own.
     HealthCheck { asked_at: Time },
     /// The same for the fleet, by the owner of the group's watch, who looks once more before it leaves.
-    Watch { asked_at: Time, look: Look },
+    Watch {
+        asked_at: Time,
+        lease_check: LeaseCheck,
+    },
 }
 
 impl Job {
@@ -31,7 +34,7 @@
             Job::Attempt { id, .. } => engine.may_send(Some(*id), node, now),
             Job::HealthCheck { .. } => engine.may_send(None, node, now),
             // Its router may have lost the watch since it asked for a connection.
-            Job::Watch { look, .. } => engine.may_send(None, node, now) && look(),
+            Job::Watch { lease_check, .. } => engine.may_send(None, node, now) && lease_check(),
         }
     }
 
--- a/router/src/upstream/exchange.rs
+++ b/router/src/upstream/exchange.rs
@@ -6,7 +6,7 @@
 use super::reply::{self, Reply};
 use super::watch::{QueryAnswer, QueryOutcome};
 use super::{ServedRequest, Upstream};
-use crate::net::stream::Peer;
+use crate::net::stream::PeerState;
 use plovercove::{AttemptEnd, NodeId, NodeReport, Time};
 use plovercove_engine::{Engine, Key};
 use plovercove_pgwire::login::{Credentials, Login, Refused};
@@ -84,14 +84,18 @@
             return;
         };
         if matches!(connection.state, State::Connecting | State::Cancelling(_)) {
-            if !connection.stream.connected() {
+            if !connection.stream.is_connected() {
                 return self.connection_broke(key, now, engine);
             }
             match &mut connection.state {
-                State::Cancelling(packet) => connection.stream.put(|out| out.append(packet)),
+                State::Cancelling(packet) => {
+                    connection.stream.queue_output(|out| out.append(packet))
+                }
                 state => {
                     let credentials = &self.options.credentials;
-                    let login = connection.stream.put(|out| Login::start(credentials, out));
+                    let login = connection
+                        .stream
+                        .queue_output(|out| Login::start(credentials, out));
                     *state = State::LoggingIn(Box::new(login));
                 }
             }
@@ -118,7 +122,7 @@
         // The system may have held all of it back until now: then it begins now.
         if let State::Busy(running) = &connection.state
             && !running.is_written
-            && connection.stream.untouched()
+            && connection.stream.is_output_untouched()
             && !running.job.may_begin(&connection.node, now, engine)
         {
             let node = connection.node.clone();
@@ -137,7 +141,7 @@
         {
             engine.attempt_written(*id);
         }
-        connection.stream.wait_for(true);
+        connection.stream.set_read_interest(true);
     }
 
     /// Reads what has come. What came before the end still counts.
@@ -146,7 +150,7 @@
             return;
         };
         let peer = connection.stream.fill();
-        let has_spoken = peer != Peer::Open || !connection.stream.unread().is_empty();
+        let has_spoken = peer != PeerState::Open || !connection.stream.unread().is_empty();
         // Bytes on a connection that nothing waits for belong to no request, and the next one would get them.
         if matches!(connection.state, State::Idle) && has_spoken {
             debug!(node = %connection.node, "an idle connection ends");
@@ -155,9 +159,9 @@
         }
         while self.read_message(key, now, engine) {}
         match peer {
-            Peer::Open => {}
-            Peer::Gone | Peer::Reset => self.connection_broke(key, now, engine),
-            Peer::TooMuch => self.spoilt(key, now, engine),
+            PeerState::Open => {}
+            PeerState::Closed | PeerState::Reset => self.connection_broke(key, now, engine),
+            PeerState::OverBudget => self.spoilt(key, now, engine),
         }
     }
 
@@ -187,13 +191,15 @@
             self.spoilt(key, now, engine);
             return false;
         };
-        connection.stream.take(length);
+        connection.stream.consume(length);
         if let Progress::LoginRefused(why) = progress {
             self.login_refused(key, &why, now, engine);
             return false;
         }
         if !answer.is_empty() {
-            connection.stream.put(|out| out.append(&mut answer));
+            connection
+                .stream
+                .queue_output(|out| out.append(&mut answer));
             self.write(key, now, engine);
         }
         if let Progress::Ready { is_reusable } = progress {
--- a/router/src/upstream/locations.rs
+++ b/router/src/upstream/locations.rs
@@ -14,7 +14,7 @@
 impl Upstream {
     /// Discovery has told a list, which the engine knows by now.
     pub fn update_endpoints(&mut self, listing: &Listing, now: Time, engine: &mut Engine) {
-        if listing.whole {
+        if listing.is_complete {
             let listed = listing.entries.iter();
             let listed = listed.map(|(endpoint, _)| &endpoint.node).collect();
             self.remove_unlisted(&listed, engine);
--- a/router/src/upstream/mod.rs
+++ b/router/src/upstream/mod.rs
@@ -20,7 +20,7 @@
 mod watch;
 
 pub use connection::ConnectOptions;
-pub use watch::{Look, NodeQuery, QueryAnswer, QueryOutcome};
+pub use watch::{LeaseCheck, NodeQuery, QueryAnswer, QueryOutcome};
 
 use crate::net::budget::{Budget, Buffer};
 use crate::statement_labels::Statement;
@@ -123,10 +123,10 @@
 
     /// Asks a node for its report, for the fleet.
     pub fn query(&mut self, query: NodeQuery, now: Time, engine: &mut Engine) {
-        let look = query.look;
+        let lease_check = query.lease_check;
         let job = Job::Watch {
             asked_at: now,
-            look,
+            lease_check,
         };
         self.start(job, &query.node, now, engine);
     }
--- a/router/src/upstream/pool.rs
+++ b/router/src/upstream/pool.rs
@@ -9,7 +9,7 @@
 use super::reply::Reply;
 use crate::clock;
 use crate::net::stream::Stream;
-use crate::net::{Source, begin_connect, poll_key};
+use crate::net::{EventSource, begin_connect, poll_key};
 use plovercove::{AttemptEnd, NodeId, Time};
 use plovercove_engine::{Deadline, Engine, Key};
 use plovercove_pgwire::messages;
@@ -184,7 +184,7 @@
         let socket = begin_connect(address)?;
         let (poll, budget) = (&self.poll, &self.budget);
         let key = self.connections.insert_with(|key| {
-            let key = poll_key(Source::Backend, Some(key));
+            let key = poll_key(EventSource::Node, Some(key));
             let stream = Stream::new(poll, budget, socket, key, Interest::Write, MAX_READ_BYTES)?;
             Ok::<_, io::Error>(Connection {
                 stream,
@@ -216,13 +216,15 @@
                 self.running_attempts.insert(*id, key);
                 let time_left = engine.attempt_time_left(*id, now);
                 let patience_ms = clock::to_ms(time_left).max(1);
-                connection.stream.put(|out| statement.put(out, patience_ms));
+                connection
+                    .stream
+                    .queue_output(|out| statement.append_query(out, patience_ms));
                 (statement.shape, None)
             }
             Job::HealthCheck { .. } | Job::Watch { .. } => {
                 // So short a question leaves at once on a connection that is free.
                 let stream = &mut connection.stream;
-                stream.put(|out| messages::put_query(out, REPORT_QUERY));
+                stream.queue_output(|out| messages::put_query(out, REPORT_QUERY));
                 (Shape::OneValue, Some(now + self.connect_timeout))
             }
         };
@@ -253,7 +255,7 @@
     /// Whether nothing has come on a connection that is free, not even its end.
     fn is_quiet(&self, key: Key) -> bool {
         let connection = self.connections.get(key);
-        connection.is_some_and(|connection| connection.stream.quiet())
+        connection.is_some_and(|connection| connection.stream.is_quiet())
     }
 }
 
--- a/router/src/upstream/tests.rs
+++ b/router/src/upstream/tests.rs
@@ -6,7 +6,7 @@
 use super::pool::REPORT_QUERY;
 use super::*;
 use crate::discovery::Listing;
-use crate::net::split;
+use crate::net::split_poll_key;
 use crate::statement_labels;
 use plovercove::{
     Access, Class, DedupScope, Endpoint, EndpointState, EndpointUpdate, Idempotency, RequestInfo,
@@ -153,9 +153,9 @@
         });
         let listing = Listing {
             index: self.version,
-            whole,
+            is_complete: whole,
             entries,
-            odd: None,
+            unknown_status: None,
         };
         self.upstream
             .update_endpoints(&listing, self.now, &mut self.engine);
@@ -178,7 +178,7 @@
             "/* id={id},c=x,d=5000,cluster=1 */ SELECT '{}'",
             "k".repeat(length)
         );
-        let labels = statement_labels::labels(&text).expect("well formed");
+        let labels = statement_labels::read_labels(&text).expect("well formed");
         let statement = Rc::new(Statement::new(&text, &labels, Shape::OneValue));
         let info = RequestInfo {
             class,
@@ -247,7 +247,10 @@
     fn comes(&self) -> Vec<Key> {
         let mut events = Events::new();
         self.poll.wait(&mut events, Some(HANGS)).expect("it waits");
-        let keys: Vec<Key> = events.iter().map(|event| split(event.key).1).collect();
+        let keys: Vec<Key> = events
+            .iter()
+            .map(|event| split_poll_key(event.key).1)
+            .collect();
         assert!(
             !keys.is_empty(),
             "nothing comes: {:?} sent, {:?}",
@@ -347,7 +350,7 @@
             .iter()
             .filter(|(_, b)| matches!(b.state, State::Busy(..)));
         busy.next()
-            .map(|(_, b)| (b.stream.unsent(), b.stream.untouched()))
+            .map(|(_, b)| (b.stream.unsent(), b.stream.is_output_untouched()))
     }
 
     /// How this request ended; it has one end at the most.
@@ -406,7 +409,7 @@
         Asks::Fleet => {
             let ask = NodeQuery {
                 node,
-                look: Rc::new(|| true),
+                lease_check: Rc::new(|| true),
             };
             pools.upstream.query(ask, now, &mut pools.engine);
         }
@@ -566,9 +569,9 @@
         "/* id={id},c=x,d=5000,cluster=1 */ SELECT '{}'",
         "k".repeat(text)
     );
-    let labels = statement_labels::labels(&text).expect("well formed");
+    let labels = statement_labels::read_labels(&text).expect("well formed");
     let mut out = Vec::new();
-    Statement::new(&text, &labels, Shape::OneValue).put(&mut out, 5_000);
+    Statement::new(&text, &labels, Shape::OneValue).append_query(&mut out, 5_000);
     out.len()
 }
 
--- a/router/src/upstream/watch.rs
+++ b/router/src/upstream/watch.rs
@@ -4,14 +4,14 @@
 use std::rc::Rc;
 
 /// The last look at the clock and the lease before a question leaves.
-pub type Look = Rc<dyn Fn() -> bool>;
+pub type LeaseCheck = Rc<dyn Fn() -> bool>;
 
 /// A question to a node.
 pub struct NodeQuery {
     /// The node.
     pub node: NodeId,
     /// Whether it may leave now.
-    pub look: Look,
+    pub lease_check: LeaseCheck,
 }
 
 /// What became of a question.
--- a/router/tests/duties.rs
+++ b/router/tests/duties.rs
@@ -8,7 +8,7 @@
 use plovercove_engine::Engine;
 use plovercove_poller::{Events, Poll};
 use plovercove_router::net::budget::Budget;
-use plovercove_router::net::{Source, split};
+use plovercove_router::net::{EventSource, split_poll_key};
 use plovercove_router::upstream::NodeQuery;
 use plovercove_router::upstream::{ConnectOptions, Upstream};
 use serde_json::{Value, json};
@@ -491,7 +491,7 @@
         upstream.query(
             NodeQuery {
                 node: id.clone(),
-                look: Rc::new(move || may),
+                lease_check: Rc::new(move || may),
             },
             1,
             &mut engine,
@@ -505,7 +505,7 @@
             poll.wait(&mut events, Some(Duration::from_millis(50)))
                 .expect("it waits");
             for event in events.iter() {
-                if let (Some(Source::Backend), key) = split(event.key) {
+                if let (Some(EventSource::Node), key) = split_poll_key(event.key) {
                     upstream.event(key, 2, &mut engine);
                 }
             }
--- a/router/tests/errors.rs
+++ b/router/tests/errors.rs
@@ -8,8 +8,8 @@
 use plovercove_pgwire::login::Refused;
 use plovercove_pgwire::login_rate_limit;
 use plovercove_pgwire::verifier::{MOST_USERS, Users};
-use plovercove_router::error::Wrong;
-use plovercove_router::operators::{Operators, Source};
+use plovercove_router::error::KeyFaultCause;
+use plovercove_router::operators::{Operators, OperatorsFile};
 use plovercove_router::{Error, config, statement_labels};
 use plovercove_settings as settings;
 use plovercove_starlark_config::{Cause, Fault as ScriptFault, Script};
@@ -70,12 +70,12 @@
 fn of_settings(all: &mut Vec<Seen>) {
     let part = json!({"word": "odd"}).to_string();
     let value = settings::parse(part.into_bytes()).expect("JSON");
-    let part = settings::Part::new(&value, "top.");
+    let part = settings::Section::new(&value, "top.");
     let faults = [
         settings::parse(b"{".to_vec()).err(),
-        settings::whole(&value, "top").err(),
-        part.get("none", settings::text).err(),
-        part.word("word", &[("even", ())]).err(),
+        settings::unsigned(&value, "top").err(),
+        part.required("none", settings::text).err(),
+        part.one_of("word", &[("even", ())]).err(),
         Some(settings::Fault::new("known.at: expected the present")),
         Some(settings::Fault::Missing("a".into()).within("line 3")),
     ];
@@ -200,7 +200,7 @@
         "/* id=a b */",
         "/* c=a,cluster=1,d=5 */",
     ] {
-        let fault = statement_labels::labels(text).expect_err(text);
+        let fault = statement_labels::read_labels(text).expect_err(text);
         all.push(seen("labels", &fault, fault.help()));
     }
 }
@@ -346,7 +346,7 @@
             .iter()
             .map(|(key, value)| format!("{key} = {value}\n"));
         let path = files.write("ops.star", &lines.collect::<String>(), 0o600);
-        let read = Source {
+        let read = OperatorsFile {
             path,
             settings: settings.clone(),
             seed: 1,
@@ -354,17 +354,17 @@
         .read();
         let fault = read.err().unwrap_or_else(|| panic!("{told} is good"));
         let (text, help) = (fault.to_string(), fault.help());
-        let Error::Operators { place, wrong } = fault else {
+        let Error::Operators { place, cause } = fault else {
             panic!("{text}")
         };
         assert!(
             place.file.ends_with("ops.star") && place.line.is_some() && !place.key.is_empty(),
             "{text}"
         );
-        let Seen(variant, ..) = seen("operators", &wrong, help);
+        let Seen(variant, ..) = seen("operators", &cause, help);
         all.push(Seen(variant, text, help));
     }
-    let guard = Wrong::NoGuard("none".into());
+    let guard = KeyFaultCause::NoGuard("none".into());
     all.push(seen("operators", &guard, guard.help()));
 }
 
@@ -419,7 +419,7 @@
         named("dialect", plovercove_pgwire::Error::VARIANTS),
         named("login", Refused::VARIANTS),
         named("router", Error::VARIANTS),
-        named("operators", Wrong::VARIANTS),
+        named("operators", KeyFaultCause::VARIANTS),
         named("labels", statement_labels::Mislabelled::VARIANTS),
     ]
     .concat()
--- a/router/tests/front_desk/mod.rs
+++ b/router/tests/front_desk/mod.rs
@@ -10,7 +10,7 @@
 use plovercove_poller::{Events, Poll};
 use plovercove_router::front::Front;
 use plovercove_router::net::budget::Budget;
-use plovercove_router::net::{Source, split};
+use plovercove_router::net::{EventSource, split_poll_key};
 use plovercove_settings::Names;
 use socket2::{Domain, Socket, Type};
 use std::io::{ErrorKind, Read, Write};
@@ -66,7 +66,7 @@
             &budget,
             listener,
             places,
-            Names::of(&settings),
+            Names::new(&settings),
             1_000_000,
         );
         let mut engine = Engine::new(settings, 1);
@@ -97,8 +97,8 @@
             .expect("a poller");
         let (mut clients, mut door) = (Vec::new(), false);
         for event in events.iter() {
-            match split(event.key) {
-                (Some(Source::Client), key) => {
+            match split_poll_key(event.key) {
+                (Some(EventSource::Client), key) => {
                     clients.push((key, event.is_interrupt() || event.is_err() == Some(true)));
                 }
                 _ => door = true,
--- a/settings/benches/reader.rs
+++ b/settings/benches/reader.rs
@@ -123,7 +123,7 @@
 
 fn by_hand(json: &[u8]) {
     let value = reader::parse(json.to_vec()).unwrap_or_else(|e| panic!("{e}"));
-    black_box(reader::settings(&value, "settings.").unwrap_or_else(|e| panic!("{e}")));
+    black_box(reader::read_settings(&value, "settings.").unwrap_or_else(|e| panic!("{e}")));
 }
 
 fn by_serde(json: &[u8]) {
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -86,16 +86,16 @@
 }
 
 /// What was read, or what is wrong with it.
-pub type Read<T> = Result<T, Fault>;
+pub type ReadResult<T> = Result<T, Fault>;
 
 /// Settings for the module, and what only the translation needs.
-pub struct Spawned {
+pub struct ParsedSettings {
     /// The module's own settings.
     pub settings: Settings,
     /// The moment from which the simulator counts positions.
-    pub zero: u64,
+    pub position_epoch: u64,
     /// The columns of a report.
-    pub report: Vec<String>,
+    pub report_columns: Vec<String>,
 }
 
 /// The numbers that the settings give to the names of classes and tenants.
@@ -106,7 +106,7 @@
 
 impl Names {
     /// The names in these settings.
-    pub fn of(settings: &Settings) -> Self {
+    pub fn new(settings: &Settings) -> Self {
         let classes = settings.classes.iter().map(|c| c.name.clone());
         let tenants = settings.tenants.iter().map(|t| t.name.clone());
         Names {
@@ -127,12 +127,12 @@
 }
 
 /// Reads one JSON value.
-pub fn parse(mut json: Vec<u8>) -> Read<Value> {
+pub fn parse(mut json: Vec<u8>) -> ReadResult<Value> {
     simd_json::to_owned_value(&mut json).map_err(Fault::NotJson)
 }
 
 /// The complaint about a value of the wrong kind.
-pub fn bad(what: &str, want: &str, got: &Value) -> Fault {
+pub fn wrong_kind(what: &str, want: &str, got: &Value) -> Fault {
     let mut shown: String = got.encode();
     if shown.chars().count() > 60 {
         shown = shown.chars().take(60).collect::<String>() + "...";
@@ -145,7 +145,7 @@
 }
 
 /// A whole number that is not negative.
-pub fn whole(value: &Value, what: &str) -> Read<u64> {
+pub fn unsigned(value: &Value, what: &str) -> ReadResult<u64> {
     let as_float = || {
         value
             .as_f64()
@@ -155,74 +155,85 @@
     value
         .as_u64()
         .or_else(as_float)
-        .ok_or_else(|| bad(what, "a whole number", value))
+        .ok_or_else(|| wrong_kind(what, "a whole number", value))
 }
 
 /// A whole number of 32 bits.
-pub fn small(value: &Value, what: &str) -> Read<u32> {
-    u32::try_from(whole(value, what)?).map_err(|_| bad(what, "a whole number under 2^32", value))
+pub fn unsigned_32(value: &Value, what: &str) -> ReadResult<u32> {
+    u32::try_from(unsigned(value, what)?)
+        .map_err(|_| wrong_kind(what, "a whole number under 2^32", value))
 }
 
 /// Any number.
-pub fn number(value: &Value, what: &str) -> Read<f64> {
-    value.cast_f64().ok_or_else(|| bad(what, "a number", value))
+pub fn number(value: &Value, what: &str) -> ReadResult<f64> {
+    value
+        .cast_f64()
+        .ok_or_else(|| wrong_kind(what, "a number", value))
 }
 
 /// A text.
-pub fn text<'a>(value: &'a Value, what: &str) -> Read<&'a str> {
-    value.as_str().ok_or_else(|| bad(what, "text", value))
+pub fn text<'a>(value: &'a Value, what: &str) -> ReadResult<&'a str> {
+    value
+        .as_str()
+        .ok_or_else(|| wrong_kind(what, "text", value))
 }
 
 /// True or false.
-pub fn flag(value: &Value, what: &str) -> Read<bool> {
+pub fn boolean(value: &Value, what: &str) -> ReadResult<bool> {
     value
         .as_bool()
-        .ok_or_else(|| bad(what, "true or false", value))
+        .ok_or_else(|| wrong_kind(what, "true or false", value))
 }
 
 /// A list.
-pub fn list<'a>(value: &'a Value, what: &str) -> Read<&'a Vec<Value>> {
-    value.as_array().ok_or_else(|| bad(what, "a list", value))
+pub fn list<'a>(value: &'a Value, what: &str) -> ReadResult<&'a Vec<Value>> {
+    value
+        .as_array()
+        .ok_or_else(|| wrong_kind(what, "a list", value))
 }
 
 /// A part of the settings, with the path to it for complaints.
-pub struct Part<'a> {
+pub struct Section<'a> {
     value: &'a Value,
     path: String,
 }
 
-impl<'a> Part<'a> {
+impl<'a> Section<'a> {
     /// A value whose path starts so.
     pub fn new(value: &'a Value, path: impl Into<String>) -> Self {
-        Part {
+        Section {
             value,
             path: path.into(),
         }
     }
 
     /// A part of this part, which must be an object.
-    pub fn sub(&self, key: &str) -> Read<Part<'a>> {
+    pub fn section(&self, key: &str) -> ReadResult<Section<'a>> {
         let path = format!("{}{key}", self.path);
         match self.value.get(key) {
-            Some(value) if value.is_object() => Ok(Part {
+            Some(value) if value.is_object() => Ok(Section {
                 value,
                 path: path + ".",
             }),
-            Some(value) => Err(bad(&path, "an object", value)),
+            Some(value) => Err(wrong_kind(&path, "an object", value)),
             None => Err(Fault::Missing(path)),
         }
     }
 
     /// A part of this part that may be null or left out, but is an object where it is there.
-    pub fn maybe_sub(&self, key: &str) -> Read<Option<Part<'a>>> {
+    pub fn optional_section(&self, key: &str) -> ReadResult<Option<Section<'a>>> {
         match self.value.get(key) {
             None | Some(Value::Static(StaticNode::Null)) => Ok(None),
-            Some(_) => self.sub(key).map(Some),
+            Some(_) => self.section(key).map(Some),
         }
     }
 
     /// A value that must be there.
-    pub fn get<T>(&self, key: &str, as_kind: impl Fn(&'a Value, &str) -> Read<T>) -> Read<T> {
+    pub fn required<T>(
+        &self,
+        key: &str,
+        as_kind: impl Fn(&'a Value, &str) -> ReadResult<T>,
+    ) -> ReadResult<T> {
         let path = format!("{}{key}", self.path);
         match self.value.get(key) {
             Some(value) => as_kind(value, &path),
@@ -231,11 +242,11 @@
     }
 
     /// A value that may be null or left out.
-    pub fn maybe<T>(
+    pub fn optional<T>(
         &self,
         key: &str,
-        as_kind: impl Fn(&'a Value, &str) -> Read<T>,
-    ) -> Read<Option<T>> {
+        as_kind: impl Fn(&'a Value, &str) -> ReadResult<T>,
+    ) -> ReadResult<Option<T>> {
         match self.value.get(key) {
             None | Some(Value::Static(StaticNode::Null)) => Ok(None),
             Some(value) => as_kind(value, &format!("{}{key}", self.path)).map(Some),
@@ -243,8 +254,8 @@
     }
 
     /// One of some words.
-    pub fn word<T: Clone>(&self, key: &str, words: &[(&str, T)]) -> Read<T> {
-        let got = self.get(key, text)?;
+    pub fn one_of<T: Clone>(&self, key: &str, words: &[(&str, T)]) -> ReadResult<T> {
+        let got = self.required(key, text)?;
         let found = words
             .iter()
             .find(|(word, _)| *word == got)
@@ -257,37 +268,38 @@
 }
 
 /// Reads the settings, whose keys are named from this path on.
-pub fn settings(facts: &Value, path: &str) -> Read<Spawned> {
-    let top = Part::new(facts, path);
+pub fn read_settings(facts: &Value, path: &str) -> ReadResult<ParsedSettings> {
+    let top = Section::new(facts, path);
     let (info, limits, rules) = (
-        top.sub("FamilyInfo")?,
-        top.sub("Limits")?,
-        top.sub("Rules")?,
+        top.section("FamilyInfo")?,
+        top.section("Limits")?,
+        top.section("Rules")?,
     );
-    let report = top.sub("Report")?;
-    let prices = top.maybe_sub("Prices")?;
-    let price = |key: &str| -> Read<f64> {
+    let report = top.section("Report")?;
+    let prices = top.optional_section("Prices")?;
+    let price = |key: &str| -> ReadResult<f64> {
         Ok(prices
             .as_ref()
-            .map(|p| p.maybe(key, number))
+            .map(|p| p.optional(key, number))
             .transpose()?
             .flatten()
             .unwrap_or(0.0))
     };
-    let yes =
-        |part: &Part<'_>, key: &str| -> Read<bool> { Ok(part.maybe(key, flag)?.unwrap_or(false)) };
-    let holds = info.maybe("HoldsFor", whole)?.unwrap_or(0);
-    let reads = info.get("ClassRead", list)?;
-    let bounds = info.maybe("MaxAge", list)?;
+    let yes = |part: &Section<'_>, key: &str| -> ReadResult<bool> {
+        Ok(part.optional(key, boolean)?.unwrap_or(false))
+    };
+    let holds = info.optional("HoldsFor", unsigned)?.unwrap_or(0);
+    let reads = info.required("ClassRead", list)?;
+    let bounds = info.optional("MaxAge", list)?;
     let classes = top
-        .get("Profiles", list)?
+        .required("Profiles", list)?
         .iter()
         .enumerate()
         .map(|(place, value)| {
-            let part = Part::new(value, format!("{path}Profiles[{place}]."));
+            let part = Section::new(value, format!("{path}Profiles[{place}]."));
             let bound = bounds
                 .and_then(|b| b.get(place))
-                .map(|v| whole(v, &format!("{path}FamilyInfo.MaxAge[{place}]")))
+                .map(|v| unsigned(v, &format!("{path}FamilyInfo.MaxAge[{place}]")))
                 .transpose()?;
             let read = reads
                 .get(place)
@@ -316,34 +328,34 @@
                 ("cell", DedupScope::Group),
             ];
             Ok(Class {
-                name: part.get("Name", text)?.to_string(),
+                name: part.required("Name", text)?.to_string(),
                 access,
-                latency_objective: part.get("Aim", whole)?,
-                objective_per_cost: part.maybe("AimStretch", number)?.unwrap_or(0.0),
-                deadline: part.get("Deadline", whole)?,
-                priority_weight: part.maybe("Gain", number)?.unwrap_or(1.0),
-                late_weight_share: part.maybe("LateWorth", number)?.unwrap_or(0.0),
-                idempotency: part.word("Effect", &effects)?,
+                latency_objective: part.required("Aim", unsigned)?,
+                objective_per_cost: part.optional("AimStretch", number)?.unwrap_or(0.0),
+                deadline: part.required("Deadline", unsigned)?,
+                priority_weight: part.optional("Gain", number)?.unwrap_or(1.0),
+                late_weight_share: part.optional("LateWorth", number)?.unwrap_or(0.0),
+                idempotency: part.one_of("Effect", &effects)?,
                 dedup_scope: if part.value.get("Group").is_some() {
-                    part.word("Group", &scopes)?
+                    part.one_of("Group", &scopes)?
                 } else {
                     DedupScope::Group
                 },
-                dedup_window: part.maybe("Window", whole)?.unwrap_or(0),
+                dedup_window: part.optional("Window", unsigned)?.unwrap_or(0),
                 stream: yes(&part, "Stream")?,
             })
         });
     let tenants = top
-        .maybe("Customers", list)?
+        .optional("Customers", list)?
         .into_iter()
         .flatten()
         .enumerate()
         .map(|(place, value)| {
-            let part = Part::new(value, format!("{path}Customers[{place}]."));
+            let part = Section::new(value, format!("{path}Customers[{place}]."));
             Ok(Tenant {
-                name: part.get("Name", text)?.to_string(),
+                name: part.required("Name", text)?.to_string(),
                 quota_per_s: part
-                    .maybe("AllowancePerS", number)?
+                    .optional("AllowancePerS", number)?
                     .unwrap_or(f64::INFINITY),
             })
         });
@@ -368,50 +380,50 @@
         ("rough", WeightMeaning::Size),
         ("live", WeightMeaning::Live),
     ];
-    let names = report.maybe("Names", list)?;
+    let names = report.optional("Names", list)?;
     let columns = names
         .into_iter()
         .flatten()
         .map(|v| text(v, "Report.Names").map(str::to_string));
-    Ok(Spawned {
-        zero: info.maybe("BaseTime", whole)?.unwrap_or(0),
-        report: columns.collect::<Read<_>>()?,
+    Ok(ParsedSettings {
+        position_epoch: info.optional("BaseTime", unsigned)?.unwrap_or(0),
+        report_columns: columns.collect::<ReadResult<_>>()?,
         settings: Settings {
-            router_index: top.get("SlotNo", small)?,
-            router_count: top.get("Balancers", small)?,
-            zone: top.maybe("Zone", text)?.unwrap_or("").to_string(),
-            classes: classes.collect::<Read<_>>()?,
-            tenants: tenants.collect::<Read<_>>()?,
-            over_quota_weight: top.maybe("OverShareWorth", number)?.unwrap_or(1.0),
-            weight_per_work: top.maybe("CountedBy", text)? == Some("work"),
-            replica_check: info.word("ServerChecks", &checks)?,
-            role_source: info.word("ShowsRole", &roles)?,
-            reports: report.word("How", &sources)?,
+            router_index: top.required("SlotNo", unsigned_32)?,
+            router_count: top.required("Balancers", unsigned_32)?,
+            zone: top.optional("Zone", text)?.unwrap_or("").to_string(),
+            classes: classes.collect::<ReadResult<_>>()?,
+            tenants: tenants.collect::<ReadResult<_>>()?,
+            over_quota_weight: top.optional("OverShareWorth", number)?.unwrap_or(1.0),
+            weight_per_work: top.optional("CountedBy", text)? == Some("work"),
+            replica_check: info.one_of("ServerChecks", &checks)?,
+            role_source: info.one_of("ShowsRole", &roles)?,
+            reports: report.one_of("How", &sources)?,
             clients_carry_tokens: info
-                .word("SessionMarks", &[("client", true), ("router", false)])?,
+                .one_of("SessionMarks", &[("client", true), ("router", false)])?,
             weight_meaning: if facts.get("Weights").is_some() {
-                top.word("Weights", &weights)?
+                top.one_of("Weights", &weights)?
             } else {
                 WeightMeaning::None
             },
-            subscribe: top.word("Discovery", &[("automatic", false), ("subscribe", true)])?,
-            poll_interval: rules.maybe("AskEvery", whole)?.unwrap_or(0),
+            subscribe: top.one_of("Discovery", &[("automatic", false), ("subscribe", true)])?,
+            poll_interval: rules.optional("AskEvery", unsigned)?.unwrap_or(0),
             health_checks_allowed: yes(&limits, "Probing")?,
             cancel_allowed: yes(&limits, "Cancel")?,
             hedging_allowed: yes(&limits, "SecondCopies")?,
             retry_after_allowed: yes(&limits, "RetryAfter")?,
-            max_retry_after: limits.maybe("MaxRetryAfter", whole)?.unwrap_or(0),
-            max_attempts: limits.get("MaxAttempts", small)?,
-            connect_timeout: limits.maybe("DialTimeout", whole)?.unwrap_or(250_000),
-            connection_idle: limits.maybe("ConnIdle", whole)?.unwrap_or(60_000_000),
-            tick: top.get("Tick", whole)?,
-            drain_grace: rules.get("DrainGrace", whole)?,
+            max_retry_after: limits.optional("MaxRetryAfter", unsigned)?.unwrap_or(0),
+            max_attempts: limits.required("MaxAttempts", unsigned_32)?,
+            connect_timeout: limits.optional("DialTimeout", unsigned)?.unwrap_or(250_000),
+            connection_idle: limits.optional("ConnIdle", unsigned)?.unwrap_or(60_000_000),
+            tick: top.required("Tick", unsigned)?,
+            drain_grace: rules.required("DrainGrace", unsigned)?,
             dropped_stay_open: yes(&rules, "DroppedStayOpen")?,
-            answer_grace: rules.maybe("GraceToAnswer", whole)?.unwrap_or(0),
-            slow_start_min_share: rules.get("ColdShare", number)?,
-            slow_start_duration: rules.get("Cold", whole)?,
-            overload_factor: rules.get("OverloadFactor", number)?,
-            overload_duration: rules.get("OverloadFor", whole)?,
+            answer_grace: rules.optional("GraceToAnswer", unsigned)?.unwrap_or(0),
+            slow_start_min_share: rules.required("ColdShare", number)?,
+            slow_start_duration: rules.required("Cold", unsigned)?,
+            overload_factor: rules.required("OverloadFactor", number)?,
+            overload_duration: rules.required("OverloadFor", unsigned)?,
             prices: Prices {
                 cross_zone: price("CrossZone")?,
                 waste: price("Waste")?,
--- a/settings/tests/quotas.rs
+++ b/settings/tests/quotas.rs
@@ -1,7 +1,7 @@
 //! Which shares tenants have agreed on: what the settings name, and what it means where they name none.
 
 use plovercove::Settings;
-use plovercove_settings::{parse, settings};
+use plovercove_settings::{parse, read_settings};
 
 fn read(customers: &str, more: &str) -> Settings {
     let json = format!(
@@ -16,7 +16,7 @@
         {customers}}}"#
     );
     let value = parse(json.into_bytes()).unwrap_or_else(|e| panic!("{e}"));
-    settings(&value, "settings.")
+    read_settings(&value, "settings.")
         .unwrap_or_else(|e| panic!("{e}"))
         .settings
 }
--- a/simulator-adapter/src/read.rs
+++ b/simulator-adapter/src/read.rs
@@ -2,7 +2,8 @@
 
 use plovercove::*;
 use plovercove_settings::{
-    self as settings, Fault, Read, Spawned, Value, bad, flag, list, number, text, whole,
+    self as settings, Fault, ParsedSettings, ReadResult, Value, boolean, list, number, text,
+    unsigned, wrong_kind,
 };
 use simd_json::StaticNode;
 use simd_json::prelude::*;
@@ -21,12 +22,12 @@
 
 impl Names {
     /// The names that the settings bring.
-    pub fn of(spawned: &Spawned) -> Self {
-        let known = settings::Names::of(&spawned.settings);
+    pub fn of(spawned: &ParsedSettings) -> Self {
+        let known = settings::Names::new(&spawned.settings);
         Names {
             known,
-            zero: spawned.zero,
-            report: spawned.report.clone(),
+            zero: spawned.position_epoch,
+            report: spawned.report_columns.clone(),
         }
     }
 }
@@ -34,28 +35,28 @@
 /// One message of a batch.
 pub enum Incoming {
     Pool(u64, Vec<Endpoint>),
-    Spawn(u64, Box<Spawned>),
+    Spawn(u64, Box<ParsedSettings>),
     Exit,
     Event(Event),
 }
 
 /// Reads one batch line.
-pub fn batch(line: &str) -> Read<Value> {
+pub fn batch(line: &str) -> ReadResult<Value> {
     let value =
         settings::parse(line.as_bytes().to_vec()).map_err(|fault| fault.within("not a batch"))?;
     if !value.is_object() {
-        return Err(bad("batch", "an object", &value));
+        return Err(wrong_kind("batch", "an object", &value));
     }
     Ok(value)
 }
 
 /// The clock of a batch.
-pub fn clock(batch: &Value) -> Read<u64> {
-    whole(batch.get("Wall").unwrap_or(&NOTHING), "Wall")
+pub fn clock(batch: &Value) -> ReadResult<u64> {
+    unsigned(batch.get("Wall").unwrap_or(&NOTHING), "Wall")
 }
 
 /// The instances of a batch with their input.
-pub fn routers(batch: &Value) -> Read<Vec<(&str, &Vec<Value>)>> {
+pub fn routers(batch: &Value) -> ReadResult<Vec<(&str, &Vec<Value>)>> {
     clock(batch)?;
     let groups = list(batch.get("routers").unwrap_or(&NOTHING), "routers")?;
     let mut found = Vec::with_capacity(groups.len());
@@ -77,7 +78,7 @@
 }
 
 impl<'a> Fields<'a> {
-    fn at(&self, place: usize, name: &str) -> Read<&'a Value> {
+    fn at(&self, place: usize, name: &str) -> ReadResult<&'a Value> {
         self.values
             .get(place)
             .ok_or_else(|| Fault::new(format!("{}: {name} is missing", self.kind)))
@@ -87,8 +88,8 @@
         &self,
         place: usize,
         name: &str,
-        as_kind: impl Fn(&'a Value, &str) -> Read<T>,
-    ) -> Read<T> {
+        as_kind: impl Fn(&'a Value, &str) -> ReadResult<T>,
+    ) -> ReadResult<T> {
         as_kind(self.at(place, name)?, &format!("{} {name}", self.kind))
     }
 
@@ -97,8 +98,8 @@
         &self,
         place: usize,
         name: &str,
-        as_kind: impl Fn(&'a Value, &str) -> Read<T>,
-    ) -> Read<Option<T>> {
+        as_kind: impl Fn(&'a Value, &str) -> ReadResult<T>,
+    ) -> ReadResult<Option<T>> {
         match self.values.get(place) {
             None | Some(Value::Static(StaticNode::Null)) => Ok(None),
             Some(value) => as_kind(value, &format!("{} {name}", self.kind)).map(Some),
@@ -111,7 +112,7 @@
     value: &Value,
     names: Option<&Names>,
     pools: &BTreeMap<u64, Vec<Endpoint>>,
-) -> Read<Incoming> {
+) -> ReadResult<Incoming> {
     let values = list(value, "message")?;
     let kind = text(values.first().unwrap_or(&NOTHING), "message name")?;
     let f = Fields {
@@ -124,18 +125,18 @@
                 .get(1, "MembersList", list)?
                 .iter()
                 .map(entry)
-                .collect::<Read<_>>()?;
-            Incoming::Pool(f.get(0, "SetId", whole)?, entries)
+                .collect::<ReadResult<_>>()?;
+            Incoming::Pool(f.get(0, "SetId", unsigned)?, entries)
         }
         "Spawn" => {
             let facts = f.get(1, "Facts", |v, what| {
                 v.is_object()
                     .then_some(v)
-                    .ok_or_else(|| bad(what, "an object", v))
+                    .ok_or_else(|| wrong_kind(what, "an object", v))
             })?;
             let spawned =
-                settings::settings(facts, "").map_err(|fault| fault.within("Spawn Facts"))?;
-            Incoming::Spawn(f.get(0, "InitSeed", whole)?, Box::new(spawned))
+                settings::read_settings(facts, "").map_err(|fault| fault.within("Spawn Facts"))?;
+            Incoming::Spawn(f.get(0, "InitSeed", unsigned)?, Box::new(spawned))
         }
         "Exit" => Incoming::Exit,
         _ => Incoming::Event(event(&f, names, pools)?),
@@ -146,7 +147,7 @@
     f: &Fields<'_>,
     names: Option<&Names>,
     pools: &BTreeMap<u64, Vec<Endpoint>>,
-) -> Read<Event> {
+) -> ReadResult<Event> {
     let Some(names) = names else {
         return Err(Fault::new(format!("{}: no Spawn came before it", f.kind)));
     };
@@ -158,8 +159,8 @@
     };
     Ok(match f.kind {
         "Members" => {
-            let pool = || -> Read<Vec<Endpoint>> {
-                let id = f.get(0, "SetId", whole)?;
+            let pool = || -> ReadResult<Vec<Endpoint>> {
+                let id = f.get(0, "SetId", unsigned)?;
                 pools
                     .get(&id)
                     .cloned()
@@ -179,10 +180,10 @@
                 _ => text(v, what),
             })?;
             let class = f.get(1, "Qos", text)?;
-            let bits = f.maybe(8, "Bitmap", whole)?.unwrap_or(0);
+            let bits = f.maybe(8, "Bitmap", unsigned)?.unwrap_or(0);
             let age = f.maybe(7, "TokenMs", number)?.unwrap_or(0.0);
             Event::RequestArrived(RequestInfo {
-                id: f.get(0, "Xid", whole)?,
+                id: f.get(0, "Xid", unsigned)?,
                 class: names
                     .known
                     .class(class)
@@ -200,27 +201,27 @@
                     .maybe(3, "Sess", text)?
                     .filter(|s| !s.is_empty())
                     .map(Arc::from),
-                time_left: f.get(4, "Left", whole)?,
-                cost_hint: f.maybe(5, "Expected", whole)?.filter(|_| bits & 1 != 0),
-                group: f.get(6, "DbNo", whole)?,
+                time_left: f.get(4, "Left", unsigned)?,
+                cost_hint: f.maybe(5, "Expected", unsigned)?.filter(|_| bits & 1 != 0),
+                group: f.get(6, "DbNo", unsigned)?,
                 last_write_age: (age > 0.0).then_some((age * 1000.0).floor() as u64),
                 is_retry: bits & 2 != 0,
             })
         }
         "Accepted" => Event::StreamStarted {
-            request: f.get(0, "Xid", whole)?,
+            request: f.get(0, "Xid", unsigned)?,
         },
         "Verdict" => Event::AttemptEnded {
-            request: f.get(0, "Xid", whole)?,
-            attempt: f.get(1, "Hop", whole)? as u32,
+            request: f.get(0, "Xid", unsigned)?,
+            attempt: f.get(1, "Hop", unsigned)? as u32,
             end: ending(f.get(3, "Status", text)?)?,
-            elapsed: f.maybe(4, "DelaySeen", whole)?.unwrap_or(0),
-            request_over: f.get(5, "Terminal", flag)?,
-            answer_report: note(f.maybe(6, "Stand", whole)?.unwrap_or(0), names.zero),
+            elapsed: f.maybe(4, "DelaySeen", unsigned)?.unwrap_or(0),
+            request_over: f.get(5, "Terminal", boolean)?,
+            answer_report: note(f.maybe(6, "Stand", unsigned)?.unwrap_or(0), names.zero),
             load_report: report(f.maybe(7, "Gauge", list)?, names)?,
         },
         "Abandoned" => Event::ClientGone {
-            request: f.get(0, "Xid", whole)?,
+            request: f.get(0, "Xid", unsigned)?,
         },
         "Elapsed" => {
             f.get(0, "Ref", text)?;
@@ -232,14 +233,14 @@
             load_report: report(f.maybe(3, "Gauge", list)?, names)?,
         },
         "FromPeer" => Event::Peer {
-            from: f.get(0, "SrcPeer", whole)? as u32,
+            from: f.get(0, "SrcPeer", unsigned)? as u32,
             payload: f.get(1, "Payload", hex)?,
         },
         other => return Err(Fault::new(format!("message {other:?} is unknown"))),
     })
 }
 
-fn hex(value: &Value, what: &str) -> Read<Vec<u8>> {
+fn hex(value: &Value, what: &str) -> ReadResult<Vec<u8>> {
     let digits = text(value, what)?.as_bytes();
     let pair = |two: &[u8]| {
         std::str::from_utf8(two)
@@ -250,10 +251,10 @@
         .chunks(2)
         .map(|two| (two.len() == 2).then(|| pair(two))?)
         .collect();
-    bytes.ok_or_else(|| bad(what, "pairs of hex digits", value))
+    bytes.ok_or_else(|| wrong_kind(what, "pairs of hex digits", value))
 }
 
-fn ending(word: &str) -> Read<AttemptEnd> {
+fn ending(word: &str) -> ReadResult<AttemptEnd> {
     Ok(match word {
         "success" => AttemptEnd::Success,
         "failure" => AttemptEnd::Failure,
@@ -287,7 +288,7 @@
     }
 }
 
-fn report(row: Option<&Vec<Value>>, names: &Names) -> Read<NodeReport> {
+fn report(row: Option<&Vec<Value>>, names: &Names) -> ReadResult<NodeReport> {
     let Some(row) = row else {
         return Ok(NodeReport::default());
     };
@@ -320,7 +321,7 @@
     Ok(standing)
 }
 
-fn entry(value: &Value) -> Read<Endpoint> {
+fn entry(value: &Value) -> ReadResult<Endpoint> {
     let f = Fields {
         kind: "Pool entry",
         values: list(value, "Pool entry")?,
@@ -330,7 +331,7 @@
         zone: f.maybe(1, "RackZone", text)?.unwrap_or("").to_string(),
         machine_kind: f.maybe(2, "Flavor", text)?.unwrap_or("").to_string(),
         listed_as_primary: f.maybe(3, "Head", number)? == Some(1.0),
-        group: f.get(4, "Cell", whole)?,
+        group: f.get(4, "Cell", unsigned)?,
         state: match f.get(5, "Status", text)? {
             "SERVING" => EndpointState::Serving,
             "DRAINING" => EndpointState::Draining,
@@ -342,6 +343,6 @@
             }
         },
         weight: f.maybe(6, "Size", number)?.unwrap_or(1.0),
-        started_at: f.maybe(7, "BootTime", whole)?.filter(|t| *t > 0),
+        started_at: f.maybe(7, "BootTime", unsigned)?.filter(|t| *t > 0),
     })
 }
