--- a/router/src/serve.rs
+++ b/router/src/serve.rs
@@ -15,7 +15,7 @@
 use crate::operators;
 use crate::upstream::Upstream;
 use plovercove::{EndpointUpdate, LocalityPolicy, Time};
-use plovercove_engine::{Command, Deadline, Engine, Key, Lists, WatchSchedule};
+use plovercove_engine::{Command, Deadline, Engine, Key, ListSource, WatchSchedule};
 use plovercove_gossip::Observer;
 use plovercove_locality::ZoneFailover;
 use plovercove_poller::{Events, Poll};
@@ -115,8 +115,8 @@
         let index = Some(config.remembered_list.index)
             .filter(|_| !config.remembered_list.entries.is_empty());
         let lists = match settings.subscribe {
-            true => Lists::Asked,
-            false => Lists::Pushed {
+            true => ListSource::Polled,
+            false => ListSource::Pushed {
                 grace: settings.drain_grace,
             },
         };
@@ -255,7 +255,7 @@
     fn read_clients(&mut self, ready: &Ready<'_>, now: Time) {
         for event in ready.of(EventSource::Client) {
             self.front
-                .event(event.key, event.hung_up, now, &mut self.engine);
+                .handle_event(event.key, event.hung_up, now, &mut self.engine);
         }
     }
 
@@ -278,12 +278,12 @@
             Deadline::Backend(key) => self.upstream.connection_expired(key, now, &mut self.engine),
             Deadline::Client(key) => self.front.check_client(key, now, &mut self.engine),
             Deadline::Discovery => self.discovery.due(now, &mut self.engine),
-            Deadline::Peers => self
+            Deadline::Gossip => self
                 .peers
                 .iter_mut()
                 .for_each(|peers| peers.turn(now, &mut self.engine)),
             Deadline::Accept => self.front.resume_accepting(now, &mut self.engine),
-            Deadline::Stop => {
+            Deadline::Shutdown => {
                 // Handing over does not keep clients waiting.
                 self.peers.iter_mut().for_each(|peers| peers.end(now));
                 self.front.drain(now, &mut self.engine);
@@ -304,7 +304,7 @@
             self.pass_on_answers(now);
             self.front.pump(now, &mut self.engine);
         }
-        self.engine.has_pending_work() || self.front.has_marked()
+        self.engine.has_pending_work() || self.front.has_marked_clients()
     }
 
     fn carry_out(&mut self, command: Command, now: Time) {
@@ -327,7 +327,7 @@
                 request,
                 origin,
                 answer,
-            } => self.front.conclude(origin, request, answer),
+            } => self.front.send_final_answer(origin, request, answer),
         }
     }
 
@@ -346,7 +346,7 @@
     fn pass_on_answers(&mut self, now: Time) {
         for served in self.upstream.take_served() {
             self.front
-                .pass_on(served.origin, served.request, served.reply, now);
+                .send_reply(served.origin, served.request, served.reply, now);
         }
     }
 
@@ -451,6 +451,6 @@
             .for_each(|peers| peers.leave(now, &mut self.engine));
         self.engine
             .deadlines
-            .add(now + STILL_ACCEPTING, Deadline::Stop);
+            .add(now + STILL_ACCEPTING, Deadline::Shutdown);
     }
 }
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -418,7 +418,7 @@
             connection_idle: limits.optional("ConnIdle", unsigned)?.unwrap_or(60_000_000),
             tick: top.required("Tick", unsigned)?,
             drain_grace: rules.required("DrainGrace", unsigned)?,
-            dropped_stay_open: yes(&rules, "DroppedStayOpen")?,
+            removed_nodes_stay_open: yes(&rules, "DroppedStayOpen")?,
             answer_grace: rules.optional("GraceToAnswer", unsigned)?.unwrap_or(0),
             slow_start_min_share: rules.required("ColdShare", number)?,
             slow_start_duration: rules.required("Cold", unsigned)?,
