--- a/router/src/front/mod.rs
+++ b/router/src/front/mod.rs
@@ -30,7 +30,7 @@
 pub use listener::{DefaultClass, DefaultLabels, ListenerConfig};
 
 use crate::net::budget::Budget;
-use crate::net::stream::Peer;
+use crate::net::stream::PeerState;
 use cancellation::CancelRequest;
 use client::{Client, Phase};
 use eviction::{EvictionOrder, IDLE_LINGER_TIMEOUT};
@@ -120,12 +120,12 @@
     }
 
     /// How many clients are connected.
-    pub fn connected(&self) -> usize {
+    pub fn client_count(&self) -> usize {
         self.clients.len()
     }
 
     /// Whether something has happened that has not been pumped.
-    pub fn has_marked(&self) -> bool {
+    pub fn has_marked_clients(&self) -> bool {
         !self.marked.is_empty()
     }
 
@@ -133,12 +133,12 @@
     ///
     /// It tells of a reset whatever the socket waits for, over and over: a client that is not being read must be closed then,
     /// or the loop would spin.
-    pub fn event(&mut self, key: Key, hung_up: bool, now: Time, engine: &mut Engine) {
+    pub fn handle_event(&mut self, key: Key, hung_up: bool, now: Time, engine: &mut Engine) {
         let Some(client) = self.clients.get_mut(key) else {
             return;
         };
         let peer = client.receive(&mut self.context, key, now);
-        if hung_up || peer != Peer::Open {
+        if hung_up || peer != PeerState::Open {
             debug!(client = key.number(), ?peer, hung_up, "closed");
             return self.close(key, engine);
         }
@@ -199,7 +199,7 @@
             client.may_begin_message() && !exchanged.has_more && !client.stream.unread().is_empty();
         let began_at = client.message_began_at.unwrap_or(now);
         client.message_began_at = has_partial_message.then_some(began_at);
-        client.stream.wait_for(client.wants_input());
+        client.stream.set_read_interest(client.wants_input());
         let may_end = self.is_draining
             && client.has_requested
             && client.is_idle()
@@ -226,7 +226,7 @@
         };
         let peer = client.receive(&mut self.context, key, now);
         let goes_on =
-            peer == Peer::Open && client.exchange(&mut self.context, key, now, engine).is_ok();
+            peer == PeerState::Open && client.exchange(&mut self.context, key, now, engine).is_ok();
         if !goes_on {
             return self.close(key, engine);
         }
