--- a/router/src/front/client.rs
+++ b/router/src/front/client.rs
@@ -1,7 +1,7 @@
 //! One client's connection: where its session stands, what is owed to it, and how long it is waited for.
 
 use super::eviction::{EvictionKind, EvictionRank};
-use crate::net::budget::{Budget, Buffer, Share};
+use crate::net::budget::{Budget, Buffer, Reservation};
 use crate::net::stream::Stream;
 use crate::statement_labels::{Statement, code};
 use plovercove::{Micros, Time};
@@ -57,7 +57,7 @@
     pub(super) statement: Rc<Statement>,
     pub(super) is_write: bool,
     /// The statement's bytes in the budget, for as long as it is held.
-    pub(super) _share: Share,
+    pub(super) _reservation: Reservation,
 }
 
 /// One thing that is owed to a client, in order.
@@ -183,7 +183,7 @@
     pub(super) fn encoder(&self) -> Encoder {
         Encoder {
             version: self.version,
-            forms: self.session.forms,
+            formats: self.session.formats,
         }
     }
 
@@ -200,7 +200,7 @@
     pub(super) fn wants_input(&self) -> bool {
         let may_read_ahead = || {
             let is_short = self.stream.unread().len() < MAX_READ_AHEAD_BYTES;
-            is_short && self.stream.may_hoard()
+            is_short && self.stream.may_read_ahead()
         };
         self.is_lingering() || self.may_begin_message() || may_read_ahead()
     }
@@ -219,8 +219,8 @@
     pub(super) fn reply_error(&mut self, budget: &Budget, code: &str, text: &str) {
         let encoder = self.encoder();
         self.queue_reply(budget, |out| {
-            encoder.error(false, code, text, None, out);
-            encoder.ready(out);
+            encoder.put_error(false, code, text, None, out);
+            encoder.put_ready(out);
         });
     }
 
@@ -237,7 +237,7 @@
     /// An error that ends the session.
     pub(super) fn end_session(&mut self, budget: &Budget, code: &str, text: &str) {
         let encoder = self.encoder();
-        self.queue_reply(budget, |out| encoder.error(true, code, text, None, out));
+        self.queue_reply(budget, |out| encoder.put_error(true, code, text, None, out));
         self.phase = Phase::Closing;
     }
 
@@ -251,7 +251,7 @@
             is_delivering: self.stream.is_delivering(),
         });
         self.last_progress_at = now;
-        self.stream.finish();
+        self.stream.shut_down_write();
     }
 
     /// The time of a lingering client is up: whether it lingers on, since its answer has not left the system's buffer.
@@ -275,8 +275,9 @@
             CLOSED_BEFORE_REQUEST
         };
         let encoder = self.encoder();
-        self.stream
-            .put(|out| encoder.error(true, code::TURNED_AWAY, text, None, out));
+        self.stream.queue_output(|out| {
+            encoder.put_error(true, code::TOO_MANY_CONNECTIONS, text, None, out)
+        });
         // One that cannot be told has gone.
         let _ = self.stream.flush();
     }
--- a/router/tests/front_desk/mod.rs
+++ b/router/tests/front_desk/mod.rs
@@ -10,7 +10,7 @@
 use plovercove_poller::{Events, Poll};
 use plovercove_router::front::Front;
 use plovercove_router::net::budget::Budget;
-use plovercove_router::net::{Source, split};
+use plovercove_router::net::{EventSource, split_poll_key};
 use plovercove_settings::Names;
 use socket2::{Domain, Socket, Type};
 use std::io::{ErrorKind, Read, Write};
@@ -66,7 +66,7 @@
             &budget,
             listener,
             places,
-            Names::of(&settings),
+            Names::new(&settings),
             1_000_000,
         );
         let mut engine = Engine::new(settings, 1);
@@ -97,8 +97,8 @@
             .expect("a poller");
         let (mut clients, mut door) = (Vec::new(), false);
         for event in events.iter() {
-            match split(event.key) {
-                (Some(Source::Client), key) => {
+            match split_poll_key(event.key) {
+                (Some(EventSource::Client), key) => {
                     clients.push((key, event.is_interrupt() || event.is_err() == Some(true)));
                 }
                 _ => door = true,
@@ -111,7 +111,8 @@
     pub fn turn(&mut self) {
         let (clients, door) = self.events();
         for (key, hung_up) in clients {
-            self.front.event(key, hung_up, self.now, &mut self.engine);
+            self.front
+                .handle_event(key, hung_up, self.now, &mut self.engine);
         }
         if door {
             self.front
@@ -153,7 +154,7 @@
                         origin,
                         answer,
                     } => {
-                        self.front.conclude(origin, request, answer);
+                        self.front.send_final_answer(origin, request, answer);
                     }
                     Command::CancelAttempt { .. }
                     | Command::HealthCheck(_)
@@ -201,7 +202,8 @@
             .expect("it is owed");
         let mut reply = self.budget.buffer();
         reply.write(|out| out.extend_from_slice(messages));
-        self.front.pass_on(origin, attempt.request, reply, self.now);
+        self.front
+            .send_reply(origin, attempt.request, reply, self.now);
         self.turn();
     }
 
