--- a/engine/src/engine/tests.rs
+++ b/engine/src/engine/tests.rs
@@ -1,17 +1,17 @@
-//! Whether the books hold what no decision may break.
+//! Tests of the rules that the engine enforces on all decisions.
 
 use super::*;
 use plovercove::{Access, DedupScope, EndpointState, Idempotency};
 
 const NOW: Time = 1_000_000_000;
 
-/// A core with one write on its way to the primary.
-fn writing() -> (Engine, AttemptId) {
-    writing_of(Idempotency::AtMostOnce, DedupScope::Group)
+/// Returns an engine with one at-most-once write that is sent to the primary.
+fn engine_with_write() -> (Engine, AttemptId) {
+    engine_with_write_of(Idempotency::AtMostOnce, DedupScope::Group)
 }
 
-/// The same, of a class of this effect.
-fn writing_of(effect: Idempotency, scope: DedupScope) -> (Engine, AttemptId) {
+/// Returns an engine with one write of this idempotency that is sent to the primary.
+fn engine_with_write_of(idempotency: Idempotency, scope: DedupScope) -> (Engine, AttemptId) {
     let class = Class {
         name: "book".into(),
         access: Access::Write,
@@ -20,7 +20,7 @@
         deadline: 5_000_000,
         priority_weight: 1.0,
         late_weight_share: 0.0,
-        idempotency: effect,
+        idempotency,
         dedup_scope: scope,
         dedup_window: 0,
         stream: false,
@@ -69,22 +69,23 @@
 }
 
 #[test]
-fn a_write_that_may_have_run_is_never_called_harmless() {
-    // Danger: the client would send it again, and a seat would be booked twice.
-    let (mut engine, attempt) = writing();
+fn a_write_that_may_have_run_is_never_rejected() {
+    // The client would send a rejected write again, and a seat would be booked twice.
+    let (mut engine, attempt) = engine_with_write();
     engine.attempt_written(attempt);
     engine.answer(attempt.request, FinalAnswer::Rejected(None));
     engine.answer(attempt.request, FinalAnswer::Failed);
     assert_eq!(
         answers(&engine.commands),
         [FinalAnswer::Failed],
-        "one answer, and no refusal"
+        "one answer, which is no rejection"
     );
 }
 
 #[test]
-fn what_may_have_run_is_called_harmless_only_where_repeats_are() {
-    // Danger: where repeats are discarded in one group or zone only, a client that is told to come again runs it twice.
+fn a_request_that_may_have_run_is_rejected_only_if_repeats_are_harmless() {
+    // If repeats are discarded in one group or zone only, a client that retries after a rejection executes the write
+    // twice.
     use Idempotency::{AtMostOnce, Deduplicated, Idempotent};
     let cases = [
         (Idempotent, DedupScope::Group, true),
@@ -93,32 +94,36 @@
         (Deduplicated, DedupScope::Group, false),
         (AtMostOnce, DedupScope::All, false),
     ];
-    for (effect, scope, harmless) in cases {
-        let (mut engine, attempt) = writing_of(effect, scope);
+    for (idempotency, scope, is_harmless) in cases {
+        let (mut engine, attempt) = engine_with_write_of(idempotency, scope);
         engine.attempt_written(attempt);
         engine.answer(attempt.request, FinalAnswer::Rejected(None));
-        let want = if harmless {
+        let expected = if is_harmless {
             FinalAnswer::Rejected(None)
         } else {
             FinalAnswer::Failed
         };
-        assert_eq!(answers(&engine.commands), [want], "{effect:?} {scope:?}");
-        let (mut engine, attempt) = writing_of(effect, scope);
+        assert_eq!(
+            answers(&engine.commands),
+            [expected],
+            "{idempotency:?} {scope:?}"
+        );
+        let (mut engine, attempt) = engine_with_write_of(idempotency, scope);
         engine.answer(attempt.request, FinalAnswer::Rejected(None));
         assert_eq!(
             answers(&engine.commands),
             [FinalAnswer::Rejected(None)],
-            "{effect:?} {scope:?}: nothing was written"
+            "{idempotency:?} {scope:?}: nothing was written"
         );
     }
 }
 
 #[test]
-fn an_attempt_that_was_never_written_whole_did_not_run() {
-    let (mut engine, attempt) = writing();
+fn an_attempt_not_completely_written_did_not_run() {
+    let (mut engine, attempt) = engine_with_write();
     engine.attempt_timed_out(attempt, NOW + 400_000);
     let ended = engine.events.iter().find_map(|event| match event {
-        Event::AttemptEnded { end: ending, .. } => Some(*ending),
+        Event::AttemptEnded { end, .. } => Some(*end),
         _ => None,
     });
     assert_eq!(ended, Some(AttemptEnd::Unreachable));
@@ -129,8 +134,8 @@
 }
 
 #[test]
-fn a_client_that_has_gone_is_owed_nothing_and_its_slot_comes_back() {
-    let (mut engine, attempt) = writing();
+fn a_departed_client_gets_no_answer_and_its_slot_is_freed() {
+    let (mut engine, attempt) = engine_with_write();
     engine.attempt_written(attempt);
     engine.client_gone(attempt.request);
     assert_eq!(
@@ -139,20 +144,20 @@
             engine.pending_requests()
         ),
         (0, 1),
-        "its attempt is still out"
+        "its attempt is still in flight"
     );
-    let said = NodeReport::default();
+    let no_report = NodeReport::default();
     assert_eq!(
-        engine.attempt_ended(NOW + 2, attempt, AttemptEnd::Success, said, said),
+        engine.attempt_ended(NOW + 2, attempt, AttemptEnd::Success, no_report, no_report),
         None
     );
     assert_eq!(engine.pending_requests(), 0);
 }
 
 #[test]
-fn what_is_cancelled_is_stopped_and_answered_no_more() {
-    // Danger: a db node would go on with what nobody waits for, and its answer would come as a second one.
-    let (mut engine, attempt) = writing();
+fn a_cancelled_request_is_stopped_and_gets_no_answer() {
+    // A database node would go on with a request that no client waits for, and its answer would arrive as a second one.
+    let (mut engine, attempt) = engine_with_write();
     engine.attempt_written(attempt);
     engine.cancel_request(attempt.request, NOW + 1);
     let commands = engine.decide(NOW + 1);
@@ -169,32 +174,34 @@
 }
 
 #[test]
-fn what_the_list_no_longer_names_is_forgotten() {
-    // Danger: each replaced node would leave something behind, and its group would be asked for in vain.
-    let mut engine = writing().0;
-    let listed = |state| Endpoint {
+fn endpoints_no_longer_listed_are_forgotten() {
+    // Each replaced node would leave an entry behind, and requests to its group would be sent in vain.
+    let mut engine = engine_with_write().0;
+    let listed_endpoint = |state| Endpoint {
         node: "r".into(),
         group: 2,
         state,
         ..Endpoint::default()
     };
-    engine.update_endpoints(EndpointUpdate::Changes(vec![listed(
+    engine.update_endpoints(EndpointUpdate::Changes(vec![listed_endpoint(
         EndpointState::Serving,
     )]));
     assert!(engine.knows_group(1) && engine.knows_group(2));
-    engine.update_endpoints(EndpointUpdate::Changes(vec![listed(
+    engine.update_endpoints(EndpointUpdate::Changes(vec![listed_endpoint(
         EndpointState::Removed,
     )]));
     assert!(engine.knows_group(1) && !engine.knows_group(2));
-    engine.update_endpoints(EndpointUpdate::Full(vec![listed(EndpointState::Serving)]));
+    engine.update_endpoints(EndpointUpdate::Full(vec![listed_endpoint(
+        EndpointState::Serving,
+    )]));
     assert_eq!(
         engine.endpoints().count(),
         1,
-        "a whole list replaces what was known"
+        "a complete list replaces the known one"
     );
 }
 
-fn listed(node: &str, state: EndpointState) -> Endpoint {
+fn listed_endpoint(node: &str, state: EndpointState) -> Endpoint {
     Endpoint {
         node: node.into(),
         listed_as_primary: node == "p",
@@ -206,14 +213,15 @@
 }
 
 #[test]
-fn a_list_binds_from_the_moment_it_is_told_and_not_from_the_next_decision() {
-    // Danger: a connection comes up in the turn that told of the leaving, and carries what was decided before.
+fn a_list_update_applies_before_the_next_decision() {
+    // A connection may open in the same turn in which the update arrives, and would carry an attempt that was decided
+    // before.
     for update in [
-        EndpointUpdate::Changes(vec![listed("p", EndpointState::Draining)]),
-        EndpointUpdate::Changes(vec![listed("p", EndpointState::Removed)]),
-        EndpointUpdate::Full(vec![listed("r", EndpointState::Serving)]),
+        EndpointUpdate::Changes(vec![listed_endpoint("p", EndpointState::Draining)]),
+        EndpointUpdate::Changes(vec![listed_endpoint("p", EndpointState::Removed)]),
+        EndpointUpdate::Full(vec![listed_endpoint("r", EndpointState::Serving)]),
     ] {
-        let (mut engine, attempt) = writing();
+        let (mut engine, attempt) = engine_with_write();
         assert!(
             engine.may_send(Some(attempt), &"p".into(), NOW + 1)
                 && engine.may_still_send(attempt, NOW + 1)
@@ -225,24 +233,24 @@
         );
         assert!(
             !engine.may_send(None, &"p".into(), NOW + 1),
-            "a question after {update:?}"
+            "a query of the router after {update:?}"
         );
         engine.decide(NOW + 1);
         assert!(
             !engine.may_still_send(attempt, NOW + 2),
-            "an attempt once the module has heard {update:?}"
+            "an attempt once the decisions have handled {update:?}"
         );
     }
 }
 
 #[test]
-fn a_node_that_leaves_and_comes_back_under_its_name_is_asked_again() {
-    let (mut engine, attempt) = writing();
-    engine.update_endpoints(EndpointUpdate::Changes(vec![listed(
+fn a_node_that_drains_and_returns_gets_requests_again() {
+    let (mut engine, attempt) = engine_with_write();
+    engine.update_endpoints(EndpointUpdate::Changes(vec![listed_endpoint(
         "p",
         EndpointState::Draining,
     )]));
-    engine.update_endpoints(EndpointUpdate::Changes(vec![listed(
+    engine.update_endpoints(EndpointUpdate::Changes(vec![listed_endpoint(
         "p",
         EndpointState::Serving,
     )]));
@@ -251,75 +259,75 @@
 }
 
 #[test]
-fn a_new_process_is_bound_by_the_list_it_was_given_from_its_first_moment() {
+fn a_restored_list_applies_from_the_start() {
     let mut engine = Engine::new(Settings::default(), 1);
     engine.update_endpoints(EndpointUpdate::Restored(vec![
-        listed("p", EndpointState::Draining),
-        listed("r", EndpointState::Serving),
+        listed_endpoint("p", EndpointState::Draining),
+        listed_endpoint("r", EndpointState::Serving),
     ]));
     assert!(!engine.may_send(None, &"p".into(), NOW) && engine.may_send(None, &"r".into(), NOW));
     assert!(!engine.may_send(None, &"unknown".into(), NOW));
 }
 
 #[test]
-fn where_dropped_nodes_stay_open_only_a_drain_closes_one_and_outlives_its_entry() {
+fn if_removed_nodes_stay_open_a_drained_node_stays_closed_after_its_removal() {
     let settings = Settings {
         removed_nodes_stay_open: true,
         ..Settings::default()
     };
     let mut engine = Engine::new(settings, 1);
     engine.update_endpoints(EndpointUpdate::Full(vec![
-        listed("p", EndpointState::Serving),
-        listed("r", EndpointState::Serving),
+        listed_endpoint("p", EndpointState::Serving),
+        listed_endpoint("r", EndpointState::Serving),
     ]));
-    engine.update_endpoints(EndpointUpdate::Full(vec![listed(
+    engine.update_endpoints(EndpointUpdate::Full(vec![listed_endpoint(
         "p",
         EndpointState::Draining,
     )]));
     assert!(
         engine.may_send(None, &"r".into(), NOW),
-        "it was dropped, and never drained"
+        "it was removed without draining"
     );
-    engine.update_endpoints(EndpointUpdate::Changes(vec![listed(
+    engine.update_endpoints(EndpointUpdate::Changes(vec![listed_endpoint(
         "p",
         EndpointState::Removed,
     )]));
     assert!(
         !engine.may_send(None, &"p".into(), NOW),
-        "it drained before it was dropped"
+        "it drained before it was removed"
     );
     engine.decide(NOW);
     assert!(
         !engine.may_send(None, &"p".into(), NOW + 1),
-        "it drained before it was dropped"
+        "it drained before it was removed"
     );
-    engine.update_endpoints(EndpointUpdate::Changes(vec![listed(
+    engine.update_endpoints(EndpointUpdate::Changes(vec![listed_endpoint(
         "p",
         EndpointState::Serving,
     )]));
     assert!(engine.may_send(None, &"p".into(), NOW + 1));
 }
 
-/// The attempts that these commands stop.
+/// Returns the attempts that these commands stop.
 fn stopped(commands: &[Command]) -> Vec<AttemptId> {
-    let stop = |c: &Command| {
+    let stopped_attempt = |c: &Command| {
         if let Command::CancelAttempt { attempt, .. } = c {
             Some(*attempt)
         } else {
             None
         }
     };
-    commands.iter().filter_map(stop).collect()
+    commands.iter().filter_map(stopped_attempt).collect()
 }
 
 #[test]
-fn what_waits_for_its_connection_is_stopped_when_its_client_goes() {
-    // Danger: connections come up as late as 1.5 s after the client has gone, and the request was sent on then.
-    let (mut engine, attempt) = writing();
+fn an_attempt_waiting_for_its_connection_is_stopped_when_its_client_leaves() {
+    // Connections open as late as 1.5 s after the client has left, and the request used to be sent then.
+    let (mut engine, attempt) = engine_with_write();
     engine.client_gone(attempt.request);
     assert!(
         !engine.may_still_send(attempt, NOW + 1),
-        "not even before the next decision"
+        "it is stopped before the next decision"
     );
     let commands = engine.decide(NOW + 1);
     assert_eq!(
@@ -330,10 +338,10 @@
 }
 
 #[test]
-fn what_waits_for_its_connection_is_stopped_when_its_request_is_answered_otherwise() {
-    // Danger: where attempts may not be cancelled the module leaves them, and a refused write would run all the same.
+fn an_attempt_waiting_for_its_connection_is_stopped_when_the_router_answers() {
+    // If attempts may not be cancelled the decisions leave them, and a rejected write would still be executed.
     for answer in [FinalAnswer::Rejected(None), FinalAnswer::Failed] {
-        let (mut engine, attempt) = writing();
+        let (mut engine, attempt) = engine_with_write();
         engine.answer(attempt.request, answer);
         assert!(!engine.may_still_send(attempt, NOW + 1));
         let commands = engine.decide(NOW + 1);
@@ -343,20 +351,21 @@
         );
         assert_eq!(engine.pending_requests(), 0);
     }
-    let (mut engine, attempt) = writing();
+    let (mut engine, attempt) = engine_with_write();
     engine.attempt_written(attempt);
     engine.answer(attempt.request, FinalAnswer::Failed);
     assert_eq!(
         stopped(&engine.decide(NOW + 1)),
         [],
-        "what has been written whole is left to its end"
+        "a completely written attempt is not stopped"
     );
 }
 
-/// A write of this effect with a window of 300 ms, whose first attempt has been written, and a second one.
-fn repeated(effect: Idempotency) -> (Engine, AttemptId) {
-    let (mut engine, first) = writing();
-    engine.classes[0].idempotency = effect;
+/// Returns an engine with a write of this idempotency and a deduplication window of 300 ms, whose first attempt has
+/// been written, and its second attempt.
+fn engine_with_repeat(idempotency: Idempotency) -> (Engine, AttemptId) {
+    let (mut engine, first) = engine_with_write();
+    engine.classes[0].idempotency = idempotency;
     engine.classes[0].dedup_window = 300_000;
     engine.attempt_written(first);
     engine.send(first.request, "p".into(), NOW + 100_000, 900_000);
@@ -364,23 +373,23 @@
 }
 
 #[test]
-fn a_repeat_begins_only_while_the_window_of_the_first_attempt_is_open() {
-    // Danger: decided within the window, it left with its connection, which came up after the window had closed.
-    let (engine, second) = repeated(Idempotency::Deduplicated);
+fn a_repeat_is_sent_only_within_the_window_of_the_first_attempt() {
+    // A repeat was decided within the window and sent when its connection opened, after the window had closed.
+    let (engine, second) = engine_with_repeat(Idempotency::Deduplicated);
     assert!(
         engine.may_still_send(second, NOW + 299_999)
             && !engine.may_still_send(second, NOW + 300_000)
     );
-    let (engine, second) = repeated(Idempotency::Idempotent);
+    let (engine, second) = engine_with_repeat(Idempotency::Idempotent);
     assert!(engine.may_still_send(second, NOW + 300_000));
-    let (engine, second) = repeated(Idempotency::AtMostOnce);
+    let (engine, second) = engine_with_repeat(Idempotency::AtMostOnce);
     assert!(!engine.may_still_send(second, NOW + 100_001));
 }
 
 #[test]
-fn an_attempt_that_never_ran_opens_no_window() {
-    let (mut engine, second) = repeated(Idempotency::Deduplicated);
-    let said = NodeReport::default();
+fn an_attempt_that_never_ran_starts_no_window() {
+    let (mut engine, second) = engine_with_repeat(Idempotency::Deduplicated);
+    let no_report = NodeReport::default();
     engine.attempt_ended(
         NOW + 1,
         AttemptId {
@@ -388,23 +397,29 @@
             ..second
         },
         AttemptEnd::Unreachable,
-        said,
-        said,
+        no_report,
+        no_report,
     );
     assert!(engine.may_still_send(second, NOW + 300_000));
 }
 
 #[test]
-fn an_answer_stops_the_copy_that_has_not_left() {
-    let (mut engine, second) = repeated(Idempotency::Idempotent);
-    let said = NodeReport::default();
+fn an_answer_stops_the_attempt_that_is_not_yet_sent() {
+    let (mut engine, second) = engine_with_repeat(Idempotency::Idempotent);
+    let no_report = NodeReport::default();
     let first = AttemptId {
         number: 0,
         ..second
     };
     assert!(
         engine
-            .attempt_ended(NOW + 200_000, first, AttemptEnd::Success, said, said)
+            .attempt_ended(
+                NOW + 200_000,
+                first,
+                AttemptEnd::Success,
+                no_report,
+                no_report
+            )
             .is_some()
     );
     assert!(!engine.may_still_send(second, NOW + 200_001));
--- a/engine/src/table/tests.rs
+++ b/engine/src/table/tests.rs
@@ -3,8 +3,8 @@
 use super::*;
 
 #[test]
-fn a_reused_slot_is_not_reached_by_its_old_key() {
-    // Danger: an event or a deadline of a closed connection would hit the one that got its slot.
+fn an_old_key_does_not_reach_a_reused_slot() {
+    // An event or a deadline of a closed connection would reach the connection that reuses its slot.
     let mut table = Table::new();
     let Ok(old) = table.insert_with(|_| Ok::<_, std::convert::Infallible>("old"));
     assert_eq!(table.remove(old), Some("old"));
--- a/engine/tests/backoff.rs
+++ b/engine/tests/backoff.rs
@@ -1,4 +1,4 @@
-//! Pauses after failures in a row.
+//! Tests of the pauses after consecutive failures.
 
 use plovercove::Micros;
 use plovercove_engine::Backoff;
@@ -6,13 +6,13 @@
 const S: Micros = 1_000_000;
 
 #[test]
-fn pauses_double_up_to_the_longest_and_begin_anew_after_an_answer() {
+fn pauses_double_up_to_the_maximum_and_reset_after_a_success() {
     let mut backoff = Backoff::new(S, 8 * S, 7);
-    for (longest, round) in [S, 2 * S, 4 * S, 8 * S, 8 * S, 8 * S].into_iter().zip(0..) {
+    for (longest, number) in [S, 2 * S, 4 * S, 8 * S, 8 * S, 8 * S].into_iter().zip(0..) {
         let pause = backoff.record_failure(100 * S) - 100 * S;
         assert!(
             (longest / 2..=longest).contains(&pause),
-            "failure {round}: {pause} us"
+            "failure {number}: {pause} us"
         );
     }
     backoff.record_success();
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_pause_keeps_to_its_room_and_is_drawn_all_the_same() {
+fn a_bounded_pause_is_still_random() {
     let pause = |seed| {
         let mut backoff = Backoff::new(S, 8 * S, seed);
         for _ in 0..4 {
@@ -28,22 +28,24 @@
         }
         backoff.record_failure_within(7, S / 2) - 7
     };
-    let (least, most) = ((0..300).map(pause).min(), (0..300).map(pause).max());
+    let (shortest, longest_drawn) = ((0..300).map(pause).min(), (0..300).map(pause).max());
     assert!(
-        least >= Some(S / 4) && most <= Some(S / 2),
-        "{least:?} to {most:?}"
+        shortest >= Some(S / 4) && longest_drawn <= Some(S / 2),
+        "{shortest:?} to {longest_drawn:?}"
     );
     assert!(
-        most.zip(least)
-            .is_some_and(|(most, least)| most - least > S / 5),
-        "{least:?} to {most:?}"
+        longest_drawn
+            .zip(shortest)
+            .is_some_and(|(longest_drawn, shortest)| longest_drawn - shortest > S / 5),
+        "{shortest:?} to {longest_drawn:?}"
     );
     assert_eq!(Backoff::new(S, S, 1).record_failure_within(9, 0), 9);
 }
 
 #[test]
-fn a_fleet_that_fails_at_once_calls_at_a_rate_that_falls_and_never_in_step() {
-    // Danger: as above. Counted over 300 routers whose calls all fail, from the same moment on.
+fn a_failing_fleet_calls_ever_more_rarely_and_not_in_step() {
+    // Without growing random pauses, all routers retry together and overload a service that fails for all of them.
+    // Counted over 300 routers whose calls all fail, from the same moment on.
     let mut calls = vec![0; 60];
     for router in 0..300 {
         let mut backoff = Backoff::new(S, 8 * S, router * 0x1234_5677 + 1);
@@ -57,6 +59,6 @@
     let settled = &calls[20..];
     assert!(
         settled.iter().all(|n| (25..=90).contains(n)),
-        "50 a second, give or take: {settled:?}"
+        "50 a second, within random variation: {settled:?}"
     );
 }
--- a/engine/tests/watch_schedule.rs
+++ b/engine/tests/watch_schedule.rs
@@ -1,18 +1,19 @@
-//! The waits of a watch, held against the one clock: call by call, and over drawn sequences of whatever discovery does.
+//! Tests of the schedule of a watch against the maximum update delay: call by call, and over random sequences of faults
+//! of the discovery service.
 
 use plovercove::{Micros, Time};
 use plovercove_engine::{ListSource, WatchSchedule};
 
 const S: Micros = 1_000_000;
 const MS: Micros = 1_000;
-/// A change counts as told so long after discovery had it and could be reached.
+/// Time within which a router must know a change that discovery has, if discovery can be reached.
 const TOLD: Micros = 6 * S;
-/// How long a router may still send to a node that drains: the bounds of the settings, and one between.
+/// Times for which a router may still send to a draining node: the bounds of the settings, and one value between.
 const GRACES: [Micros; 3] = [500 * MS, 1_000 * MS, 1_500 * MS];
 
 #[test]
-fn a_silence_is_over_and_the_watch_begun_anew_within_the_clock_by_which_a_router_counts_as_told() {
-    // Stricter than it was: no wait prolongs the clock any more, and a second for the next call's answer is left.
+fn a_silent_call_is_followed_by_another_within_the_update_delay() {
+    // No wait may exceed the update delay, and a second is left for the next call's answer.
     for seed in 0..200 {
         let mut schedule = WatchSchedule::new(ListSource::Polled, seed);
         let (_, until) = schedule.begin_call(0, true);
@@ -28,8 +29,9 @@
 }
 
 #[test]
-fn patience_grows_while_answers_are_late_and_shrinks_when_they_are_prompt_again() {
-    // Waits of up to 20 s, which late answers led to, were past the clock: patience grows in the place of waits now.
+fn the_answer_margin_grows_while_answers_are_late_and_shrinks_again() {
+    // Late answers lengthen the margin for the answer, not the wait: longer waits, of up to 20 s, exceeded the update
+    // delay.
     let (mut schedule, mut now, mut patience) =
         (WatchSchedule::new(ListSource::Polled, 1), 0, Vec::new());
     for late in [0, 0, S, S, S, S, 0, 0, 0, 0, 0, 0, 0] {
@@ -47,8 +49,8 @@
 }
 
 #[test]
-fn refusals_make_calls_rarer_and_silence_makes_patience_longer() {
-    // Rarer by pauses, up to the clock: a longer wait of the call after them was past it.
+fn failures_lengthen_pauses_and_silence_lengthens_the_answer_margin() {
+    // Calls become rarer by longer pauses, up to the update delay; a longer wait of the next call exceeded it.
     let mut schedule = WatchSchedule::new(ListSource::Polled, 2);
     let mut refused = || {
         schedule.begin_call(0, true);
@@ -87,7 +89,7 @@
 }
 
 #[test]
-fn a_spoilt_list_is_asked_for_again_at_once_but_not_without_end() {
+fn after_an_invalid_answer_the_first_retry_is_immediate_and_later_ones_pause() {
     for lists in [ListSource::Polled, ListSource::Pushed { drain_grace: S }] {
         let mut schedule = WatchSchedule::new(lists, 3);
         schedule.begin_call(0, true);
@@ -119,12 +121,12 @@
 }
 
 #[test]
-fn an_agent_that_answers_a_watch_at_once_with_nothing_new_does_not_make_the_loop_spin() {
+fn immediate_answers_without_changes_cause_no_busy_loop() {
     for lists in [ListSource::Polled, ListSource::Pushed { drain_grace: S }] {
         let mut schedule = WatchSchedule::new(lists, 4);
         schedule.begin_call(0, true);
         let next = schedule.record_answer(10, false);
-        // 200 ms are what a watch allows for.
+        // 200 ms is the time within which the next call continues the watch.
         assert!((50 * MS..200 * MS).contains(&next), "{lists:?}: {next}");
         schedule.begin_call(next, true);
         assert_eq!(
@@ -136,7 +138,7 @@
 }
 
 #[test]
-fn a_connection_that_comes_up_late_does_not_prolong_the_turn() {
+fn a_slow_connection_does_not_prolong_the_cycle() {
     for (lists, turn) in [
         (ListSource::Polled, 5 * S),
         (
@@ -164,8 +166,9 @@
 }
 
 #[test]
-fn a_service_that_always_answers_late_is_heard() {
-    // Danger: with patience that stays, one that takes 3 s longer than the wait would never be.
+fn answers_of_a_service_that_is_always_late_are_received() {
+    // With a constant answer margin, the answers of a service that takes 3 s longer than the wait would never be
+    // received.
     let (mut schedule, mut now, mut heard) = (WatchSchedule::new(ListSource::Polled, 7), 0, 0);
     for _ in 0..20 {
         let (wait, until) = schedule.begin_call(now, true);
@@ -181,7 +184,7 @@
 }
 
 #[test]
-fn after_sighup_what_failed_before_counts_no_more() {
+fn earlier_failures_do_not_count_after_a_service_change() {
     let mut schedule = WatchSchedule::new(ListSource::Polled, 5);
     for _ in 0..6 {
         schedule.begin_call(0, true);
@@ -193,8 +196,9 @@
 }
 
 #[test]
-fn three_hundred_routers_that_are_told_of_a_move_in_one_instant_do_not_call_in_one() {
-    // The bound of those whose watches break in one instant: no tenth of a second sees more than a third of them.
+fn calls_after_a_service_change_are_spread() {
+    // The same bound as for watches that all break at once: no tenth of a second sees more than a third of the routers'
+    // calls.
     const ROUTERS: u64 = 300;
     const MOVED: Micros = 4 * S;
     let mut calls = [0_u64; 40];
@@ -204,7 +208,8 @@
         let now = S;
         let first = schedule.record_service_change(now);
         calls[((first - now) / (S / 10)) as usize] += 1;
-        // Its connection takes 50 ms; the call, for the whole list, is lost; half a second is left for the next answer.
+        // The connection takes 50 ms. The call, for the complete list, is lost, and half a second is left for the next
+        // answer.
         schedule.begin_connection(first);
         let (_, until) = schedule.begin_call(first + 50 * MS, false);
         let again = schedule.record_silence(until);
@@ -219,9 +224,9 @@
 }
 
 #[test]
-fn a_call_for_news_that_is_lost_after_sighup_is_made_again_in_time() {
-    // Failure: with the same address in the new configuration the first call waited for news. Lost, it was made again after
-    // 5 s, and what the service has counts as told 4 s after the signal.
+fn a_lost_call_for_changes_after_sighup_is_repeated_in_time() {
+    // If the new configuration names the same address, the first call used to wait for a change. When that call was
+    // lost it was repeated after 5 s, but the router must know the service's list 4 s after the signal.
     const MOVED: Micros = 4 * S;
     for seed in 0..200 {
         for grace in GRACES {
@@ -247,7 +252,7 @@
 }
 
 #[test]
-fn a_move_prolongs_no_turn_and_one_s_own_agent_is_called_at_once() {
+fn a_service_change_prolongs_no_cycle_and_a_local_agent_is_called_at_once() {
     for seed in 0..200 {
         let mut schedule = WatchSchedule::new(ListSource::Polled, seed);
         schedule.begin_connection(7 * S);
@@ -271,7 +276,7 @@
     }
 }
 
-/// Random numbers of the checker's own (xorshift64*).
+/// A random number generator of the checker (xorshift64*).
 struct Dice(u64);
 
 impl Dice {
@@ -287,24 +292,24 @@
     }
 }
 
-/// A span in which discovery does something to whoever calls.
+/// What discovery does to all callers during an interval.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Weather {
-    /// It takes connections in and answers.
+    /// It accepts connections and answers.
     Fine,
-    /// Connections never come up.
+    /// Connections never open.
     Dark,
     /// Connections are refused.
     Refuses,
-    /// Calls are turned away.
+    /// Calls are rejected.
     Overbooked,
-    /// Calls are taken and never answered.
+    /// Calls are accepted and never answered.
     Silent,
-    /// Calls are taken and broken off.
+    /// Calls are accepted and their connections break.
     Breaks,
-    /// Answers can't be read.
+    /// Answers are invalid.
     Spoils,
-    /// Answers come so late that nobody waits for them.
+    /// Answers arrive after the calls have been given up.
     Late,
 }
 
@@ -319,15 +324,15 @@
     Weather::Late,
 ];
 
-/// How discovery is where the router runs, in bounds of its own (us): connecting and answering.
+/// The speed of discovery, as upper bounds (us) on connecting and answering, and the faults that occur.
 struct Near {
     up: Micros,
     answer: Micros,
     kinds: &'static [Weather],
 }
 
-/// Plays one router against drawn weather. For each change: from when on discovery had it and could be reached for longer
-/// than it may take, and when the router knew it.
+/// Runs one router against random conditions. Returns, for each change that has to be known, the time from which
+/// discovery had it and could be reached for longer than `within`, and the time at which the router knew it.
 fn play(
     lists: ListSource,
     seed: u64,
@@ -336,7 +341,7 @@
     end: Time,
 ) -> Vec<(Time, Option<Time>)> {
     let mut dice = Dice(seed * 2 + 1);
-    // Spans of weather, fine ones between others; the last lasts to the end.
+    // Intervals of conditions, with healthy ones between others; the last lasts to the end.
     let (mut spans, mut at) = (vec![], 0);
     while at < end - 20 * S {
         let kind = if dice.under(2) == 0 {
@@ -355,7 +360,7 @@
             .find(|(from, _)| *from <= now)
             .map_or(Weather::Fine, |w| w.1)
     };
-    // Calls that are out when fine weather begins may be answered then, or have fallen silent for good.
+    // Calls in flight when a healthy interval begins may be answered then, or never.
     let fine_until = |now: Time| {
         spans
             .iter()
@@ -395,7 +400,7 @@
         let known = heard.last().map_or(0, |h| h.0);
         let (wait, until) = schedule.begin_call(now, !whole);
         let came = weather(now);
-        // A connection that was begun in silence stays silent.
+        // A connection that was opened during silence stays silent.
         if came != Weather::Fine || matches!(weather(begun), Weather::Silent | Weather::Late) {
             connected = false;
             now = match came {
@@ -411,7 +416,8 @@
             };
             continue;
         }
-        // In fine weather: news at once, or when it comes, or nothing when the wait is over.
+        // In a healthy interval the answer comes at once with a known change, or when a change comes, or without one
+        // when the wait is over.
         let next = changes
             .iter()
             .copied()
@@ -425,7 +431,7 @@
         };
         let ends = fine_until(now);
         if told >= ends {
-            // The weather changes under the watch.
+            // The condition changes during the call.
             connected = false;
             now = match weather(ends) {
                 Weather::Refuses | Weather::Breaks | Weather::Overbooked => {
@@ -451,7 +457,7 @@
         now = schedule.record_answer(answered, news);
     }
     for (number, change) in changes.iter().enumerate() {
-        // From when on it could be reached, up to when the router knew it: the last time that it became fine by then.
+        // Find the first healthy interval in which the router had to learn of the change.
         let knew = heard
             .iter()
             .find(|(version, _)| *version > number)
@@ -464,7 +470,7 @@
         for (place, (from, _)) in fine {
             let from = (*from).max(*change);
             let to = spans.get(place + 1).map_or(end, |next| next.0);
-            // A fine span that was long enough to have to be known in it.
+            // A healthy interval that was long enough that the change had to be known in it.
             if due.is_none() && from < to && to - from > within {
                 due = Some(from);
             }
@@ -493,8 +499,8 @@
 }
 
 #[test]
-fn whatever_failed_before_a_change_is_known_within_the_clock_where_lists_are_asked_for() {
-    // Of the second that is left for it, connecting takes up to 400 ms and an answer up to 500.
+fn a_polled_change_is_known_within_the_update_delay_after_any_failure() {
+    // Of the second that is reserved for the next call, connecting takes up to 400 ms and an answer up to 500.
     holds(
         ListSource::Polled,
         &Near {
@@ -507,8 +513,9 @@
 }
 
 #[test]
-fn whatever_failed_before_a_change_is_known_within_the_grace_where_lists_are_pushed() {
-    // Also where the call that is out has fallen silent. On the router's own machine all is quick.
+fn a_pushed_change_is_known_within_the_drain_grace_after_any_failure() {
+    // This also holds if the call in flight is never answered. On the router's own machine connecting and answering are
+    // fast.
     for grace in GRACES {
         holds(
             ListSource::Pushed { drain_grace: grace },
@@ -523,8 +530,7 @@
 }
 
 #[test]
-fn after_a_failure_that_shows_a_change_is_known_within_a_quarter_of_the_grace_where_lists_are_pushed()
- {
+fn a_pushed_change_is_known_within_a_quarter_of_the_grace_after_a_visible_failure() {
     const SHOWN: [Weather; 3] = [Weather::Refuses, Weather::Overbooked, Weather::Spoils];
     for grace in GRACES {
         let near = Near {
@@ -537,9 +543,10 @@
 }
 
 #[test]
-fn three_hundred_watches_that_end_in_one_instant_keep_calls_bounded() {
-    // All broken at once and refused from then on. Bound: two calls of each router in the worst second, and after 20 s
-    // a call of each in two and a half seconds at the most, which is 120 a second, and one in five seconds at the least.
+fn calls_stay_bounded_when_all_watches_end_at_once() {
+    // All watches break at once and their calls are rejected from then on. Bounds: two calls of each router in the
+    // worst second; after 20 s at most one call of each router in two and a half seconds, which is 120 a second, and at
+    // least one in five seconds.
     const ROUTERS: u64 = 300;
     let mut calls = vec![0_u64; 600];
     for router in 0..ROUTERS {
@@ -567,7 +574,7 @@
             .all(|n| (ROUTERS / 6..=ROUTERS * 2 / 5).contains(n)),
         "{settled:?}"
     );
-    // Broken in one instant, they don't come back in one: no tenth of a second sees more than a third of them.
+    // The retries are spread: no tenth of a second sees more than a third of the routers.
     assert!(
         calls.iter().all(|n| *n <= ROUTERS / 3),
         "{:?}",
@@ -576,8 +583,7 @@
 }
 
 #[test]
-fn where_lists_are_pushed_a_silent_agent_is_called_again_before_the_grace_is_over_and_not_without_end()
- {
+fn a_silent_local_agent_is_called_again_within_the_grace_and_not_too_often() {
     for grace in [0, 1, 500 * MS, S, 1_500 * MS, 3_600 * S] {
         let mut schedule = WatchSchedule::new(ListSource::Pushed { drain_grace: grace }, 6);
         let mut now = 0;
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests share: small settings and a recorder of actions. No server is modelled.
+//! Shared by the tests: small settings, and a harness that records actions. No database node is modelled.
 #![allow(dead_code)]
 
 use plovercove::*;
@@ -6,7 +6,7 @@
 pub const T0: Time = 1_000_000_000;
 pub const MS: Micros = 1_000;
 
-pub fn class(name: &str, access: Access, effect: Idempotency) -> Class {
+pub fn class(name: &str, access: Access, idempotency: Idempotency) -> Class {
     Class {
         name: name.into(),
         access,
@@ -15,7 +15,7 @@
         deadline: 1_000 * MS,
         priority_weight: 1.0,
         late_weight_share: 0.5,
-        idempotency: effect,
+        idempotency,
         dedup_scope: DedupScope::Group,
         dedup_window: 1_000 * MS,
         stream: false,
@@ -24,10 +24,10 @@
 
 pub const ANY: usize = 0;
 pub const BOUNDED: usize = 1;
-pub const SESSION: usize = 2;
+pub const OWN_WRITES: usize = 2;
 pub const LATEST: usize = 3;
-pub const KEYED: usize = 4;
-pub const UNSAFE: usize = 5;
+pub const DEDUPLICATED: usize = 4;
+pub const AT_MOST_ONCE: usize = 5;
 
 pub fn settings() -> Settings {
     Settings {
@@ -38,10 +38,10 @@
                 Access::Bounded(500 * MS),
                 Idempotency::Idempotent,
             ),
-            class("session", Access::OwnWrites, Idempotency::Idempotent),
+            class("own writes", Access::OwnWrites, Idempotency::Idempotent),
             class("latest", Access::Latest, Idempotency::Idempotent),
-            class("keyed", Access::Write, Idempotency::Deduplicated),
-            class("unsafe", Access::Write, Idempotency::AtMostOnce),
+            class("deduplicated", Access::Write, Idempotency::Deduplicated),
+            class("at most once", Access::Write, Idempotency::AtMostOnce),
         ],
         zone: "here".into(),
         cancel_allowed: true,
@@ -57,12 +57,12 @@
     }
 }
 
-pub fn entry(name: &str, primary: bool) -> Endpoint {
+pub fn endpoint(name: &str, listed_as_primary: bool) -> Endpoint {
     Endpoint {
         node: name.into(),
         zone: "here".into(),
         machine_kind: "std".into(),
-        listed_as_primary: primary,
+        listed_as_primary,
         group: 1,
         state: EndpointState::Serving,
         weight: 1.0,
@@ -70,7 +70,7 @@
     }
 }
 
-pub fn demand(id: RequestId, class: usize) -> RequestInfo {
+pub fn request_info(id: RequestId, class: usize) -> RequestInfo {
     RequestInfo {
         id,
         class,
@@ -84,7 +84,7 @@
     }
 }
 
-pub fn says(role: Role, position: Time) -> NodeReport {
+pub fn node_report(role: Role, position: Time) -> NodeReport {
     NodeReport {
         position: Some(position),
         role: Some(role),
@@ -92,87 +92,91 @@
     }
 }
 
-/// One balancer with the actions of its last batch.
-pub struct Rig {
+/// A balancer with a clock, and the actions of its last batch.
+pub struct Harness {
     pub balancer: Balancer,
     pub now: Time,
     pub actions: Vec<Action>,
 }
 
-impl Rig {
-    /// A primary `p` and replicas `r1`, `r2` in group 1.
+impl Harness {
+    /// Creates a balancer that knows the primary `p` and the replicas `r1` and `r2` of group 1.
     pub fn new(settings: Settings) -> Self {
         Self::with(
             settings,
-            vec![entry("p", true), entry("r1", false), entry("r2", false)],
+            vec![
+                endpoint("p", true),
+                endpoint("r1", false),
+                endpoint("r2", false),
+            ],
         )
     }
 
-    pub fn with(settings: Settings, entries: Vec<Endpoint>) -> Self {
-        let mut rig = Rig {
+    pub fn with(settings: Settings, endpoints: Vec<Endpoint>) -> Self {
+        let mut harness = Harness {
             balancer: Balancer::new(settings, 7),
             now: T0,
             actions: Vec::new(),
         };
-        rig.event(Event::EndpointsChanged(EndpointUpdate::Full(entries)));
-        rig
+        harness.handle_event(Event::EndpointsChanged(EndpointUpdate::Full(endpoints)));
+        harness
     }
 
-    pub fn event(&mut self, event: Event) -> &Vec<Action> {
-        self.batch(vec![event])
+    pub fn handle_event(&mut self, event: Event) -> &Vec<Action> {
+        self.handle_batch(vec![event])
     }
 
-    pub fn batch(&mut self, events: Vec<Event>) -> &Vec<Action> {
+    pub fn handle_batch(&mut self, events: Vec<Event>) -> &Vec<Action> {
         self.actions.clear();
         self.balancer.handle(self.now, events, &mut self.actions);
         &self.actions
     }
 
-    pub fn later(&mut self, span: Micros) -> &Vec<Action> {
-        self.now += span;
-        self.event(Event::Timer)
+    pub fn advance(&mut self, duration: Micros) -> &Vec<Action> {
+        self.now += duration;
+        self.handle_event(Event::Timer)
     }
 
-    /// Sends a request in and tells where it went.
-    pub fn request(&mut self, demand: RequestInfo) -> Option<String> {
-        let id = demand.id;
-        self.event(Event::RequestArrived(demand));
-        self.sent(id)
+    /// Passes a request to the balancer. Returns the node that it was sent to at once, if any.
+    pub fn send_request(&mut self, info: RequestInfo) -> Option<String> {
+        let id = info.id;
+        self.handle_event(Event::RequestArrived(info));
+        self.sent_to(id)
     }
 
-    /// Where the last batch sent a request.
-    pub fn sent(&self, id: RequestId) -> Option<String> {
+    /// Returns the node that the last batch sent a request to, if any.
+    pub fn sent_to(&self, id: RequestId) -> Option<String> {
         self.actions.iter().find_map(|a| match a {
             Action::Send { request, node, .. } if *request == id => Some(node.to_string()),
             _ => None,
         })
     }
 
-    pub fn ends(
+    pub fn end_attempt(
         &mut self,
         request: RequestId,
         attempt: u32,
-        ending: AttemptEnd,
-        note: NodeReport,
+        end: AttemptEnd,
+        answer_report: NodeReport,
     ) -> &Vec<Action> {
-        self.event(Event::AttemptEnded {
+        self.handle_event(Event::AttemptEnded {
             request,
             attempt,
-            end: ending,
+            end,
             elapsed: 40 * MS,
-            request_over: ending == AttemptEnd::Success,
-            answer_report: note,
+            request_over: end == AttemptEnd::Success,
+            answer_report,
             load_report: NodeReport::default(),
         })
     }
 
-    pub fn refused(&self, id: RequestId) -> bool {
+    pub fn is_rejected(&self, id: RequestId) -> bool {
         self.actions
             .iter()
             .any(|a| matches!(a, Action::Reject { request, .. } if *request == id))
     }
 
-    pub fn failed(&self, id: RequestId) -> bool {
+    pub fn has_failed(&self, id: RequestId) -> bool {
         self.actions.contains(&Action::Fail { request: id })
     }
 }
--- a/tests/known_red.rs
+++ b/tests/known_red.rs
@@ -1,4 +1,5 @@
-//! The list of tests that are known to fail: an entry holds all that is needed to reproduce it, or CI does not accept it.
+//! The list of tests that are known to fail: CI accepts an entry only if it contains all that is needed to reproduce
+//! the failure.
 
 use std::io::Write;
 use std::path::Path;
@@ -7,7 +8,7 @@
 const GOOD: &str =
     "faults a_test | plovercove-experiments faults x.star --case blame | seed 1 | s5 is out | 25";
 
-/// What the reader of the list prints for it, or the error that it ends with.
+/// Returns what the reader prints for a list, or the error that it ends with.
 fn read(list: &str) -> Result<String, String> {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     let mut reader = Command::new(root.join(".ci/known-red"))
@@ -29,14 +30,14 @@
     }
 }
 
-/// The error for the good entry with a part of it changed.
+/// Returns the error for the valid entry with a part of it replaced.
 fn error_of(part: &str, instead: &str) -> String {
     assert!(GOOD.contains(part), "{part}");
     read(&GOOD.replace(part, instead)).expect_err(instead)
 }
 
 #[test]
-fn entries_are_told_apart_and_comments_passed_over() {
+fn entries_are_parsed_and_comments_skipped() {
     let flaky = "lib a::b | cargo test --lib | no seed | flaky 4 of 72: as told | 38";
     let list = format!("# a comment\n\n{GOOD}\n{flaky}\n");
     assert_eq!(
@@ -47,7 +48,7 @@
 }
 
 #[test]
-fn an_entry_without_one_of_its_fields_is_refused_by_name() {
+fn a_missing_field_is_rejected_by_name() {
     assert!(error_of(" | 25", "").contains(":1: expected five fields"));
     assert!(error_of("faults a_test", "a_test").contains("test: expected TARGET TEST"));
     assert!(error_of("plovercove-experiments faults x.star --case blame", "").contains("command:"));
@@ -57,7 +58,7 @@
 }
 
 #[test]
-fn an_entry_that_holds_something_else_is_refused_by_name() {
+fn an_invalid_field_is_rejected_by_name() {
     assert!(error_of("plovercove-experiments", "see the log of").contains("command:"));
     assert!(error_of("seed 1", "some seed").contains("seed:"));
     assert!(error_of("s5 is out", "flaky: at times").contains("flaky N of M"));
@@ -65,7 +66,7 @@
 }
 
 #[test]
-fn a_test_is_listed_once() {
+fn a_test_listed_twice_is_rejected() {
     let error = read(&format!("{GOOD}\n{GOOD}\n")).expect_err("twice");
     assert!(
         error.contains(":2: ") && error.contains("listed twice"),
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -1,4 +1,5 @@
-//! The placement formulas with figures worked out by hand, seen through the sends they cause.
+//! The formulas of replica selection, with expected values calculated by hand and checked by the attempts that are
+//! sent.
 
 mod common;
 
@@ -8,19 +9,19 @@
 fn session_read(id: RequestId, key: &str) -> RequestInfo {
     RequestInfo {
         session: Some(key.into()),
-        ..demand(id, SESSION)
+        ..request_info(id, OWN_WRITES)
     }
 }
 
 #[test]
-fn ties_go_round_robin_from_the_routers_number() {
+fn ties_go_round_robin_from_the_routers_index() {
     let order = |index| {
-        let mut rig = Rig::new(Settings {
+        let mut harness = Harness::new(Settings {
             router_index: index,
             ..settings()
         });
         (1..=2)
-            .map(|id| rig.request(demand(id, ANY)).unwrap())
+            .map(|id| harness.send_request(request_info(id, ANY)).unwrap())
             .collect::<Vec<_>>()
     };
     assert_eq!(order(0), ["r2", "r1"]);
@@ -29,76 +30,82 @@
 
 #[test]
 fn load_in_flight_is_the_sum_of_costs() {
-    // The first read is charged C = 0.3 x 300 ms = 90 ms. At its node E = 90 + 90, at the other 90: the second goes
-    // there, and so on by turns, never to the primary.
-    let mut rig = Rig::new(settings());
-    let homes: Vec<String> = (1..=4)
-        .map(|id| rig.request(demand(id, ANY)).unwrap())
+    // The first read costs C = 0.3 x 300 ms = 90 ms. At its node E = 90 + 90, at the other 90: the second read goes
+    // there, and so on in alternation, never to the primary.
+    let mut harness = Harness::new(settings());
+    let targets: Vec<String> = (1..=4)
+        .map(|id| harness.send_request(request_info(id, ANY)).unwrap())
         .collect();
-    assert_ne!(homes[0], homes[1]);
-    assert_ne!(homes[2], homes[3]);
-    assert!(homes.iter().all(|h| h != "p"));
+    assert_ne!(targets[0], targets[1]);
+    assert_ne!(targets[2], targets[3]);
+    assert!(targets.iter().all(|h| h != "p"));
 }
 
 #[test]
 fn weight_divides_the_load() {
-    // E/W when both are idle: 90/1 and 90/4 = 22.5. With two reads out at the heavy one (90+90+90)/4 = 67.5 < 90,
+    // E/W if both are idle: 90/1 and 90/4 = 22.5. With two reads in flight at the heavier one (90+90+90)/4 = 67.5 < 90,
     // with three (4 x 90)/4 = 90, a tie.
     let heavy = Endpoint {
         weight: 4.0,
-        ..entry("r2", false)
+        ..endpoint("r2", false)
     };
-    let mut rig = Rig::with(
+    let mut harness = Harness::with(
         settings(),
-        vec![entry("p", true), entry("r1", false), heavy],
+        vec![endpoint("p", true), endpoint("r1", false), heavy],
     );
     for id in 1..=3 {
-        assert_eq!(rig.request(demand(id, ANY)).unwrap(), "r2");
+        assert_eq!(harness.send_request(request_info(id, ANY)).unwrap(), "r2");
     }
 }
 
 #[test]
-fn similarity_draws_a_session_back_to_its_replica() {
-    // The session's first read is over. SF there = (1 + 1) / (1 + 1) = 1, so its cost is (1 - alpha) C against C
-    // elsewhere: it wins, though round-robin alone would go to the other.
-    let mut rig = Rig::new(settings());
-    let home = rig.request(session_read(1, "a")).unwrap();
-    let replica = says(Role::Replica, rig.now);
-    rig.ends(1, 0, AttemptEnd::Success, replica);
+fn similarity_returns_a_session_to_its_replica() {
+    // The session's first read has ended. There SF = (1 + 1) / (1 + 1) = 1, so the read costs (1 - alpha) C against C
+    // elsewhere: that replica wins, although round robin alone would choose the other.
+    let mut harness = Harness::new(settings());
+    let target = harness.send_request(session_read(1, "a")).unwrap();
+    let replica = node_report(Role::Replica, harness.now);
+    harness.end_attempt(1, 0, AttemptEnd::Success, replica);
     for id in 2..5 {
-        assert_eq!(rig.request(session_read(id, "a")).unwrap(), home);
-        rig.ends(id, 0, AttemptEnd::Success, replica);
+        assert_eq!(harness.send_request(session_read(id, "a")).unwrap(), target);
+        harness.end_attempt(id, 0, AttemptEnd::Success, replica);
     }
 }
 
 #[test]
-fn a_read_without_a_key_resembles_nothing() {
-    let mut rig = Rig::new(settings());
-    let first = rig.request(demand(1, ANY)).unwrap();
-    // Answered just as fast as the class's mean, so that speed tells nothing apart.
-    let (ending, said) = (AttemptEnd::Success, NodeReport::default());
-    let (request, attempt, elapsed, over) = (1, 0, 90 * MS, true);
-    rig.event(Event::AttemptEnded {
+fn a_read_without_a_session_has_no_similarity() {
+    let mut harness = Harness::new(settings());
+    let first = harness.send_request(request_info(1, ANY)).unwrap();
+    // It is answered in exactly the mean latency of the class, so that the nodes do not differ in slowness.
+    let (end, no_report) = (AttemptEnd::Success, NodeReport::default());
+    let (request, attempt, elapsed, request_over) = (1, 0, 90 * MS, true);
+    harness.handle_event(Event::AttemptEnded {
         request,
         attempt,
-        end: ending,
+        end,
         elapsed,
-        request_over: over,
-        answer_report: said,
-        load_report: said,
+        request_over,
+        answer_report: no_report,
+        load_report: no_report,
     });
-    let second = rig.request(demand(2, ANY)).unwrap();
-    assert_ne!(first, second, "an idle pair shares keyless reads by turns");
+    let second = harness.send_request(request_info(2, ANY)).unwrap();
+    assert_ne!(
+        first, second,
+        "two idle replicas get reads without a session in alternation"
+    );
 }
 
 #[test]
 fn crossing_a_zone_costs_a_share_of_the_read() {
     let far = Endpoint {
         zone: "there".into(),
-        ..entry("r1", false)
+        ..endpoint("r1", false)
     };
-    let mut rig = Rig::with(settings(), vec![entry("p", true), far, entry("r2", false)]);
-    // Idle: 90 against 90 + crossing. One out at r2: 180 against 90 + crossing.
-    assert_eq!(rig.request(demand(1, ANY)).unwrap(), "r2");
-    assert_eq!(rig.request(demand(2, ANY)).unwrap(), "r1");
+    let mut harness = Harness::with(
+        settings(),
+        vec![endpoint("p", true), far, endpoint("r2", false)],
+    );
+    // Idle: 90 against 90 + crossing. With one read in flight at r2: 180 against 90 + crossing.
+    assert_eq!(harness.send_request(request_info(1, ANY)).unwrap(), "r2");
+    assert_eq!(harness.send_request(request_info(2, ANY)).unwrap(), "r1");
 }
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -1,5 +1,5 @@
-//! Arbitrary orders of events, from fixed seeds: whatever comes, the first three rules hold and no request leaves its
-//! group. The checks keep their own books from the actions alone.
+//! Random orders of events, from fixed seeds: whatever happens, the first three rules hold and no request leaves its
+//! group. The checks keep a record of their own, built from the actions alone.
 
 mod common;
 
@@ -7,49 +7,49 @@
 use plovercove::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-struct Dice(u64);
+struct TestRng(u64);
 
-impl Dice {
-    fn roll(&mut self, sides: u64) -> u64 {
+impl TestRng {
+    fn below(&mut self, end: u64) -> u64 {
         self.0 = self
             .0
             .wrapping_mul(6364136223846793005)
             .wrapping_add(1442695040888963407);
-        (self.0 >> 33) % sides
+        (self.0 >> 33) % end
     }
 
     fn chance(&mut self, percent: u64) -> bool {
-        self.roll(100) < percent
+        self.below(100) < percent
     }
 }
 
-struct Try {
+struct AttemptRecord {
     node: NodeId,
-    sent: Time,
-    until: Time,
-    pending: bool,
-    never_ran: bool,
+    sent_at: Time,
+    times_out_at: Time,
+    is_in_flight: bool,
+    not_executed: bool,
 }
 
-struct Book {
+struct RequestRecord {
     class: usize,
     group: GroupId,
     deadline: Time,
-    tries: Vec<Try>,
-    over: bool,
+    attempts: Vec<AttemptRecord>,
+    is_over: bool,
 }
 
-/// The checker: its own view of lists, requests and attempts.
-struct World {
-    cfg: Settings,
-    books: BTreeMap<RequestId, Book>,
+/// The checker, with its own record of lists, requests and attempts.
+struct Checker {
+    settings: Settings,
+    requests: BTreeMap<RequestId, RequestRecord>,
     nodes: BTreeMap<NodeId, (Endpoint, Option<Time>)>,
     answered: u64,
     sends: u64,
 }
 
-impl World {
-    fn check(&mut self, now: Time, action: &Action, ended_before: &BTreeSet<RequestId>) {
+impl Checker {
+    fn check(&mut self, now: Time, action: &Action, closed_requests: &BTreeSet<RequestId>) {
         match action {
             Action::Send {
                 request,
@@ -57,187 +57,208 @@
                 timeout,
             } => {
                 self.sends += 1;
-                let book = self.books.get_mut(request).expect("a known request");
+                let record = self.requests.get_mut(request).expect("a known request");
                 assert!(
-                    !book.over && !ended_before.contains(request),
-                    "sent after its end"
+                    !record.is_over && !closed_requests.contains(request),
+                    "sent after the end of its request"
                 );
-                let class = &self.cfg.classes[book.class];
-                let (entry, closed) = &self.nodes[node];
-                assert_eq!(entry.group, book.group, "sent outside its group");
-                let drained = closed.is_some_and(|at| now > at + self.cfg.drain_grace);
-                assert!(!drained, "sent to a node that drains or is gone");
-                let pending = book.tries.iter().filter(|t| t.pending).count();
+                let class = &self.settings.classes[record.class];
+                let (endpoint, closed) = &self.nodes[node];
+                assert_eq!(endpoint.group, record.group, "sent outside its group");
+                let is_past_grace = closed.is_some_and(|at| now > at + self.settings.drain_grace);
+                assert!(!is_past_grace, "sent to a draining or removed node");
+                let is_in_flight = record.attempts.iter().filter(|t| t.is_in_flight).count();
                 assert!(
-                    pending == 0 || (self.cfg.hedging_allowed && pending == 1),
-                    "too many copies at once"
+                    is_in_flight == 0 || (self.settings.hedging_allowed && is_in_flight == 1),
+                    "too many attempts at once"
                 );
                 assert!(
-                    (book.tries.len() as u32) < self.cfg.max_attempts,
+                    (record.attempts.len() as u32) < self.settings.max_attempts,
                     "too many attempts"
                 );
-                let risky: Vec<&Try> = book.tries.iter().filter(|t| !t.never_ran).collect();
+                let maybe_executed: Vec<&AttemptRecord> =
+                    record.attempts.iter().filter(|t| !t.not_executed).collect();
                 match class.idempotency {
                     Idempotency::Idempotent => {}
                     Idempotency::AtMostOnce => {
-                        assert!(risky.is_empty(), "an unsafe request sent again")
+                        assert!(
+                            maybe_executed.is_empty(),
+                            "an at-most-once request sent again"
+                        )
                     }
                     Idempotency::Deduplicated => {
-                        let in_window = risky.iter().all(|t| now <= t.sent + class.dedup_window);
-                        assert!(in_window, "a keyed request sent again past its window");
+                        let in_window = maybe_executed
+                            .iter()
+                            .all(|t| now <= t.sent_at + class.dedup_window);
+                        assert!(
+                            in_window,
+                            "a deduplicated request sent again past its window"
+                        );
                         let zone = |id: &NodeId| &self.nodes[id].0.zone;
-                        let in_scope = |t: &&Try| {
+                        let in_scope = |t: &&AttemptRecord| {
                             class.dedup_scope != DedupScope::Zone || zone(&t.node) == zone(node)
                         };
                         assert!(
-                            risky.iter().all(in_scope),
-                            "a keyed request sent to other zones"
+                            maybe_executed.iter().all(in_scope),
+                            "a deduplicated request sent to other zones"
                         );
                     }
                 }
-                let until = (now + timeout).min(book.deadline);
-                book.tries.push(Try {
+                let times_out_at = (now + timeout).min(record.deadline);
+                record.attempts.push(AttemptRecord {
                     node: node.clone(),
-                    sent: now,
-                    until,
-                    pending: true,
-                    never_ran: false,
+                    sent_at: now,
+                    times_out_at,
+                    is_in_flight: true,
+                    not_executed: false,
                 });
             }
             Action::Reject { request, .. } | Action::Fail { request } => {
-                let book = self.books.get_mut(request).expect("a known request");
+                let record = self.requests.get_mut(request).expect("a known request");
                 assert!(
-                    !book.over && !ended_before.contains(request),
+                    !record.is_over && !closed_requests.contains(request),
                     "two final answers"
                 );
                 assert!(
-                    now <= book.deadline + self.cfg.answer_grace,
+                    now <= record.deadline + self.settings.answer_grace,
                     "answered too late"
                 );
-                let class = &self.cfg.classes[book.class];
-                let harmless = book.tries.iter().all(|t| t.never_ran)
+                let class = &self.settings.classes[record.class];
+                let is_harmless = record.attempts.iter().all(|t| t.not_executed)
                     || class.idempotency == Idempotency::Idempotent
                     || (class.idempotency == Idempotency::Deduplicated
                         && class.dedup_scope == DedupScope::All);
                 assert!(
-                    matches!(action, Action::Fail { .. }) || harmless,
-                    "refused what may have run"
+                    matches!(action, Action::Fail { .. }) || is_harmless,
+                    "rejected a request that may have been executed"
                 );
-                book.over = true;
+                record.is_over = true;
                 self.answered += 1;
             }
             Action::Cancel { request, attempt } => {
                 assert!(
-                    self.cfg.cancel_allowed,
+                    self.settings.cancel_allowed,
                     "cancelled where that is not allowed"
                 );
                 assert!(
-                    self.books[request].tries.len() > *attempt as usize,
-                    "cancelled what was never sent"
+                    self.requests[request].attempts.len() > *attempt as usize,
+                    "cancelled an attempt that was never sent"
                 );
             }
             Action::HealthCheck(node) => {
                 assert!(
-                    self.cfg.health_checks_allowed && self.nodes.contains_key(node),
-                    "probed a stranger"
+                    self.settings.health_checks_allowed && self.nodes.contains_key(node),
+                    "polled an unknown node"
                 );
             }
             Action::CloseIdle(node) => {
-                assert!(self.nodes.contains_key(node), "closed to a stranger")
+                assert!(
+                    self.nodes.contains_key(node),
+                    "closed connections to an unknown node"
+                )
             }
-            Action::Wake(span) => assert!(*span > 0),
+            Action::Wake(duration) => assert!(*duration > 0),
             Action::Subscribe | Action::Log(_) => {}
         }
     }
 }
 
-fn random_settings(dice: &mut Dice) -> Settings {
-    let mut cfg = settings();
-    cfg.hedging_allowed = dice.chance(40);
-    cfg.cancel_allowed = dice.chance(70);
-    cfg.health_checks_allowed = dice.chance(70);
-    cfg.retry_after_allowed = dice.chance(50);
-    cfg.max_retry_after = 1_000 * MS;
-    cfg.clients_carry_tokens = dice.chance(50);
-    cfg.subscribe = dice.chance(30);
-    cfg.removed_nodes_stay_open = dice.chance(30);
-    cfg.reports = [
+fn random_settings(rng: &mut TestRng) -> Settings {
+    let mut settings = settings();
+    settings.hedging_allowed = rng.chance(40);
+    settings.cancel_allowed = rng.chance(70);
+    settings.health_checks_allowed = rng.chance(70);
+    settings.retry_after_allowed = rng.chance(50);
+    settings.max_retry_after = 1_000 * MS;
+    settings.clients_carry_tokens = rng.chance(50);
+    settings.subscribe = rng.chance(30);
+    settings.removed_nodes_stay_open = rng.chance(30);
+    settings.reports = [
         ReportSource::Answers,
         ReportSource::HealthChecks,
         ReportSource::None,
-    ][dice.roll(3) as usize];
+    ][rng.below(3) as usize];
     let checks = [
         ReplicaCheck::None,
         ReplicaCheck::Reject,
         ReplicaCheck::Wait(50 * MS),
     ];
-    cfg.replica_check = checks[dice.roll(3) as usize];
-    cfg.classes[KEYED].dedup_scope =
-        [DedupScope::All, DedupScope::Zone, DedupScope::Group][dice.roll(3) as usize];
-    cfg.classes[KEYED].dedup_window = [200 * MS, 1_000 * MS][dice.roll(2) as usize];
-    cfg.router_index = dice.roll(4) as u32;
-    cfg.router_count = [0, 1, 4, 25, 500][dice.roll(5) as usize];
-    cfg.connection_idle = [1_000 * MS, 15_000 * MS][dice.roll(2) as usize];
-    cfg
+    settings.replica_check = checks[rng.below(3) as usize];
+    settings.classes[DEDUPLICATED].dedup_scope =
+        [DedupScope::All, DedupScope::Zone, DedupScope::Group][rng.below(3) as usize];
+    settings.classes[DEDUPLICATED].dedup_window = [200 * MS, 1_000 * MS][rng.below(2) as usize];
+    settings.router_index = rng.below(4) as u32;
+    settings.router_count = [0, 1, 4, 25, 500][rng.below(5) as usize];
+    settings.connection_idle = [1_000 * MS, 15_000 * MS][rng.below(2) as usize];
+    settings
 }
 
-fn random_entry(dice: &mut Dice, now: Time) -> Endpoint {
-    let number = dice.roll(7);
-    let mut e = entry(&format!("n{number}"), dice.chance(25));
-    e.group = 1 + number % 2;
-    e.zone = ["here", "there"][(number / 2 % 2) as usize].into();
-    e.state = [
+fn random_endpoint(rng: &mut TestRng, now: Time) -> Endpoint {
+    let number = rng.below(7);
+    let mut endpoint = endpoint(&format!("n{number}"), rng.chance(25));
+    endpoint.group = 1 + number % 2;
+    endpoint.zone = ["here", "there"][(number / 2 % 2) as usize].into();
+    endpoint.state = [
         EndpointState::Serving,
         EndpointState::Serving,
         EndpointState::Serving,
         EndpointState::Draining,
         EndpointState::Removed,
-    ][dice.roll(5) as usize];
-    e.started_at = dice
+    ][rng.below(5) as usize];
+    endpoint.started_at = rng
         .chance(30)
-        .then(|| now.saturating_sub(dice.roll(20_000_000)));
-    e
+        .then(|| now.saturating_sub(rng.below(20_000_000)));
+    endpoint
 }
 
-fn random_standing(dice: &mut Dice, now: Time) -> NodeReport {
-    // Now and then a position from the future, which must be worth nothing.
-    let position = dice
+fn random_report(rng: &mut TestRng, now: Time) -> NodeReport {
+    // Some positions are from the future and must be ignored.
+    let position = rng
         .chance(80)
-        .then(|| now + 100 * MS - dice.roll(3_000) * MS);
-    let role = [None, Some(Role::Primary), Some(Role::Replica)][dice.roll(3) as usize];
+        .then(|| now + 100 * MS - rng.below(3_000) * MS);
+    let role = [None, Some(Role::Primary), Some(Role::Replica)][rng.below(3) as usize];
     NodeReport {
         position,
         role,
-        in_flight: dice.chance(50).then(|| dice.roll(400) as u32),
-        utilization_permille: dice.chance(50).then(|| dice.roll(2000) as u32),
-        age: if dice.chance(30) {
-            dice.roll(3_000) * MS
+        in_flight: rng.chance(50).then(|| rng.below(400) as u32),
+        utilization_permille: rng.chance(50).then(|| rng.below(2000) as u32),
+        age: if rng.chance(30) {
+            rng.below(3_000) * MS
         } else {
             0
         },
     }
 }
 
-fn note_list(world: &mut World, now: Time, entries: &[Endpoint], full: bool) {
-    let open = world.cfg.removed_nodes_stay_open;
-    for e in entries {
-        let was = world.nodes.get(&e.node).and_then(|(_, closed)| *closed);
-        let closed = match e.state {
+fn record_list(checker: &mut Checker, now: Time, endpoints: &[Endpoint], full: bool) {
+    let open = checker.settings.removed_nodes_stay_open;
+    for endpoint in endpoints {
+        let closed_before = checker
+            .nodes
+            .get(&endpoint.node)
+            .and_then(|(_, closed)| *closed);
+        let closed = match endpoint.state {
             EndpointState::Serving => None,
-            EndpointState::Removed if open => was,
-            _ => was.or(Some(now)),
+            EndpointState::Removed if open => closed_before,
+            _ => closed_before.or(Some(now)),
         };
-        world.nodes.insert(e.node.clone(), (e.clone(), closed));
+        checker
+            .nodes
+            .insert(endpoint.node.clone(), (endpoint.clone(), closed));
     }
     if full && !open {
-        let named: BTreeSet<&NodeId> = entries.iter().map(|e| &e.node).collect();
-        for (_, (_, closed)) in world.nodes.iter_mut().filter(|(id, _)| !named.contains(id)) {
+        let listed: BTreeSet<&NodeId> = endpoints.iter().map(|endpoint| &endpoint.node).collect();
+        for (_, (_, closed)) in checker
+            .nodes
+            .iter_mut()
+            .filter(|(id, _)| !listed.contains(id))
+        {
             closed.get_or_insert(now);
         }
     }
 }
 
-fn ending_of(dice: &mut Dice) -> AttemptEnd {
+fn random_end(rng: &mut TestRng) -> AttemptEnd {
     use AttemptEnd::*;
     [
         Success,
@@ -250,16 +271,16 @@
         NeverSent,
         Misdirected,
         Misdirected,
-    ][dice.roll(10) as usize]
+    ][rng.below(10) as usize]
 }
 
-fn play(seed: u64) -> (u64, u64) {
-    let mut dice = Dice(seed);
-    let cfg = random_settings(&mut dice);
-    let mut balancer = Balancer::new(cfg.clone(), seed);
-    let mut world = World {
-        cfg,
-        books: BTreeMap::new(),
+fn run(seed: u64) -> (u64, u64) {
+    let mut rng = TestRng(seed);
+    let settings = random_settings(&mut rng);
+    let mut balancer = Balancer::new(settings.clone(), seed);
+    let mut checker = Checker {
+        settings,
+        requests: BTreeMap::new(),
         nodes: BTreeMap::new(),
         answered: 0,
         sends: 0,
@@ -267,25 +288,25 @@
     let (mut now, mut next_id, mut wakes) = (T0, 1u64, BTreeSet::new());
     for step in 0..1_500u64 {
         let (mut events, mut ended) = (Vec::new(), BTreeSet::new());
-        let quiet = step > 1_200;
+        let is_final_phase = step > 1_200;
         if wakes.range(..=now).next().is_some() {
             wakes.retain(|t| *t > now);
             events.push(Event::Timer);
         }
-        if step == 0 || dice.chance(2) {
-            let count = if step == 0 { 12 } else { dice.roll(5) };
-            let mut entries: Vec<Endpoint> =
-                (0..count).map(|_| random_entry(&mut dice, now)).collect();
-            entries.sort_by(|a, b| a.node.cmp(&b.node));
-            entries.dedup_by(|a, b| a.node == b.node);
-            let full = dice.chance(20);
-            note_list(&mut world, now, &entries, full);
+        if step == 0 || rng.chance(2) {
+            let count = if step == 0 { 12 } else { rng.below(5) };
+            let mut endpoints: Vec<Endpoint> =
+                (0..count).map(|_| random_endpoint(&mut rng, now)).collect();
+            endpoints.sort_by(|a, b| a.node.cmp(&b.node));
+            endpoints.dedup_by(|a, b| a.node == b.node);
+            let full = rng.chance(20);
+            record_list(&mut checker, now, &endpoints, full);
             let update = if full {
-                EndpointUpdate::Full(entries)
+                EndpointUpdate::Full(endpoints)
             } else {
-                EndpointUpdate::Changes(entries)
+                EndpointUpdate::Changes(endpoints)
             };
-            events.push(Event::EndpointsChanged(if dice.chance(5) {
+            events.push(Event::EndpointsChanged(if rng.chance(5) {
                 EndpointUpdate::Failed
             } else {
                 update.clone()
@@ -297,86 +318,90 @@
                 events.push(Event::EndpointsChanged(update));
             }
         }
-        // Attempts that are due end; some others end early.
-        let ids: Vec<RequestId> = world.books.keys().copied().collect();
+        // Attempts that have timed out end; some others end earlier.
+        let ids: Vec<RequestId> = checker.requests.keys().copied().collect();
         for id in ids {
-            let book = world.books.get_mut(&id).expect("listed");
-            for place in 0..book.tries.len() {
-                let t = &mut book.tries[place];
-                let timed_out = now >= t.until;
-                if !t.pending || !(timed_out || dice.chance(6)) {
+            let record = checker.requests.get_mut(&id).expect("listed");
+            for number in 0..record.attempts.len() {
+                let t = &mut record.attempts[number];
+                let timed_out = now >= t.times_out_at;
+                if !t.is_in_flight || !(timed_out || rng.chance(6)) {
                     continue;
                 }
-                let ending = if timed_out {
+                let end = if timed_out {
                     AttemptEnd::TimedOut
                 } else {
-                    ending_of(&mut dice)
+                    random_end(&mut rng)
                 };
-                t.pending = false;
-                let never = [
+                t.is_in_flight = false;
+                let not_executed_ends = [
                     AttemptEnd::Overloaded,
                     AttemptEnd::Unreachable,
                     AttemptEnd::NeverSent,
                     AttemptEnd::Misdirected,
                 ];
-                t.never_ran = never.contains(&ending);
-                if ending == AttemptEnd::Success && !book.over {
-                    book.over = true;
-                    world.answered += 1;
+                t.not_executed = not_executed_ends.contains(&end);
+                if end == AttemptEnd::Success && !record.is_over {
+                    record.is_over = true;
+                    checker.answered += 1;
                     ended.insert(id);
                 }
                 events.push(Event::AttemptEnded {
                     request: id,
-                    attempt: place as u32,
-                    end: ending,
-                    elapsed: now - t.sent,
-                    request_over: book.over,
-                    answer_report: random_standing(&mut dice, now),
-                    load_report: random_standing(&mut dice, now),
+                    attempt: number as u32,
+                    end,
+                    elapsed: now - t.sent_at,
+                    request_over: record.is_over,
+                    answer_report: random_report(&mut rng, now),
+                    load_report: random_report(&mut rng, now),
                 });
             }
-            if !book.over && dice.chance(1) && dice.chance(10) {
-                book.over = true;
-                world.answered += 1;
+            if !record.is_over && rng.chance(1) && rng.chance(10) {
+                record.is_over = true;
+                checker.answered += 1;
                 ended.insert(id);
                 events.push(Event::ClientGone { request: id });
             }
         }
-        for _ in 0..if quiet { 0 } else { dice.roll(4) } {
-            let mut d = demand(next_id, dice.roll(6) as usize);
-            (d.group, d.time_left) = (1 + dice.roll(2), (20 + dice.roll(900)) * MS);
-            d.session = dice.chance(70).then(|| format!("s{}", dice.roll(9)).into());
-            d.is_retry = dice.chance(20);
-            d.last_write_age = dice.chance(50).then(|| dice.roll(900) * MS);
-            let book = Book {
-                class: d.class,
-                group: d.group,
-                deadline: now + d.time_left,
-                tries: vec![],
-                over: false,
+        for _ in 0..if is_final_phase { 0 } else { rng.below(4) } {
+            let mut info = request_info(next_id, rng.below(6) as usize);
+            (info.group, info.time_left) = (1 + rng.below(2), (20 + rng.below(900)) * MS);
+            info.session = rng.chance(70).then(|| format!("s{}", rng.below(9)).into());
+            info.is_retry = rng.chance(20);
+            info.last_write_age = rng.chance(50).then(|| rng.below(900) * MS);
+            let record = RequestRecord {
+                class: info.class,
+                group: info.group,
+                deadline: now + info.time_left,
+                attempts: vec![],
+                is_over: false,
             };
-            world.books.insert(next_id, book);
-            events.push(Event::RequestArrived(d));
+            checker.requests.insert(next_id, record);
+            events.push(Event::RequestArrived(info));
             next_id += 1;
         }
-        if dice.chance(10) {
-            let node: NodeId = format!("n{}", dice.roll(9)).into();
+        if rng.chance(10) {
+            let node: NodeId = format!("n{}", rng.below(9)).into();
             events.push(Event::HealthChecked {
                 node,
-                answered: dice.chance(80),
-                load_report: random_standing(&mut dice, now),
+                answered: rng.chance(80),
+                load_report: random_report(&mut rng, now),
             });
         }
-        if dice.chance(5) {
-            // Half of them well formed: a step of a group's gate, true or not.
-            let rest: Vec<u8> = (0..dice.roll(40)).map(|_| dice.roll(256) as u8).collect();
+        if rng.chance(5) {
+            // Half of the messages have the form of a group's protocol step, with arbitrary values.
+            let random_bytes: Vec<u8> = (0..rng.below(40)).map(|_| rng.below(256) as u8).collect();
             let step = [
-                &(1 + dice.roll(3)).to_le_bytes()[..],
-                &[dice.roll(3) as u8, dice.roll(256) as u8],
+                &(1 + rng.below(3)).to_le_bytes()[..],
+                &[rng.below(3) as u8, rng.below(256) as u8],
             ];
-            let payload = if dice.chance(50) { step.concat() } else { rest };
+            let payload = if rng.chance(50) {
+                step.concat()
+            } else {
+                random_bytes
+            };
             events.push(Event::Peer {
-                from: dice.roll(9) as u32,
+                from: rng.below(9) as u32,
                 payload,
             });
         }
@@ -384,42 +409,40 @@
             let mut actions = Vec::new();
             balancer.handle(now, events, &mut actions);
             for action in &actions {
-                world.check(now, action, &ended);
-                if let Action::Wake(span) = action {
-                    wakes.insert(now + span);
+                checker.check(now, action, &ended);
+                if let Action::Wake(duration) = action {
+                    wakes.insert(now + duration);
                 }
             }
         }
-        let grace = world.cfg.answer_grace;
-        for (id, book) in &world.books {
+        let grace = checker.settings.answer_grace;
+        for (id, record) in &checker.requests {
             assert!(
-                book.over || now <= book.deadline + grace,
+                record.is_over || now <= record.deadline + grace,
                 "seed {seed}: request {id} was never answered"
             );
         }
-        world
-            .books
-            .retain(|_, b| !b.over || b.tries.iter().any(|t| t.pending));
-        now += if quiet {
+        checker
+            .requests
+            .retain(|_, b| !b.is_over || b.attempts.iter().any(|t| t.is_in_flight));
+        now += if is_final_phase {
             5 * MS
         } else {
-            5 * MS * (1 + dice.roll(2))
+            5 * MS * (1 + rng.below(2))
         };
     }
     assert!(
-        world.books.values().all(|b| b.over),
+        checker.requests.values().all(|b| b.is_over),
         "seed {seed}: requests left without an answer"
     );
-    (world.answered, world.sends)
+    (checker.answered, checker.sends)
 }
 
 #[test]
 fn any_order_of_events_keeps_the_rules() {
-    let (answered, sends) = (0..32)
-        .map(play)
-        .fold((0, 0), |a, b| (a.0 + b.0, a.1 + b.1));
+    let (answered, sends) = (0..32).map(run).fold((0, 0), |a, b| (a.0 + b.0, a.1 + b.1));
     assert!(
         answered > 30_000 && sends > 15_000,
-        "the runs were too thin: {answered} answers, {sends} sends"
+        "the runs contained too little: {answered} answers, {sends} sends"
     );
 }
--- a/tests/purity.rs
+++ b/tests/purity.rs
@@ -1,12 +1,12 @@
 //! The decisions do no I/O and read no clock, so that the router, the simulator and the model drive the same code.
 //!
-//! Each crate says its kind in its Cargo.toml. The sources of those whose kind is "decisions" are searched for what the
-//! standard library offers for I/O, time, threads and randomness, and their dependencies for crates that do.
+//! Each crate declares its kind in its Cargo.toml. The sources of crates of kind "decisions" are searched for I/O,
+//! time, threads and randomness of the standard library, and their dependencies for crates that offer these.
 
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// Paths that no decision may use. `std::net` is allowed for addresses alone.
+/// Paths that the decisions must not use. `std::net` is allowed for addresses only.
 const FORBIDDEN_PATHS: [&str; 11] = [
     "std::fs",
     "std::io",
@@ -24,7 +24,7 @@
 /// Macros that write to the standard streams.
 const FORBIDDEN_MACROS: [&str; 5] = ["print!", "println!", "eprint!", "eprintln!", "dbg!"];
 
-/// What of `std::net` opens something.
+/// Types of `std::net` that open sockets or resolve names.
 const FORBIDDEN_SOCKETS: [&str; 5] = [
     "TcpStream",
     "TcpListener",
@@ -33,7 +33,7 @@
     "ToSocketAddrs",
 ];
 
-/// Dependencies that do I/O, read clocks or ask the system for randomness.
+/// Dependencies that do I/O, read clocks or get randomness from the system.
 const FORBIDDEN_CRATES: [&str; 9] = [
     "polling",
     "socket2",
@@ -46,13 +46,13 @@
     "plovercove-emulator",
 ];
 
-/// The text without comments; strings stay, since none of what is searched for stands in one.
+/// Returns a source text without its comments. Strings stay, since no searched word occurs in one.
 fn without_comments(text: &str) -> String {
     let code = |line: &str| line.split("//").next().unwrap_or("").to_string();
     text.lines().map(code).collect::<Vec<_>>().join("\n")
 }
 
-/// What in a source text does I/O or reads a clock.
+/// Returns the words of a source text that indicate I/O or a clock.
 fn impurities(text: &str) -> Vec<&'static str> {
     let code = without_comments(text);
     let all = FORBIDDEN_PATHS.iter().chain(&FORBIDDEN_MACROS);
@@ -60,7 +60,7 @@
     all.copied().filter(|word| code.contains(word)).collect()
 }
 
-/// The dependencies of a manifest, those of tests and builds left out.
+/// Returns the dependencies of a manifest, without those of tests and build scripts.
 fn dependencies(manifest: &str) -> Vec<String> {
     let mut section = "";
     let mut names = Vec::new();
@@ -88,7 +88,7 @@
     }
 }
 
-/// The folders of all crates of the workspace that say that they are decisions.
+/// Returns the folders and manifests of all crates of the workspace of kind "decisions".
 fn decision_crates() -> Vec<(PathBuf, String)> {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     let folders = fs::read_dir(root).expect("the workspace").flatten();
--- a/tests/tenants.rs
+++ b/tests/tenants.rs
@@ -1,4 +1,5 @@
-//! Tenants' shares: what is over one is served where there is room, goes last and is refused first where there is not.
+//! Tenants' quotas: requests beyond a quota (excess requests) are served if there is room. Otherwise they are served
+//! last and rejected first.
 
 mod common;
 
@@ -7,10 +8,10 @@
 
 const A: usize = 0;
 const B: usize = 1;
-/// Beyond those in the settings.
+/// An index beyond the tenants in the settings.
 const UNKNOWN: usize = 7;
 
-fn tenants(quotas: &[f64]) -> Settings {
+fn settings_with_quotas(quotas: &[f64]) -> Settings {
     let tenant = |(n, quota): (usize, &f64)| Tenant {
         name: format!("t{n}"),
         quota_per_s: *quota,
@@ -24,326 +25,362 @@
     }
 }
 
-fn of(tenant: impl Into<Option<usize>>, id: RequestId, class: usize) -> RequestInfo {
+fn request_of(tenant: impl Into<Option<usize>>, id: RequestId, class: usize) -> RequestInfo {
     RequestInfo {
         tenant: tenant.into(),
-        ..demand(id, class)
+        ..request_info(id, class)
     }
 }
 
-/// What became of requests that came one by one.
+/// The number of requests with each outcome, for requests that arrived one by one.
 #[derive(Debug, Default, PartialEq)]
-struct Fates {
+struct Outcomes {
     sent: usize,
-    refused: usize,
-    waits: usize,
+    rejected: usize,
+    waiting: usize,
 }
 
-/// So many requests of one tenant, each `gap` after the other, of which none is answered.
-fn held(
-    rig: &mut Rig,
+/// Sends requests of one tenant, `interval` apart, none of which is answered.
+fn send_unanswered(
+    harness: &mut Harness,
     tenant: impl Into<Option<usize>>,
     ids: std::ops::Range<RequestId>,
-    gap: Micros,
-) -> Fates {
-    let (tenant, mut fates) = (tenant.into(), Fates::default());
+    interval: Micros,
+) -> Outcomes {
+    let (tenant, mut outcomes) = (tenant.into(), Outcomes::default());
     for id in ids {
-        rig.now += gap;
-        match rig.request(of(tenant, id, ANY)) {
-            Some(_) => fates.sent += 1,
-            None if rig.refused(id) => fates.refused += 1,
-            None => fates.waits += 1,
+        harness.now += interval;
+        match harness.send_request(request_of(tenant, id, ANY)) {
+            Some(_) => outcomes.sent += 1,
+            None if harness.is_rejected(id) => outcomes.rejected += 1,
+            None => outcomes.waiting += 1,
         }
     }
-    fates
+    outcomes
 }
 
-/// The same, each answered before the next comes.
-fn answered(
-    rig: &mut Rig,
+/// Sends requests of one tenant, `interval` apart, each of which is answered before the next one arrives.
+fn send_answered(
+    harness: &mut Harness,
     tenant: impl Into<Option<usize>>,
     ids: std::ops::Range<RequestId>,
-    gap: Micros,
-) -> Fates {
-    let (tenant, mut fates) = (tenant.into(), Fates::default());
+    interval: Micros,
+) -> Outcomes {
+    let (tenant, mut outcomes) = (tenant.into(), Outcomes::default());
     for id in ids {
-        rig.now += gap;
-        match rig.request(of(tenant, id, ANY)) {
+        harness.now += interval;
+        match harness.send_request(request_of(tenant, id, ANY)) {
             Some(_) => {
-                fates.sent += 1;
-                rig.ends(id, 0, AttemptEnd::Success, says(Role::Replica, rig.now));
+                outcomes.sent += 1;
+                harness.end_attempt(
+                    id,
+                    0,
+                    AttemptEnd::Success,
+                    node_report(Role::Replica, harness.now),
+                );
             }
-            None => fates.refused += 1,
+            None => outcomes.rejected += 1,
         }
     }
-    fates
+    outcomes
 }
 
 #[test]
-fn a_flood_leaves_room_to_who_is_within_its_share() {
-    let mut rig = Rig::new(tenants(&[1.0, 9.0]));
-    // A few of A are within its share and go wherever there is room; the others leave most of each node's free.
-    let flood = held(&mut rig, A, 0..200, 100);
-    assert!(flood.refused > 100 && flood.sent >= 24, "{flood:?}");
-    let beside = held(&mut rig, B, 1_000..1_010, 100);
+fn a_flood_leaves_room_for_tenants_within_their_quota() {
+    let mut harness = Harness::new(settings_with_quotas(&[1.0, 9.0]));
+    // A few requests of A are within its quota and go wherever there is room; the excess leaves most of each node's
+    // limit free.
+    let flood = send_unanswered(&mut harness, A, 0..200, 100);
+    assert!(flood.rejected > 100 && flood.sent >= 24, "{flood:?}");
+    let other_tenant = send_unanswered(&mut harness, B, 1_000..1_010, 100);
     assert_eq!(
-        beside,
-        Fates {
+        other_tenant,
+        Outcomes {
             sent: 10,
-            ..Fates::default()
+            ..Outcomes::default()
         }
     );
 }
 
 #[test]
-fn what_is_over_is_refused_at_once_and_told_when_to_come_back() {
-    let mut rig = Rig::new(tenants(&[1.0, 1_000.0]));
-    held(&mut rig, A, 0..200, 100);
-    rig.now += 100;
+fn excess_requests_are_rejected_at_once_with_a_retry_delay() {
+    let mut harness = Harness::new(settings_with_quotas(&[1.0, 1_000.0]));
+    send_unanswered(&mut harness, A, 0..200, 100);
+    harness.now += 100;
     let id = 500;
-    rig.event(Event::RequestArrived(of(A, id, ANY)));
-    let refusal = Action::Reject {
+    harness.handle_event(Event::RequestArrived(request_of(A, id, ANY)));
+    let rejection = Action::Reject {
         request: id,
         retry_after: Some(250 * MS),
     };
-    assert!(rig.actions.contains(&refusal), "{:?}", rig.actions);
+    assert!(
+        harness.actions.contains(&rejection),
+        "{:?}",
+        harness.actions
+    );
 }
 
 #[test]
-fn what_is_within_goes_before_what_is_over() {
-    // The only node is idle, and either would find room. Both come in one batch, that of A first.
+fn requests_within_a_quota_go_before_excess_requests() {
+    // The only node is idle, and either request would find room. Both arrive in one batch, that of A first.
     let quotas = Settings {
         router_count: 24,
-        ..tenants(&[0.0, 1_000.0])
+        ..settings_with_quotas(&[0.0, 1_000.0])
     };
-    let mut rig = Rig::with(quotas, vec![entry("r1", false)]);
-    assert_eq!(answered(&mut rig, A, 0..4, MS).sent, 4);
-    rig.batch(vec![
-        Event::RequestArrived(of(A, 100, ANY)),
-        Event::RequestArrived(of(B, 101, ANY)),
+    let mut harness = Harness::with(quotas, vec![endpoint("r1", false)]);
+    assert_eq!(send_answered(&mut harness, A, 0..4, MS).sent, 4);
+    harness.handle_batch(vec![
+        Event::RequestArrived(request_of(A, 100, ANY)),
+        Event::RequestArrived(request_of(B, 101, ANY)),
     ]);
     assert!(
-        rig.sent(101).is_some() && rig.refused(100),
+        harness.sent_to(101).is_some() && harness.is_rejected(100),
         "{:?}",
-        rig.actions
+        harness.actions
     );
 }
 
 #[test]
-fn of_a_tenant_beyond_its_share_what_is_within_keeps_its_place() {
-    // A quarter of what A sends is within its share, whatever it sends besides: it finds room where nothing else of A does.
-    let mut rig = Rig::new(tenants(&[25.0, 75.0]));
-    answered(&mut rig, A, 0..1_000, 10 * MS);
-    held(&mut rig, B, 1_000..1_016, 0);
-    let crowded = held(&mut rig, A, 2_000..2_020, 10 * MS);
-    assert!(crowded.sent >= 2 && crowded.refused >= 10, "{crowded:?}");
+fn the_part_within_the_quota_of_a_flooding_tenant_is_still_served() {
+    // A quarter of A's requests is within its quota, whatever else A sends. These requests find room when the other
+    // requests of A do not.
+    let mut harness = Harness::new(settings_with_quotas(&[25.0, 75.0]));
+    send_answered(&mut harness, A, 0..1_000, 10 * MS);
+    send_unanswered(&mut harness, B, 1_000..1_016, 0);
+    let under_load = send_unanswered(&mut harness, A, 2_000..2_020, 10 * MS);
+    assert!(
+        under_load.sent >= 2 && under_load.rejected >= 10,
+        "{under_load:?}"
+    );
 }
 
 #[test]
-fn who_uses_its_share_is_within_it_where_a_router_sees_several_times_the_mean() {
-    // A tenth of 10 a second is 1 a second; this router gets five times as much of each of four.
-    let mut rig = Rig::new(Settings {
+fn tenants_at_their_quota_are_not_limited_by_a_router_that_sees_a_larger_part() {
+    // A router's even share of 10 a second is 1 a second; this router gets five times as much of each of four tenants.
+    let mut harness = Harness::new(Settings {
         router_count: 10,
-        ..tenants(&[10.0; 4])
+        ..settings_with_quotas(&[10.0; 4])
     });
-    for turn in 0..200 {
+    for round in 0..200 {
         for tenant in 0..4 {
-            let id = turn * 4 + tenant as RequestId;
-            rig.now += 50 * MS;
+            let id = round * 4 + tenant as RequestId;
+            harness.now += 50 * MS;
             assert!(
-                rig.request(of(tenant, id, ANY)).is_some(),
+                harness.send_request(request_of(tenant, id, ANY)).is_some(),
                 "{id}: {:?}",
-                rig.actions
+                harness.actions
             );
-            // Always enough are out for one that is over to be refused: three at each of two replicas, whose limits
-            // stop growing at 8.
-            if let Some(done) = id.checked_sub(6) {
-                rig.ends(done, 0, AttemptEnd::Success, says(Role::Replica, rig.now));
+            // Enough requests are always in flight that an excess request would be rejected: three at each of two
+            // replicas, whose limits stop growing at 8.
+            if let Some(finished) = id.checked_sub(6) {
+                harness.end_attempt(
+                    finished,
+                    0,
+                    AttemptEnd::Success,
+                    node_report(Role::Replica, harness.now),
+                );
             }
         }
     }
 }
 
-/// One of 300 routers before two replicas that hold so many requests of others: a wait of 0.45 of the aim at 4 cores
-/// that are not crowded, more by as much as they are.
-fn thin(quotas: &[f64], held: u32) -> Rig {
+/// Creates one of 300 routers, with two replicas that have `in_flight` requests of other routers. The estimated wait is
+/// 0.45 of the latency objective at 4 cores without a queue, and grows with the queue.
+fn large_fleet(quotas: &[f64], in_flight: u32) -> Harness {
     let settings = Settings {
         router_count: 300,
         reports: ReportSource::HealthChecks,
         health_checks_allowed: true,
-        ..tenants(quotas)
+        ..settings_with_quotas(quotas)
     };
-    let mut rig = Rig::with(settings, vec![entry("r1", false), entry("r2", false)]);
+    let mut harness = Harness::with(settings, vec![endpoint("r1", false), endpoint("r2", false)]);
     for node in ["r1", "r2"] {
         let report = NodeReport {
-            in_flight: Some(held),
-            ..says(Role::Replica, T0)
+            in_flight: Some(in_flight),
+            ..node_report(Role::Replica, T0)
         };
-        rig.event(Event::HealthChecked {
+        harness.handle_event(Event::HealthChecked {
             node: node.into(),
             answered: true,
             load_report: report,
         });
     }
-    rig
+    harness
 }
 
 #[test]
-fn a_new_process_judges_nobody_by_its_first_requests() {
-    // Nodes are so crowded that one that is over would be refused. A's part of five is two and a half.
-    let mut rig = thin(&[0.5, 0.5], 6);
-    let first = answered(&mut rig, A, 0..5, MS);
+fn a_new_process_limits_no_tenant_by_its_first_requests() {
+    // The nodes are so loaded that an excess request would be rejected. A's part of five requests is two and a half.
+    let mut harness = large_fleet(&[0.5, 0.5], 6);
+    let first = send_answered(&mut harness, A, 0..5, MS);
     assert_eq!(
         first,
-        Fates {
+        Outcomes {
             sent: 5,
-            ..Fates::default()
+            ..Outcomes::default()
         }
     );
 }
 
 #[test]
-fn unknown_tenants_and_none_have_no_share_to_be_over() {
-    for who in [None, Some(UNKNOWN)] {
-        let mut rig = Rig::new(tenants(&[1.0, 1.0]));
-        let fates = held(&mut rig, who, 0..60, 100);
-        assert_eq!(fates.refused, 0, "{who:?}: {fates:?}");
-        assert!(fates.sent >= 48, "{who:?}: {fates:?}");
+fn requests_without_a_known_tenant_have_no_quota() {
+    for tenant in [None, Some(UNKNOWN)] {
+        let mut harness = Harness::new(settings_with_quotas(&[1.0, 1.0]));
+        let outcomes = send_unanswered(&mut harness, tenant, 0..60, 100);
+        assert_eq!(outcomes.rejected, 0, "{tenant:?}: {outcomes:?}");
+        assert!(outcomes.sent >= 48, "{tenant:?}: {outcomes:?}");
     }
-    for who in [None, Some(A), Some(UNKNOWN)] {
-        let mut rig = Rig::new(tenants(&[]));
-        let fates = held(&mut rig, who, 0..60, 100);
-        assert!(fates.refused == 0 && fates.sent >= 48, "{who:?}: {fates:?}");
+    for tenant in [None, Some(A), Some(UNKNOWN)] {
+        let mut harness = Harness::new(settings_with_quotas(&[]));
+        let outcomes = send_unanswered(&mut harness, tenant, 0..60, 100);
+        assert!(
+            outcomes.rejected == 0 && outcomes.sent >= 48,
+            "{tenant:?}: {outcomes:?}"
+        );
     }
 }
 
 #[test]
-fn one_tenant_alone_stands_in_nobodys_way() {
-    let mut rig = Rig::new(tenants(&[1.0]));
-    let fates = held(&mut rig, A, 0..60, 100);
-    assert!(fates.refused == 0 && fates.sent >= 48, "{fates:?}");
+fn a_single_tenant_is_never_limited() {
+    let mut harness = Harness::new(settings_with_quotas(&[1.0]));
+    let outcomes = send_unanswered(&mut harness, A, 0..60, 100);
+    assert!(
+        outcomes.rejected == 0 && outcomes.sent >= 48,
+        "{outcomes:?}"
+    );
 }
 
 #[test]
-fn of_a_quota_of_nothing_all_is_over_and_without_one_nothing() {
-    let mut rig = Rig::new(tenants(&[0.0, f64::INFINITY]));
-    let nothing = held(&mut rig, A, 0..60, 100);
-    assert!(nothing.refused > 20, "{nothing:?}");
-    let unbounded = held(&mut rig, B, 100..120, 100);
-    assert_eq!(unbounded.refused, 0, "{unbounded:?}");
-    // None has agreed on anything: all are alike.
-    let mut rig = Rig::new(tenants(&[f64::INFINITY, f64::INFINITY]));
-    let fates = held(&mut rig, A, 0..60, 100);
-    assert!(fates.refused == 0 && fates.sent >= 48, "{fates:?}");
+fn with_a_zero_quota_all_requests_are_excess_and_without_a_quota_none_is() {
+    let mut harness = Harness::new(settings_with_quotas(&[0.0, f64::INFINITY]));
+    let zero_quota = send_unanswered(&mut harness, A, 0..60, 100);
+    assert!(zero_quota.rejected > 20, "{zero_quota:?}");
+    let unlimited = send_unanswered(&mut harness, B, 100..120, 100);
+    assert_eq!(unlimited.rejected, 0, "{unlimited:?}");
+    // No tenant has a quota: all are treated alike.
+    let mut harness = Harness::new(settings_with_quotas(&[f64::INFINITY, f64::INFINITY]));
+    let outcomes = send_unanswered(&mut harness, A, 0..60, 100);
+    assert!(
+        outcomes.rejected == 0 && outcomes.sent >= 48,
+        "{outcomes:?}"
+    );
 }
 
 #[test]
-fn what_others_leave_is_lent() {
-    // A hundred times its share, each answered in time: there is room, so all is served.
-    let mut rig = Rig::new(tenants(&[1.0, 1.0]));
+fn unused_quota_is_lent() {
+    // A sends a hundred times its quota, each request answered in time: there is room, so all are served.
+    let mut harness = Harness::new(settings_with_quotas(&[1.0, 1.0]));
     assert_eq!(
-        answered(&mut rig, A, 0..1_000, 10 * MS),
-        Fates {
+        send_answered(&mut harness, A, 0..1_000, 10 * MS),
+        Outcomes {
             sent: 1_000,
-            ..Fates::default()
+            ..Outcomes::default()
         }
     );
 }
 
 #[test]
-fn what_was_lent_is_given_back_and_forgotten() {
-    let mut rig = Rig::new(tenants(&[1.0, 9.0]));
-    answered(&mut rig, A, 0..1_000, 10 * MS);
-    // B comes back: it finds room at once, though A goes on.
-    held(&mut rig, A, 1_000..1_100, 100);
+fn lent_quota_is_returned_and_past_excess_is_forgotten() {
+    let mut harness = Harness::new(settings_with_quotas(&[1.0, 9.0]));
+    send_answered(&mut harness, A, 0..1_000, 10 * MS);
+    // B sends requests again and finds room at once, although A goes on.
+    send_unanswered(&mut harness, A, 1_000..1_100, 100);
     assert_eq!(
-        held(&mut rig, B, 2_000..2_010, 100),
-        Fates {
+        send_unanswered(&mut harness, B, 2_000..2_010, 100),
+        Outcomes {
             sent: 10,
-            ..Fates::default()
+            ..Outcomes::default()
         }
     );
-    // After a while in which A asked for nothing it is within its share again: where B leaves little room, too.
+    // After a pause A is within its quota again, and is served even while B leaves little room.
     for id in 0..2_010 {
-        rig.event(Event::ClientGone { request: id });
-        let (ending, said) = (AttemptEnd::Cancelled, NodeReport::default());
+        harness.handle_event(Event::ClientGone { request: id });
+        let (end, no_report) = (AttemptEnd::Cancelled, NodeReport::default());
         let elapsed = MS;
-        rig.event(Event::AttemptEnded {
+        harness.handle_event(Event::AttemptEnded {
             request: id,
             attempt: 0,
-            end: ending,
+            end,
             elapsed,
             request_over: true,
-            answer_report: said,
-            load_report: said,
+            answer_report: no_report,
+            load_report: no_report,
         });
     }
-    rig.later(15_000 * MS);
-    held(&mut rig, B, 3_000..3_016, 0);
+    harness.advance(15_000 * MS);
+    send_unanswered(&mut harness, B, 3_000..3_016, 0);
     assert_eq!(
-        held(&mut rig, A, 4_000..4_008, 100),
-        Fates {
+        send_unanswered(&mut harness, A, 4_000..4_008, 100),
+        Outcomes {
             sent: 8,
-            ..Fates::default()
+            ..Outcomes::default()
         }
     );
 }
 
 #[test]
-fn where_over_share_worth_is_one_shares_change_nothing() {
-    let play = |settings: Settings| {
-        let mut rig = Rig::new(settings);
-        let mut said = Vec::new();
+fn quotas_change_nothing_if_excess_requests_keep_full_weight() {
+    let run = |settings: Settings| {
+        let mut harness = Harness::new(settings);
+        let mut actions = Vec::new();
         for id in 0..400 {
-            rig.now += 3 * MS;
-            let class = [ANY, SESSION, KEYED, UNSAFE][id as usize % 4];
-            said.extend(
-                rig.event(Event::RequestArrived(of(
-                    if id % 9 == 0 { B } else { A },
-                    id,
-                    class,
-                )))
-                .clone(),
+            harness.now += 3 * MS;
+            let class = [ANY, OWN_WRITES, DEDUPLICATED, AT_MOST_ONCE][id as usize % 4];
+            actions.extend(
+                harness
+                    .handle_event(Event::RequestArrived(request_of(
+                        if id % 9 == 0 { B } else { A },
+                        id,
+                        class,
+                    )))
+                    .clone(),
             );
-            if let Some(done) = id.checked_sub(40).filter(|done| done % 2 == 0) {
-                said.extend(
-                    rig.ends(done, 0, AttemptEnd::Success, NodeReport::default())
+            if let Some(finished) = id.checked_sub(40).filter(|finished| finished % 2 == 0) {
+                actions.extend(
+                    harness
+                        .end_attempt(finished, 0, AttemptEnd::Success, NodeReport::default())
                         .clone(),
                 );
             }
         }
-        said
+        actions
     };
-    let shares = Settings {
+    let full_weight = Settings {
         over_quota_weight: 1.0,
-        ..tenants(&[1.0, 1.0])
+        ..settings_with_quotas(&[1.0, 1.0])
     };
-    let without = Settings {
+    let without_tenants = Settings {
         tenants: Vec::new(),
-        ..shares.clone()
+        ..full_weight.clone()
     };
-    assert_eq!(play(shares), play(without));
+    assert_eq!(run(full_weight), run(without_tenants));
     assert_ne!(
-        play(tenants(&[1.0, 1.0])),
-        play(Settings {
+        run(settings_with_quotas(&[1.0, 1.0])),
+        run(Settings {
             tenants: Vec::new(),
-            ..tenants(&[])
+            ..settings_with_quotas(&[])
         })
     );
 }
 
 #[test]
-fn who_may_have_run_is_not_refused_for_its_share() {
-    let mut rig = Rig::new(tenants(&[0.0, 10.0]));
-    // Known to be over, with little out, so that it is sent; its connection breaks once it may have run.
-    held(&mut rig, A, 0..4, 100);
+fn a_write_that_may_have_run_is_not_rejected_for_its_quota() {
+    let mut harness = Harness::new(settings_with_quotas(&[0.0, 10.0]));
+    // A is known to be beyond its quota, and has little in flight, so its write is sent. The write fails after it may
+    // have been executed.
+    send_unanswered(&mut harness, A, 0..4, 100);
     let id = 50;
-    assert_eq!(rig.request(of(A, id, KEYED)).as_deref(), Some("p"));
-    // Meanwhile the primary fills to over half with writes of B.
+    assert_eq!(
+        harness
+            .send_request(request_of(A, id, DEDUPLICATED))
+            .as_deref(),
+        Some("p")
+    );
+    // Meanwhile writes of B fill the primary to more than half.
     for other in 100..114 {
-        rig.request(of(B, other, KEYED));
+        harness.send_request(request_of(B, other, DEDUPLICATED));
     }
-    rig.event(Event::AttemptEnded {
+    harness.handle_event(Event::AttemptEnded {
         request: id,
         attempt: 0,
         end: AttemptEnd::Failure,
@@ -352,40 +389,46 @@
         answer_report: NodeReport::default(),
         load_report: NodeReport::default(),
     });
-    assert!(!rig.refused(id) && !rig.failed(id), "{:?}", rig.actions);
+    assert!(
+        !harness.is_rejected(id) && !harness.has_failed(id),
+        "{:?}",
+        harness.actions
+    );
     assert_eq!(
-        rig.sent(id).as_deref(),
+        harness.sent_to(id).as_deref(),
         Some("p"),
-        "its window is open: it goes again"
+        "its deduplication window is open: it is sent again"
     );
 }
 
 #[test]
-fn hundreds_of_routers_refuse_what_is_over_for_a_shorter_queue() {
-    // A wait that is still in time for what is within is too long for the rest.
-    for (held, over_goes, within_goes) in [(0, true, true), (6, false, true), (200, false, false)] {
-        let mut rig = thin(&[0.0, 100.0], 0);
-        answered(&mut rig, A, 0..3, MS);
+fn large_fleets_reject_excess_requests_at_a_shorter_queue() {
+    // A wait that is still short enough for requests within a quota is too long for excess requests.
+    for (in_flight, excess_is_sent, within_is_sent) in
+        [(0, true, true), (6, false, true), (200, false, false)]
+    {
+        let mut harness = large_fleet(&[0.0, 100.0], 0);
+        send_answered(&mut harness, A, 0..3, MS);
         for node in ["r1", "r2"] {
             let report = NodeReport {
-                in_flight: Some(held),
-                ..says(Role::Replica, T0)
+                in_flight: Some(in_flight),
+                ..node_report(Role::Replica, T0)
             };
-            rig.event(Event::HealthChecked {
+            harness.handle_event(Event::HealthChecked {
                 node: node.into(),
                 answered: true,
                 load_report: report,
             });
         }
         assert_eq!(
-            rig.request(of(A, 100, ANY)).is_some(),
-            over_goes,
-            "over, {held} held"
+            harness.send_request(request_of(A, 100, ANY)).is_some(),
+            excess_is_sent,
+            "excess request, {in_flight} in flight"
         );
         assert_eq!(
-            rig.request(of(B, 101, ANY)).is_some(),
-            within_goes,
-            "within, {held} held"
+            harness.send_request(request_of(B, 101, ANY)).is_some(),
+            within_is_sent,
+            "request within its quota, {in_flight} in flight"
         );
     }
 }
