--- a/locality/benches/decision.rs
+++ b/locality/benches/decision.rs
@@ -1,4 +1,4 @@
-//! What tiers add to a decision: one request placed and answered, with 1,000 nodes known, without tiers and with them.
+//! Cost of zone failover in a decision: one request is placed and answered with 1,000 nodes, without and with the policy.
 
 use criterion::{Criterion, criterion_group, criterion_main};
 use plovercove::*;
@@ -29,28 +29,28 @@
     }
 }
 
-fn balancer(tiers: bool) -> Balancer {
+fn balancer(with_zone_failover: bool) -> Balancer {
     let settings = settings();
     let zone = |name: &str| Zone {
         name: name.into(),
         routers: 100,
-        prefer: Vec::new(),
+        preferred_tiers: Vec::new(),
     };
     let rules = Rules {
         home: String::new(),
         zones: ["a", "b", "c"].map(zone).to_vec(),
-        spill: 0.4,
-        cores: [("std".to_string(), 5.0)].into(),
+        max_spill_share: 0.4,
+        capacity_by_machine_kind: [("std".to_string(), 5.0)].into(),
         ramp: Default::default(),
         flap: Default::default(),
     };
     let mut balancer = Balancer::new(settings.clone(), 7);
-    if tiers {
+    if with_zone_failover {
         balancer.locality = Some(Box::new(
             ZoneFailover::new(rules, &settings, 7).expect("good rules"),
         ));
     }
-    let entry = |n: u64| Endpoint {
+    let endpoint = |n: u64| Endpoint {
         node: format!("s-{n:04}").into(),
         zone: ["a", "b", "c"][(n % 3) as usize].into(),
         machine_kind: "std".into(),
@@ -59,7 +59,7 @@
         weight: 1.0,
         ..Endpoint::default()
     };
-    let list = EndpointUpdate::Full((0..NODES).map(entry).collect());
+    let list = EndpointUpdate::Full((0..NODES).map(endpoint).collect());
     balancer.handle(
         1_000_000,
         vec![Event::EndpointsChanged(list)],
@@ -70,19 +70,19 @@
 
 fn decision(c: &mut Criterion) {
     let mut group = c.benchmark_group("place and answer, 1000 nodes");
-    for (name, tiers) in [("flat", false), ("tiers", true)] {
-        let (mut balancer, mut now, mut id) = (balancer(tiers), 1_000_000, 0);
+    for (name, with_zone_failover) in [("flat", false), ("tiers", true)] {
+        let (mut balancer, mut now, mut id) = (balancer(with_zone_failover), 1_000_000, 0);
         let mut actions = Vec::new();
         group.bench_function(name, |b| {
             b.iter(|| {
                 (now, id) = (now + 1_000, id + 1);
-                let demand = RequestInfo {
+                let request = RequestInfo {
                     id,
                     time_left: 1_000_000,
                     group: id % (NODES / MEMBERS),
                     ..RequestInfo::default()
                 };
-                balancer.handle(now, vec![Event::RequestArrived(demand)], &mut actions);
+                balancer.handle(now, vec![Event::RequestArrived(request)], &mut actions);
                 assert!(
                     actions.iter().any(|a| matches!(a, Action::Send { .. })),
                     "not placed: {actions:?}"
--- a/locality/src/allowance.rs
+++ b/locality/src/allowance.rs
@@ -1,63 +1,71 @@
-//! Budgets of work: how routers that share nothing keep a common limit.
+//! Token buckets of work, by which routers that share no state keep a common limit.
 //!
-//! Each router holds a bucket of *seconds of work*. It fills at the router's part of the limit and every send takes what
-//! the class of the request costs. Where hundreds of routers divide one node, a part is far less than one request a
-//! second: then the first requests must not come at once from all, so buckets begin at different levels.
+//! The tokens of a router's bucket are *seconds of work*. The bucket fills at the router's share of the limit, and each
+//! attempt takes the cost of the request's class. Where hundreds of routers share one node, the share of one router is far
+//! below one request per second. The buckets then begin at different levels, or all routers would send their first request
+//! at the same time.
 
 use plovercove::Time;
 
-/// A bucket of seconds of work.
+/// Token bucket of seconds of work.
 #[derive(Clone, Debug, Default)]
 pub struct Allowance {
     level: f64,
     rate: f64,
-    /// The most that it holds.
+    /// Highest level.
     depth: f64,
-    filled: Time,
+    filled_at: Time,
 }
 
-/// A bucket holds what comes in so long, in seconds: longer, and a burst would overshoot a window of one second.
-const DEPTH: f64 = 0.07;
+/// Depth of a bucket, as the time (s) in which it fills. With a greater depth, a burst would exceed the limit within a
+/// window of one second.
+const DEPTH_S: f64 = 0.07;
 
 impl Allowance {
-    /// A bucket whose first level is this share of one request's cost.
+    /// Creates a bucket that begins at this share of the cost of one request.
     pub fn staggered(now: Time, share: f64, cost: f64) -> Self {
         Allowance {
             level: share.clamp(0.0, 1.0) * cost,
             rate: 0.0,
             depth: cost,
-            filled: now,
+            filled_at: now,
         }
     }
 
-    fn now(&self, now: Time) -> f64 {
-        let span = now.saturating_sub(self.filled) as f64 / 1e6;
-        (self.level + self.rate * span).min(self.depth)
+    fn level_at(&self, now: Time) -> f64 {
+        let elapsed_s = now.saturating_sub(self.filled_at) as f64 / 1e6;
+        (self.level + self.rate * elapsed_s).min(self.depth)
     }
 
-    /// Brings the level up to date and takes over a new rate, in seconds of work a second. `least`, what an
-    /// ordinary request costs, is the least that the bucket can hold.
-    pub fn refill(&mut self, now: Time, rate: f64, least: f64) {
-        // The old rate held until now; with the new one a rise would count backwards.
-        self.level = self.now(now);
-        (self.rate, self.depth, self.filled) =
-            (rate, (rate * DEPTH).max(least), self.filled.max(now));
+    /// Updates the level and sets a new rate, in seconds of work per second. The depth is at least `min_depth`, the cost
+    /// of an ordinary request.
+    pub fn refill(&mut self, now: Time, rate: f64, min_depth: f64) {
+        // The old rate applied until now. With the new one, a raise would count for the past.
+        self.level = self.level_at(now);
+        (self.rate, self.depth, self.filled_at) = (
+            rate,
+            (rate * DEPTH_S).max(min_depth),
+            self.filled_at.max(now),
+        );
     }
 
-    /// Whether a request of this cost may take its part, and leave `reserve` of the depth to what is worth more. One
-    /// that costs more than the bucket holds never may. Danger: a bucket as deep as the dearest request would let every
-    /// router send at once what the limit allows in a second.
+    /// Returns whether the level admits a request of this cost and leaves the share `reserve` of the remaining depth for
+    /// classes of higher worth.
+    ///
+    /// A request that costs more than the depth is never admitted. If each bucket were as deep as the most expensive
+    /// request, all routers together could send at once what the limit allows in a second.
     pub fn covers(&self, now: Time, cost: f64, reserve: f64) -> bool {
-        self.rate > 0.0 && self.now(now) + 1e-12 >= cost + reserve * (self.depth - cost).max(0.0)
+        self.rate > 0.0
+            && self.level_at(now) + 1e-12 >= cost + reserve * (self.depth - cost).max(0.0)
     }
 
-    /// Takes a part. The level may go below zero, and is then made good.
+    /// Takes the cost of a request. The level may fall below zero; the deficit then has to be refilled first.
     pub fn take(&mut self, now: Time, cost: f64) {
-        self.level = self.now(now) - cost;
-        self.filled = self.filled.max(now);
+        self.level = self.level_at(now) - cost;
+        self.filled_at = self.filled_at.max(now);
     }
 
-    /// What fills it, in seconds of work a second.
+    /// Returns the rate, in seconds of work per second.
     pub fn rate(&self) -> f64 {
         self.rate
     }
--- a/locality/src/allowance/tests.rs
+++ b/locality/src/allowance/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_bucket_lets_through_its_rate_and_no_more() {
+fn bucket_admits_its_rate_and_no_more() {
     let mut bucket = Allowance::default();
     bucket.refill(0, 2.0, 0.05);
     let (mut sent, mut now) = (0.0, 0);
@@ -19,22 +19,22 @@
 }
 
 #[test]
-fn many_thin_buckets_do_not_begin_together() {
-    // Danger: 300 routers whose buckets began full would send a cold node 300 requests in one instant.
-    let mut first = Vec::new();
-    for n in 0..300 {
-        let mut bucket = Allowance::staggered(0, f64::from(n) / 300.0, 0.06);
+fn staggered_buckets_spread_the_first_requests_of_many_routers() {
+    // If the buckets of 300 routers began full, a cold node would get 300 requests at the same time.
+    let mut first_admissions = Vec::new();
+    for router in 0..300 {
+        let mut bucket = Allowance::staggered(0, f64::from(router) / 300.0, 0.06);
         bucket.refill(0, 0.0025, 0.06);
-        let at = (0..40_000_000)
+        let admitted_at = (0..40_000_000)
             .step_by(10_000)
             .find(|now| bucket.covers(*now, 0.06, 0.0));
-        first.push(at.expect("it fills"));
+        first_admissions.push(admitted_at.expect("the bucket fills"));
     }
-    for from in (0..24_000_000).step_by(1_000_000) {
-        let inside = first
+    for start in (0..24_000_000).step_by(1_000_000) {
+        let in_window = first_admissions
             .iter()
-            .filter(|at| (from..from + 1_000_000).contains(*at))
+            .filter(|at| (start..start + 1_000_000).contains(*at))
             .count();
-        assert!(inside <= 15, "{inside} first requests in one second");
+        assert!(in_window <= 15, "{in_window} first requests in one second");
     }
 }
--- a/locality/src/evidence/tests.rs
+++ b/locality/src/evidence/tests.rs
@@ -6,117 +6,131 @@
     name.into()
 }
 
-fn zones(seen: &[Seen], now: Time, told: Time) -> Vec<Cause> {
-    let zones: Vec<Zone<'_>> = seen
+fn conditions(
+    observations: &[ZoneObservations],
+    now: Time,
+    list_updated_at: Time,
+) -> Vec<ZoneCondition> {
+    let zones: Vec<ZoneEvidence<'_>> = observations
         .iter()
-        .map(|seen| Zone {
-            seen,
-            serving: 3,
-            alive: 1.0,
+        .map(|observations| ZoneEvidence {
+            observations,
+            serving_nodes: 3,
+            listed_share: 1.0,
         })
         .collect();
-    let mut causes = Vec::new();
-    judge(now, &zones, told, &mut causes);
-    causes
+    let mut conditions = Vec::new();
+    classify_zones(now, &zones, list_updated_at, &mut conditions);
+    conditions
 }
 
-fn fail(seen: &mut Seen, from: Time, names: &[&str]) {
-    for (n, name) in (0..).zip(names) {
-        seen.take(from + n * 10_000, &node(name), Sign::Silent);
+/// Records a failure at each of these nodes, 10 ms apart.
+fn record_failures(zone: &mut ZoneObservations, from: Time, nodes: &[&str]) {
+    for (n, name) in (0..).zip(nodes) {
+        zone.record(from + n * 10_000, &node(name), AttemptSignal::NoAnswer);
     }
 }
 
 #[test]
-fn one_bad_node_is_not_a_lost_zone() {
-    let mut seen = [Seen::default(), Seen::default()];
-    fail(&mut seen[0], 0, &["a1"; 20]);
+fn one_failing_node_does_not_make_a_zone_dark() {
+    let mut zones = [ZoneObservations::default(), ZoneObservations::default()];
+    record_failures(&mut zones[0], 0, &["a1"; 20]);
     assert_eq!(
-        zones(&seen, 300_000, 0),
-        [Cause::Well, Cause::Well],
+        conditions(&zones, 300_000, 0),
+        [ZoneCondition::Well, ZoneCondition::Well],
         "one node only"
     );
-    fail(&mut seen[0], 300_000, &["a2", "a1"]);
-    seen[0].take(330_000, &node("a3"), Sign::Good);
-    fail(&mut seen[0], 340_000, &["a1", "a2", "a1"]);
+    record_failures(&mut zones[0], 300_000, &["a2", "a1"]);
+    zones[0].record(330_000, &node("a3"), AttemptSignal::InTime);
+    record_failures(&mut zones[0], 340_000, &["a1", "a2", "a1"]);
     assert_eq!(
-        zones(&seen, 400_000, 0)[0],
-        Cause::Well,
+        conditions(&zones, 400_000, 0)[0],
+        ZoneCondition::Well,
         "another of its nodes answers"
     );
 }
 
 #[test]
-fn a_zone_without_any_answer_is_dark_and_a_link_where_the_list_knows_better() {
-    let mut seen = [Seen::default(), Seen::default()];
-    fail(&mut seen[0], 0, &["a1", "a2", "a3", "a1"]);
-    seen[1].take(50_000, &node("b1"), Sign::Good);
+fn zone_without_answers_is_dark_or_a_lost_link_if_a_later_list_has_it_serving() {
+    let mut zones = [ZoneObservations::default(), ZoneObservations::default()];
+    record_failures(&mut zones[0], 0, &["a1", "a2", "a3", "a1"]);
+    zones[1].record(50_000, &node("b1"), AttemptSignal::InTime);
     assert_eq!(
-        zones(&seen, 60_000, 0),
-        [Cause::Well, Cause::Well],
-        "one burst is no proof"
+        conditions(&zones, 60_000, 0),
+        [ZoneCondition::Well, ZoneCondition::Well],
+        "one burst of failures is not enough"
     );
-    assert_eq!(zones(&seen, 260_000, 0), [Cause::Dark, Cause::Well]);
     assert_eq!(
-        zones(&seen, 9_000_000, 8_000_000),
-        [Cause::Link, Cause::Well]
+        conditions(&zones, 260_000, 0),
+        [ZoneCondition::Dark, ZoneCondition::Well]
     );
-    seen[0].take(9_000_000, &node("a2"), Sign::Slow);
     assert_eq!(
-        zones(&seen, 9_000_001, 8_000_000),
-        [Cause::Well, Cause::Well],
-        "slow is not silent"
+        conditions(&zones, 9_000_000, 8_000_000),
+        [ZoneCondition::Link, ZoneCondition::Well]
+    );
+    zones[0].record(9_000_000, &node("a2"), AttemptSignal::Slow);
+    assert_eq!(
+        conditions(&zones, 9_000_001, 8_000_000),
+        [ZoneCondition::Well, ZoneCondition::Well],
+        "a slow answer is an answer"
     );
 }
 
 #[test]
-fn where_nothing_answers_the_cause_is_common_and_no_zone_is_left() {
-    // Danger: a router that lost its own link would hold every zone for lost, refuse all and never try again.
-    let mut seen = [Seen::default(), Seen::default()];
-    fail(&mut seen[0], 0, &["a1", "a2", "a3", "a1"]);
+fn failures_in_every_zone_are_a_common_cause() {
+    // Otherwise a router that lost its own link would consider every zone lost, reject all requests and never try again.
+    let mut zones = [ZoneObservations::default(), ZoneObservations::default()];
+    record_failures(&mut zones[0], 0, &["a1", "a2", "a3", "a1"]);
+    assert_eq!(
+        conditions(&zones, 260_000, 0)[0],
+        ZoneCondition::Dark,
+        "the other zone was not tried yet"
+    );
+    record_failures(&mut zones[1], 250_000, &["b1", "b2", "b3", "b1"]);
+    assert_eq!(
+        conditions(&zones, 500_000, 0),
+        [ZoneCondition::Common, ZoneCondition::Common]
+    );
+    zones[1].record(600_000, &node("b1"), AttemptSignal::InTime);
     assert_eq!(
-        zones(&seen, 260_000, 0)[0],
-        Cause::Dark,
-        "nothing is known of the other yet"
+        conditions(&zones, 600_001, 0),
+        [ZoneCondition::Dark, ZoneCondition::Well]
     );
-    fail(&mut seen[1], 250_000, &["b1", "b2", "b3", "b1"]);
-    assert_eq!(zones(&seen, 500_000, 0), [Cause::Common, Cause::Common]);
-    seen[1].take(600_000, &node("b1"), Sign::Good);
-    assert_eq!(zones(&seen, 600_001, 0), [Cause::Dark, Cause::Well]);
 }
 
 #[test]
-fn strain_everywhere_is_told_from_strain_here() {
-    let mut seen = [Seen::default(), Seen::default()];
+fn strain_is_common_only_if_other_zones_are_strained() {
+    let mut zones = [ZoneObservations::default(), ZoneObservations::default()];
     for n in 0..10 {
-        seen[0].take(n * 1_000, &node("a1"), Sign::Slow);
+        zones[0].record(n * 1_000, &node("a1"), AttemptSignal::Slow);
     }
-    assert_eq!(seen[0].strained(), Some(true));
+    assert_eq!(zones[0].is_strained(), Some(true));
     assert!(
-        !strain_in_common(seen[1..].iter()),
-        "nothing is known of the other"
+        !is_strain_common(zones[1..].iter()),
+        "nothing is known about the other zone"
     );
     for n in 0..10 {
-        seen[1].take(n * 1_000, &node("b1"), Sign::Slow);
+        zones[1].record(n * 1_000, &node("b1"), AttemptSignal::Slow);
     }
-    assert!(strain_in_common(seen[1..].iter()));
+    assert!(is_strain_common(zones[1..].iter()));
 }
 
 #[test]
-fn endings_say_what_they_prove() {
-    for (ending, elapsed, said) in [
-        (AttemptEnd::Success, 100, Sign::Good),
-        (AttemptEnd::Success, 101, Sign::Slow),
-        (AttemptEnd::Overloaded, 1, Sign::Slow),
-        (AttemptEnd::Misdirected, 900, Sign::Good),
-        (AttemptEnd::TimedOut, 900, Sign::Silent),
-        (AttemptEnd::Unreachable, 1, Sign::Silent),
-        (AttemptEnd::Cancelled, 10, Sign::Nothing),
-        (AttemptEnd::Cancelled, 900, Sign::Silent),
-        (AttemptEnd::NeverSent, 900, Sign::Nothing),
+fn each_end_of_an_attempt_is_classified() {
+    for (ending, elapsed, expected) in [
+        (AttemptEnd::Success, 100, AttemptSignal::InTime),
+        (AttemptEnd::Success, 101, AttemptSignal::Slow),
+        (AttemptEnd::Overloaded, 1, AttemptSignal::Slow),
+        (AttemptEnd::Misdirected, 900, AttemptSignal::InTime),
+        (AttemptEnd::TimedOut, 900, AttemptSignal::NoAnswer),
+        (AttemptEnd::Unreachable, 1, AttemptSignal::NoAnswer),
+        (AttemptEnd::Cancelled, 10, AttemptSignal::Inconclusive),
+        (AttemptEnd::Cancelled, 900, AttemptSignal::NoAnswer),
+        (AttemptEnd::NeverSent, 900, AttemptSignal::Inconclusive),
     ] {
         assert_eq!(
-            sign(ending, elapsed, 100, 50),
-            said,
+            classify_attempt(ending, elapsed, 100, 50),
+            expected,
             "{ending:?} after {elapsed}"
         );
     }
--- a/locality/src/lib.rs
+++ b/locality/src/lib.rs
@@ -1,13 +1,15 @@
-//! Which zones a request may use now, and how much of a node may be used: tiers of preference, a limit on what spills
-//! over, and a way back that rises on evidence. There is no I/O and no clock here; the decision module asks
-//! ([`plovercove::LocalityPolicy`]) and tells what it sends and what comes of it.
+//! Locality policy: which zones a request may use now, and how much of a node may be used.
 //!
-//! Terms are those of the field: *locality* (a zone), *priority* (a tier of preference), *spillover*.
+//! Zones form tiers of preference. Requests spill over to other zones within a limit, and a zone that was lost recovers
+//! along a ramp that rises with successful answers. The crate does no I/O and reads no clock: the decision module queries it
+//! ([`plovercove::LocalityPolicy`]) and notifies it of attempts and their results.
 //!
-//! - [`Rules`] is what operators say; [`ZoneFailover`] is the state of one router.
-//! - [`evidence`] tells one bad node, a lost zone, a link lost on this side only and overload everywhere apart.
-//! - [`allowance`] holds the budgets of work that make the limits hold over routers that share nothing.
-//! - [`ramp`] is the way back, and the penalty on flapping.
+//! *Locality* means a zone here, *priority* a tier of preference, and *spillover* the requests that leave their zone.
+//!
+//! - [`Rules`] are the operators' settings; [`ZoneFailover`] is the state of one router.
+//! - [`evidence`] distinguishes one bad node, a lost zone, a link that only this router lost, and overload everywhere.
+//! - [`allowance`] holds the token buckets that keep common limits over routers that share no state.
+//! - [`ramp`] holds the recovery ramp and the penalty on flapping.
 
 pub mod allowance;
 pub mod evidence;
--- a/locality/src/rules.rs
+++ b/locality/src/rules.rs
@@ -1,135 +1,142 @@
-//! What operators say of zones.
+//! The operators' settings of zones.
 
 use plovercove::{Micros, Settings};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// One zone.
+/// Settings of one zone.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Zone {
-    /// Its name, as the node list writes it.
+    /// Name of the zone, as the endpoint list writes it.
     pub name: String,
-    /// How many routers stand in it. The limits on spill are divided by these numbers, since routers share nothing.
+    /// Number of routers in the zone. Routers share no state, so each takes its share of the spill limits by these numbers.
     pub routers: u32,
-    /// The other zones in order of preference, a list of names for each tier. Empty: by measured latency.
-    #[serde(default)]
-    pub prefer: Vec<Vec<String>>,
+    /// Names of the other zones in order of preference, one list for each tier. If empty, the tiers follow the measured
+    /// latency.
+    #[serde(default, rename = "prefer")]
+    pub preferred_tiers: Vec<Vec<String>>,
 }
 
-/// How a zone that was lost comes back. See [`crate::ramp`].
+/// Settings of the recovery ramp of a zone that was lost. See [`crate::ramp`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct RampRules {
-    /// The share of its requests with which a zone begins.
-    pub start: f64,
-    /// Answers in time that double the share.
-    pub answers: u32,
-    /// The share never doubles in less than this (ms).
+    /// Share of its requests with which a zone begins.
+    #[serde(rename = "start")]
+    pub start_share: f64,
+    /// Number of answers in time after which the share doubles.
+    #[serde(rename = "answers")]
+    pub answers_to_double: u32,
+    /// Minimum time between two doublings (ms).
     pub double_ms: u64,
-    /// By this factor the share falls when answers are slow.
-    pub back: f64,
+    /// Factor by which the share falls when answers are slow.
+    #[serde(rename = "back")]
+    pub fall_factor: f64,
 }
 
 impl Default for RampRules {
     fn default() -> Self {
         RampRules {
-            start: 0.1,
-            answers: 6,
+            start_share: 0.1,
+            answers_to_double: 6,
             double_ms: 700,
-            back: 0.6,
+            fall_factor: 0.6,
         }
     }
 }
 
-/// The penalty on flapping, in the way of RFC 2439: each loss adds to it, and it fades by half in a fixed time.
+/// Settings of the penalty on flapping, as in RFC 2439: each loss of a zone adds to its penalty, which decays with a fixed
+/// half-life.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct FlapRules {
-    /// What each loss of a zone adds.
-    pub each: f64,
-    /// From here on a zone that is back gets trials only.
+    /// Penalty for each loss of a zone.
+    #[serde(rename = "each")]
+    pub penalty_per_loss: f64,
+    /// Penalty from which on a zone that answers again gets only trial requests.
     pub suppress: f64,
-    /// Under this it is used again.
+    /// Penalty below which a suppressed zone is used again.
     pub reuse: f64,
-    /// The time in which the penalty halves (ms).
+    /// Time in which the penalty halves (ms).
     pub half_life_ms: u64,
-    /// The penalty grows no further.
-    pub most: f64,
+    /// Upper limit of the penalty.
+    #[serde(rename = "most")]
+    pub max_penalty: f64,
 }
 
 impl Default for FlapRules {
     fn default() -> Self {
         FlapRules {
-            each: 1_000.0,
+            penalty_per_loss: 1_000.0,
             suppress: 3_000.0,
             reuse: 1_500.0,
             half_life_ms: 8_000,
-            most: 4_000.0,
+            max_penalty: 4_000.0,
         }
     }
 }
 
-/// What operators say of zones, and how strictly.
+/// Settings of zone failover.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Rules {
-    /// The zone of this router; empty: as the settings tell it.
+    /// Zone of this router. If empty, the zone in the router's [`Settings`] applies.
     #[serde(default)]
     pub home: String,
-    /// All zones, the home among them.
+    /// All zones, including the home zone.
     pub zones: Vec<Zone>,
-    /// The share of a zone's capacity that requests of all other zones together may take.
-    #[serde(default = "default_spill")]
-    pub spill: f64,
-    /// Seconds of work a second that a node of a kind does at weight 1, where known; elsewhere 1.
-    #[serde(default)]
-    pub cores: BTreeMap<String, f64>,
-    /// The way back.
+    /// Share of a zone's capacity that the requests of all other zones together may take.
+    #[serde(default = "default_max_spill_share", rename = "spill")]
+    pub max_spill_share: f64,
+    /// Capacity of a node of weight 1 by machine kind, in seconds of work per second. It is 1 for a kind without an entry.
+    #[serde(default, rename = "cores")]
+    pub capacity_by_machine_kind: BTreeMap<String, f64>,
+    /// Recovery ramp.
     #[serde(default)]
     pub ramp: RampRules,
-    /// The penalty on flapping.
+    /// Penalty on flapping.
     #[serde(default)]
     pub flap: FlapRules,
 }
 
-fn default_spill() -> f64 {
+fn default_max_spill_share() -> f64 {
     0.4
 }
 
-/// What is wrong with a key of the rules.
+/// Kind of a fault in the settings of zones.
 #[derive(
     Clone, Debug, PartialEq, Eq, thiserror::Error, strum::IntoStaticStr, strum::VariantNames,
 )]
 pub enum RuleFaultKind {
-    /// No zones, or too many.
+    /// There are no zones, or too many.
     #[error("expected 1 to {MAX_ZONES} zones")]
     Count,
-    /// Two zones of one name.
+    /// Two zones have the same name.
     #[error("two zones have the same name")]
     SameName,
-    /// A zone without one.
+    /// A zone has no name.
     #[error("a zone needs a name")]
     NoName,
-    /// A zone is preferred that is none.
+    /// A preferred zone does not exist.
     #[error("there is no zone {0:?}")]
     NoZone(String),
-    /// A zone prefers itself, or another twice.
+    /// A zone prefers itself, or another zone twice.
     #[error("{0:?} is the zone itself or named twice")]
     Twice(String),
-    /// The home is no zone.
+    /// The home zone does not exist.
     #[error("there is no such zone")]
     NoHome,
-    /// The platform puts the router in a zone that the file does not know.
+    /// The zone that the platform sets for the router is not among the zones.
     #[error("the router's own zone {0:?} is not among the zones")]
     Elsewhere(String),
-    /// A number that cannot be meant.
+    /// A number is out of its range.
     #[error("expected {0}")]
     Range(&'static str),
 }
 
 impl RuleFaultKind {
-    /// What an operator can do.
+    /// Returns what an operator can do about the fault.
     pub fn help(&self) -> &'static str {
         match self {
             RuleFaultKind::Count => {
@@ -154,34 +161,34 @@
     }
 }
 
-/// What is wrong with the rules: the key at fault and why.
+/// Fault in the settings of zones.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{key}: {kind}")]
 pub struct RuleFault {
-    /// The path of the key.
+    /// Path of the key at fault.
     pub key: String,
-    /// What is wrong with it.
+    /// Kind of the fault.
     pub kind: RuleFaultKind,
 }
 
 impl RuleFault {
-    /// What an operator can do.
+    /// Returns what an operator can do about the fault.
     pub fn help(&self) -> &'static str {
         self.kind.help()
     }
 }
 
-/// No more zones than this: each is looked at for every request that spills.
+/// Maximum number of zones. The policy examines each of them for every request that spills over.
 pub const MAX_ZONES: usize = 64;
 
 impl Rules {
-    /// Checks the rules as a whole.
+    /// Checks that the settings are valid and consistent.
     ///
     /// # Errors
-    /// Names the key at fault.
+    /// Returns the first key at fault.
     pub fn check(&self) -> Result<(), RuleFault> {
         let fault = |key: String, kind| Err(RuleFault { key, kind });
-        let share = |v: f64| v > 0.0 && v <= 1.0;
+        let is_share = |value: f64| value > 0.0 && value <= 1.0;
         if self.zones.is_empty() || self.zones.len() > MAX_ZONES {
             return fault("zones".into(), RuleFaultKind::Count);
         }
@@ -189,13 +196,13 @@
         if names.len() < self.zones.len() {
             return fault("zones".into(), RuleFaultKind::SameName);
         }
-        for (place, zone) in self.zones.iter().enumerate() {
-            let key = |name: &str| format!("zones[{place}].{name}");
+        for (index, zone) in self.zones.iter().enumerate() {
+            let key = |name: &str| format!("zones[{index}].{name}");
             if zone.name.is_empty() {
                 return fault(key("name"), RuleFaultKind::NoName);
             }
             let mut seen = BTreeSet::new();
-            for other in zone.prefer.iter().flatten() {
+            for other in zone.preferred_tiers.iter().flatten() {
                 if !names.contains(other.as_str()) {
                     return fault(key("prefer"), RuleFaultKind::NoZone(other.clone()));
                 }
@@ -207,29 +214,33 @@
         if !self.home.is_empty() && !names.contains(self.home.as_str()) {
             return fault("home".into(), RuleFaultKind::NoHome);
         }
-        if !(0.0..=1.0).contains(&self.spill) {
+        if !(0.0..=1.0).contains(&self.max_spill_share) {
             return fault("spill".into(), RuleFaultKind::Range("a share from 0 to 1"));
         }
-        if let Some((kind, _)) = self.cores.iter().find(|(_, n)| !(**n > 0.0 && **n < 1e6)) {
+        if let Some((kind, _)) = self
+            .capacity_by_machine_kind
+            .iter()
+            .find(|(_, capacity)| !(**capacity > 0.0 && **capacity < 1e6))
+        {
             return fault(
                 format!("cores.{kind}"),
                 RuleFaultKind::Range("a number over 0"),
             );
         }
         let (ramp, flap) = (&self.ramp, &self.flap);
-        if !share(ramp.start) {
+        if !is_share(ramp.start_share) {
             return fault(
                 "ramp.start".into(),
                 RuleFaultKind::Range("a share over 0, to 1"),
             );
         }
-        if !(ramp.back > 0.0 && ramp.back < 1.0) {
+        if !(ramp.fall_factor > 0.0 && ramp.fall_factor < 1.0) {
             return fault(
                 "ramp.back".into(),
                 RuleFaultKind::Range("a share between 0 and 1"),
             );
         }
-        if ramp.answers == 0 {
+        if ramp.answers_to_double == 0 {
             return fault("ramp.answers".into(), RuleFaultKind::Range("1 or more"));
         }
         for (key, ms) in [
@@ -240,10 +251,10 @@
                 return fault(key.into(), RuleFaultKind::Range("1 to 3600000 ms"));
             }
         }
-        if !(flap.each > 0.0
+        if !(flap.penalty_per_loss > 0.0
             && flap.reuse > 0.0
             && flap.reuse < flap.suppress
-            && flap.suppress <= flap.most)
+            && flap.suppress <= flap.max_penalty)
         {
             return fault(
                 "flap".into(),
@@ -253,18 +264,19 @@
         Ok(())
     }
 
-    /// The home zone, where these rules or the settings name one that is known.
+    /// Returns the index of the home zone, which these rules or else the router's settings name, or `None` if it is not
+    /// among the zones.
     pub fn home_of(&self, settings: &Settings) -> Option<usize> {
         let name = if self.home.is_empty() {
             &settings.zone
         } else {
             &self.home
         };
-        self.zones.iter().position(|z| &z.name == name)
+        self.zones.iter().position(|zone| &zone.name == name)
     }
 }
 
-/// Milliseconds as a span.
-pub(crate) fn ms(ms: u64) -> Micros {
+/// Converts milliseconds to microseconds.
+pub(crate) fn ms_to_us(ms: u64) -> Micros {
     ms.saturating_mul(1_000)
 }
--- a/locality/src/zone_failover.rs
+++ b/locality/src/zone_failover.rs
@@ -1,149 +1,188 @@
-//! The state of one router's tiers.
+//! Zone failover: the state of one router, and which zones it may use for a request.
+//!
+//! Zones are ordered in tiers of preference, seen from the home zone of the router. The policy limits the work that
+//! spills over to other zones, restricts lost zones to single trial requests, and lets a zone recover along a ramp.
 
 use crate::allowance::Allowance;
-use crate::evidence::{self, Cause, Seen, Sign};
-use crate::ramp::{Flap, Ramp};
-use crate::rules::{MAX_ZONES, RuleFault, RuleFaultKind, Rules, Zone, ms};
+use crate::evidence::{self, AttemptSignal, ZoneCondition, ZoneObservations};
+use crate::ramp::{FlapPenalty, RecoveryRamp};
+use crate::rules::{MAX_ZONES, RuleFault, RuleFaultKind, Rules, Zone, ms_to_us};
 use plovercove::*;
 use std::collections::{BTreeMap, VecDeque};
 
-/// The state is brought up to date no more often than this; allowances and signs are exact in between.
-const REVIEW: Micros = 20_000;
-/// So much of its weight counts for a node, for each tier that it is away: home goes first until its nodes hold some
-/// three times as much work as others.
-const FAR: (f64, f64) = (0.08, 0.5);
-/// An answer is in time within this share of its aim.
-const IN_TIME: f64 = 0.7;
-/// ... and one of a cold node, less what it lacks, within so many times what its class takes: it must not queue there.
-const COLD_TIME: f64 = 2.0;
-/// A class costs this share of its aim at first, and its running mean moves so far with each answer.
-const COST: (f64, f64) = (0.2, 0.03);
-/// One answer counts for no more than so many times the present cost: else a jam would pass for work.
-const COST_EACH: f64 = 3.0;
-/// Of the limit on spill, what routers whose own zone is well may use together, for groups without a fresh replica or
-/// room at home: while all zones are well, and while one is not and the rest is for those who lost theirs.
-const CALM_SPILL: (f64, f64) = (0.45, 0.45);
-/// A class that costs more than so many times the cheapest is not ordinary: many routers' narrow allowances leave it out.
-const ORDINARY: f64 = 3.0;
-/// What is kept under the limit for the spread of what requests cost.
+/// Minimum time between two reviews of the zones. Allowances and observations stay exact in between.
+const REVIEW_INTERVAL_US: Micros = 20_000;
+/// Factor on a node's weight for each tier between its zone and home. With it, home is preferred until its nodes hold
+/// about three times as much work as the others.
+const TIER_WEIGHT_FACTOR: f64 = 0.08;
+/// The same factor while the home zone is strained.
+const STRAINED_TIER_WEIGHT_FACTOR: f64 = 0.5;
+/// Share of the latency objective within which an answer is in time.
+const IN_TIME_OBJECTIVE_SHARE: f64 = 0.7;
+/// Upper limit for an answer in time of a cold node, as a multiple of the mean cost of the class. The elapsed time is
+/// first scaled by the share of capacity that the node has. The limit keeps requests from queueing at a cold node.
+const COLD_NODE_LATENCY_FACTOR: f64 = 2.0;
+/// Cost that is assumed for a class before any answer, as a share of its latency objective.
+const INITIAL_COST_SHARE: f64 = 0.2;
+/// Gain of the running mean of a class's cost.
+const COST_GAIN: f64 = 0.03;
+/// Upper limit of one sample of the cost, as a multiple of the present mean. Without it, time spent in a queue would
+/// count as work.
+const MAX_COST_SAMPLE_FACTOR: f64 = 3.0;
+/// Share of the spill limit that all routers together may use while no zone has a fault, for groups without a fresh
+/// replica or without capacity at home.
+const CALM_SPILL_SHARE: f64 = 0.45;
+/// The same share while some zone has a fault. The rest of the limit is for the routers of the zones at fault.
+const CALM_SPILL_SHARE_DURING_FAULT: f64 = 0.45;
+/// Multiple of the cheapest class's cost up to which a class is ordinary. Where many routers share a node, their narrow
+/// allowances do not admit more expensive requests.
+const ORDINARY_COST_FACTOR: f64 = 3.0;
+/// Safety margin below the spill limit, since the costs of single requests vary.
 const SPILL_MARGIN: f64 = 0.97;
-/// An allowance keeps up to this share of its depth for requests that are worth more.
-const RESERVE: f64 = 0.7;
-/// How long an answer of another zone proves that its routers need no spill.
-const PROVED: Micros = 3_000_000;
-/// A zone's capacity is remembered for so long after the list lost it.
-const REMEMBERED: Micros = 120_000_000;
-/// The home zone's load is unknown; what is left of it is taken to bear its requests down to this share.
-const USUAL_LOAD: f64 = 0.75;
-/// The share that stays at home falls by this factor when home is strained, and rises by this much when it is not.
-const KEEP: (f64, f64, f64) = (0.85, 0.04, 0.05);
-/// ... and no more often than this.
-const KEEP_GAP: Micros = 250_000;
-/// What a zone bears of spill falls and rises so, between these bounds.
-const BEARS: (f64, f64, f64) = (0.9, 0.05, 0.6);
-/// Trials of a zone that is not used: first gap, and what each router adds so that all together are few.
-const TRIAL: (Micros, Micros) = (400_000, 4_000);
-/// Of what a cold node can do, what the routers of its own zone may use together, and those of all others. The sum,
-/// times the most of `AHEAD`, stays under the multiple at which nodes fall (4 where it was told).
-const COLD: (f64, f64) = (1.0, 0.5);
-/// Cold nodes may be driven ahead of the clock by up to this factor while answers are in time.
-const AHEAD: (f64, f64) = (0.5, 2.0);
-/// One answer's effect on that factor.
-const AHEAD_STEP: (f64, f64) = (1.02, 0.95);
-/// A zone of which this share is younger than the warm-up when the router starts was in trouble shortly before.
-const TROUBLED: f64 = 0.25;
+/// Share of an allowance's depth that is reserved for classes of higher worth; the class of the least worth has to leave
+/// all of the reserve.
+const MAX_RESERVE_SHARE: f64 = 0.7;
+/// Time for which an answer of another zone proves that the routers of that zone need no spill.
+const ANSWER_VALID_FOR_US: Micros = 3_000_000;
+/// Time for which a node that no longer serves still counts toward the known capacity of its zone.
+const NODE_MEMORY_US: Micros = 120_000_000;
+/// Load that is assumed for the home zone, whose real load is unknown: all requests can stay at home as long as this
+/// share of its capacity is left.
+const ASSUMED_HOME_LOAD: f64 = 0.75;
+/// Factor by which the share of requests that stay at home falls while home is strained.
+const HOME_SHARE_DECREASE_FACTOR: f64 = 0.85;
+/// Step by which that share rises while home is not strained.
+const HOME_SHARE_INCREASE_STEP: f64 = 0.04;
+/// Lower limit of that share.
+const MIN_HOME_SHARE: f64 = 0.05;
+/// Minimum time between two adjustments of the home share, and of a zone's spill share.
+const ADJUSTMENT_INTERVAL_US: Micros = 250_000;
+/// Factor by which a zone's spill share falls while the zone is strained.
+const SPILL_SHARE_DECREASE_FACTOR: f64 = 0.9;
+/// Step by which a zone's spill share rises while the zone is not strained.
+const SPILL_SHARE_INCREASE_STEP: f64 = 0.05;
+/// Lower limit of a zone's spill share.
+const MIN_SPILL_SHARE: f64 = 0.6;
+/// Time before the first trial of a zone that is not in use, and the constant part of the mean time between trials.
+const TRIAL_INTERVAL_BASE_US: Micros = 400_000;
+/// Part of the mean time between trials that each router adds, so that the trials of all routers together are few.
+const TRIAL_INTERVAL_PER_ROUTER_US: Micros = 4_000;
+/// Share of a cold node's present capacity that all routers of its own zone may use together.
+///
+/// This share plus [`COLD_WORK_SHARE_OF_OTHER_ROUTERS`], times [`MAX_COLD_PACE`], stays below the multiple of its capacity
+/// at which a node breaks down (4 where that multiple is known).
+const COLD_WORK_SHARE_OF_HOME_ROUTERS: f64 = 1.0;
+/// Share of a cold node's present capacity that the routers of all other zones may use together.
+const COLD_WORK_SHARE_OF_OTHER_ROUTERS: f64 = 0.5;
+/// Lower limit of the pace at which cold nodes are loaded, relative to the slow start by time.
+const MIN_COLD_PACE: f64 = 0.5;
+/// Upper limit of that pace, which is reached while answers are in time.
+const MAX_COLD_PACE: f64 = 2.0;
+/// Factor by which one answer in time raises that pace.
+const COLD_PACE_INCREASE_FACTOR: f64 = 1.02;
+/// Factor by which one slow or missing answer lowers that pace.
+const COLD_PACE_DECREASE_FACTOR: f64 = 0.95;
+/// A zone was lost shortly before this router started if at least this share of its capacity is still in slow start.
+const RECOVERING_YOUNG_SHARE: f64 = 0.25;
 
 struct Node {
     zone: usize,
     capacity: f64,
     serving: bool,
-    started: Option<Time>,
-    left: Option<Time>,
-    /// Failures in a row; from two on it counts for no capacity.
-    fails: u32,
-    cold: Allowance,
+    started_at: Option<Time>,
+    not_serving_since: Option<Time>,
+    /// Attempts in a row without an answer. From two on, the node counts for no capacity.
+    consecutive_failures: u32,
+    cold_allowance: Allowance,
 }
 
 /// One zone as this router sees it.
 #[derive(Default)]
-struct Place {
+struct ZoneState {
     name: String,
     routers: u32,
-    /// Its tier, seen from home: 0 is home itself.
+    /// Tier of the zone as seen from home; 0 is home itself.
     tier: u32,
-    seen: Seen,
-    cause: Cause,
+    observations: ZoneObservations,
+    condition: ZoneCondition,
     lost_at: Option<Time>,
-    flap: Flap,
+    flap: FlapPenalty,
     suppressed: bool,
-    ramp: Ramp,
-    trial_at: Time,
-    /// Capacity in seconds of work a second: what nodes that answer have now, what those listed as serving have now
-    /// and once warm, and what all that were named of late had.
-    capacity: f64,
-    warm: f64,
-    listed: f64,
-    full: f64,
-    serving: usize,
-    spill: Allowance,
-    /// What it has shown to bear of the spill that it may get.
-    bears: f64,
-    bears_at: Time,
-    /// How much faster or slower than the clock its cold nodes are driven.
-    ahead: f64,
-    /// The least time in which it answers, over the mean of home: tiers by measured latency.
-    trip: Option<f64>,
+    ramp: RecoveryRamp,
+    next_trial_at: Time,
+    /// Present capacity of the nodes that are listed as serving and that answer, in seconds of work per second.
+    answering_capacity: f64,
+    /// Present capacity of the nodes that are listed as serving; cold nodes count in part.
+    listed_capacity_now: f64,
+    /// Capacity of the nodes that are listed as serving once all of them are warm.
+    listed_capacity_warm: f64,
+    /// Capacity of all nodes that were listed lately, serving or not.
+    known_capacity: f64,
+    serving_nodes: usize,
+    spill_allowance: Allowance,
+    /// Share of its spill limit that the zone has been able to bear.
+    spill_share: f64,
+    spill_share_adjusted_at: Time,
+    /// Pace at which the cold nodes of the zone are loaded, relative to the slow start by time.
+    cold_pace: f64,
+    /// Least latency of a successful answer (us), which drifts upward with each answer. Tiers by measured latency compare
+    /// it with that of home.
+    min_latency: Option<f64>,
 }
 
-/// One zone, for people and programs that watch.
+/// Status of one zone, for monitoring.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ZoneStatus {
-    /// Its name.
+    /// Name of the zone.
     pub zone: String,
-    /// Its tier from here, 0 for home.
+    /// Tier of the zone as seen from the home zone; 0 is home.
     pub tier: u32,
-    /// What is the matter with it.
-    pub cause: Cause,
-    /// Whether it gets trials only for having flapped.
+    /// Condition of the zone.
+    pub condition: ZoneCondition,
+    /// Whether the zone gets only trial requests because it flapped.
     pub suppressed: bool,
-    /// The share of its requests that it gets on its way back.
-    pub ramp: f64,
-    /// Its capacity now and with all nodes that were named of late, in seconds of work a second.
-    pub capacity: (f64, f64),
-    /// What this router may spill there, in seconds of work a second.
-    pub spill: f64,
+    /// Share of its requests that the zone gets while it recovers.
+    pub ramp_share: f64,
+    /// Present capacity of the nodes that answer, in seconds of work per second.
+    pub answering_capacity: f64,
+    /// Capacity of all nodes that were listed lately, in seconds of work per second.
+    pub known_capacity: f64,
+    /// Work that this router may spill to the zone, in seconds of work per second.
+    pub spill_rate: f64,
 }
 
-/// Which zones a request of one router may use now.
+/// Locality policy with zone failover, limited spillover and recovery ramps, for one router.
 pub struct ZoneFailover {
     rules: Rules,
     home: usize,
-    places: Vec<Place>,
+    zones: Vec<ZoneState>,
     nodes: BTreeMap<NodeId, Node>,
-    /// Mean cost of each class (us), and its rank by worth for the cost: 1 for the best, 0 for the least.
-    costs: Vec<f64>,
-    ranks: Vec<f64>,
+    /// Mean cost of each class (us).
+    class_costs: Vec<f64>,
+    /// Rank of each class by worth per cost: 1 for the highest, 0 for the lowest.
+    class_ranks: Vec<f64>,
     classes: Vec<Class>,
-    /// The share of requests that stays at home.
-    keep: f64,
-    keep_at: Time,
-    routers: u32,
-    index: u32,
+    /// Share of requests that stays at home.
+    home_share: f64,
+    home_share_adjusted_at: Time,
+    router_count: u32,
+    router_index: u32,
     salt: u64,
-    cold_share: f64,
-    cold_span: Micros,
-    told: Time,
-    listed: bool,
-    reviewed: Time,
-    causes: Vec<Cause>,
-    news: VecDeque<LogEvent>,
+    slow_start_min_share: f64,
+    slow_start_duration: Micros,
+    list_updated_at: Time,
+    has_list: bool,
+    reviewed_at: Time,
+    conditions: Vec<ZoneCondition>,
+    log_events: VecDeque<LogEvent>,
 }
 
-/// Lines of news that wait for the log, at the most.
-const MOST_NEWS: usize = 64;
+/// Maximum number of log events that wait to be taken.
+const MAX_LOG_EVENTS: usize = 64;
 
-/// An even draw from 0 to 1 for a request: the same for each question about it.
-fn luck(request: RequestId, salt: u64) -> f64 {
+/// Returns a uniform pseudo-random number from 0 to 1 for a request. Each query about the same request gets the same
+/// number.
+fn random_draw(request: RequestId, salt: u64) -> f64 {
     let mut x = request
         .wrapping_add(salt)
         .wrapping_mul(0x9e37_79b9_7f4a_7c15);
@@ -152,18 +191,25 @@
     ((x ^ (x >> 31)) >> 11) as f64 / (1u64 << 53) as f64
 }
 
-/// The share of its capacity that a node has at least by now: it warms no slower than evenly.
-fn warm(started: Option<Time>, now: Time, cold_share: f64, cold_span: Micros) -> f64 {
-    let Some(started) = started else { return 1.0 };
-    let age = now.saturating_sub(started) as f64 / cold_span as f64;
-    (cold_share + (1.0 - cold_share) * age).clamp(0.01, 1.0)
+/// Returns the share of its capacity that a node has at least by now: a node warms up no slower than linearly.
+fn warm_share(
+    started_at: Option<Time>,
+    now: Time,
+    slow_start_min_share: f64,
+    slow_start_duration: Micros,
+) -> f64 {
+    let Some(started_at) = started_at else {
+        return 1.0;
+    };
+    let progress = now.saturating_sub(started_at) as f64 / slow_start_duration as f64;
+    (slow_start_min_share + (1.0 - slow_start_min_share) * progress).clamp(0.01, 1.0)
 }
 
 impl ZoneFailover {
-    /// The tiers of a router that has just started.
+    /// Creates the policy of a router that has just started.
     ///
     /// # Errors
-    /// Names the key at fault, or that the router's own zone is none of the rules'.
+    /// Returns a fault if the rules are invalid, or if they do not contain the router's own zone.
     pub fn new(rules: Rules, settings: &Settings, seed: u64) -> Result<Self, RuleFault> {
         rules.check()?;
         let Some(home) = rules.home_of(settings) else {
@@ -172,199 +218,221 @@
                 kind: RuleFaultKind::Elsewhere(settings.zone.clone()),
             });
         };
-        let prefer = &rules.zones[home].prefer;
-        let tier = |zone: &Zone| match prefer.iter().position(|tier| tier.contains(&zone.name)) {
+        let preferred_tiers = &rules.zones[home].preferred_tiers;
+        let tier = |zone: &Zone| match preferred_tiers
+            .iter()
+            .position(|tier| tier.contains(&zone.name))
+        {
             _ if zone.name == rules.zones[home].name => 0,
-            Some(place) => place as u32 + 1,
-            None => prefer.len() as u32 + 1,
+            Some(position) => position as u32 + 1,
+            None => preferred_tiers.len() as u32 + 1,
         };
-        let place = |zone: &Zone| Place {
+        let initial_state = |zone: &Zone| ZoneState {
             name: zone.name.clone(),
             routers: zone.routers,
             tier: tier(zone),
-            bears: 1.0,
-            ahead: 1.0,
-            ..Place::default()
+            spill_share: 1.0,
+            cold_pace: 1.0,
+            ..ZoneState::default()
         };
         let costs: Vec<f64> = settings
             .classes
             .iter()
-            .map(|c| c.latency_objective as f64 * COST.0)
+            .map(|class| class.latency_objective as f64 * INITIAL_COST_SHARE)
             .collect();
-        let told: u32 = rules.zones.iter().map(|z| z.routers).sum();
-        let mut tiers = ZoneFailover {
+        let routers_in_rules: u32 = rules.zones.iter().map(|zone| zone.routers).sum();
+        let mut zone_failover = ZoneFailover {
             home,
-            places: rules.zones.iter().map(place).collect(),
+            zones: rules.zones.iter().map(initial_state).collect(),
             nodes: BTreeMap::new(),
-            ranks: vec![1.0; costs.len()],
-            costs,
+            class_ranks: vec![1.0; costs.len()],
+            class_costs: costs,
             classes: settings.classes.clone(),
-            keep: 1.0,
-            keep_at: 0,
-            routers: told.max(settings.router_count).max(1),
-            index: settings.router_index,
+            home_share: 1.0,
+            home_share_adjusted_at: 0,
+            router_count: routers_in_rules.max(settings.router_count).max(1),
+            router_index: settings.router_index,
             salt: seed,
-            cold_share: settings.slow_start_min_share.clamp(0.01, 1.0),
-            cold_span: settings.slow_start_duration.max(1),
-            told: 0,
-            listed: false,
-            reviewed: 0,
-            causes: Vec::new(),
-            news: VecDeque::new(),
+            slow_start_min_share: settings.slow_start_min_share.clamp(0.01, 1.0),
+            slow_start_duration: settings.slow_start_duration.max(1),
+            list_updated_at: 0,
+            has_list: false,
+            reviewed_at: 0,
+            conditions: Vec::new(),
+            log_events: VecDeque::new(),
             rules,
         };
-        tiers.rank();
-        Ok(tiers)
+        zone_failover.rank_classes();
+        Ok(zone_failover)
     }
 
-    /// Goes on from where another left off, in service: what it has learned of zones and nodes, ramps under way,
-    /// penalties and what its allowances held stay, and only the rules are new. Zones that they no longer name come last.
+    /// Takes over the state of the policy that this one replaces after a reload of the rules.
+    ///
+    /// The state of zones and nodes, the ramps, the penalties and the levels of the allowances stay; only the rules are
+    /// new. Zones that the new rules do not contain are added in the last tier.
     pub fn inherit_state(&mut self, old: &mut ZoneFailover) {
-        let mut moved = Vec::with_capacity(old.places.len());
-        for place in std::mem::take(&mut old.places) {
-            let zone = self.zone(&place.name);
-            moved.push(zone);
-            let Place { tier, routers, .. } = self.places[zone];
-            if self.places[zone].name == place.name {
-                self.places[zone] = Place {
+        let mut new_indices = Vec::with_capacity(old.zones.len());
+        for state in std::mem::take(&mut old.zones) {
+            let zone = self.zone_index(&state.name);
+            new_indices.push(zone);
+            let ZoneState { tier, routers, .. } = self.zones[zone];
+            if self.zones[zone].name == state.name {
+                self.zones[zone] = ZoneState {
                     tier,
                     routers,
-                    ..place
+                    ..state
                 };
             }
         }
         self.nodes = std::mem::take(&mut old.nodes);
         for node in self.nodes.values_mut() {
-            node.zone = moved[node.zone];
+            node.zone = new_indices[node.zone];
         }
-        // What is kept back belongs to the home that it was learned of.
-        if moved.get(old.home) == Some(&self.home) {
-            (self.keep, self.keep_at) = (old.keep, old.keep_at);
+        // The home share was learned for the old home zone and does not apply to another one.
+        if new_indices.get(old.home) == Some(&self.home) {
+            (self.home_share, self.home_share_adjusted_at) =
+                (old.home_share, old.home_share_adjusted_at);
         }
-        if self.costs.len() == old.costs.len() {
-            self.costs.clone_from(&old.costs);
-            self.rank();
+        if self.class_costs.len() == old.class_costs.len() {
+            self.class_costs.clone_from(&old.class_costs);
+            self.rank_classes();
         }
-        (self.told, self.listed, self.reviewed) = (old.told, old.listed, 0);
-        self.news.extend(old.news.drain(..));
+        (self.list_updated_at, self.has_list, self.reviewed_at) =
+            (old.list_updated_at, old.has_list, 0);
+        self.log_events.extend(old.log_events.drain(..));
     }
 
-    /// How things stand.
+    /// Returns the status of each zone.
     pub fn zone_statuses(&self) -> Vec<ZoneStatus> {
-        let view = |p: &Place| ZoneStatus {
-            zone: p.name.clone(),
-            tier: p.tier,
-            cause: p.cause,
-            suppressed: p.suppressed,
-            ramp: p.ramp.share(),
-            capacity: (p.capacity, p.full),
-            spill: p.spill.rate(),
+        let status = |state: &ZoneState| ZoneStatus {
+            zone: state.name.clone(),
+            tier: state.tier,
+            condition: state.condition,
+            suppressed: state.suppressed,
+            ramp_share: state.ramp.share(),
+            answering_capacity: state.answering_capacity,
+            known_capacity: state.known_capacity,
+            spill_rate: state.spill_allowance.rate(),
         };
-        self.places.iter().map(view).collect()
+        self.zones.iter().map(status).collect()
     }
 
-    fn log(&mut self, zone: usize, reason: &'static str, what: &str) {
-        if self.news.len() < MOST_NEWS {
-            self.news
-                .push_back(LogEvent::for_zone(&self.places[zone].name, reason, what));
+    fn push_log_event(&mut self, zone: usize, reason: &'static str, text: &str) {
+        if self.log_events.len() < MAX_LOG_EVENTS {
+            self.log_events
+                .push_back(LogEvent::for_zone(&self.zones[zone].name, reason, text));
         }
     }
 
-    /// The zone of that name. One that the rules do not know is taken in, in the last tier and without routers.
-    fn zone(&mut self, name: &str) -> usize {
-        if let Some(place) = self.places.iter().position(|p| p.name == name) {
-            return place;
+    /// Returns the index of the zone with this name. A zone that the rules do not contain is added in the last tier,
+    /// without routers.
+    fn zone_index(&mut self, name: &str) -> usize {
+        if let Some(index) = self.zones.iter().position(|state| state.name == name) {
+            return index;
         }
-        if self.places.len() >= MAX_ZONES {
-            return self.places.len() - 1;
+        if self.zones.len() >= MAX_ZONES {
+            return self.zones.len() - 1;
         }
-        let tier = self.places.iter().map(|p| p.tier).max().unwrap_or(0) + 1;
-        self.places.push(Place {
+        let tier = self.zones.iter().map(|state| state.tier).max().unwrap_or(0) + 1;
+        self.zones.push(ZoneState {
             name: name.into(),
             tier,
-            bears: 1.0,
-            ahead: 1.0,
-            ..Place::default()
+            spill_share: 1.0,
+            cold_pace: 1.0,
+            ..ZoneState::default()
         });
-        self.log(
-            self.places.len() - 1,
+        self.push_log_event(
+            self.zones.len() - 1,
             "not in the rules",
-            "the rules do not name it; it is used last",
+            "the rules do not contain this zone; it is used last",
         );
-        self.places.len() - 1
+        self.zones.len() - 1
     }
 
-    // ---- capacity
-
-    /// Seconds of work a second that this router may send to a cold node.
+    /// Returns the work that this router may send to a cold node, in seconds of work per second.
     fn cold_rate(&self, node: &Node, now: Time) -> f64 {
-        let place = &self.places[node.zone];
-        let share = warm(node.started, now, self.cold_share, self.cold_span) * place.ahead;
-        let all = f64::from(self.routers);
-        let near = f64::from(place.routers).clamp(1.0, all);
-        let part = if node.zone == self.home {
-            COLD.0 / near
+        let state = &self.zones[node.zone];
+        let share = warm_share(
+            node.started_at,
+            now,
+            self.slow_start_min_share,
+            self.slow_start_duration,
+        ) * state.cold_pace;
+        let all_routers = f64::from(self.router_count);
+        let zone_routers = f64::from(state.routers).clamp(1.0, all_routers);
+        let router_share = if node.zone == self.home {
+            COLD_WORK_SHARE_OF_HOME_ROUTERS / zone_routers
         } else {
-            COLD.1 / (all - near).max(1.0)
+            COLD_WORK_SHARE_OF_OTHER_ROUTERS / (all_routers - zone_routers).max(1.0)
         };
-        node.capacity * share.min(1.0) * part
+        node.capacity * share.min(1.0) * router_share
     }
 
-    /// What an ordinary request costs at the most (s): what takes much more is not for a narrow allowance.
-    fn least(&self) -> f64 {
-        self.costs.iter().copied().fold(f64::INFINITY, f64::min) / 1e6 * ORDINARY
+    /// Returns the highest cost of an ordinary request (s). A narrow allowance does not admit much more expensive ones.
+    fn ordinary_cost_s(&self) -> f64 {
+        self.class_costs
+            .iter()
+            .copied()
+            .fold(f64::INFINITY, f64::min)
+            / 1e6
+            * ORDINARY_COST_FACTOR
     }
 
-    // ---- the review: what is the matter with whom, and what may be spilled
-
+    /// Reviews the conditions of the zones and the work that may spill over, unless the last review is recent.
     fn review(&mut self, now: Time) {
-        if now < self.reviewed + REVIEW && self.reviewed > 0 {
+        if now < self.reviewed_at + REVIEW_INTERVAL_US && self.reviewed_at > 0 {
             return;
         }
-        self.reviewed = now.max(1);
-        self.count(now);
-        let zones: Vec<evidence::Zone<'_>> = self
-            .places
+        self.reviewed_at = now.max(1);
+        self.recount_capacity(now);
+        let zones: Vec<evidence::ZoneEvidence<'_>> = self
+            .zones
             .iter()
-            .map(|p| evidence::Zone {
-                seen: &p.seen,
-                serving: p.serving,
-                alive: if p.full > 0.0 { p.listed / p.full } else { 1.0 },
+            .map(|state| evidence::ZoneEvidence {
+                observations: &state.observations,
+                serving_nodes: state.serving_nodes,
+                listed_share: if state.known_capacity > 0.0 {
+                    state.listed_capacity_warm / state.known_capacity
+                } else {
+                    1.0
+                },
             })
             .collect();
-        let mut causes = std::mem::take(&mut self.causes);
-        evidence::judge(now, &zones, self.told, &mut causes);
-        for (zone, cause) in causes.iter().enumerate() {
-            self.judged(now, zone, *cause);
-        }
-        self.causes = causes;
-        self.balance_home(now);
-        self.divide(now);
+        let mut conditions = std::mem::take(&mut self.conditions);
+        evidence::classify_zones(now, &zones, self.list_updated_at, &mut conditions);
+        for (zone, condition) in conditions.iter().enumerate() {
+            self.apply_condition(now, zone, *condition);
+        }
+        self.conditions = conditions;
+        self.adjust_home_share(now);
+        self.refill_spill_allowances(now);
     }
 
-    /// Counts what the zones have.
-    fn count(&mut self, now: Time) {
-        for place in &mut self.places {
+    /// Recounts the nodes and the capacity of each zone, and drops nodes that stopped serving long ago.
+    fn recount_capacity(&mut self, now: Time) {
+        for state in &mut self.zones {
             (
-                place.capacity,
-                place.warm,
-                place.listed,
-                place.full,
-                place.serving,
+                state.answering_capacity,
+                state.listed_capacity_now,
+                state.listed_capacity_warm,
+                state.known_capacity,
+                state.serving_nodes,
             ) = (0.0, 0.0, 0.0, 0.0, 0);
         }
-        self.nodes
-            .retain(|_, n| n.left.is_none_or(|at| now < at + REMEMBERED));
-        let (cold_share, cold_span) = (self.cold_share, self.cold_span);
+        self.nodes.retain(|_, node| {
+            node.not_serving_since
+                .is_none_or(|since| now < since + NODE_MEMORY_US)
+        });
+        let (min_share, duration) = (self.slow_start_min_share, self.slow_start_duration);
         for node in self.nodes.values() {
-            let share = warm(node.started, now, cold_share, cold_span);
-            let place = &mut self.places[node.zone];
-            place.full += node.capacity;
+            let share = warm_share(node.started_at, now, min_share, duration);
+            let state = &mut self.zones[node.zone];
+            state.known_capacity += node.capacity;
             if node.serving {
-                place.serving += 1;
-                place.listed += node.capacity;
-                place.warm += node.capacity * share;
-                place.capacity += if node.fails >= 2 {
+                state.serving_nodes += 1;
+                state.listed_capacity_warm += node.capacity;
+                state.listed_capacity_now += node.capacity * share;
+                state.answering_capacity += if node.consecutive_failures >= 2 {
                     0.0
                 } else {
                     node.capacity * share
@@ -373,210 +441,247 @@
         }
     }
 
-    /// Takes note of what is the matter with a zone now.
-    fn judged(&mut self, now: Time, zone: usize, mut cause: Cause) {
-        let place = &mut self.places[zone];
-        // A zone without nodes from the start was never lost.
-        if cause == Cause::Gone && place.full == 0.0 {
-            cause = Cause::Well;
-        }
-        let lost = |c: Cause| matches!(c, Cause::Gone | Cause::Dark | Cause::Link);
-        let before = std::mem::replace(&mut place.cause, cause);
-        let was = std::mem::replace(
-            &mut place.suppressed,
-            place.flap.suppressed(now, &self.rules.flap),
+    /// Applies a newly determined condition: records a loss, or starts the recovery ramp of a zone that is back.
+    fn apply_condition(&mut self, now: Time, zone: usize, mut condition: ZoneCondition) {
+        let state = &mut self.zones[zone];
+        // A zone that never had nodes was not lost.
+        if condition == ZoneCondition::Gone && state.known_capacity == 0.0 {
+            condition = ZoneCondition::Well;
+        }
+        let is_lost = |condition: ZoneCondition| {
+            matches!(
+                condition,
+                ZoneCondition::Gone | ZoneCondition::Dark | ZoneCondition::Link
+            )
+        };
+        let previous = std::mem::replace(&mut state.condition, condition);
+        let was_suppressed = std::mem::replace(
+            &mut state.suppressed,
+            state.flap.update_suppression(now, &self.rules.flap),
         );
-        let suppressed = place.suppressed;
-        if lost(cause) && !lost(before) {
-            place.lost_at = Some(now);
-            place.flap.lost(now, &self.rules.flap);
-            place.trial_at = now + TRIAL.0;
-            let penalty = place.flap.penalty(now, &self.rules.flap) as u64;
-            let reason = match cause {
-                Cause::Gone => "gone",
-                Cause::Dark => "dark",
+        let suppressed = state.suppressed;
+        if is_lost(condition) && !is_lost(previous) {
+            state.lost_at = Some(now);
+            state.flap.record_loss(now, &self.rules.flap);
+            state.next_trial_at = now + TRIAL_INTERVAL_BASE_US;
+            let penalty = state.flap.penalty(now, &self.rules.flap) as u64;
+            let reason = match condition {
+                ZoneCondition::Gone => "gone",
+                ZoneCondition::Dark => "dark",
                 _ => "link lost",
             };
-            self.log(
+            self.push_log_event(
                 zone,
                 reason,
-                &format!("lost ({cause:?}), penalty {penalty}"),
+                &format!("lost ({condition:?}), flap penalty {penalty}"),
             );
-        } else if !lost(cause) && lost(before) {
-            place.lost_at = None;
-            // Where the cause turned out to be common, the zone itself was never lost.
-            if cause != Cause::Common {
-                // Little goes to other zones, so their ramps would see no answers; their share of spill bounds them.
+        } else if !is_lost(condition) && is_lost(previous) {
+            state.lost_at = None;
+            // If the fault turned out to be common to all zones, this zone itself was never lost.
+            if condition != ZoneCondition::Common {
+                // Other zones start at the full share: they get so few requests that a ramp would see no answers, and
+                // the spill allowance bounds them.
                 let start = if zone == self.home {
-                    self.rules.ramp.start
+                    self.rules.ramp.start_share
                 } else {
                     1.0
                 };
-                place.ramp.begin(now, start);
-                place.ahead = 1.0;
+                state.ramp.start(now, start);
+                state.cold_pace = 1.0;
             }
-            self.log(
+            self.push_log_event(
                 zone,
                 "way back",
-                &format!("answers again ({cause:?}), on its way back"),
+                &format!("answers again ({condition:?}), recovery ramp started"),
             );
         }
-        if was != suppressed {
+        if was_suppressed != suppressed {
             match suppressed {
-                true => self.log(zone, "flaps", "flaps, trials only"),
-                false => self.log(zone, "penalty faded", "the penalty has faded"),
+                true => self.push_log_event(zone, "flaps", "flapping, gets trial requests only"),
+                false => self.push_log_event(
+                    zone,
+                    "penalty faded",
+                    "the flap penalty has decayed, in use again",
+                ),
             }
         }
     }
 
-    /// How much of the home zone's requests stays at home: what is left of it, corrected by how its answers go.
-    fn balance_home(&mut self, now: Time) {
-        let home = &self.places[self.home];
-        let left = if home.full > 0.0 {
-            home.warm / home.full
+    /// Adjusts the share of requests that stays at home to the capacity that is left there and to its latency.
+    fn adjust_home_share(&mut self, now: Time) {
+        let home = &self.zones[self.home];
+        let capacity_left = if home.known_capacity > 0.0 {
+            home.listed_capacity_now / home.known_capacity
         } else {
             1.0
         };
-        if now < self.keep_at + KEEP_GAP {
+        if now < self.home_share_adjusted_at + ADJUSTMENT_INTERVAL_US {
             return;
         }
-        self.keep_at = now;
+        self.home_share_adjusted_at = now;
         let others = self
-            .places
+            .zones
             .iter()
             .enumerate()
-            .filter(|(n, _)| *n != self.home);
-        let common = evidence::strain_in_common(others.map(|(_, p)| &p.seen));
-        let strained = home.seen.strained();
-        self.keep = match strained {
-            // Only part of the zone being there explains the strain better than load does.
-            Some(true) if !common && left < 0.95 => (self.keep * KEEP.0).max(KEEP.2),
-            Some(true) => self.keep,
-            _ => (self.keep + KEEP.1).min(1.0),
+            .filter(|(zone, _)| *zone != self.home);
+        let is_common = evidence::is_strain_common(others.map(|(_, state)| &state.observations));
+        let strained = home.observations.is_strained();
+        self.home_share = match strained {
+            // The missing capacity of the home zone explains this strain better than load does.
+            Some(true) if !is_common && capacity_left < 0.95 => {
+                (self.home_share * HOME_SHARE_DECREASE_FACTOR).max(MIN_HOME_SHARE)
+            }
+            Some(true) => self.home_share,
+            _ => (self.home_share + HOME_SHARE_INCREASE_STEP).min(1.0),
         };
-        if left < USUAL_LOAD * 0.95 && strained != Some(false) {
-            self.keep = self.keep.min((left / USUAL_LOAD).max(KEEP.2));
+        if capacity_left < ASSUMED_HOME_LOAD * 0.95 && strained != Some(false) {
+            self.home_share = self
+                .home_share
+                .min((capacity_left / ASSUMED_HOME_LOAD).max(MIN_HOME_SHARE));
         }
     }
 
-    /// Divides the limits on spill among the routers that may need them now, and refills all allowances.
-    fn divide(&mut self, now: Time) {
-        let least = self.least();
-        let home = &self.places[self.home];
-        let needy = home.cause != Cause::Well
-            || !home.ramp.done()
-            || self.keep < 1.0
+    /// Divides the spill limit of each zone among the routers that may need it now, and refills the spill allowances.
+    fn refill_spill_allowances(&mut self, now: Time) {
+        let ordinary_cost = self.ordinary_cost_s();
+        let home = &self.zones[self.home];
+        let needs_spill = home.condition != ZoneCondition::Well
+            || !home.ramp.is_complete()
+            || self.home_share < 1.0
             || home.suppressed
-            || home.capacity < home.full * 0.9;
-        let well =
-            |p: &Place| p.cause == Cause::Well && p.ramp.done() && p.capacity >= p.full * 0.9;
-        let calm_share = if self.places.iter().all(well) {
-            CALM_SPILL.0
+            || home.answering_capacity < home.known_capacity * 0.9;
+        let is_well = |state: &ZoneState| {
+            state.condition == ZoneCondition::Well
+                && state.ramp.is_complete()
+                && state.answering_capacity >= state.known_capacity * 0.9
+        };
+        let calm_share = if self.zones.iter().all(is_well) {
+            CALM_SPILL_SHARE
         } else {
-            CALM_SPILL.1
+            CALM_SPILL_SHARE_DURING_FAULT
+        };
+        let all_routers: u32 = self.zones.iter().map(|state| state.routers).sum();
+        let may_need_spill = |state: &ZoneState| {
+            !state
+                .observations
+                .has_answered_within(now, ANSWER_VALID_FOR_US)
+                || state.condition != ZoneCondition::Well
         };
-        let all: u32 = self.places.iter().map(|p| p.routers).sum();
-        let in_need =
-            |place: &Place| !place.seen.heard_within(now, PROVED) || place.cause != Cause::Well;
-        let wanting: u32 = (0..self.places.len())
-            .filter(|n| *n == self.home || in_need(&self.places[*n]))
-            .map(|n| self.places[n].routers)
+        let routers_in_need: u32 = (0..self.zones.len())
+            .filter(|zone| *zone == self.home || may_need_spill(&self.zones[*zone]))
+            .map(|zone| self.zones[zone].routers)
             .sum();
-        for zone in 0..self.places.len() {
-            let place = &self.places[zone];
-            let own = if in_need(place) && zone != self.home {
-                place.routers
+        for zone in 0..self.zones.len() {
+            let state = &self.zones[zone];
+            let own_routers = if may_need_spill(state) && zone != self.home {
+                state.routers
             } else {
                 0
             };
-            let limit = self.rules.spill * place.capacity * place.bears * SPILL_MARGIN;
-            let calm = limit * calm_share / f64::from((all - place.routers).max(1));
-            let mine =
-                limit * (1.0 - CALM_SPILL.1) / f64::from((wanting - own.min(wanting)).max(1));
-            let rate = if needy { calm + mine } else { calm };
-            self.places[zone].spill.refill(now, rate, least);
+            let limit = self.rules.max_spill_share
+                * state.answering_capacity
+                * state.spill_share
+                * SPILL_MARGIN;
+            let calm_rate = limit * calm_share / f64::from((all_routers - state.routers).max(1));
+            let needed_rate = limit * (1.0 - CALM_SPILL_SHARE_DURING_FAULT)
+                / f64::from((routers_in_need - own_routers.min(routers_in_need)).max(1));
+            let rate = if needs_spill {
+                calm_rate + needed_rate
+            } else {
+                calm_rate
+            };
+            self.zones[zone]
+                .spill_allowance
+                .refill(now, rate, ordinary_cost);
         }
     }
 
-    /// Ranks classes by worth for their cost.
-    fn rank(&mut self) {
-        let value = |n: usize| self.classes[n].priority_weight / self.costs[n].max(1.0);
-        let mut order: Vec<usize> = (0..self.costs.len()).collect();
+    /// Ranks the classes by priority weight per cost.
+    fn rank_classes(&mut self) {
+        let value =
+            |class: usize| self.classes[class].priority_weight / self.class_costs[class].max(1.0);
+        let mut order: Vec<usize> = (0..self.class_costs.len()).collect();
         order.sort_by(|a, b| value(*a).total_cmp(&value(*b)));
-        let last = order.len().saturating_sub(1).max(1) as f64;
-        for (place, class) in order.into_iter().enumerate() {
-            self.ranks[class] = if self.costs.len() > 1 {
-                place as f64 / last
+        let highest = order.len().saturating_sub(1).max(1) as f64;
+        for (rank, class) in order.into_iter().enumerate() {
+            self.class_ranks[class] = if self.class_costs.len() > 1 {
+                rank as f64 / highest
             } else {
                 1.0
             };
         }
     }
 
-    // ---- questions
-
-    /// Whether a zone that is not in use may be tried with this request.
-    fn trial(&self, now: Time, zone: usize, ask: &RoutingQuery) -> bool {
-        let safe = self.classes[ask.class].idempotency == Idempotency::Idempotent;
-        safe && now >= self.places[zone].trial_at && self.places[zone].serving > 0
+    /// Returns whether this request may be the trial of a zone that is not in use.
+    fn may_try_unused_zone(&self, now: Time, zone: usize, query: &RoutingQuery) -> bool {
+        let is_idempotent = self.classes[query.class].idempotency == Idempotency::Idempotent;
+        is_idempotent && now >= self.zones[zone].next_trial_at && self.zones[zone].serving_nodes > 0
     }
 
-    fn open(&self, now: Time, ask: &RoutingQuery, zone: usize, cost: f64) -> bool {
-        let place = &self.places[zone];
-        let lost = matches!(place.cause, Cause::Gone | Cause::Dark | Cause::Link);
-        if lost || (place.suppressed && zone != self.home) {
-            return self.trial(now, zone, ask);
+    /// Returns whether a request of this cost (s) may use this zone now.
+    fn may_use_zone(&self, now: Time, query: &RoutingQuery, zone: usize, cost: f64) -> bool {
+        let state = &self.zones[zone];
+        let is_lost = matches!(
+            state.condition,
+            ZoneCondition::Gone | ZoneCondition::Dark | ZoneCondition::Link
+        );
+        if is_lost || (state.suppressed && zone != self.home) {
+            return self.may_try_unused_zone(now, zone, query);
         }
-        let luck = luck(ask.request, self.salt);
-        let reserve = RESERVE * (1.0 - self.ranks[ask.class]);
+        let draw = random_draw(query.request, self.salt);
+        let reserve = MAX_RESERVE_SHARE * (1.0 - self.class_ranks[query.class]);
         if zone == self.home {
-            // What does not stay for want of nodes stays all the same where no other zone takes it.
-            let others = || {
-                self.places
+            // A request that should leave home because nodes are missing there stays if no other zone admits it.
+            let other_zones = || {
+                self.zones
                     .iter()
-                    .filter(|p| p.tier > 0 && p.cause == Cause::Well)
+                    .filter(|state| state.tier > 0 && state.condition == ZoneCondition::Well)
             };
-            let share = if place.suppressed {
-                self.rules.ramp.start
+            let share = if state.suppressed {
+                self.rules.ramp.start_share
             } else {
                 1.0
             };
-            let share = place.ramp.share().min(share);
-            return luck < self.keep * share
-                || ((luck < share || place.suppressed)
-                    && !others().any(|p| p.spill.covers(now, cost, reserve)));
-        }
-        place.spill.covers(now, cost, reserve)
-            // Another draw than the one that sent it away from home.
-            && (place.ramp.done() || (luck * 7.0).fract() < place.ramp.share())
+            let share = state.ramp.share().min(share);
+            return draw < self.home_share * share
+                || ((draw < share || state.suppressed)
+                    && !other_zones()
+                        .any(|state| state.spill_allowance.covers(now, cost, reserve)));
+        }
+        state.spill_allowance.covers(now, cost, reserve)
+            // The draw has to differ from the one that made the request leave home.
+            && (state.ramp.is_complete() || (draw * 7.0).fract() < state.ramp.share())
     }
 }
 
 impl LocalityPolicy for ZoneFailover {
     fn endpoints_changed(&mut self, now: Time, update: &EndpointUpdate) {
-        let (entries, whole) = match update {
+        let (entries, is_full) = match update {
             EndpointUpdate::Changes(entries) => (entries, false),
             EndpointUpdate::Full(entries) | EndpointUpdate::Restored(entries) => (entries, true),
             EndpointUpdate::Failed => return,
         };
-        // The saved list says nothing of the present.
+        // A restored list was saved by an earlier run and says nothing about the present.
         if !matches!(update, EndpointUpdate::Restored(_)) {
-            self.told = now;
+            self.list_updated_at = now;
         }
-        if whole {
+        if is_full {
             for node in self.nodes.values_mut() {
                 node.serving = false;
-                node.left.get_or_insert(now);
+                node.not_serving_since.get_or_insert(now);
             }
         }
-        let first = !std::mem::replace(&mut self.listed, true);
-        let (stagger, least) = (luck(u64::from(self.index), self.salt), self.least());
+        let is_first = !std::mem::replace(&mut self.has_list, true);
+        let (stagger, ordinary_cost) = (
+            random_draw(u64::from(self.router_index), self.salt),
+            self.ordinary_cost_s(),
+        );
         for entry in entries {
-            let zone = self.zone(&entry.zone);
+            let zone = self.zone_index(&entry.zone);
             let capacity = entry.weight.max(0.01)
                 * self
                     .rules
-                    .cores
+                    .capacity_by_machine_kind
                     .get(&entry.machine_kind)
                     .copied()
                     .unwrap_or(1.0);
@@ -587,219 +692,263 @@
                     zone,
                     capacity,
                     serving: false,
-                    started: None,
-                    left: None,
-                    fails: 0,
-                    cold: Allowance::default(),
+                    started_at: None,
+                    not_serving_since: None,
+                    consecutive_failures: 0,
+                    cold_allowance: Allowance::default(),
                 });
-            if entry.started_at > node.started {
-                node.fails = 0;
-                node.cold = Allowance::staggered(
+            if entry.started_at > node.started_at {
+                node.consecutive_failures = 0;
+                node.cold_allowance = Allowance::staggered(
                     now,
-                    luck(node.started.unwrap_or(0), self.salt) * stagger,
-                    least,
+                    random_draw(node.started_at.unwrap_or(0), self.salt) * stagger,
+                    ordinary_cost,
                 );
             }
-            (node.zone, node.capacity, node.started) =
-                (zone, capacity, entry.started_at.or(node.started));
+            (node.zone, node.capacity, node.started_at) =
+                (zone, capacity, entry.started_at.or(node.started_at));
             node.serving = entry.state == EndpointState::Serving;
-            node.left = if node.serving {
+            node.not_serving_since = if node.serving {
                 None
             } else {
-                node.left.or(Some(now))
+                node.not_serving_since.or(Some(now))
             };
         }
-        self.reviewed = 0;
+        self.reviewed_at = 0;
         self.review(now);
-        if first {
-            self.begin(now);
+        if is_first {
+            self.start_ramps_of_young_zones(now);
         }
     }
 
-    fn weight_share(&mut self, now: Time, ask: &RoutingQuery, node: &NodeId) -> Option<f64> {
+    fn weight_share(&mut self, now: Time, query: &RoutingQuery, node: &NodeId) -> Option<f64> {
         self.review(now);
         let Some(known) = self.nodes.get(node) else {
             return Some(1.0);
         };
-        let (zone, tier) = (known.zone, self.places[known.zone].tier);
-        // The primary alone takes writes, wherever it is.
-        if ask.is_write {
+        let (zone, tier) = (known.zone, self.zones[known.zone].tier);
+        // Only the primary takes writes, in whichever zone it is.
+        if query.is_write {
             return Some(1.0);
         }
-        let cost = self.costs[ask.class] / 1e6;
-        let cold = warm(known.started, now, self.cold_share, self.cold_span) < 1.0;
-        if !self.open(now, ask, zone, cost) {
+        let cost = self.class_costs[query.class] / 1e6;
+        let is_cold = warm_share(
+            known.started_at,
+            now,
+            self.slow_start_min_share,
+            self.slow_start_duration,
+        ) < 1.0;
+        if !self.may_use_zone(now, query, zone, cost) {
             return None;
         }
-        if cold {
-            let (rate, least) = (self.cold_rate(known, now), self.least());
+        if is_cold {
+            let (rate, ordinary_cost) = (self.cold_rate(known, now), self.ordinary_cost_s());
             let known = self.nodes.get_mut(node)?;
-            known.cold.refill(now, rate, least);
-            if !known.cold.covers(now, cost, 0.0) {
+            known.cold_allowance.refill(now, rate, ordinary_cost);
+            if !known.cold_allowance.covers(now, cost, 0.0) {
                 return None;
             }
         }
-        let pace = if cold { self.places[zone].ahead } else { 1.0 };
-        let strained = self.places[self.home].seen.strained() == Some(true);
-        Some(pace * if strained { FAR.1 } else { FAR.0 }.powi(tier as i32))
+        let pace = if is_cold {
+            self.zones[zone].cold_pace
+        } else {
+            1.0
+        };
+        let is_strained = self.zones[self.home].observations.is_strained() == Some(true);
+        let tier_factor = if is_strained {
+            STRAINED_TIER_WEIGHT_FACTOR
+        } else {
+            TIER_WEIGHT_FACTOR
+        };
+        Some(pace * tier_factor.powi(tier as i32))
     }
 
-    fn attempt_sent(&mut self, now: Time, ask: &RoutingQuery, node: &NodeId) {
+    fn attempt_sent(&mut self, now: Time, query: &RoutingQuery, node: &NodeId) {
         let Some(known) = self.nodes.get_mut(node) else {
             return;
         };
-        let (zone, cost) = (known.zone, self.costs[ask.class] / 1e6);
-        if known.started.is_some_and(|at| now < at + self.cold_span) {
-            known.cold.take(now, cost);
+        let (zone, cost) = (known.zone, self.class_costs[query.class] / 1e6);
+        if known
+            .started_at
+            .is_some_and(|started| now < started + self.slow_start_duration)
+        {
+            known.cold_allowance.take(now, cost);
         }
-        let place = &mut self.places[zone];
-        if ask.is_write {
+        let state = &mut self.zones[zone];
+        if query.is_write {
             return;
         }
         if zone != self.home {
-            place.spill.take(now, cost);
+            state.spill_allowance.take(now, cost);
         }
-        if place.suppressed || place.cause != Cause::Well {
-            let spread = 0.5 + luck(ask.request ^ now, self.salt);
-            let gap = (TRIAL.0 + TRIAL.1 * u64::from(self.routers)) as f64 * spread;
-            place.trial_at = now + gap as Micros;
+        if state.suppressed || state.condition != ZoneCondition::Well {
+            let jitter = 0.5 + random_draw(query.request ^ now, self.salt);
+            let interval = (TRIAL_INTERVAL_BASE_US
+                + TRIAL_INTERVAL_PER_ROUTER_US * u64::from(self.router_count))
+                as f64
+                * jitter;
+            state.next_trial_at = now + interval as Micros;
         }
     }
 
     fn attempt_ended(
         &mut self,
         now: Time,
-        ask: &RoutingQuery,
+        query: &RoutingQuery,
         node: &NodeId,
         ending: AttemptEnd,
         elapsed: Micros,
     ) {
-        let aim = self.classes[ask.class].latency_objective as f64;
-        let usual = self.costs[ask.class] as Micros;
+        let objective = self.classes[query.class].latency_objective as f64;
+        let usual_cost = self.class_costs[query.class] as Micros;
         let Some(known) = self.nodes.get_mut(node) else {
             return;
         };
-        // A cold node takes longer by what it lacks; that is no news of its zone.
-        let share = warm(known.started, now, self.cold_share, self.cold_span);
+        // A cold node is slower in proportion to the capacity that it lacks; that says nothing about its zone.
+        let share = warm_share(
+            known.started_at,
+            now,
+            self.slow_start_min_share,
+            self.slow_start_duration,
+        );
         let in_time = if share < 1.0 {
-            (aim * IN_TIME).min(usual as f64 * COLD_TIME)
+            (objective * IN_TIME_OBJECTIVE_SHARE).min(usual_cost as f64 * COLD_NODE_LATENCY_FACTOR)
         } else {
-            aim * IN_TIME
+            objective * IN_TIME_OBJECTIVE_SHARE
         };
-        let sign = evidence::sign(
+        let signal = evidence::classify_attempt(
             ending,
             (elapsed as f64 * share) as Micros,
             in_time as Micros,
-            usual,
+            usual_cost,
         );
         let zone = known.zone;
-        match sign {
-            Sign::Silent => known.fails = known.fails.saturating_add(1),
-            Sign::Good | Sign::Slow => known.fails = 0,
-            Sign::Nothing => {}
+        match signal {
+            AttemptSignal::NoAnswer => {
+                known.consecutive_failures = known.consecutive_failures.saturating_add(1)
+            }
+            AttemptSignal::InTime | AttemptSignal::Slow => known.consecutive_failures = 0,
+            AttemptSignal::Inconclusive => {}
         }
-        let cold = known.started.is_some_and(|at| now < at + self.cold_span);
+        let is_cold = known
+            .started_at
+            .is_some_and(|started| now < started + self.slow_start_duration);
         if ending == AttemptEnd::Success && zone == self.home {
-            let mean = &mut self.costs[ask.class];
-            *mean += COST.1 * ((elapsed as f64).min(*mean * COST_EACH) - *mean);
-            self.rank();
-        }
-        let place = &mut self.places[zone];
-        place.seen.take(now, node, sign);
-        // A single loss is no flapping.
-        let flaps = place.flap.penalty(now, &self.rules.flap) / self.rules.flap.each - 1.0;
-        let slowed = 1.0 + flaps.max(0.0);
-        match sign {
-            Sign::Good if ending == AttemptEnd::Success => {
-                place.ramp.good(now, &self.rules.ramp, slowed);
-                if cold {
-                    place.ahead = (place.ahead * AHEAD_STEP.0).min(AHEAD.1);
+            let mean = &mut self.class_costs[query.class];
+            *mean += COST_GAIN * ((elapsed as f64).min(*mean * MAX_COST_SAMPLE_FACTOR) - *mean);
+            self.rank_classes();
+        }
+        let state = &mut self.zones[zone];
+        state.observations.record(now, node, signal);
+        // A single loss does not count as flapping.
+        let flaps =
+            state.flap.penalty(now, &self.rules.flap) / self.rules.flap.penalty_per_loss - 1.0;
+        let slowdown = 1.0 + flaps.max(0.0);
+        match signal {
+            AttemptSignal::InTime if ending == AttemptEnd::Success => {
+                state.ramp.record_in_time(now, &self.rules.ramp, slowdown);
+                if is_cold {
+                    state.cold_pace =
+                        (state.cold_pace * COLD_PACE_INCREASE_FACTOR).min(MAX_COLD_PACE);
                 }
-                let trip = place.trip.get_or_insert(elapsed as f64);
-                *trip = (*trip * 1.002).min(elapsed as f64);
+                let min_latency = state.min_latency.get_or_insert(elapsed as f64);
+                *min_latency = (*min_latency * 1.002).min(elapsed as f64);
             }
-            Sign::Slow | Sign::Silent => {
-                place.ramp.slow(now, &self.rules.ramp);
-                if cold {
-                    place.ahead = (place.ahead * AHEAD_STEP.1).max(AHEAD.0);
+            AttemptSignal::Slow | AttemptSignal::NoAnswer => {
+                state.ramp.record_slow(now, &self.rules.ramp);
+                if is_cold {
+                    state.cold_pace =
+                        (state.cold_pace * COLD_PACE_DECREASE_FACTOR).max(MIN_COLD_PACE);
                 }
             }
             _ => {}
         }
         if zone != self.home
-            && now >= place.bears_at + KEEP_GAP
-            && let Some(strained) = place.seen.strained()
+            && now >= state.spill_share_adjusted_at + ADJUSTMENT_INTERVAL_US
+            && let Some(strained) = state.observations.is_strained()
         {
-            place.bears_at = now;
-            place.bears = if strained {
-                (place.bears * BEARS.0).max(BEARS.2)
+            state.spill_share_adjusted_at = now;
+            state.spill_share = if strained {
+                (state.spill_share * SPILL_SHARE_DECREASE_FACTOR).max(MIN_SPILL_SHARE)
             } else {
-                (place.bears + BEARS.1).min(1.0)
+                (state.spill_share + SPILL_SHARE_INCREASE_STEP).min(1.0)
             };
         }
-        if self.rules.zones[self.home].prefer.is_empty() {
-            self.order_by_trip();
+        if self.rules.zones[self.home].preferred_tiers.is_empty() {
+            self.order_tiers_by_latency();
         }
         self.review(now);
     }
 
-    fn retry_after(&self, ask: &RoutingQuery, most: Micros) -> Micros {
-        // Between a third and all of it: a herd that was refused together must not return together.
-        (most as f64 * (1.0 + 2.0 * luck(ask.request ^ 0x5bd1, self.salt)) / 3.0) as Micros
+    fn retry_after(&self, query: &RoutingQuery, max_delay: Micros) -> Micros {
+        // The delay is drawn between a third and all of the maximum, so that requests rejected together do not all come
+        // back at the same time.
+        (max_delay as f64 * (1.0 + 2.0 * random_draw(query.request ^ 0x5bd1, self.salt)) / 3.0)
+            as Micros
     }
 
     fn next_log_event(&mut self) -> Option<LogEvent> {
-        self.news.pop_front()
+        self.log_events.pop_front()
     }
 }
 
 impl ZoneFailover {
-    /// A router that starts while a zone is on its way back does not begin at full: much of the zone is younger than
-    /// the warm-up.
-    fn begin(&mut self, now: Time) {
-        for zone in 0..self.places.len() {
-            let mine = || self.nodes.values().filter(|n| n.zone == zone && n.serving);
-            let all: f64 = mine().map(|n| n.capacity).sum();
-            let young: f64 = mine()
-                .filter(|n| n.started.is_some_and(|at| now < at + self.cold_span))
-                .map(|n| n.capacity)
+    /// Starts a recovery ramp for each zone of which much is still in slow start when this router starts.
+    ///
+    /// Such a zone was lost shortly before. Without the ramp, a router that restarts while a zone recovers would send the
+    /// zone all its requests at once.
+    fn start_ramps_of_young_zones(&mut self, now: Time) {
+        for zone in 0..self.zones.len() {
+            let serving = || {
+                self.nodes
+                    .values()
+                    .filter(|node| node.zone == zone && node.serving)
+            };
+            let all: f64 = serving().map(|node| node.capacity).sum();
+            let young: f64 = serving()
+                .filter(|node| {
+                    node.started_at
+                        .is_some_and(|started| now < started + self.slow_start_duration)
+                })
+                .map(|node| node.capacity)
                 .sum();
-            if all > 0.0 && young / all >= TROUBLED {
-                let share = (self.rules.ramp.start * 2.0).min(1.0);
-                self.places[zone].ramp.begin(now, share);
-                self.log(
+            if all > 0.0 && young / all >= RECOVERING_YOUNG_SHARE {
+                let share = (self.rules.ramp.start_share * 2.0).min(1.0);
+                self.zones[zone].ramp.start(now, share);
+                self.push_log_event(
                     zone,
                     "young",
-                    "young at this router's start, on its way back",
+                    "many of its nodes just started, recovery ramp started",
                 );
             }
         }
     }
 
-    /// Tiers by measured latency: zones whose best answers take about as long share one.
-    fn order_by_trip(&mut self) {
-        let Some(home) = self.places[self.home].trip else {
+    /// Orders the zones in tiers by measured latency. Zones with a similar minimum latency share a tier.
+    fn order_tiers_by_latency(&mut self) {
+        let Some(home_latency) = self.zones[self.home].min_latency else {
             return;
         };
-        let mut others: Vec<(f64, usize)> = (0..self.places.len())
-            .filter(|n| *n != self.home)
-            .map(|n| {
+        let mut others: Vec<(f64, usize)> = (0..self.zones.len())
+            .filter(|zone| *zone != self.home)
+            .map(|zone| {
                 (
-                    self.places[n]
-                        .trip
-                        .map_or(f64::INFINITY, |trip| (trip - home).max(0.0)),
-                    n,
+                    self.zones[zone]
+                        .min_latency
+                        .map_or(f64::INFINITY, |latency| (latency - home_latency).max(0.0)),
+                    zone,
                 )
             })
             .collect();
         others.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
-        let (mut tier, mut first) = (0, f64::NEG_INFINITY);
-        for (trip, zone) in others {
-            // What has not been measured yet shares the tier of what has, or it never would be.
-            if trip.is_finite() && trip > first * 1.5 + ms(2) as f64 {
-                (tier, first) = (tier + 1, trip);
+        let (mut tier, mut tier_latency) = (0, f64::NEG_INFINITY);
+        for (latency, zone) in others {
+            // A zone without a measurement joins the last tier of the measured zones; in a tier behind them it would
+            // get no requests and never be measured.
+            if latency.is_finite() && latency > tier_latency * 1.5 + ms_to_us(2) as f64 {
+                (tier, tier_latency) = (tier + 1, latency);
             }
-            self.places[zone].tier = tier.max(1);
+            self.zones[zone].tier = tier.max(1);
         }
     }
 }
--- a/locality/tests/random.rs
+++ b/locality/tests/random.rs
@@ -1,4 +1,4 @@
-//! Tiers under random events: whatever comes, they neither panic nor forget what must hold.
+//! Zone failover under random events: it does not panic, and its invariants hold.
 
 use plovercove::*;
 use plovercove_locality::{Rules, Zone, ZoneFailover};
@@ -32,19 +32,19 @@
     let zone = |name: &str| Zone {
         name: name.into(),
         routers: 2,
-        prefer: Vec::new(),
+        preferred_tiers: Vec::new(),
     };
     Rules {
         home: String::new(),
         zones: ["a", "b", "c"].map(zone).to_vec(),
-        spill: 0.4,
-        cores: [("std".to_string(), 5.0)].into(),
+        max_spill_share: 0.4,
+        capacity_by_machine_kind: [("std".to_string(), 5.0)].into(),
         ramp: Default::default(),
         flap: Default::default(),
     }
 }
 
-fn entry(n: usize, state: EndpointState, started: Option<Time>) -> Endpoint {
+fn endpoint(n: usize, state: EndpointState, started: Option<Time>) -> Endpoint {
     Endpoint {
         node: format!("s-{n}").into(),
         zone: ["a", "b", "c", "elsewhere"][n % 4].into(),
@@ -59,8 +59,8 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    List(usize, u8, bool),
-    Whole(u8),
+    ChangeEndpoint(usize, u8, bool),
+    FullList(u8),
     RoutingQuery(usize, bool),
     End(usize, u8, u64),
     Wait(u64),
@@ -69,8 +69,9 @@
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        (0..12usize, 0..3u8, any::<bool>()).prop_map(|(n, s, young)| Step::List(n, s, young)),
-        (0..13u8).prop_map(Step::Whole),
+        (0..12usize, 0..3u8, any::<bool>())
+            .prop_map(|(n, s, young)| Step::ChangeEndpoint(n, s, young)),
+        (0..13u8).prop_map(Step::FullList),
         (0..12usize, any::<bool>()).prop_map(|(n, write)| Step::RoutingQuery(n, write)),
         (0..12usize, 0..9u8, 0..2_000_000u64).prop_map(|(n, e, t)| Step::End(n, e, t)),
         (0..5_000_000u64).prop_map(Step::Wait),
@@ -94,85 +95,85 @@
     #![proptest_config(ProptestConfig { cases: 400, failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(11), ..ProptestConfig::default() })]
 
     #[test]
-    fn weights_are_sane_writes_go_everywhere_and_the_limit_holds(steps in prop::collection::vec(step(), 1..300)) {
-        let mut tiers = ZoneFailover::new(rules(), &settings(), 5).expect("good rules");
+    fn weights_are_in_range_writes_are_always_allowed_and_the_spill_limit_holds(steps in prop::collection::vec(step(), 1..300)) {
+        let mut zone_failover = ZoneFailover::new(rules(), &settings(), 5).expect("good rules");
         let mut now = 1_000_000_000;
-        let all = (0..12).map(|n| entry(n, EndpointState::Serving, None)).collect();
-        tiers.endpoints_changed(now, &EndpointUpdate::Full(all));
-        let (mut request, mut spilled, begun) = (0, 0.0, now);
+        let all = (0..12).map(|n| endpoint(n, EndpointState::Serving, None)).collect();
+        zone_failover.endpoints_changed(now, &EndpointUpdate::Full(all));
+        let (mut request, mut spilled, start) = (0, 0.0, now);
         for step in steps {
             match step {
-                Step::List(n, state, young) => {
+                Step::ChangeEndpoint(n, state, young) => {
                     let state = [EndpointState::Serving, EndpointState::Draining, EndpointState::Removed][state as usize];
                     let started = young.then_some(now);
-                    tiers.endpoints_changed(now, &EndpointUpdate::Changes(vec![entry(n, state, started)]));
+                    zone_failover.endpoints_changed(now, &EndpointUpdate::Changes(vec![endpoint(n, state, started)]));
                 }
-                Step::Whole(first) => {
-                    let some = (first as usize..12).map(|n| entry(n, EndpointState::Serving, None)).collect();
-                    tiers.endpoints_changed(now, &EndpointUpdate::Full(some));
+                Step::FullList(first) => {
+                    let endpoints = (first as usize..12).map(|n| endpoint(n, EndpointState::Serving, None)).collect();
+                    zone_failover.endpoints_changed(now, &EndpointUpdate::Full(endpoints));
                 }
                 Step::RoutingQuery(n, write) => {
                     request += 1;
-                    let ask = RoutingQuery { request, class: (request % 2) as usize, is_write: write };
+                    let query = RoutingQuery { request, class: (request % 2) as usize, is_write: write };
                     let node: NodeId = format!("s-{n}").into();
-                    let counts = tiers.weight_share(now, &ask, &node);
+                    let share = zone_failover.weight_share(now, &query, &node);
                     if write {
-                        prop_assert_eq!(counts, Some(1.0), "a write follows its primary");
+                        prop_assert_eq!(share, Some(1.0), "a write follows its primary");
                     }
-                    if let Some(counts) = counts {
-                        prop_assert!(counts > 0.0 && counts <= 2.0, "{}", counts);
-                        tiers.attempt_sent(now, &ask, &node);
-                        // Zone b has three nodes of five cores.
+                    if let Some(share) = share {
+                        prop_assert!(share > 0.0 && share <= 2.0, "{}", share);
+                        zone_failover.attempt_sent(now, &query, &node);
+                        // Zone b has three nodes, each with a capacity of five seconds of work per second.
                         if n % 4 == 1 && !write {
                             spilled += 1.0;
                         }
                     }
                 }
                 Step::End(n, ending, elapsed) => {
-                    let ask = RoutingQuery { request, class: n % 2, is_write: false };
-                    tiers.attempt_ended(now, &ask, &format!("s-{n}").into(), ENDINGS[ending as usize], elapsed);
+                    let query = RoutingQuery { request, class: n % 2, is_write: false };
+                    zone_failover.attempt_ended(now, &query, &format!("s-{n}").into(), ENDINGS[ending as usize], elapsed);
                 }
-                Step::Wait(span) => now += span,
-                Step::Reload(turn) => {
-                    let mut turned = rules();
-                    turned.zones.rotate_left(turn);
-                    let mut fresh = ZoneFailover::new(turned, &settings(), 5).expect("good rules");
-                    fresh.inherit_state(&mut tiers);
-                    tiers = fresh;
+                Step::Wait(duration) => now += duration,
+                Step::Reload(rotation) => {
+                    let mut rotated = rules();
+                    rotated.zones.rotate_left(rotation);
+                    let mut fresh = ZoneFailover::new(rotated, &settings(), 5).expect("good rules");
+                    fresh.inherit_state(&mut zone_failover);
+                    zone_failover = fresh;
                 }
             }
-            let wait = tiers.retry_after(&RoutingQuery { request, class: 0, is_write: false }, 500_000);
+            let wait = zone_failover.retry_after(&RoutingQuery { request, class: 0, is_write: false }, 500_000);
             prop_assert!((100_000..=500_000).contains(&wait));
-            for view in tiers.zone_statuses() {
-                prop_assert!(view.ramp > 0.0 && view.ramp <= 1.0);
-                prop_assert!(view.spill >= 0.0 && view.spill <= rules().spill * view.capacity.1 + 1e-9);
+            for status in zone_failover.zone_statuses() {
+                prop_assert!(status.ramp_share > 0.0 && status.ramp_share <= 1.0);
+                prop_assert!(status.spill_rate >= 0.0 && status.spill_rate <= rules().max_spill_share * status.known_capacity + 1e-9);
             }
-            while tiers.next_log_event().is_some() {}
+            while zone_failover.next_log_event().is_some() {}
         }
-        // No request costs less than a hundredth of a second here; the limit is 0.4 of 15 s of work a second, and
-        // trials of a lost zone are beside it.
-        let seconds = (now - begun) as f64 / 1e6;
+        // No request costs less than 0.01 s here. The limit is 0.4 of 15 seconds of work per second; trial requests to a
+        // lost zone come on top of it.
+        let seconds = (now - start) as f64 / 1e6;
         prop_assert!(spilled * 0.01 <= 0.4 * 15.0 * (seconds + 0.2) + 1.0 + seconds, "{} in {} s", spilled, seconds);
     }
 }
 
 #[test]
-fn a_router_that_restarts_in_the_middle_of_a_ramp_does_not_begin_at_full() {
-    // Danger: a rollout while a zone comes back cold would give the zone all its requests at once.
+fn router_that_starts_while_a_zone_recovers_begins_with_a_ramp() {
+    // Otherwise a rollout of routers while a zone recovers would send the cold zone all its requests at once.
     let now = 1_000_000_000;
     let list = |started| {
         EndpointUpdate::Full(
             (0..12)
-                .map(|n| entry(n, EndpointState::Serving, started))
+                .map(|n| endpoint(n, EndpointState::Serving, started))
                 .collect(),
         )
     };
     let share = |started| {
-        let mut tiers = ZoneFailover::new(rules(), &settings(), 5).expect("good rules");
-        tiers.endpoints_changed(now, &list(started));
-        tiers.zone_statuses()[0].ramp
+        let mut zone_failover = ZoneFailover::new(rules(), &settings(), 5).expect("good rules");
+        zone_failover.endpoints_changed(now, &list(started));
+        zone_failover.zone_statuses()[0].ramp_share
     };
-    assert_eq!(share(None), 1.0, "a zone that has long been up");
+    assert_eq!(share(None), 1.0, "a zone that has been up for long");
     assert!(
         share(Some(now - 2_000_000)) < 0.5,
         "a zone that started two seconds ago"
@@ -180,27 +181,27 @@
 }
 
 #[test]
-fn new_rules_in_service_keep_what_was_learned() {
-    // Danger: an operator who reloads in the middle of trouble would lift every penalty and fill every allowance.
-    let (lost, mut now) = (|n: &usize| !n.is_multiple_of(4), 1_000_000_000);
-    let all = |keep: fn(&usize) -> bool| {
+fn reloaded_rules_keep_the_learned_state() {
+    // Otherwise a reload during a fault would reset every penalty and fill every allowance.
+    let (without_zone_a, mut now) = (|n: &usize| !n.is_multiple_of(4), 1_000_000_000);
+    let list = |keep: fn(&usize) -> bool| {
         EndpointUpdate::Full(
             (0..12)
                 .filter(keep)
-                .map(|n| entry(n, EndpointState::Serving, None))
+                .map(|n| endpoint(n, EndpointState::Serving, None))
                 .collect(),
         )
     };
-    let mut tiers = ZoneFailover::new(rules(), &settings(), 5).expect("good rules");
+    let mut zone_failover = ZoneFailover::new(rules(), &settings(), 5).expect("good rules");
     for _ in 0..4 {
-        tiers.endpoints_changed(now, &all(|_| true));
+        zone_failover.endpoints_changed(now, &list(|_| true));
         now += 1_000_000;
-        tiers.endpoints_changed(now, &all(lost));
+        zone_failover.endpoints_changed(now, &list(without_zone_a));
         now += 1_000_000;
     }
-    tiers.endpoints_changed(now, &all(|_| true));
-    // The allowance of zone b is spent.
-    let (ask, node): (_, NodeId) = (
+    zone_failover.endpoints_changed(now, &list(|_| true));
+    // Spends the allowance of zone b.
+    let (query, node): (_, NodeId) = (
         |request| RoutingQuery {
             request,
             class: 0,
@@ -208,97 +209,111 @@
         },
         "s-1".into(),
     );
-    let spend = |tiers: &mut ZoneFailover, now| {
+    let spend = |zone_failover: &mut ZoneFailover, now| {
         (0..1_000)
             .filter(|n| {
-                tiers
-                    .weight_share(now, &ask(*n), &node)
-                    .map(|_| tiers.attempt_sent(now, &ask(*n), &node))
+                zone_failover
+                    .weight_share(now, &query(*n), &node)
+                    .map(|_| zone_failover.attempt_sent(now, &query(*n), &node))
                     .is_some()
             })
             .count()
     };
     now += 1_000_000;
-    assert!(spend(&mut tiers, now) > 0, "zone b had something to give");
-    let before = tiers.zone_statuses();
-    assert!(before[0].suppressed && before[0].ramp < 1.0, "{before:?}");
-    let mut turned = Rules {
-        spill: 0.2,
+    assert!(spend(&mut zone_failover, now) > 0, "zone b admits requests");
+    let before = zone_failover.zone_statuses();
+    assert!(
+        before[0].suppressed && before[0].ramp_share < 1.0,
+        "{before:?}"
+    );
+    let mut changed = Rules {
+        max_spill_share: 0.2,
         ..rules()
     };
-    turned.zones.rotate_left(1);
-    turned.zones.pop();
-    turned.zones.push(Zone {
+    changed.zones.rotate_left(1);
+    changed.zones.pop();
+    changed.zones.push(Zone {
         name: "a".into(),
         routers: 2,
-        prefer: vec![vec!["b".into()]],
+        preferred_tiers: vec![vec!["b".into()]],
     });
-    let mut fresh = ZoneFailover::new(turned, &settings(), 5).expect("good rules");
-    fresh.inherit_state(&mut tiers);
-    assert_eq!(spend(&mut fresh, now), 0, "what was spent stays spent");
+    let mut fresh = ZoneFailover::new(changed, &settings(), 5).expect("good rules");
+    fresh.inherit_state(&mut zone_failover);
+    assert_eq!(spend(&mut fresh, now), 0, "the allowance stays spent");
     let after = fresh.zone_statuses();
-    let of = |view: &[plovercove_locality::ZoneStatus], zone: &str| {
-        view.iter()
-            .find(|v| v.zone == zone)
+    let status_of = |statuses: &[plovercove_locality::ZoneStatus], zone: &str| {
+        statuses
+            .iter()
+            .find(|status| status.zone == zone)
             .cloned()
-            .expect("known")
+            .expect("the zone is known")
     };
-    let (a, c) = (of(&after, "a"), of(&after, "c"));
+    let (a, c) = (status_of(&after, "a"), status_of(&after, "c"));
     assert_eq!(
-        (a.suppressed, a.ramp, a.capacity),
-        (true, before[0].ramp, before[0].capacity)
+        (
+            a.suppressed,
+            a.ramp_share,
+            a.answering_capacity,
+            a.known_capacity
+        ),
+        (
+            true,
+            before[0].ramp_share,
+            before[0].answering_capacity,
+            before[0].known_capacity
+        )
     );
     assert_eq!(
-        (of(&after, "b").tier, c.tier),
+        (status_of(&after, "b").tier, c.tier),
         (1, 2),
-        "the new rules' order"
+        "the order of the new rules"
     );
     now += 200_000;
-    fresh.weight_share(now, &ask(2_000), &node);
+    fresh.weight_share(now, &query(2_000), &node);
     assert!(
-        of(&fresh.zone_statuses(), "b").spill < before[1].spill * 0.6,
-        "the new limit"
+        status_of(&fresh.zone_statuses(), "b").spill_rate < before[1].spill_rate * 0.6,
+        "the new limit applies"
     );
 }
 
 #[test]
-fn what_is_worth_least_is_refused_first() {
-    let mut tiers = ZoneFailover::new(rules(), &settings(), 5).expect("good rules");
+fn classes_of_least_worth_are_rejected_first() {
+    let mut zone_failover = ZoneFailover::new(rules(), &settings(), 5).expect("good rules");
     let now = 1_000_000_000;
-    // Home is gone; the next zones remain.
-    let rest = (0..12)
+    // The home zone is lost; the other zones remain.
+    let other_zones = (0..12)
         .filter(|n| n % 4 != 0)
-        .map(|n| entry(n, EndpointState::Serving, None))
+        .map(|n| endpoint(n, EndpointState::Serving, None))
         .collect();
-    tiers.endpoints_changed(
+    zone_failover.endpoints_changed(
         now,
         &EndpointUpdate::Full(
             (0..12)
-                .map(|n| entry(n, EndpointState::Serving, None))
+                .map(|n| endpoint(n, EndpointState::Serving, None))
                 .collect(),
         ),
     );
-    tiers.endpoints_changed(now, &EndpointUpdate::Full(rest));
-    let mut went = [0, 0];
+    zone_failover.endpoints_changed(now, &EndpointUpdate::Full(other_zones));
+    let mut sent = [0, 0];
     for n in 0..4_000u64 {
-        let at = now + n * 2_000;
+        let time = now + n * 2_000;
         let class = (n % 2) as usize;
-        let ask = RoutingQuery {
+        let query = RoutingQuery {
             request: n,
             class,
             is_write: false,
         };
         let node: NodeId = "s-1".into();
-        if tiers.weight_share(at, &ask, &node).is_some() {
-            tiers.attempt_sent(at, &ask, &node);
-            went[class] += 1;
+        if zone_failover.weight_share(time, &query, &node).is_some() {
+            zone_failover.attempt_sent(time, &query, &node);
+            sent[class] += 1;
         }
     }
     assert!(
-        went[0] > went[1] * 2,
+        sent[0] > sent[1] * 2,
         "dear {} and cheap {}",
-        went[0],
-        went[1]
+        sent[0],
+        sent[1]
     );
-    assert!(went[0] + went[1] < 4_000, "there is a limit");
+    assert!(sent[0] + sent[1] < 4_000, "the limit rejects some requests");
 }
--- a/router/src/main.rs
+++ b/router/src/main.rs
@@ -54,7 +54,7 @@
         parts.push(format!(
             "{} zones, a spill of {} at most",
             rules.zones.len(),
-            rules.spill
+            rules.max_spill_share
         ));
     }
     if !told.fronts.is_empty() {
--- a/simulation/src/spec.rs
+++ b/simulation/src/spec.rs
@@ -647,14 +647,14 @@
             let zone = |z: &ZoneSpec| plovercove_locality::Zone {
                 name: z.name.clone(),
                 routers: z.routers as u32,
-                prefer: Vec::new(),
+                preferred_tiers: Vec::new(),
             };
             let cores = [("std".to_string(), f64::from(self.node.cores))];
             Rules {
                 home: String::new(),
                 zones: self.zones.iter().map(zone).collect(),
-                spill: 0.5,
-                cores: cores.into(),
+                max_spill_share: 0.5,
+                capacity_by_machine_kind: cores.into(),
                 ramp: Default::default(),
                 flap: Default::default(),
             }
--- a/simulation/src/world.rs
+++ b/simulation/src/world.rs
@@ -442,7 +442,7 @@
             cut_at: None,
             talked: Talked::default(),
             talk_dice: Dice::seed_from_u64(seed ^ 0x7a1c),
-            spill_limit: spec.rules().spill,
+            spill_limit: spec.rules().max_spill_share,
             seed,
             seconds: vec![
                 Second {
