--- a/fanout/src/client.rs
+++ b/fanout/src/client.rs
@@ -6,7 +6,7 @@
 use crate::wire::{self, BODY, For, Head, Message, Standing};
 use crate::{DUTIES, Fault, Guard, Rules, Subscriber, Topic};
 use plovercove::{Micros, Time};
-use plovercove_fencing::{Duty, Fence, Refused, Token};
+use plovercove_fencing::{Fence, FenceError, LeaseName, Token};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -45,7 +45,7 @@
     /// An owner that was replaced spoke, and was not believed.
     Refused {
         /// Why.
-        why: Refused,
+        why: FenceError,
     },
     /// The gateway does not answer: what is known may be older than the bound from now on.
     Silent {
@@ -375,7 +375,7 @@
     }
 
     /// Whether the fence lets a token pass; that it did not is told.
-    fn admit(&mut self, duty: &Duty, token: Token) -> Result<(), Fault> {
+    fn admit(&mut self, duty: &LeaseName, token: Token) -> Result<(), Fault> {
         match self.fence.admit(duty, token) {
             Err(why) if self.rules.on(Guard::Fence) => {
                 self.counts.refused += 1;
@@ -389,7 +389,7 @@
     fn track(
         &mut self,
         topic: &Topic,
-        duty: &Duty,
+        duty: &LeaseName,
         token: Token,
         from: SocketAddr,
         take: impl FnOnce(&Rules, &mut Track),
--- a/fanout/src/fault.rs
+++ b/fanout/src/fault.rs
@@ -1,6 +1,6 @@
 //! What can be wrong, and what an operator can do.
 
-use plovercove_fencing::{BadName, Refused};
+use plovercove_fencing::{FenceError, InvalidLeaseName};
 
 /// Why something was not taken.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
@@ -20,10 +20,10 @@
     },
     /// A topic, zone or subscriber with a name that cannot stand in a datagram.
     #[error(transparent)]
-    Name(#[from] BadName),
+    Name(#[from] InvalidLeaseName),
     /// An owner that was replaced.
     #[error(transparent)]
-    Refused(#[from] Refused),
+    Refused(#[from] FenceError),
     /// News that does not fit a datagram.
     #[error("news of {topic} has {bytes} bytes, {most} fit a datagram")]
     Large {
--- a/fanout/src/gateway.rs
+++ b/fanout/src/gateway.rs
@@ -8,7 +8,7 @@
 use crate::wire::{self, BODY, Entry, For, Head, ITEM, Mark, Message, Standing, State, Told};
 use crate::{DUTIES, Fault, Guard, Rules, Subscriber, Topic, rules::TIDY};
 use plovercove::{Micros, Time};
-use plovercove_fencing::{BadName, Duty, Fence, Refused, Token};
+use plovercove_fencing::{Fence, FenceError, InvalidLeaseName, LeaseName, Token};
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, VecDeque};
@@ -49,7 +49,7 @@
 pub struct Gateway {
     pub(crate) rules: Rules,
     pub(crate) zone: Name,
-    pub(crate) duty: Duty,
+    pub(crate) duty: LeaseName,
     pub(crate) me: SocketAddr,
     pub(crate) token: Option<Token>,
     pub(crate) fence: Fence,
@@ -79,7 +79,7 @@
         me: SocketAddr,
         now: Time,
         seed: u64,
-    ) -> Result<Self, BadName> {
+    ) -> Result<Self, InvalidLeaseName> {
         let mut dice = Pcg64Mcg::seed_from_u64(seed);
         Ok(Gateway {
             duty: duty(zone)?,
@@ -132,7 +132,7 @@
     }
 
     /// Whether the fence lets a token pass. Off only in tests.
-    pub(crate) fn admit(&mut self, duty: &Duty, token: Token) -> Result<(), Refused> {
+    pub(crate) fn admit(&mut self, duty: &LeaseName, token: Token) -> Result<(), FenceError> {
         let passed = self.fence.admit(duty, token).map(|_| ());
         if self.rules.on(Guard::Fence) {
             passed
@@ -212,7 +212,7 @@
         result
     }
 
-    pub(crate) fn refuse(&mut self, to: SocketAddr, duty: &Duty, who: For) {
+    pub(crate) fn refuse(&mut self, to: SocketAddr, duty: &LeaseName, who: For) {
         let message = Message::Refused {
             duty: duty.clone(),
             token: self.fence.newest(duty),
@@ -400,7 +400,7 @@
         &mut self,
         now: Time,
         topic: &Topic,
-        duty: &Duty,
+        duty: &LeaseName,
         token: Token,
         number: u64,
         item: &[u8],
@@ -671,8 +671,8 @@
 }
 
 /// The duty of a zone's gateway.
-pub(crate) fn duty(zone: &str) -> Result<Duty, BadName> {
-    Duty::new(&format!("gateway/{zone}"))
+pub(crate) fn duty(zone: &str) -> Result<LeaseName, InvalidLeaseName> {
+    LeaseName::new(&format!("gateway/{zone}"))
 }
 
 /// Whether a head says that a body is for this subscriber.
--- a/fanout/src/held.rs
+++ b/fanout/src/held.rs
@@ -3,14 +3,14 @@
 use crate::wire::{Mark, Told};
 use crate::{Guard, Rules, Topic};
 use plovercove::{Micros, Time};
-use plovercove_fencing::{Duty, Token};
+use plovercove_fencing::{LeaseName, Token};
 use std::collections::VecDeque;
 use std::sync::Arc;
 
 /// What is held of one topic.
 #[derive(Debug, Clone)]
 pub(crate) struct Held {
-    pub duty: Duty,
+    pub duty: LeaseName,
     pub token: Token,
     /// The newest number; 0 before the first.
     pub head: u64,
@@ -27,7 +27,7 @@
 }
 
 impl Held {
-    pub fn new(duty: Duty, token: Token) -> Self {
+    pub fn new(duty: LeaseName, token: Token) -> Self {
         Held {
             duty,
             token,
--- a/fanout/src/publisher.rs
+++ b/fanout/src/publisher.rs
@@ -5,7 +5,7 @@
 use crate::wire::{self, BODY, For, ITEM, Message};
 use crate::{DUTIES, Fault, Guard, Rules, Topic};
 use plovercove::{Micros, Time};
-use plovercove_fencing::{Duty, Refused, Token};
+use plovercove_fencing::{FenceError, LeaseName, Token};
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, VecDeque};
@@ -28,7 +28,7 @@
     line: VecDeque<SocketAddr>,
     mail: Mail,
     dice: Pcg64Mcg,
-    refused: Vec<Refused>,
+    refused: Vec<FenceError>,
 }
 
 impl Publisher {
@@ -66,7 +66,7 @@
         &mut self,
         now: Time,
         topic: &Topic,
-        duty: &Duty,
+        duty: &LeaseName,
         token: Token,
         item: &[u8],
     ) -> Result<u64, Fault> {
@@ -88,10 +88,10 @@
             .entry(topic.clone())
             .or_insert_with(|| Held::new(duty.clone(), token));
         if held.token > token && self.rules.on(Guard::Fence) {
-            return Err(Refused::Older {
-                duty: duty.clone(),
-                told: token,
-                known: held.token,
+            return Err(FenceError::Older {
+                lease: duty.clone(),
+                token,
+                newest: held.token,
             }
             .into());
         }
@@ -115,12 +115,12 @@
     }
 
     /// The duty ended here: its topics are another's.
-    pub fn ended(&mut self, duty: &Duty) {
+    pub fn ended(&mut self, duty: &LeaseName) {
         self.held.retain(|_, held| held.duty != *duty);
     }
 
     /// A newer token that a gateway knows of a duty that was told here; the topics of it are dropped.
-    pub fn refused(&mut self) -> Option<Refused> {
+    pub fn refused(&mut self) -> Option<FenceError> {
         self.refused.pop()
     }
 
@@ -162,10 +162,10 @@
                     if let Some(told) = self.held.values().find(|h| old(h)).map(|h| h.token)
                         && self.rules.on(Guard::Fence)
                     {
-                        self.refused.push(Refused::Older {
-                            duty: duty.clone(),
-                            told,
-                            known: token,
+                        self.refused.push(FenceError::Older {
+                            lease: duty.clone(),
+                            token: told,
+                            newest: token,
                         });
                         self.held.retain(|_, held| !old(held));
                     }
--- a/fanout/src/topic.rs
+++ b/fanout/src/topic.rs
@@ -1,6 +1,6 @@
 //! What subscribers ask for, and who they are.
 
-use plovercove_fencing::{BadName, Duty};
+use plovercove_fencing::{InvalidLeaseName, LeaseName};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::net::SocketAddr;
@@ -8,25 +8,25 @@
 
 /// A topic's name, alike at all routers: `positions/12`, `nodes/12`, `role/12`, `owners`.
 #[derive(Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Topic(Duty);
+pub struct Topic(LeaseName);
 
 impl Topic {
     /// The topic of this name.
     ///
     /// # Errors
     /// The name is empty, too long, or has characters that logs cannot hold.
-    pub fn new(name: &str) -> Result<Self, BadName> {
-        Duty::new(name).map(Topic)
+    pub fn new(name: &str) -> Result<Self, InvalidLeaseName> {
+        LeaseName::new(name).map(Topic)
     }
 
     /// Its name.
     pub fn name(&self) -> &str {
-        self.0.name()
+        self.0.as_str()
     }
 
     /// Whether the newest says all that earlier ones said: positions do, changes of state do not.
     pub fn collapses(&self) -> bool {
-        self.0.split().0 == "positions"
+        self.0.split_kind().0 == "positions"
     }
 }
 
--- a/fanout/src/track.rs
+++ b/fanout/src/track.rs
@@ -3,7 +3,7 @@
 use crate::wire::{Mark, Told};
 use crate::{Guard, Rules, Topic};
 use plovercove::{Micros, Time};
-use plovercove_fencing::{Duty, Token};
+use plovercove_fencing::{LeaseName, Token};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -14,7 +14,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) enum Comes {
     Item {
-        duty: Duty,
+        duty: LeaseName,
         token: Token,
         number: u64,
         made: Time,
@@ -22,7 +22,7 @@
     },
     /// Up to this number it was missed.
     Missed {
-        duty: Duty,
+        duty: LeaseName,
         token: Token,
         through: u64,
     },
@@ -34,7 +34,7 @@
     pub last: Option<(Token, u64)>,
     /// The last that came out before its receiver left the topic: nothing up to there comes out again.
     heard_before: Option<(Token, u64)>,
-    duty: Option<Duty>,
+    duty: Option<LeaseName>,
     ahead: BTreeMap<u64, (Time, Arc<[u8]>)>,
     /// The newest number that is known to exist.
     known: u64,
@@ -69,7 +69,7 @@
     }
 
     /// Begins with another token's numbers, or with the first.
-    fn turn_to(&mut self, rules: &Rules, topic: &Topic, duty: &Duty, token: Token, at: u64) {
+    fn turn_to(&mut self, rules: &Rules, topic: &Topic, duty: &LeaseName, token: Token, at: u64) {
         let at = match self.heard_before {
             Some((heard, number)) if heard == token => at.max(number),
             _ => at,
--- a/fanout/src/wire.rs
+++ b/fanout/src/wire.rs
@@ -1,7 +1,7 @@
 //! What goes between publishers, gateways and subscribers: several messages to a body of one datagram.
 
 use crate::{Subscriber, Topic};
-use plovercove_fencing::{Duty, Token};
+use plovercove_fencing::{LeaseName, Token};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
@@ -59,7 +59,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(crate) struct Told {
     pub topic: Topic,
-    pub duty: Duty,
+    pub duty: LeaseName,
     pub token: Token,
     pub number: u64,
     /// How old it was when it was sent (us).
@@ -71,7 +71,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(crate) struct Mark {
     pub topic: Topic,
-    pub duty: Duty,
+    pub duty: LeaseName,
     pub token: Token,
     pub number: u64,
 }
@@ -174,7 +174,7 @@
     Request(Entry),
     /// Another has this duty by a newer token.
     Refused {
-        duty: Duty,
+        duty: LeaseName,
         token: Token,
     },
 }
@@ -202,7 +202,7 @@
         rest = more;
     }
     let names =
-        |name: &Arc<str>| !name.is_empty() && name.len() <= plovercove_fencing::LONGEST_NAME;
+        |name: &Arc<str>| !name.is_empty() && name.len() <= plovercove_fencing::MAX_NAME_BYTES;
     let fits = messages.iter().all(|m| match m {
         Message::Renew { name, .. }
         | Message::Says { name, .. }
--- a/fanout/tests/common/mod.rs
+++ b/fanout/tests/common/mod.rs
@@ -3,7 +3,7 @@
 
 use plovercove::{Micros, Time};
 use plovercove_fanout::{Client, Gateway, News, Publisher, Rules, Subscriber, Topic};
-use plovercove_fencing::{Duty, Token};
+use plovercove_fencing::{LeaseName, Token};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::cmp::Reverse;
@@ -72,8 +72,8 @@
     Topic::new(name).expect("a name")
 }
 
-pub fn duty(name: &str) -> Duty {
-    Duty::new(name).expect("a name")
+pub fn duty(name: &str) -> LeaseName {
+    LeaseName::new(name).expect("a name")
 }
 
 pub fn calm() -> Weather {
--- a/fanout/tests/faults.rs
+++ b/fanout/tests/faults.rs
@@ -1,7 +1,7 @@
 //! Every fault is met by someone, and says what an operator can do.
 
 use plovercove_fanout::{Client, Fault, Gateway, ITEM, Publisher, Rules, Subscriber, Topic};
-use plovercove_fencing::{Duty, Token};
+use plovercove_fencing::{LeaseName, Token};
 use std::net::SocketAddr;
 
 fn address() -> SocketAddr {
@@ -25,7 +25,7 @@
         .expect_err("nobody says that");
     let (role, watch) = (
         Topic::new("role/1").expect("a name"),
-        Duty::new("role/1").expect("a name"),
+        LeaseName::new("role/1").expect("a name"),
     );
     gateway
         .publish(1, &role, &watch, Token(2), 1, b"x")
--- a/fencing/src/lib.rs
+++ b/fencing/src/lib.rs
@@ -1,232 +1,237 @@
-//! A duty is a chore of the fleet that has one owner at a time. Each grant of it carries a [`Token`] that only rises, and
-//! whoever is affected by what an owner does holds a [`Fence`] that refuses an older one: an owner that was stopped, and
-//! wakes up after another took over, does no harm.
+//! Names of leases, fencing tokens, and the fence that rejects a token older than one that it has already admitted.
 //!
-//! Duties, subscriber lists, histories and whatever else acts for the fleet share these types. No I/O, no clock.
+//! A lease is the exclusive right of one router to do a certain piece of work for all routers. Each grant of a lease
+//! carries a [`Token`] that only rises. A receiver of the holder's messages checks them with a [`Fence`], so that a holder
+//! that was stalled while another router took the lease over does no harm when it resumes.
+//!
+//! Leases, subscriber lists and recorded histories share these types. The crate does no I/O and reads no clock.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fmt;
 use std::sync::Arc;
 
-/// The longest name of a duty (bytes): it stands in datagrams of 1,200 bytes, several to each.
-pub const LONGEST_NAME: usize = 64;
+/// Maximum length of a lease's name, in bytes. A datagram of 1,200 bytes carries several names.
+pub const MAX_NAME_BYTES: usize = 64;
 
-/// A duty's name, alike at all routers: `positions/12`, `gateway/a`.
+/// Name of a lease, identical at all routers, such as `positions/12` or `gateway/a`.
 #[derive(Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
-pub struct Duty(Arc<str>);
+pub struct LeaseName(Arc<str>);
 
-impl Duty {
-    /// The duty of this name.
+impl LeaseName {
+    /// Checks a name and wraps it.
     ///
     /// # Errors
-    /// The name is empty, too long, or has characters that logs and keys of settings cannot hold.
-    pub fn new(name: &str) -> Result<Self, BadName> {
-        let fits = |b: u8| b.is_ascii_alphanumeric() || b"/-_.:".contains(&b);
-        if name.is_empty() || name.len() > LONGEST_NAME || !name.bytes().all(fits) {
-            return Err(BadName {
-                name: name.chars().take(LONGEST_NAME).collect(),
+    /// The name is empty, too long, or contains a character that logs and settings keys do not allow.
+    pub fn new(name: &str) -> Result<Self, InvalidLeaseName> {
+        let is_allowed = |b: u8| b.is_ascii_alphanumeric() || b"/-_.:".contains(&b);
+        if name.is_empty() || name.len() > MAX_NAME_BYTES || !name.bytes().all(is_allowed) {
+            return Err(InvalidLeaseName {
+                name: name.chars().take(MAX_NAME_BYTES).collect(),
             });
         }
-        Ok(Duty(name.into()))
+        Ok(LeaseName(name.into()))
     }
 
-    /// Its name.
-    pub fn name(&self) -> &str {
+    /// Returns the name as text.
+    pub fn as_str(&self) -> &str {
         &self.0
     }
 
-    /// What it is for, before the first slash, and of what.
-    pub fn split(&self) -> (&str, &str) {
+    /// Splits the name at the first slash into the kind of work and its subject; the subject is empty without a slash.
+    pub fn split_kind(&self) -> (&str, &str) {
         self.0.split_once('/').unwrap_or((&self.0, ""))
     }
 }
 
-impl TryFrom<String> for Duty {
-    type Error = BadName;
+impl TryFrom<String> for LeaseName {
+    type Error = InvalidLeaseName;
 
-    fn try_from(name: String) -> Result<Self, BadName> {
-        Duty::new(&name)
+    fn try_from(name: String) -> Result<Self, InvalidLeaseName> {
+        LeaseName::new(&name)
     }
 }
 
-impl From<Duty> for String {
-    fn from(duty: Duty) -> String {
-        duty.0.to_string()
+impl From<LeaseName> for String {
+    fn from(lease: LeaseName) -> String {
+        lease.0.to_string()
     }
 }
 
-impl fmt::Display for Duty {
-    fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
-        to.write_str(&self.0)
+impl fmt::Display for LeaseName {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str(&self.0)
     }
 }
 
-impl fmt::Debug for Duty {
-    fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
-        to.write_str(&self.0)
+impl fmt::Debug for LeaseName {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str(&self.0)
     }
 }
 
-/// A name that no duty can have.
+/// A text that cannot be a lease's name.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{name:?} is no duty's name: 1 to {LONGEST_NAME} letters, digits and / - _ . : are")]
-pub struct BadName {
-    /// Its beginning.
+#[error("{name:?} is no duty's name: 1 to {MAX_NAME_BYTES} letters, digits and / - _ . : are")]
+pub struct InvalidLeaseName {
+    /// The first characters of the text.
     pub name: String,
 }
 
-impl BadName {
-    /// What an operator can do.
+impl InvalidLeaseName {
+    /// Returns what an operator can do about the error.
     pub fn help(&self) -> &'static str {
         "rename the duty, group or zone in the operators' file; the name stands in every datagram about it"
     }
 }
 
-/// Numbers the grants of one duty. It only rises, whatever fails; 0 is before the first.
+/// Fencing token: the number of a grant of one lease. It only rises, whatever fails; 0 precedes the first grant.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub struct Token(pub u64);
 
 impl Token {
-    /// Before the first grant.
+    /// The token before the first grant. No grant carries it.
     pub const NONE: Token = Token(0);
 
-    /// The next one. It stops at the largest number, which no fleet reaches: a grant each microsecond for 500,000 years.
+    /// Returns the token of the next grant.
+    ///
+    /// It saturates at the largest number, which takes 500,000 years at a grant each microsecond.
     pub fn next(self) -> Token {
         Token(self.0.saturating_add(1))
     }
 }
 
 impl fmt::Display for Token {
-    fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(to, "#{}", self.0)
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(formatter, "#{}", self.0)
     }
 }
 
-/// What a fence says of a token that it lets pass.
+/// How an admitted token compares with the newest that the fence knew before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Passed {
-    /// It is the one that acted last.
-    Same,
-    /// It is newer: from now on older ones are refused.
+pub enum Admitted {
+    /// The token equals the newest one.
+    Current,
+    /// The token is newer; the fence rejects all older ones from now on.
     Newer,
 }
 
-/// Why a fence refuses.
+/// Why a fence rejects a token.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Refused {
-    /// Another has been granted the duty since.
-    #[error("{duty}: token {told} is older than {known}")]
+pub enum FenceError {
+    /// The lease has been granted to another holder since.
+    #[error("{lease}: token {token} is older than {newest}")]
     Older {
-        /// The duty.
-        duty: Duty,
-        /// The token that came.
-        told: Token,
-        /// The newest that was seen.
-        known: Token,
+        /// The lease.
+        lease: LeaseName,
+        /// The rejected token.
+        token: Token,
+        /// The newest token admitted so far.
+        newest: Token,
     },
-    /// It was never granted.
-    #[error("{duty}: no grant has token {told}")]
+    /// No grant carries this token.
+    #[error("{lease}: no grant has token {token}")]
     Never {
-        /// The duty.
-        duty: Duty,
-        /// The token that came.
-        told: Token,
+        /// The lease.
+        lease: LeaseName,
+        /// The rejected token.
+        token: Token,
     },
-    /// The fence holds as many duties as it may.
-    #[error("{duty}: the fence holds {most} duties and takes no other")]
+    /// The fence already remembers the maximum number of leases.
+    #[error("{lease}: the fence holds {max_leases} duties and takes no other")]
     Full {
-        /// The duty.
-        duty: Duty,
-        /// How many it holds at the most.
-        most: usize,
+        /// The lease that is not among them.
+        lease: LeaseName,
+        /// Maximum number of leases that the fence remembers.
+        max_leases: usize,
     },
 }
 
-impl Refused {
-    /// What an operator can do.
+impl FenceError {
+    /// Returns what an operator can do about the error.
     pub fn help(&self) -> &'static str {
         match self {
-            Refused::Older { .. } => {
+            FenceError::Older { .. } => {
                 "nothing: an owner that stood still or was cut off has been replaced; look at that machine if it happens often"
             }
-            Refused::Never { .. } => {
+            FenceError::Never { .. } => {
                 "look for a router of another version or installation with this key; send in both routers' logs"
             }
-            Refused::Full { .. } => {
+            FenceError::Full { .. } => {
                 "lower the number of duties in the operators' file, or look for a router that makes names up"
             }
         }
     }
 }
 
-/// What is affected by owners: it lets the newest token of each duty pass, and refuses older ones for ever.
+/// Admits messages of lease holders: it remembers the newest token of each lease and rejects older ones for good.
 ///
-/// Against: an owner that was stopped between looking at its clock and sending, an answer of an old owner that is long
-/// under way, two owners where a clock went wrong. It forgets nothing, since what it forgot could come back.
+/// It rejects a holder that stalled between its check of the clock and its send, a former holder's message that the
+/// network delayed, and the older of two holders if a clock ran wrong. It never forgets a token: a message under a
+/// forgotten token could still arrive and would pass.
 #[derive(Clone, Debug)]
 pub struct Fence {
-    newest: BTreeMap<Duty, Token>,
-    most: usize,
+    newest: BTreeMap<LeaseName, Token>,
+    max_leases: usize,
 }
 
 impl Fence {
-    /// A fence that has seen nothing and holds so many duties at the most.
-    pub fn new(most: usize) -> Self {
+    /// Creates an empty fence that remembers at most `max_leases` leases.
+    pub fn new(max_leases: usize) -> Self {
         Fence {
             newest: BTreeMap::new(),
-            most,
+            max_leases,
         }
     }
 
-    /// Whether this may act now, and remembers it.
+    /// Checks a token of a lease, and remembers it if it is the newest.
     ///
     /// # Errors
-    /// It is refused; nothing was remembered.
-    pub fn admit(&mut self, duty: &Duty, token: Token) -> Result<Passed, Refused> {
+    /// The token is rejected, and the fence remains as it was.
+    pub fn admit(&mut self, lease: &LeaseName, token: Token) -> Result<Admitted, FenceError> {
         if token == Token::NONE {
-            return Err(Refused::Never {
-                duty: duty.clone(),
-                told: token,
+            return Err(FenceError::Never {
+                lease: lease.clone(),
+                token,
             });
         }
-        if let Some(known) = self.newest.get_mut(duty) {
-            if token < *known {
-                return Err(Refused::Older {
-                    duty: duty.clone(),
-                    told: token,
-                    known: *known,
+        if let Some(newest) = self.newest.get_mut(lease) {
+            if token < *newest {
+                return Err(FenceError::Older {
+                    lease: lease.clone(),
+                    token,
+                    newest: *newest,
                 });
             }
-            let passed = if token == *known {
-                Passed::Same
+            let admitted = if token == *newest {
+                Admitted::Current
             } else {
-                Passed::Newer
+                Admitted::Newer
             };
-            *known = token;
-            return Ok(passed);
+            *newest = token;
+            return Ok(admitted);
         }
-        if self.newest.len() >= self.most {
-            return Err(Refused::Full {
-                duty: duty.clone(),
-                most: self.most,
+        if self.newest.len() >= self.max_leases {
+            return Err(FenceError::Full {
+                lease: lease.clone(),
+                max_leases: self.max_leases,
             });
         }
-        self.newest.insert(duty.clone(), token);
-        Ok(Passed::Newer)
+        self.newest.insert(lease.clone(), token);
+        Ok(Admitted::Newer)
     }
 
-    /// The newest token of a duty that was let pass.
-    pub fn newest(&self, duty: &Duty) -> Token {
-        self.newest.get(duty).copied().unwrap_or_default()
+    /// Returns the newest admitted token of a lease, or [`Token::NONE`] if none was admitted.
+    pub fn newest(&self, lease: &LeaseName) -> Token {
+        self.newest.get(lease).copied().unwrap_or_default()
     }
 
-    /// All of them.
-    pub fn all(&self) -> impl Iterator<Item = (&Duty, Token)> {
-        self.newest.iter().map(|(duty, token)| (duty, *token))
+    /// Returns the newest admitted token of each lease.
+    pub fn tokens(&self) -> impl Iterator<Item = (&LeaseName, Token)> {
+        self.newest.iter().map(|(lease, token)| (lease, *token))
     }
 }
 
--- a/history/src/event.rs
+++ b/history/src/event.rs
@@ -1,6 +1,6 @@
 //! What is recorded, by whom. `docs/history.md` has the same as a table.
 
-use plovercove_fencing::{Duty, Token};
+use plovercove_fencing::{LeaseName, Token};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -162,7 +162,7 @@
 #[serde(deny_unknown_fields)]
 pub struct Acted {
     /// The duty.
-    pub duty: Duty,
+    pub duty: LeaseName,
     /// The token that it carried; 0 where the affected is told none (a probe at a db node) and the rig knows none.
     pub token: Token,
     /// The process that acted, by name and life: `n4/1` is the second life of n4.
@@ -182,7 +182,7 @@
 #[serde(deny_unknown_fields)]
 pub struct Refused {
     /// The duty.
-    pub duty: Duty,
+    pub duty: LeaseName,
     /// The token that it carried.
     pub token: Token,
     /// The process that wanted to act.
--- a/history/src/owners.rs
+++ b/history/src/owners.rs
@@ -9,13 +9,13 @@
 
 use crate::judge::{Docket, Trial};
 use crate::{Acted, Event, Refused, Seen};
-use plovercove_fencing::{Duty, Token};
+use plovercove_fencing::{LeaseName, Token};
 use std::collections::{BTreeMap, HashMap, HashSet};
 
 type Effect<'a> = (Seen<'a>, &'a Acted);
 
 pub(crate) fn check(trial: &Trial<'_>, docket: &mut Docket) {
-    let mut duties: BTreeMap<&Duty, Vec<Effect<'_>>> = BTreeMap::new();
+    let mut duties: BTreeMap<&LeaseName, Vec<Effect<'_>>> = BTreeMap::new();
     let mut refused: Vec<(Seen<'_>, &Refused)> = Vec::new();
     for seen in trial.history.seen().filter(|s| !s.line.claim) {
         match &seen.line.what {
@@ -38,18 +38,18 @@
                 "{} refused {} of {}, and knew {}",
                 r.place, r.token, r.owner, r.known
             );
-            docket.add("refused", r.duty.name(), what, &[seen]);
+            docket.add("refused", r.duty.as_str(), what, &[seen]);
         }
     }
 }
 
 /// A token is granted to one owner, and the first is 1.
-fn one_each(docket: &mut Docket, duty: &Duty, effects: &[Effect<'_>]) {
+fn one_each(docket: &mut Docket, duty: &LeaseName, effects: &[Effect<'_>]) {
     let mut owners: HashMap<Token, Effect<'_>> = HashMap::new();
     for (seen, e) in effects {
         if e.fenced && e.token == Token::NONE {
             let what = format!("{} let {} act without a token", e.place, e.owner);
-            docket.add("token-none", duty.name(), what, &[*seen]);
+            docket.add("token-none", duty.as_str(), what, &[*seen]);
         }
         if e.token == Token::NONE {
             continue;
@@ -57,14 +57,14 @@
         let (first, known) = owners.entry(e.token).or_insert((*seen, e));
         if known.owner != e.owner {
             let what = format!("{} is of {} and of {}", e.token, known.owner, e.owner);
-            docket.add("token-twice", duty.name(), what, &[*first, *seen]);
+            docket.add("token-twice", duty.as_str(), what, &[*first, *seen]);
         }
     }
 }
 
 /// What each affected that looks at tokens lets pass is linearizable: nothing begins under an older token once something
 /// under a newer one has ended there.
-fn rises(docket: &mut Docket, duty: &Duty, effects: &[Effect<'_>]) {
+fn rises(docket: &mut Docket, duty: &LeaseName, effects: &[Effect<'_>]) {
     let mut places: BTreeMap<&str, Vec<Effect<'_>>> = BTreeMap::new();
     for effect in effects.iter().filter(|(_, e)| e.fenced) {
         places.entry(&effect.1.place).or_default().push(*effect);
@@ -86,7 +86,7 @@
                     "{place} let {} of {} pass after {} of {}",
                     e.token, e.owner, newer.token, newer.owner
                 );
-                docket.add("token-fell", duty.name(), what, &[before, seen]);
+                docket.add("token-fell", duty.as_str(), what, &[before, seen]);
             }
         }
     }
@@ -94,7 +94,7 @@
 
 /// At any moment one owner acts at most, whoever is affected, save by the bound: under a token nothing ends later than the
 /// bound after another owner's first effect under a newer one.
-fn overlap(trial: &Trial<'_>, docket: &mut Docket, duty: &Duty, effects: &[Effect<'_>]) {
+fn overlap(trial: &Trial<'_>, docket: &mut Docket, duty: &LeaseName, effects: &[Effect<'_>]) {
     let bound = trial.bounds.overlap;
     let mut known: HashSet<Token> = HashSet::new();
     // First effects of each token in the order of time, each with the newest of all up to it.
@@ -132,7 +132,7 @@
             let what = format!("{what} {} of {} began", newer.token, newer.owner);
             docket.add(
                 "two-owners",
-                duty.name(),
+                duty.as_str(),
                 format!("{what}; {bound} us are allowed"),
                 &[first, *seen],
             );
@@ -148,7 +148,7 @@
                 let what = format!("{} and {} act at once for {both} us", o.owner, e.owner);
                 docket.add(
                     "two-owners",
-                    duty.name(),
+                    duty.as_str(),
                     format!("{what}; {bound} are allowed"),
                     &[*other, *seen],
                 );
--- a/history/tests/cost.rs
+++ b/history/tests/cost.rs
@@ -1,7 +1,7 @@
 //! A long history: one bad effect among 100,000 is found, with the two lines that show it. What it took is printed:
 //! `cargo test -p plovercove-history --release --test cost -- --nocapture`.
 
-use plovercove_fencing::{Duty, Token};
+use plovercove_fencing::{LeaseName, Token};
 use plovercove_history::{
     Acted, Answered, Asked, Bounds, Event, Fate, File, Head, History, Kind, Line, Ran, judge,
 };
@@ -38,8 +38,8 @@
 
 #[test]
 fn one_bad_effect_among_a_hundred_thousand_is_found() {
-    let duties: Vec<Duty> = (0..DUTIES)
-        .map(|n| Duty::new(&format!("positions/{n}")).expect("a name"))
+    let duties: Vec<LeaseName> = (0..DUTIES)
+        .map(|n| LeaseName::new(&format!("positions/{n}")).expect("a name"))
         .collect();
     let mut lines = vec![line(0, Event::Bounds(Bounds::default()))];
     for n in 0..EVENTS {
--- a/leases/src/ballot.rs
+++ b/leases/src/ballot.rs
@@ -1,5 +1,5 @@
-//! The two halves of the agreement, each so small that a model checker can try all of it: what one decider knows of one
-//! duty, and what an owner counts of the votes for it.
+//! The two parts of the agreement: a voter's [`Ballot`] for one lease, and a candidate's [`Tally`] of the votes for it.
+//! Both are small enough for a model checker to explore exhaustively.
 
 use crate::rules::{Guard, Rules};
 use plovercove::{Micros, Time};
@@ -7,39 +7,39 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Who holds a duty: one life of one router.
+/// The holder of a lease: one incarnation of one router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Holder {
-    /// Where it is reached.
+    /// The address at which it is reached.
     pub address: SocketAddr,
-    /// Its life: a restart has a higher one.
-    pub boot: u64,
+    /// Its incarnation, which rises with each restart.
+    pub incarnation: u64,
 }
 
-/// What a decider says to a candidate.
+/// A voter's answer to a request for a token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Said {
-    /// It votes, or the lease is renewed.
-    Voted,
-    /// It has voted for this token or a newer one; nobody's lease runs.
-    Older,
-    /// Another's lease runs.
-    Held,
+pub enum VoteOutcome {
+    /// The voter votes for the token, or renews the lease.
+    Granted,
+    /// No lease is running, but the voter has already voted for this token or a newer one.
+    StaleToken,
+    /// The lease of another holder is running.
+    HeldByOther,
 }
 
-/// What one decider knows of one duty.
+/// What a voter knows of one lease.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Ballot {
-    /// The highest token that it may have voted for.
+    /// The highest token that the voter may have voted for.
     pub highest: Token,
-    /// Whose it is.
+    /// The holder of the lease.
     pub holder: Option<Holder>,
-    /// The lease runs until then, on the decider's clock (us).
+    /// End of the lease on the voter's clock (us).
     pub until: Time,
 }
 
 impl Ballot {
-    /// Nobody has it; tokens up to this may have been voted for.
+    /// Creates the ballot of a lease without a holder. The voter may have voted for tokens up to `highest`.
     pub fn new(highest: Token) -> Self {
         Ballot {
             highest,
@@ -48,118 +48,123 @@
         }
     }
 
-    /// Whether somebody's lease runs.
-    pub fn runs(&self, now: Time) -> bool {
+    /// Returns whether the lease has a holder and has not ended.
+    pub fn is_running(&self, now: Time) -> bool {
         self.holder.is_some() && now < self.until
     }
 
-    /// Whether this life holds it.
-    fn is(&self, rules: &Rules, who: &Holder) -> bool {
-        // Against: a process that is started anew while the old one is merely stopped takes the old one's lease for its own,
-        // and the old one wakes up.
-        self.holder
-            .is_some_and(|h| h == *who || (!rules.on(Guard::Life) && h.address == who.address))
+    /// Returns whether this incarnation is the holder.
+    fn is_held_by(&self, rules: &Rules, candidate: &Holder) -> bool {
+        // A restarted router may run beside its previous process, which is merely stopped. If it renewed the lease of that
+        // process, both would act when the stopped one resumes. Hence the incarnation must match, not only the address.
+        self.holder.is_some_and(|h| {
+            h == *candidate
+                || (!rules.is_enabled(Guard::Incarnation) && h.address == candidate.address)
+        })
     }
 
-    /// A life asks for a token, for so long on the decider's clock (us).
-    pub fn ask(
+    /// Votes on a candidate's request for a token, for a lease of `duration` on the voter's clock (us).
+    pub fn request_vote(
         &mut self,
         rules: &Rules,
         now: Time,
-        who: &Holder,
+        candidate: &Holder,
         token: Token,
-        hold: Micros,
-    ) -> Said {
-        let own = self.is(rules, who);
-        if token == self.highest && own && self.runs(now) {
-            self.holder = Some(*who);
-            self.until = self.until.max(now.saturating_add(hold));
-            return Said::Voted;
+        duration: Micros,
+    ) -> VoteOutcome {
+        let is_own = self.is_held_by(rules, candidate);
+        if token == self.highest && is_own && self.is_running(now) {
+            self.holder = Some(*candidate);
+            self.until = self.until.max(now.saturating_add(duration));
+            return VoteOutcome::Granted;
         }
-        // Against: a second owner while the first acts.
-        if self.runs(now) && !own && rules.on(Guard::Held) {
-            return Said::Held;
+        // Without this check there would be a second holder while the first still acts.
+        if self.is_running(now) && !is_own && rules.is_enabled(Guard::RunningLease) {
+            return VoteOutcome::HeldByOther;
         }
-        // Against: two owners with one token, which no fence could tell apart; asks that come twice or late.
-        let newer = if rules.on(Guard::Once) {
+        // A token is granted once. Otherwise a duplicate or delayed request could give two holders the same token, which
+        // no fence can tell apart.
+        let is_newer = if rules.is_enabled(Guard::VoteOnce) {
             token > self.highest
         } else {
             token >= self.highest
         };
-        if !newer || token == Token::NONE {
-            return Said::Older;
+        if !is_newer || token == Token::NONE {
+            return VoteOutcome::StaleToken;
         }
-        (self.highest, self.holder, self.until) = (token, Some(*who), now.saturating_add(hold));
-        Said::Voted
+        (self.highest, self.holder, self.until) =
+            (token, Some(*candidate), now.saturating_add(duration));
+        VoteOutcome::Granted
     }
 
-    /// A life gives a token back that it will not use again. Whether that changed anything.
-    pub fn release(&mut self, who: &Holder, token: Token) -> bool {
-        let held = token == self.highest && self.holder == Some(*who);
-        if held {
+    /// Releases a token that its holder will not use again. Returns whether that ended the lease.
+    pub fn release(&mut self, holder: &Holder, token: Token) -> bool {
+        let is_held = token == self.highest && self.holder == Some(*holder);
+        if is_held {
             self.holder = None;
         }
-        held
+        is_held
     }
 
-    /// A holder hands its duty to another, who gets the next token. Whether that is so now.
-    pub fn pass(
+    /// Transfers the lease from its holder to a successor, under the next token. Returns whether the successor holds it now.
+    pub fn transfer(
         &mut self,
         now: Time,
         from: &Holder,
         token: Token,
         to: &Holder,
-        hold: Micros,
+        duration: Micros,
     ) -> bool {
         if token == self.highest && self.holder == Some(*from) {
             (self.highest, self.holder) = (token.next(), Some(*to));
-            self.until = now.saturating_add(hold);
+            self.until = now.saturating_add(duration);
             return true;
         }
-        // It came twice.
+        // A duplicate of an earlier transfer changes nothing.
         token.next() == self.highest && self.holder == Some(*to)
     }
 }
 
-/// An owner's count of the votes for one token.
+/// A candidate's count of the votes for one token.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Tally {
-    /// For each decider, when the latest ask was sent that it said yes to (us); none where it has not.
-    asked: Vec<Option<Time>>,
+    /// For each voter, when the latest request that it granted was sent (us); `None` if it has granted none.
+    granted: Vec<Option<Time>>,
 }
 
 impl Tally {
-    /// No votes of so many deciders.
-    pub fn new(deciders: usize) -> Self {
+    /// Creates a tally without votes, for this number of voters.
+    pub fn new(voters: usize) -> Self {
         Tally {
-            asked: vec![None; deciders],
+            granted: vec![None; voters],
         }
     }
 
-    /// A decider said yes to the ask that was sent then.
-    pub fn voted(&mut self, decider: usize, asked: Time) {
-        if let Some(latest) = self.asked.get_mut(decider) {
-            *latest = (*latest).max(Some(asked));
+    /// Records that a voter granted the request that was sent at `requested_at`.
+    pub fn record_vote(&mut self, voter: usize, requested_at: Time) {
+        if let Some(latest) = self.granted.get_mut(voter) {
+            *latest = (*latest).max(Some(requested_at));
         }
     }
 
-    /// How many have voted.
-    pub fn votes(&self) -> usize {
-        self.asked.iter().flatten().count()
+    /// Returns the number of voters that have voted for the token.
+    pub fn count_votes(&self) -> usize {
+        self.granted.iter().flatten().count()
     }
 
-    /// Whether this decider said yes to an ask as new as this.
-    pub fn has(&self, decider: usize, since: Time) -> bool {
-        self.asked
-            .get(decider)
-            .is_some_and(|at| at.is_some_and(|at| at >= since))
+    /// Returns whether a voter granted a request that was sent at `since` or later.
+    pub fn has_vote_since(&self, voter: usize, since: Time) -> bool {
+        self.granted
+            .get(voter)
+            .is_some_and(|sent| sent.is_some_and(|sent| sent >= since))
     }
 
-    /// From when the lease counts: a majority has said yes to asks sent then or later. An old answer that comes late, or
-    /// twice, changes nothing.
-    pub fn since(&self, quorum: usize) -> Option<Time> {
-        let mut asked: Vec<Time> = self.asked.iter().flatten().copied().collect();
-        asked.sort_unstable_by(|a, b| b.cmp(a));
-        asked.get(quorum.checked_sub(1)?).copied()
+    /// Returns the start of the lease: the latest time for which a quorum has granted requests sent then or later.
+    ///
+    /// An old vote that arrives late or twice does not change it.
+    pub fn lease_start(&self, quorum: usize) -> Option<Time> {
+        let mut sent: Vec<Time> = self.granted.iter().flatten().copied().collect();
+        sent.sort_unstable_by(|a, b| b.cmp(a));
+        sent.get(quorum.checked_sub(1)?).copied()
     }
 }
--- a/leases/src/lib.rs
+++ b/leases/src/lib.rs
@@ -1,30 +1,33 @@
-//! One owner at a time for each of the fleet's chores. Three or five routers, the *deciders*, vote; a majority makes an
-//! owner, for the time of a lease and with a [`plovercove_fencing::Token`] that only rises. Who should ask is found alike at
-//! all routers ([`Placement`]).
+//! Leases: one holder at a time for each piece of work that a single router does for all routers.
 //!
-//! No I/O, no clock: [`Duties`] is handed messages and the time, and gives messages, news and what must be on disk out.
+//! Three or five routers, the *voters*, grant leases. A majority of votes makes a router the holder of a lease for a
+//! limited time, under a [`plovercove_fencing::Token`] that only rises. All routers compute from the same members which
+//! router should hold which lease ([`Placement`]), so that they rarely compete for one.
+//!
+//! The crate does no I/O and reads no clock: [`LeaseManager`] receives messages and the time, and returns messages,
+//! [`LeaseEvent`]s and the state that must be written to disk.
 
 mod ballot;
-mod candidate;
-mod decider;
-mod duties;
-mod kept;
-mod meter;
-mod news;
-mod place;
+mod event;
+mod local_lease;
+mod manager;
+mod persisted;
+mod placement;
+mod rate_limiter;
 mod rules;
+mod voter;
 mod wire;
 
-pub use ballot::{Ballot, Holder, Said, Tally};
-pub use candidate::Begin;
-pub use duties::{Counts, Duties};
-pub use kept::{Kept, KeptFault};
-pub use news::{News, Why};
-pub use place::{Member, Placement, Wanted};
-pub use rules::{Decider, Deciders, Guard, Rules, RulesFault};
-pub use wire::Stage;
+pub use ballot::{Ballot, Holder, Tally, VoteOutcome};
+pub use event::{LeaseEvent, LossReason};
+pub use local_lease::ResumePoint;
+pub use manager::{Counts, LeaseManager};
+pub use persisted::{PersistedState, PersistedStateFault};
+pub use placement::{Member, Placement, WantedLease};
+pub use rules::{Guard, Rules, RulesFault, VoterConfig, VoterSet};
+pub use wire::VoterStage;
 
-/// Milliseconds as the module's spans.
+/// Converts milliseconds to the unit of [`plovercove::Micros`].
 fn ms(ms: u64) -> plovercove::Micros {
     ms.saturating_mul(1_000)
 }
--- a/leases/src/rules.rs
+++ b/leases/src/rules.rs
@@ -1,64 +1,72 @@
-//! What operators set of duties.
+//! Settings of leases, and their checks.
 
 use crate::ms;
 use plovercove::Micros;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// A guard that tests can switch off, to see that the check against it catches that.
+/// A safeguard of the protocol that tests can disable, to prove that their checks detect its absence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Guard {
-    /// The owner looks at the clock last before an effect.
+    /// A lease holder checks the clock immediately before each action.
     Clock,
-    /// Who stood still owns nothing until it has asked again.
-    Stood,
-    /// Leases end earlier at the owner than at the deciders, by what clocks may drift.
+    /// A process that stalled holds no lease until the voters have granted it again.
+    #[serde(rename = "stood")]
+    Stalled,
+    /// A lease ends earlier at its holder than at the voters, by the maximum drift of their clocks.
     Drift,
-    /// A lease counts from when it was asked for, not from when the votes came.
-    Asked,
-    /// A decider votes once for a token.
-    Once,
-    /// A decider votes for nobody else while a lease that it granted runs.
-    Held,
-    /// A decider waits for the longest lease after its start.
-    Wait,
-    /// What a decider may have voted for is on disk before the vote leaves.
+    /// A lease counts from the time at which its request was sent, not from the arrival of the votes.
+    #[serde(rename = "asked")]
+    CountFromRequest,
+    /// A voter votes at most once for a token.
+    #[serde(rename = "once")]
+    VoteOnce,
+    /// A voter votes for no other router while a lease that it granted is running.
+    #[serde(rename = "held")]
+    RunningLease,
+    /// After its start a voter waits for the end of the longest lease that it may have granted.
+    #[serde(rename = "wait")]
+    WaitAfterStart,
+    /// The ceiling of the tokens that a voter may have voted for is on disk before the vote leaves.
     Ceiling,
-    /// A decider whose file is lost reads the others before it votes.
+    /// A voter whose file is lost reads the states of the other voters before it votes.
     CatchUp,
-    /// A majority makes an owner, no fewer.
+    /// A lease needs the votes of a majority.
     Majority,
-    /// A lease is renewed by the life that holds it alone.
-    Life,
-    /// A new set of deciders votes only when a majority of the old has sealed itself.
+    /// Only the incarnation that holds a lease may renew it.
+    #[serde(rename = "life")]
+    Incarnation,
+    /// A new set of voters votes only after a majority of the previous set has sealed itself.
     Seal,
-    /// Who hands over acts no more from when it tells the deciders.
-    Pass,
-    /// A duty whose owners are lost one after the other is set aside.
-    Aside,
+    /// A router that hands a lease over stops acting before it sends the transfer to the voters.
+    #[serde(rename = "pass")]
+    Transfer,
+    /// A lease is suspended after several of its holders in a row were lost.
+    #[serde(rename = "aside")]
+    Suspend,
 }
 
 impl Guard {
-    /// All of them.
+    /// All guards.
     pub const ALL: [Guard; 14] = [
         Guard::Clock,
-        Guard::Stood,
+        Guard::Stalled,
         Guard::Drift,
-        Guard::Asked,
-        Guard::Once,
-        Guard::Held,
-        Guard::Wait,
+        Guard::CountFromRequest,
+        Guard::VoteOnce,
+        Guard::RunningLease,
+        Guard::WaitAfterStart,
         Guard::Ceiling,
         Guard::CatchUp,
         Guard::Majority,
-        Guard::Life,
+        Guard::Incarnation,
         Guard::Seal,
-        Guard::Pass,
-        Guard::Aside,
+        Guard::Transfer,
+        Guard::Suspend,
     ];
 
-    /// The guard of this name, as scripts write it.
+    /// Returns the guard with this name, as the environment variable of the tests has it.
     pub fn named(name: &str) -> Option<Guard> {
         use serde::de::IntoDeserializer;
         let name: serde::de::value::StrDeserializer<'_, serde::de::value::Error> =
@@ -67,140 +75,145 @@
     }
 }
 
-/// A router that votes.
+/// A router that votes on leases.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct Decider {
-    /// Its name among peers; the file on its disk is bound to it.
+#[serde(rename = "Decider", deny_unknown_fields)]
+pub struct VoterConfig {
+    /// Its name among the members. Its file on disk is bound to this name.
     pub name: String,
-    /// Where its peers reach it.
+    /// The address at which the other routers reach it.
     pub address: SocketAddr,
 }
 
-/// Who votes.
+/// The set of routers that vote on leases.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(default, deny_unknown_fields)]
-pub struct Deciders {
-    /// Counts the sets that there have been; the first is 1. Each change of `members` raises it by one.
+#[serde(rename = "Deciders", default, deny_unknown_fields)]
+pub struct VoterSet {
+    /// Number of this set, beginning with 1. Each change of `members` raises it by one.
     pub generation: u32,
     /// Three or five routers.
-    pub members: Vec<Decider>,
-    /// The members of the generation before; empty for the first.
-    pub before: Vec<Decider>,
+    pub members: Vec<VoterConfig>,
+    /// The members of the previous generation; empty for the first generation.
+    #[serde(rename = "before")]
+    pub previous: Vec<VoterConfig>,
 }
 
-impl Deciders {
-    /// How many make a majority.
+impl VoterSet {
+    /// Returns the size of a majority of the members.
     pub fn majority(&self) -> usize {
         majority(self.members.len())
     }
 
-    /// Which of them is at this address.
-    pub(crate) fn at(&self, address: &SocketAddr) -> Option<usize> {
+    /// Returns the position of the member with this address.
+    pub(crate) fn position_of(&self, address: &SocketAddr) -> Option<usize> {
         self.members.iter().position(|d| d.address == *address)
     }
 }
 
-/// How many of so many are more than half.
-pub(crate) fn majority(of: usize) -> usize {
-    of / 2 + 1
+/// Returns the smallest number that is more than half of `count`.
+pub(crate) fn majority(count: usize) -> usize {
+    count / 2 + 1
 }
 
-/// The settings of duties.
+/// Settings of leases.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Rules {
-    /// Files of other installations are refused. From the block of peers.
+    /// Name of the installation, from the settings of gossip. A voter's file of another installation is rejected.
     #[serde(skip)]
     pub installation: String,
-    /// Who votes.
-    pub deciders: Deciders,
-    /// An owner owns for so long after it last asked a majority (ms).
+    /// The routers that vote.
+    #[serde(rename = "deciders")]
+    pub voters: VoterSet,
+    /// Length of a lease, from the time at which its holder last sent a request that a majority granted (ms).
     pub lease_ms: u64,
-    /// A router's clock runs faster or slower than true time by no more than this share.
+    /// Maximum share by which a router's clock runs faster or slower than true time.
     pub drift: f64,
-    /// An ask that was not answered is sent again after so long (ms), and who is ranked one lower asks so much later.
-    pub ask_ms: u64,
-    /// A duty whose owners are lost one after the other is set aside for so long (ms), twice as long each time.
-    pub aside_ms: u64,
-    /// Datagrams a second that duties send at the most, of those that peers may send.
+    /// Time after which an unanswered request is sent again (ms). A candidate delays its request by this time for each
+    /// rank below the first.
+    #[serde(rename = "ask_ms")]
+    pub retry_ms: u64,
+    /// Time for which a lease is suspended after several of its holders in a row were lost (ms). It doubles each time.
+    #[serde(rename = "aside_ms")]
+    pub suspend_ms: u64,
+    /// Maximum number of datagrams a second that leases send, out of the budget of gossip.
     pub datagrams_per_s: u32,
-    /// Tests only: the guard that is off.
+    /// The guard that a test has disabled.
     #[cfg(feature = "mutations")]
     #[serde(skip)]
-    pub without: Option<Guard>,
+    pub disabled_guard: Option<Guard>,
 }
 
 impl Default for Rules {
     fn default() -> Self {
         Rules {
             installation: String::new(),
-            deciders: Deciders::default(),
+            voters: VoterSet::default(),
             lease_ms: 30_000,
             drift: 0.01,
-            ask_ms: 500,
-            aside_ms: 60_000,
+            retry_ms: 500,
+            suspend_ms: 60_000,
             datagrams_per_s: 40,
             #[cfg(feature = "mutations")]
-            without: None,
+            disabled_guard: None,
         }
     }
 }
 
-/// A setting of duties that cannot be meant.
+/// An invalid setting of leases.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum RulesFault {
-    /// A number is out of its range.
+    /// A number is outside of its range.
     #[error("{key}: expected {least} to {most}, got {got}")]
     Range {
-        /// The key.
+        /// The settings key.
         key: &'static str,
-        /// The least it may be.
+        /// The smallest allowed value.
         least: f64,
-        /// The most.
+        /// The largest allowed value.
         most: f64,
-        /// What it is.
+        /// The configured value.
         got: f64,
     },
-    /// Deciders would have to answer more often than their datagrams allow.
+    /// Voters would have to send more answers than their budget of datagrams allows.
     #[error("lease_ms: {got} is too short for {routers} routers: expected {least} or more")]
     LeaseTooShort {
-        /// What it is (ms).
+        /// The configured value (ms).
         got: u64,
-        /// The shortest allowed (ms).
+        /// The shortest allowed lease (ms).
         least: u64,
-        /// How many routers there are.
+        /// Number of routers of the installation.
         routers: u32,
     },
-    /// Not three or five.
+    /// The set has neither three nor five voters.
     #[error("{key}: expected 3 or 5 routers, got {got}")]
     Count {
-        /// The key.
+        /// The settings key.
         key: &'static str,
-        /// How many there are.
+        /// The configured number of voters.
         got: usize,
     },
-    /// One is listed twice.
+    /// A voter is listed twice.
     #[error("{key}: {who} is listed twice")]
     Twice {
-        /// The key.
+        /// The settings key.
         key: &'static str,
-        /// The name or the address.
+        /// The repeated name or address.
         who: String,
     },
-    /// A name that files and datagrams cannot hold.
+    /// The name of a voter does not fit into files and datagrams.
     #[error("{key}: expected a name of 1 to 48 bytes")]
     Name {
-        /// The key.
+        /// The settings key.
         key: &'static str,
     },
-    /// The first generation has no set before it; each other has.
+    /// `before` is set for generation 1, or it is empty for a later generation.
     #[error("deciders.before: expected none for generation 1 and the former set for a later one")]
     Before,
 }
 
 impl RulesFault {
-    /// What an operator can do.
+    /// Returns what an operator can do about the fault.
     pub fn help(&self) -> &'static str {
         match self {
             RulesFault::Range { .. } => {
@@ -221,31 +234,33 @@
     }
 }
 
-/// Renewals in each lease: two may be lost.
-const RENEWALS: u64 = 3;
-/// Asks beside renewals that deciders must be able to answer: claims, and asks that are sent again (share of renewals).
-const BESIDE: f64 = 0.25;
-/// No lease is shorter: a round trip, a slow disk and a starved loop fit in (ms).
-const SHORTEST: u64 = 1_000;
-/// No lease is longer, also none that another router asks for: a decider that starts waits for it (ms).
-pub(crate) const LONGEST: u64 = 600_000;
+/// Number of renewals within a lease. Two of them may be lost.
+const RENEWALS_PER_LEASE: u64 = 3;
+/// Share of requests beside renewals that the voters must be able to answer: claims and retries.
+const EXTRA_REQUEST_SHARE: f64 = 0.25;
+/// Length of the shortest lease (ms). A round trip, a slow disk and a starved event loop fit into it.
+const MIN_LEASE_MS: u64 = 1_000;
+/// Length of the longest lease, also of one that another router requests (ms). A voter that starts waits for its end.
+pub(crate) const MAX_LEASE_MS: u64 = 600_000;
+/// Maximum length of a voter's name, in bytes.
+const MAX_VOTER_NAME_BYTES: usize = 48;
 
 impl Rules {
-    /// Whether a guard is on. It is, but in tests that take it away.
+    /// Returns whether a guard is enabled; only a test can disable one.
     #[cfg(feature = "mutations")]
-    pub(crate) fn on(&self, guard: Guard) -> bool {
-        self.without != Some(guard)
+    pub(crate) fn is_enabled(&self, guard: Guard) -> bool {
+        self.disabled_guard != Some(guard)
     }
 
-    /// Whether a guard is on. It is, but in tests that take it away.
+    /// Returns whether a guard is enabled; only a test can disable one.
     #[cfg(not(feature = "mutations"))]
-    pub(crate) fn on(&self, _: Guard) -> bool {
+    pub(crate) fn is_enabled(&self, _: Guard) -> bool {
         true
     }
 
-    /// The lease at its owner, on the owner's clock, from when it asked (us).
-    pub fn lease_at_owner(&self) -> Micros {
-        let drift = if self.on(Guard::Drift) {
+    /// Returns the length of a lease at its holder, by the holder's clock and from the time of its request (us).
+    pub fn lease_at_holder(&self) -> Micros {
+        let drift = if self.is_enabled(Guard::Drift) {
             self.drift
         } else {
             0.0
@@ -253,9 +268,9 @@
         (ms(self.lease_ms) as f64 * (1.0 - drift)) as Micros
     }
 
-    /// A lease of so many ms at a decider, on the decider's clock, from its vote (us).
-    pub fn lease_at_decider(&self, lease_ms: u64) -> Micros {
-        let drift = if self.on(Guard::Drift) {
+    /// Returns the length of a lease of `lease_ms` at a voter, by the voter's clock and from the time of its vote (us).
+    pub fn lease_at_voter(&self, lease_ms: u64) -> Micros {
+        let drift = if self.is_enabled(Guard::Drift) {
             self.drift
         } else {
             0.0
@@ -263,49 +278,53 @@
         (ms(lease_ms) as f64 * (1.0 + drift)).ceil() as Micros
     }
 
-    /// Between two renewals (us).
-    pub fn renew(&self) -> Micros {
-        ms(self.lease_ms) / RENEWALS
+    /// Returns the time between two renewals (us).
+    pub fn renew_interval(&self) -> Micros {
+        ms(self.lease_ms) / RENEWALS_PER_LEASE
     }
 
-    /// An ask that was not answered is sent again after this (us).
-    pub fn ask(&self) -> Micros {
-        ms(self.ask_ms)
+    /// Returns the time after which an unanswered request is sent again (us).
+    pub fn retry_interval(&self) -> Micros {
+        ms(self.retry_ms)
     }
 
-    /// How many votes make an owner.
+    /// Returns the number of votes that a lease needs.
     pub(crate) fn quorum(&self) -> usize {
-        if self.on(Guard::Majority) {
-            self.deciders.majority()
+        if self.is_enabled(Guard::Majority) {
+            self.voters.majority()
         } else {
             1
         }
     }
 
-    /// A claim that found no majority within this is given up (us).
-    pub(crate) fn patience(&self) -> Micros {
-        (ms(self.lease_ms) / 2).min(8 * self.ask())
+    /// Returns the time after which a claim without a majority is given up (us).
+    pub(crate) fn claim_timeout(&self) -> Micros {
+        (ms(self.lease_ms) / 2).min(8 * self.retry_interval())
     }
 
-    /// The shortest lease for so many routers (ms): each router asks each decider once between two renewals, and each ask
-    /// is answered with a datagram.
-    pub fn shortest_lease(&self, routers: u32) -> u64 {
-        let answers = f64::from(routers) * (1.0 + BESIDE);
-        let lease = RENEWALS as f64 * 1_000.0 * answers / f64::from(self.datagrams_per_s.max(1));
-        (lease.ceil() as u64).max(SHORTEST)
+    /// Returns the length of the shortest lease for this number of routers (ms).
+    ///
+    /// Each router sends each voter one request between two renewals, and each request is answered with a datagram.
+    pub fn min_lease_ms(&self, routers: u32) -> u64 {
+        let answers = f64::from(routers) * (1.0 + EXTRA_REQUEST_SHARE);
+        let lease =
+            RENEWALS_PER_LEASE as f64 * 1_000.0 * answers / f64::from(self.datagrams_per_s.max(1));
+        (lease.ceil() as u64).max(MIN_LEASE_MS)
     }
 
-    /// How long a duty is without an owner after a kill, at the most (us), where a majority of the deciders answers, peers
-    /// see the end within a lease, and few datagrams are lost: the lease at the deciders, two looks of the next in rank, and
-    /// the claim with what may be sent again.
-    pub fn gap_after_kill(&self) -> Micros {
-        self.lease_at_decider(self.lease_ms) + 2 * self.renew() + 4 * self.ask()
+    /// Returns the maximum time for which a lease has no holder after its holder was killed (us).
+    ///
+    /// The bound holds if a majority of the voters answers, the members notice the end of the holder within a lease, and
+    /// few datagrams are lost. It consists of the lease at the voters, two polls of the candidate that is ranked next, and
+    /// its claim with retries.
+    pub fn max_gap_after_kill(&self) -> Micros {
+        self.lease_at_voter(self.lease_ms) + 2 * self.renew_interval() + 4 * self.retry_interval()
     }
 
-    /// Checks what cannot be meant, for an installation of so many routers.
+    /// Checks the settings for an installation of this number of routers.
     ///
     /// # Errors
-    /// Names the key at fault.
+    /// A setting is invalid; the error names its key.
     pub fn check(&self, routers: u32) -> Result<(), RulesFault> {
         let within = |key: &'static str, got: f64, least: f64, most: f64| {
             if (least..=most).contains(&got) {
@@ -327,10 +346,10 @@
         within(
             "lease_ms",
             self.lease_ms as f64,
-            SHORTEST as f64,
-            LONGEST as f64,
+            MIN_LEASE_MS as f64,
+            MAX_LEASE_MS as f64,
         )?;
-        let least = self.shortest_lease(routers);
+        let least = self.min_lease_ms(routers);
         if self.lease_ms < least {
             return Err(RulesFault::LeaseTooShort {
                 got: self.lease_ms,
@@ -341,45 +360,48 @@
         within("drift", self.drift, 0.000_1, 0.2)?;
         within(
             "ask_ms",
-            self.ask_ms as f64,
+            self.retry_ms as f64,
             20.0,
             (self.lease_ms / 6) as f64,
         )?;
-        within("aside_ms", self.aside_ms as f64, 1_000.0, 3_600_000.0)?;
+        within("aside_ms", self.suspend_ms as f64, 1_000.0, 3_600_000.0)?;
         within(
             "deciders.generation",
-            f64::from(self.deciders.generation),
+            f64::from(self.voters.generation),
             1.0,
             f64::from(u32::MAX),
         )?;
-        set("deciders.members", &self.deciders.members)?;
-        if (self.deciders.generation == 1) != self.deciders.before.is_empty() {
+        check_voters("deciders.members", &self.voters.members)?;
+        if (self.voters.generation == 1) != self.voters.previous.is_empty() {
             return Err(RulesFault::Before);
         }
-        if !self.deciders.before.is_empty() {
-            set("deciders.before", &self.deciders.before)?;
+        if !self.voters.previous.is_empty() {
+            check_voters("deciders.before", &self.voters.previous)?;
         }
         Ok(())
     }
 }
 
-/// Checks one set of deciders.
-fn set(key: &'static str, of: &[Decider]) -> Result<(), RulesFault> {
-    if ![3, 5].contains(&of.len()) {
-        return Err(RulesFault::Count { key, got: of.len() });
+/// Checks one set of voters.
+fn check_voters(key: &'static str, voters: &[VoterConfig]) -> Result<(), RulesFault> {
+    if ![3, 5].contains(&voters.len()) {
+        return Err(RulesFault::Count {
+            key,
+            got: voters.len(),
+        });
     }
-    for (n, one) in of.iter().enumerate() {
-        if one.name.is_empty() || one.name.len() > 48 {
+    for (position, voter) in voters.iter().enumerate() {
+        if voter.name.is_empty() || voter.name.len() > MAX_VOTER_NAME_BYTES {
             return Err(RulesFault::Name { key });
         }
-        if let Some(other) = of[..n]
+        if let Some(other) = voters[..position]
             .iter()
-            .find(|d| d.name == one.name || d.address == one.address)
+            .find(|d| d.name == voter.name || d.address == voter.address)
         {
-            let who = if other.name == one.name {
-                one.name.clone()
+            let who = if other.name == voter.name {
+                voter.name.clone()
             } else {
-                one.address.to_string()
+                voter.address.to_string()
             };
             return Err(RulesFault::Twice { key, who });
         }
--- a/leases/src/wire.rs
+++ b/leases/src/wire.rs
@@ -1,180 +1,196 @@
-//! What routers say to each other about duties: the bodies of parts that peers carry.
+//! Messages between routers about leases: the bodies of the parts that gossip carries.
 
 use crate::ballot::Holder;
-use plovercove_fencing::{Duty, Token};
+use plovercove_fencing::{LeaseName, Token};
 use serde::{Deserialize, Serialize};
 
-/// The version of bodies; others are dropped.
+/// Version of the format. A body of another version is dropped.
 const VERSION: u8 = 1;
-/// No body is longer (bytes): it goes beside others in a datagram of peers.
-pub(crate) const MOST: usize = 960;
-/// What an owner has finished takes no more bytes.
-pub(crate) const MARK: usize = 64;
+/// Maximum length of a body, in bytes. It shares a datagram of gossip with other parts.
+pub(crate) const MAX_BODY_BYTES: usize = 960;
+/// Maximum length of a checkpoint's data, in bytes.
+pub(crate) const MAX_CHECKPOINT_BYTES: usize = 64;
 
-/// How far a decider has come.
+/// Stage of a voter between its start and its first vote.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Stage {
+pub enum VoterStage {
     /// It votes.
     Voting,
-    /// It knows what it may have voted for, and waits for the leases to end that it may have granted.
+    /// It knows up to which token it may have voted, and waits for the end of the leases that it may have granted.
     Waiting,
-    /// It has no file of this generation, and reads the others.
+    /// It has no file of this generation, and reads the states of the other voters.
     Blank,
-    /// It has the file of the generation before, has sealed itself, and waits for others to do so.
+    /// It has the file of the previous generation, has sealed itself, and waits until a majority of that generation has.
     Joining,
-    /// It was a decider of the generation before, and is none now.
+    /// It was a voter of the previous generation and is not one of this generation.
     Former,
 }
 
-/// What an owner has finished, so that the next begins from there.
+/// Progress that a lease holder reported, so that the next holder resumes from it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Mark {
-    /// The token under which it was finished.
+pub(crate) struct Checkpoint {
+    /// The token under which it was reported.
     pub token: Token,
-    /// Counts within the token.
+    /// Number of the checkpoint under this token.
     pub count: u32,
-    /// Whatever the duty wrote.
-    pub what: Vec<u8>,
+    /// Data of the lease's work, opaque to this crate.
+    pub data: Vec<u8>,
 }
 
-/// One duty that is asked for.
+/// A request for one lease, or a poll of it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Item {
-    pub duty: Duty,
-    /// None to look only.
+pub(crate) struct RequestItem {
+    pub lease: LeaseName,
+    /// The requested token; [`Token::NONE`] polls the state of the lease.
     pub token: Token,
-    pub mark: Option<Mark>,
+    pub checkpoint: Option<Checkpoint>,
 }
 
-/// What is said of one duty.
+/// State of a lease in a voter's answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) enum Word {
-    Voted,
+pub(crate) enum LeaseStatus {
+    /// The voter granted the requested token.
+    Granted,
+    /// No lease is running.
     Free,
-    Held { by: Holder, left_ms: u32 },
-    Aside { left_ms: u32 },
-    Full,
+    /// The lease of this holder is running, and ends after this time at the voter.
+    Held { by: Holder, remaining_ms: u32 },
+    /// The lease is suspended for this time.
+    Suspended { remaining_ms: u32 },
+    /// The voter already keeps the maximum number of leases.
+    VoterFull,
 }
 
+/// A voter's answer about one lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Answer {
-    pub duty: Duty,
-    /// The highest token that the decider may have voted for; that which it votes for where it does.
+    pub lease: LeaseName,
+    /// The highest token that the voter may have voted for. It equals the requested token if that was granted.
     pub highest: Token,
-    pub word: Word,
-    /// To whom is granted a new token: what the predecessor has finished.
-    pub mark: Option<Mark>,
+    pub status: LeaseStatus,
+    /// The previous holder's checkpoint, if the requested token is granted.
+    pub checkpoint: Option<Checkpoint>,
 }
 
-/// What a decider says of itself to another.
+/// A voter's state, as sent to another voter.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct State {
+pub(crate) struct VoterState {
     pub generation: u32,
-    /// Whose question this answers: its life.
-    pub boot: u64,
-    pub stage: Stage,
-    /// It has never voted for a token over this.
-    pub ceiling: Token,
-    /// The longest lease that it may have granted (ms).
-    pub longest_ms: u64,
-    /// It has promised to vote for no generation under this.
-    pub sealed: u32,
-    /// The ceiling that the asker itself told at last.
-    pub yours: Token,
+    /// Incarnation of the voter that queried the state.
+    pub incarnation: u64,
+    pub stage: VoterStage,
+    /// The sender has never voted for a token above this one.
+    pub token_ceiling: Token,
+    /// The longest lease that the sender may have granted (ms).
+    pub max_lease_ms: u64,
+    /// The sender has promised not to vote in a generation below this one.
+    pub sealed_below: u32,
+    /// The latest ceiling that the receiver itself reported to the sender.
+    pub receiver_ceiling: Token,
 }
 
-/// One body.
+/// A message about leases, encoded as the body of one part.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) enum Body {
-    /// To deciders. `stamp` is the asker's clock, and comes back as it is.
-    Ask {
+pub(crate) enum Message {
+    /// From a candidate or holder to the voters. The answers echo `requested_at`, the time on the sender's clock.
+    Request {
         generation: u32,
-        stamp: u64,
+        requested_at: u64,
         lease_ms: u32,
-        items: Vec<Item>,
+        items: Vec<RequestItem>,
     },
-    /// To whom asked, or to whom something was passed.
+    /// From a voter to the router that sent a request, or to the successor in a transfer.
     Answers {
         generation: u32,
-        boot: u64,
-        stamp: u64,
-        stage: Stage,
+        incarnation: u64,
+        requested_at: u64,
+        stage: VoterStage,
         items: Vec<Answer>,
     },
-    /// To deciders: tokens that will not be used again.
+    /// From a router to the voters: it will not use these tokens again.
     Release {
         generation: u32,
-        items: Vec<(Duty, Token)>,
+        items: Vec<(LeaseName, Token)>,
     },
-    /// To a successor: be ready for this.
+    /// From a holder to a successor, to hand a lease over.
     Offer {
         generation: u32,
-        duty: Duty,
+        lease: LeaseName,
         token: Token,
-        mark: Option<Mark>,
+        checkpoint: Option<Checkpoint>,
     },
-    /// To who offers: the successor's clock and lease.
+    /// From a successor to the holder: it accepts the offer. `requested_at` is the time on the successor's clock.
     Ready {
         generation: u32,
-        duty: Duty,
+        lease: LeaseName,
         token: Token,
-        stamp: u64,
+        requested_at: u64,
         lease_ms: u32,
     },
-    /// To deciders: the next token is its.
-    Pass {
+    /// From a holder to the voters: the successor `to` gets the next token.
+    Transfer {
         generation: u32,
-        duty: Duty,
+        lease: LeaseName,
         token: Token,
         to: Holder,
-        stamp: u64,
+        requested_at: u64,
         lease_ms: u32,
     },
-    /// To who offered: it is done.
-    Took {
+    /// From a successor to the previous holder: it holds the lease under this token.
+    TransferDone {
         generation: u32,
-        duty: Duty,
+        lease: LeaseName,
         token: Token,
     },
-    /// Between deciders. With the asker's ceiling.
-    Read { generation: u32, ceiling: Token },
-    /// Between deciders.
-    State(State),
+    /// From a voter to another: queries its state, and reports the sender's own ceiling.
+    QueryState {
+        generation: u32,
+        token_ceiling: Token,
+    },
+    /// From a voter to another: answers [`Message::QueryState`].
+    State(VoterState),
 }
 
-/// A body's bytes; none where it is too long to be sent.
-pub(crate) fn write(body: &Body) -> Option<Vec<u8>> {
-    let out = postcard::to_extend(body, vec![VERSION]).ok()?;
-    (out.len() <= MOST).then_some(out)
+/// Encodes a message; returns `None` if it is longer than [`MAX_BODY_BYTES`].
+pub(crate) fn encode(message: &Message) -> Option<Vec<u8>> {
+    let out = postcard::to_extend(message, vec![VERSION]).ok()?;
+    (out.len() <= MAX_BODY_BYTES).then_some(out)
 }
 
-/// The body of these bytes; none where they are none.
-pub(crate) fn read(bytes: &[u8]) -> Option<Body> {
+/// Decodes a message; returns `None` if the bytes are malformed or of another version.
+pub(crate) fn decode(bytes: &[u8]) -> Option<Message> {
     let (version, rest) = bytes.split_first()?;
-    if *version != VERSION || rest.len() > 4 * MOST {
+    if *version != VERSION || rest.len() > 4 * MAX_BODY_BYTES {
         return None;
     }
-    let (body, rest) = postcard::take_from_bytes(rest).ok()?;
-    let fits = |mark: &Option<Mark>| mark.as_ref().is_none_or(|m| m.what.len() <= MARK);
-    let sound = match &body {
-        Body::Ask { items, .. } => items.iter().all(|i| fits(&i.mark)),
-        Body::Answers { items, .. } => items.iter().all(|i| fits(&i.mark)),
-        Body::Offer { mark, .. } => fits(mark),
+    let (message, rest) = postcard::take_from_bytes(rest).ok()?;
+    let fits = |checkpoint: &Option<Checkpoint>| {
+        checkpoint
+            .as_ref()
+            .is_none_or(|c| c.data.len() <= MAX_CHECKPOINT_BYTES)
+    };
+    let is_valid = match &message {
+        Message::Request { items, .. } => items.iter().all(|i| fits(&i.checkpoint)),
+        Message::Answers { items, .. } => items.iter().all(|i| fits(&i.checkpoint)),
+        Message::Offer { checkpoint, .. } => fits(checkpoint),
         _ => true,
     };
-    (rest.is_empty() && sound).then_some(body)
+    (rest.is_empty() && is_valid).then_some(message)
 }
 
-/// Cuts items into bodies that are short enough.
-pub(crate) fn bodies<T: Clone>(items: &[T], make: &impl Fn(Vec<T>) -> Body) -> Vec<Vec<u8>> {
-    if let Some(bytes) = write(&make(items.to_vec())) {
+/// Encodes items as one message or, if they do not fit, halves them until each part does.
+pub(crate) fn encode_in_parts<T: Clone>(
+    items: &[T],
+    make: &impl Fn(Vec<T>) -> Message,
+) -> Vec<Vec<u8>> {
+    if let Some(bytes) = encode(&make(items.to_vec())) {
         return vec![bytes];
     }
     if items.len() < 2 {
         return Vec::new();
     }
     let (left, right) = items.split_at(items.len() / 2);
-    let mut out = bodies(left, make);
-    out.extend(bodies(right, make));
+    let mut out = encode_in_parts(left, make);
+    out.extend(encode_in_parts(right, make));
     out
 }
--- a/leases/tests/common/mod.rs
+++ b/leases/tests/common/mod.rs
@@ -2,8 +2,11 @@
 #![allow(dead_code, missing_docs, reason = "each test uses a part of it")]
 
 use plovercove::{Micros, Time};
-use plovercove_fencing::{Duty, Token};
-use plovercove_leases::{Decider, Deciders, Duties, Guard, Kept, Member, News, Rules, Wanted};
+use plovercove_fencing::{LeaseName, Token};
+use plovercove_leases::{
+    Guard, LeaseEvent, LeaseManager, Member, PersistedState, Rules, VoterConfig, VoterSet,
+    WantedLease,
+};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::cmp::Reverse;
@@ -22,9 +25,9 @@
     Turn(usize, u64),
     Came {
         to: usize,
-        boot: u64,
+        incarnation: u64,
         from: usize,
-        from_boot: u64,
+        from_incarnation: u64,
         body: Vec<u8>,
         late: Micros,
     },
@@ -32,8 +35,8 @@
 }
 
 pub struct Node {
-    pub duties: Option<Duties>,
-    pub boot: u64,
+    pub manager: Option<LeaseManager>,
+    pub incarnation: u64,
     pub frozen: bool,
     /// Its clock: true time times the rate, and so much more.
     pub rate: f64,
@@ -41,7 +44,7 @@
     pub disk: Option<Vec<u8>>,
     pub rules: Rules,
     held: Vec<(usize, u64, Vec<u8>, Micros)>,
-    pub news: Vec<(Time, News)>,
+    pub news: Vec<(Time, LeaseEvent)>,
 }
 
 /// What the network does to a body: none where it is lost, else after how long it comes, each time.
@@ -50,17 +53,17 @@
 pub struct Net {
     pub now: Time,
     pub nodes: Vec<Node>,
-    pub wanted: Vec<Wanted>,
+    pub wanted: Vec<WantedLease>,
     pub weather: Weather,
     /// Links that let nothing through, from and to.
     pub cut: Vec<Vec<bool>>,
     /// What cannot be, as it was seen.
     pub wrong: Vec<String>,
     /// Who acted for a duty with which token; the newest; when anybody acted last; the longest time without anybody.
-    pub acts: BTreeMap<Duty, Acts>,
+    pub acts: BTreeMap<LeaseName, Acts>,
     /// How long a write to disk takes; none where it never ends.
     pub disk: Option<Micros>,
-    pub dice: Pcg64Mcg,
+    pub rng: Pcg64Mcg,
     heard: Vec<Vec<Time>>,
     /// Whom each was told of last: who, and which life.
     told: Vec<Vec<(usize, u64)>>,
@@ -96,66 +99,66 @@
 }
 
 pub fn calm() -> Weather {
-    Box::new(|_, _, _, dice| vec![500 + dice.random_range(0..1_500)])
+    Box::new(|_, _, _, rng| vec![500 + rng.random_range(0..1_500)])
 }
 
 /// Lost, twice, and late by up to 5 s, each with a chance.
 pub fn rough(lost: f64, twice: f64, late: f64) -> Weather {
-    Box::new(move |_, _, _, dice| {
-        if dice.random::<f64>() < lost {
+    Box::new(move |_, _, _, rng| {
+        if rng.random::<f64>() < lost {
             return Vec::new();
         }
-        let mut after = vec![500 + dice.random_range(0..1_500)];
-        if dice.random::<f64>() < late {
-            after[0] += dice.random_range(0..5 * S);
+        let mut after = vec![500 + rng.random_range(0..1_500)];
+        if rng.random::<f64>() < late {
+            after[0] += rng.random_range(0..5 * S);
         }
-        if dice.random::<f64>() < twice {
-            after.push(after[0] + dice.random_range(0..5 * S));
+        if rng.random::<f64>() < twice {
+            after.push(after[0] + rng.random_range(0..5 * S));
         }
         after
     })
 }
 
-pub fn rules(deciders: usize) -> Rules {
-    let one = |n: usize| Decider {
+pub fn rules(voters: usize) -> Rules {
+    let one = |n: usize| VoterConfig {
         name: format!("n{n}"),
         address: address(n),
     };
     Rules {
         installation: "test".into(),
-        deciders: Deciders {
+        voters: VoterSet {
             generation: 1,
-            members: (0..deciders).map(one).collect(),
-            before: Vec::new(),
+            members: (0..voters).map(one).collect(),
+            previous: Vec::new(),
         },
         lease_ms: 3_000,
-        ask_ms: 200,
+        retry_ms: 200,
         ..Rules::default()
     }
 }
 
-pub fn without(guard: Option<Guard>) -> Rules {
+pub fn rules_without(guard: Option<Guard>) -> Rules {
     Rules {
-        without: guard,
+        disabled_guard: guard,
         ..rules(3)
     }
 }
 
-pub fn duties(n: usize) -> Vec<Wanted> {
+pub fn wanted_leases(n: usize) -> Vec<WantedLease> {
     (0..n)
-        .map(|n| Wanted {
-            duty: duty(n),
+        .map(|n| WantedLease {
+            lease: lease(n),
             zone: None,
         })
         .collect()
 }
 
-pub fn duty(n: usize) -> Duty {
-    Duty::new(&format!("positions/{n}")).expect("a name")
+pub fn lease(n: usize) -> LeaseName {
+    LeaseName::new(&format!("positions/{n}")).expect("a name")
 }
 
 impl Net {
-    pub fn new(routers: usize, wanted: Vec<Wanted>, seed: u64, rules: &Rules) -> Self {
+    pub fn new(routers: usize, wanted: Vec<WantedLease>, seed: u64, rules: &Rules) -> Self {
         let mut net = Net {
             now: 1_000 * S,
             nodes: Vec::new(),
@@ -165,7 +168,7 @@
             wrong: Vec::new(),
             acts: BTreeMap::new(),
             disk: Some(5 * MS),
-            dice: Pcg64Mcg::seed_from_u64(seed),
+            rng: Pcg64Mcg::seed_from_u64(seed),
             heard: vec![vec![0; routers]; routers],
             told: vec![Vec::new(); routers],
             heap: BinaryHeap::new(),
@@ -175,12 +178,12 @@
             every: 10 * MS,
         };
         for n in 0..routers {
-            let offset = net.dice.random_range(0..1_000 * S) as i64;
+            let offset = net.rng.random_range(0..1_000 * S) as i64;
             let drift = rules.drift * 0.99;
-            let rate = 1.0 + net.dice.random_range(-drift..drift);
+            let rate = 1.0 + net.rng.random_range(-drift..drift);
             net.nodes.push(Node {
-                duties: None,
-                boot: 0,
+                manager: None,
+                incarnation: 0,
                 frozen: false,
                 rate,
                 offset,
@@ -202,7 +205,7 @@
             name: format!("n{n}"),
             zone: ["a", "b", "c"][n % self.zones].into(),
             address: address(n),
-            boot: self.nodes[n].boot,
+            incarnation: self.nodes[n].incarnation,
         }
     }
 
@@ -218,31 +221,31 @@
     }
 
     pub fn up(&self, n: usize) -> bool {
-        self.nodes[n].duties.is_some()
+        self.nodes[n].manager.is_some()
     }
 
     pub fn start(&mut self, n: usize) {
         if self.up(n) {
             return;
         }
-        self.nodes[n].boot = self.nodes[n].boot.max(self.now) + 1;
-        let (me, now, seed) = (self.member(n), self.clock(n), self.dice.random());
+        self.nodes[n].incarnation = self.nodes[n].incarnation.max(self.now) + 1;
+        let (me, now, seed) = (self.member(n), self.clock(n), self.rng.random());
         let node = &mut self.nodes[n];
         let kept = node
             .disk
             .as_ref()
-            .and_then(|b| Kept::read(b, &node.rules, &me.name).ok());
+            .and_then(|b| PersistedState::decode(b, &node.rules, &me.name).ok());
         let routers = self.cut.len() as u32;
-        let mut duties = Duties::new(node.rules.clone(), me, routers, now, seed, kept);
-        duties.want(now, self.wanted.clone());
-        (node.duties, node.frozen) = (Some(duties), false);
+        let mut manager = LeaseManager::new(node.rules.clone(), me, routers, now, seed, kept);
+        manager.set_wanted(now, self.wanted.clone());
+        (node.manager, node.frozen) = (Some(manager), false);
         self.told[n].clear();
         self.after(n);
     }
 
     pub fn kill(&mut self, n: usize) {
         let node = &mut self.nodes[n];
-        (node.duties, node.frozen) = (None, false);
+        (node.manager, node.frozen) = (None, false);
         node.held.clear();
     }
 
@@ -258,8 +261,8 @@
         self.nodes[n].frozen = false;
         self.sample();
         let held = std::mem::take(&mut self.nodes[n].held);
-        for (from, boot, body, late) in held {
-            self.came(n, from, boot, &body, late);
+        for (from, incarnation, body, late) in held {
+            self.came(n, from, incarnation, &body, late);
         }
         self.turn(n);
     }
@@ -284,9 +287,13 @@
         self.cut.iter_mut().flatten().for_each(|c| *c = false);
     }
 
-    pub fn with<T>(&mut self, n: usize, act: impl FnOnce(&mut Duties, Time) -> T) -> Option<T> {
+    pub fn with<T>(
+        &mut self,
+        n: usize,
+        act: impl FnOnce(&mut LeaseManager, Time) -> T,
+    ) -> Option<T> {
         let now = self.clock(n);
-        let done = self.nodes[n].duties.as_mut().map(|d| act(d, now));
+        let done = self.nodes[n].manager.as_mut().map(|d| act(d, now));
         self.after(n);
         done
     }
@@ -295,9 +302,9 @@
         self.with(n, |d, now| d.turn(now));
     }
 
-    fn came(&mut self, n: usize, from: usize, boot: u64, body: &[u8], late: Micros) {
+    fn came(&mut self, n: usize, from: usize, incarnation: u64, body: &[u8], late: Micros) {
         let member = Member {
-            boot,
+            incarnation,
             ..self.member(from)
         };
         self.with(n, |d, now| d.receive(now, &member, body, late));
@@ -305,12 +312,17 @@
 
     /// Takes out what a node has to say.
     fn after(&mut self, n: usize) {
-        let (boot, clock, rate) = (self.nodes[n].boot, self.clock(n), self.nodes[n].rate);
-        let Some(duties) = &mut self.nodes[n].duties else {
+        let (incarnation, clock, rate) =
+            (self.nodes[n].incarnation, self.clock(n), self.nodes[n].rate);
+        let Some(manager) = &mut self.nodes[n].manager else {
             return;
         };
-        let (out, next, file) = (duties.out(), duties.next(), duties.to_keep());
-        let news: Vec<News> = std::iter::from_fn(|| duties.news()).collect();
+        let (out, next, file) = (
+            manager.take_outbox(),
+            manager.next_turn(),
+            manager.take_pending_write(),
+        );
+        let news: Vec<LeaseEvent> = std::iter::from_fn(|| manager.take_event()).collect();
         let now = self.now;
         self.nodes[n]
             .news
@@ -324,13 +336,13 @@
             if self.cut[n][to] {
                 continue;
             }
-            for after in (self.weather)(now, n, to, &mut self.dice) {
+            for after in (self.weather)(now, n, to, &mut self.rng) {
                 let late = after.saturating_sub(500);
                 let came = Event::Came {
                     to,
-                    boot: self.nodes[to].boot,
+                    incarnation: self.nodes[to].incarnation,
                     from: n,
-                    from_boot: boot,
+                    from_incarnation: incarnation,
                     body: body.clone(),
                     late,
                 };
@@ -338,11 +350,11 @@
             }
         }
         if let (Some(file), Some(takes)) = (file, self.disk) {
-            self.at(now + takes, Event::Disk(n, boot, file));
+            self.at(now + takes, Event::Disk(n, incarnation, file));
         }
         if next < Time::MAX {
             let wait = (next.saturating_sub(clock) as f64 / rate) as Micros + 1;
-            self.at(now + wait, Event::Turn(n, boot));
+            self.at(now + wait, Event::Turn(n, incarnation));
         }
     }
 
@@ -355,8 +367,9 @@
                 break;
             };
             self.now = self.now.max(at);
-            let acts =
-                |net: &Net, n: usize, boot: u64| net.nodes[n].boot == boot && !net.nodes[n].frozen;
+            let acts = |net: &Net, n: usize, incarnation: u64| {
+                net.nodes[n].incarnation == incarnation && !net.nodes[n].frozen
+            };
             match event {
                 Event::Sample => {
                     self.sample();
@@ -366,34 +379,38 @@
                     self.see();
                     self.at(self.now + S / 2, Event::See);
                 }
-                Event::Turn(n, boot) if acts(self, n, boot) => {
+                Event::Turn(n, incarnation) if acts(self, n, incarnation) => {
                     let now = self.clock(n);
                     if self.nodes[n]
-                        .duties
+                        .manager
                         .as_ref()
-                        .is_some_and(|d| d.next() <= now)
+                        .is_some_and(|d| d.next_turn() <= now)
                     {
                         self.turn(n);
                     }
                 }
                 Event::Came {
                     to,
-                    boot,
+                    incarnation,
                     from,
-                    from_boot,
+                    from_incarnation,
                     body,
                     late,
                 } => {
-                    if acts(self, to, boot) {
-                        self.came(to, from, from_boot, &body, late);
-                    } else if self.nodes[to].boot == boot && self.up(to) {
-                        self.nodes[to].held.push((from, from_boot, body, late));
+                    if acts(self, to, incarnation) {
+                        self.came(to, from, from_incarnation, &body, late);
+                    } else if self.nodes[to].incarnation == incarnation && self.up(to) {
+                        self.nodes[to]
+                            .held
+                            .push((from, from_incarnation, body, late));
                     }
                 }
-                Event::Disk(n, boot, file) if self.nodes[n].boot == boot && self.up(n) => {
+                Event::Disk(n, incarnation, file)
+                    if self.nodes[n].incarnation == incarnation && self.up(n) =>
+                {
                     self.nodes[n].disk = Some(file);
                     if !self.nodes[n].frozen {
-                        self.with(n, |d, now| d.kept(now));
+                        self.with(n, |d, now| d.complete_write(now));
                     }
                 }
                 _ => {}
@@ -404,8 +421,8 @@
 
     /// Whom a router was told of last.
     pub fn seen(&self, n: usize) -> Vec<Member> {
-        let known = |(m, boot): &(usize, u64)| Member {
-            boot: *boot,
+        let known = |(m, incarnation): &(usize, u64)| Member {
+            incarnation: *incarnation,
             ..self.member(*m)
         };
         self.told[n].iter().map(known).collect()
@@ -425,17 +442,18 @@
             if self.nodes[a].frozen || !self.up(a) {
                 continue;
             }
-            let seen = |b: &usize| self.heard[a][*b] + UNSEEN > self.now && self.nodes[*b].boot > 0;
+            let seen =
+                |b: &usize| self.heard[a][*b] + UNSEEN > self.now && self.nodes[*b].incarnation > 0;
             let lives: Vec<(usize, u64)> = (0..self.nodes.len())
                 .filter(seen)
-                .map(|b| (b, self.nodes[b].boot))
+                .map(|b| (b, self.nodes[b].incarnation))
                 .collect();
             if lives == self.told[a] {
                 continue;
             }
             let members: Vec<Member> = lives.iter().map(|(b, _)| self.member(*b)).collect();
             self.told[a] = lives;
-            self.with(a, |d, now| d.members(now, members));
+            self.with(a, |d, now| d.set_members(now, members));
         }
     }
 
@@ -445,30 +463,32 @@
             if self.nodes[n].frozen {
                 continue;
             }
-            let (now, boot) = (self.clock(n), self.nodes[n].boot);
-            let Some(duties) = &self.nodes[n].duties else {
+            let (now, incarnation) = (self.clock(n), self.nodes[n].incarnation);
+            let Some(manager) = &self.nodes[n].manager else {
                 continue;
             };
-            let owned: Vec<(Duty, Token)> =
-                duties.owned(now).map(|(d, t)| (d.clone(), t)).collect();
-            for (duty, token) in owned {
-                self.act(n, boot, duty, token);
+            let owned: Vec<(LeaseName, Token)> = manager
+                .held_leases(now)
+                .map(|(d, t)| (d.clone(), t))
+                .collect();
+            for (lease, token) in owned {
+                self.act(n, incarnation, lease, token);
             }
         }
     }
 
-    fn act(&mut self, n: usize, boot: u64, duty: Duty, token: Token) {
+    fn act(&mut self, n: usize, incarnation: u64, lease: LeaseName, token: Token) {
         let now = self.now;
-        let acts = self.acts.entry(duty.clone()).or_default();
-        let other = *acts.by.entry(token).or_insert((n, boot));
+        let acts = self.acts.entry(lease.clone()).or_default();
+        let other = *acts.by.entry(token).or_insert((n, incarnation));
         let mut wrong = Vec::new();
-        if other != (n, boot) {
-            wrong.push(format!("{duty} {token}: n{n} and n{} have it", other.0));
+        if other != (n, incarnation) {
+            wrong.push(format!("{lease} {token}: n{n} and n{} have it", other.0));
         }
         if token < acts.newest {
             acts.two += 1;
             wrong.push(format!(
-                "{duty}: n{n} acts with {token} after {} acted with {}",
+                "{lease}: n{n} acts with {token} after {} acted with {}",
                 acts.by[&acts.newest].0, acts.newest
             ));
         }
@@ -484,20 +504,20 @@
     }
 
     /// Which nodes own a duty now.
-    pub fn owners(&self, duty: &Duty) -> Vec<usize> {
+    pub fn owners(&self, lease: &LeaseName) -> Vec<usize> {
         let owns = |n: &usize| {
             let now = self.clock(*n);
             !self.nodes[*n].frozen
                 && self.nodes[*n]
-                    .duties
+                    .manager
                     .as_ref()
-                    .is_some_and(|d| d.may_act(now, duty).is_some())
+                    .is_some_and(|d| d.may_act(now, lease).is_some())
         };
         (0..self.nodes.len()).filter(owns).collect()
     }
 
     pub fn owner(&self, n: usize) -> usize {
-        self.owners(&duty(n))
+        self.owners(&lease(n))
             .first()
             .copied()
             .unwrap_or_else(|| panic!("nobody owns {n}"))
@@ -522,13 +542,13 @@
     }
 
     pub fn all_owned(&self) -> bool {
-        self.wanted.iter().all(|w| self.owners(&w.duty).len() == 1)
+        self.wanted.iter().all(|w| self.owners(&w.lease).len() == 1)
     }
 
-    pub fn unowned(&self) -> Vec<&Duty> {
+    pub fn unowned(&self) -> Vec<&LeaseName> {
         self.wanted
             .iter()
-            .map(|w| &w.duty)
+            .map(|w| &w.lease)
             .filter(|d| self.owners(d).is_empty())
             .collect()
     }
--- a/leases/tests/compare.rs
+++ b/leases/tests/compare.rs
@@ -3,12 +3,12 @@
 #![allow(missing_docs, reason = "a test")]
 
 mod common;
-mod logged;
+mod replicated_log;
 
-use common::{MS, Net, S, duties, rules};
-use logged::Logged;
+use common::{MS, Net, S, rules, wanted_leases};
 use plovercove::{Micros, Time};
 use plovercove_leases::{Placement, Rules};
+use replicated_log::Logged;
 
 pub const ROUTERS: usize = 9;
 const DUTIES: usize = 12;
@@ -42,7 +42,7 @@
     fn net(&mut self) -> &mut Net;
     fn run(&mut self, span: Micros);
     /// Who acts for a duty now.
-    fn acting(&self, duty: usize) -> Vec<usize>;
+    fn acting(&self, lease: usize) -> Vec<usize>;
     fn sent(&self) -> u64;
 }
 
@@ -55,8 +55,8 @@
     fn run(&mut self, span: Micros) {
         self.0.run(span);
     }
-    fn acting(&self, duty: usize) -> Vec<usize> {
-        self.0.owners(&common::duty(duty))
+    fn acting(&self, lease: usize) -> Vec<usize> {
+        self.0.owners(&common::lease(lease))
     }
     fn sent(&self) -> u64 {
         self.0.sent.iter().map(|s| s.0).sum()
@@ -79,15 +79,15 @@
         self.acting = vec![Vec::new(); DUTIES];
         for n in (0..ROUTERS).filter(|n| self.net.up(*n) && !self.net.nodes[*n].frozen) {
             let placed = Placement::new(&self.net.wanted, &self.net.seen(n));
-            for (duty, acting) in self.acting.iter_mut().enumerate() {
-                if placed.first(&common::duty(duty)) == Some(common::address(n)) {
+            for (lease, acting) in self.acting.iter_mut().enumerate() {
+                if placed.preferred_holder(&common::lease(lease)) == Some(common::address(n)) {
                     acting.push(n);
                 }
             }
         }
     }
-    fn acting(&self, duty: usize) -> Vec<usize> {
-        self.acting[duty].clone()
+    fn acting(&self, lease: usize) -> Vec<usize> {
+        self.acting[lease].clone()
     }
     fn sent(&self) -> u64 {
         0
@@ -101,8 +101,8 @@
     fn run(&mut self, span: Micros) {
         Logged::run(self, span);
     }
-    fn acting(&self, duty: usize) -> Vec<usize> {
-        Logged::acting(self, duty)
+    fn acting(&self, lease: usize) -> Vec<usize> {
+        Logged::acting(self, lease)
     }
     fn sent(&self) -> u64 {
         self.sent
@@ -114,8 +114,8 @@
     while way.net().now < until {
         way.run(STEP);
         let now = way.net().now;
-        for (duty, last) in last.iter_mut().enumerate() {
-            let acting = way.acting(duty).len();
+        for (lease, last) in last.iter_mut().enumerate() {
+            let acting = way.acting(lease).len();
             seen.two += if acting > 1 { STEP / MS } else { 0 };
             seen.none += if acting == 0 { STEP / MS } else { 0 };
             seen.gap = seen
@@ -176,14 +176,19 @@
         Trouble::Two,
         Trouble::Three,
     ] {
-        let net = |seed| Net::new(ROUTERS, duties(DUTIES), seed, &rules);
+        let net = |seed| Net::new(ROUTERS, wanted_leases(DUTIES), seed, &rules);
         let hash = worst(trouble, |seed| Hashed {
             net: net(seed),
             acting: Vec::new(),
         });
         let lease = worst(trouble, |seed| Leases(net(seed)));
         let five = worst(trouble, |seed| {
-            Leases(Net::new(ROUTERS, duties(DUTIES), seed, &common::rules(5)))
+            Leases(Net::new(
+                ROUTERS,
+                wanted_leases(DUTIES),
+                seed,
+                &common::rules(5),
+            ))
         });
         let log = worst(trouble, |seed| Logged::new(net(seed), DUTIES, &rules));
         println!(
@@ -198,7 +203,7 @@
             Trouble::Calm => assert_eq!((hash.gap, lease.gap, five.gap, log.gap), (0, 0, 0, 0)),
             Trouble::Kill => {
                 assert!(
-                    lease.gap.max(five.gap) <= rules.gap_after_kill() / MS,
+                    lease.gap.max(five.gap) <= rules.max_gap_after_kill() / MS,
                     "{lease:?} {five:?}"
                 );
             }
--- a/leases/tests/fleet.rs
+++ b/leases/tests/fleet.rs
@@ -3,14 +3,14 @@
 
 mod common;
 
-use common::{MS, Net, S, calm, duties, duty, rough, rules, without};
-use plovercove_leases::{Deciders, Guard, News, Rules};
+use common::{MS, Net, S, calm, lease, rough, rules, rules_without, wanted_leases};
+use plovercove_leases::{Guard, LeaseEvent, Rules, VoterSet};
 use proptest::collection::vec;
 use proptest::prelude::*;
 
 #[test]
 fn each_duty_gets_one_owner_and_a_kill_moves_it() {
-    let mut net = Net::new(9, duties(12), 1, &rules(3));
+    let mut net = Net::new(9, wanted_leases(12), 1, &rules(3));
     let took = net.settled();
     println!("all owned after {} ms", took / MS);
     net.run(20 * S);
@@ -23,7 +23,7 @@
     println!("taken over after {} ms", took / MS);
     net.run(S);
     net.sound();
-    assert_ne!(net.owners(&duty(0)), vec![owner]);
+    assert_ne!(net.owners(&lease(0)), vec![owner]);
 }
 
 /// With all guards what is named never happens; without this one it is seen.
@@ -38,7 +38,7 @@
 fn long(guard: Option<Guard>) -> Rules {
     Rules {
         lease_ms: 8_000,
-        ..without(guard)
+        ..rules_without(guard)
     }
 }
 
@@ -58,7 +58,7 @@
 #[test]
 fn guard_clock_an_owner_stopped_over_the_end_of_its_lease() {
     let play = |guard, seed| {
-        let mut net = Net::new(7, duties(8), seed, &long(guard));
+        let mut net = Net::new(7, wanted_leases(8), seed, &long(guard));
         net.settled();
         net.run(20 * S);
         let owner = outsider(&net);
@@ -79,8 +79,8 @@
 
 #[test]
 fn guard_stood_an_owner_whose_clock_stood_still_with_it() {
-    caught(Guard::Stood, |guard| {
-        let mut net = Net::new(7, duties(8), 4, &long(guard));
+    caught(Guard::Stalled, |guard| {
+        let mut net = Net::new(7, wanted_leases(8), 4, &long(guard));
         net.settled();
         net.run(20 * S);
         let owner = outsider(&net);
@@ -90,7 +90,7 @@
         isolate(&mut net, owner);
         net.nodes[owner].offset -= 20_000_000;
         net.nodes[owner].frozen = false;
-        net.with(owner, |d, now| d.stood(now, 20 * S));
+        net.with(owner, |d, now| d.handle_stall(now, 20 * S));
         net.run(S);
         net.wrong
     });
@@ -103,7 +103,7 @@
             drift: 0.1,
             ..long(guard)
         };
-        let mut net = Net::new(7, duties(24), 5, &rules);
+        let mut net = Net::new(7, wanted_leases(24), 5, &rules);
         (0..7).for_each(|n| net.nodes[n].rate = if n < 3 { 1.1 } else { 0.9 });
         net.settled();
         net.run(20 * S);
@@ -116,8 +116,8 @@
 
 #[test]
 fn guard_asked_votes_that_come_late() {
-    caught(Guard::Asked, |guard| {
-        let mut net = Net::new(7, duties(8), 6, &long(guard));
+    caught(Guard::CountFromRequest, |guard| {
+        let mut net = Net::new(7, wanted_leases(8), 6, &long(guard));
         net.settled();
         net.run(20 * S);
         let owner = outsider(&net);
@@ -132,8 +132,8 @@
 
 #[test]
 fn guard_wait_deciders_that_restart_under_a_running_lease() {
-    caught(Guard::Wait, |guard| {
-        let mut net = Net::new(7, duties(8), 7, &long(guard));
+    caught(Guard::WaitAfterStart, |guard| {
+        let mut net = Net::new(7, wanted_leases(8), 7, &long(guard));
         net.settled();
         net.run(20 * S);
         let owner = outsider(&net);
@@ -149,7 +149,7 @@
 #[test]
 fn guard_ceiling_a_disk_that_does_not_keep() {
     caught(Guard::Ceiling, |guard| {
-        let mut net = Net::new(5, duties(4), 8, &without(guard));
+        let mut net = Net::new(5, wanted_leases(4), 8, &rules_without(guard));
         net.run(2 * S);
         net.disk = None;
         net.run(20 * S);
@@ -163,7 +163,7 @@
 #[test]
 fn guard_catch_up_a_decider_that_lost_its_disk() {
     caught(Guard::CatchUp, |guard| {
-        let mut net = Net::new(7, duties(8), 9, &without(guard));
+        let mut net = Net::new(7, wanted_leases(8), 9, &rules_without(guard));
         net.settled();
         isolate(&mut net, 2);
         // Tokens rise, and only two deciders see them.
@@ -194,25 +194,25 @@
 #[test]
 fn guard_majority_a_partition_in_three_splits_the_deciders() {
     caught(Guard::Majority, |guard| {
-        let mut net = Net::new(9, duties(8), 10, &without(guard));
+        let mut net = Net::new(9, wanted_leases(8), 10, &rules_without(guard));
         net.settled();
         net.part(&[&[0, 3, 4], &[1, 5, 6], &[2, 7, 8]], true);
         net.run(30 * S);
         if guard.is_none() {
             let alone = |n: usize| {
                 net.nodes[n]
-                    .duties
+                    .manager
                     .as_ref()
-                    .is_some_and(|d| d.alone(net.clock(n)))
+                    .is_some_and(|d| d.is_without_majority(net.clock(n)))
             };
             assert!((0..9).all(alone), "each does the chores by itself");
             net.heal();
             net.settled();
             assert!(
                 !net.nodes[4]
-                    .duties
+                    .manager
                     .as_ref()
-                    .is_some_and(|d| d.alone(net.clock(4)))
+                    .is_some_and(|d| d.is_without_majority(net.clock(4)))
             );
         }
         net.wrong
@@ -221,14 +221,14 @@
 
 /// Deciders 0, 1, 2 become 2, 3, 4.
 fn second(first: &Rules) -> Rules {
-    let all = rules(5).deciders.members;
-    let deciders = Deciders {
+    let all = rules(5).voters.members;
+    let voters = VoterSet {
         generation: 2,
         members: all[2..].to_vec(),
-        before: first.deciders.members.clone(),
+        previous: first.voters.members.clone(),
     };
     Rules {
-        deciders,
+        voters,
         ..first.clone()
     }
 }
@@ -242,7 +242,7 @@
 #[test]
 fn guard_seal_a_new_set_of_deciders_beside_the_old() {
     caught(Guard::Seal, |guard| {
-        let mut net = Net::new(8, duties(8), 11, &without(guard));
+        let mut net = Net::new(8, wanted_leases(8), 11, &rules_without(guard));
         net.settled();
         // Who still has the former settings keeps a majority of the former set.
         (2..6).for_each(|n| with_second(&mut net, n));
@@ -250,7 +250,7 @@
         let mut wrong = std::mem::take(&mut net.wrong);
         if guard.is_none() {
             assert!(
-                net.owners(&duty(0))
+                net.owners(&lease(0))
                     .iter()
                     .all(|n| [0, 1, 6, 7].contains(n)),
                 "the old set decides"
@@ -267,8 +267,8 @@
 
 #[test]
 fn guard_pass_who_hands_over_acts_no_more() {
-    caught(Guard::Pass, |guard| {
-        let mut net = Net::new(7, duties(8), 12, &without(guard));
+    caught(Guard::Transfer, |guard| {
+        let mut net = Net::new(7, wanted_leases(8), 12, &rules_without(guard));
         net.settled();
         net.run(5 * S);
         let owner = outsider(&net);
@@ -281,7 +281,7 @@
                 MS
             }]
         });
-        net.with(owner, |d, now| d.hand_over(now));
+        net.with(owner, |d, now| d.hand_over_all(now));
         net.run(10 * S);
         net.wrong
     });
@@ -290,17 +290,17 @@
 #[test]
 fn guard_aside_a_duty_that_kills_its_owners() {
     let play = |guard| {
-        let mut net = Net::new(8, duties(1), 13, &without(guard));
+        let mut net = Net::new(8, wanted_leases(1), 13, &rules_without(guard));
         net.settled();
         let mut killed = 0;
         let begin = net.now;
         while net.now < begin + 60 * S {
             net.run(50 * MS);
-            if let Some(owner) = net.owners(&duty(0)).first().copied().filter(|n| *n > 2) {
+            if let Some(owner) = net.owners(&lease(0)).first().copied().filter(|n| *n > 2) {
                 net.kill(owner);
                 killed += 1;
-            } else if let Some(owner) = net.owners(&duty(0)).first().copied() {
-                net.with(owner, |d, now| d.hand_over(now));
+            } else if let Some(owner) = net.owners(&lease(0)).first().copied() {
+                net.with(owner, |d, now| d.hand_over_all(now));
                 net.run(S);
                 net.kill(owner);
                 net.start(owner);
@@ -311,10 +311,10 @@
             .nodes
             .iter()
             .flat_map(|n| &n.news)
-            .any(|(_, n)| matches!(n, News::SetAside { .. }));
+            .any(|(_, n)| matches!(n, LeaseEvent::Suspended { .. }));
         (killed, told)
     };
-    let (with, off) = (play(None), play(Some(Guard::Aside)));
+    let (with, off) = (play(None), play(Some(Guard::Suspend)));
     println!("killed {} with the guard, {} without", with.0, off.0);
     assert!(
         with.1 && with.0 <= 4 && !off.1 && off.0 > with.0,
@@ -325,14 +325,20 @@
 #[test]
 fn a_hand_over_leaves_no_gap_and_a_kill_one_within_the_bound() {
     for seed in 0..10 {
-        let mut net = Net::new(9, duties(12), 100 + seed, &rules(3));
+        let mut net = Net::new(9, wanted_leases(12), 100 + seed, &rules(3));
         net.settled();
         net.run(5 * S);
         net.clear_gaps();
         let owner = net.owner(seed as usize);
-        net.with(owner, |d, now| d.hand_over(now));
+        net.with(owner, |d, now| d.hand_over_all(now));
         net.run(2 * S);
-        assert!(!net.nodes[owner].duties.as_ref().expect("up").handing());
+        assert!(
+            !net.nodes[owner]
+                .manager
+                .as_ref()
+                .expect("up")
+                .is_handing_over()
+        );
         assert!(
             net.gap() <= 20 * MS,
             "seed {seed}: {} ms without an owner",
@@ -350,7 +356,7 @@
             net.gap() / MS
         );
         assert!(
-            net.gap() <= net.nodes[0].rules.gap_after_kill() + 20 * MS,
+            net.gap() <= net.nodes[0].rules.max_gap_after_kill() + 20 * MS,
             "{} ms",
             net.gap() / MS
         );
@@ -360,15 +366,16 @@
 
 #[test]
 fn a_new_owner_begins_from_what_is_finished() {
-    let mut net = Net::new(7, duties(4), 14, &rules(3));
+    let mut net = Net::new(7, wanted_leases(4), 14, &rules(3));
     net.settled();
     let owner = net.owner(0);
     assert_eq!(
-        net.with(owner, |d, _| d.finished(&duty(0), b"page 7".to_vec())),
+        net.with(owner, |d, _| d
+            .record_checkpoint(&lease(0), b"page 7".to_vec())),
         Some(true)
     );
     assert_eq!(
-        net.with(owner, |d, _| d.finished(&duty(0), vec![0; 65])),
+        net.with(owner, |d, _| d.record_checkpoint(&lease(0), vec![0; 65])),
         Some(false)
     );
     net.run(3 * S);
@@ -376,22 +383,22 @@
     net.settled();
     let next = net.owner(0);
     let begin = net.nodes[next]
-        .duties
+        .manager
         .as_ref()
-        .and_then(|d| d.begins_from(&duty(0)))
+        .and_then(|d| d.resume_point(&lease(0)))
         .expect("known");
-    assert_eq!(begin.mark, b"page 7");
+    assert_eq!(begin.checkpoint, b"page 7");
 }
 
 #[test]
 fn three_hundred_routers_stay_within_their_datagrams() {
     let rules = Rules {
         lease_ms: 30_000,
-        ask_ms: 500,
+        retry_ms: 500,
         ..rules(5)
     };
     assert_eq!(rules.check(300), Ok(()));
-    let mut net = Net::new(300, duties(500), 15, &rules);
+    let mut net = Net::new(300, wanted_leases(500), 15, &rules);
     net.every = S;
     let took = net.until(150 * S, Net::all_owned).expect("all are owned");
     // Who won more than its share while all began hands it over.
@@ -405,22 +412,22 @@
             .max()
             .unwrap_or_default()
     };
-    let (deciders, others) = (most(&net.sent[..5]), most(&net.sent[5..]));
+    let (voters, others) = (most(&net.sent[..5]), most(&net.sent[5..]));
     let owned = |n: usize| {
         net.nodes[n]
-            .duties
+            .manager
             .as_ref()
-            .map_or(0, |d| d.owned(net.clock(n)).count())
+            .map_or(0, |d| d.held_leases(net.clock(n)).count())
     };
 
     let spread = (0..300).map(owned).max().unwrap_or_default();
     println!(
-        "all owned after {} s; a second: deciders {deciders:?}, others {others:?} (bodies, bytes); most owned {spread}",
+        "all owned after {} s; a second: voters {voters:?}, others {others:?} (bodies, bytes); most owned {spread}",
         took / S
     );
     assert!(
-        deciders.0 <= 40 && others.0 <= 4 && deciders.1 <= 24_000,
-        "{deciders:?} {others:?}"
+        voters.0 <= 40 && others.0 <= 4 && voters.1 <= 24_000,
+        "{voters:?} {others:?}"
     );
     // One is handed over in 25 s; it were 26 where the first to look took all.
     assert!(spread <= 10, "{spread} at one router");
@@ -433,7 +440,7 @@
         seed in 0_u64..1_000_000, five in any::<bool>(), steps in vec((0_u8..10, 0_usize..7, 0_usize..7, 1_u64..6_000), 1..25),
     ) {
         let drift = 0.05;
-        let mut net = Net::new(7, duties(5), seed, &Rules { drift, ..rules(if five { 5 } else { 3 }) });
+        let mut net = Net::new(7, wanted_leases(5), seed, &Rules { drift, ..rules(if five { 5 } else { 3 }) });
         net.weather = rough(0.1, 0.05, 0.05);
         for (what, a, b, ms) in steps {
             match what {
@@ -445,7 +452,7 @@
                 6 => isolate(&mut net, a),
                 7 => net.part(&[&[0, 3], &[1, 4], &[2, 5, 6]], true),
                 8 => net.heal(),
-                _ => { net.with(a, |d, now| d.hand_over(now)); }
+                _ => { net.with(a, |d, now| d.hand_over_all(now)); }
             }
             net.run(ms * MS);
             prop_assert!(net.wrong.is_empty(), "{:#?}", net.wrong);
--- a/leases/tests/kept.rs
+++ b/leases/tests/kept.rs
@@ -3,78 +3,84 @@
 
 use plovercove_fencing::Token;
 use plovercove_leases::{
-    Ballot, Decider, Deciders, Guard, Holder, Kept, KeptFault, Rules, RulesFault, Said,
+    Ballot, Guard, Holder, PersistedState, PersistedStateFault, Rules, RulesFault, VoteOutcome,
+    VoterConfig, VoterSet,
 };
 
 fn rules() -> Rules {
-    let one = |n: u16| Decider {
+    let one = |n: u16| VoterConfig {
         name: format!("n{n}"),
         address: ([127_u8, 0, 0, 1], 7_000 + n).into(),
     };
-    let deciders = Deciders {
+    let voters = VoterSet {
         generation: 1,
         members: (0..3).map(one).collect(),
-        before: Vec::new(),
+        previous: Vec::new(),
     };
     Rules {
         installation: "test".into(),
-        deciders,
+        voters,
         ..Rules::default()
     }
 }
 
-fn kept() -> Kept {
-    Kept {
+fn kept() -> PersistedState {
+    PersistedState {
         installation: "test".into(),
         name: "n0".into(),
         generation: 1,
-        ceiling: Token(71_000),
-        longest_ms: 30_000,
-        sealed: 1,
+        token_ceiling: Token(71_000),
+        max_lease_ms: 30_000,
+        sealed_below: 1,
     }
 }
 
 #[test]
 fn a_file_that_is_torn_at_any_byte_or_has_any_bit_flipped_is_refused() {
-    let (rules, bytes) = (rules(), kept().write());
-    assert_eq!(Kept::read(&bytes, &rules, "n0"), Ok(kept()));
+    let (rules, bytes) = (rules(), kept().encode());
+    assert_eq!(PersistedState::decode(&bytes, &rules, "n0"), Ok(kept()));
     for end in 0..bytes.len() {
-        let fault = Kept::read(&bytes[..end], &rules, "n0").expect_err("torn");
+        let fault = PersistedState::decode(&bytes[..end], &rules, "n0").expect_err("torn");
         assert!(!fault.help().is_empty() && !fault.to_string().is_empty());
     }
     for bit in 0..bytes.len() * 8 {
         let mut bad = bytes.clone();
         bad[bit / 8] ^= 1 << (bit % 8);
-        assert!(Kept::read(&bad, &rules, "n0").is_err(), "bit {bit}");
+        assert!(
+            PersistedState::decode(&bad, &rules, "n0").is_err(),
+            "bit {bit}"
+        );
     }
     for more in [vec![0], bytes.clone(), vec![7; 4_000]] {
-        assert!(Kept::read(&[bytes.clone(), more].concat(), &rules, "n0").is_err());
+        assert!(PersistedState::decode(&[bytes.clone(), more].concat(), &rules, "n0").is_err());
     }
 }
 
 #[test]
 fn a_file_of_another_is_refused() {
-    let read = |kept: Kept| Kept::read(&kept.write(), &rules(), "n0").expect_err("another's");
+    let read = |kept: PersistedState| {
+        PersistedState::decode(&kept.encode(), &rules(), "n0").expect_err("another's")
+    };
     assert!(matches!(
-        read(Kept {
+        read(PersistedState {
             name: "n1".into(),
             ..kept()
         }),
-        KeptFault::Name { .. }
+        PersistedStateFault::Name { .. }
     ));
     assert!(matches!(
-        read(Kept {
+        read(PersistedState {
             installation: "x".into(),
             ..kept()
         }),
-        KeptFault::Installation { .. }
+        PersistedStateFault::Installation { .. }
     ));
     assert!(matches!(
-        read(Kept {
+        read(PersistedState {
             generation: 2,
             ..kept()
         }),
-        KeptFault::Newer {
+        PersistedStateFault::Newer {
             got: 2,
             expected: 1
         }
@@ -96,19 +102,19 @@
             .starts_with("lease_ms: 20000 is too short for 300 routers")
     );
     assert!(fault(&|r| r.drift = 0.5, 9).starts_with("drift"));
-    assert!(fault(&|r| r.ask_ms = 10_000, 9).starts_with("ask_ms"));
-    assert!(fault(&|r| r.aside_ms = 1, 9).starts_with("aside_ms"));
+    assert!(fault(&|r| r.retry_ms = 10_000, 9).starts_with("ask_ms"));
+    assert!(fault(&|r| r.suspend_ms = 1, 9).starts_with("aside_ms"));
     assert!(fault(&|r| r.datagrams_per_s = 1, 9).starts_with("datagrams_per_s"));
-    assert!(fault(&|r| r.deciders.generation = 0, 9).starts_with("deciders.generation"));
-    assert!(fault(&|r| r.deciders.generation = 2, 9).starts_with("deciders.before"));
-    assert!(fault(&|r| r.deciders.members.truncate(2), 9).starts_with("deciders.members"));
-    assert!(fault(&|r| r.deciders.members[1].name = "n0".into(), 9).contains("n0 is listed twice"));
+    assert!(fault(&|r| r.voters.generation = 0, 9).starts_with("deciders.generation"));
+    assert!(fault(&|r| r.voters.generation = 2, 9).starts_with("deciders.before"));
+    assert!(fault(&|r| r.voters.members.truncate(2), 9).starts_with("deciders.members"));
+    assert!(fault(&|r| r.voters.members[1].name = "n0".into(), 9).contains("n0 is listed twice"));
     assert!(
-        fault(&|r| r.deciders.members[1].name = String::new(), 9).starts_with("deciders.members")
+        fault(&|r| r.voters.members[1].name = String::new(), 9).starts_with("deciders.members")
     );
     let too_short = RulesFault::LeaseTooShort {
         got: 1,
-        least: rules().shortest_lease(300),
+        least: rules().min_lease_ms(300),
         routers: 300,
     };
     assert_eq!(
@@ -119,52 +125,64 @@
 
 #[test]
 fn the_lease_is_renewed_by_the_life_that_holds_it_alone() {
-    let who = |boot| Holder {
+    let holder = |incarnation| Holder {
         address: ([127_u8, 0, 0, 1], 7_000).into(),
-        boot,
+        incarnation,
     };
     let claims = |rules: &Rules| {
         let mut ballot = Ballot::new(Token(0));
-        assert_eq!(ballot.ask(rules, 0, &who(1), Token(1), 100), Said::Voted);
+        assert_eq!(
+            ballot.request_vote(rules, 0, &holder(1), Token(1), 100),
+            VoteOutcome::Granted
+        );
         (
-            ballot.ask(rules, 50, &who(2), Token(1), 100),
-            ballot.ask(rules, 50, &who(2), Token(2), 100),
+            ballot.request_vote(rules, 50, &holder(2), Token(1), 100),
+            ballot.request_vote(rules, 50, &holder(2), Token(2), 100),
         )
     };
-    assert_eq!(claims(&rules()), (Said::Held, Said::Held));
+    assert_eq!(
+        claims(&rules()),
+        (VoteOutcome::HeldByOther, VoteOutcome::HeldByOther)
+    );
     let off = Rules {
-        without: Some(Guard::Life),
+        disabled_guard: Some(Guard::Incarnation),
         ..rules()
     };
     assert_eq!(
         claims(&off),
-        (Said::Voted, Said::Voted),
+        (VoteOutcome::Granted, VoteOutcome::Granted),
         "the guard's removal is seen"
     );
 }
 
 #[test]
 fn a_token_that_was_given_back_is_voted_for_no_more() {
-    let who = |n: u16| Holder {
+    let holder = |n: u16| Holder {
         address: ([127_u8, 0, 0, 1], 7_000 + n).into(),
-        boot: 1,
+        incarnation: 1,
     };
     let again = |rules: &Rules| {
         let mut ballot = Ballot::new(Token(0));
-        assert_eq!(ballot.ask(rules, 0, &who(1), Token(1), 100), Said::Voted);
-        assert!(ballot.release(&who(1), Token(1)) && !ballot.release(&who(1), Token(1)));
+        assert_eq!(
+            ballot.request_vote(rules, 0, &holder(1), Token(1), 100),
+            VoteOutcome::Granted
+        );
+        assert!(ballot.release(&holder(1), Token(1)) && !ballot.release(&holder(1), Token(1)));
         (
-            ballot.ask(rules, 1, &who(2), Token(1), 100),
-            ballot.ask(rules, 1, &who(1), Token(1), 100),
+            ballot.request_vote(rules, 1, &holder(2), Token(1), 100),
+            ballot.request_vote(rules, 1, &holder(1), Token(1), 100),
         )
     };
-    assert_eq!(again(&rules()), (Said::Older, Said::Older));
+    assert_eq!(
+        again(&rules()),
+        (VoteOutcome::StaleToken, VoteOutcome::StaleToken)
+    );
     assert_eq!(
         again(&Rules {
-            without: Some(Guard::Once),
+            disabled_guard: Some(Guard::VoteOnce),
             ..rules()
         })
         .0,
-        Said::Voted
+        VoteOutcome::Granted
     );
 }
--- a/leases/tests/model.rs
+++ b/leases/tests/model.rs
@@ -3,7 +3,7 @@
 #![allow(missing_docs, reason = "a test")]
 
 use plovercove_fencing::Token;
-use plovercove_leases::{Ballot, Guard, Holder, Rules, Said, Tally};
+use plovercove_leases::{Ballot, Guard, Holder, Rules, Tally, VoteOutcome};
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 
@@ -16,30 +16,30 @@
 enum Message {
     Ask {
         owner: usize,
-        decider: usize,
+        voter: usize,
         token: Token,
         asked: u64,
     },
     Pass {
         owner: usize,
         to: usize,
-        decider: usize,
+        voter: usize,
         token: Token,
         asked: u64,
     },
     Yes {
         owner: usize,
-        decider: usize,
+        voter: usize,
         token: Token,
         asked: u64,
     },
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Decider {
+struct Voter {
     ballot: Ballot,
     /// On disk: no vote for a token over this.
-    ceiling: Token,
+    token_ceiling: Token,
     from: u64,
     generation: u8,
     /// It lost its disk, and has not read the others since.
@@ -62,7 +62,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     now: u64,
-    deciders: Vec<Decider>,
+    voters: Vec<Voter>,
     owners: Vec<Owner>,
     /// What was sent may come at any time, any number of times, or never.
     sent: BTreeSet<Message>,
@@ -112,34 +112,38 @@
 }
 
 impl Fleet {
-    fn on(&self, guard: Guard) -> bool {
-        self.rules.without != Some(guard)
+    fn is_enabled(&self, guard: Guard) -> bool {
+        self.rules.disabled_guard != Some(guard)
     }
 
     /// The lease at a decider whose clock is as fast as it may be, in true time.
     fn hold(&self) -> u64 {
-        (self.rules.lease_at_decider(self.rules.lease_ms) as f64 / (1.0 + DRIFT)) as u64
+        (self.rules.lease_at_voter(self.rules.lease_ms) as f64 / (1.0 + DRIFT)) as u64
     }
 
     /// The lease at an owner whose clock is as slow as it may be, in true time.
     fn own(&self) -> u64 {
-        (self.rules.lease_at_owner() as f64 / (1.0 - DRIFT)) as u64
+        (self.rules.lease_at_holder() as f64 / (1.0 - DRIFT)) as u64
     }
 
     fn quorum(&self) -> usize {
-        if self.on(Guard::Majority) { 2 } else { 1 }
+        if self.is_enabled(Guard::Majority) {
+            2
+        } else {
+            1
+        }
     }
 
     /// The third is the first, started anew while its former life goes on.
     fn who(n: usize) -> Holder {
-        let (port, boot) = if n == 2 {
+        let (port, incarnation) = if n == 2 {
             (7_000, 2)
         } else {
             (7_000 + n as u16, 1)
         };
         Holder {
             address: ([127_u8, 0, 0, 1], port).into(),
-            boot,
+            incarnation,
         }
     }
 
@@ -147,12 +151,13 @@
         let owner = &state.owners[n];
         let until = owner
             .tally
-            .since(self.quorum())
+            .lease_start(self.quorum())
             .map(|since| since + self.own());
-        let passing = owner.passing && self.on(Guard::Pass);
+        let passing = owner.passing && self.is_enabled(Guard::Transfer);
         owner.won
             && !passing
-            && (!self.on(Guard::Clock) || until.is_some_and(|until| Self::clock(state, n) < until))
+            && (!self.is_enabled(Guard::Clock)
+                || until.is_some_and(|until| Self::clock(state, n) < until))
     }
 
     fn clock(state: &State, n: usize) -> u64 {
@@ -167,10 +172,10 @@
     fn send(state: &mut State, n: usize) {
         let (token, now) = (state.owners[n].token, Self::clock(state, n));
         state.owners[n].asks += 1;
-        for decider in Self::set(state.owners[n].generation) {
+        for voter in Self::set(state.owners[n].generation) {
             state.sent.insert(Message::Ask {
                 owner: n,
-                decider,
+                voter,
                 token,
                 asked: now,
             });
@@ -183,9 +188,9 @@
     type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
-        let decider = Decider {
+        let voter = Voter {
             ballot: Ballot::new(Token(0)),
-            ceiling: Token(0),
+            token_ceiling: Token(0),
             from: 0,
             generation: 1,
             blank: false,
@@ -201,7 +206,7 @@
         };
         let mut first = State {
             now: TICK,
-            deciders: vec![decider; 4],
+            voters: vec![voter; 4],
             owners: vec![owner; self.owners],
             sent: BTreeSet::new(),
             crashes: 0,
@@ -236,11 +241,7 @@
             };
             actions.extend((0..3).map(crash));
         }
-        actions.extend(
-            (0..3)
-                .filter(|n| state.deciders[*n].blank)
-                .map(Action::Read),
-        );
+        actions.extend((0..3).filter(|n| state.voters[*n].blank).map(Action::Read));
         if self.also == Also::Handing {
             for n in 0..self.owners {
                 if state.now < self.ticks * TICK && state.owners[n].slept < 2 * TICK {
@@ -256,7 +257,7 @@
         }
         if self.change {
             let changes = (0..4)
-                .filter(|n| state.deciders[*n].generation == 1)
+                .filter(|n| state.voters[*n].generation == 1)
                 .map(Action::Change);
             actions.extend(changes);
         }
@@ -268,7 +269,7 @@
             Action::Tick => state.now += TICK,
             Action::Claim(n, high) => {
                 let told =
-                    Self::set(state.owners[n].generation).map(|d| state.deciders[d].ballot.highest);
+                    Self::set(state.owners[n].generation).map(|d| state.voters[d].ballot.highest);
                 let highest = if high { told.max() } else { told.min() }.unwrap_or_default();
                 state.owners[n].token = highest.next().max(state.owners[n].token.next());
                 (state.owners[n].won, state.owners[n].tally) = (false, Tally::new(4));
@@ -278,33 +279,33 @@
             Action::Renew(n) => Self::send(&mut state, n),
             Action::Come(Message::Ask {
                 owner,
-                decider,
+                voter,
                 token,
                 asked,
             }) => {
-                let (now, hold, on) = (state.now, self.hold(), self.on(Guard::Ceiling));
+                let (now, hold, on) = (state.now, self.hold(), self.is_enabled(Guard::Ceiling));
                 let generation = state.owners[owner].generation;
-                let one = &mut state.deciders[decider];
+                let one = &mut state.voters[voter];
                 if now < one.from
                     || one.blank
                     || one.generation != generation
-                    || (decider == 3 && generation == 1)
+                    || (voter == 3 && generation == 1)
                 {
                     return None;
                 }
                 if one
                     .ballot
-                    .ask(&self.rules, now, &Self::who(owner), token, hold)
-                    != Said::Voted
+                    .request_vote(&self.rules, now, &Self::who(owner), token, hold)
+                    != VoteOutcome::Granted
                 {
                     return None;
                 }
                 if on {
-                    one.ceiling = one.ceiling.max(token);
+                    one.token_ceiling = one.token_ceiling.max(token);
                 }
                 state.sent.insert(Message::Yes {
                     owner,
-                    decider,
+                    voter,
                     token,
                     asked,
                 });
@@ -312,27 +313,27 @@
             Action::Come(Message::Pass {
                 owner,
                 to,
-                decider,
+                voter,
                 token,
                 asked,
             }) => {
-                let (now, hold, on) = (state.now, self.hold(), self.on(Guard::Ceiling));
-                let one = &mut state.deciders[decider];
+                let (now, hold, on) = (state.now, self.hold(), self.is_enabled(Guard::Ceiling));
+                let one = &mut state.voters[voter];
                 if now < one.from || one.blank || one.generation != state.owners[owner].generation {
                     return None;
                 }
                 if !one
                     .ballot
-                    .pass(now, &Self::who(owner), token, &Self::who(to), hold)
+                    .transfer(now, &Self::who(owner), token, &Self::who(to), hold)
                 {
                     return None;
                 }
                 if on {
-                    one.ceiling = one.ceiling.max(token.next());
+                    one.token_ceiling = one.token_ceiling.max(token.next());
                 }
                 state.sent.insert(Message::Yes {
                     owner: to,
-                    decider,
+                    voter,
                     token: token.next(),
                     asked,
                 });
@@ -341,29 +342,33 @@
                 state.now += TICK;
                 let one = &mut state.owners[n];
                 one.slept += TICK;
-                if self.on(Guard::Stood) {
+                if self.is_enabled(Guard::Stalled) {
                     // It would have to ask anew for the token that it has; here it asks for a newer one.
                     (one.won, one.tally, one.token) = (false, Tally::new(4), one.token.next());
                 }
             }
             Action::Lose(n) => {
-                let wait = if self.on(Guard::Wait) { self.hold() } else { 0 };
-                let one = &mut state.deciders[n];
-                (one.ballot, one.ceiling) = (Ballot::new(Token(0)), Token(0));
-                (one.from, one.blank) = (state.now + wait, self.on(Guard::CatchUp));
+                let wait = if self.is_enabled(Guard::WaitAfterStart) {
+                    self.hold()
+                } else {
+                    0
+                };
+                let one = &mut state.voters[n];
+                (one.ballot, one.token_ceiling) = (Ballot::new(Token(0)), Token(0));
+                (one.from, one.blank) = (state.now + wait, self.is_enabled(Guard::CatchUp));
                 state.crashes += 1;
             }
             Action::Read(n) => {
-                if state.now < state.deciders[n].from {
+                if state.now < state.voters[n].from {
                     return None;
                 }
                 let told = (0..3)
                     .filter(|d| *d != n)
-                    .map(|d| state.deciders[d].ceiling)
+                    .map(|d| state.voters[d].token_ceiling)
                     .max();
                 let highest = told.unwrap_or_default();
-                let one = &mut state.deciders[n];
-                (one.ballot, one.ceiling, one.blank) = (Ballot::new(highest), highest, false);
+                let one = &mut state.voters[n];
+                (one.ballot, one.token_ceiling, one.blank) = (Ballot::new(highest), highest, false);
             }
             Action::Pass(n, m) => {
                 let (token, asked) = (state.owners[n].token, Self::clock(&state, m));
@@ -375,11 +380,11 @@
                 to.asks += 1;
                 (to.token, to.tally, to.won, to.passing) =
                     (token.next(), Tally::new(4), false, false);
-                for decider in Self::set(state.owners[n].generation) {
+                for voter in Self::set(state.owners[n].generation) {
                     state.sent.insert(Message::Pass {
                         owner: n,
                         to: m,
-                        decider,
+                        voter,
                         token,
                         asked,
                     });
@@ -387,7 +392,7 @@
             }
             Action::Come(Message::Yes {
                 owner,
-                decider,
+                voter,
                 token,
                 asked,
             }) => {
@@ -396,41 +401,51 @@
                 if one.token != token {
                     return None;
                 }
-                one.tally
-                    .voted(decider, if self.on(Guard::Asked) { asked } else { now });
-                let since = one.tally.since(quorum);
+                one.tally.record_vote(
+                    voter,
+                    if self.is_enabled(Guard::CountFromRequest) {
+                        asked
+                    } else {
+                        now
+                    },
+                );
+                let since = one.tally.lease_start(quorum);
                 if !one.won && since.is_some_and(|since| now < since + self.own()) {
                     one.won = true;
                 }
             }
             Action::Crash(n) => {
-                let wait = if self.on(Guard::Wait) { self.hold() } else { 0 };
-                let ceiling = state.deciders[n].ceiling;
-                state.deciders[n].ballot = Ballot::new(ceiling);
-                state.deciders[n].from = state.now + wait;
+                let wait = if self.is_enabled(Guard::WaitAfterStart) {
+                    self.hold()
+                } else {
+                    0
+                };
+                let token_ceiling = state.voters[n].token_ceiling;
+                state.voters[n].ballot = Ballot::new(token_ceiling);
+                state.voters[n].from = state.now + wait;
                 state.crashes += 1;
             }
             Action::Change(n) => {
-                state.deciders[n].generation = 2;
+                state.voters[n].generation = 2;
                 // A member of the new set votes when a majority of the old has sealed itself: it is asked at any time, so
                 // that the last possible moment of its entry is when it is asked.
-                let sealed: Vec<usize> = (0..3)
-                    .filter(|d| state.deciders[*d].generation == 2)
+                let sealed_below: Vec<usize> = (0..3)
+                    .filter(|d| state.voters[*d].generation == 2)
                     .collect();
-                if self.on(Guard::Seal) && sealed.len() < 2 {
-                    state.deciders[n].from = u64::MAX;
+                if self.is_enabled(Guard::Seal) && sealed_below.len() < 2 {
+                    state.voters[n].from = u64::MAX;
                 } else {
                     let now = state.now;
-                    let highest = sealed
+                    let highest = sealed_below
                         .iter()
-                        .map(|d| state.deciders[*d].ballot.highest)
+                        .map(|d| state.voters[*d].ballot.highest)
                         .max()
                         .unwrap_or_default();
                     let changed: Vec<usize> = Self::set(2)
-                        .filter(|d| state.deciders[*d].generation == 2)
+                        .filter(|d| state.voters[*d].generation == 2)
                         .collect();
                     for d in changed {
-                        let one = &mut state.deciders[d];
+                        let one = &mut state.voters[d];
                         if d == n || one.from == u64::MAX {
                             one.ballot = Ballot::new(one.ballot.highest.max(highest));
                             one.from = now + self.hold();
@@ -469,7 +484,7 @@
     let rules = Rules {
         lease_ms: 2,
         drift: DRIFT,
-        without: guard,
+        disabled_guard: guard,
         ..Rules::default()
     };
     let (owners, crashes) = if change { (2, 0) } else { (3, 1) };
@@ -584,17 +599,17 @@
     let guards = [
         (Guard::Clock, false, Also::Nothing, 2),
         (Guard::Drift, false, Also::Nothing, 2),
-        (Guard::Asked, false, Also::Nothing, 2),
-        (Guard::Held, false, Also::Nothing, 2),
-        (Guard::Once, false, Also::Nothing, 2),
-        (Guard::Wait, false, Also::Nothing, 2),
+        (Guard::CountFromRequest, false, Also::Nothing, 2),
+        (Guard::RunningLease, false, Also::Nothing, 2),
+        (Guard::VoteOnce, false, Also::Nothing, 2),
+        (Guard::WaitAfterStart, false, Also::Nothing, 2),
         (Guard::Ceiling, false, Also::Nothing, 2),
         (Guard::Majority, false, Also::Nothing, 2),
-        (Guard::Life, false, Also::Nothing, 3),
+        (Guard::Incarnation, false, Also::Nothing, 3),
         (Guard::Seal, true, Also::Nothing, 2),
-        (Guard::Stood, false, Also::Handing, 2),
+        (Guard::Stalled, false, Also::Handing, 2),
         (Guard::CatchUp, false, Also::Losing, 2),
-        (Guard::Pass, false, Also::Handing, 2),
+        (Guard::Transfer, false, Also::Handing, 2),
     ];
     let mut missed = Vec::new();
     for (guard, change, also, owners) in guards {
--- a/leases/tests/logged/mod.rs
+++ b/leases/tests/replicated_log/mod.rs
@@ -83,10 +83,10 @@
         self.net.up(n) && !self.net.nodes[n].frozen
     }
 
-    pub fn acting(&self, duty: usize) -> Vec<usize> {
+    pub fn acting(&self, lease: usize) -> Vec<usize> {
         let now = self.net.now;
         let acts = |n: &usize| {
-            self.runs(*n) && self.holds[*n].get(&duty).is_some_and(|until| now < *until)
+            self.runs(*n) && self.holds[*n].get(&lease).is_some_and(|until| now < *until)
         };
         (0..ROUTERS).filter(acts).collect()
     }
@@ -132,18 +132,18 @@
         if now < self.next_ask[n] || !self.runs(n) {
             return;
         }
-        self.next_ask[n] = now + self.rules.renew();
+        self.next_ask[n] = now + self.rules.renew_interval();
         let placed = Placement::new(&self.net.wanted, &self.net.seen(n));
         let mine = |d: &usize| {
-            placed.first(&crate::common::duty(*d)) == Some(address(n))
+            placed.preferred_holder(&crate::common::lease(*d)) == Some(address(n))
                 || self.holds[n].contains_key(d)
         };
         let duties: Vec<usize> = (0..self.duties).filter(mine).collect();
         self.holds[n].retain(|_, until| *until > now);
-        for decider in 0..3 {
+        for voter in 0..3 {
             self.send(
                 n,
-                decider,
+                voter,
                 Sent::Ask {
                     from: n,
                     at: now,
@@ -175,17 +175,17 @@
                             .get(d)
                             .is_none_or(|(by, until)| *by == from || *until <= now)
                     };
-                    for duty in duties.into_iter().filter(free) {
-                        let entry = format!("{duty} {from} {at}");
+                    for lease in duties.into_iter().filter(free) {
+                        let entry = format!("{lease} {from} {at}");
                         drop(self.nodes[to].propose(Vec::new(), entry.into_bytes()));
                     }
                 }
                 Sent::Ask { .. } => {}
                 Sent::Yes { at, duties } => {
-                    let until = at + self.rules.lease_at_owner();
+                    let until = at + self.rules.lease_at_holder();
                     let holds = &mut self.holds[to];
-                    for duty in duties {
-                        let old = holds.entry(duty).or_default();
+                    for lease in duties {
+                        let old = holds.entry(lease).or_default();
                         *old = until.max(*old);
                     }
                 }
@@ -221,18 +221,18 @@
         for entry in written {
             let text = String::from_utf8_lossy(&entry.data).into_owned();
             let words: Vec<u64> = text.split(' ').filter_map(|w| w.parse().ok()).collect();
-            let [duty, by, at] = words[..] else { continue };
-            let (duty, by) = (duty as usize, by as usize);
+            let [lease, by, at] = words[..] else { continue };
+            let (lease, by) = (lease as usize, by as usize);
             // What a former leader wrote may come after another's: it counts only where the duty was free by then.
             let free = self.owned[n]
-                .get(&duty)
+                .get(&lease)
                 .is_none_or(|(owner, until)| *owner == by || *until <= at);
             if free {
                 self.owned[n].insert(
-                    duty,
-                    (by, now + self.rules.lease_at_decider(self.rules.lease_ms)),
+                    lease,
+                    (by, now + self.rules.lease_at_voter(self.rules.lease_ms)),
                 );
-                yes.entry((by, at)).or_default().push(duty);
+                yes.entry((by, at)).or_default().push(lease);
             }
         }
         for ((by, at), duties) in yes.into_iter().filter(|_| leads) {
--- a/leases/tests/stored_formats.rs
+++ b/leases/tests/stored_formats.rs
@@ -2,8 +2,10 @@
 //! wrote it. The fixtures were recorded with the version before the renaming of types.
 
 use plovercove::Time;
-use plovercove_fencing::{Duty, Token};
-use plovercove_leases::{Decider, Deciders, Duties, Kept, Member, Rules, Wanted};
+use plovercove_fencing::{LeaseName, Token};
+use plovercove_leases::{
+    LeaseManager, Member, PersistedState, Rules, VoterConfig, VoterSet, WantedLease,
+};
 use std::net::SocketAddr;
 
 const BEGIN: Time = 1_000_000_000;
@@ -19,43 +21,43 @@
         name: format!("n{n}"),
         zone: "a".into(),
         address: address(n),
-        boot: BEGIN + n as u64,
+        incarnation: BEGIN + n as u64,
     }
 }
 
 fn rules() -> Rules {
-    let decider = |n: usize| Decider {
+    let voter = |n: usize| VoterConfig {
         name: format!("n{n}"),
         address: address(n),
     };
     Rules {
         installation: "test".into(),
-        deciders: Deciders {
+        voters: VoterSet {
             generation: 1,
-            members: (0..ROUTERS).map(decider).collect(),
-            before: Vec::new(),
+            members: (0..ROUTERS).map(voter).collect(),
+            previous: Vec::new(),
         },
         lease_ms: 3_000,
-        ask_ms: 200,
+        retry_ms: 200,
         ..Rules::default()
     }
 }
 
-fn wanted() -> Vec<Wanted> {
+fn wanted() -> Vec<WantedLease> {
     let names = ["positions/1", "positions/2", "gateway/a"];
-    let duty = |name: &&str| Duty::new(name).expect("a good name");
+    let lease = |name: &&str| LeaseName::new(name).expect("a good name");
     let zone = |name: &str| name.starts_with("gateway").then(|| "a".to_string());
     names
         .iter()
-        .map(|name| Wanted {
-            duty: duty(name),
+        .map(|name| WantedLease {
+            lease: lease(name),
             zone: zone(name),
         })
         .collect()
 }
 
-fn router(n: usize) -> Duties {
-    let mut duties = Duties::new(
+fn router(n: usize) -> LeaseManager {
+    let mut manager = LeaseManager::new(
         rules(),
         member(n),
         ROUTERS as u32,
@@ -63,9 +65,9 @@
         7 + n as u64,
         None,
     );
-    duties.want(BEGIN, wanted());
-    duties.members(BEGIN, (0..ROUTERS).map(member).collect());
-    duties
+    manager.set_wanted(BEGIN, wanted());
+    manager.set_members(BEGIN, (0..ROUTERS).map(member).collect());
+    manager
 }
 
 fn hex(bytes: &[u8]) -> String {
@@ -81,20 +83,20 @@
 /// What three routers say to each other in eight seconds, one of which hands over at the end: a line for each body, from, to
 /// and bytes; and a line for each file that is to be kept.
 fn record() -> String {
-    let mut routers: Vec<Duties> = (0..ROUTERS).map(router).collect();
+    let mut routers: Vec<LeaseManager> = (0..ROUTERS).map(router).collect();
     let mut lines = Vec::new();
     for step in 0..160 {
         let now = BEGIN + step * STEP;
         for n in 0..ROUTERS {
             if step == 140 && n == 1 {
-                routers[n].hand_over(now);
+                routers[n].hand_over_all(now);
             }
             routers[n].turn(now);
-            if let Some(file) = routers[n].to_keep() {
+            if let Some(file) = routers[n].take_pending_write() {
                 lines.push(format!("file {n} {}", hex(&file)));
-                routers[n].kept(now);
+                routers[n].complete_write(now);
             }
-            for (to, body) in routers[n].out() {
+            for (to, body) in routers[n].take_outbox() {
                 let to = usize::from(to.port() - 7_000);
                 lines.push(format!("body {n} {to} {}", hex(&body)));
                 routers[to].receive(now, &member(n), &body, 0);
@@ -120,16 +122,17 @@
     let file = recorded
         .lines()
         .find_map(|line| line.strip_prefix("file 0 "));
-    let kept = Kept::read(&unhex(file.expect("a file")), &rules(), "n0").expect("it is read");
+    let kept =
+        PersistedState::decode(&unhex(file.expect("a file")), &rules(), "n0").expect("it is read");
     assert_eq!(
         (kept.installation.as_str(), kept.name.as_str()),
         ("test", "n0")
     );
     assert_eq!(
-        (kept.generation, kept.longest_ms, kept.sealed),
+        (kept.generation, kept.max_lease_ms, kept.sealed_below),
         (1, 3_000, 1)
     );
-    assert_eq!(kept.ceiling, Token(0));
+    assert_eq!(kept.token_ceiling, Token(0));
 }
 
 #[test]
--- a/router/src/lease_tasks/file.rs
+++ b/router/src/lease_tasks/file.rs
@@ -1,7 +1,7 @@
 //! The decider's file: read at the start, and written over whole when its votes need it.
 
 use plovercove::{Micros, Time};
-use plovercove_leases::{Kept, KeptFault, Rules};
+use plovercove_leases::{PersistedState, PersistedStateFault, Rules};
 use std::fs::{self, File as Open};
 use std::io::{self, ErrorKind, Write};
 use std::path::{Path, PathBuf};
@@ -27,7 +27,7 @@
         /// Where it lies.
         path: PathBuf,
         /// Why.
-        source: KeptFault,
+        source: PersistedStateFault,
     },
     /// The system does not let it be written.
     #[error("{}: the decider's file cannot be written: {source}", path.display())]
@@ -58,7 +58,7 @@
         !matches!(
             self,
             FileFault::Kept {
-                source: KeptFault::Torn { .. } | KeptFault::Damaged,
+                source: PersistedStateFault::Torn { .. } | PersistedStateFault::Damaged,
                 ..
             }
         )
@@ -78,17 +78,19 @@
 impl File {
     /// Reads the file. Where it is torn the decider goes on as if it were lost: it reads the others' tokens first, and the
     /// file is written over. Where it is another's, it is left as it is.
-    pub fn read(path: &Path, rules: &Rules, name: &str) -> (Self, Result<Option<Kept>, FileFault>) {
+    pub fn read(
+        path: &Path,
+        rules: &Rules,
+        name: &str,
+    ) -> (Self, Result<Option<PersistedState>, FileFault>) {
         let path = path.to_path_buf();
         let kept = match fs::read(&path) {
-            Ok(bytes) => {
-                Kept::read(&bytes, rules, name)
-                    .map(Some)
-                    .map_err(|source| FileFault::Kept {
-                        path: path.clone(),
-                        source,
-                    })
-            }
+            Ok(bytes) => PersistedState::decode(&bytes, rules, name)
+                .map(Some)
+                .map_err(|source| FileFault::Kept {
+                    path: path.clone(),
+                    source,
+                }),
             Err(e) if e.kind() == ErrorKind::NotFound => Ok(None),
             Err(source) => Err(FileFault::Read {
                 path: path.clone(),
--- a/router/src/lease_tasks/file/tests.rs
+++ b/router/src/lease_tasks/file/tests.rs
@@ -9,15 +9,15 @@
 }
 
 fn kept(name: &str) -> Vec<u8> {
-    let kept = Kept {
+    let kept = PersistedState {
         installation: "here".into(),
         name: name.into(),
         generation: 1,
-        ceiling: plovercove_fencing::Token(64),
-        longest_ms: 1_000,
-        sealed: 0,
+        token_ceiling: plovercove_fencing::Token(64),
+        max_lease_ms: 1_000,
+        sealed_below: 0,
     };
-    kept.write()
+    kept.encode()
 }
 
 fn rules() -> Rules {
@@ -25,7 +25,7 @@
         installation: "here".into(),
         ..Rules::default()
     };
-    rules.deciders.generation = 1;
+    rules.voters.generation = 1;
     rules
 }
 
--- a/router/src/lease_tasks/mod.rs
+++ b/router/src/lease_tasks/mod.rs
@@ -20,9 +20,9 @@
 use plovercove::{GroupId, Micros, Time};
 use plovercove_engine::Engine;
 use plovercove_fanout::{self as fanout, Client, Fault, Gateway, Publisher, Subscriber, Topic};
-use plovercove_fencing::{Duty, Refused, Token};
+use plovercove_fencing::{FenceError, LeaseName, Token};
 use plovercove_gossip::{Incarnation, ReceivedPart, carried};
-use plovercove_leases::{Duties, Member, Wanted};
+use plovercove_leases::{LeaseManager, Member, WantedLease};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -52,22 +52,22 @@
     clock: Clock,
     terms: LeaseTasksConfig,
     me: Member,
-    duties: Rc<RefCell<Duties>>,
+    duties: Rc<RefCell<LeaseManager>>,
     file: Option<File>,
     client: Client,
     publisher: Publisher,
     /// Its zone's gateway, and the duty of it; none where the zone's name can be no duty's.
-    gateway: Option<(Duty, Gateway)>,
+    gateway: Option<(LeaseName, Gateway)>,
     watches: Watches,
     watching: BTreeSet<GroupId>,
     nodes: Nodes,
     members: Vec<Member>,
-    zones: Vec<(String, Duty)>,
+    zones: Vec<(String, LeaseName)>,
     gateways: Vec<SocketAddr>,
     asks: Vec<NodeQuery>,
     out: Vec<(SocketAddr, u8, Vec<u8>)>,
     own: VecDeque<(u8, Vec<u8>)>,
-    refused: BTreeMap<Duty, Token>,
+    refused: BTreeMap<LeaseName, Token>,
     counts: Counts,
 }
 
@@ -80,7 +80,7 @@
         name: life.name.clone(),
         zone: life.zone.clone(),
         address: life.address,
-        boot: life.boot,
+        incarnation: life.boot,
     }
 }
 
@@ -95,10 +95,10 @@
     ) -> Self {
         let now = clock.now();
         let me = member(me);
-        let here = |d: &plovercove_leases::Decider| d.address == me.address;
-        let deciders = &terms.rules.deciders;
+        let here = |d: &plovercove_leases::VoterConfig| d.address == me.address;
+        let deciders = &terms.rules.voters;
         let (mut file, mut kept) = (None, None);
-        if deciders.members.iter().chain(&deciders.before).any(here) {
+        if deciders.members.iter().chain(&deciders.previous).any(here) {
             match &terms.file {
                 Some(path) => {
                     let (found, read) = File::read(path, &terms.rules, &me.name);
@@ -112,7 +112,7 @@
                 None => tell::no_file(),
             }
         }
-        let gateway = Duty::new(&format!("gateway/{}", me.zone))
+        let gateway = LeaseName::new(&format!("gateway/{}", me.zone))
             .ok()
             .and_then(|duty| {
                 let made =
@@ -124,11 +124,11 @@
         }
         let subscriber = Subscriber {
             name: me.name.as_str().into(),
-            boot: me.boot,
+            boot: me.incarnation,
             address: me.address,
             zone: me.zone.as_str().into(),
         };
-        let duties = Duties::new(
+        let duties = LeaseManager::new(
             terms.rules.clone(),
             me.clone(),
             routers,
@@ -173,7 +173,9 @@
     /// Who is there has changed.
     pub fn seen<'a>(&mut self, now: Time, others: impl Iterator<Item = &'a Incarnation>) {
         self.members = others.map(member).chain([self.me.clone()]).collect();
-        self.duties.borrow_mut().members(now, self.members.clone());
+        self.duties
+            .borrow_mut()
+            .set_members(now, self.members.clone());
         self.want(now);
     }
 
@@ -182,7 +184,10 @@
         let mut wanted = Vec::new();
         let groups = self.nodes.groups();
         for group in &groups {
-            wanted.extend(Duty::new(&positions(*group)).map(|duty| Wanted { duty, zone: None }));
+            wanted.extend(LeaseName::new(&positions(*group)).map(|duty| WantedLease {
+                lease: duty,
+                zone: None,
+            }));
         }
         let zones: BTreeSet<&String> = self
             .members
@@ -194,15 +199,15 @@
         let gate = |zone: &&String| {
             Some((
                 zone.to_string(),
-                Duty::new(&format!("gateway/{zone}")).ok()?,
+                LeaseName::new(&format!("gateway/{zone}")).ok()?,
             ))
         };
         self.zones = zones.iter().filter_map(gate).collect();
-        wanted.extend(self.zones.iter().map(|(zone, duty)| Wanted {
-            duty: duty.clone(),
+        wanted.extend(self.zones.iter().map(|(zone, duty)| WantedLease {
+            lease: duty.clone(),
             zone: Some(zone.clone()),
         }));
-        self.duties.borrow_mut().want(now, wanted);
+        self.duties.borrow_mut().set_wanted(now, wanted);
         if groups != self.watching {
             for group in self.watching.difference(&groups) {
                 Topic::new(&positions(*group))
@@ -224,7 +229,7 @@
 
     /// The loop stood still.
     pub fn stood(&mut self, now: Time, span: Micros) {
-        self.duties.borrow_mut().stood(now, span);
+        self.duties.borrow_mut().handle_stall(now, span);
     }
 
     /// A part came.
@@ -260,8 +265,13 @@
     }
 
     /// Tells of an old owner, once for each of its tokens: it may go on for long.
-    fn refuse(&mut self, why: &Refused) {
-        let Refused::Older { duty, told, .. } = why else {
+    fn refuse(&mut self, why: &FenceError) {
+        let FenceError::Older {
+            lease: duty,
+            token: told,
+            ..
+        } = why
+        else {
             return tell::refused(why);
         };
         if self.refused.len() >= TOLD {
@@ -307,7 +317,7 @@
             }
         }
         self.learn(engine);
-        while let Some(news) = self.duties.borrow_mut().news() {
+        while let Some(news) = self.duties.borrow_mut().take_event() {
             tell::duties(&news);
         }
         while let Some(why) = self.publisher.refused() {
@@ -320,21 +330,21 @@
         let duties = self.duties.borrow();
         let mut owned = BTreeMap::new();
         for group in &self.watching {
-            if let Ok(duty) = Duty::new(&positions(*group))
+            if let Ok(duty) = LeaseName::new(&positions(*group))
                 && let Some(token) = duties.may_act(now, &duty)
             {
                 owned.insert(*group, token);
             }
         }
         for group in self.watches.own(now, &owned) {
-            Duty::new(&positions(group))
+            LeaseName::new(&positions(group))
                 .iter()
                 .for_each(|duty| self.publisher.ended(duty));
         }
         // A gateway of another zone than its own tells nobody: its zone has no router.
-        let at = |(zone, duty): &(String, Duty)| {
+        let at = |(zone, duty): &(String, LeaseName)| {
             duties
-                .owner(duty)
+                .holder(duty)
                 .filter(|(owner, _)| owner.zone == *zone)
                 .map(|(owner, _)| owner.address)
         };
@@ -345,7 +355,7 @@
         }
         if let Some((duty, gateway)) = &mut self.gateway {
             gateway.token(now, duties.may_act(now, duty));
-            if let Some((owner, _)) = duties.owner(duty) {
+            if let Some((owner, _)) = duties.holder(duty) {
                 self.client.gateway(now, owner.address);
             }
         }
@@ -354,7 +364,7 @@
     /// Asks the nodes of the groups whose turn it is.
     fn ask(&mut self, now: Time) {
         for (group, token) in self.watches.due(now) {
-            let Ok(duty) = Duty::new(&positions(group)) else {
+            let Ok(duty) = LeaseName::new(&positions(group)) else {
                 continue;
             };
             // Against: an owner that stood still since this turn began, or whose question waited for a connection, asks
@@ -378,7 +388,7 @@
     fn publish(&mut self, now: Time) {
         for (group, token, item) in self.watches.items(now) {
             let name = positions(group);
-            let (Ok(duty), Ok(topic)) = (Duty::new(&name), Topic::new(&name)) else {
+            let (Ok(duty), Ok(topic)) = (LeaseName::new(&name), Topic::new(&name)) else {
                 continue;
             };
             match self.publisher.publish(now, &topic, &duty, token, &item) {
@@ -392,9 +402,9 @@
     /// Writes the decider's file where votes wait for it.
     fn keep(&mut self, now: Time) {
         let Some(file) = &mut self.file else { return };
-        let fresh = self.duties.borrow_mut().to_keep();
+        let fresh = self.duties.borrow_mut().take_pending_write();
         match file.keep(now, fresh) {
-            Ok(true) => self.duties.borrow_mut().kept(now),
+            Ok(true) => self.duties.borrow_mut().complete_write(now),
             Ok(false) => {}
             Err(fault) => tell::file(&fault),
         }
@@ -405,7 +415,7 @@
         let duties = self
             .duties
             .borrow_mut()
-            .out()
+            .take_outbox()
             .into_iter()
             .map(|(to, body)| (to, carried::DUTY, body));
         let mut all: Vec<_> = duties.collect();
@@ -495,7 +505,7 @@
         let file = self.file.as_ref().map_or(Time::MAX, File::next);
         let own = if self.own.is_empty() { Time::MAX } else { 0 };
         [
-            self.duties.borrow().next(),
+            self.duties.borrow().next_turn(),
             self.client.next(),
             self.publisher.next(),
             self.watches.next(),
@@ -510,12 +520,12 @@
     /// This router ends: what it owns goes to others, and nobody needs to tell it anything.
     pub fn hand_over(&mut self, now: Time) {
         self.client.leave(now);
-        self.duties.borrow_mut().hand_over(now);
+        self.duties.borrow_mut().hand_over_all(now);
     }
 
     /// Whether something is still being handed over.
     pub fn handing(&self) -> bool {
-        self.duties.borrow().handing()
+        self.duties.borrow().is_handing_over()
     }
 
     /// Tells the log what it does, and what it believes that others do.
@@ -525,18 +535,18 @@
         for duty in self
             .watching
             .iter()
-            .filter_map(|g| Duty::new(&positions(*g)).ok())
+            .filter_map(|g| LeaseName::new(&positions(*g)).ok())
         {
             owners.extend(
                 duties
-                    .owner(&duty)
+                    .holder(&duty)
                     .map(|(who, token)| (duty, who.name, token)),
             );
         }
         for (_, duty) in &self.zones {
             owners.extend(
                 duties
-                    .owner(duty)
+                    .holder(duty)
                     .map(|(who, token)| (duty.clone(), who.name, token)),
             );
         }
@@ -547,12 +557,12 @@
             .unwrap_or_default();
         tell::dump(&tell::Dump {
             owned: &duties
-                .owned(now)
+                .held_leases(now)
                 .map(|(duty, token)| (duty.clone(), token))
                 .collect::<Vec<_>>(),
             owners: &owners,
             stage: duties.stage(),
-            alone: duties.alone(now),
+            alone: duties.is_without_majority(now),
             topics: self.client.topics().count(),
             settled: self.client.settled(),
             duties: duties.counts(),
--- a/router/src/lease_tasks/tell.rs
+++ b/router/src/lease_tasks/tell.rs
@@ -3,8 +3,8 @@
 use super::{Counts, FileFault};
 use plovercove::Micros;
 use plovercove_fanout::{self as fanout, ClientCounts, Fault, GatewayCounts};
-use plovercove_fencing::{Duty, Refused, Token};
-use plovercove_leases::{Counts as DutyCounts, News, Stage};
+use plovercove_fencing::{FenceError, LeaseName, Token};
+use plovercove_leases::{Counts as LeaseCounts, LeaseEvent, VoterStage};
 use tracing::{info, warn};
 
 /// A fault of the decider's file.
@@ -36,41 +36,52 @@
 }
 
 /// An owner that was replaced, and spoke.
-pub fn refused(why: &Refused) {
+pub fn refused(why: &FenceError) {
     warn!(reason = "refused", help = why.help(), "{why}");
 }
 
 /// What became of duties.
-pub fn duties(news: &News) {
-    let (reason, help) = (news.word(), news.help());
+pub fn duties(news: &LeaseEvent) {
+    let (reason, help) = (news.label(), news.help());
     match news {
-        News::Won {
-            duty,
+        LeaseEvent::Acquired {
+            lease: duty,
             token,
-            begins,
+            resumes_from: begins,
         } => {
             let begins = begins.map(|t| t.0);
             info!(reason, help, %duty, token = token.0, begins, "{duty} is owned by this router");
         }
-        News::Lost { duty, token, why } => {
-            let why = why.word();
+        LeaseEvent::Lost {
+            lease: duty,
+            token,
+            reason: why,
+        } => {
+            let why = why.label();
             info!(reason, help, %duty, token = token.0, why, "{duty} is no longer owned by this router");
         }
-        News::HandedOver { duty, token, to } => {
+        LeaseEvent::HandedOver {
+            lease: duty,
+            token,
+            to,
+        } => {
             info!(reason, help, %duty, token = token.0, to = to.name, "{duty} is {}'s now", to.name);
         }
-        News::GivenBack { duty, token } => {
+        LeaseEvent::Released { lease: duty, token } => {
             info!(reason, help, %duty, token = token.0, "{duty} was given back, nobody took it");
         }
-        News::SetAside { duty, span } => {
+        LeaseEvent::Suspended {
+            lease: duty,
+            duration: span,
+        } => {
             warn!(reason, help, %duty, ms = span / 1_000, "{duty} lost one owner after the other, and is left alone");
         }
-        News::NoMajority => warn!(
+        LeaseEvent::MajorityLost => warn!(
             reason,
             help, "too few deciders answer: each router does all by itself"
         ),
-        News::Majority => info!(reason, help, "a majority of the deciders answers"),
-        News::Stood { span } => {
+        LeaseEvent::MajorityReached => info!(reason, help, "a majority of the deciders answers"),
+        LeaseEvent::Stalled { duration: span } => {
             warn!(
                 reason,
                 help,
@@ -78,7 +89,7 @@
                 "this router stood still, and owns nothing"
             )
         }
-        News::Decider { stage, above } => {
+        LeaseEvent::VoterStageChanged { stage, above } => {
             info!(
                 reason,
                 help,
@@ -87,8 +98,8 @@
                 "as a decider this router is {stage:?}"
             );
         }
-        News::Stale => warn!(reason, help, "the decider's file is an old copy"),
-        News::Full { duty } => {
+        LeaseEvent::StaleFile => warn!(reason, help, "the decider's file is an old copy"),
+        LeaseEvent::VoterFull { lease: duty } => {
             warn!(reason, help, %duty, "no more duties are taken than there are")
         }
     }
@@ -134,11 +145,11 @@
 /// What SIGUSR1 tells.
 pub struct Dump<'a> {
     /// Owned by this router.
-    pub owned: &'a [(Duty, Token)],
+    pub owned: &'a [(LeaseName, Token)],
     /// Believed to be owned, and by whom.
-    pub owners: &'a [(Duty, String, Token)],
+    pub owners: &'a [(LeaseName, String, Token)],
     /// How far it is as a decider.
-    pub stage: Option<Stage>,
+    pub stage: Option<VoterStage>,
     /// Too few deciders answer.
     pub alone: bool,
     /// Topics that are subscribed to.
@@ -146,7 +157,7 @@
     /// The gateway holds them.
     pub settled: bool,
     /// Counts of duties.
-    pub duties: DutyCounts,
+    pub duties: LeaseCounts,
     /// Counts of the subscriber.
     pub client: ClientCounts,
     /// Counts of the gateway.
--- a/router/src/lease_tasks/terms.rs
+++ b/router/src/lease_tasks/terms.rs
@@ -130,7 +130,7 @@
             let unknown = || TermsFault::NoGuard(guard.clone());
             match guard.split_once('/') {
                 Some(("duties", name)) => {
-                    rules.without =
+                    rules.disabled_guard =
                         Some(plovercove_leases::Guard::named(name).ok_or_else(unknown)?);
                 }
                 Some(("fanout", name)) => {
@@ -162,7 +162,7 @@
                 });
             }
         }
-        let deciders = rules.deciders.members.iter().chain(&rules.deciders.before);
+        let deciders = rules.voters.members.iter().chain(&rules.voters.previous);
         if self.file.is_none() && deciders.map(|d| d.address).any(|d| d == address) {
             return Err(TermsFault::NoFile { address });
         }
--- a/router/src/main.rs
+++ b/router/src/main.rs
@@ -72,7 +72,7 @@
     if let Some(duties) = told.duties {
         parts.push(format!(
             "{} deciders choose who does what for the fleet",
-            duties.rules.deciders.members.len()
+            duties.rules.voters.members.len()
         ));
     }
     Ok(if parts.is_empty() {
