--- a/router/src/clock.rs
+++ b/router/src/clock.rs
@@ -1,12 +1,12 @@
-//! The router's clock, and the one place where the times of the sockets become the module's and back.
+//! The router's clock, and the conversions between the times on the wire and those of the decision module.
 //!
-//! The module counts microseconds that never run backwards; sockets carry Unix milliseconds. A conversion never claims
-//! data to be fresher, or patience to be longer, than what was told.
+//! The module counts microseconds that never run backwards; the wire carries Unix milliseconds. A conversion never makes
+//! data look fresher, or a wait shorter, than the value that was received.
 
 use plovercove::{Micros, Time};
 use std::time::{Instant, SystemTime};
 
-/// Unix time in microseconds, read once and carried on by the monotonic clock.
+/// Unix time in microseconds: the system clock read once at the start, advanced by the monotonic clock.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
@@ -14,7 +14,7 @@
 }
 
 impl Default for Clock {
-    /// A clock that starts at the system's time.
+    /// Creates a clock that starts at the system time.
     fn default() -> Self {
         let unix = SystemTime::now()
             .duration_since(SystemTime::UNIX_EPOCH)
@@ -27,30 +27,32 @@
 }
 
 impl Clock {
-    /// The time now.
+    /// Returns the current time.
     pub fn now(&self) -> Time {
         self.unix + self.start.elapsed().as_micros() as Time
     }
 }
 
-/// A Unix time in milliseconds, as a moment on the clock.
+/// Converts a Unix time in milliseconds to microseconds.
 pub fn from_ms(ms: u64) -> Time {
     ms.saturating_mul(1_000)
 }
 
-/// A Unix time in seconds, as load reports tell it, rounded down; `None` for nothing told.
+/// Converts a Unix time in seconds, as load reports carry it, to microseconds, rounded down. Returns `None` unless the
+/// value is positive, since 0 means that the node reports no time.
 pub fn from_seconds(seconds: f64) -> Option<Time> {
     (seconds > 0.0).then_some((seconds * 1e6).floor() as Time)
 }
 
-/// A span in milliseconds, rounded up: a wait is never told shorter than it is.
-pub fn to_ms(span: Micros) -> u64 {
-    span.div_ceil(1_000)
+/// Converts a duration to milliseconds, rounded up so that a wait is never announced as shorter than it is.
+pub fn to_ms(duration: Micros) -> u64 {
+    duration.div_ceil(1_000)
 }
 
-/// How long ago a moment was. One in the future, from a clock that is ahead, is now: the data must be the newest.
-pub fn age(now: Time, then: Time) -> Micros {
-    now.saturating_sub(then)
+/// Returns the age of a timestamp. A timestamp in the future, from a clock that is ahead, has the age 0: the data must be
+/// the newest.
+pub fn age(now: Time, timestamp: Time) -> Micros {
+    now.saturating_sub(timestamp)
 }
 
 #[cfg(test)]
--- a/router/src/clock/tests.rs
+++ b/router/src/clock/tests.rs
@@ -7,10 +7,10 @@
     assert_eq!(from_ms(1_767_225_600_123), 1_767_225_600_123_000);
     assert_eq!(from_ms(u64::MAX), u64::MAX);
     for ms in 1_767_225_600_000..1_767_225_601_000_u64 {
-        let told = from_seconds(ms as f64 / 1e3).expect("positive");
+        let converted = from_seconds(ms as f64 / 1e3).expect("positive");
         assert!(
-            told <= from_ms(ms) && told + 1 >= from_ms(ms),
-            "{ms} ms came back as {told} us"
+            converted <= from_ms(ms) && converted + 1 >= from_ms(ms),
+            "{ms} ms came back as {converted} us"
         );
     }
     assert_eq!(
--- a/router/src/config/tests.rs
+++ b/router/src/config/tests.rs
@@ -10,7 +10,7 @@
     "DrainGrace":1,"OverloadFactor":2,"OverloadFor":1000000},"SlotNo":0,"Tick":5000}}"#;
 
 #[test]
-fn what_is_wrong_is_named_by_its_key() {
+fn faults_name_the_key() {
     for (from, to, complaint) in [
         ("{\"name\"", "[\"name\"", "not JSON"),
         (
@@ -60,17 +60,17 @@
             "settings.Limits.MaxAttempts is missing",
         ),
     ] {
-        let said = from_json(GOOD.replace(from, to).into_bytes(), |_| None)
+        let fault = from_json(GOOD.replace(from, to).into_bytes(), |_| None)
             .err()
             .expect(complaint);
-        assert!(said.to_string().contains(complaint), "{said}");
+        assert!(fault.to_string().contains(complaint), "{fault}");
     }
 }
 
 #[test]
-fn variables_go_before_the_file() {
-    let given = |name: &str| (name == "PROXY_LISTEN").then(|| "127.0.0.9:9".to_string());
-    let config = from_json(GOOD.as_bytes().to_vec(), given).unwrap_or_else(|e| panic!("{e}"));
+fn environment_variables_take_precedence_over_the_file() {
+    let variables = |name: &str| (name == "PROXY_LISTEN").then(|| "127.0.0.9:9".to_string());
+    let config = from_json(GOOD.as_bytes().to_vec(), variables).unwrap_or_else(|e| panic!("{e}"));
     assert_eq!(
         (config.listen.to_string().as_str(), config.name.as_str()),
         ("127.0.0.9:9", "n1")
--- a/router/src/error.rs
+++ b/router/src/error.rs
@@ -1,4 +1,4 @@
-//! Why the router does not start, does not take a file over, or ends; and what an operator can do.
+//! Errors of the start, the check of a file, a reload and the event loop, with help for operators.
 
 use plovercove_locality as tiers;
 use plovercove_settings as settings;
@@ -7,85 +7,85 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// What is wrong with a start, a check, a reload or the loop.
+/// An error of the start, the check of a file, a reload or the event loop.
 #[derive(Debug, thiserror::Error, strum::IntoStaticStr, strum::VariantNames)]
 pub enum Error {
-    /// No configuration is named.
+    /// `PROXY_CONFIG` is not set.
     #[error("PROXY_CONFIG is missing")]
     NoConfig,
-    /// A configuration that cannot be read.
+    /// The configuration file cannot be read.
     #[error("cannot read {path}: {source}")]
     Unreadable {
         /// The file.
         path: String,
-        /// Why.
+        /// The system's error.
         source: io::Error,
     },
-    /// A fault and the file or variable it belongs to.
-    #[error("{place}: {fault}")]
+    /// An error with the file or variable that it belongs to.
+    #[error("{location}: {fault}")]
     In {
         /// The file or variable.
-        place: String,
-        /// The fault there.
+        location: String,
+        /// The error.
         #[source]
         fault: Box<Error>,
     },
-    /// A text that is no address and port.
+    /// A value that is not an address and port.
     #[error("{key}: expected an address and port, got {got:?}")]
     Address {
-        /// Its key or variable.
+        /// The key or variable.
         key: String,
-        /// The text.
+        /// The value.
         got: String,
     },
-    /// A limit that the router cannot work with.
+    /// A limit that is too low for the router to work.
     #[error("{key}: expected at least {least}, got {got}")]
     Least {
-        /// Its key.
+        /// The key.
         key: &'static str,
-        /// The least that is enough.
+        /// The lowest accepted value.
         least: f64,
-        /// What stands there.
+        /// The value.
         got: f64,
     },
-    /// A word that is no level of the log.
+    /// An unknown log level.
     #[error("PROXY_LOG: expected error, warn, info, debug or trace, got {0:?}")]
     Level(String),
-    /// A fault of the configuration.
+    /// An error in the configuration.
     #[error(transparent)]
     Setting(#[from] settings::Fault),
-    /// A fault of the operators' file as a script.
+    /// An error in evaluating the operators' file.
     #[error(transparent)]
     Script(#[from] plovercove_starlark_config::Fault),
-    /// A fault of a key of the operators' file.
-    #[error("{place}: {cause}")]
+    /// An error in a key of the operators' file.
+    #[error("{location}: {cause}")]
     Operators {
         /// The file, the line and the key.
-        place: Box<Place>,
-        /// What is wrong.
+        location: Box<Place>,
+        /// The cause.
         #[source]
         cause: KeyFaultCause,
     },
-    /// Signals cannot be caught.
+    /// The signal handlers cannot be installed.
     #[error("cannot catch signals: {0}")]
     Signals(#[source] io::Error),
-    /// An address that cannot be listened at.
+    /// A socket cannot listen at its address.
     #[error("cannot go on: cannot listen at {address} for {what}: {source}")]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// Who would come there.
+        /// Who connects to the address.
         what: &'static str,
-        /// Why.
+        /// The system's error.
         source: io::Error,
     },
-    /// The system refuses what the loop cannot do without.
+    /// A system call failed that the event loop depends on.
     #[error("cannot go on: {0}")]
     Loop(#[from] io::Error),
 }
 
 impl Error {
-    /// What an operator can do.
+    /// Returns advice for the operator.
     pub fn help(&self) -> &'static str {
         match self {
             Error::NoConfig => {
@@ -117,97 +117,97 @@
         }
     }
 
-    /// The same fault, with the file or variable it belongs to in front.
-    pub fn within(self, place: impl Into<String>) -> Self {
+    /// Adds the file or variable that the error belongs to.
+    pub fn within(self, location: impl Into<String>) -> Self {
         Error::In {
-            place: place.into(),
+            location: location.into(),
             fault: Box::new(self),
         }
     }
 }
 
-/// What is wrong with a key of the operators' file.
+/// The cause of an error in a key of the operators' file.
 #[derive(Debug, thiserror::Error, strum::IntoStaticStr, strum::VariantNames)]
 pub enum KeyFaultCause {
-    /// A file of secrets that cannot be read.
+    /// A file of secrets cannot be read.
     #[error("{path} cannot be read: {source}")]
     Unreadable {
         /// The file.
         path: String,
-        /// Why.
+        /// The system's error.
         source: io::Error,
     },
-    /// A file of secrets that is open to others.
+    /// Other users may access a file of secrets.
     #[error("{0} can be read or written by others; its mode must be 600")]
     Open(String),
-    /// A file of secrets that is longer than any can be.
+    /// A file of secrets is too large.
     #[error("{0} is longer than 64 MB")]
     TooLong(String),
-    /// A file of users with a mistake in it.
+    /// A line of a file of users is malformed.
     #[error("{path}: {source}")]
     Users {
         /// The file.
         path: String,
-        /// The mistake.
+        /// The error.
         source: plovercove_pgwire::Error,
     },
-    /// A limit on logins that cannot be meant.
-    #[error("{}", bare(.0))]
+    /// A limit on logins is out of range.
+    #[error("{}", without_key(.0))]
     Logins(#[source] plovercove_pgwire::Error),
-    /// A fault of the tiers.
+    /// An error in the `tiers` block.
     #[error("{0}")]
     Locality(#[source] tiers::Wrong),
-    /// A fault of the rules or keys of peers.
-    #[error("{}", bare(.0))]
+    /// An error in the rules or the keys of the `peers` block.
+    #[error("{}", without_key(.0))]
     Peers(#[source] plovercove_gossip::Error),
-    /// A fault of what is done for the fleet.
-    #[error("{}", bare(.0))]
+    /// An error in the `duties` block.
+    #[error("{}", without_key(.0))]
     Duties(#[source] Box<crate::lease_tasks::TermsFault>),
-    /// A front that speaks nothing.
+    /// A listener has no protocol version or no authentication method.
     #[error("expected one version and one method at the least")]
     NoMethod,
-    /// Trust beside a proof.
+    /// `trust` is listed together with another authentication method.
     #[error("with trust there is no other")]
     TrustBeside,
-    /// A front that asks for proofs and knows no users.
+    /// A listener authenticates clients and has no file of users.
     #[error("without trust there must be a file of users")]
     NoUsers,
-    /// No clients, or no time for them.
+    /// The limit on clients or the idle timeout is out of range.
     #[error("expected 1 client or more, and 1 to 86400 seconds")]
     Clients,
-    /// A front without a name.
+    /// A listener has no name.
     #[error("a front needs a name")]
     NoName,
-    /// Dates in no known form.
+    /// An unknown `DateStyle`.
     #[error("expected ISO, SQL, Postgres or German, and MDY or DMY")]
     Dates,
-    /// Two fronts of one name.
+    /// Two listeners have the same name.
     #[error("another front has it too")]
     NameTwice,
-    /// A class that the platform does not tell.
+    /// The configuration has no class of this name.
     #[error("class {0:?} does not exist")]
     NoClass(String),
-    /// A class for the other kind of statement.
+    /// A class of reads is named for writes, or the reverse.
     #[error("class {class:?} {does}")]
     ClassDoes {
         /// The class.
         class: String,
-        /// What it does.
+        /// Whether it reads or writes.
         does: &'static str,
     },
-    /// A version that no server is asked for.
+    /// A protocol version that the router does not use with db nodes.
     #[error("expected \"3.0\" or \"3.2\"")]
     Version,
-    /// An address at which nobody can be reached.
+    /// The advertised address is unspecified (0.0.0.0 or ::), so no router can reach it.
     #[error("expected the address where the others reach this router")]
     Advertise,
-    /// A guard that does not exist; only builds for tests know guards.
+    /// `PLOVERCOVE_WITHOUT` names an unknown guard. Only builds with the feature `mutations` read it.
     #[error("no guard is {0:?}")]
     NoGuard(String),
 }
 
 impl KeyFaultCause {
-    /// What an operator can do.
+    /// Returns advice for the operator.
     pub fn help(&self) -> &'static str {
         match self {
             KeyFaultCause::Unreadable { .. } => {
@@ -255,27 +255,27 @@
     }
 }
 
-/// A complaint without the key that it begins with: the place has named it.
-fn bare(complaint: &impl Display) -> String {
-    let text = complaint.to_string();
+/// Formats an error without the key at its beginning, because the location already names the key.
+fn without_key(error: &impl Display) -> String {
+    let text = error.to_string();
     text.split_once(": ")
         .map(|(_, why)| why.to_string())
         .unwrap_or(text)
 }
 
-/// What is wrong with a key of the operators' file, before its line is known.
+/// An error in a key of the operators' file, before the line of the key is known.
 #[derive(Debug, thiserror::Error)]
 #[error("{key}: {cause}")]
 pub struct KeyFault {
     /// The path of the key.
     pub key: String,
-    /// What is wrong.
+    /// The cause.
     #[source]
     pub cause: KeyFaultCause,
 }
 
 impl KeyFault {
-    /// A fault of this key.
+    /// Creates an error in this key.
     pub(crate) fn new(key: impl Into<String>, cause: KeyFaultCause) -> Self {
         KeyFault {
             key: key.into(),
@@ -283,9 +283,9 @@
         }
     }
 
-    /// A fault whose text begins with the key, seen from this one.
-    pub(crate) fn under(key: &str, complaint: &impl Display, cause: KeyFaultCause) -> Self {
-        let text = complaint.to_string();
+    /// Creates an error in a key below this one. The text of `error` begins with the inner key and a colon.
+    pub(crate) fn below(key: &str, error: &impl Display, cause: KeyFaultCause) -> Self {
+        let text = error.to_string();
         let key = text
             .split_once(": ")
             .map_or(key.to_string(), |(inner, _)| format!("{key}.{inner}"));
--- a/router/src/lease_tasks/file.rs
+++ b/router/src/lease_tasks/file.rs
@@ -1,46 +1,46 @@
-//! The decider's file: read at the start, and written over whole when its votes need it.
+//! The file with a voter's persisted state: read at the start, and replaced as a whole when a vote depends on a new state.
 
 use plovercove::{Micros, Time};
 use plovercove_leases::{Kept, KeptFault, Rules};
-use std::fs::{self, File as Open};
+use std::fs::{self, File};
 use std::io::{self, ErrorKind, Write};
 use std::path::{Path, PathBuf};
 use std::time::Instant;
 
-/// What could not be written is tried again after this (us): votes wait for it.
-const AGAIN: Micros = 1_000_000;
+/// Time after which a failed write is retried (us). Votes are held back until then.
+const WRITE_RETRY_AFTER_US: Micros = 1_000_000;
 
-/// Why the file cannot be used.
+/// A fault of the file.
 #[derive(Debug, thiserror::Error)]
 pub enum FileFault {
-    /// The system does not let it be read.
+    /// The system refused to read it.
     #[error("{}: the decider's file cannot be read: {source}", path.display())]
     Read {
-        /// Where it lies.
+        /// The path.
         path: PathBuf,
-        /// Why.
+        /// The cause.
         source: io::Error,
     },
-    /// What it holds cannot be taken.
+    /// The content cannot be used.
     #[error("{}: {source}", path.display())]
     Kept {
-        /// Where it lies.
+        /// The path.
         path: PathBuf,
-        /// Why.
+        /// The cause.
         source: KeptFault,
     },
-    /// The system does not let it be written.
+    /// The system refused to write it.
     #[error("{}: the decider's file cannot be written: {source}", path.display())]
     Write {
-        /// Where it lies.
+        /// The path.
         path: PathBuf,
-        /// Why.
+        /// The cause.
         source: io::Error,
     },
 }
 
 impl FileFault {
-    /// What an operator can do.
+    /// Returns advice for the operator.
     pub fn help(&self) -> &'static str {
         match self {
             FileFault::Read { .. } => {
@@ -53,8 +53,9 @@
         }
     }
 
-    /// Whether the file is another's, or may be good: then nothing is written over it, and this decider does not vote.
-    fn bars(&self) -> bool {
+    /// Returns whether the file may hold valid state, possibly of another router. Such a file is not overwritten, and this
+    /// router does not vote.
+    fn forbids_writing(&self) -> bool {
         !matches!(
             self,
             FileFault::Kept {
@@ -65,19 +66,30 @@
     }
 }
 
-/// A decider's file.
-pub struct File {
+/// The file with a voter's persisted state.
+pub struct StateFile {
     path: PathBuf,
-    barred: bool,
+    must_not_write: bool,
     unwritten: Option<Vec<u8>>,
-    again: Time,
-    /// How often it was written, and what that took the loop at the longest and in sum (us).
-    pub written: (u64, Micros, Micros),
+    next_attempt: Time,
+    /// Number and duration of the writes.
+    pub writes: WriteCounts,
 }
 
-impl File {
-    /// Reads the file. Where it is torn the decider goes on as if it were lost: it reads the others' tokens first, and the
-    /// file is written over. Where it is another's, it is left as it is.
+/// Number and duration of the writes of a file. The event loop waits for each write.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct WriteCounts {
+    /// Number of writes.
+    pub count: u64,
+    /// Longest duration (us).
+    pub longest_us: Micros,
+    /// Sum of the durations (us).
+    pub total_us: Micros,
+}
+
+impl StateFile {
+    /// Reads the file. If it is torn or damaged, the voter continues as if the file were lost: it learns the other voters'
+    /// tokens first, and the file is overwritten. A file of another router is left as it is.
     pub fn read(path: &Path, rules: &Rules, name: &str) -> (Self, Result<Option<Kept>, FileFault>) {
         let path = path.to_path_buf();
         let kept = match fs::read(&path) {
@@ -95,79 +107,81 @@
                 source,
             }),
         };
-        let barred = kept.as_ref().is_err_and(FileFault::bars);
+        let must_not_write = kept.as_ref().is_err_and(FileFault::forbids_writing);
         (
-            File {
+            StateFile {
                 path,
-                barred,
+                must_not_write,
                 unwritten: None,
-                again: 0,
-                written: (0, 0, 0),
+                next_attempt: 0,
+                writes: WriteCounts::default(),
             },
             kept,
         )
     }
 
-    /// Takes what is to be written, and writes it where that may be tried now. True when what was given last is on disk.
+    /// Writes a new state, or one whose write failed before, unless the retry is not due yet. Returns true if a write
+    /// succeeded, so that the latest state is on disk.
     ///
-    /// It is written on the loop, since votes wait for it and nothing may overtake it. It is rare: the ceiling of tokens
-    /// rises in steps, so that it is written at the start and then once in many grants. `written` says what it costs.
+    /// The event loop waits for the write, because votes depend on it and no later message may overtake it. Writes are rare:
+    /// the ceiling of tokens rises in steps, so that the file is written at the start and then once in many grants.
+    /// `writes` counts the cost.
     ///
     /// # Errors
-    /// The system refused; it is tried again.
-    pub fn keep(&mut self, now: Time, fresh: Option<Vec<u8>>) -> Result<bool, FileFault> {
-        if fresh.is_some() {
-            self.unwritten = fresh;
+    /// The system refused the write. It is retried.
+    pub fn persist(&mut self, now: Time, new_state: Option<Vec<u8>>) -> Result<bool, FileFault> {
+        if new_state.is_some() {
+            self.unwritten = new_state;
         }
-        if self.barred || now < self.again {
+        if self.must_not_write || now < self.next_attempt {
             return Ok(false);
         }
         let Some(bytes) = &self.unwritten else {
             return Ok(false);
         };
-        let begun = Instant::now();
-        if let Err(source) = write_over(&self.path, bytes) {
-            self.again = now + AGAIN;
+        let started = Instant::now();
+        if let Err(source) = replace_file(&self.path, bytes) {
+            self.next_attempt = now + WRITE_RETRY_AFTER_US;
             return Err(FileFault::Write {
                 path: self.path.clone(),
                 source,
             });
         }
-        let took = begun.elapsed().as_micros() as Micros;
-        self.written = (
-            self.written.0 + 1,
-            self.written.1.max(took),
-            self.written.2 + took,
-        );
+        let duration = started.elapsed().as_micros() as Micros;
+        self.writes = WriteCounts {
+            count: self.writes.count + 1,
+            longest_us: self.writes.longest_us.max(duration),
+            total_us: self.writes.total_us + duration,
+        };
         self.unwritten = None;
         Ok(true)
     }
 
-    /// When it is to be tried again.
-    pub fn next(&self) -> Time {
-        if self.unwritten.is_some() && !self.barred {
-            self.again
+    /// Returns the time of the next retry, or `Time::MAX` if there is nothing to write.
+    pub fn next_deadline(&self) -> Time {
+        if self.unwritten.is_some() && !self.must_not_write {
+            self.next_attempt
         } else {
             Time::MAX
         }
     }
 }
 
-/// Writes beside the file, then over it: whoever stops in between leaves the old one or the new one, whole. The folder is
-/// synced too, or the new name may be lost with the power.
-fn write_over(path: &Path, bytes: &[u8]) -> io::Result<()> {
-    let mut beside = path.as_os_str().to_owned();
-    beside.push(".new");
-    let mut file = Open::create(&beside)?;
+/// Replaces a file atomically: writes a new file next to it and renames it, so that a crash leaves either the old or the
+/// new content. The folder is synced too; otherwise a power failure could undo the rename.
+fn replace_file(path: &Path, bytes: &[u8]) -> io::Result<()> {
+    let mut new_path = path.as_os_str().to_owned();
+    new_path.push(".new");
+    let mut file = File::create(&new_path)?;
     file.write_all(bytes)?;
     file.sync_all()?;
     drop(file);
-    fs::rename(&beside, path)?;
+    fs::rename(&new_path, path)?;
     let folder = path
         .parent()
         .filter(|p| !p.as_os_str().is_empty())
         .unwrap_or(Path::new("."));
-    Open::open(folder)?.sync_all()
+    File::open(folder)?.sync_all()
 }
 
 #[cfg(test)]
--- a/router/src/lease_tasks/file/tests.rs
+++ b/router/src/lease_tasks/file/tests.rs
@@ -8,8 +8,8 @@
     path
 }
 
-fn kept(name: &str) -> Vec<u8> {
-    let kept = Kept {
+fn state_bytes(name: &str) -> Vec<u8> {
+    let state = Kept {
         installation: "here".into(),
         name: name.into(),
         generation: 1,
@@ -17,7 +17,7 @@
         longest_ms: 1_000,
         sealed: 0,
     };
-    kept.write()
+    state.write()
 }
 
 fn rules() -> Rules {
@@ -30,47 +30,51 @@
 }
 
 #[test]
-fn a_torn_file_is_written_over_and_anothers_is_not() {
-    // Danger: a decider that goes on with half a file votes twice; one that writes over another's file takes its votes.
+fn a_torn_file_is_overwritten_and_another_routers_is_not() {
+    // A voter that continues with half a file may vote twice. A voter that overwrites another router's file destroys the
+    // record of that router's votes.
     let folder = folder("torn");
-    for (name, bytes, over) in [
+    for (name, bytes, overwritten) in [
         ("none", None, true),
-        ("torn", Some(kept("d0")[..20].to_vec()), true),
-        ("other", Some(kept("d1")), false),
+        ("torn", Some(state_bytes("d0")[..20].to_vec()), true),
+        ("other", Some(state_bytes("d1")), false),
     ] {
         let path = folder.join(name);
         if let Some(bytes) = &bytes {
             fs::write(&path, bytes).expect("written");
         }
-        let (mut file, read) = File::read(&path, &rules(), "d0");
-        assert_eq!(read.is_ok(), bytes.is_none(), "{name}");
-        assert!(read.err().is_none_or(|e| !e.help().is_empty()));
+        let (mut file, result) = StateFile::read(&path, &rules(), "d0");
+        assert_eq!(result.is_ok(), bytes.is_none(), "{name}");
+        assert!(result.err().is_none_or(|e| !e.help().is_empty()));
         assert!(
-            matches!(file.keep(1, Some(kept("d0"))), Ok(wrote) if wrote == over),
+            matches!(file.persist(1, Some(state_bytes("d0"))), Ok(is_written) if is_written == overwritten),
             "{name}"
         );
-        let (_, read) = File::read(&path, &rules(), "d0");
-        assert_eq!(matches!(read, Ok(Some(_))), over, "{name}");
+        let (_, result) = StateFile::read(&path, &rules(), "d0");
+        assert_eq!(matches!(result, Ok(Some(_))), overwritten, "{name}");
     }
     fs::remove_dir_all(&folder).expect("its own");
 }
 
 #[test]
-fn what_cannot_be_written_is_told_and_tried_again() {
-    // Danger: a vote that leaves before its file is whole is forgotten at the next start, and given twice.
+fn a_failed_write_is_reported_and_retried() {
+    // A vote that is sent before the file is complete is lost at the next start, and the router may vote a second time.
     let folder = folder("full");
     let path = folder.join("missing").join("file");
-    let (mut file, _) = File::read(&path, &rules(), "d0");
+    let (mut file, _) = StateFile::read(&path, &rules(), "d0");
     let fault = file
-        .keep(5, Some(kept("d0")))
+        .persist(5, Some(state_bytes("d0")))
         .expect_err("there is no folder");
     assert!(fault.help().contains("does not vote"), "{fault}");
     assert_eq!(
-        (file.next(), file.keep(6, None).ok()),
-        (5 + AGAIN, Some(false))
+        (file.next_deadline(), file.persist(6, None).ok()),
+        (5 + WRITE_RETRY_AFTER_US, Some(false))
     );
     fs::create_dir_all(path.parent().expect("it has one")).expect("made");
-    assert!(matches!(file.keep(5 + AGAIN, None), Ok(true)));
-    assert_eq!((file.next(), file.written.0), (Time::MAX, 1));
+    assert!(matches!(
+        file.persist(5 + WRITE_RETRY_AFTER_US, None),
+        Ok(true)
+    ));
+    assert_eq!((file.next_deadline(), file.writes.count), (Time::MAX, 1));
     fs::remove_dir_all(&folder).expect("its own");
 }
--- a/router/src/lease_tasks/mod.rs
+++ b/router/src/lease_tasks/mod.rs
@@ -11,8 +11,8 @@
 mod terms;
 mod watch;
 
-pub use file::{File, FileFault};
-pub use terms::{Block, LeaseTasksConfig, TermsFault};
+pub use file::{FileFault, StateFile, WriteCounts};
+pub use terms::{LeaseTasksBlock, LeaseTasksConfig, TermsFault};
 
 use crate::clock::Clock;
 use crate::upstream::{LeaseCheck, NodeQuery, QueryOutcome};
@@ -27,7 +27,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 use std::rc::Rc;
-use watch::{Watches, words};
+use watch::{Watches, decode_item};
 
 /// What this router's parts say to each other in one turn is heard in this many rounds at the most; the rest waits for the
 /// next turn. A question and its answer are two.
@@ -53,7 +53,7 @@
     terms: LeaseTasksConfig,
     me: Member,
     duties: Rc<RefCell<Duties>>,
-    file: Option<File>,
+    file: Option<StateFile>,
     client: Client,
     publisher: Publisher,
     /// Its zone's gateway, and the duty of it; none where the zone's name can be no duty's.
@@ -101,7 +101,7 @@
         if deciders.members.iter().chain(&deciders.before).any(here) {
             match &terms.file {
                 Some(path) => {
-                    let (found, read) = File::read(path, &terms.rules, &me.name);
+                    let (found, read) = StateFile::read(path, &terms.rules, &me.name);
                     kept = read.unwrap_or_else(|fault| {
                         tell::file(&fault);
                         None
@@ -143,7 +143,7 @@
             client: Client::new(terms.fanout.clone(), subscriber, now, seed ^ 3),
             publisher: Publisher::new(terms.fanout.clone(), now, seed ^ 4),
             gateway,
-            watches: Watches::new(terms.watch),
+            watches: Watches::new(terms.watch_interval),
             watching: BTreeSet::new(),
             nodes: Nodes::default(),
             members: vec![me.clone()],
@@ -166,7 +166,7 @@
 
     /// The list has changed.
     pub fn listed(&mut self, now: Time, engine: &Engine) {
-        self.nodes = Nodes::of(engine);
+        self.nodes = Nodes::from_engine(engine);
         self.want(now);
     }
 
@@ -274,12 +274,12 @@
 
     /// What became of a question.
     pub fn heard(&mut self, now: Time, heard: QueryOutcome) {
-        let Some((group, started)) = self.nodes.place(&heard.node) else {
+        let Some((group, started)) = self.nodes.group_and_start(&heard.node) else {
             return;
         };
         self.counts.unasked += u64::from(heard.answer.is_none());
         self.watches
-            .answered(now, group, &heard.node, started, heard.answer);
+            .end_query(now, group, &heard.node, started, heard.answer);
     }
 
     /// Does what is due, and whatever follows from it.
@@ -326,7 +326,7 @@
                 owned.insert(*group, token);
             }
         }
-        for group in self.watches.own(now, &owned) {
+        for group in self.watches.set_held(now, &owned) {
             Duty::new(&positions(group))
                 .iter()
                 .for_each(|duty| self.publisher.ended(duty));
@@ -353,7 +353,7 @@
 
     /// Asks the nodes of the groups whose turn it is.
     fn ask(&mut self, now: Time) {
-        for (group, token) in self.watches.due(now) {
+        for (group, token) in self.watches.take_due(now) {
             let Ok(duty) = Duty::new(&positions(group)) else {
                 continue;
             };
@@ -363,7 +363,7 @@
             let lease_check: LeaseCheck =
                 Rc::new(move || duties.borrow().may_act(clock.now(), &duty) == Some(token));
             for node in self.nodes.serving(group) {
-                if self.watches.ask(now, group, node) {
+                if self.watches.begin_query(now, group, node) {
                     self.counts.asked += 1;
                     self.asks.push(NodeQuery {
                         node: node.clone(),
@@ -376,7 +376,7 @@
 
     /// Tells what nodes answered.
     fn publish(&mut self, now: Time) {
-        for (group, token, item) in self.watches.items(now) {
+        for (group, token, item) in self.watches.take_items(now) {
             let name = positions(group);
             let (Ok(duty), Ok(topic)) = (Duty::new(&name), Topic::new(&name)) else {
                 continue;
@@ -393,7 +393,7 @@
     fn keep(&mut self, now: Time) {
         let Some(file) = &mut self.file else { return };
         let fresh = self.duties.borrow_mut().to_keep();
-        match file.keep(now, fresh) {
+        match file.persist(now, fresh) {
             Ok(true) => self.duties.borrow_mut().kept(now),
             Ok(false) => {}
             Err(fault) => tell::file(&fault),
@@ -452,12 +452,12 @@
             else {
                 continue;
             };
-            let Some(words) = words(&body) else {
+            let Some(statuses) = decode_item(&body) else {
                 self.counts.unread += 1;
                 continue;
             };
-            for word in words {
-                let Some((node, own)) = self.nodes.meant(group, &word) else {
+            for status in statuses {
+                let Some((node, own)) = self.nodes.find_reported(group, &status) else {
                     continue;
                 };
                 if !own {
@@ -465,7 +465,7 @@
                     continue;
                 }
                 self.counts.learned += 1;
-                engine.health_check_ended(node.clone(), Some(word.standing(age)));
+                engine.health_check_ended(node.clone(), Some(status.to_report(age)));
             }
         }
     }
@@ -492,13 +492,16 @@
             .as_ref()
             .filter(|(_, g)| g.owns())
             .map_or(Time::MAX, |(_, g)| g.next());
-        let file = self.file.as_ref().map_or(Time::MAX, File::next);
+        let file = self
+            .file
+            .as_ref()
+            .map_or(Time::MAX, StateFile::next_deadline);
         let own = if self.own.is_empty() { Time::MAX } else { 0 };
         [
             self.duties.borrow().next(),
             self.client.next(),
             self.publisher.next(),
-            self.watches.next(),
+            self.watches.next_deadline(),
             gateway,
             file,
             own,
@@ -559,7 +562,10 @@
             client: self.client.counts(),
             gateway,
             counts: self.counts,
-            written: self.file.as_ref().map_or((0, 0, 0), |f| f.written),
+            writes: self
+                .file
+                .as_ref()
+                .map_or(WriteCounts::default(), |file| file.writes),
         });
     }
 }
--- a/router/src/lease_tasks/nodes.rs
+++ b/router/src/lease_tasks/nodes.rs
@@ -1,35 +1,35 @@
-//! What the list says of nodes, as far as the fleet's work needs it.
+//! The part of the endpoint list that the lease tasks need.
 
-use super::watch::Word;
+use super::watch::NodeStatus;
 use plovercove::{EndpointState, GroupId, NodeId, Time};
 use plovercove_engine::Engine;
 use std::collections::{BTreeMap, BTreeSet};
 
-struct Known {
+struct ListedNode {
     group: GroupId,
-    serving: bool,
+    is_serving: bool,
     started: Option<Time>,
 }
 
-/// The nodes of the list.
+/// The nodes of the endpoint list.
 #[derive(Default)]
 pub struct Nodes {
-    known: BTreeMap<NodeId, Known>,
+    listed: BTreeMap<NodeId, ListedNode>,
     zones: BTreeSet<String>,
 }
 
 impl Nodes {
-    /// As the list has them now.
-    pub fn of(engine: &Engine) -> Self {
+    /// Copies the nodes of the engine's current list.
+    pub fn from_engine(engine: &Engine) -> Self {
         let mut nodes = Nodes::default();
         for entry in engine.endpoints() {
-            let serving = entry.state == EndpointState::Serving;
-            let known = Known {
+            let is_serving = entry.state == EndpointState::Serving;
+            let listed = ListedNode {
                 group: entry.group,
-                serving,
+                is_serving,
                 started: entry.started_at,
             };
-            nodes.known.insert(entry.node.clone(), known);
+            nodes.listed.insert(entry.node.clone(), listed);
             if !nodes.zones.contains(&entry.zone) {
                 nodes.zones.insert(entry.zone.clone());
             }
@@ -37,37 +37,42 @@
         nodes
     }
 
-    /// Their groups.
+    /// Returns the groups of the nodes.
     pub fn groups(&self) -> BTreeSet<GroupId> {
-        self.known.values().map(|known| known.group).collect()
+        self.listed.values().map(|listed| listed.group).collect()
     }
 
-    /// Their zones.
+    /// Returns the zones of the nodes.
     pub fn zones(&self) -> &BTreeSet<String> {
         &self.zones
     }
 
-    /// Those of a group that may be asked.
+    /// Returns the nodes of a group that may be queried.
     pub fn serving(&self, group: GroupId) -> impl Iterator<Item = &NodeId> {
-        self.known
+        self.listed
             .iter()
-            .filter(move |(_, known)| known.group == group && known.serving)
+            .filter(move |(_, listed)| listed.group == group && listed.is_serving)
             .map(|(node, _)| node)
     }
 
-    /// The group of a node, and when it started.
-    pub fn place(&self, node: &NodeId) -> Option<(GroupId, Option<Time>)> {
-        self.known
+    /// Returns the group of a node and the start time of its incarnation.
+    pub fn group_and_start(&self, node: &NodeId) -> Option<(GroupId, Option<Time>)> {
+        self.listed
             .get(node)
-            .map(|known| (known.group, known.started))
+            .map(|listed| (listed.group, listed.started))
     }
 
-    /// The node that a word of this group is of, and whether it is of the life that the list names; none where the list
-    /// does not name it. Against: a node restarted under its name is cold, and what its last life said would make it look
-    /// like one that knows all and is idle.
-    pub fn meant(&self, group: GroupId, word: &Word) -> Option<(&NodeId, bool)> {
-        let (node, known) = self.known.get_key_value(word.node.as_str())?;
-        Some((node, known.group == group && known.started == word.started))
+    /// Returns the node that a status report of this group is about, and whether the report is about the incarnation in the
+    /// list. Returns `None` if the list does not name the node.
+    ///
+    /// A node that was restarted under its name is cold. A report of its previous incarnation would make it look idle and up
+    /// to date.
+    pub fn find_reported(&self, group: GroupId, status: &NodeStatus) -> Option<(&NodeId, bool)> {
+        let (node, listed) = self.listed.get_key_value(status.node.as_str())?;
+        Some((
+            node,
+            listed.group == group && listed.started == status.started,
+        ))
     }
 }
 
--- a/router/src/lease_tasks/nodes/tests.rs
+++ b/router/src/lease_tasks/nodes/tests.rs
@@ -3,35 +3,42 @@
 use super::*;
 
 #[test]
-fn news_of_another_life_of_a_node_is_not_its_own() {
-    let word = |node: &str, started| Word {
+fn reports_of_another_incarnation_of_a_node_are_recognized() {
+    let status = |node: &str, started| NodeStatus {
         node: node.into(),
         started,
         position: Some(1),
-        primary: None,
-        held: None,
-        busy: None,
+        is_primary: None,
+        in_flight: None,
+        utilization_permille: None,
         age: 0,
     };
     let mut nodes = Nodes::default();
-    nodes.known.insert(
+    nodes.listed.insert(
         "r1".into(),
-        Known {
+        ListedNode {
             group: 1,
-            serving: true,
+            is_serving: true,
             started: Some(9),
         },
     );
-    let own = |group, word: &Word| nodes.meant(group, word).map(|(_, own)| own);
-    assert_eq!(own(1, &word("r1", Some(9))), Some(true));
+    let is_current = |group, status: &NodeStatus| {
+        nodes
+            .find_reported(group, status)
+            .map(|(_, is_current)| is_current)
+    };
+    assert_eq!(is_current(1, &status("r1", Some(9))), Some(true));
     assert_eq!(
-        own(1, &word("r1", Some(8))),
+        is_current(1, &status("r1", Some(8))),
         Some(false),
         "it was restarted"
     );
     assert_eq!(
-        (own(1, &word("r1", None)), own(2, &word("r1", Some(9)))),
+        (
+            is_current(1, &status("r1", None)),
+            is_current(2, &status("r1", Some(9)))
+        ),
         (Some(false), Some(false))
     );
-    assert_eq!(own(1, &word("r2", None)), None);
+    assert_eq!(is_current(1, &status("r2", None)), None);
 }
--- a/router/src/lease_tasks/tell.rs
+++ b/router/src/lease_tasks/tell.rs
@@ -1,7 +1,6 @@
 //! What the log is told of duties and subscriptions: a line each, with `reason` and with `help` for operators.
 
-use super::{Counts, FileFault};
-use plovercove::Micros;
+use super::{Counts, FileFault, WriteCounts};
 use plovercove_fanout::{self as fanout, ClientCounts, Fault, GatewayCounts};
 use plovercove_fencing::{Duty, Refused, Token};
 use plovercove_leases::{Counts as DutyCounts, News, Stage};
@@ -153,8 +152,8 @@
     pub gateway: GatewayCounts,
     /// Counts of the router's side.
     pub counts: Counts,
-    /// Writes of the decider's file: how many, the longest, and all together (us).
-    pub written: (u64, Micros, Micros),
+    /// Writes of the voter's state file.
+    pub writes: WriteCounts,
 }
 
 /// Tells it.
@@ -185,9 +184,9 @@
         other_life = told.counts.other_life,
         unread = told.counts.unread,
         unsent = told.counts.unsent,
-        written = told.written.0,
-        longest_write_us = told.written.1,
-        all_writes_us = told.written.2,
+        written = told.writes.count,
+        longest_write_us = told.writes.longest_us,
+        all_writes_us = told.writes.total_us,
         "what this router does for the fleet"
     );
     info!(reason = "counts", duties = ?told.duties, client = ?told.client, gateway = ?told.gateway, "what it counted");
--- a/router/src/lease_tasks/terms.rs
+++ b/router/src/lease_tasks/terms.rs
@@ -1,4 +1,4 @@
-//! What operators say of duties, and what can be wrong with it.
+//! The `duties` block of the operators' file and its checks.
 
 use plovercove::Micros;
 use plovercove_fanout as fanout;
@@ -7,90 +7,92 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Between two questions to a node (ms), the least and the most. Oftener than that the module does not ask by itself
-/// either, since reports are no newer; more rarely than that a watch proves nothing for reads that bear a second or two.
-const WATCH_MS: (u64, u64) = (100, 5_000);
+/// Minimum interval between two queries of a node by the holder of its group's lease (ms). The decision module does not
+/// query more often by itself either, because nodes do not update their reports more often.
+const MIN_WATCH_MS: u64 = 100;
+/// Maximum interval (ms). At a longer interval, positions are too old for reads that allow a second or two of staleness.
+const MAX_WATCH_MS: u64 = 5_000;
 
 /// The `duties` block of the operators' file.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct Block {
-    /// How owners are found.
+#[serde(deny_unknown_fields, expecting = "struct Block")]
+pub struct LeaseTasksBlock {
+    /// The rules of the leases.
     pub rules: Rules,
-    /// How news goes to those who want it.
+    /// The rules of the subscriptions.
     #[serde(default)]
     pub fanout: fanout::Rules,
-    /// Where a decider keeps what it must not forget, seen from the operators' file.
+    /// The file with a voter's persisted state; a path relative to the operators' file.
     pub file: Option<PathBuf>,
-    /// Between two questions of a group's owner to a node (ms).
-    #[serde(default = "watch_ms")]
+    /// Interval at which the lease holder of a group queries each node (ms).
+    #[serde(default = "default_watch_ms")]
     pub watch_ms: u64,
 }
 
-/// Reads that bear a second mostly find a position that proves enough.
-fn watch_ms() -> u64 {
+/// At this interval, reads that allow a second of staleness mostly find a position that is fresh enough.
+fn default_watch_ms() -> u64 {
     500
 }
 
-/// What operators say of duties, checked.
+/// The checked `duties` block.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LeaseTasksConfig {
-    /// How owners are found.
+    /// The rules of the leases.
     pub rules: Rules,
-    /// How news goes to those who want it.
+    /// The rules of the subscriptions.
     pub fanout: fanout::Rules,
-    /// Where a decider keeps what it must not forget.
+    /// The file with a voter's persisted state.
     pub file: Option<PathBuf>,
-    /// Between two questions of a group's owner to a node (us).
-    pub watch: Micros,
+    /// Interval at which the lease holder of a group queries each node (us).
+    pub watch_interval: Micros,
 }
 
-/// What cannot be meant.
+/// A fault of the `duties` block.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum TermsFault {
-    /// There is nobody to share work with.
+    /// The file has no `peers` block, so this router cannot reach the others.
     #[error("duties: expected a peers block beside it")]
     NoPeers,
-    /// A setting of duties.
+    /// A fault of the lease rules.
     #[error("duties.rules.{0}")]
     Rules(#[from] RulesFault),
-    /// A setting of fanout.
+    /// A fault of the subscription rules.
     #[error("duties.fanout.{0}")]
     Fanout(#[from] fanout::Fault),
-    /// A decider must not forget.
+    /// This router is listed as a voter and has no file for its persisted state.
     #[error("duties.file: expected a path, since {address} is listed as a decider")]
     NoFile {
         /// This router's address.
         address: SocketAddr,
     },
-    /// Too often or too rarely.
+    /// The interval is out of range.
     #[error("duties.watch_ms: expected {least} to {most}, got {got}")]
     Watch {
-        /// The least.
+        /// The minimum.
         least: u64,
-        /// The most.
+        /// The maximum.
         most: u64,
-        /// What it is.
+        /// The value.
         got: u64,
     },
-    /// More than peers may send.
+    /// A budget exceeds the datagram budget of the `peers` block.
     #[error("duties.{key}: expected no more than peers.rules.datagrams_per_s, {most}, got {got}")]
     Budget {
         /// The key.
         key: &'static str,
-        /// What peers may send.
+        /// The budget of the `peers` block.
         most: u32,
-        /// What it is.
+        /// The value.
         got: u32,
     },
-    /// Tests only: a guard that does not exist.
+    /// `PLOVERCOVE_WITHOUT` names an unknown guard. Only builds with the feature `mutations` read it.
     #[cfg(feature = "mutations")]
     #[error("PLOVERCOVE_WITHOUT: no guard is {0:?}")]
     NoGuard(String),
 }
 
 impl TermsFault {
-    /// What an operator can do.
+    /// Returns advice for the operator.
     pub fn help(&self) -> &'static str {
         match self {
             TermsFault::NoPeers => "add a peers block, or take the duties block out",
@@ -107,12 +109,13 @@
     }
 }
 
-impl Block {
-    /// The terms of a router among this many that others reach at this address, within the budget of its peers.
+impl LeaseTasksBlock {
+    /// Checks the block for a router that the others reach at `address`. `peers` are the gossip rules, whose datagram
+    /// budget includes that of the lease tasks. `folder` is the folder of the operators' file.
     ///
     /// # Errors
-    /// Names the key at fault.
-    pub fn terms(
+    /// Names the key.
+    pub fn check(
         &self,
         folder: &Path,
         address: SocketAddr,
@@ -122,7 +125,7 @@
         rules.installation.clone_from(&peers.installation);
         #[cfg_attr(
             not(feature = "mutations"),
-            expect(unused_mut, reason = "tests take a guard away")
+            expect(unused_mut, reason = "builds with mutations remove a guard")
         )]
         let mut fanout = self.fanout.clone();
         #[cfg(feature = "mutations")]
@@ -142,11 +145,10 @@
         }
         rules.check(peers.routers)?;
         fanout.check()?;
-        let (least, most) = WATCH_MS;
-        if !(least..=most).contains(&self.watch_ms) {
+        if !(MIN_WATCH_MS..=MAX_WATCH_MS).contains(&self.watch_ms) {
             return Err(TermsFault::Watch {
-                least,
-                most,
+                least: MIN_WATCH_MS,
+                most: MAX_WATCH_MS,
                 got: self.watch_ms,
             });
         }
@@ -171,7 +173,7 @@
             rules,
             fanout,
             file,
-            watch: self.watch_ms * 1_000,
+            watch_interval: self.watch_ms * 1_000,
         })
     }
 }
--- a/router/src/lease_tasks/watch.rs
+++ b/router/src/lease_tasks/watch.rs
@@ -1,4 +1,5 @@
-//! The watch of a group: whom its owner asks and when, what it tells of the answers, and what routers take of that.
+//! The watch of a group: the router that holds the group's lease queries the nodes and publishes their status to the other
+//! routers. This module schedules the queries, collects the answers and encodes the published items.
 
 use crate::upstream::QueryAnswer;
 use plovercove::{GroupId, Micros, NodeId, NodeReport, Role, Time};
@@ -6,147 +7,150 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Answers that come within this of the first (us) are told together: a datagram for each group and not for each node.
-const GATHER: Micros = 20_000;
-/// A node that has not answered for so long (us) is asked again: its question was lost with its connection. Longer than
-/// any connection is waited for.
-const LOST: Micros = 5_000_000;
-/// The longest item (bytes), one datagram's worth. What does not fit is told first the next time.
-const ITEM: usize = plovercove_fanout::ITEM;
+/// Time after the first answer within which further answers go into the same item (us), so that a group needs one datagram
+/// and not one for each node.
+const BATCH_INTERVAL_US: Micros = 20_000;
+/// Time after which an unanswered query counts as lost with its connection, and the node is queried again (us). Longer than
+/// any connection timeout.
+const QUERY_LOST_AFTER_US: Micros = 5_000_000;
+/// Maximum size of an item (bytes), which fits in one datagram. Nodes that do not fit come first in the next item.
+const MAX_ITEM_BYTES: usize = plovercove_fanout::ITEM;
 
-/// What one node said of itself, as it is told to others.
+/// The status of one node, as published to the other routers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Word {
+pub struct NodeStatus {
     /// The node.
     pub node: String,
-    /// Which of its lives said it, by the list: when it started.
+    /// The start time of the incarnation that reported the status, as given by the endpoint list.
     pub started: Option<Time>,
-    /// Up to when it has applied every commit.
+    /// The node's log position: it has applied every commit up to this time.
     pub position: Option<Time>,
-    /// Whether it is the primary.
-    pub primary: Option<bool>,
-    /// How many requests it holds.
-    pub held: Option<u32>,
-    /// How busy it is, in thousandths.
-    pub busy: Option<u32>,
-    /// How long ago it was asked (us).
+    /// Whether the node is the primary.
+    pub is_primary: Option<bool>,
+    /// Number of requests in flight at the node.
+    pub in_flight: Option<u32>,
+    /// Utilization in thousandths.
+    pub utilization_permille: Option<u32>,
+    /// Time since the node was queried (us), at the time of publication.
     pub age: Micros,
 }
 
-impl Word {
-    /// What it comes to at a router that has it so much later (us).
-    pub fn standing(&self, under_way: Micros) -> NodeReport {
+impl NodeStatus {
+    /// Converts to a report at a router that received the status `transit` after publication (us).
+    pub fn to_report(&self, transit: Micros) -> NodeReport {
         NodeReport {
             position: self.position,
-            role: self.primary.map(|primary| {
-                if primary {
+            role: self.is_primary.map(|is_primary| {
+                if is_primary {
                     Role::Primary
                 } else {
                     Role::Replica
                 }
             }),
-            in_flight: self.held,
-            utilization_permille: self.busy,
-            age: self.age.saturating_add(under_way),
+            in_flight: self.in_flight,
+            utilization_permille: self.utilization_permille,
+            age: self.age.saturating_add(transit),
         }
     }
 }
 
-/// Reads an item. It came from the network, so there is nothing in it that a datagram cannot hold.
-pub fn words(item: &[u8]) -> Option<Vec<Word>> {
-    let (words, rest) = postcard::take_from_bytes::<Vec<Word>>(item).ok()?;
-    rest.is_empty().then_some(words)
+/// Decodes an item. Returns `None` if it is malformed. The item came in a datagram, which bounds its size.
+pub fn decode_item(item: &[u8]) -> Option<Vec<NodeStatus>> {
+    let (statuses, rest) = postcard::take_from_bytes::<Vec<NodeStatus>>(item).ok()?;
+    rest.is_empty().then_some(statuses)
 }
 
-/// What a node answered the owner.
+/// The last answer of a node.
 struct Answer {
-    asked: Time,
+    queried_at: Time,
     started: Option<Time>,
-    said: NodeReport,
-    /// When it was told last.
-    told: Time,
+    report: NodeReport,
+    /// Time of the last publication, or 0.
+    published_at: Time,
 }
 
 /// A group that this router watches.
-struct Watched {
+struct HeldWatch {
     token: Token,
-    /// When its nodes are asked next.
-    due: Time,
-    /// Nodes that have not answered, and since when.
-    out: BTreeMap<NodeId, Time>,
+    /// Time of the next queries.
+    next_query: Time,
+    /// Nodes that have not answered their query, with the time of the query.
+    unanswered: BTreeMap<NodeId, Time>,
     answers: BTreeMap<NodeId, Answer>,
-    /// When what came is told at the latest.
-    tell: Option<Time>,
+    /// Time at which collected answers are published.
+    publish_at: Option<Time>,
 }
 
-/// The groups that this router watches for the fleet.
+/// The groups whose watch this router holds.
 pub struct Watches {
-    every: Micros,
-    groups: BTreeMap<GroupId, Watched>,
+    interval: Micros,
+    groups: BTreeMap<GroupId, HeldWatch>,
 }
 
 impl Watches {
-    /// None yet; nodes are asked so often (us).
-    pub fn new(every: Micros) -> Self {
+    /// Creates an empty set of watches that query nodes at this interval (us).
+    pub fn new(interval: Micros) -> Self {
         Watches {
-            every,
+            interval,
             groups: BTreeMap::new(),
         }
     }
 
-    /// This router owns these watches and no others. Gives back those that it owns no more.
+    /// Sets the watches that this router holds, with their tokens. Returns the groups whose watch ended.
     ///
-    /// A new one begins at once: each node has one group, and each group one owner, so this floods nobody.
-    pub fn own(&mut self, now: Time, owned: &BTreeMap<GroupId, Token>) -> Vec<GroupId> {
-        let lost: Vec<GroupId> = self
+    /// A new watch starts its queries at once. This does not overload nodes, because a node has one group and a group has one
+    /// lease holder.
+    pub fn set_held(&mut self, now: Time, held: &BTreeMap<GroupId, Token>) -> Vec<GroupId> {
+        let ended: Vec<GroupId> = self
             .groups
             .iter()
-            .filter(|(group, w)| owned.get(group) != Some(&w.token))
+            .filter(|(group, w)| held.get(group) != Some(&w.token))
             .map(|(group, _)| *group)
             .collect();
-        lost.iter()
+        ended
+            .iter()
             .for_each(|group| drop(self.groups.remove(group)));
-        for (group, token) in owned {
-            self.groups.entry(*group).or_insert_with(|| Watched {
+        for (group, token) in held {
+            self.groups.entry(*group).or_insert_with(|| HeldWatch {
                 token: *token,
-                due: now,
-                out: BTreeMap::new(),
+                next_query: now,
+                unanswered: BTreeMap::new(),
                 answers: BTreeMap::new(),
-                tell: None,
+                publish_at: None,
             });
         }
-        lost
+        ended
     }
 
-    /// Groups whose nodes are to be asked now, with the token by which.
-    pub fn due(&mut self, now: Time) -> Vec<(GroupId, Token)> {
+    /// Returns the groups whose nodes are to be queried now, with the tokens of their leases.
+    pub fn take_due(&mut self, now: Time) -> Vec<(GroupId, Token)> {
         let mut due = Vec::new();
-        for (group, watched) in self.groups.iter_mut().filter(|(_, w)| w.due <= now) {
-            // After a pause it goes on from now, and does not make up for what it missed.
-            watched.due = now + self.every;
-            due.push((*group, watched.token));
+        for (group, watch) in self.groups.iter_mut().filter(|(_, w)| w.next_query <= now) {
+            // After a stall, queries continue from now; missed ones are not made up for.
+            watch.next_query = now + self.interval;
+            due.push((*group, watch.token));
         }
         due
     }
 
-    /// Whether a node is to be asked: one that still owes an answer is not asked twice.
-    pub fn ask(&mut self, now: Time, group: GroupId, node: &NodeId) -> bool {
-        let Some(watched) = self.groups.get_mut(&group) else {
+    /// Records a query of a node. Returns false if the node must not be queried, because an earlier query is unanswered.
+    pub fn begin_query(&mut self, now: Time, group: GroupId, node: &NodeId) -> bool {
+        let Some(watch) = self.groups.get_mut(&group) else {
             return false;
         };
-        if watched
-            .out
+        if watch
+            .unanswered
             .get(node)
-            .is_some_and(|asked| now < asked + LOST)
+            .is_some_and(|queried_at| now < queried_at + QUERY_LOST_AFTER_US)
         {
             return false;
         }
-        watched.out.insert(node.clone(), now);
+        watch.unanswered.insert(node.clone(), now);
         true
     }
 
-    /// A node answered, or did not.
-    pub fn answered(
+    /// Records the end of a query, with or without an answer.
+    pub fn end_query(
         &mut self,
         now: Time,
         group: GroupId,
@@ -154,86 +158,86 @@
         started: Option<Time>,
         answer: Option<QueryAnswer>,
     ) {
-        let Some(watched) = self.groups.get_mut(&group) else {
+        let Some(watch) = self.groups.get_mut(&group) else {
             return;
         };
-        watched.out.remove(node);
+        watch.unanswered.remove(node);
         let Some(answer) = answer else { return };
-        let told = watched.answers.get(node).map_or(0, |a| a.told);
-        watched.answers.insert(
+        let published_at = watch.answers.get(node).map_or(0, |a| a.published_at);
+        watch.answers.insert(
             node.clone(),
             Answer {
-                asked: answer.asked_at,
+                queried_at: answer.asked_at,
                 started,
-                said: answer.report,
-                told,
+                report: answer.report,
+                published_at,
             },
         );
-        watched.tell = Some(watched.tell.unwrap_or(now + GATHER));
-        if watched.out.is_empty() {
-            watched.tell = Some(now);
+        watch.publish_at = Some(watch.publish_at.unwrap_or(now + BATCH_INTERVAL_US));
+        if watch.unanswered.is_empty() {
+            watch.publish_at = Some(now);
         }
     }
 
-    /// What is to be told now, one item for each group at the most.
-    pub fn items(&mut self, now: Time) -> Vec<(GroupId, Token, Vec<u8>)> {
+    /// Returns the items to publish now, at most one for each group.
+    pub fn take_items(&mut self, now: Time) -> Vec<(GroupId, Token, Vec<u8>)> {
         let mut items = Vec::new();
-        for (group, watched) in &mut self.groups {
-            if watched.tell.take_if(|at| *at <= now).is_none() {
+        for (group, watch) in &mut self.groups {
+            if watch.publish_at.take_if(|at| *at <= now).is_none() {
                 continue;
             }
-            // A node that is not asked any more has nothing to say: it left, or is silent.
-            let oldest = now.saturating_sub(4 * self.every + LOST);
-            watched.answers.retain(|_, a| a.asked >= oldest);
-            if let Some(item) = item(now, &mut watched.answers) {
-                items.push((*group, watched.token, item));
+            // Old answers belong to nodes that have left or do not answer any more.
+            let oldest = now.saturating_sub(4 * self.interval + QUERY_LOST_AFTER_US);
+            watch.answers.retain(|_, a| a.queried_at >= oldest);
+            if let Some(item) = encode_item(now, &mut watch.answers) {
+                items.push((*group, watch.token, item));
             }
         }
         items
     }
 
-    /// When something is due.
-    pub fn next(&self) -> Time {
-        let each = self
+    /// Returns the time of the next query or publication, or `Time::MAX`.
+    pub fn next_deadline(&self) -> Time {
+        let deadlines = self
             .groups
             .values()
-            .map(|w| w.due.min(w.tell.unwrap_or(Time::MAX)));
-        each.min().unwrap_or(Time::MAX)
+            .map(|w| w.next_query.min(w.publish_at.unwrap_or(Time::MAX)));
+        deadlines.min().unwrap_or(Time::MAX)
     }
 }
 
-/// Those that were not told for longest first, as many as fit.
-fn item(now: Time, answers: &mut BTreeMap<NodeId, Answer>) -> Option<Vec<u8>> {
+/// Encodes as many nodes as fit, those whose last publication is oldest first.
+fn encode_item(now: Time, answers: &mut BTreeMap<NodeId, Answer>) -> Option<Vec<u8>> {
     let mut order: Vec<(Time, NodeId)> = answers
         .iter()
-        .map(|(node, a)| (a.told, node.clone()))
+        .map(|(node, a)| (a.published_at, node.clone()))
         .collect();
     order.sort();
-    let mut told: Vec<Word> = Vec::new();
+    let mut statuses: Vec<NodeStatus> = Vec::new();
     let mut bytes = 2;
     for (_, node) in order {
         let Some(answer) = answers.get_mut(&node) else {
             continue;
         };
-        let word = Word {
+        let status = NodeStatus {
             node: node.to_string(),
             started: answer.started,
-            position: answer.said.position,
-            primary: answer.said.role.map(|role| role == Role::Primary),
-            held: answer.said.in_flight,
-            busy: answer.said.utilization_permille,
-            age: now.saturating_sub(answer.asked),
+            position: answer.report.position,
+            is_primary: answer.report.role.map(|role| role == Role::Primary),
+            in_flight: answer.report.in_flight,
+            utilization_permille: answer.report.utilization_permille,
+            age: now.saturating_sub(answer.queried_at),
         };
-        let length = postcard::to_allocvec(&word).map_or(usize::MAX, |b| b.len());
-        if bytes + length > ITEM {
+        let length = postcard::to_allocvec(&status).map_or(usize::MAX, |b| b.len());
+        if bytes + length > MAX_ITEM_BYTES {
             break;
         }
         bytes += length;
-        answer.told = now;
-        told.push(word);
+        answer.published_at = now;
+        statuses.push(status);
     }
-    (!told.is_empty())
-        .then(|| postcard::to_allocvec(&told).ok())
+    (!statuses.is_empty())
+        .then(|| postcard::to_allocvec(&statuses).ok())
         .flatten()
 }
 
--- a/router/src/lib.rs
+++ b/router/src/lib.rs
@@ -1,5 +1,5 @@
-//! The plovercove router: PostgreSQL clients in front, db nodes behind, and one loop between them round
-//! `plovercove-engine`. The program `plovercove` is this library with a command line.
+//! The plovercove router: accepts PostgreSQL clients, forwards their requests to db nodes, and runs `plovercove-engine`,
+//! which decides on the routing, in one event loop. The program `plovercove` adds the command line.
 
 pub mod clock;
 pub mod config;
--- a/router/src/main.rs
+++ b/router/src/main.rs
@@ -1,5 +1,5 @@
-//! plovercove, the router: PostgreSQL clients in front, groups of replicated db nodes behind, and in between the
-//! decision module. All of it is in the library; here are the command line, the log and the exit code.
+//! The program `plovercove`: a router between PostgreSQL clients and groups of replicated db nodes. The library does the
+//! work; this file has the command line, the log and the exit code.
 
 use clap::{Parser, Subcommand, ValueEnum};
 use plovercove_router::operators::{OperatorSettings, Operators, OperatorsFile};
@@ -11,7 +11,7 @@
 /// configuration.
 #[derive(Parser)]
 #[command(name = "plovercove", version)]
-struct Line {
+struct CommandLine {
     /// The operators' file, a Starlark script of settings that belong to the installation.
     #[arg(long, value_name = "FILE")]
     operators: Option<PathBuf>,
@@ -48,49 +48,52 @@
             config.settings.classes.len()
         ));
     }
-    let told = Operators::read(file)?;
+    let operators = Operators::read(file)?;
     let mut parts = Vec::new();
-    if let Some(rules) = told.tiers {
+    if let Some(rules) = operators.tiers {
         parts.push(format!(
-            "{} zones, a spill of {} at most",
+            "{} zones, a spillover of at most {}",
             rules.zones.len(),
             rules.spill
         ));
     }
-    if !told.fronts.is_empty() {
-        parts.push(format!("{} further fronts", told.fronts.len()));
+    if !operators.fronts.is_empty() {
+        parts.push(format!("{} additional listeners", operators.fronts.len()));
     }
-    if let Some(servers) = told.servers {
-        parts.push(format!("db nodes know the router as {}", servers.user));
+    if let Some(servers) = operators.servers {
+        parts.push(format!(
+            "the router logs in to db nodes as {}",
+            servers.user
+        ));
     }
-    if let Some(peers) = told.peers {
+    if let Some(peers) = operators.peers {
         parts.push(format!(
-            "routers of {} talk at {}",
+            "routers of the installation {} exchange gossip at {}",
             peers.rules.installation, peers.listen
         ));
     }
-    if let Some(duties) = told.duties {
+    if let Some(duties) = operators.duties {
         parts.push(format!(
-            "{} deciders choose who does what for the fleet",
+            "{} routers vote on leases",
             duties.rules.deciders.members.len()
         ));
     }
     Ok(if parts.is_empty() {
-        "it sets nothing".into()
+        "no settings".into()
     } else {
         parts.join("; ")
     })
 }
 
-fn serve(line: &Line, signals: net::signals::Signals) -> Result<(), Error> {
+fn serve(command_line: &CommandLine, signals: net::signals::Signals) -> Result<(), Error> {
     let config = config::read()?;
-    let source = |path: &PathBuf| OperatorsFile {
+    let file_at = |path: &PathBuf| OperatorsFile {
         path: path.clone(),
         settings: config.settings.clone(),
         seed: config.seed,
     };
-    let operators = line.operators.as_ref().map(source);
-    let told = operators
+    let operators_file = command_line.operators.as_ref().map(file_at);
+    let settings = operators_file
         .as_ref()
         .map_or_else(|| Ok(OperatorSettings::without_file()), OperatorsFile::read)?;
     let log = tracing_subscriber::fmt()
@@ -98,42 +101,42 @@
         .with_ansi(false)
         .with_target(false)
         .with_max_level(config.log_level);
-    match line.log_format {
+    match command_line.log_format {
         LogFormat::Text => log.init(),
         LogFormat::Json => log.json().flatten_event(true).init(),
     }
-    serve::Router::new(config, told, operators, signals)?.run()
+    serve::Router::new(config, settings, operators_file, signals)?.run()
 }
 
-/// One line, as in the log: what is wrong, and what to do.
-fn complain(why: &Error) {
-    eprintln!("plovercove: {why} (help: {})", why.help());
+/// Prints an error and its help in one line.
+fn print_error(error: &Error) {
+    eprintln!("plovercove: {error} (help: {})", error.help());
 }
 
 fn main() -> ExitCode {
-    // Danger: a signal that comes before it is caught ends the process, whatever it was meant to say.
+    // Handlers come first: a signal that arrives without a handler ends the process, even a SIGHUP that requests a reload.
     let signals = match net::signals::Signals::catch() {
         Ok(signals) => signals,
         Err(e) => {
-            complain(&Error::Signals(e));
+            print_error(&Error::Signals(e));
             return ExitCode::FAILURE;
         }
     };
-    let line = Line::parse();
-    let ended = match &line.command {
+    let command_line = CommandLine::parse();
+    let result = match &command_line.command {
         Some(Command::Check { file }) => {
-            check(file).map(|said| println!("{}: good, {said}", file.display()))
+            check(file).map(|summary| println!("{}: good, {summary}", file.display()))
         }
         Some(Command::Catalogue) => {
             print!("{}", plovercove_pgwire::catalogue::table());
             Ok(())
         }
-        None => serve(&line, signals),
+        None => serve(&command_line, signals),
     };
-    match ended {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(why) => {
-            complain(&why);
+        Err(error) => {
+            print_error(&error);
             ExitCode::FAILURE
         }
     }
--- a/router/src/net/budget.rs
+++ b/router/src/net/budget.rs
@@ -1,38 +1,39 @@
-//! One budget for all bytes that the router holds for others: what came and is not whole, what waits for its answer, what
-//! has not been read yet. Shares are booked as they grow and given back when they are dropped.
+//! A shared budget for all bytes that the router buffers: incomplete messages, statements that wait for a reply, and
+//! output that the other side has not read yet. A buffer reserves bytes as it grows and releases them when it is dropped.
 
 use std::cell::Cell;
 use std::ops::Deref;
 use std::rc::Rc;
 
-/// What a buffer may hold though the budget is spent: else a hoarder of memory would lock out everyone.
-const SMALL: usize = 4 * 1024;
-/// A buffer that has grown beyond this is given back once it is empty.
-const KEPT: usize = 1024;
+/// A buffer below this size may grow although the budget is spent. Otherwise one connection that uses up the memory would
+/// block all others.
+const MIN_BUFFER_BYTES: usize = 4 * 1024;
+/// An empty buffer whose capacity exceeds this is deallocated.
+const MAX_RETAINED_BYTES: usize = 1024;
 
 struct Account {
     limit: usize,
     reserved: Cell<usize>,
 }
 
-/// A budget of bytes.
+/// A budget of bytes. Clones share it.
 #[derive(Clone)]
 pub struct Budget(Rc<Account>);
 
-/// Bytes taken out of a budget for as long as this is kept.
+/// Bytes reserved in a budget until this value is dropped.
 pub struct Reservation {
     account: Rc<Account>,
     bytes: usize,
 }
 
-/// Bytes that are booked to a budget.
+/// A byte buffer whose capacity is reserved in a budget.
 pub struct Buffer {
     bytes: Vec<u8>,
-    share: Reservation,
+    reservation: Reservation,
 }
 
 impl Budget {
-    /// A budget of so many bytes.
+    /// Creates a budget of `limit` bytes.
     pub fn new(limit: usize) -> Self {
         Budget(Rc::new(Account {
             limit,
@@ -40,23 +41,23 @@
         }))
     }
 
-    /// Takes a share, if anything is left.
+    /// Reserves bytes. Returns `None` if the budget is spent. The last reservation may exceed the limit.
     pub fn reserve(&self, bytes: usize) -> Option<Reservation> {
         (self.0.reserved.get() < self.0.limit).then(|| {
-            let mut share = Reservation {
+            let mut reservation = Reservation {
                 account: Rc::clone(&self.0),
                 bytes: 0,
             };
-            share.set(bytes);
-            share
+            reservation.resize(bytes);
+            reservation
         })
     }
 
-    /// An empty buffer.
+    /// Creates an empty buffer.
     pub fn buffer(&self) -> Buffer {
         Buffer {
             bytes: Vec::new(),
-            share: Reservation {
+            reservation: Reservation {
                 account: Rc::clone(&self.0),
                 bytes: 0,
             },
@@ -65,7 +66,7 @@
 }
 
 impl Reservation {
-    fn set(&mut self, bytes: usize) {
+    fn resize(&mut self, bytes: usize) {
         let reserved = self.account.reserved.get() + bytes - self.bytes;
         self.account.reserved.set(reserved);
         self.bytes = bytes;
@@ -74,29 +75,31 @@
 
 impl Drop for Reservation {
     fn drop(&mut self) {
-        self.set(0);
+        self.resize(0);
     }
 }
 
 impl Buffer {
-    /// Changes what it holds.
+    /// Changes the content and adjusts the reservation to the new capacity.
     pub fn write<T>(&mut self, change: impl FnOnce(&mut Vec<u8>) -> T) -> T {
         let result = change(&mut self.bytes);
-        if self.bytes.is_empty() && self.bytes.capacity() > KEPT {
+        if self.bytes.is_empty() && self.bytes.capacity() > MAX_RETAINED_BYTES {
             self.bytes = Vec::new();
         }
-        self.share.set(self.bytes.capacity());
+        self.reservation.resize(self.bytes.capacity());
         result
     }
 
-    /// Whether it may not grow: it is no small one, and the budget is spent.
+    /// Returns whether the buffer must not grow: it has reached `MIN_BUFFER_BYTES` and the budget is spent.
     pub fn is_over_budget(&self) -> bool {
-        self.bytes.len() >= SMALL && self.share.account.reserved.get() >= self.share.account.limit
+        self.bytes.len() >= MIN_BUFFER_BYTES
+            && self.reservation.account.reserved.get() >= self.reservation.account.limit
     }
 
-    /// Whether no more than half of the budget is spent. Danger: what is held ahead would leave nothing for others.
+    /// Returns whether at most half of the budget is spent. Only then may data be read ahead; otherwise data that is not
+    /// needed yet could use up the memory that other connections need now.
     pub fn has_ample_room(&self) -> bool {
-        self.share.account.reserved.get() <= self.share.account.limit / 2
+        self.reservation.account.reserved.get() <= self.reservation.account.limit / 2
     }
 }
 
--- a/router/src/net/mod.rs
+++ b/router/src/net/mod.rs
@@ -1,4 +1,5 @@
-//! Sockets: connecting, buffering, the budget of bytes, signals and the numbers under which they hang on the poller.
+//! Sockets: connecting, buffering, the byte budget, signals, and the keys under which sockets are registered with the
+//! poller.
 
 pub mod budget;
 pub mod signals;
@@ -9,32 +10,32 @@
 use std::io;
 use std::net::{SocketAddr, TcpStream};
 
-/// Whom an event of the poller is for.
+/// The kind of socket that a poller event belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EventSource {
-    /// The listener.
+    /// A listener for clients.
     Listener = 1,
-    /// A signal that has come.
+    /// The socket that signal handlers write to.
     Signal = 2,
-    /// The agent's connection.
+    /// The connection to the discovery agent.
     Discovery = 3,
-    /// A client.
+    /// A client's connection.
     Client = 4,
     /// A connection to a db node.
     Node = 5,
-    /// Other routers.
+    /// The datagram socket for gossip with other routers.
     Gossip = 6,
 }
 
 const SOURCE_SHIFT: u32 = 56;
 
-/// The number under which a socket hangs on the poller.
+/// Returns the poller key of a socket: its source in the top byte and its table key below.
 pub fn poll_key(source: EventSource, key: Option<Key>) -> usize {
     (source as usize) << SOURCE_SHIFT | key.map_or(0, |k| k.number() as usize)
 }
 
-/// Whom that number stands for.
-pub fn split_poll_key(number: usize) -> (Option<EventSource>, Key) {
+/// Splits a poller key into the source and the table key. The source is `None` if the key is malformed.
+pub fn split_poll_key(poll_key: usize) -> (Option<EventSource>, Key) {
     let sources = [
         EventSource::Listener,
         EventSource::Signal,
@@ -45,14 +46,14 @@
     ];
     let source = sources
         .into_iter()
-        .find(|s| *s as usize == number >> SOURCE_SHIFT);
+        .find(|s| *s as usize == poll_key >> SOURCE_SHIFT);
     (
         source,
-        Key::from_number(number as u64 & ((1 << SOURCE_SHIFT) - 1)),
+        Key::from_number(poll_key as u64 & ((1 << SOURCE_SHIFT) - 1)),
     )
 }
 
-/// Begins a connection that does not block; the poller tells when it is up.
+/// Starts a connection attempt without blocking. The socket becomes writable when the attempt has ended.
 pub fn begin_connect(address: SocketAddr) -> io::Result<TcpStream> {
     const EINPROGRESS: i32 = 115;
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
--- a/router/src/net/signals.rs
+++ b/router/src/net/signals.rs
@@ -1,4 +1,4 @@
-//! The signals that the program answers to, as a socket of the loop.
+//! The signals that the program handles, delivered to the event loop through a socket.
 
 use super::{EventSource, poll_key};
 use plovercove_poller::{Interest, Poll, Registered};
@@ -8,86 +8,87 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// What a signal asks for.
+/// The action that a signal requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
-    /// SIGHUP: read the configuration again.
+    /// SIGHUP: reload the configuration.
     Reload,
-    /// SIGTERM: finish.
+    /// SIGTERM: drain and exit.
     Stop,
-    /// SIGUSR1: tell the log what is believed.
+    /// SIGUSR1: log the state of gossip and of the leases.
     DumpState,
 }
 
-/// The signals that came and have not been taken.
+/// The signal handlers, before they are registered with the poller.
 pub struct Signals {
     flags: Vec<(Signal, Arc<AtomicBool>)>,
-    woken: UnixStream,
-    wakes: UnixStream,
+    wake_receiver: UnixStream,
+    wake_sender: UnixStream,
 }
 
-/// The same, on the poller.
+/// The signal handlers, registered with the poller.
 pub struct Registration {
     flags: Vec<(Signal, Arc<AtomicBool>)>,
-    woken: Registered<UnixStream>,
+    wake_receiver: Registered<UnixStream>,
 }
 
 impl Signals {
-    /// Catches the signals from now on. Until then any of them ends the process.
+    /// Installs the handlers of SIGHUP and SIGTERM. Until then, either signal ends the process.
     pub fn catch() -> io::Result<Self> {
-        let (woken, wakes) = UnixStream::pair()?;
-        woken.set_nonblocking(true)?;
+        let (wake_receiver, wake_sender) = UnixStream::pair()?;
+        wake_receiver.set_nonblocking(true)?;
         let mut signals = Signals {
             flags: Vec::new(),
-            woken,
-            wakes,
+            wake_receiver,
+            wake_sender,
         };
         signals.add(SIGHUP, Signal::Reload)?;
         signals.add(SIGTERM, Signal::Stop)?;
         Ok(signals)
     }
 
-    /// Catches the one that asks what is believed, too: only where there is something to tell.
+    /// Installs the handler of SIGUSR1. Called only if gossip is configured, since there is no state to log without it.
     pub fn catch_dump_state(&mut self) -> io::Result<()> {
         self.add(SIGUSR1, Signal::DumpState)
     }
 
     fn add(&mut self, number: i32, signal: Signal) -> io::Result<()> {
         let flag = Arc::new(AtomicBool::new(false));
-        // Danger: woken before the flag is up, the loop would find nothing and sleep on. Actions run in this order.
+        // The flag is registered first, and handlers run in the order of registration. If the socket were written before the
+        // flag is set, the loop could wake, find no flag and sleep again, and the signal would be lost.
         signal_hook::flag::register(number, Arc::clone(&flag))?;
-        signal_hook::low_level::pipe::register(number, self.wakes.try_clone()?)?;
+        signal_hook::low_level::pipe::register(number, self.wake_sender.try_clone()?)?;
         self.flags.push((signal, flag));
         Ok(())
     }
 
-    /// Lets the poller tell of them.
+    /// Registers the socket with the poller.
     pub fn register(self, poll: &Poll) -> io::Result<Registration> {
-        let woken = poll.register(
-            self.woken,
+        let wake_receiver = poll.register(
+            self.wake_receiver,
             poll_key(EventSource::Signal, None),
             Interest::Read,
         )?;
         Ok(Registration {
             flags: self.flags,
-            woken,
+            wake_receiver,
         })
     }
 }
 
 impl Registration {
-    /// What has come since the last call.
+    /// Returns the signals that have arrived since the last call.
     pub fn take(&mut self) -> Vec<Signal> {
         let mut bytes = [0; 64];
-        // Left readable, it would wake the loop over and over.
-        while match (&*self.woken).read(&mut bytes) {
+        // The socket is read until it is empty. If it stayed readable, it would wake the loop again and again.
+        while match (&*self.wake_receiver).read(&mut bytes) {
             Ok(count) => count > 0,
             Err(e) => e.kind() == ErrorKind::Interrupted,
         } {}
-        let came = self
+        let raised = self
             .flags
             .iter()
             .filter(|(_, flag)| flag.swap(false, Ordering::AcqRel));
-        came.map(|(signal, _)| *signal).collect()
+        raised.map(|(signal, _)| *signal).collect()
     }
 }
--- a/router/src/net/stream.rs
+++ b/router/src/net/stream.rs
@@ -1,49 +1,50 @@
-//! A connection with its buffers: partial reads and writes, and nothing ever waited for.
+//! A non-blocking TCP connection with its input and output buffers.
 
 use super::budget::{Budget, Buffer};
 use plovercove_poller::{Interest, Poll, Registered};
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{Shutdown, TcpStream};
 
-const CHUNK: usize = 16 * 1024;
-/// Chunks read in one go: a peer that sends at full speed gets its next turn when the others had theirs.
-const CHUNKS: usize = 4;
+const CHUNK_BYTES: usize = 16 * 1024;
+/// Maximum number of chunks read in one call, so that a peer that sends at full speed does not keep the loop from the
+/// other connections.
+const MAX_CHUNKS_PER_CALL: usize = 4;
 
-/// What the end of a stream counts among the bytes that are not sent.
-const END_OF_STREAM: usize = 1;
+/// The system counts the end of a stream as one unsent byte.
+const END_OF_STREAM_BYTES: usize = 1;
 
-/// What a read found out about the other side.
+/// The state of the connection as seen by a read or write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeerState {
-    /// It may say more.
+    /// The peer may send more.
     Open,
-    /// It has ended the connection.
+    /// The peer has closed the connection.
     Closed,
-    /// The connection broke: what has come may be a part of what was sent.
+    /// The connection was reset: the received bytes may be a part of those that the peer sent.
     Reset,
-    /// It says more than there is memory for.
+    /// The input buffer must not grow, because the byte budget is spent.
     OverBudget,
 }
 
-/// A connected socket, bytes that came and bytes that are to go.
+/// A socket with its input and output buffers.
 pub struct Stream {
     socket: Registered<TcpStream>,
     input: Buffer,
-    read: usize,
+    consumed: usize,
     output: Buffer,
     written: usize,
-    most: usize,
+    max_input_bytes: usize,
 }
 
 impl Stream {
-    /// Takes over a socket that is connected, or that is connecting and will be writable when it is.
+    /// Registers a socket that is connected or connecting. `max_input_bytes` limits the input buffer.
     pub fn new(
         poll: &Poll,
         budget: &Budget,
         socket: TcpStream,
         key: usize,
         interest: Interest,
-        most: usize,
+        max_input_bytes: usize,
     ) -> io::Result<Self> {
         socket.set_nonblocking(true)?;
         socket.set_nodelay(true)?;
@@ -51,18 +52,18 @@
         Ok(Stream {
             socket,
             input: budget.buffer(),
-            read: 0,
+            consumed: 0,
             output: budget.buffer(),
             written: 0,
-            most,
+            max_input_bytes,
         })
     }
 
-    /// Reads what has come, up to the most that the input may hold.
+    /// Reads received bytes into the input buffer, up to its limit.
     pub fn fill(&mut self) -> PeerState {
-        let mut chunk = [0; CHUNK];
-        for _ in 0..CHUNKS {
-            if self.unread().len() >= self.most {
+        let mut chunk = [0; CHUNK_BYTES];
+        for _ in 0..MAX_CHUNKS_PER_CALL {
+            if self.unread().len() >= self.max_input_bytes {
                 break;
             }
             if self.input.is_over_budget() {
@@ -72,7 +73,7 @@
                 Ok(count) => {
                     self.input
                         .write(|input| input.extend_from_slice(&chunk[..count]));
-                    if count < CHUNK {
+                    if count < CHUNK_BYTES {
                         break;
                     }
                 }
@@ -82,10 +83,10 @@
         PeerState::Open
     }
 
-    /// Reads what has come and keeps none of it; says how much it was.
+    /// Drops the input buffer, reads received bytes without keeping them, and returns their number.
     pub fn discard(&mut self) -> Result<usize, PeerState> {
         self.consume(self.unread().len());
-        let mut chunk = [0; CHUNK];
+        let mut chunk = [0; CHUNK_BYTES];
         match self.receive(&mut chunk) {
             Ok(count) => Ok(count),
             Err(PeerState::Open) => Ok(0),
@@ -93,7 +94,7 @@
         }
     }
 
-    /// Bytes that have come; `Open` where there are none just now.
+    /// Reads into `chunk`. Returns `Err(PeerState::Open)` if no bytes are available.
     fn receive(&self, chunk: &mut [u8]) -> Result<usize, PeerState> {
         loop {
             match (&*self.socket).read(chunk) {
@@ -106,55 +107,55 @@
         }
     }
 
-    /// Says that nothing more will be sent.
+    /// Shuts down the sending direction.
     pub fn shut_down_write(&self) {
-        // It fails only where the other side has gone, which the next read tells.
+        // This fails only if the peer has closed the connection, and the next read reports that.
         let _ = self.socket.shutdown(Shutdown::Write);
     }
 
-    /// Whether it may read what is not needed yet: half of the memory for all is left.
+    /// Returns whether data that is not needed yet may be read, which requires that half of the byte budget is free.
     pub fn may_read_ahead(&self) -> bool {
         self.input.has_ample_room()
     }
 
-    /// The bytes that came and have not been taken.
+    /// Returns the received bytes that have not been consumed.
     pub fn unread(&self) -> &[u8] {
-        &self.input[self.read..]
+        &self.input[self.consumed..]
     }
 
-    /// Takes bytes off the front of what came.
+    /// Removes bytes from the front of the input.
     pub fn consume(&mut self, count: usize) {
-        self.read += count;
-        if self.read == self.input.len() || self.read > CHUNK {
-            let read = std::mem::take(&mut self.read);
-            self.input.write(|input| drop(input.drain(..read)));
+        self.consumed += count;
+        if self.consumed == self.input.len() || self.consumed > CHUNK_BYTES {
+            let consumed = std::mem::take(&mut self.consumed);
+            self.input.write(|input| drop(input.drain(..consumed)));
         }
     }
 
-    /// Adds to what is to go.
-    pub fn queue_output<T>(&mut self, word: impl FnOnce(&mut Vec<u8>) -> T) -> T {
-        self.output.write(word)
+    /// Appends to the output buffer. Nothing is sent before `flush`.
+    pub fn queue_output<T>(&mut self, append: impl FnOnce(&mut Vec<u8>) -> T) -> T {
+        self.output.write(append)
     }
 
-    /// How many bytes are still to go.
+    /// Returns the number of queued bytes that have not been written to the socket.
     pub fn unsent(&self) -> usize {
         self.output.len() - self.written
     }
 
-    /// Whether something that was written lies in the system's buffer, the stream's end aside. No, where the system does not
-    /// tell: nobody waits for what cannot be seen.
+    /// Returns whether the system's send buffer holds written bytes other than the end of the stream. Returns false if the
+    /// system does not report it, so that no caller waits for bytes that it cannot observe.
     pub fn is_delivering(&self) -> bool {
         self.socket
             .unsent_bytes()
-            .is_ok_and(|bytes| bytes > END_OF_STREAM)
+            .is_ok_and(|bytes| bytes > END_OF_STREAM_BYTES)
     }
 
-    /// Whether nothing of what is to go has left yet.
+    /// Returns whether none of the queued bytes has been written to the socket.
     pub fn is_output_untouched(&self) -> bool {
         self.written == 0
     }
 
-    /// Writes what it can; true once nothing is left.
+    /// Writes queued bytes. Returns true if none is left.
     pub fn flush(&mut self) -> Result<bool, PeerState> {
         while self.written < self.output.len() {
             match (&*self.socket).write(&self.output[self.written..]) {
@@ -170,7 +171,7 @@
         Ok(true)
     }
 
-    /// Sets what the socket waits for: room to write while there is something to go, and bytes where wanted.
+    /// Sets the poller interest: readable if `reading`, and writable while output is queued.
     pub fn set_read_interest(&mut self, reading: bool) {
         let interest = match (reading, self.unsent() > 0) {
             (true, true) => Interest::Both,
@@ -179,16 +180,16 @@
             (false, false) => Interest::Nothing,
         };
         if let Err(e) = self.socket.set_interest(interest) {
-            tracing::error!("a socket's interest cannot be changed: {e}");
+            tracing::error!("cannot change the poller interest of a socket: {e}");
         }
     }
 
-    /// Whether a connection attempt came through; asked once the socket is writable.
+    /// Returns whether a connection attempt succeeded. Valid once the socket is writable.
     pub fn is_connected(&self) -> bool {
         matches!(self.socket.take_error(), Ok(None)) && self.socket.peer_addr().is_ok()
     }
 
-    /// Whether an idle connection is still good: nothing has come, and the other side has not closed it.
+    /// Returns whether an idle connection can be used: no bytes have arrived and the peer has not closed it.
     pub fn is_quiet(&self) -> bool {
         let mut byte = [0];
         matches!(self.socket.peek(&mut byte), Err(e) if e.kind() == ErrorKind::WouldBlock)
--- a/router/src/operators.rs
+++ b/router/src/operators.rs
@@ -1,5 +1,5 @@
-//! The operators' file: a Starlark script of settings that belong to an installation and not to the platform. It is
-//! evaluated when the router starts, and again on SIGHUP.
+//! The operators' file: a Starlark script of settings that belong to an installation, as opposed to those that the
+//! platform writes. It is evaluated when the router starts and again on SIGHUP.
 
 use crate::error::{Error, KeyFault, KeyFaultCause};
 use crate::front::{DefaultClass, DefaultLabels, ListenerConfig};
@@ -21,85 +21,85 @@
 use std::os::unix::fs::MetadataExt;
 use std::path::{Path, PathBuf};
 
-/// What operators may set.
+/// The content of the operators' file.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Operators {
-    /// Zones, the limit on spill and the way back; none: zones matter as little as without the file.
+    /// Zone failover, spillover and the recovery ramp. Without it, the router does not regard zones.
     pub tiers: Option<Rules>,
-    /// Further listeners, for clients that speak other versions or send no labels.
+    /// Additional listeners, for clients that use other protocol versions or send no statement labels.
     pub fronts: Vec<Front>,
-    /// Who the router is to its db nodes.
+    /// The router's login to its db nodes.
     pub servers: Option<Servers>,
-    /// The other routers; none: routers share nothing.
+    /// Gossip with the other routers. Without it, routers share nothing.
     pub peers: Option<Peers>,
-    /// What routers do for the fleet; none: each does everything by itself.
-    pub duties: Option<lease_tasks::Block>,
+    /// Tasks done by one router for all, under leases. Without it, each router does everything itself.
+    pub duties: Option<lease_tasks::LeaseTasksBlock>,
 }
 
-/// How routers talk with each other.
+/// The `peers` block: gossip with the other routers.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Peers {
-    /// Where this router takes datagrams.
+    /// The address at which this router receives datagrams.
     pub listen: SocketAddr,
-    /// Where the others reach it, if that is another address.
+    /// The address at which the other routers reach this one, if it differs from `listen`.
     pub advertise: Option<SocketAddr>,
-    /// The file that holds the installation's key, seen from the operators' file.
+    /// The file with the installation's key; a path relative to the operators' file.
     pub key_file: PathBuf,
-    /// A second key that is taken as well, while the key is being changed.
+    /// The file with a second key that is accepted as well, during a key rotation.
     pub also_key_file: Option<PathBuf>,
-    /// All else.
+    /// The gossip rules.
     pub rules: PeerRules,
 }
 
-/// A further listener.
+/// An additional listener.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Front {
-    /// Its name in the log.
+    /// The name in the log.
     pub name: String,
     /// Address and port.
     pub listen: SocketAddr,
-    /// Versions that are spoken.
-    #[serde(default = "all_versions")]
+    /// The supported protocol versions.
+    #[serde(default = "default_versions")]
     pub versions: Vec<Version>,
-    /// Methods that clients may be asked for, best first.
+    /// The authentication methods in order of preference.
     pub methods: Vec<Method>,
-    /// The file of users and verifiers, seen from the operators' file.
+    /// The file of users and password verifiers; a path relative to the operators' file.
     pub credentials: Option<PathBuf>,
-    /// The version of the server that clients are told.
-    #[serde(default = "server_version")]
+    /// The server version reported to clients.
+    #[serde(default = "default_server_version")]
     pub server_version: String,
-    /// The time zone that clients are told; the servers must have it.
-    #[serde(default = "utc")]
+    /// The time zone reported to clients; the db nodes must use it.
+    #[serde(default = "default_time_zone")]
     pub time_zone: String,
-    /// How bytea is written unless a client sets something else.
+    /// The default output format of bytea.
     #[serde(default)]
     pub bytea: Bytea,
-    /// How dates are written unless a client sets something else.
-    #[serde(default = "iso")]
+    /// The default output format of dates.
+    #[serde(default = "default_date_style")]
     pub date_style: String,
-    /// The class of statements that only read.
+    /// The class of read-only statements.
     pub reads: String,
-    /// The class of all others.
+    /// The class of all other statements.
     pub writes: String,
     /// The tenant of statements without labels.
     pub tenant: Option<String>,
-    /// Their group.
+    /// The group of statements without labels.
     pub group: u64,
-    /// The most clients.
-    #[serde(default = "most_clients")]
+    /// Maximum number of clients.
+    #[serde(default = "default_max_clients")]
     pub clients: usize,
-    /// A client that asks for nothing is kept for so many seconds.
-    #[serde(default = "idle_s")]
+    /// Time in seconds after which an idle client is disconnected.
+    #[serde(default = "default_idle_s")]
     pub idle_s: u64,
-    /// The limit on logins that fail.
+    /// The rate limit on failed logins.
     #[serde(default)]
     pub logins: login_rate_limit::Rules,
 }
 
-/// Who the router is to its db nodes.
+/// The `servers` block: the router's login to its db nodes.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Servers {
@@ -107,61 +107,61 @@
     pub user: String,
     /// The database.
     pub database: String,
-    /// The file that holds the password and nothing else.
+    /// The file that contains only the password.
     pub password_file: Option<PathBuf>,
-    /// Whether the password may go out in clear text.
+    /// Whether the password may be sent in clear text.
     #[serde(default)]
     pub clear_text: bool,
-    /// The newest version that is asked for: "3.0" or "3.2".
-    #[serde(default = "version_30")]
+    /// The newest protocol version that the router requests: "3.0" or "3.2".
+    #[serde(default = "default_node_version")]
     pub version: Version,
-    /// Whether db nodes are asked to stop what nobody waits for any more.
+    /// Whether the router sends cancel requests for statements whose client no longer waits.
     #[serde(default)]
     pub cancel: bool,
 }
 
-fn all_versions() -> Vec<Version> {
+fn default_versions() -> Vec<Version> {
     vec![Version::V2, Version::V30]
 }
 
-fn server_version() -> String {
+fn default_server_version() -> String {
     "15.0".into()
 }
 
-fn utc() -> String {
+fn default_time_zone() -> String {
     "UTC".into()
 }
 
-fn iso() -> String {
+fn default_date_style() -> String {
     "ISO, MDY".into()
 }
 
-fn most_clients() -> usize {
+fn default_max_clients() -> usize {
     200
 }
 
-fn idle_s() -> u64 {
+fn default_idle_s() -> u64 {
     300
 }
 
-fn version_30() -> Version {
+fn default_node_version() -> Version {
     Version::V30
 }
 
-/// What the operators' file comes to, for one router.
+/// The settings that one router takes from the operators' file.
 pub struct OperatorSettings {
-    /// Which zones a request may use.
+    /// Decides which zones a request may use.
     pub zone_failover: Option<ZoneFailover>,
-    /// Further listeners.
+    /// Additional listeners.
     pub listeners: Vec<(SocketAddr, ListenerConfig)>,
-    /// Who the router is to its db nodes.
+    /// The router's login to its db nodes.
     pub connect_options: ConnectOptions,
-    /// How it talks with other routers, if it does.
+    /// Gossip with the other routers, if configured.
     pub gossip: Option<gossip::GossipConfig>,
 }
 
 impl OperatorSettings {
-    /// What holds without a file.
+    /// Returns the settings of a router without an operators' file.
     pub fn without_file() -> Self {
         OperatorSettings {
             zone_failover: None,
@@ -172,62 +172,62 @@
     }
 }
 
-/// A file of secrets: nobody but its owner may read it.
-fn secret(path: &Path) -> Result<String, KeyFaultCause> {
-    let shown = || path.display().to_string();
+/// Reads a file of secrets, which only its owner may access.
+fn read_secret(path: &Path) -> Result<String, KeyFaultCause> {
+    let path_text = || path.display().to_string();
     let unreadable = |source| KeyFaultCause::Unreadable {
-        path: shown(),
+        path: path_text(),
         source,
     };
-    let about = std::fs::metadata(path).map_err(unreadable)?;
-    if about.mode() & 0o077 != 0 {
-        return Err(KeyFaultCause::Open(shown()));
+    let metadata = std::fs::metadata(path).map_err(unreadable)?;
+    if metadata.mode() & 0o077 != 0 {
+        return Err(KeyFaultCause::Open(path_text()));
     }
-    if about.len() > 64 * 1024 * 1024 {
-        return Err(KeyFaultCause::TooLong(shown()));
+    if metadata.len() > 64 * 1024 * 1024 {
+        return Err(KeyFaultCause::TooLong(path_text()));
     }
     std::fs::read_to_string(path).map_err(unreadable)
 }
 
 impl Front {
-    fn terms(
+    fn listener_config(
         &self,
         key: &str,
         folder: &Path,
         settings: Option<&Settings>,
     ) -> Result<ListenerConfig, KeyFault> {
-        let wrong = |name: &str, why| Err(KeyFault::new(format!("{key}.{name}"), why));
+        let fail = |name: &str, cause| Err(KeyFault::new(format!("{key}.{name}"), cause));
         if self.versions.is_empty() || self.methods.is_empty() {
-            return wrong("methods", KeyFaultCause::NoMethod);
+            return fail("methods", KeyFaultCause::NoMethod);
         }
         if self.methods.contains(&Method::Trust) && self.methods.len() > 1 {
-            return wrong("methods", KeyFaultCause::TrustBeside);
+            return fail("methods", KeyFaultCause::TrustBeside);
         }
         if self.methods != [Method::Trust] && self.credentials.is_none() {
-            return wrong("credentials", KeyFaultCause::NoUsers);
+            return fail("credentials", KeyFaultCause::NoUsers);
         }
         if self.clients == 0 || self.idle_s == 0 || self.idle_s > 86_400 {
-            return wrong("clients", KeyFaultCause::Clients);
+            return fail("clients", KeyFaultCause::Clients);
         }
         if self.name.is_empty() {
-            return wrong("name", KeyFaultCause::NoName);
+            return fail("name", KeyFaultCause::NoName);
         }
         let limits = self.logins.check();
         limits.map_err(|e| {
-            KeyFault::under(
+            KeyFault::below(
                 &format!("{key}.logins"),
                 &e.clone(),
                 KeyFaultCause::Logins(e),
             )
         })?;
         let Some(dates) = DateFormat::default().with_setting(&self.date_style) else {
-            return wrong("date_style", KeyFaultCause::Dates);
+            return fail("date_style", KeyFaultCause::Dates);
         };
         let users = match &self.credentials {
             None => Users::default(),
             Some(path) => {
                 let path = folder.join(path);
-                let users = secret(&path).and_then(|text| {
+                let users = read_secret(&path).and_then(|text| {
                     let users = Users::parse(&text);
                     users.map_err(|source| KeyFaultCause::Users {
                         path: path.display().to_string(),
@@ -245,13 +245,13 @@
                 });
             };
             let found = settings.classes.iter().position(|c| c.name == wanted);
-            let Some(place) = found else {
+            let Some(index) = found else {
                 return Err(KeyFault::new(
                     format!("{key}.{name}"),
                     KeyFaultCause::NoClass(wanted.to_string()),
                 ));
             };
-            let class = &settings.classes[place];
+            let class = &settings.classes[index];
             if writes != (class.access == Access::Write) {
                 let does = if writes { "reads" } else { "writes" };
                 let class = wanted.to_string();
@@ -306,8 +306,8 @@
     }
 }
 
-/// What is wrong with the `duties` block: its text begins with the key.
-fn duties(fault: TermsFault) -> KeyFault {
+/// Converts a fault of the `duties` block, whose text begins with the key.
+fn lease_tasks_fault(fault: TermsFault) -> KeyFault {
     let text = fault.to_string();
     KeyFault::new(
         text.split_once(": ").map_or("duties", |(key, _)| key),
@@ -316,88 +316,88 @@
 }
 
 impl Operators {
-    /// Reads and checks a file, but for what only a router's own settings can tell.
+    /// Reads a file and checks everything that can be checked without a router's configuration.
     ///
     /// # Errors
-    /// Names the file, the line and the key at fault.
+    /// Names the file, the line and the key.
     pub fn read(path: &Path) -> Result<Self, Error> {
         Ok(Self::load(path)?.0)
     }
 
-    /// The same, with the script that knows the lines of keys.
+    /// Like `read`, and also returns the script, which knows the lines of the keys.
     fn load(path: &Path) -> Result<(Self, Script), Error> {
         let script = Script::read(path)?;
-        let told: Operators = script.typed()?;
-        let placed = |e| placed(&script, e);
-        if let Some(rules) = &told.tiers {
-            rules.check().map_err(of_tiers).map_err(placed)?;
+        let operators: Operators = script.typed()?;
+        let locate = |fault| with_location(&script, fault);
+        if let Some(rules) = &operators.tiers {
+            rules.check().map_err(zone_failover_fault).map_err(locate)?;
         }
-        told.fronts(path, None).map_err(placed)?;
-        told.connect_options(path).map_err(placed)?;
-        told.peers(path, None).map_err(placed)?;
-        Ok((told, script))
+        operators.listeners(path, None).map_err(locate)?;
+        operators.connect_options(path).map_err(locate)?;
+        operators.gossip(path, None).map_err(locate)?;
+        Ok((operators, script))
     }
 
-    fn fronts(
+    fn listeners(
         &self,
         path: &Path,
         settings: Option<&Settings>,
     ) -> Result<Vec<(SocketAddr, ListenerConfig)>, KeyFault> {
         let folder = path.parent().unwrap_or(Path::new(""));
         let mut all: Vec<(SocketAddr, ListenerConfig)> = Vec::new();
-        for (place, front) in self.fronts.iter().enumerate() {
-            let key = format!("fronts[{place}]");
-            if all.iter().any(|(_, known)| known.name == front.name) {
+        for (index, front) in self.fronts.iter().enumerate() {
+            let key = format!("fronts[{index}]");
+            if all.iter().any(|(_, other)| other.name == front.name) {
                 return Err(KeyFault::new(
                     format!("{key}.name"),
                     KeyFaultCause::NameTwice,
                 ));
             }
-            all.push((front.listen, front.terms(&key, folder, settings)?));
+            all.push((front.listen, front.listener_config(&key, folder, settings)?));
         }
         Ok(all)
     }
 
     fn connect_options(&self, path: &Path) -> Result<ConnectOptions, KeyFault> {
-        let Some(told) = &self.servers else {
+        let Some(servers) = &self.servers else {
             return Ok(ConnectOptions::platform());
         };
-        if told.version == Version::V2 {
+        if servers.version == Version::V2 {
             return Err(KeyFault::new("servers.version", KeyFaultCause::Version));
         }
         let folder = path.parent().unwrap_or(Path::new(""));
         let read = |file: &PathBuf| {
-            secret(&folder.join(file)).map_err(|e| KeyFault::new("servers.password_file", e))
+            read_secret(&folder.join(file)).map_err(|e| KeyFault::new("servers.password_file", e))
         };
-        let password = told.password_file.as_ref().map(read).transpose()?;
+        let password = servers.password_file.as_ref().map(read).transpose()?;
         let password = password.map(|text| text.trim_end_matches(['\r', '\n']).to_string());
-        let (user, database) = (told.user.clone(), told.database.clone());
+        let (user, database) = (servers.user.clone(), servers.database.clone());
         let credentials = Credentials {
             user,
             database,
             password,
-            may_send_clear_text: told.clear_text,
-            version: told.version,
+            may_send_clear_text: servers.clear_text,
+            version: servers.version,
             skip_authentication: false,
         };
         Ok(ConnectOptions {
             credentials,
-            cancels: told.cancel,
+            cancels: servers.cancel,
         })
     }
 
-    fn peers(
+    fn gossip(
         &self,
         path: &Path,
         settings: Option<&Settings>,
     ) -> Result<Option<gossip::GossipConfig>, KeyFault> {
-        let Some(told) = &self.peers else {
+        let Some(peers) = &self.peers else {
             return match &self.duties {
-                Some(_) => Err(duties(TermsFault::NoPeers)),
+                Some(_) => Err(lease_tasks_fault(TermsFault::NoPeers)),
                 None => Ok(None),
             };
         };
-        let mut rules = told.rules.clone();
+        let mut rules = peers.rules.clone();
         rules.routers = settings.map_or(1, |s| s.router_count);
         #[cfg(feature = "mutations")]
         if let Ok(guard) = std::env::var("PLOVERCOVE_WITHOUT")
@@ -409,97 +409,110 @@
             })?);
         }
         let checked = rules.check();
-        checked.map_err(|e| KeyFault::under("peers.rules", &e.clone(), KeyFaultCause::Peers(e)))?;
-        if told.advertise.unwrap_or(told.listen).ip().is_unspecified() {
+        checked.map_err(|e| KeyFault::below("peers.rules", &e.clone(), KeyFaultCause::Peers(e)))?;
+        if peers
+            .advertise
+            .unwrap_or(peers.listen)
+            .ip()
+            .is_unspecified()
+        {
             return Err(KeyFault::new("peers.advertise", KeyFaultCause::Advertise));
         }
         let folder = path.parent().unwrap_or(Path::new(""));
         let read = |key: &str, file: &PathBuf| {
-            secret(&folder.join(file)).map_err(|e| KeyFault::new(format!("peers.{key}"), e))
+            read_secret(&folder.join(file)).map_err(|e| KeyFault::new(format!("peers.{key}"), e))
         };
-        let ours = read("key_file", &told.key_file)?;
-        let also = told
+        let key = read("key_file", &peers.key_file)?;
+        let second_key = peers
             .also_key_file
             .as_ref()
             .map(|file| read("also_key_file", file))
             .transpose()?;
-        let bytes = |key: &str| key.trim_end_matches(['\r', '\n']).as_bytes().to_vec();
+        let bytes = |text: &str| text.trim_end_matches(['\r', '\n']).as_bytes().to_vec();
         let keys = Keys::new(
             &rules.installation,
-            &bytes(&ours),
-            also.as_deref().map(bytes).as_deref(),
+            &bytes(&key),
+            second_key.as_deref().map(bytes).as_deref(),
         );
         let keys = keys.map_err(|e| KeyFault::new("peers.key_file", KeyFaultCause::Peers(e)))?;
-        let address = told.advertise.unwrap_or(told.listen);
-        let duties = self
+        let address = peers.advertise.unwrap_or(peers.listen);
+        let lease_tasks = self
             .duties
             .as_ref()
-            .map(|block| block.terms(folder, address, &rules))
+            .map(|block| block.check(folder, address, &rules))
             .transpose();
-        let duties = duties.map_err(self::duties)?;
+        let lease_tasks = lease_tasks.map_err(lease_tasks_fault)?;
         Ok(Some(gossip::GossipConfig {
-            listen: told.listen,
-            advertise: told.advertise,
+            listen: peers.listen,
+            advertise: peers.advertise,
             keys,
             rules,
-            lease_tasks: duties,
+            lease_tasks,
         }))
     }
 
-    /// The tiers of a router that is told these settings; none where the file sets none.
+    /// Builds the zone failover of a router with these settings. Returns `None` if the file has no `tiers` block.
     ///
     /// # Errors
-    /// Names the key at fault: the router's own zone may be none of the file's.
-    pub fn tiers(&self, settings: &Settings, seed: u64) -> Result<Option<ZoneFailover>, KeyFault> {
-        let tiers = self
+    /// Names the key; for instance, the router's own zone may be missing in the file.
+    pub fn zone_failover(
+        &self,
+        settings: &Settings,
+        seed: u64,
+    ) -> Result<Option<ZoneFailover>, KeyFault> {
+        let zone_failover = self
             .tiers
             .clone()
             .map(|rules| ZoneFailover::new(rules, settings, seed))
             .transpose();
-        tiers.map_err(of_tiers)
+        zone_failover.map_err(zone_failover_fault)
     }
 }
 
-/// A fault with the line that its key stands on.
-fn placed(script: &Script, fault: KeyFault) -> Error {
+/// Adds the file and the line of the key.
+fn with_location(script: &Script, fault: KeyFault) -> Error {
     Error::Operators {
-        place: Box::new(script.place(&fault.key)),
+        location: Box::new(script.place(&fault.key)),
         cause: fault.cause,
     }
 }
 
-fn of_tiers(fault: RuleFault) -> KeyFault {
+fn zone_failover_fault(fault: RuleFault) -> KeyFault {
     KeyFault::new(
         format!("tiers.{}", fault.key),
         KeyFaultCause::Locality(fault.why),
     )
 }
 
-/// The operators' file of a router that serves, and what its parts are made with.
+/// The operators' file of a running router, with what is needed to build its settings.
 pub struct OperatorsFile {
-    /// Where it lies.
+    /// The path of the file.
     pub path: PathBuf,
-    /// What the platform tells the router.
+    /// The settings that the platform gives to the router.
     pub settings: Settings,
-    /// The seed of its random numbers.
+    /// The seed of the router's random numbers.
     pub seed: u64,
 }
 
 impl OperatorsFile {
-    /// Reads the file: what it comes to for this router. Tiers know nothing yet.
+    /// Reads the file and builds this router's settings. The zone failover starts without observations.
     ///
     /// # Errors
-    /// Names the file, and the line and the key at fault.
+    /// Names the file, the line and the key.
     pub fn read(&self) -> Result<OperatorSettings, Error> {
-        let (told, script) = Operators::load(&self.path)?;
-        let here = |e| placed(&script, e);
+        let (operators, script) = Operators::load(&self.path)?;
+        let locate = |fault| with_location(&script, fault);
         Ok(OperatorSettings {
-            zone_failover: told.tiers(&self.settings, self.seed).map_err(here)?,
-            listeners: told
-                .fronts(&self.path, Some(&self.settings))
-                .map_err(here)?,
-            connect_options: told.connect_options(&self.path).map_err(here)?,
-            gossip: told.peers(&self.path, Some(&self.settings)).map_err(here)?,
+            zone_failover: operators
+                .zone_failover(&self.settings, self.seed)
+                .map_err(locate)?,
+            listeners: operators
+                .listeners(&self.path, Some(&self.settings))
+                .map_err(locate)?,
+            connect_options: operators.connect_options(&self.path).map_err(locate)?,
+            gossip: operators
+                .gossip(&self.path, Some(&self.settings))
+                .map_err(locate)?,
         })
     }
 }
--- a/router/src/operators/tests.rs
+++ b/router/src/operators/tests.rs
@@ -13,30 +13,34 @@
 const ZONES: &str = "_zones = [\"a\", \"b\"]\ntiers = {\n  \"spill\": 0.3,\n  \"zones\": [{\"name\": z, \"routers\": 2} for z in _zones],\n}\n";
 
 #[test]
-fn zones_are_read_and_the_routers_own_must_be_among_them() {
-    let told = read("good", ZONES).unwrap_or_else(|e| panic!("{e}"));
-    let at = |zone: &str| Settings {
+fn the_file_must_list_the_routers_own_zone() {
+    let operators = read("good", ZONES).unwrap_or_else(|e| panic!("{e}"));
+    let in_zone = |zone: &str| Settings {
         zone: zone.into(),
         ..Settings::default()
     };
-    assert!(told.tiers(&at("a"), 1).is_ok_and(|t| t.is_some()));
-    let said = told
-        .tiers(&at("thu-duc"), 1)
+    assert!(
+        operators
+            .zone_failover(&in_zone("a"), 1)
+            .is_ok_and(|t| t.is_some())
+    );
+    let fault = operators
+        .zone_failover(&in_zone("thu-duc"), 1)
         .err()
         .expect("no such zone")
         .to_string();
-    assert!(said.contains("thu-duc"), "{said}");
+    assert!(fault.contains("thu-duc"), "{fault}");
     assert!(
         Operators::default()
-            .tiers(&at("a"), 1)
+            .zone_failover(&in_zone("a"), 1)
             .is_ok_and(|t| t.is_none())
     );
 }
 
-const FRONT: &str = "fronts = [{\n  \"name\": \"old\", \"listen\": \"127.0.0.1:0\", \"methods\": [\"md5\"],\n  \"credentials\": \"USERS\",\n  \"reads\": \"look\", \"writes\": \"book\", \"group\": 2,\n}]\n";
+const LISTENER: &str = "fronts = [{\n  \"name\": \"old\", \"listen\": \"127.0.0.1:0\", \"methods\": [\"md5\"],\n  \"credentials\": \"USERS\",\n  \"reads\": \"look\", \"writes\": \"book\", \"group\": 2,\n}]\n";
 
-/// A file of secrets with this mode.
-fn secrets(name: &str, text: &str, mode: u32) -> PathBuf {
+/// Writes a file of secrets with this mode.
+fn write_secrets(name: &str, text: &str, mode: u32) -> PathBuf {
     use std::os::unix::fs::PermissionsExt;
     let path = std::env::temp_dir().join(format!("plovercove-{}-{name}.users", std::process::id()));
     std::fs::write(&path, text).expect("a folder for temporary files");
@@ -45,8 +49,8 @@
 }
 
 #[test]
-fn files_of_secrets_that_others_can_read_are_refused_and_nothing_of_them_is_repeated() {
-    // Danger: a password in the log, or a file that every user of the machine may copy.
+fn files_of_secrets_that_others_can_read_are_rejected_and_never_quoted() {
+    // Guards against passwords in the log, and against files of secrets that other users of the machine can copy.
     let good = "app md5f6d2ba4f1b0a1ee0e1c3c2c0e7a0b1c2\n";
     for (name, text, mode, want) in [
         ("good", good, 0o600, ""),
@@ -54,19 +58,19 @@
         ("others", good, 0o604, "its mode must be 600"),
         ("plain", "app hunter2\n", 0o600, "line 1: expected md5"),
     ] {
-        let users = secrets(name, text, mode);
-        let said = read(
+        let users = write_secrets(name, text, mode);
+        let fault = read(
             &format!("front-{name}"),
-            &FRONT.replace("USERS", &users.display().to_string()),
+            &LISTENER.replace("USERS", &users.display().to_string()),
         );
         std::fs::remove_file(&users).expect("just written");
-        match said {
-            Ok(told) => assert!(want.is_empty() && told.fronts.len() == 1, "{name}"),
-            Err(said) => {
-                assert!(!want.is_empty() && said.contains(want), "{name}: {said}");
+        match fault {
+            Ok(operators) => assert!(want.is_empty() && operators.fronts.len() == 1, "{name}"),
+            Err(fault) => {
+                assert!(!want.is_empty() && fault.contains(want), "{name}: {fault}");
                 assert!(
-                    said.contains("fronts[0].credentials") && !said.contains("hunter2"),
-                    "{said}"
+                    fault.contains("fronts[0].credentials") && !fault.contains("hunter2"),
+                    "{fault}"
                 );
             }
         }
@@ -74,9 +78,9 @@
 }
 
 #[test]
-fn a_front_that_cannot_serve_is_refused_before_it_listens() {
-    let users = secrets("front", "app md5f6d2ba4f1b0a1ee0e1c3c2c0e7a0b1c2\n", 0o600);
-    let front = FRONT.replace("USERS", &users.display().to_string());
+fn a_listener_that_cannot_serve_is_rejected_before_it_listens() {
+    let users = write_secrets("front", "app md5f6d2ba4f1b0a1ee0e1c3c2c0e7a0b1c2\n", 0o600);
+    let listener = LISTENER.replace("USERS", &users.display().to_string());
     for (name, from, to, want) in [
         (
             "trust",
@@ -105,31 +109,31 @@
             "fronts[0].logins.address",
         ),
     ] {
-        let said = read(&format!("front-{name}"), &front.replace(from, to)).expect_err(want);
-        assert!(said.contains(want), "{said} instead of {want}");
+        let fault = read(&format!("front-{name}"), &listener.replace(from, to)).expect_err(want);
+        assert!(fault.contains(want), "{fault} instead of {want}");
     }
-    let told = read("front-class", &front).unwrap_or_else(|e| panic!("{e}"));
-    let nothing = Path::new("operators.star");
-    let said = told
-        .fronts(nothing, Some(&Settings::default()))
+    let operators = read("front-class", &listener).unwrap_or_else(|e| panic!("{e}"));
+    let path = Path::new("operators.star");
+    let fault = operators
+        .listeners(path, Some(&Settings::default()))
         .map(|_| ())
         .expect_err("no such class")
         .to_string();
     assert!(
-        said.contains("fronts[0].reads: class \"look\" does not exist"),
-        "{said}"
+        fault.contains("fronts[0].reads: class \"look\" does not exist"),
+        "{fault}"
     );
-    let twice = Operators {
-        fronts: [told.fronts.clone(), told.fronts].concat(),
+    let duplicate = Operators {
+        fronts: [operators.fronts.clone(), operators.fronts].concat(),
         ..Operators::default()
     };
     assert!(
-        twice
-            .fronts(nothing, None)
+        duplicate
+            .listeners(path, None)
             .is_err_and(|e| e.to_string().contains("another front has it too"))
     );
     std::fs::remove_file(&users).expect("just written");
-    let newer = Operators::connect_options(
+    let old_version = Operators::connect_options(
         &Operators {
             servers: Some(Servers {
                 user: "u".into(),
@@ -141,13 +145,13 @@
             }),
             ..Operators::default()
         },
-        nothing,
+        path,
     );
-    assert!(newer.is_err_and(|e| e.to_string().contains("servers.version")));
+    assert!(old_version.is_err_and(|e| e.to_string().contains("servers.version")));
 }
 
 #[test]
-fn what_is_wrong_is_named_with_line_and_key() {
+fn faults_name_the_line_and_the_key() {
     for (name, from, to, want) in [
         (
             "spill",
@@ -170,7 +174,7 @@
         ("twice", "\"b\"]", "\"a\"]", "two zones have the same name"),
         ("top", "tiers =", "tier =", "tier: unknown field"),
     ] {
-        let said = read(name, &ZONES.replace(from, to)).expect_err(want);
-        assert!(said.contains(want), "{said} instead of {want}");
+        let fault = read(name, &ZONES.replace(from, to)).expect_err(want);
+        assert!(fault.contains(want), "{fault} instead of {want}");
     }
 }
--- a/router/tests/errors.rs
+++ b/router/tests/errors.rs
@@ -354,11 +354,13 @@
         .read();
         let fault = read.err().unwrap_or_else(|| panic!("{told} is good"));
         let (text, help) = (fault.to_string(), fault.help());
-        let Error::Operators { place, cause } = fault else {
+        let Error::Operators { location, cause } = fault else {
             panic!("{text}")
         };
         assert!(
-            place.file.ends_with("ops.star") && place.line.is_some() && !place.key.is_empty(),
+            location.file.ends_with("ops.star")
+                && location.line.is_some()
+                && !location.key.is_empty(),
             "{text}"
         );
         let Seen(variant, ..) = seen("operators", &cause, help);
--- a/router/tests/peers.rs
+++ b/router/tests/peers.rs
@@ -179,7 +179,7 @@
     let good = peers.clone() + &duties(&["127.0.0.1:9"; 3]);
     let (passes, said) = check(&good);
     assert!(
-        passes && said.contains("3 deciders choose who does what"),
+        passes && said.contains("3 routers vote on leases"),
         "{said}"
     );
     let (passes, said) = check(&duties(&["127.0.0.1:9"; 3]));
@@ -259,7 +259,7 @@
     };
     let (passes, said) = check(&good);
     assert!(
-        passes && said.contains("routers of here talk at 127.0.0.1:0"),
+        passes && said.contains("routers of the installation here exchange gossip at 127.0.0.1:0"),
         "{said}"
     );
     for (from, to, want) in [
