--- a/router/src/error.rs
+++ b/router/src/error.rs
@@ -1,6 +1,6 @@
 //! Errors of the start, the check of a file, a reload and the event loop, with help for operators.
 
-use plovercove_locality as tiers;
+use plovercove_locality as zone_rules;
 use plovercove_settings as settings;
 use plovercove_starlark_config::Place;
 use std::fmt::Display;
@@ -156,7 +156,7 @@
     Logins(#[source] plovercove_pgwire::Error),
     /// An error in the `tiers` block.
     #[error("{0}")]
-    Locality(#[source] tiers::Wrong),
+    Locality(#[source] zone_rules::RuleFaultKind),
     /// An error in the rules or the keys of the `peers` block.
     #[error("{}", without_key(.0))]
     Peers(#[source] plovercove_gossip::Error),
--- a/router/src/operators.rs
+++ b/router/src/operators.rs
@@ -403,8 +403,8 @@
         if let Ok(guard) = std::env::var("PLOVERCOVE_WITHOUT")
             && !guard.contains('/')
         {
-            let known = plovercove_gossip::Guard::named(&guard);
-            rules.without = Some(known.ok_or_else(|| {
+            let known = plovercove_gossip::Guard::from_name(&guard);
+            rules.disabled_guard = Some(known.ok_or_else(|| {
                 KeyFault::new("PLOVERCOVE_WITHOUT", KeyFaultCause::NoGuard(guard))
             })?);
         }
@@ -480,7 +480,7 @@
 fn zone_failover_fault(fault: RuleFault) -> KeyFault {
     KeyFault::new(
         format!("tiers.{}", fault.key),
-        KeyFaultCause::Locality(fault.why),
+        KeyFaultCause::Locality(fault.kind),
     )
 }
 
--- a/router/src/serve.rs
+++ b/router/src/serve.rs
@@ -117,7 +117,7 @@
         let lists = match settings.subscribe {
             true => ListSource::Polled,
             false => ListSource::Pushed {
-                grace: settings.drain_grace,
+                drain_grace: settings.drain_grace,
             },
         };
         let clock = Clock::default();
@@ -394,7 +394,10 @@
         self.discovery
             .move_to(config.discovery, now, &mut self.engine);
         if let Some(told) = told {
-            let zones = told.zone_failover.as_ref().map_or(0, |t| t.view().len());
+            let zones = told
+                .zone_failover
+                .as_ref()
+                .map_or(0, |t| t.zone_statuses().len());
             self.rezone(told.zone_failover, now);
             for (address, terms) in told.listeners {
                 // Those who are in stay in; what is asked of newcomers changes.
@@ -418,19 +421,19 @@
     /// Puts other tiers in the place of those in use; they go on from what these have learned.
     fn rezone(&mut self, mut tiers: Option<ZoneFailover>, now: Time) {
         let old = match gossip::observer(&mut self.engine) {
-            Some(observer) => observer.inner(),
+            Some(observer) => observer.locality_policy(),
             None => self.engine.locality_policy(),
         };
         let old = old
             .map(|zoning| zoning as &mut dyn Any)
             .and_then(<dyn Any>::downcast_mut);
         if let (Some(fresh), Some(old)) = (&mut tiers, old) {
-            fresh.inherit(old);
+            fresh.inherit_state(old);
         }
         let tiers = tiers.map(|tiers| Box::new(tiers) as Box<dyn LocalityPolicy>);
         match gossip::observer(&mut self.engine) {
             Some(observer) => {
-                let observer = observer.with(tiers);
+                let observer = observer.with_locality_policy(tiers);
                 self.engine
                     .replace_locality_policy(now, Some(Box::new(observer)));
             }
