--- a/router/src/front/eviction.rs
+++ b/router/src/front/eviction.rs
@@ -5,7 +5,7 @@
 
 use super::Front;
 use super::client::Client;
-use crate::net::stream::Peer;
+use crate::net::stream::PeerState;
 use plovercove::{Micros, Time};
 use plovercove_engine::{Deadline, Engine, Key};
 use std::collections::BTreeSet;
@@ -251,7 +251,7 @@
         let listener = &mut self.context.listeners[client.listener];
         listener.placed_clients -= 1;
         if let Some(id) = client.cancel_id {
-            listener.cancel_keys.withdraw(id);
+            listener.cancel_keys.remove(id);
         }
         for forwarded in client.pending.into_iter().filter_map(|p| p.request) {
             engine.client_gone(forwarded.request);
@@ -268,6 +268,6 @@
             return true;
         }
         let peer = self.receive(context, key, now);
-        peer == Peer::Open && self.stream.unread().len() > unread_before
+        peer == PeerState::Open && self.stream.unread().len() > unread_before
     }
 }
--- a/router/src/front/exchange.rs
+++ b/router/src/front/exchange.rs
@@ -2,7 +2,7 @@
 
 use super::Context;
 use super::client::{Client, MAX_READ_AHEAD_BYTES, MAX_UNSENT_BYTES, Phase};
-use crate::net::stream::Peer;
+use crate::net::stream::PeerState;
 use plovercove::Time;
 use plovercove_engine::{Engine, Key};
 use plovercove_pgwire::Version;
@@ -28,9 +28,9 @@
 impl Client {
     /// Reads what a client has sent, up to its end where that can be reached. Whoever wants a request cancelled need not wait
     /// for our end of the connection.
-    pub(super) fn receive(&mut self, context: &mut Context, key: Key, now: Time) -> Peer {
+    pub(super) fn receive(&mut self, context: &mut Context, key: Key, now: Time) -> PeerState {
         let peer = self.fill();
-        if peer != Peer::Open {
+        if peer != PeerState::Open {
             let is_logging_in =
                 |client: &Client| client.startup.is_some() && client.phase != Phase::Closing;
             while is_logging_in(self) && self.advance_login(context, key, now) {}
@@ -40,25 +40,25 @@
 
     /// Reads ahead, too: with a client's end left for the next turn, requests would begin though it has gone while the loop
     /// was busy.
-    fn fill(&mut self) -> Peer {
+    fn fill(&mut self) -> PeerState {
         // What one that lingers sends is dropped elsewhere.
         if self.is_lingering() {
-            return Peer::Open;
+            return PeerState::Open;
         }
         while self.wants_input() {
             let unread_before = self.stream.unread().len();
             match self.stream.fill() {
-                Peer::Open if self.stream.unread().len() > unread_before => {
+                PeerState::Open if self.stream.unread().len() > unread_before => {
                     if self.stream.unread().len() >= MAX_READ_AHEAD_BYTES {
                         break;
                     }
                 }
                 // What is read ahead need not be: there is memory for it later.
-                Peer::TooMuch if !self.may_begin_message() => break,
+                PeerState::OverBudget if !self.may_begin_message() => break,
                 peer => return peer,
             }
         }
-        Peer::Open
+        PeerState::Open
     }
 
     /// Queues the answers whose turn it is, takes in what there is room for, and writes.
@@ -72,7 +72,7 @@
         key: Key,
         now: Time,
         engine: &mut Engine,
-    ) -> Result<Exchanged, Peer> {
+    ) -> Result<Exchanged, PeerState> {
         let mut messages_left = MAX_MESSAGES_PER_TURN;
         loop {
             self.write_answers_in_order();
@@ -102,7 +102,8 @@
 
     fn write_answers_in_order(&mut self) {
         while let Some(answer) = self.pending.front_mut().and_then(|p| p.answer.take()) {
-            self.stream.put(|out| out.extend_from_slice(&answer));
+            self.stream
+                .queue_output(|out| out.extend_from_slice(&answer));
             self.pending.pop_front();
         }
     }
@@ -135,18 +136,18 @@
         now: Time,
         engine: &mut Engine,
     ) -> bool {
-        let message = match messages::message(self.stream.unread(), MAX_MESSAGE_BYTES) {
+        let message = match messages::parse_message(self.stream.unread(), MAX_MESSAGE_BYTES) {
             Ok(Some(message)) => message,
             Ok(None) => return false,
             Err(Malformed) => {
                 let text = "a message has an impossible length";
-                self.end_session(&context.budget, code::PROTOCOL, text);
+                self.end_session(&context.budget, code::PROTOCOL_VIOLATION, text);
                 return true;
             }
         };
         let (kind, length) = (message.kind, message.raw.len());
         let query = (kind == b'Q').then(|| message.body.strip_suffix(&[0]).map(<[u8]>::to_vec));
-        self.stream.take(length);
+        self.stream.consume(length);
         let budget = &context.budget;
         match (kind, query) {
             (b'X', _) => self.phase = Phase::Closing,
@@ -157,26 +158,40 @@
             (_, _) if self.phase == Phase::SkippingToSync => {}
             (b'Q', Some(Some(text))) if text.contains(&0) => {
                 let text = "the query has a zero byte in it";
-                self.reply_protocol_error(budget, code::PROTOCOL, text);
+                self.reply_protocol_error(budget, code::PROTOCOL_VIOLATION, text);
             }
             (b'Q', Some(Some(text))) => self.read_query(context, key, text, now, engine),
             (b'Q', _) => {
-                self.reply_protocol_error(budget, code::PROTOCOL, "the query does not end");
+                self.reply_protocol_error(
+                    budget,
+                    code::PROTOCOL_VIOLATION,
+                    "the query does not end",
+                );
             }
             (b'F', _) => {
                 let text = "function calls are not supported";
-                self.reply_protocol_error(budget, code::UNSUPPORTED, text);
+                self.reply_protocol_error(budget, code::FEATURE_NOT_SUPPORTED, text);
             }
             (b'P' | b'B' | b'D' | b'E' | b'C' | b'H', _) => {
                 self.protocol_errors += 1;
                 self.queue_reply(budget, |out| {
-                    messages::put_error(out, false, code::UNSUPPORTED, ONLY_SIMPLE_QUERIES, None);
+                    messages::put_error(
+                        out,
+                        false,
+                        code::FEATURE_NOT_SUPPORTED,
+                        ONLY_SIMPLE_QUERIES,
+                        None,
+                    );
                 });
                 self.phase = Phase::SkippingToSync;
             }
             // Copy data that comes late, after an error, is ignored as a server does.
             (b'd' | b'c' | b'f', _) => {}
-            _ => self.end_session(budget, code::PROTOCOL, "a message of an unknown kind"),
+            _ => self.end_session(
+                budget,
+                code::PROTOCOL_VIOLATION,
+                "a message of an unknown kind",
+            ),
         }
         true
     }
@@ -197,30 +212,30 @@
                     let is_too_long = rest.len() > MAX_MESSAGE_BYTES;
                     if is_too_long {
                         let text = "the query is too long";
-                        self.end_session(&context.budget, code::PROTOCOL, text);
+                        self.end_session(&context.budget, code::PROTOCOL_VIOLATION, text);
                     }
                     return is_too_long;
                 };
                 let text = rest[..end].to_vec();
-                self.stream.take(end + 2);
+                self.stream.consume(end + 2);
                 self.read_query(context, key, text, now, engine);
             }
             b'X' => self.phase = Phase::Closing,
-            b'F' => match messages::old_function_call(rest, MAX_MESSAGE_BYTES) {
+            b'F' => match messages::v2_function_call_length(rest, MAX_MESSAGE_BYTES) {
                 Ok(None) => return false,
                 Ok(Some(length)) => {
-                    self.stream.take(length + 1);
+                    self.stream.consume(length + 1);
                     let text = "function calls are not supported";
-                    self.reply_protocol_error(&context.budget, code::UNSUPPORTED, text);
+                    self.reply_protocol_error(&context.budget, code::FEATURE_NOT_SUPPORTED, text);
                 }
                 Err(Malformed) => {
                     let text = "a malformed function call";
-                    self.end_session(&context.budget, code::PROTOCOL, text);
+                    self.end_session(&context.budget, code::PROTOCOL_VIOLATION, text);
                 }
             },
             _ => {
                 let text = "a message of an unknown kind";
-                self.end_session(&context.budget, code::PROTOCOL, text);
+                self.end_session(&context.budget, code::PROTOCOL_VIOLATION, text);
             }
         }
         true
@@ -238,7 +253,7 @@
             Ok(text) => self.query(context, key, &text, now, engine),
             Err(_) => {
                 let text = "the query is not UTF-8";
-                self.reply_protocol_error(&context.budget, code::PROTOCOL, text);
+                self.reply_protocol_error(&context.budget, code::PROTOCOL_VIOLATION, text);
             }
         }
     }
--- a/router/src/upstream/exchange.rs
+++ b/router/src/upstream/exchange.rs
@@ -6,12 +6,12 @@
 use super::reply::{self, Reply};
 use super::watch::{QueryAnswer, QueryOutcome};
 use super::{ServedRequest, Upstream};
-use crate::net::stream::Peer;
+use crate::net::stream::PeerState;
 use plovercove::{AttemptEnd, NodeId, NodeReport, Time};
 use plovercove_engine::{Engine, Key};
-use plovercove_pgwire::login::{Credentials, Login, Refused};
+use plovercove_pgwire::login::{Credentials, Login, LoginError};
 use plovercove_pgwire::messages::{self, Message, code};
-use plovercove_pgwire::reply::Spoilt;
+use plovercove_pgwire::reply::InvalidReply;
 use tracing::{debug, warn};
 
 /// The most bytes that are read ahead on a connection.
@@ -28,7 +28,7 @@
     /// The connection is ready for its next job.
     Ready { is_reusable: bool },
     /// The node does not let this router in.
-    LoginRefused(Refused),
+    LoginRefused(LoginError),
 }
 
 impl State {
@@ -38,17 +38,21 @@
         message: &Message<'_>,
         credentials: &Credentials,
         answer: &mut Vec<u8>,
-    ) -> Result<Progress, Spoilt> {
+    ) -> Result<Progress, InvalidReply> {
         match self {
             State::Busy(running) => running.take(message, answer),
             State::LoggingIn(login) => take_login(login, message, credentials, answer),
-            State::Connecting | State::Cancelling(_) | State::Idle => Err(Spoilt),
+            State::Connecting | State::Cancelling(_) | State::Idle => Err(InvalidReply),
         }
     }
 }
 
 impl RunningJob {
-    fn take(&mut self, message: &Message<'_>, answer: &mut Vec<u8>) -> Result<Progress, Spoilt> {
+    fn take(
+        &mut self,
+        message: &Message<'_>,
+        answer: &mut Vec<u8>,
+    ) -> Result<Progress, InvalidReply> {
         if message.kind == b'Z' {
             let is_reusable = self.reply.ready(message.body)?;
             return Ok(Progress::Ready { is_reusable });
@@ -68,11 +72,11 @@
     message: &Message<'_>,
     credentials: &Credentials,
     answer: &mut Vec<u8>,
-) -> Result<Progress, Spoilt> {
-    match login.take(credentials, message, answer) {
+) -> Result<Progress, InvalidReply> {
+    match login.read_message(credentials, message, answer) {
         Ok(true) => Ok(Progress::Ready { is_reusable: true }),
         Ok(false) => Ok(Progress::GoesOn),
-        Err(Refused::Malformed) => Err(Spoilt),
+        Err(LoginError::Malformed) => Err(InvalidReply),
         Err(why) => Ok(Progress::LoginRefused(why)),
     }
 }
@@ -84,14 +88,18 @@
             return;
         };
         if matches!(connection.state, State::Connecting | State::Cancelling(_)) {
-            if !connection.stream.connected() {
+            if !connection.stream.is_connected() {
                 return self.connection_broke(key, now, engine);
             }
             match &mut connection.state {
-                State::Cancelling(packet) => connection.stream.put(|out| out.append(packet)),
+                State::Cancelling(packet) => {
+                    connection.stream.queue_output(|out| out.append(packet))
+                }
                 state => {
                     let credentials = &self.options.credentials;
-                    let login = connection.stream.put(|out| Login::start(credentials, out));
+                    let login = connection
+                        .stream
+                        .queue_output(|out| Login::start(credentials, out));
                     *state = State::LoggingIn(Box::new(login));
                 }
             }
@@ -118,7 +126,7 @@
         // The system may have held all of it back until now: then it begins now.
         if let State::Busy(running) = &connection.state
             && !running.is_written
-            && connection.stream.untouched()
+            && connection.stream.is_output_untouched()
             && !running.job.may_begin(&connection.node, now, engine)
         {
             let node = connection.node.clone();
@@ -137,7 +145,7 @@
         {
             engine.attempt_written(*id);
         }
-        connection.stream.wait_for(true);
+        connection.stream.set_read_interest(true);
     }
 
     /// Reads what has come. What came before the end still counts.
@@ -146,7 +154,7 @@
             return;
         };
         let peer = connection.stream.fill();
-        let has_spoken = peer != Peer::Open || !connection.stream.unread().is_empty();
+        let has_spoken = peer != PeerState::Open || !connection.stream.unread().is_empty();
         // Bytes on a connection that nothing waits for belong to no request, and the next one would get them.
         if matches!(connection.state, State::Idle) && has_spoken {
             debug!(node = %connection.node, "an idle connection ends");
@@ -155,9 +163,9 @@
         }
         while self.read_message(key, now, engine) {}
         match peer {
-            Peer::Open => {}
-            Peer::Gone | Peer::Reset => self.connection_broke(key, now, engine),
-            Peer::TooMuch => self.spoilt(key, now, engine),
+            PeerState::Open => {}
+            PeerState::Closed | PeerState::Reset => self.connection_broke(key, now, engine),
+            PeerState::OverBudget => self.spoilt(key, now, engine),
         }
     }
 
@@ -171,7 +179,7 @@
             return false;
         };
         let most = reply::max_message_bytes(*kind);
-        let message = match most.map(|most| messages::message(unread, most)) {
+        let message = match most.map(|most| messages::parse_message(unread, most)) {
             Some(Ok(Some(message))) => message,
             Some(Ok(None)) => return false,
             Some(Err(messages::Malformed)) | None => {
@@ -187,13 +195,15 @@
             self.spoilt(key, now, engine);
             return false;
         };
-        connection.stream.take(length);
+        connection.stream.consume(length);
         if let Progress::LoginRefused(why) = progress {
             self.login_refused(key, &why, now, engine);
             return false;
         }
         if !answer.is_empty() {
-            connection.stream.put(|out| out.append(&mut answer));
+            connection
+                .stream
+                .queue_output(|out| out.append(&mut answer));
             self.write(key, now, engine);
         }
         if let Progress::Ready { is_reusable } = progress {
@@ -202,12 +212,12 @@
         true
     }
 
-    fn login_refused(&mut self, key: Key, why: &Refused, now: Time, engine: &mut Engine) {
+    fn login_refused(&mut self, key: Key, why: &LoginError, now: Time, engine: &mut Engine) {
         let Some(connection) = self.connections.get(key) else {
             return;
         };
         let node = connection.node.clone();
-        let is_full = matches!(why, Refused::Server(code) if code == code::TURNED_AWAY);
+        let is_full = matches!(why, LoginError::Server(code) if code == code::TOO_MANY_CONNECTIONS);
         let end = if is_full {
             AttemptEnd::Overloaded
         } else {
@@ -231,7 +241,7 @@
         match std::mem::replace(&mut connection.state, State::Idle) {
             State::LoggingIn(login) => {
                 connection.backend_key = login
-                    .key()
+                    .cancel_key()
                     .cloned()
                     .map(|(process, secret)| BackendKey { process, secret });
                 if let Some(pool) = self.pools.get_mut(&id) {
--- a/router/src/upstream/tests.rs
+++ b/router/src/upstream/tests.rs
@@ -6,7 +6,7 @@
 use super::pool::REPORT_QUERY;
 use super::*;
 use crate::discovery::Listing;
-use crate::net::split;
+use crate::net::split_poll_key;
 use crate::statement_labels;
 use plovercove::{
     Access, Class, DedupScope, Endpoint, EndpointState, EndpointUpdate, Idempotency, RequestInfo,
@@ -153,9 +153,9 @@
         });
         let listing = Listing {
             index: self.version,
-            whole,
+            is_complete: whole,
             entries,
-            odd: None,
+            unknown_status: None,
         };
         self.upstream
             .update_endpoints(&listing, self.now, &mut self.engine);
@@ -178,7 +178,7 @@
             "/* id={id},c=x,d=5000,cluster=1 */ SELECT '{}'",
             "k".repeat(length)
         );
-        let labels = statement_labels::labels(&text).expect("well formed");
+        let labels = statement_labels::read_labels(&text).expect("well formed");
         let statement = Rc::new(Statement::new(&text, &labels, Shape::OneValue));
         let info = RequestInfo {
             class,
@@ -247,7 +247,10 @@
     fn comes(&self) -> Vec<Key> {
         let mut events = Events::new();
         self.poll.wait(&mut events, Some(HANGS)).expect("it waits");
-        let keys: Vec<Key> = events.iter().map(|event| split(event.key).1).collect();
+        let keys: Vec<Key> = events
+            .iter()
+            .map(|event| split_poll_key(event.key).1)
+            .collect();
         assert!(
             !keys.is_empty(),
             "nothing comes: {:?} sent, {:?}",
@@ -347,7 +350,7 @@
             .iter()
             .filter(|(_, b)| matches!(b.state, State::Busy(..)));
         busy.next()
-            .map(|(_, b)| (b.stream.unsent(), b.stream.untouched()))
+            .map(|(_, b)| (b.stream.unsent(), b.stream.is_output_untouched()))
     }
 
     /// How this request ended; it has one end at the most.
@@ -406,7 +409,7 @@
         Asks::Fleet => {
             let ask = NodeQuery {
                 node,
-                look: Rc::new(|| true),
+                lease_check: Rc::new(|| true),
             };
             pools.upstream.query(ask, now, &mut pools.engine);
         }
@@ -566,9 +569,9 @@
         "/* id={id},c=x,d=5000,cluster=1 */ SELECT '{}'",
         "k".repeat(text)
     );
-    let labels = statement_labels::labels(&text).expect("well formed");
+    let labels = statement_labels::read_labels(&text).expect("well formed");
     let mut out = Vec::new();
-    Statement::new(&text, &labels, Shape::OneValue).put(&mut out, 5_000);
+    Statement::new(&text, &labels, Shape::OneValue).append_query(&mut out, 5_000);
     out.len()
 }
 
@@ -697,7 +700,7 @@
     for stays in [true, false] {
         let node = node();
         let mut pools = Pools::new(Settings {
-            dropped_stay_open: stays,
+            removed_nodes_stay_open: stays,
             ..settings()
         });
         pools.told(true, &[("p", EndpointState::Serving, Some(at(&node)))]);
@@ -733,7 +736,7 @@
     for stays in [true, false] {
         let node = node();
         let mut pools = Pools::new(Settings {
-            dropped_stay_open: stays,
+            removed_nodes_stay_open: stays,
             ..settings()
         });
         pools.told(true, &[("p", EndpointState::Serving, Some(at(&node)))]);
@@ -760,7 +763,7 @@
     // Danger: where dropped nodes stay open, an attempt at one goes to whoever has its address now.
     let node = node();
     let mut pools = Pools::new(Settings {
-        dropped_stay_open: true,
+        removed_nodes_stay_open: true,
         ..settings()
     });
     pools.told(true, &[("p", EndpointState::Serving, Some(at(&node)))]);
@@ -862,7 +865,7 @@
     for whole in [true, false] {
         let (primary, replica) = (node(), node());
         let mut pools = Pools::new(Settings {
-            dropped_stay_open: true,
+            removed_nodes_stay_open: true,
             ..settings()
         });
         let (p, r) = (at(&primary), at(&replica));
@@ -900,7 +903,7 @@
 fn what_is_kept_of_dropped_nodes_is_bounded() {
     // Danger: over days of replacements it would grow without end.
     let mut pools = Pools::new(Settings {
-        dropped_stay_open: true,
+        removed_nodes_stay_open: true,
         ..settings()
     });
     for list in 0..3 {
@@ -1271,7 +1274,7 @@
                 answer(&mut pools);
             }
             First::GoneInOneTurn => {
-                pools.engine.cancel(request, pools.now);
+                pools.engine.cancel_request(request, pools.now);
                 answer(&mut pools);
             }
         }
@@ -1460,7 +1463,7 @@
             Why::Idle => pools.later(IDLE),
             Why::GivenUp => given_up
                 .iter()
-                .for_each(|request| pools.engine.cancel(*request, pools.now)),
+                .for_each(|request| pools.engine.cancel_request(*request, pools.now)),
         }
         pools.settle();
         assert_eq!(pools.open(), (0, 0), "{why:?}");
