--- a/router/src/front/login.rs
+++ b/router/src/front/login.rs
@@ -67,7 +67,7 @@
         let Some((length, step)) = startup.read_message(rules, bytes, &nonce, reply)? else {
             return Ok(None);
         };
-        self.stream.take(length);
+        self.stream.consume(length);
         Ok(Some(step))
     }
 
