--- a/router/src/front/accept.rs
+++ b/router/src/front/accept.rs
@@ -1,4 +1,4 @@
-//! Accepting connections, and pausing where no descriptor is left for one more.
+//! Accepts connections, and pauses accepting while no file descriptor is available.
 
 use super::Front;
 use super::client::{Client, Phase};
@@ -19,35 +19,36 @@
 use std::net::{IpAddr, TcpListener, TcpStream};
 use tracing::warn;
 
-/// Connections that may wait to be accepted: hundreds may come at once.
+/// Maximum number of connections that wait to be accepted. Hundreds may arrive at once.
 pub(super) const LISTEN_BACKLOG: i32 = 1_024;
-/// Connections that are accepted from one listener in a turn of the loop.
+/// Maximum number of connections that are accepted from one listener in a turn of the event loop.
 pub(super) const MAX_ACCEPTS_PER_TURN: u32 = 64;
-/// Connections beyond the limit: those that are told so, and those that gave up their place and linger.
+/// Maximum number of connections beyond the limit on clients: those that are being rejected, and those that were evicted
+/// and linger.
 const MAX_CLIENTS_BEYOND_LIMIT: usize = 8;
-/// From connecting until the first request has come whole. Connections that say nothing, or trickle, would otherwise hold the
-/// places of those that have something to ask.
+/// Time from accepting a connection until its first request has been received completely. Without it, connections that
+/// send nothing or trickle bytes would occupy the slots that other clients need.
 const FIRST_REQUEST_TIMEOUT: Micros = 2_000_000;
-/// From the first byte of a message to its last.
+/// Time from the first byte of a message to its last.
 const MESSAGE_TIMEOUT: Micros = 2_000_000;
 
-/// What is left of those who wait at a listener.
+/// Whether connections still wait at a listener.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Backlog {
-    /// Nobody.
+    /// No connection waits.
     Empty,
-    /// Some may be, whose turn is the next.
+    /// More connections may wait; they are accepted in the next turn.
     Waiting,
-    /// Nobody is accepted for a moment.
+    /// Accepting is paused for a moment.
     Paused,
 }
 
 impl Front {
-    /// Takes connections in on one more listener.
+    /// Adds a listener and starts to accept connections on it.
     ///
     /// # Errors
     ///
-    /// Where the system refuses to listen on it or to watch it.
+    /// Returns an error if the system cannot listen on the socket or poll it.
     pub fn add_listener(&mut self, socket: TcpListener, config: ListenerConfig) -> io::Result<()> {
         socket.set_nonblocking(true)?;
         SockRef::from(&socket).listen(LISTEN_BACKLOG)?;
@@ -58,23 +59,23 @@
         Ok(())
     }
 
-    /// Changes the configuration of a further listener, by its name, for those who come from now on. False where there is
-    /// none of this name.
+    /// Changes the configuration of the listener with this name, for clients that connect from now on. The platform's
+    /// listener cannot be changed. Returns false if there is no such listener.
     pub fn change_listener(&mut self, config: &ListenerConfig) -> bool {
-        let mut further = self.context.listeners.iter_mut().skip(1);
-        let Some(listener) = further.find(|l| l.config.name == config.name) else {
+        let mut further_listeners = self.context.listeners.iter_mut().skip(1);
+        let Some(listener) = further_listeners.find(|l| l.config.name == config.name) else {
             return false;
         };
         listener.config = config.clone();
         true
     }
 
-    /// Takes in the connections that wait at a listener.
+    /// Accepts the connections that wait at a listener.
     pub fn accept(&mut self, listener: Key, now: Time, engine: &mut Engine) {
         self.accept_from(listener.number() as usize, now, engine);
     }
 
-    /// Goes on accepting after a pause.
+    /// Resumes accepting after a pause.
     pub fn resume_accepting(&mut self, now: Time, engine: &mut Engine) {
         self.set_listeners_interest(Interest::Read);
         if self.is_draining {
@@ -94,10 +95,10 @@
     fn accept_from(&mut self, number: usize, now: Time, engine: &mut Engine) -> Backlog {
         for _ in 0..MAX_ACCEPTS_PER_TURN {
             let is_full = self.clients.len() >= self.max_clients + MAX_CLIENTS_BEYOND_LIMIT;
-            if is_full && !self.may_displace(now) {
-                // Who has spoken is told, and may then be displaced.
+            if is_full && !self.may_close_beyond_limit(now) {
+                // Rejected clients that have sent their first packet receive their error now, and may then be closed.
                 self.pump(now, engine);
-                if !self.may_displace(now) {
+                if !self.may_close_beyond_limit(now) {
                     return self.pause_accepting(now, engine);
                 }
             }
@@ -107,21 +108,21 @@
             };
             match socket.accept() {
                 Ok((socket, address)) => {
-                    // Only now is it certain that someone needs a descriptor, or the place of an idle client.
+                    // Only now is it certain that a connection needs the descriptor, or the slot of an idle client.
                     if is_full {
-                        self.displace(now, engine);
+                        self.close_beyond_limit(now, engine);
                     }
-                    if self.placed_clients() >= self.max_clients {
+                    if self.slots_in_use() >= self.max_clients {
                         self.evict_one(now, engine);
                     }
-                    self.admit(number, address.ip(), socket, now, engine);
+                    self.add_client(number, address.ip(), socket, now, engine);
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return Backlog::Empty,
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == ErrorKind::ConnectionAborted => {}
-                // With no descriptor left the listener stays readable, and the loop would spin on it.
+                // Without a free descriptor the listener stays readable, and the loop would spin on it.
                 Err(e) => {
-                    warn!("cannot accept: {e}");
+                    warn!("cannot accept a connection: {e}");
                     return self.pause_accepting(now, engine);
                 }
             }
@@ -129,16 +130,16 @@
         Backlog::Waiting
     }
 
-    /// Accepts nobody until the first of those beyond the limit has had its time.
+    /// Pauses accepting until the first client beyond the limit has had its minimum time.
     fn pause_accepting(&mut self, now: Time, engine: &mut Engine) -> Backlog {
         self.set_listeners_interest(Interest::Nothing);
         let mut rejecting = self.eviction_order.starting_at(EvictionKind::Rejecting);
-        let first = rejecting
+        let first_min_time_end = rejecting
             .next()
             .filter(|entry| entry.rank.kind == EvictionKind::Rejecting)
             .map(|entry| entry.rank.since + MIN_TIME_BEYOND_LIMIT)
-            .filter(|at| *at > now);
-        let resume_at = first.unwrap_or(now + MIN_TIME_BEYOND_LIMIT);
+            .filter(|min_time_end| *min_time_end > now);
+        let resume_at = first_min_time_end.unwrap_or(now + MIN_TIME_BEYOND_LIMIT);
         engine.deadlines.add(resume_at, Deadline::Accept);
         Backlog::Paused
     }
@@ -147,13 +148,13 @@
         let listeners = self.context.listeners.iter_mut();
         for socket in listeners.filter_map(|listener| listener.socket.as_mut()) {
             if let Err(e) = socket.set_interest(interest) {
-                warn!("a listener's interest cannot be changed: {e}");
+                warn!("cannot change the poll interest of a listener: {e}");
             }
         }
     }
 
-    /// Takes over a connection: as a client, or to tell it that there is no place.
-    fn admit(
+    /// Adds a client for an accepted connection. If no slot is free, the client is rejected once its first packet arrives.
+    fn add_client(
         &mut self,
         number: usize,
         address: IpAddr,
@@ -162,13 +163,13 @@
         engine: &mut Engine,
     ) {
         let listener = &self.context.listeners[number];
-        let has_place = self.placed_clients() < self.max_clients && listener.has_place();
-        let phase = if has_place {
+        let has_free_slot = self.slots_in_use() < self.max_clients && listener.has_free_slot();
+        let phase = if has_free_slot {
             Phase::LoggingIn
         } else {
             Phase::Rejecting
         };
-        let first_request_timeout = if has_place && !self.is_draining {
+        let first_request_timeout = if has_free_slot && !self.is_draining {
             FIRST_REQUEST_TIMEOUT
         } else {
             FIRST_REQUEST_TIMEOUT_DRAINING
@@ -181,10 +182,10 @@
         let session = Session::new(listener.config.formats);
         let idle_timeout = listener.config.idle_timeout;
         let (poll, budget) = (&self.poll, &self.context.budget);
-        let made = self.clients.insert_with(|key| {
+        let accepted = self.clients.insert_with(|key| {
             let key = poll_key(EventSource::Client, Some(key));
-            let most = MAX_MESSAGE_BYTES + 8;
-            let stream = Stream::new(poll, budget, socket, key, Interest::Read, most)?;
+            let max_unread = MAX_MESSAGE_BYTES + 8;
+            let stream = Stream::new(poll, budget, socket, key, Interest::Read, max_unread)?;
             Ok::<_, io::Error>(Client {
                 stream,
                 listener: number,
@@ -209,14 +210,15 @@
                 is_marked: false,
             })
         });
-        let key = match made {
+        let key = match accepted {
             Ok(key) => key,
-            Err(e) => return warn!("a client's connection cannot be taken over: {e}"),
+            Err(e) => return warn!("cannot set up the connection of a client: {e}"),
         };
-        self.context.listeners[number].placed_clients += 1;
+        self.context.listeners[number].slots_in_use += 1;
         self.reschedule(key, engine);
-        if !has_place {
-            // What it has said already need not wait for the next turn: others wait for its descriptor.
+        if !has_free_slot {
+            // Its first packet may have arrived already. It is handled at once, since other connections wait for the
+            // descriptor.
             self.handle_event(key, false, now, engine);
         }
     }
--- a/router/src/front/answers.rs
+++ b/router/src/front/answers.rs
@@ -1,4 +1,4 @@
-//! Final answers on their way to clients, each in the version that its client speaks.
+//! Passes final answers to clients, each encoded in the client's protocol version.
 
 use super::Front;
 use super::client::{Client, Pending};
@@ -7,6 +7,7 @@
 use crate::statement_labels::{Statement, code};
 use plovercove::Time;
 use plovercove_engine::{FinalAnswer, Key};
+use plovercove_pgwire::encoder::Untranslatable;
 use std::rc::Rc;
 use tracing::warn;
 
@@ -18,22 +19,23 @@
 }
 
 impl Front {
-    /// The statement of a request, for an attempt.
+    /// Returns the statement of a request, so that an attempt can send it. Returns `None` if the client or the request is
+    /// gone.
     pub fn statement(&self, origin: Key, request: Key) -> Option<Rc<Statement>> {
         let mut pending = self.clients.get(origin)?.pending.iter();
-        let found = pending.find(|pending| pending.is_for(request))?;
-        let forwarded = found.request.as_ref()?;
+        let answered = pending.find(|pending| pending.is_for(request))?;
+        let forwarded = answered.request.as_ref()?;
         Some(Rc::clone(&forwarded.statement))
     }
 
-    /// Passes on what a node answered: row description, row and completion.
+    /// Passes a node's reply to the client that sent the request.
     pub fn send_reply(&mut self, origin: Key, request: Key, reply: Buffer, now: Time) {
         let Some(client) = self.clients.get_mut(origin) else {
             return;
         };
         let mut pending = client.pending.iter();
-        let found = pending.find(|pending| pending.is_for(request));
-        let is_write = found
+        let answered = pending.find(|pending| pending.is_for(request));
+        let is_write = answered
             .and_then(|pending| pending.request.as_ref())
             .is_some_and(|forwarded| forwarded.is_write);
         if is_write {
@@ -46,11 +48,10 @@
         }
         let mut translated = self.context.budget.buffer();
         let result = translated.write(|out| encoder.put_reply(&reply, out));
-        if let Err(why) = result {
-            let why = why.0;
-            warn!(client = origin.number(), reason = "unsayable", "{why}");
-            // What has been done is done; the client must not take this for a rejection.
-            let text = format!("the statement ran, but its answer cannot be passed on: {why}");
+        if let Err(Untranslatable(cause)) = result {
+            warn!(client = origin.number(), reason = "unsayable", "{cause}");
+            // The statement has run, so the error must not look like a rejection, after which the client would retry.
+            let text = format!("the statement ran, but its answer cannot be passed on: {cause}");
             translated = self.context.budget.buffer();
             translated.write(|out| {
                 encoder.put_error(false, code::UNTRANSLATABLE_CHARACTER, &text, None, out)
@@ -59,13 +60,13 @@
         self.queue_answer(origin, request, translated);
     }
 
-    /// Words a final answer that no node made.
+    /// Sends the client a final answer that does not come from a node: a rejection or a failure.
     pub fn send_final_answer(&mut self, origin: Key, request: Key, answer: FinalAnswer) {
         let Some(encoder) = self.clients.get(origin).map(Client::encoder) else {
             return;
         };
-        let mut worded = self.context.budget.buffer();
-        worded.write(|out| match answer {
+        let mut encoded = self.context.budget.buffer();
+        encoded.write(|out| match answer {
             FinalAnswer::Rejected(retry_after) => {
                 let wait_ms = retry_after.map(clock::to_ms);
                 let text = "no db node can take this in time";
@@ -76,7 +77,7 @@
                 encoder.put_error(false, code::UNKNOWN_OUTCOME, text, None, out);
             }
         });
-        self.queue_answer(origin, request, worded);
+        self.queue_answer(origin, request, encoded);
     }
 
     fn queue_answer(&mut self, origin: Key, request: Key, mut answer: Buffer) {
@@ -85,12 +86,12 @@
         };
         let encoder = client.encoder();
         let mut pending = client.pending.iter_mut();
-        let Some(found) = pending.find(|pending| pending.is_for(request)) else {
+        let Some(answered) = pending.find(|pending| pending.is_for(request)) else {
             return;
         };
         answer.write(|out| encoder.put_ready(out));
-        found.answer = Some(answer);
-        found.request = None;
+        answered.answer = Some(answer);
+        answered.request = None;
         self.mark(origin);
     }
 }
--- a/router/src/front/cancellation.rs
+++ b/router/src/front/cancellation.rs
@@ -1,4 +1,4 @@
-//! Cancels: a second connection that names the first one's key.
+//! Cancel requests, which arrive on a second connection and contain the cancel key of the first one.
 
 use super::client::{Client, Phase};
 use super::{Context, Front};
@@ -9,22 +9,22 @@
 use plovercove_pgwire::cancel::CancelKey;
 use plovercove_pgwire::startup::Step;
 
-/// A cancel that was asked for.
+/// A cancel request that has been received.
 pub(super) struct CancelRequest {
-    /// The listener that it came by, by number. Keys are those of one listener.
+    /// Number of the listener that accepted the connection. Each listener has its own keys.
     pub(super) listener: usize,
     pub(super) key: CancelKey,
 }
 
 impl Front {
-    /// Ends the requests whose cancelling was asked for with the right key.
-    pub(super) fn carry_out_cancels(&mut self, now: Time, engine: &mut Engine) {
+    /// Cancels the requests for which cancel requests with a valid key have been received.
+    pub(super) fn process_cancel_requests(&mut self, now: Time, engine: &mut Engine) {
         for cancel in std::mem::take(&mut self.context.cancel_requests) {
-            self.carry_out_cancel(&cancel, now, engine);
+            self.process_cancel_request(&cancel, now, engine);
         }
     }
 
-    fn carry_out_cancel(&mut self, cancel: &CancelRequest, now: Time, engine: &mut Engine) {
+    fn process_cancel_request(&mut self, cancel: &CancelRequest, now: Time, engine: &mut Engine) {
         let keys = &self.context.listeners[cancel.listener].cancel_keys;
         let Some(key) = keys.find(&cancel.key) else {
             return;
@@ -32,12 +32,13 @@
         let Some(client) = self.clients.get_mut(key) else {
             return;
         };
-        // The query may have come before the wish and be read after it: unread, it would run for nobody.
+        // The client may have sent its query before the cancel request, while the router has not read it yet. Therefore the
+        // client's bytes are read first; otherwise the query would run although it was cancelled.
         if client.pending.is_empty() {
             let peer = client.receive(&mut self.context, key, now);
-            let exchanged = peer == PeerState::Open
+            let is_connected = peer == PeerState::Open
                 && client.exchange(&mut self.context, key, now, engine).is_ok();
-            if !exchanged {
+            if !is_connected {
                 return self.close(key, engine);
             }
         }
@@ -45,7 +46,7 @@
         let Some(client) = self.clients.get_mut(key) else {
             return;
         };
-        // Only what is under way; what waits behind it in the pipeline goes on.
+        // Only the request in progress is cancelled; those behind it in the pipeline continue.
         let encoder = client.encoder();
         let Some(pending) = client.pending.front_mut() else {
             return;
@@ -65,7 +66,7 @@
 }
 
 impl Client {
-    /// Asks for a cancel, and closes.
+    /// Records a cancel request; the connection closes.
     pub(super) fn request_cancel(&mut self, context: &mut Context, key: CancelKey) {
         self.phase = Phase::Closing;
         context.cancel_requests.push(CancelRequest {
@@ -74,9 +75,10 @@
         });
     }
 
-    /// One that was told its end before it had said anything may want a cancel all the same: the two have crossed. Unheard,
-    /// its request would be sent on for nobody. Returns whether the other side is there, while it is not known what it wants.
-    pub(super) fn hear_late_cancel(&mut self, context: &mut Context) -> Option<PeerState> {
+    /// Reads a cancel request that crossed the end of its connection: the router decided to close the connection before it
+    /// received the first packet. If the cancel request were ignored, the request that it cancels would be sent on to nodes
+    /// although its client no longer wants it. Returns the state of the peer as long as its first packet is incomplete.
+    pub(super) fn read_late_cancel(&mut self, context: &mut Context) -> Option<PeerState> {
         let mut startup = self
             .startup
             .take_if(|startup| !startup.has_read_first_packet())?;
@@ -94,7 +96,7 @@
                 });
                 None
             }
-            // It wants something else, for which it comes too late.
+            // Any other first packet arrives too late to be served.
             Ok(Some(_)) | Err(_) => None,
         }
     }
--- a/router/src/front/client.rs
+++ b/router/src/front/client.rs
@@ -1,4 +1,4 @@
-//! One client's connection: where its session stands, what is owed to it, and how long it is waited for.
+//! One client's connection: the phase of its session, its pending answers, and its deadlines.
 
 use super::eviction::{EvictionKind, EvictionRank};
 use crate::net::budget::{Budget, Buffer, Reservation};
@@ -14,67 +14,69 @@
 use std::net::IpAddr;
 use std::rc::Rc;
 
-/// Queries of one connection that may be unanswered before no more are begun.
+/// Maximum number of unanswered queries of one connection; further ones wait.
 const MAX_PIPELINED_QUERIES: usize = 16;
-/// Bytes that may be unsent to a client before no more of its queries are begun.
+/// Maximum number of unsent bytes to a client; above it, no further queries of the client are begun.
 pub(super) const MAX_UNSENT_BYTES: usize = 256 * 1024;
-/// Bytes of one connection that are read beyond what may be begun, so that its end is seen behind them: some thousand
-/// queries. With its end unseen, what waits would be sent on for nobody. A client that sends more floods; its end is seen
-/// when its answers have made room.
+/// Maximum number of bytes that are read ahead from one connection while no further queries may be begun; this is some
+/// thousand queries. Reading ahead detects that the client has closed the connection, so that its waiting queries are not
+/// sent to nodes in vain. If a client sends more, its close is detected only once answers have made room.
 pub(super) const MAX_READ_AHEAD_BYTES: usize = 256 * 1024;
-/// How long answers may lie unread, here or in the system's buffer.
+/// Time for which answers may stay unread, in the router or in the system's socket buffer.
 const UNREAD_ANSWER_TIMEOUT: Micros = 2_500_000;
-/// Between two looks at whether a lingering client's answer has left the system's buffer.
+/// Time between two checks whether the last answer to a lingering client has left the system's socket buffer.
 const DELIVERY_CHECK_INTERVAL: Micros = 50_000;
-/// Errors of protocol in a row that end a session.
+/// Number of protocol errors in a row that end a session.
 const MAX_PROTOCOL_ERRORS: u32 = 8;
-/// Bytes that a lingering client may still send. A close with bytes unread resets the connection, which may destroy the last
-/// answer on its way.
+/// Maximum number of bytes that a lingering client may still send. Closing a socket with unread bytes resets the
+/// connection, which may destroy the last answer on its way.
 const MAX_LINGER_BYTES: usize = 256 * 1024;
-/// What a client is told that there is no place for.
-pub(super) const TOO_MANY_CONNECTIONS: &str = "too many connections";
-/// What one is told that must go and has not asked for anything.
-const CLOSED_BEFORE_REQUEST: &str = "closed before a request came";
+/// Error text for a client for which no slot is free.
+pub(super) const TOO_MANY_CONNECTIONS_TEXT: &str = "too many connections";
+/// Error text for a client that is evicted before its first request.
+const CLOSED_BEFORE_REQUEST_TEXT: &str = "closed before a request came";
 
-/// Where a session stands.
+/// The phase of a session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Phase {
-    /// The first packet has not come, or the proof of who it is.
+    /// The startup or the authentication is not complete.
     LoggingIn,
-    /// There is no place for this client: it is told so once its first packet has come.
+    /// No slot is free for this client. It receives an error once its first packet has arrived.
     Rejecting,
-    /// Its queries are taken.
+    /// The client may send queries.
     Ready,
-    /// After an error in the extended protocol all is skipped until Sync.
+    /// The client used the extended query protocol and received an error; its messages are skipped until Sync.
     SkippingToSync,
-    /// Nothing more is read; it closes once all is answered and sent.
+    /// No further messages are begun; the connection closes once all answers have been sent.
     Closing,
 }
 
-/// A request that the engine has taken on.
+/// A request that has been handed to the engine.
 pub(super) struct ForwardedRequest {
     pub(super) request: Key,
     pub(super) statement: Rc<Statement>,
     pub(super) is_write: bool,
-    /// The statement's bytes in the budget, for as long as it is held.
+    /// Reserves the statement's bytes in the memory budget.
     pub(super) _reservation: Reservation,
 }
 
-/// One thing that is owed to a client, in order.
+/// A pending answer to a client. Answers are sent in the order of the requests.
 pub(super) struct Pending {
     pub(super) request: Option<ForwardedRequest>,
     pub(super) answer: Option<Buffer>,
 }
 
-/// A close that waits for the other side's (lingering close): what it still sends is read and dropped.
+/// A lingering close: the router has closed its side, and reads and drops what the client sends until it closes too.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Linger {
-    pub(super) until: Time,
-    /// It ends then, also with an answer in the system's buffer.
+    /// Time of the next check, or of the end if the last answer has been delivered by then.
+    check_at: Time,
+    /// Time at which the connection is closed even if the last answer is still in the system's socket buffer.
     give_up_at: Time,
+    /// Number of bytes that the client may still send.
     pub(super) bytes_left: usize,
-    /// Its last answer lies in the system's buffer still. Closed now, the connection would be reset by whatever the client
-    /// sends, and the answer would go with it.
+    /// Whether the last answer is still in the system's socket buffer. If the connection were closed now, any byte that the
+    /// client sends would reset it, and the answer would be lost.
     is_delivering: bool,
 }
 
@@ -88,52 +90,52 @@
     }
 }
 
-/// A client.
+/// A client's connection and session.
 pub(super) struct Client {
     pub(super) stream: Stream,
-    /// The listener that it came by, by number.
+    /// Number of the listener that accepted the connection.
     pub(super) listener: usize,
     pub(super) address: IpAddr,
     pub(super) phase: Phase,
-    /// Its startup, until it is logged in.
+    /// State of the startup, until the client is logged in.
     pub(super) startup: Option<Box<Startup>>,
     pub(super) version: Version,
     pub(super) session: Session,
-    /// The number of its cancel key.
+    /// The id of the client's cancel key.
     pub(super) cancel_id: Option<u32>,
-    /// When a write of its was last answered; only where the router itself must remember.
+    /// Time of the last answer to a write. It is used for clients without labels, which do not send the position themselves.
     pub(super) last_write_at: Option<Time>,
     pub(super) idle_timeout: Micros,
     pub(super) pending: VecDeque<Pending>,
-    /// When bytes last moved on, either way.
+    /// Time at which a message was last read or bytes were last sent.
     pub(super) last_progress_at: Time,
-    /// When the message that is under way began.
+    /// Time of the first byte of an incomplete message.
     pub(super) message_began_at: Option<Time>,
-    /// From the first byte of a message to its last.
+    /// Time from the first byte of a message to its last.
     pub(super) message_timeout: Micros,
     pub(super) linger: Option<Linger>,
-    /// A request of its has been taken on.
+    /// Whether a request of the client has been accepted.
     pub(super) has_requested: bool,
-    /// Its first request must have come whole by then.
+    /// Time by which the first request must be complete.
     pub(super) first_request_deadline: Time,
-    /// Since its last request.
+    /// Number of protocol errors since the last request.
     pub(super) protocol_errors: u32,
-    /// When it is looked over next.
+    /// Time of the next check of the client's deadline.
     pub(super) next_check: Option<Time>,
-    /// Its place among those that could be closed.
+    /// Position in the eviction order, if the client may be evicted.
     pub(super) eviction_rank: Option<EvictionRank>,
-    /// It is on the list of those to be pumped.
+    /// Whether the client is on the list of clients to be pumped.
     pub(super) is_marked: bool,
 }
 
 impl Client {
-    /// Nothing is owed to it and nothing of it is unread.
+    /// Returns true if no answer is pending or unsent, and no received byte is unread.
     pub(super) fn is_idle(&self) -> bool {
-        self.is_settled() && self.stream.unread().is_empty()
+        self.has_nothing_pending() && self.stream.unread().is_empty()
     }
 
-    /// Nothing is owed to it.
-    fn is_settled(&self) -> bool {
+    /// Returns true if no answer is pending or unsent.
+    fn has_nothing_pending(&self) -> bool {
         self.pending.is_empty() && self.stream.unsent() == 0
     }
 
@@ -141,7 +143,8 @@
         self.linger.is_some()
     }
 
-    /// How long it is waited for as things stand; what has been taken on has deadlines of its own.
+    /// Returns the time at which the client is closed or checked, in its present state. It is `None` while requests are
+    /// pending, since the engine has deadlines for those.
     pub(super) fn deadline(&self) -> Option<Time> {
         if self.stream.unsent() > 0 {
             return Some(self.last_progress_at + UNREAD_ANSWER_TIMEOUT);
@@ -150,7 +153,7 @@
             return None;
         }
         if let Some(linger) = self.linger {
-            return Some(linger.until);
+            return Some(linger.check_at);
         }
         if !self.has_requested {
             return Some(self.first_request_deadline);
@@ -161,9 +164,9 @@
         })
     }
 
-    /// Where it stands among those that could be closed, if it could.
+    /// Returns the rank in the eviction order, or `None` if the client must not be evicted.
     pub(super) fn current_eviction_rank(&self) -> Option<EvictionRank> {
-        if !self.is_settled() {
+        if !self.has_nothing_pending() {
             return None;
         }
         let kind = match self.phase {
@@ -179,7 +182,7 @@
         })
     }
 
-    /// How it is spoken to.
+    /// Returns the encoder for the client's version and formats.
     pub(super) fn encoder(&self) -> Encoder {
         Encoder {
             version: self.version,
@@ -191,12 +194,12 @@
         self.pending.len() < MAX_PIPELINED_QUERIES && self.stream.unsent() < MAX_UNSENT_BYTES
     }
 
-    /// Whether what it sends next may be begun.
+    /// Returns true if the next message of the client may be processed.
     pub(super) fn may_begin_message(&self) -> bool {
         self.phase != Phase::Closing && self.has_room()
     }
 
-    /// Whether its bytes are waited for: to be begun, to be dropped, or for the end that may come behind them.
+    /// Returns true if the client's bytes are to be read: to process them, to drop them, or to detect its close.
     pub(super) fn wants_input(&self) -> bool {
         let may_read_ahead = || {
             let is_short = self.stream.unread().len() < MAX_READ_AHEAD_BYTES;
@@ -205,7 +208,7 @@
         self.is_lingering() || self.may_begin_message() || may_read_ahead()
     }
 
-    /// Owes an answer that the router words itself.
+    /// Queues an answer of the router's own.
     pub(super) fn queue_reply(&mut self, budget: &Budget, write: impl FnOnce(&mut Vec<u8>)) {
         let mut answer = budget.buffer();
         answer.write(write);
@@ -215,7 +218,7 @@
         });
     }
 
-    /// An error that says nothing against the client.
+    /// Queues an error that does not count against the client.
     pub(super) fn reply_error(&mut self, budget: &Budget, code: &str, text: &str) {
         let encoder = self.encoder();
         self.queue_reply(budget, |out| {
@@ -224,7 +227,7 @@
         });
     }
 
-    /// An error of the client's that leaves the session standing, unless it is one of many in a row.
+    /// Queues a protocol error of the client. The session continues, unless there were too many such errors in a row.
     pub(super) fn reply_protocol_error(&mut self, budget: &Budget, code: &str, text: &str) {
         self.protocol_errors += 1;
         if self.protocol_errors >= MAX_PROTOCOL_ERRORS {
@@ -234,18 +237,19 @@
         }
     }
 
-    /// An error that ends the session.
+    /// Queues an error that ends the session.
     pub(super) fn end_session(&mut self, budget: &Budget, code: &str, text: &str) {
         let encoder = self.encoder();
         self.queue_reply(budget, |out| encoder.put_error(true, code, text, None, out));
         self.phase = Phase::Closing;
     }
 
-    /// From now on nothing that it sends is begun; our end is closed, and the other is read until then.
+    /// Starts a lingering close: no further message is processed, the router's side of the connection is closed, and the
+    /// client's bytes are read and dropped until `timeout` has passed.
     pub(super) fn begin_linger(&mut self, now: Time, timeout: Micros) {
         self.phase = Phase::Closing;
         self.linger = Some(Linger {
-            until: now + timeout,
+            check_at: now + timeout,
             give_up_at: now + timeout.max(UNREAD_ANSWER_TIMEOUT),
             bytes_left: MAX_LINGER_BYTES,
             is_delivering: self.stream.is_delivering(),
@@ -254,31 +258,33 @@
         self.stream.shut_down_write();
     }
 
-    /// The time of a lingering client is up: whether it lingers on, since its answer has not left the system's buffer.
-    pub(super) fn lingers_on(&mut self, now: Time) -> bool {
+    /// Extends the linger time that is over if the last answer has not left the system's socket buffer. Returns false if the
+    /// connection has to be closed.
+    pub(super) fn extend_linger(&mut self, now: Time) -> bool {
         let Some(linger) = &mut self.linger else {
             return false;
         };
         linger.is_delivering = self.stream.is_delivering();
-        linger.until = linger.give_up_at.min(now + DELIVERY_CHECK_INTERVAL);
+        linger.check_at = linger.give_up_at.min(now + DELIVERY_CHECK_INTERVAL);
         linger.is_delivering && now < linger.give_up_at
     }
 
-    /// Tells one that is closed before it has asked: without a word it would not know whether coming again is harmless.
-    pub(super) fn announce_close(&mut self) {
+    /// Sends an error to a client that is closed before its first request. Without it, the client would not know whether
+    /// reconnecting is safe.
+    pub(super) fn send_close_notice(&mut self) {
         if self.has_requested || self.phase == Phase::Closing || self.stream.unsent() > 0 {
             return;
         }
         let text = if self.phase == Phase::Rejecting {
-            TOO_MANY_CONNECTIONS
+            TOO_MANY_CONNECTIONS_TEXT
         } else {
-            CLOSED_BEFORE_REQUEST
+            CLOSED_BEFORE_REQUEST_TEXT
         };
         let encoder = self.encoder();
         self.stream.queue_output(|out| {
             encoder.put_error(true, code::TOO_MANY_CONNECTIONS, text, None, out)
         });
-        // One that cannot be told has gone.
+        // If the error cannot be sent, the client has already closed the connection.
         let _ = self.stream.flush();
     }
 }
--- a/router/src/front/eviction.rs
+++ b/router/src/front/eviction.rs
@@ -1,7 +1,7 @@
-//! Places: who is closed when there are more clients than the router has room for.
+//! Eviction: which clients are closed when the slots for clients run out.
 //!
-//! It guards against clients that hold connections and ask for nothing: they would leave no place for those that do. Those
-//! that go first are told so and hold their descriptor, but no place, until the other side has closed.
+//! Without eviction, clients that stay connected without sending requests would leave no slots for others. An evicted client
+//! gives up its slot at once, but keeps its file descriptor while it lingers, until the client has closed its side.
 
 use super::Front;
 use super::client::Client;
@@ -10,61 +10,62 @@
 use plovercove_engine::{Deadline, Engine, Key};
 use std::collections::BTreeSet;
 
-/// One place in so many may be held by clients between requests.
-const IDLE_PLACES_DIVISOR: usize = 3;
-/// Clients that are looked at for one that gives up its place.
-const MAX_EVICTION_LOOKS: usize = 8;
-/// A client that is closed between requests lingers for so long. With the time of others, clients that never close would
-/// hold up the router's end until it is killed.
+/// Idle clients may occupy one slot in this number of slots.
+const IDLE_SLOTS_DIVISOR: usize = 3;
+/// Maximum number of clients that are examined to evict one of them.
+const MAX_EVICTION_CANDIDATES: usize = 8;
+/// Linger time of a client that is closed between requests. With the longer linger time of other clients, those that never
+/// close their side would delay the shutdown until the router is killed.
 pub(super) const IDLE_LINGER_TIMEOUT: Micros = 300_000;
-/// One beyond the limit that has said nothing keeps its descriptor for so long though another waits at the listener. A
-/// cancel that waits there must not be heard too late: its request may be sent on for no longer than 100 ms.
+/// Time for which a client beyond the limit keeps its descriptor without having sent anything, although other connections
+/// wait at the listener. It is short because one of those may be a cancel request, and the request that it cancels may be
+/// sent on to nodes for no longer than 100 ms.
 pub(super) const MIN_TIME_BEYOND_LIMIT: Micros = 40_000;
 
-/// Why a client could be closed, in the order in which they are when places run out.
+/// Why a client may be evicted. The order of the variants is the order of eviction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum EvictionKind {
-    /// Told to go, and only read until it does.
+    /// The client lingers: its session has ended, and its bytes are dropped until it closes.
     Lingering,
-    /// Beyond the limit, and it has not said who it is.
+    /// The client has no slot and has not sent its first packet.
     Rejecting,
-    /// Told to go, and its last answer has not left the system's buffer.
+    /// The client lingers, and its last answer is still in the system's socket buffer.
     Delivering,
-    /// It has asked for nothing yet.
+    /// The client has not sent a request yet.
     NoRequestYet,
-    /// Between requests.
+    /// The client is between requests.
     Idle,
 }
 
 impl EvictionKind {
     const COUNT: usize = 5;
 
-    /// It holds no place any more, or none yet.
+    /// Returns true if clients of this kind occupy no slot.
     fn is_beyond_limit(self) -> bool {
         self <= EvictionKind::Delivering
     }
 }
 
-/// A client's place in the order of eviction.
+/// A client's position in the eviction order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct EvictionRank {
     pub(super) kind: EvictionKind,
-    /// When bytes last moved on.
+    /// Time of the client's last progress.
     pub(super) since: Time,
 }
 
-/// A client in the order of eviction.
+/// An entry of the eviction order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct EvictionEntry {
     pub(super) rank: EvictionRank,
     pub(super) client: Key,
 }
 
-/// The clients that could be closed, in the order in which they would be.
+/// The clients that may be evicted, in the order of eviction.
 #[derive(Debug, Default)]
 pub(super) struct EvictionOrder {
     entries: BTreeSet<EvictionEntry>,
-    /// How many there are of each kind.
+    /// Number of clients of each kind.
     counts: [usize; EvictionKind::COUNT],
 }
 
@@ -73,7 +74,7 @@
         self.entries.first().copied()
     }
 
-    /// From the first of a kind on, those of later kinds behind.
+    /// Iterates from the first client of a kind on, through the later kinds too.
     pub(super) fn starting_at(&self, kind: EvictionKind) -> impl Iterator<Item = EvictionEntry> {
         let first = EvictionEntry {
             rank: EvictionRank { kind, since: 0 },
@@ -86,7 +87,7 @@
         self.counts[kind as usize]
     }
 
-    /// How many hold no place.
+    /// Returns the number of clients without a slot.
     pub(super) fn beyond_limit(&self) -> usize {
         self.count(EvictionKind::Lingering)
             + self.count(EvictionKind::Rejecting)
@@ -106,20 +107,21 @@
 }
 
 impl Front {
-    /// How many clients hold a place: all but those beyond the limit.
-    pub(super) fn placed_clients(&self) -> usize {
+    /// Returns the number of clients that occupy a slot: all but those beyond the limit.
+    pub(super) fn slots_in_use(&self) -> usize {
         self.clients.len() - self.eviction_order.beyond_limit()
     }
 
-    /// Brings a client's deadline and its place in the order of eviction up to date.
+    /// Updates a client's deadline and its position in the eviction order.
     pub(super) fn reschedule(&mut self, key: Key, engine: &mut Engine) {
         let Some(client) = self.clients.get_mut(key) else {
             return;
         };
-        // A check that is too early finds the next when it falls due; only one that is too late must be moved at once.
+        // A check that is too early schedules the next one when it falls due. Only a check that is too late has to be moved.
         let deadline = client.deadline();
-        let is_too_late = |at: Time| client.next_check.is_none_or(|check| at < check);
-        if deadline.is_some_and(is_too_late) {
+        let is_before_check =
+            |deadline_at: Time| client.next_check.is_none_or(|check| deadline_at < check);
+        if deadline.is_some_and(is_before_check) {
             let check = &mut client.next_check;
             engine.deadlines.set(check, Deadline::Client(key), deadline);
         }
@@ -140,14 +142,14 @@
     ) {
         let is_beyond = |rank: Option<EvictionRank>| rank.is_some_and(|r| r.kind.is_beyond_limit());
         let listener = &mut self.context.listeners[listener];
-        listener.placed_clients += usize::from(is_beyond(old));
-        listener.placed_clients -= usize::from(is_beyond(new));
+        listener.slots_in_use += usize::from(is_beyond(old));
+        listener.slots_in_use -= usize::from(is_beyond(new));
         self.eviction_order.replace(key, old, new);
     }
 
-    /// Whether one of those beyond the limit may give up its descriptor to one that waits at a listener: it has been told,
-    /// or has had its time to say who it is.
-    pub(super) fn may_displace(&self, now: Time) -> bool {
+    /// Returns true if a client beyond the limit may be closed to free its descriptor for a waiting connection: it has been
+    /// sent its error, or has had its minimum time to send its first packet or to receive its last answer.
+    pub(super) fn may_close_beyond_limit(&self, now: Time) -> bool {
         self.eviction_order
             .first()
             .is_some_and(|entry| match entry.rank.kind {
@@ -158,28 +160,28 @@
             })
     }
 
-    /// Closes the first of those beyond the limit.
-    pub(super) fn displace(&mut self, now: Time, engine: &mut Engine) {
+    /// Closes the first client beyond the limit.
+    pub(super) fn close_beyond_limit(&mut self, now: Time, engine: &mut Engine) {
         let Some(first) = self.eviction_order.first() else {
             return;
         };
-        if first.rank.kind == EvictionKind::Rejecting && !self.may_evict(first.client, now) {
-            // It has just spoken: it may want a cancel.
+        if first.rank.kind == EvictionKind::Rejecting && !self.prepare_eviction(first.client, now) {
+            // Its first packet has just arrived; it may be a cancel request, so it is processed before the close.
             self.pump(now, engine);
             if let Some(client) = self.clients.get_mut(first.client) {
-                client.announce_close();
+                client.send_close_notice();
             }
         }
         self.close(first.client, engine);
     }
 
-    /// Closes the clients that have been idle for longest, where too many are.
+    /// Evicts the clients that have been idle longest, if there are too many idle ones.
     pub(super) fn evict_excess_idle(&mut self, now: Time, engine: &mut Engine) {
-        let most = self.max_clients / IDLE_PLACES_DIVISOR;
+        let max_idle = self.max_clients / IDLE_SLOTS_DIVISOR;
         let excess = self
             .eviction_order
             .count(EvictionKind::Idle)
-            .saturating_sub(most);
+            .saturating_sub(max_idle);
         let idle = self.eviction_order.starting_at(EvictionKind::Idle);
         let oldest: Vec<Key> = idle.take(excess).map(|entry| entry.client).collect();
         for key in oldest {
@@ -187,25 +189,25 @@
         }
     }
 
-    /// Makes room for one more client. One that has just spoken stays, and the next one goes.
+    /// Evicts one client to free its slot. A client from which bytes have just arrived stays, and the next one is tried.
     pub(super) fn evict_one(&mut self, now: Time, engine: &mut Engine) {
-        let placed = self.eviction_order.starting_at(EvictionKind::NoRequestYet);
-        let first: Vec<Key> = placed
-            .take(MAX_EVICTION_LOOKS)
+        let candidates = self.eviction_order.starting_at(EvictionKind::NoRequestYet);
+        let candidates: Vec<Key> = candidates
+            .take(MAX_EVICTION_CANDIDATES)
             .map(|entry| entry.client)
             .collect();
-        for key in first {
+        for key in candidates {
             if self.evict(key, now, engine) {
                 return;
             }
         }
     }
 
-    /// Ends a client between requests, unless something has just come; whether it did. It keeps its descriptor while it
-    /// lingers, and no place: closed at once, what crosses the close would reset the connection, and take an answer on its
-    /// way with it.
+    /// Evicts a client between requests, unless bytes have just arrived from it. Returns true if it was evicted. It loses its
+    /// slot and lingers: if it were closed at once, bytes that cross the close would reset the connection and destroy an
+    /// answer on its way.
     pub(super) fn evict(&mut self, key: Key, now: Time, engine: &mut Engine) -> bool {
-        if !self.may_evict(key, now) {
+        if !self.prepare_eviction(key, now) {
             return false;
         }
         let Some(client) = self.clients.get_mut(key) else {
@@ -221,35 +223,36 @@
         true
     }
 
-    /// Whether a client between requests may be ended: nothing has just come, or its end behind it. One that has not asked
-    /// is told.
-    fn may_evict(&mut self, key: Key, now: Time) -> bool {
+    /// Prepares the close of a client between requests. Returns false if new bytes have arrived from it and it has not closed
+    /// its side; then it must not be closed. A client that has not sent a request receives an error.
+    fn prepare_eviction(&mut self, key: Key, now: Time) -> bool {
         let Some(client) = self.clients.get_mut(key) else {
             return false;
         };
-        if !client.is_lingering() && client.has_just_spoken(&mut self.context, key, now) {
+        if !client.is_lingering() && client.has_new_bytes(&mut self.context, key, now) {
             self.mark(key);
             return false;
         }
-        client.announce_close();
+        client.send_close_notice();
         true
     }
 
-    /// The one place where a client's connection is given back.
+    /// Closes a client's connection. All other functions close connections through this one.
     pub(super) fn close(&mut self, key: Key, engine: &mut Engine) {
         let Some(mut client) = self.clients.remove(key) else {
             return;
         };
         if client.is_lingering() {
-            // What has come since the last look would reset the connection. The rest of it is the other side's.
-            client.hear_late_cancel(&mut self.context);
+            // Bytes that have arrived since the last read would reset the connection, so they are read first. Nothing can be
+            // done about those that arrive later.
+            client.read_late_cancel(&mut self.context);
             let _ = client.stream.discard();
         }
         let check = &mut client.next_check;
         engine.deadlines.set(check, Deadline::Client(key), None);
         self.move_in_eviction_order(key, client.listener, client.eviction_rank.take(), None);
         let listener = &mut self.context.listeners[client.listener];
-        listener.placed_clients -= 1;
+        listener.slots_in_use -= 1;
         if let Some(id) = client.cancel_id {
             listener.cancel_keys.remove(id);
         }
@@ -260,9 +263,9 @@
 }
 
 impl Client {
-    /// A last look before it is closed: a request that is unread in the system's buffer would be lost. One that this turn has
-    /// heard already says nothing more, and must not be closed with its request unread.
-    fn has_just_spoken(&mut self, context: &mut super::Context, key: Key, now: Time) -> bool {
+    /// Checks before a close whether bytes have arrived, since a request in the system's socket buffer would be lost. Bytes
+    /// that were read earlier in this turn and are not processed yet count too.
+    fn has_new_bytes(&mut self, context: &mut super::Context, key: Key, now: Time) -> bool {
         let unread_before = self.stream.unread().len();
         if self.is_marked && unread_before > 0 {
             return true;
--- a/router/src/front/exchange.rs
+++ b/router/src/front/exchange.rs
@@ -1,4 +1,4 @@
-//! Reading a client's messages and writing its answers, in order and within bounds for one turn of the loop.
+//! Reads a client's messages and writes its answers, in order and within bounds for one turn of the event loop.
 
 use super::Context;
 use super::client::{Client, MAX_READ_AHEAD_BYTES, MAX_UNSENT_BYTES, Phase};
@@ -8,26 +8,27 @@
 use plovercove_pgwire::Version;
 use plovercove_pgwire::messages::{self, Malformed, code};
 
-/// The longest message: a value in hex digits, as long as one that a node may give, and what stands round it.
+/// Maximum length of a message. It has room for a statement with a value as long as the longest that a node may return, in
+/// hex digits.
 pub(super) const MAX_MESSAGE_BYTES: usize = 4 * 1024 * 1024;
-/// Messages that one client may have read in a turn of the loop: one that sends at full speed would hold the turn for as long
-/// as its input lasts.
+/// Maximum number of messages that are read from one client in a turn of the event loop. Without it, a client that sends at
+/// full speed would extend the turn for as long as its input lasts.
 const MAX_MESSAGES_PER_TURN: u32 = 32;
-/// What is said to those who speak more of the protocol.
-const ONLY_SIMPLE_QUERIES: &str = "only simple queries are supported";
+/// Error text for clients that use the extended query protocol.
+const ONLY_SIMPLE_QUERIES_TEXT: &str = "only simple queries are supported";
 
-/// What an exchange left over.
+/// What an exchange left to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Exchanged {
-    /// All that was to go has been written.
+    /// Whether all queued bytes have been written.
     pub(super) is_all_sent: bool,
-    /// Something is left to read in the next turn.
+    /// Whether messages are left to process in the next turn.
     pub(super) has_more: bool,
 }
 
 impl Client {
-    /// Reads what a client has sent, up to its end where that can be reached. Whoever wants a request cancelled need not wait
-    /// for our end of the connection.
+    /// Reads the bytes that a client has sent, and detects whether it has closed the connection. If it has, its login messages
+    /// are processed at once, because a client that sends a cancel request may close without waiting for the router.
     pub(super) fn receive(&mut self, context: &mut Context, key: Key, now: Time) -> PeerState {
         let peer = self.fill();
         if peer != PeerState::Open {
@@ -38,10 +39,10 @@
         peer
     }
 
-    /// Reads ahead, too: with a client's end left for the next turn, requests would begin though it has gone while the loop
-    /// was busy.
+    /// Reads ahead as well. If the detection of a close were left to the next turn, requests would be begun for a client that
+    /// closed the connection while the event loop was busy.
     fn fill(&mut self) -> PeerState {
-        // What one that lingers sends is dropped elsewhere.
+        // The bytes of a lingering client are dropped in `advance_linger`.
         if self.is_lingering() {
             return PeerState::Open;
         }
@@ -53,7 +54,7 @@
                         break;
                     }
                 }
-                // What is read ahead need not be: there is memory for it later.
+                // Reading ahead is optional: the memory budget may have room for it later.
                 PeerState::OverBudget if !self.may_begin_message() => break,
                 peer => return peer,
             }
@@ -61,11 +62,11 @@
         PeerState::Open
     }
 
-    /// Queues the answers whose turn it is, takes in what there is room for, and writes.
+    /// Queues the answers that are next in order, processes messages while there is room, and writes.
     ///
     /// # Errors
     ///
-    /// The other side has gone.
+    /// Returns the state of the peer if it has closed the connection.
     pub(super) fn exchange(
         &mut self,
         context: &mut Context,
@@ -87,7 +88,7 @@
             if self.stream.unsent() < unsent_before {
                 self.last_progress_at = now;
             }
-            // Where the answers had filled the room, there is some for more messages now.
+            // If unsent answers had filled the buffer, there is room for more messages now.
             let made_room = is_all_sent && unsent_before >= MAX_UNSENT_BYTES;
             if messages_left > 0 && made_room {
                 continue;
@@ -108,7 +109,7 @@
         }
     }
 
-    /// Takes one message in; false where none is whole or there is no room for it.
+    /// Processes one message. Returns false if no message is complete or there is no room for its answer.
     fn read_message(
         &mut self,
         context: &mut Context,
@@ -145,11 +146,12 @@
                 return true;
             }
         };
-        let (kind, length) = (message.kind, message.raw.len());
-        let query = (kind == b'Q').then(|| message.body.strip_suffix(&[0]).map(<[u8]>::to_vec));
+        let (message_type, length) = (message.kind, message.raw.len());
+        let query =
+            (message_type == b'Q').then(|| message.body.strip_suffix(&[0]).map(<[u8]>::to_vec));
         self.stream.consume(length);
         let budget = &context.budget;
-        match (kind, query) {
+        match (message_type, query) {
             (b'X', _) => self.phase = Phase::Closing,
             (b'S', _) => {
                 self.phase = Phase::Ready;
@@ -179,13 +181,13 @@
                         out,
                         false,
                         code::FEATURE_NOT_SUPPORTED,
-                        ONLY_SIMPLE_QUERIES,
+                        ONLY_SIMPLE_QUERIES_TEXT,
                         None,
                     );
                 });
                 self.phase = Phase::SkippingToSync;
             }
-            // Copy data that comes late, after an error, is ignored as a server does.
+            // Copy data that arrives after an error is ignored, as servers do.
             (b'd' | b'c' | b'f', _) => {}
             _ => self.end_session(
                 budget,
@@ -203,10 +205,10 @@
         now: Time,
         engine: &mut Engine,
     ) -> bool {
-        let Some((&kind, rest)) = self.stream.unread().split_first() else {
+        let Some((&message_type, rest)) = self.stream.unread().split_first() else {
             return false;
         };
-        match kind {
+        match message_type {
             b'Q' => {
                 let Some(end) = rest.iter().position(|byte| *byte == 0) else {
                     let is_too_long = rest.len() > MAX_MESSAGE_BYTES;
--- a/router/src/front/listener.rs
+++ b/router/src/front/listener.rs
@@ -1,4 +1,4 @@
-//! Listeners: the platform's, and those that operators name for clients of other versions.
+//! Listeners: that of the platform, and those that operators configure for clients with other protocol versions.
 
 use plovercove::Micros;
 use plovercove_engine::Key;
@@ -10,74 +10,77 @@
 use plovercove_poller::Registered;
 use std::net::TcpListener;
 
-/// What the platform's listener tells its clients of the server.
+/// Parameters of the server that the platform's listener reports to its clients.
 const PLATFORM_PARAMETERS: [(&str, &str); 3] = [
     ("server_version", "15.0"),
     ("server_encoding", "UTF8"),
     ("client_encoding", "UTF8"),
 ];
 
-/// The class of statements that come without labels.
+/// A class for statements without labels.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DefaultClass {
-    /// Its name.
+    /// The name of the class.
     pub name: String,
-    /// How long a client waits that says nothing of it (ms).
-    pub patience_ms: u64,
+    /// Timeout in milliseconds for clients that do not set a statement timeout.
+    pub timeout_ms: u64,
 }
 
-/// The labels of requests that come without any.
+/// The labels for statements without labels.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DefaultLabels {
-    /// The class of what only reads.
+    /// The class of statements that only read.
     pub reads: DefaultClass,
-    /// The class of all else.
+    /// The class of all other statements.
     pub writes: DefaultClass,
-    /// The tenant's name, where there are tenants.
+    /// The name of the tenant, if tenants are configured.
     pub tenant: Option<String>,
-    /// The group.
+    /// The group of nodes.
     pub group: u64,
 }
 
 impl DefaultLabels {
-    /// A statement with these labels in front. `id` is the request's own; `patience_ms` what the client has set, if it has.
-    pub fn label(&self, text: &str, reads: bool, id: &str, patience_ms: Option<u64>) -> String {
-        let class = if reads { &self.reads } else { &self.writes };
+    /// Returns a statement with these labels in front. `id` is the id of the request; `timeout_ms` is the client's statement
+    /// timeout, if it has set one.
+    pub fn label(&self, text: &str, is_read: bool, id: &str, timeout_ms: Option<u64>) -> String {
+        let class = if is_read { &self.reads } else { &self.writes };
         let name = &class.name;
-        let usual = class.patience_ms;
-        let patience = patience_ms.map_or(usual, |ms| ms.min(usual)).max(1);
+        let default_timeout_ms = class.timeout_ms;
+        let timeout_ms = timeout_ms
+            .map_or(default_timeout_ms, |ms| ms.min(default_timeout_ms))
+            .max(1);
         let tenant = self.tenant.as_ref();
         let tenant = tenant.map_or(String::new(), |tenant| format!("t={tenant},"));
         let group = self.group;
-        format!("/* id={id},c={name},{tenant}d={patience},cluster={group} */ {text}")
+        format!("/* id={id},c={name},{tenant}d={timeout_ms},cluster={group} */ {text}")
     }
 }
 
-/// One listener, as operators or the platform describe it.
+/// The configuration of one listener.
 #[derive(Clone, Debug)]
 pub struct ListenerConfig {
-    /// Its name in the log.
+    /// The name in the log.
     pub name: String,
-    /// Versions and methods.
+    /// Protocol versions and authentication methods.
     pub rules: Rules,
-    /// The users, where they must prove who they are.
+    /// The users; empty if clients need not authenticate.
     pub users: Users,
-    /// The limit on logins that fail.
+    /// The limits on failed logins.
     pub login_rate_limit: login_rate_limit::Rules,
-    /// What clients are told at their start.
+    /// Parameters that are reported to clients after their login.
     pub parameters: Vec<(String, String)>,
-    /// The forms of values, unless a client sets others.
+    /// The default formats of values.
     pub formats: ValueFormats,
-    /// The labels of requests without any; none: they are rejected, as on the platform's listener.
+    /// The labels of statements without labels. If it is `None`, such statements are rejected, as on the platform's listener.
     pub default_labels: Option<DefaultLabels>,
-    /// The most clients.
+    /// Maximum number of clients.
     pub max_clients: usize,
-    /// A client that asks for nothing is kept for so long.
+    /// Time after which a client without requests is closed.
     pub idle_timeout: Micros,
 }
 
 impl ListenerConfig {
-    /// The platform's: version 3.0, everyone is welcome, and every statement has labels.
+    /// Returns the configuration of the platform's listener: version 3.0, no authentication, and labels on every statement.
     pub fn platform(max_clients: usize, idle_timeout: Micros) -> Self {
         let owned = |(name, value): (&str, &str)| (name.to_string(), value.to_string());
         ListenerConfig {
@@ -94,16 +97,16 @@
     }
 }
 
-/// One listener in service.
+/// A listener in operation.
 pub(super) struct Listener {
     pub(super) config: ListenerConfig,
-    /// Its socket, while it takes clients in.
+    /// The socket, as long as the listener accepts connections.
     pub(super) socket: Option<Registered<TcpListener>>,
     pub(super) login_rate_limit: LoginRateLimit,
     /// The cancel keys of its clients.
     pub(super) cancel_keys: CancelKeys<Key>,
-    /// How many of its clients hold a place.
-    pub(super) placed_clients: usize,
+    /// Number of its clients that occupy a slot.
+    pub(super) slots_in_use: usize,
 }
 
 impl Listener {
@@ -113,15 +116,15 @@
             config,
             socket: Some(socket),
             cancel_keys: CancelKeys::new(),
-            placed_clients: 0,
+            slots_in_use: 0,
         }
     }
 
-    pub(super) fn has_place(&self) -> bool {
-        self.placed_clients < self.config.max_clients
+    pub(super) fn has_free_slot(&self) -> bool {
+        self.slots_in_use < self.config.max_clients
     }
 
-    /// Whether its clients label their statements themselves, as the platform's do.
+    /// Returns true if clients have to label their statements themselves, as the platform's clients do.
     pub(super) fn wants_labels(&self) -> bool {
         self.config.default_labels.is_none()
     }
--- a/router/src/front/login.rs
+++ b/router/src/front/login.rs
@@ -1,6 +1,6 @@
-//! Logging in: from the first packet to the greeting.
+//! The login of a client, from the first packet to the greeting.
 
-use super::client::{Client, Phase, TOO_MANY_CONNECTIONS};
+use super::client::{Client, Phase, TOO_MANY_CONNECTIONS_TEXT};
 use super::{Context, random_bytes};
 use crate::clock;
 use plovercove::Time;
@@ -10,26 +10,26 @@
 use plovercove_pgwire::startup::{Method, Startup, Step};
 use tracing::warn;
 
-/// Bytes that a client may send while it is to prove who it is.
+/// Maximum number of bytes that a client may send during the authentication.
 const MAX_LOGIN_BYTES: usize = 16 * 1024;
 
 impl Client {
-    /// Takes in what comes before a client is logged in; false where nothing is whole.
+    /// Processes one message of the startup or the authentication. Returns false if no message is complete.
     pub(super) fn advance_login(&mut self, context: &mut Context, key: Key, now: Time) -> bool {
         let Some(mut startup) = self.startup.take() else {
             return false;
         };
         let mut reply = Vec::new();
-        let taken = self.take_login_message(context, &mut startup, &mut reply);
+        let read = self.read_login_message(context, &mut startup, &mut reply);
         self.version = startup.version();
-        let step = match taken {
+        let step = match read {
             Ok(None) => {
                 self.startup = Some(startup);
                 return false;
             }
             Ok(Some(Step::UserNamed)) => self.identify(context, &mut startup, now, &mut reply),
             Ok(Some(step)) => Ok(step),
-            Err(fault) => Err(fault),
+            Err(error) => Err(error),
         };
         if !reply.is_empty() {
             self.queue_reply(&context.budget, |out| out.append(&mut reply));
@@ -38,13 +38,13 @@
             Ok(Step::Continue | Step::UserNamed) => self.startup = Some(startup),
             Ok(Step::Cancel(key)) => self.request_cancel(context, key),
             Ok(Step::LoggedIn) => self.begin_session(context, key, &startup, now),
-            Err(fault) => self.fail_login(context, &startup, &fault, now),
+            Err(error) => self.fail_login(context, &startup, &error, now),
         }
         true
     }
 
-    /// One message off the front of what came; none where it is not whole.
-    fn take_login_message(
+    /// Reads one message of the startup or the authentication. Returns `None` if it is not complete yet.
+    fn read_login_message(
         &mut self,
         context: &Context,
         startup: &mut Startup,
@@ -57,9 +57,9 @@
                 "too much came before the login",
             ));
         }
-        // Only a login needs one, and it is dear.
+        // Only the authentication needs a nonce, and random bytes are expensive.
         let nonce = if startup.has_read_first_packet() {
-            nonce()
+            random_nonce()
         } else {
             String::new()
         };
@@ -71,7 +71,7 @@
         Ok(Some(step))
     }
 
-    /// A client has said who it is: it is asked for a proof, unless there is no place or it has failed too often.
+    /// Starts the authentication of a client that has named its user, unless no slot is free or too many logins have failed.
     fn identify(
         &self,
         context: &Context,
@@ -82,13 +82,13 @@
         if self.phase == Phase::Rejecting {
             return Err(SqlError::new(
                 code::TOO_MANY_CONNECTIONS,
-                TOO_MANY_CONNECTIONS,
+                TOO_MANY_CONNECTIONS_TEXT,
             ));
         }
         let listener = &context.listeners[self.listener];
         let limit = &listener.login_rate_limit;
-        if let Err(wait) = limit.check(now, self.address, startup.user()) {
-            let wait_ms = clock::to_ms(wait).max(1);
+        if let Err(remaining) = limit.check(now, self.address, startup.user()) {
+            let wait_ms = clock::to_ms(remaining).max(1);
             let text = format!("too many logins failed; try again after {wait_ms} ms");
             return Err(SqlError::new(code::TOO_MANY_CONNECTIONS, text));
         }
@@ -102,8 +102,8 @@
         startup.identify(rules, verifier.as_ref(), &context.secret, salt, reply)
     }
 
-    /// A client is in: it is greeted, and has what it set at its start. It gets a cancel key, or it could end what it does not
-    /// want any more only by closing.
+    /// Starts the session of a client that is logged in: applies the settings of its startup packet and sends the greeting.
+    /// The greeting contains a cancel key; without one, the client could stop a query only by closing the connection.
     fn begin_session(&mut self, context: &mut Context, key: Key, startup: &Startup, now: Time) {
         self.phase = Phase::Ready;
         let listener = &mut context.listeners[self.listener];
@@ -124,8 +124,8 @@
                         parameters.retain(|(known, _)| known != name);
                         parameters.push((name.into(), value));
                     }
-                    Err(fault) => {
-                        return self.end_session(&context.budget, fault.code, &fault.text);
+                    Err(error) => {
+                        return self.end_session(&context.budget, error.code, &error.text);
                     }
                 }
             }
@@ -140,25 +140,25 @@
         &mut self,
         context: &mut Context,
         startup: &Startup,
-        fault: &SqlError,
+        error: &SqlError,
         now: Time,
     ) {
-        if Startup::is_wrong_password(fault) {
+        if Startup::is_wrong_password(error) {
             let limit = &mut context.listeners[self.listener].login_rate_limit;
             limit.record_failure(now, self.address, startup.user());
             warn!(
                 user = startup.user(),
                 from = %self.address,
                 reason = "login failed",
-                "a login failed"
+                "a client's login failed"
             );
         }
-        self.end_session(&context.budget, fault.code, &fault.text);
+        self.end_session(&context.budget, error.code, &error.text);
     }
 }
 
-/// Sixteen random bytes in hex digits.
-fn nonce() -> String {
+/// Returns a random nonce: 16 random bytes in hex digits.
+fn random_nonce() -> String {
     random_bytes::<16>()
         .map(|byte| format!("{byte:02x}"))
         .concat()
--- a/router/src/front/mod.rs
+++ b/router/src/front/mod.rs
@@ -1,19 +1,20 @@
-//! The front: clients, which are PostgreSQL sessions with simple queries, answered in the order they came, in the version
-//! that each speaks. It turns queries into requests for the engine and final answers into messages.
+//! The front: the router's side towards clients. Clients open PostgreSQL sessions and send simple queries; each receives its
+//! answers in the order of its queries, in its protocol version. The front turns queries into requests for the engine, and
+//! final answers into messages.
 //!
 //! | module | what it does |
 //! | --- | --- |
-//! | `listener` | listeners and how operators describe them |
-//! | `accept` | takes connections in, and pauses where no descriptor is left |
-//! | `login` | from the first packet to the greeting |
-//! | `exchange` | reads messages and writes answers, within bounds for one turn |
-//! | `query` | one query: answered here, or handed to the engine |
-//! | `answers` | final answers on their way to clients |
-//! | `cancellation` | cancels by a second connection |
-//! | `eviction` | who is closed when places run out |
+//! | `listener` | listeners and their configuration |
+//! | `accept` | accepts connections, and pauses while no file descriptor is available |
+//! | `login` | the login of a client, from the first packet to the greeting |
+//! | `exchange` | reads messages and writes answers, within bounds for one turn of the event loop |
+//! | `query` | answers a query itself or hands it to the engine |
+//! | `answers` | passes final answers to clients |
+//! | `cancellation` | cancel requests, which arrive on a second connection |
+//! | `eviction` | which clients are closed when the slots for clients run out |
 //! | `shutdown` | graceful shutdown and lingering closes |
 //! | `client` | one client's connection and its deadlines |
-//! | `request_ids` | ids of requests |
+//! | `request_ids` | generation of request ids, and detection of repeated ones |
 
 mod accept;
 mod answers;
@@ -39,55 +40,56 @@
 use plovercove_engine::{Engine, Key, Table};
 use plovercove_poller::Poll;
 use plovercove_settings::Names;
-use query::MAX_PATIENCE_DEADLINES;
+use query::MAX_TIMEOUT_DEADLINES;
 use request_ids::{IdGenerator, RecentIds};
 use std::net::TcpListener;
 use tracing::debug;
 
-/// A connection of the platform's without a request is kept for so long.
+/// Time after which an idle connection on the platform's listener is closed.
 const PLATFORM_IDLE_TIMEOUT: Micros = 2_000_000;
 
-/// What is needed beside a client to read what it says.
+/// State of the front that is needed besides a client to process the client's messages.
 struct Context {
     names: Names,
     recent_ids: RecentIds,
     id_generator: IdGenerator,
     budget: Budget,
     listeners: Vec<Listener>,
-    /// The router's own secret, by which logins of unknown users look like others.
+    /// A secret of the router, from which the verifiers of unknown users are derived: their logins look like any other.
     secret: [u8; 32],
-    /// Cancels that were asked for and not carried out yet.
+    /// Cancel requests that have been received and not processed yet.
     cancel_requests: Vec<CancelRequest>,
 }
 
-/// All clients, and the listeners they come by.
+/// All clients and listeners.
 pub struct Front {
     poll: Poll,
     clients: Table<Client>,
     max_clients: usize,
     context: Context,
-    /// Clients to be pumped.
+    /// Clients that are to be pumped.
     marked: Vec<Key>,
     eviction_order: EvictionOrder,
     is_draining: bool,
-    /// Until when it takes in those who wait at its listeners though it finishes.
+    /// Time until which waiting connections are accepted during the shutdown.
     accept_until: Option<Time>,
 }
 
-/// Random bytes that nobody can guess.
+/// Returns random bytes of cryptographic quality.
 fn random_bytes<const N: usize>() -> [u8; N] {
     let mut bytes = [0; N];
-    // Without them no key and no login would be safe, and no system that the router runs on lacks them.
-    getrandom::fill(&mut bytes).expect("the system gives random bytes");
+    // Without random bytes no key and no login would be safe. All systems that the router runs on provide them.
+    getrandom::fill(&mut bytes).expect("the system provides random bytes");
     bytes
 }
 
 impl Front {
-    /// A front on the platform's listener, for so many clients, whose requests last no longer than `longest_deadline`.
+    /// Returns a front with the platform's listener and slots for `max_clients` clients. `longest_deadline` is the longest
+    /// deadline of any class.
     ///
     /// # Errors
     ///
-    /// Where the system refuses to listen on it or to watch it.
+    /// Returns an error if the system cannot listen on the socket or poll it.
     pub fn new(
         poll: &Poll,
         budget: &Budget,
@@ -102,7 +104,7 @@
             max_clients,
             context: Context {
                 names,
-                recent_ids: RecentIds::new(longest_deadline * MAX_PATIENCE_DEADLINES),
+                recent_ids: RecentIds::new(longest_deadline * MAX_TIMEOUT_DEADLINES),
                 budget: budget.clone(),
                 listeners: Vec::new(),
                 secret: random_bytes(),
@@ -119,33 +121,38 @@
         Ok(front)
     }
 
-    /// How many clients are connected.
+    /// Returns the number of connected clients.
     pub fn client_count(&self) -> usize {
         self.clients.len()
     }
 
-    /// Whether something has happened that has not been pumped.
+    /// Returns true if clients are marked to be pumped.
     pub fn has_marked_clients(&self) -> bool {
         !self.marked.is_empty()
     }
 
-    /// The poller has something to say of a client.
+    /// Handles an event of the poller on a client's socket.
     ///
-    /// It tells of a reset whatever the socket waits for, over and over: a client that is not being read must be closed then,
-    /// or the loop would spin.
+    /// The poller reports a reset again and again, whatever the poll interest of the socket is. Therefore a client is closed
+    /// then even if it is not being read; otherwise the event loop would spin.
     pub fn handle_event(&mut self, key: Key, hung_up: bool, now: Time, engine: &mut Engine) {
         let Some(client) = self.clients.get_mut(key) else {
             return;
         };
         let peer = client.receive(&mut self.context, key, now);
         if hung_up || peer != PeerState::Open {
-            debug!(client = key.number(), ?peer, hung_up, "closed");
+            debug!(
+                client = key.number(),
+                ?peer,
+                hung_up,
+                "closing a client connection"
+            );
             return self.close(key, engine);
         }
         self.mark(key);
     }
 
-    /// It is time to look a client over.
+    /// Checks a client whose deadline may have passed.
     pub fn check_client(&mut self, key: Key, now: Time, engine: &mut Engine) {
         let Some(client) = self.clients.get_mut(key) else {
             return;
@@ -154,7 +161,7 @@
         let Some(deadline) = client.deadline() else {
             return;
         };
-        if deadline > now || client.lingers_on(now) {
+        if deadline > now || client.extend_linger(now) {
             self.reschedule(key, engine);
         } else if client.is_lingering() || client.stream.unsent() > 0 {
             self.close(key, engine);
@@ -165,14 +172,14 @@
         }
     }
 
-    /// Reads and writes on where something has happened.
+    /// Processes messages and writes answers of all marked clients.
     pub fn pump(&mut self, now: Time, engine: &mut Engine) {
         for key in std::mem::take(&mut self.marked) {
             self.pump_client(key, now, engine);
         }
         self.evict_excess_idle(now, engine);
-        // The last look at who goes may find a cancel.
-        self.carry_out_cancels(now, engine);
+        // The check for new bytes before an eviction may have received a cancel request.
+        self.process_cancel_requests(now, engine);
     }
 
     fn pump_client(&mut self, key: Key, now: Time, engine: &mut Engine) {
@@ -183,15 +190,16 @@
         let Ok(exchanged) = client.exchange(&mut self.context, key, now, engine) else {
             return self.close(key, engine);
         };
-        // Whoever is told the end of its wish before the wish is met may find its next query cancelled.
-        self.carry_out_cancels(now, engine);
+        // Cancel requests are processed before their connections are closed. Otherwise a client could see the close and send
+        // its next query, and that query would be cancelled.
+        self.process_cancel_requests(now, engine);
         let Some(client) = self.clients.get_mut(key) else {
             return;
         };
         let is_done = exchanged.is_all_sent && client.pending.is_empty();
         if is_done
             && client.phase == Phase::Closing
-            && client.linger_is_over(&mut self.context, now)
+            && client.advance_linger(&mut self.context, now)
         {
             return self.close(key, engine);
         }
@@ -200,14 +208,14 @@
         let began_at = client.message_began_at.unwrap_or(now);
         client.message_began_at = has_partial_message.then_some(began_at);
         client.stream.set_read_interest(client.wants_input());
-        let may_end = self.is_draining
+        let may_evict = self.is_draining
             && client.has_requested
             && client.is_idle()
             && client.phase != Phase::Closing;
         self.reschedule(key, engine);
         if exchanged.has_more {
             self.mark(key);
-        } else if may_end {
+        } else if may_evict {
             self.evict(key, now, engine);
         }
     }
@@ -219,19 +227,19 @@
         }
     }
 
-    /// Ends a client whose message has been under way for too long, unless the rest of it has just come.
+    /// Ends a client whose message has been incomplete for too long, unless the rest of it has just arrived.
     fn end_partial_message(&mut self, key: Key, now: Time, engine: &mut Engine) {
         let Some(client) = self.clients.get_mut(key) else {
             return;
         };
         let peer = client.receive(&mut self.context, key, now);
-        let goes_on =
+        let is_connected =
             peer == PeerState::Open && client.exchange(&mut self.context, key, now, engine).is_ok();
-        if !goes_on {
+        if !is_connected {
             return self.close(key, engine);
         }
         if client.message_began_at.is_some() {
-            client.announce_close();
+            client.send_close_notice();
             client.begin_linger(now, IDLE_LINGER_TIMEOUT);
         }
         self.mark(key);
--- a/router/src/front/query.rs
+++ b/router/src/front/query.rs
@@ -1,4 +1,4 @@
-//! One query: answered here where no node is needed, and handed to the engine otherwise.
+//! Answers a query itself if no node is needed, and hands it to the engine otherwise.
 
 use super::Context;
 use super::client::{Client, ForwardedRequest, Pending};
@@ -12,27 +12,28 @@
 use plovercove_pgwire::statement::{self, Kind};
 use std::rc::Rc;
 
-/// A patience of more than so many times the class's deadline is no patience.
-pub(super) const MAX_PATIENCE_DEADLINES: u64 = 4;
+/// Maximum timeout that a client may set, as a multiple of the deadline of its class; a higher one is rejected.
+pub(super) const MAX_TIMEOUT_DEADLINES: u64 = 4;
 
-/// What drivers send on their own has no effect here, as at the nodes.
+/// Commands that drivers send by themselves. They have no effect here, as at the nodes.
 const COMMANDS_WITHOUT_EFFECT: [&str; 3] = ["SET", "RESET", "DISCARD"];
 
-/// Why a query goes nowhere.
-enum Objection {
-    /// The client has broken the protocol; many of these in a row end its session.
-    OfClient(SqlError),
-    /// Nothing is said against the client.
-    OfRouter(SqlError),
+/// Why a query is not handed to the engine.
+enum QueryError {
+    /// The client violated the protocol; too many such errors in a row end its session.
+    ByClient(SqlError),
+    /// The router cannot accept the query; this does not count against the client.
+    ByRouter(SqlError),
 }
 
-impl Objection {
-    fn of_client(code: &'static str, text: impl Into<String>) -> Self {
-        Objection::OfClient(SqlError::new(code, text))
+impl QueryError {
+    fn by_client(code: &'static str, text: impl Into<String>) -> Self {
+        QueryError::ByClient(SqlError::new(code, text))
     }
 }
 
 impl Client {
+    /// Processes a query: answers it, or hands it to the engine.
     pub(super) fn query(
         &mut self,
         context: &mut Context,
@@ -46,18 +47,18 @@
             || text.trim_start().starts_with("/*") && statement_labels::read_labels(text).is_ok();
         if !wants_labels && !has_labels() {
             if let Some(text) = self.answer_or_label(context, text) {
-                self.forward_or_object(context, key, &text, now, engine);
+                self.forward_or_reply_error(context, key, &text, now, engine);
             }
             return;
         }
-        let bare = text.trim().trim_end_matches(';');
-        if bare.is_empty() {
+        let statement = text.trim().trim_end_matches(';');
+        if statement.is_empty() {
             return self.queue_reply(&context.budget, |out| {
                 messages::put(out, b'I', |_| {});
                 messages::put_ready(out);
             });
         }
-        let command = bare.split_whitespace().next().unwrap_or("");
+        let command = statement.split_whitespace().next().unwrap_or("");
         let command = command.to_ascii_uppercase();
         if COMMANDS_WITHOUT_EFFECT.contains(&command.as_str()) {
             return self.queue_reply(&context.budget, |out| {
@@ -65,11 +66,11 @@
                 messages::put_ready(out);
             });
         }
-        self.forward_or_object(context, key, text, now, engine);
+        self.forward_or_reply_error(context, key, text, now, engine);
     }
 
-    /// A query of a client without labels: what it needs, and then the text with labels in front. None where it has been
-    /// answered here.
+    /// Handles a query without labels. Returns the query with the listener's default labels in front, or `None` if the query
+    /// has been answered here.
     fn answer_or_label(&mut self, context: &mut Context, text: &str) -> Option<String> {
         let kind = statement::classify(text);
         let encoder = self.encoder();
@@ -87,7 +88,7 @@
                     }
                     encoder.put_ready(out);
                 }),
-                Err(fault) => self.reply_error(budget, fault.code, &fault.text),
+                Err(error) => self.reply_error(budget, error.code, &error.text),
             },
             Kind::NeedsSession(what) => {
                 let text = format!(
@@ -99,14 +100,14 @@
                 let id = context.id_generator.next();
                 let listener = &context.listeners[self.listener];
                 let labels = listener.config.default_labels.as_ref()?;
-                let reads = kind == Kind::Read;
-                return Some(labels.label(text, reads, &id, self.session.timeout_ms));
+                let is_read = kind == Kind::Read;
+                return Some(labels.label(text, is_read, &id, self.session.timeout_ms));
             }
         }
         None
     }
 
-    fn forward_or_object(
+    fn forward_or_reply_error(
         &mut self,
         context: &mut Context,
         key: Key,
@@ -123,11 +124,11 @@
                     answer: None,
                 });
             }
-            Err(Objection::OfClient(fault)) => {
-                self.reply_protocol_error(&context.budget, fault.code, &fault.text);
+            Err(QueryError::ByClient(error)) => {
+                self.reply_protocol_error(&context.budget, error.code, &error.text);
             }
-            Err(Objection::OfRouter(fault)) => {
-                self.reply_error(&context.budget, fault.code, &fault.text);
+            Err(QueryError::ByRouter(error)) => {
+                self.reply_error(&context.budget, error.code, &error.text);
             }
         }
     }
@@ -140,30 +141,30 @@
         text: &str,
         now: Time,
         engine: &mut Engine,
-    ) -> Result<ForwardedRequest, Objection> {
+    ) -> Result<ForwardedRequest, QueryError> {
         let labels = statement_labels::read_labels(text)
-            .map_err(|fault| Objection::of_client(code::PROTOCOL_VIOLATION, fault.to_string()))?;
+            .map_err(|error| QueryError::by_client(code::PROTOCOL_VIOLATION, error.to_string()))?;
         let Some(class) = context.names.class(labels.class) else {
             let text = format!("class {:?} does not exist", labels.class);
-            return Err(Objection::of_client(code::UNDEFINED_OBJECT, text));
+            return Err(QueryError::by_client(code::UNDEFINED_OBJECT, text));
         };
         if !engine.knows_group(labels.group) {
             let text = format!("no db node of group {} is known", labels.group);
-            return Err(Objection::of_client(code::CANNOT_CONNECT_NOW, text));
+            return Err(QueryError::by_client(code::CANNOT_CONNECT_NOW, text));
         }
         let class_rules = &engine.classes()[class];
-        let time_left = checked_patience(&labels, class_rules)?;
-        let tenant = checked_tenant(context, &labels)?;
+        let time_left = check_timeout(&labels, class_rules)?;
+        let tenant = check_tenant(context, &labels)?;
         let Some(reservation) = context.budget.reserve(text.len()) else {
             let text = "too many statements are waiting";
-            return Err(Objection::OfRouter(SqlError::new(
+            return Err(QueryError::ByRouter(SqlError::new(
                 code::TOO_MANY_CONNECTIONS,
                 text,
             )));
         };
-        if !context.recent_ids.take(labels.id, now) {
+        if !context.recent_ids.insert_if_new(labels.id, now) {
             let text = format!("id: {} is another request's", labels.id);
-            return Err(Objection::of_client(code::PROTOCOL_VIOLATION, text));
+            return Err(QueryError::by_client(code::PROTOCOL_VIOLATION, text));
         }
         let access = class_rules.access;
         let wants_labels = context.listeners[self.listener].wants_labels();
@@ -191,8 +192,8 @@
         })
     }
 
-    /// How long ago the session last wrote. A client without labels carries no position: what it must see is what this
-    /// router answered it last.
+    /// Returns the time since the session's last write. A client without labels sends no position; it has to see the writes
+    /// that this router answered last.
     fn last_write_age(
         &self,
         labels: &Labels<'_>,
@@ -200,27 +201,29 @@
         wants_labels: bool,
         now: Time,
     ) -> Option<Micros> {
-        let carried = labels.min_position_ms.filter(|at| *at > 0);
-        if let Some(at_ms) = carried {
+        let label_position = labels.min_position_ms.filter(|at| *at > 0);
+        if let Some(at_ms) = label_position {
             return Some(clock::age(now, clock::from_ms(at_ms)));
         }
-        let remembers = !wants_labels && access == Access::OwnWrites;
-        let last = self.last_write_at.filter(|_| remembers)?;
-        Some(now.saturating_sub(last))
+        let uses_own_memory = !wants_labels && access == Access::OwnWrites;
+        let last_write_at = self.last_write_at.filter(|_| uses_own_memory)?;
+        Some(now.saturating_sub(last_write_at))
     }
 }
 
-fn checked_patience(labels: &Labels<'_>, class: &Class) -> Result<Micros, Objection> {
-    let patience = clock::from_ms(labels.timeout_ms);
-    let most = class.deadline.saturating_mul(MAX_PATIENCE_DEADLINES);
-    if patience == 0 || patience > most {
+/// Returns the timeout that the client has set, or an error if it is zero or too long.
+fn check_timeout(labels: &Labels<'_>, class: &Class) -> Result<Micros, QueryError> {
+    let timeout = clock::from_ms(labels.timeout_ms);
+    let max_timeout = class.deadline.saturating_mul(MAX_TIMEOUT_DEADLINES);
+    if timeout == 0 || timeout > max_timeout {
         let text = format!("d: nobody waits for {} ms", labels.timeout_ms);
-        return Err(Objection::of_client(code::PROTOCOL_VIOLATION, text));
+        return Err(QueryError::by_client(code::PROTOCOL_VIOLATION, text));
     }
-    Ok(patience)
+    Ok(timeout)
 }
 
-fn checked_tenant(context: &Context, labels: &Labels<'_>) -> Result<Option<usize>, Objection> {
+/// Returns the number of the tenant that the labels name, or an error if it does not exist.
+fn check_tenant(context: &Context, labels: &Labels<'_>) -> Result<Option<usize>, QueryError> {
     let Some(name) = labels.tenant else {
         return Ok(None);
     };
@@ -228,7 +231,7 @@
         Some(number) => Ok(Some(number)),
         None => {
             let text = format!("tenant {name:?} does not exist");
-            Err(Objection::of_client(code::UNDEFINED_OBJECT, text))
+            Err(QueryError::by_client(code::UNDEFINED_OBJECT, text))
         }
     }
 }
--- a/router/src/front/shutdown.rs
+++ b/router/src/front/shutdown.rs
@@ -1,5 +1,5 @@
-//! Graceful shutdown: listeners close once all who wait at them are taken in, idle clients linger, what has been taken on is
-//! finished.
+//! Graceful shutdown: listeners close once all connections that wait at them have been accepted, idle clients are closed,
+//! and accepted requests are completed.
 
 use super::Context;
 use super::Front;
@@ -9,18 +9,19 @@
 use plovercove::{Micros, Time};
 use plovercove_engine::{Engine, Key};
 
-/// From connecting until the first request, for one that came at the end or for which there is no place. A connection that
-/// was taken in just before the listener closed must not be closed with its request on the way; and a few that say nothing,
-/// beyond the limit, must not keep all others from being told.
+/// Time from accepting a connection until its first request, during the shutdown or if no slot is free. It is long enough
+/// that a connection accepted just before its listener closes is not closed while its request is on the way. It is short
+/// enough that a few silent connections beyond the limit do not keep others from receiving their errors.
 pub(super) const FIRST_REQUEST_TIMEOUT_DRAINING: Micros = 300_000;
-/// From the first byte of a message to its last, while the router finishes: one half-sent message must not hold up its end
-/// until it is killed.
+/// Time from the first byte of a message to its last, during the shutdown. It is short, so that an incomplete message does
+/// not delay the shutdown until the router is killed.
 pub(super) const MESSAGE_TIMEOUT_DRAINING: Micros = 300_000;
-/// A client whose session was ended lingers for so long.
+/// Linger time of a client whose session has ended.
 const LINGER_TIMEOUT: Micros = 1_000_000;
 
 impl Front {
-    /// Closes the listeners and all idle clients; the others are closed once they are answered, or have not asked in time.
+    /// Starts the shutdown: closes the listeners and all idle clients. The other clients are closed once their answers are
+    /// sent, or their first request has not arrived in time.
     pub fn drain(&mut self, now: Time, engine: &mut Engine) {
         self.is_draining = true;
         self.close_listeners(now, engine);
@@ -30,7 +31,8 @@
         }
     }
 
-    /// Whether all that [`Front::drain`] began is over: nobody is connected, and nobody can come.
+    /// Returns true if the shutdown that [`Front::drain`] started is complete: no client is connected, and no listener is
+    /// open.
     pub fn is_drained(&self) -> bool {
         let mut listeners = self.context.listeners.iter();
         self.is_draining
@@ -38,8 +40,8 @@
             && listeners.all(|listener| listener.socket.is_none())
     }
 
-    /// Closes the listeners, once all who wait at them have been taken in: the system resets those whom a closed listener
-    /// leaves waiting.
+    /// Closes the listeners once all connections that wait at them have been accepted, since the system resets those that
+    /// still wait when a listener is closed.
     pub(super) fn close_listeners(&mut self, now: Time, engine: &mut Engine) {
         let give_up_at = now + FIRST_REQUEST_TIMEOUT_DRAINING;
         let give_up_at = *self.accept_until.get_or_insert(give_up_at);
@@ -47,7 +49,7 @@
         let backlog = (0..=rounds)
             .map(|_| self.accept_from_all(now, engine))
             .find(|backlog| *backlog != Backlog::Waiting);
-        // Where accepting pauses it goes on here.
+        // After a pause, `resume_accepting` calls this function again.
         if backlog == Some(Backlog::Paused) && now < give_up_at {
             return;
         }
@@ -57,15 +59,15 @@
     }
 
     fn drain_client(&mut self, key: Key, now: Time, engine: &mut Engine) {
-        // Told once more to end, one that lingers would be closed with bytes unread.
+        // A lingering client is left alone: a second eviction would close it with unread bytes.
         let client = self.clients.get_mut(key).filter(|c| !c.is_lingering());
         let Some(client) = client else {
             return;
         };
         client.message_timeout = MESSAGE_TIMEOUT_DRAINING;
         if !client.has_requested {
-            let soon = now + FIRST_REQUEST_TIMEOUT_DRAINING;
-            client.first_request_deadline = client.first_request_deadline.min(soon);
+            let draining_deadline = now + FIRST_REQUEST_TIMEOUT_DRAINING;
+            client.first_request_deadline = client.first_request_deadline.min(draining_deadline);
         } else if client.is_idle() {
             self.evict(key, now, engine);
             return;
@@ -75,12 +77,13 @@
 }
 
 impl Client {
-    /// All has been said to a client that is to go: our end is closed and the other read; true once that is over.
-    pub(super) fn linger_is_over(&mut self, context: &mut Context, now: Time) -> bool {
+    /// Performs the lingering close of a client to which everything has been sent: closes the router's side, and reads and
+    /// drops what the client sends. Returns true once the connection can be closed.
+    pub(super) fn advance_linger(&mut self, context: &mut Context, now: Time) -> bool {
         if !self.is_lingering() {
             self.begin_linger(now, LINGER_TIMEOUT);
         }
-        if let Some(peer) = self.hear_late_cancel(context) {
+        if let Some(peer) = self.read_late_cancel(context) {
             return peer != PeerState::Open;
         }
         let Some(linger) = &mut self.linger else {
--- a/router/src/operators.rs
+++ b/router/src/operators.rs
@@ -241,7 +241,7 @@
             let Some(settings) = settings else {
                 return Ok(DefaultClass {
                     name: wanted.to_string(),
-                    patience_ms: 1,
+                    timeout_ms: 1,
                 });
             };
             let found = settings.classes.iter().position(|c| c.name == wanted);
@@ -262,7 +262,7 @@
             }
             Ok(DefaultClass {
                 name: wanted.to_string(),
-                patience_ms: crate::clock::to_ms(class.deadline),
+                timeout_ms: crate::clock::to_ms(class.deadline),
             })
         };
         let (reads, writes) = (
