--- a/engine/tests/watch_schedule.rs
+++ b/engine/tests/watch_schedule.rs
@@ -7,9 +7,9 @@
 const S: Micros = 1_000_000;
 const MS: Micros = 1_000;
 /// Time within which a router must know a change that discovery has, if discovery can be reached.
-const TOLD: Micros = 6 * S;
+const MAX_UPDATE_DELAY: Micros = 6 * S;
 /// Times for which a router may still send to a draining node: the bounds of the settings, and one value between.
-const GRACES: [Micros; 3] = [500 * MS, 1_000 * MS, 1_500 * MS];
+const DRAIN_GRACES: [Micros; 3] = [500 * MS, 1_000 * MS, 1_500 * MS];
 
 #[test]
 fn a_silent_call_is_followed_by_another_within_the_update_delay() {
@@ -20,10 +20,10 @@
         schedule.record_answer(1_000, true);
         assert!(until <= 5 * S);
         let (_, until) = schedule.begin_call(1_000, true);
-        let again = schedule.record_silence(until);
+        let next_call = schedule.record_silence(until);
         assert!(
-            again <= 5 * S + 1_000,
-            "seed {seed}: called again at {again}"
+            next_call <= 5 * S + 1_000,
+            "seed {seed}: called again at {next_call}"
         );
     }
 }
@@ -32,19 +32,22 @@
 fn the_answer_margin_grows_while_answers_are_late_and_shrinks_again() {
     // Late answers lengthen the margin for the answer, not the wait: longer waits, of up to 20 s, exceeded the update
     // delay.
-    let (mut schedule, mut now, mut patience) =
+    let (mut schedule, mut now, mut answer_margin) =
         (WatchSchedule::new(ListSource::Polled, 1), 0, Vec::new());
-    for late in [0, 0, S, S, S, S, 0, 0, 0, 0, 0, 0, 0] {
+    for late_by in [0, 0, S, S, S, S, 0, 0, 0, 0, 0, 0, 0] {
         let (wait, until) = schedule.begin_call(now, true);
-        patience.push((until - now - wait) / MS);
-        now += wait + late;
-        assert!(now <= until, "an answer {late} us late is waited for");
+        answer_margin.push((until - now - wait) / MS);
+        now += wait + late_by;
+        assert!(now <= until, "an answer {late_by} us late is waited for");
         schedule.record_answer(now, false);
     }
-    assert!(patience[..3].iter().all(|p| *p <= 1_500), "{patience:?}");
     assert!(
-        patience[6] >= 1_800 && patience[12] <= 1_500,
-        "{patience:?}"
+        answer_margin[..3].iter().all(|p| *p <= 1_500),
+        "{answer_margin:?}"
+    );
+    assert!(
+        answer_margin[6] >= 1_800 && answer_margin[12] <= 1_500,
+        "{answer_margin:?}"
     );
 }
 
@@ -52,51 +55,50 @@
 fn failures_lengthen_pauses_and_silence_lengthens_the_answer_margin() {
     // Calls become rarer by longer pauses, up to the update delay; a longer wait of the next call exceeded it.
     let mut schedule = WatchSchedule::new(ListSource::Polled, 2);
-    let mut refused = || {
+    let mut fail_call = || {
         schedule.begin_call(0, true);
         schedule.record_failure(0)
     };
-    let pauses = [refused(), refused(), refused(), refused()];
+    let pauses = [fail_call(), fail_call(), fail_call(), fail_call()];
     assert!(
         pauses[0] <= S && pauses[3] > 5 * S / 2 && pauses[3] <= 5 * S,
         "{pauses:?}"
     );
     let mut schedule = WatchSchedule::new(ListSource::Polled, 2);
-    let mut patience = || {
+    let mut answer_margin = || {
         let (wait, until) = schedule.begin_call(0, true);
         schedule.record_silence(until);
         until - wait
     };
     assert_eq!(
-        [patience(), patience(), patience()],
+        [answer_margin(), answer_margin(), answer_margin()],
         [1_500 * MS, 3_000 * MS, 3_375 * MS]
     );
 }
 
 #[test]
 fn calls_of_many_routers_do_not_end_together() {
-    let ends = |seed| {
+    let wait_of = |seed| {
         WatchSchedule::new(ListSource::Polled, seed)
             .begin_call(0, true)
             .0
     };
-    let (least, most) = ((0..300).map(ends).min(), (0..300).map(ends).max());
+    let (min, max) = ((0..300).map(wait_of).min(), (0..300).map(wait_of).max());
     assert!(
-        most.zip(least)
-            .is_some_and(|(most, least)| most - least > 400_000),
-        "{least:?} to {most:?}"
+        max.zip(min).is_some_and(|(max, min)| max - min > 400_000),
+        "{min:?} to {max:?}"
     );
 }
 
 #[test]
 fn after_an_invalid_answer_the_first_retry_is_immediate_and_later_ones_pause() {
-    for lists in [ListSource::Polled, ListSource::Pushed { drain_grace: S }] {
-        let mut schedule = WatchSchedule::new(lists, 3);
+    for source in [ListSource::Polled, ListSource::Pushed { drain_grace: S }] {
+        let mut schedule = WatchSchedule::new(source, 3);
         schedule.begin_call(0, true);
         assert_eq!(
             schedule.record_invalid_answer(100),
             100,
-            "news may stand in it"
+            "the invalid answer may have contained a change"
         );
         let mut now = 100;
         for _ in 0..50 {
@@ -104,7 +106,7 @@
             let next = schedule.record_invalid_answer(now + 10);
             assert!(
                 next >= now + 50 * MS,
-                "{lists:?}: again after {} us",
+                "{source:?}: again after {} us",
                 next - now
             );
             now = next;
@@ -115,31 +117,31 @@
         assert_eq!(
             schedule.record_invalid_answer(now),
             now,
-            "a good list lies between"
+            "a valid list came in between"
         );
     }
 }
 
 #[test]
 fn immediate_answers_without_changes_cause_no_busy_loop() {
-    for lists in [ListSource::Polled, ListSource::Pushed { drain_grace: S }] {
-        let mut schedule = WatchSchedule::new(lists, 4);
+    for source in [ListSource::Polled, ListSource::Pushed { drain_grace: S }] {
+        let mut schedule = WatchSchedule::new(source, 4);
         schedule.begin_call(0, true);
         let next = schedule.record_answer(10, false);
         // 200 ms is the time within which the next call continues the watch.
-        assert!((50 * MS..200 * MS).contains(&next), "{lists:?}: {next}");
+        assert!((50 * MS..200 * MS).contains(&next), "{source:?}: {next}");
         schedule.begin_call(next, true);
         assert_eq!(
             schedule.record_answer(next + 10, true),
             next + 10,
-            "news is followed at once"
+            "a change is followed by the next call at once"
         );
     }
 }
 
 #[test]
 fn a_slow_connection_does_not_prolong_the_cycle() {
-    for (lists, turn) in [
+    for (source, cycle) in [
         (ListSource::Polled, 5 * S),
         (
             ListSource::Pushed {
@@ -149,17 +151,17 @@
         ),
     ] {
         for seed in 0..200 {
-            let mut schedule = WatchSchedule::new(lists, seed);
-            let up = schedule.begin_connection(0);
+            let mut schedule = WatchSchedule::new(source, seed);
+            let connected_at = schedule.begin_connection(0);
             assert!(
-                up <= turn / 4,
-                "{lists:?}: a connection is waited for up to {up}"
+                connected_at <= cycle / 4,
+                "{source:?}: a connection is waited for until {connected_at}"
             );
-            let (_, until) = schedule.begin_call(up, true);
-            let again = schedule.record_silence(until);
+            let (_, until) = schedule.begin_call(connected_at, true);
+            let next_call = schedule.record_silence(until);
             assert!(
-                again <= turn,
-                "{lists:?}, seed {seed}: called again at {again}"
+                next_call <= cycle,
+                "{source:?}, seed {seed}: called again at {next_call}"
             );
         }
     }
@@ -169,18 +171,22 @@
 fn answers_of_a_service_that_is_always_late_are_received() {
     // With a constant answer margin, the answers of a service that takes 3 s longer than the wait would never be
     // received.
-    let (mut schedule, mut now, mut heard) = (WatchSchedule::new(ListSource::Polled, 7), 0, 0);
+    let (mut schedule, mut now, mut answers_received) =
+        (WatchSchedule::new(ListSource::Polled, 7), 0, 0);
     for _ in 0..20 {
         let (wait, until) = schedule.begin_call(now, true);
-        let comes = now + wait + 3 * S;
-        if comes <= until {
-            heard += 1;
-            now = schedule.record_answer(comes, false);
+        let answers_at = now + wait + 3 * S;
+        if answers_at <= until {
+            answers_received += 1;
+            now = schedule.record_answer(answers_at, false);
         } else {
             now = schedule.record_silence(until);
         }
     }
-    assert!(heard >= 15, "{heard} of 20 answers were waited for");
+    assert!(
+        answers_received >= 15,
+        "{answers_received} of 20 answers were received"
+    );
 }
 
 #[test]
@@ -200,7 +206,7 @@
     // The same bound as for watches that all break at once: no tenth of a second sees more than a third of the routers'
     // calls.
     const ROUTERS: u64 = 300;
-    const MOVED: Micros = 4 * S;
+    const MAX_DELAY_AFTER_CHANGE: Micros = 4 * S;
     let mut calls = [0_u64; 40];
     for router in 0..ROUTERS {
         let mut schedule = WatchSchedule::new(ListSource::Polled, router * 0x1234_5677 + 1);
@@ -212,11 +218,11 @@
         // answer.
         schedule.begin_connection(first);
         let (_, until) = schedule.begin_call(first + 50 * MS, false);
-        let again = schedule.record_silence(until);
+        let next_call = schedule.record_silence(until);
         assert!(
-            again + 500 * MS <= now + MOVED,
-            "the second call comes {} us after the move",
-            again - now
+            next_call + 500 * MS <= now + MAX_DELAY_AFTER_CHANGE,
+            "the second call is made {} us after the change",
+            next_call - now
         );
     }
     println!("{:?}", &calls[..10]);
@@ -227,24 +233,21 @@
 fn a_lost_call_for_changes_after_sighup_is_repeated_in_time() {
     // If the new configuration names the same address, the first call used to wait for a change. When that call was
     // lost it was repeated after 5 s, but the router must know the service's list 4 s after the signal.
-    const MOVED: Micros = 4 * S;
+    const MAX_DELAY_AFTER_CHANGE: Micros = 4 * S;
     for seed in 0..200 {
-        for grace in GRACES {
-            for lists in [
-                ListSource::Polled,
-                ListSource::Pushed { drain_grace: grace },
-            ] {
-                let mut schedule = WatchSchedule::new(lists, seed);
+        for drain_grace in DRAIN_GRACES {
+            for source in [ListSource::Polled, ListSource::Pushed { drain_grace }] {
+                let mut schedule = WatchSchedule::new(source, seed);
                 schedule.begin_call(0, true);
                 let now = S;
                 let first = schedule.record_service_change(now);
                 schedule.begin_connection(first);
                 let (_, until) = schedule.begin_call(first + 50 * MS, true);
-                let again = schedule.record_silence(until);
+                let next_call = schedule.record_silence(until);
                 assert!(
-                    again + 500 * MS <= now + MOVED,
-                    "seed {seed}, {lists:?}: the second call comes {} us after the move",
-                    again - now
+                    next_call + 500 * MS <= now + MAX_DELAY_AFTER_CHANGE,
+                    "seed {seed}, {source:?}: the second call is made {} us after the change",
+                    next_call - now
                 );
             }
         }
@@ -266,10 +269,10 @@
         assert_eq!(
             schedule.record_service_change(13 * S),
             13 * S,
-            "the turn is over"
+            "the cycle is over"
         );
-        for grace in GRACES {
-            let mut schedule = WatchSchedule::new(ListSource::Pushed { drain_grace: grace }, seed);
+        for drain_grace in DRAIN_GRACES {
+            let mut schedule = WatchSchedule::new(ListSource::Pushed { drain_grace }, seed);
             schedule.begin_call(7 * S, true);
             assert_eq!(schedule.record_service_change(7 * S + 1), 7 * S + 1);
         }
@@ -277,140 +280,145 @@
 }
 
 /// A random number generator of the checker (xorshift64*).
-struct Dice(u64);
+struct TestRng(u64);
 
-impl Dice {
-    fn under(&mut self, end: u64) -> u64 {
+impl TestRng {
+    fn below(&mut self, end: u64) -> u64 {
         self.0 ^= self.0 >> 12;
         self.0 ^= self.0 << 25;
         self.0 ^= self.0 >> 27;
         self.0.wrapping_mul(0x2545_f491_4f6c_dd1d) % end.max(1)
     }
 
-    fn between(&mut self, least: u64, most: u64) -> u64 {
-        least + self.under(most - least + 1)
+    fn between(&mut self, min: u64, max: u64) -> u64 {
+        min + self.below(max - min + 1)
     }
 }
 
 /// What discovery does to all callers during an interval.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Weather {
+enum Condition {
     /// It accepts connections and answers.
-    Fine,
+    Healthy,
     /// Connections never open.
-    Dark,
+    Unreachable,
     /// Connections are refused.
-    Refuses,
+    Refusing,
     /// Calls are rejected.
-    Overbooked,
+    Rejecting,
     /// Calls are accepted and never answered.
     Silent,
     /// Calls are accepted and their connections break.
-    Breaks,
+    Breaking,
     /// Answers are invalid.
-    Spoils,
+    Invalid,
     /// Answers arrive after the calls have been given up.
     Late,
 }
 
-const ALL: [Weather; 8] = [
-    Weather::Fine,
-    Weather::Dark,
-    Weather::Refuses,
-    Weather::Overbooked,
-    Weather::Silent,
-    Weather::Breaks,
-    Weather::Spoils,
-    Weather::Late,
+const ALL_CONDITIONS: [Condition; 8] = [
+    Condition::Healthy,
+    Condition::Unreachable,
+    Condition::Refusing,
+    Condition::Rejecting,
+    Condition::Silent,
+    Condition::Breaking,
+    Condition::Invalid,
+    Condition::Late,
 ];
 
 /// The speed of discovery, as upper bounds (us) on connecting and answering, and the faults that occur.
-struct Near {
-    up: Micros,
-    answer: Micros,
-    kinds: &'static [Weather],
+struct Discovery {
+    max_connect_time: Micros,
+    max_answer_time: Micros,
+    conditions: &'static [Condition],
 }
 
 /// Runs one router against random conditions. Returns, for each change that has to be known, the time from which
 /// discovery had it and could be reached for longer than `within`, and the time at which the router knew it.
-fn play(
-    lists: ListSource,
+fn run(
+    source: ListSource,
     seed: u64,
-    near: &Near,
+    discovery: &Discovery,
     within: Micros,
     end: Time,
 ) -> Vec<(Time, Option<Time>)> {
-    let mut dice = Dice(seed * 2 + 1);
+    let mut rng = TestRng(seed * 2 + 1);
     // Intervals of conditions, with healthy ones between others; the last lasts to the end.
-    let (mut spans, mut at) = (vec![], 0);
+    let (mut intervals, mut at) = (vec![], 0);
     while at < end - 20 * S {
-        let kind = if dice.under(2) == 0 {
-            Weather::Fine
+        let condition = if rng.below(2) == 0 {
+            Condition::Healthy
         } else {
-            near.kinds[dice.under(near.kinds.len() as u64) as usize]
+            discovery.conditions[rng.below(discovery.conditions.len() as u64) as usize]
         };
-        spans.push((at, kind));
-        at += dice.between(20 * MS, 9 * S);
+        intervals.push((at, condition));
+        at += rng.between(20 * MS, 9 * S);
     }
-    spans.push((at, Weather::Fine));
-    let weather = |now: Time| {
-        spans
+    intervals.push((at, Condition::Healthy));
+    let condition_at = |now: Time| {
+        intervals
             .iter()
             .rev()
             .find(|(from, _)| *from <= now)
-            .map_or(Weather::Fine, |w| w.1)
+            .map_or(Condition::Healthy, |w| w.1)
     };
     // Calls in flight when a healthy interval begins may be answered then, or never.
-    let fine_until = |now: Time| {
-        spans
+    let healthy_until = |now: Time| {
+        intervals
             .iter()
-            .find(|(from, kind)| *from > now && *kind != Weather::Fine)
+            .find(|(from, condition)| *from > now && *condition != Condition::Healthy)
             .map_or(end, |w| w.0)
     };
-    let mut changes: Vec<Time> = (0..dice.between(3, 12))
-        .map(|_| dice.under(end - 10 * S))
+    let mut changes: Vec<Time> = (0..rng.between(3, 12))
+        .map(|_| rng.below(end - 10 * S))
         .collect();
     changes.sort_unstable();
     let version = |now: Time| changes.iter().filter(|c| **c <= now).count();
-    let mut heard: Vec<(usize, Time)> = vec![(0, 0)];
-    let mut judged = vec![];
-    let (mut schedule, mut now, mut connected, mut whole) =
-        (WatchSchedule::new(lists, seed), 0, false, false);
+    let mut answers_received: Vec<(usize, Time)> = vec![(0, 0)];
+    let mut results = vec![];
+    let (mut schedule, mut now, mut connected, mut needs_complete_list) =
+        (WatchSchedule::new(source, seed), 0, false, false);
     while now < end {
-        let begun = now;
+        let cycle_started_at = now;
         if !connected {
             let until = schedule.begin_connection(now);
-            let up = now + dice.between(1, near.up);
-            match weather(now) {
-                Weather::Dark => {
+            let connected_at = now + rng.between(1, discovery.max_connect_time);
+            match condition_at(now) {
+                Condition::Unreachable => {
                     now = schedule.record_failure(until);
                     continue;
                 }
-                Weather::Refuses => {
-                    now = schedule.record_failure(up.min(until));
+                Condition::Refusing => {
+                    now = schedule.record_failure(connected_at.min(until));
                     continue;
                 }
-                _ if up > until => {
+                _ if connected_at > until => {
                     now = schedule.record_failure(until);
                     continue;
                 }
-                _ => (now, connected) = (up, true),
+                _ => (now, connected) = (connected_at, true),
             }
         }
-        let known = heard.last().map_or(0, |h| h.0);
-        let (wait, until) = schedule.begin_call(now, !whole);
-        let came = weather(now);
+        let known_version = answers_received.last().map_or(0, |h| h.0);
+        let (wait, until) = schedule.begin_call(now, !needs_complete_list);
+        let condition_now = condition_at(now);
         // A connection that was opened during silence stays silent.
-        if came != Weather::Fine || matches!(weather(begun), Weather::Silent | Weather::Late) {
+        if condition_now != Condition::Healthy
+            || matches!(
+                condition_at(cycle_started_at),
+                Condition::Silent | Condition::Late
+            )
+        {
             connected = false;
-            now = match came {
-                Weather::Overbooked | Weather::Refuses => {
-                    schedule.record_failure(now + dice.between(1, near.answer))
+            now = match condition_now {
+                Condition::Rejecting | Condition::Refusing => {
+                    schedule.record_failure(now + rng.between(1, discovery.max_answer_time))
                 }
-                Weather::Breaks => schedule.record_failure(dice.between(now, until)),
-                Weather::Spoils => {
-                    whole = true;
-                    schedule.record_invalid_answer(now + dice.between(1, near.answer))
+                Condition::Breaking => schedule.record_failure(rng.between(now, until)),
+                Condition::Invalid => {
+                    needs_complete_list = true;
+                    schedule.record_invalid_answer(now + rng.between(1, discovery.max_answer_time))
                 }
                 _ => schedule.record_silence(until),
             };
@@ -424,91 +432,97 @@
             .find(|c| *c > now)
             .unwrap_or(end)
             .min(now + wait);
-        let told = if whole || version(now) > known {
+        let answer_starts_at = if needs_complete_list || version(now) > known_version {
             now
         } else {
             next
         };
-        let ends = fine_until(now);
-        if told >= ends {
+        let interval_end = healthy_until(now);
+        if answer_starts_at >= interval_end {
             // The condition changes during the call.
             connected = false;
-            now = match weather(ends) {
-                Weather::Refuses | Weather::Breaks | Weather::Overbooked => {
-                    schedule.record_failure(ends.clamp(now, until))
+            now = match condition_at(interval_end) {
+                Condition::Refusing | Condition::Breaking | Condition::Rejecting => {
+                    schedule.record_failure(interval_end.clamp(now, until))
                 }
-                Weather::Spoils => {
-                    whole = true;
-                    schedule.record_invalid_answer(ends.clamp(now, until))
+                Condition::Invalid => {
+                    needs_complete_list = true;
+                    schedule.record_invalid_answer(interval_end.clamp(now, until))
                 }
                 _ => schedule.record_silence(until),
             };
             continue;
         }
-        let answered = told + dice.between(1, near.answer);
+        let answered = answer_starts_at + rng.between(1, discovery.max_answer_time);
         if answered > until {
             connected = false;
             now = schedule.record_silence(until);
             continue;
         }
-        let news = whole || version(told) > known;
-        heard.push((version(told), answered));
-        whole = false;
-        now = schedule.record_answer(answered, news);
+        let has_change = needs_complete_list || version(answer_starts_at) > known_version;
+        answers_received.push((version(answer_starts_at), answered));
+        needs_complete_list = false;
+        now = schedule.record_answer(answered, has_change);
     }
     for (number, change) in changes.iter().enumerate() {
-        // Find the first healthy interval in which the router had to learn of the change.
-        let knew = heard
+        let known_at = answers_received
             .iter()
             .find(|(version, _)| *version > number)
             .map(|h| h.1);
-        let fine = spans
+        let healthy_intervals = intervals
             .iter()
             .enumerate()
-            .filter(|(_, (_, kind))| *kind == Weather::Fine);
-        let mut due = None;
-        for (place, (from, _)) in fine {
+            .filter(|(_, (_, condition))| *condition == Condition::Healthy);
+        // Find the first healthy interval in which the router had to learn of the change.
+        let mut due_from = None;
+        for (index, (from, _)) in healthy_intervals {
             let from = (*from).max(*change);
-            let to = spans.get(place + 1).map_or(end, |next| next.0);
+            let to = intervals.get(index + 1).map_or(end, |next| next.0);
             // A healthy interval that was long enough that the change had to be known in it.
-            if due.is_none() && from < to && to - from > within {
-                due = Some(from);
+            if due_from.is_none() && from < to && to - from > within {
+                due_from = Some(from);
             }
         }
-        if let Some(due) = due {
-            judged.push((due, knew));
+        if let Some(due_from) = due_from {
+            results.push((due_from, known_at));
         }
     }
-    judged
+    results
 }
 
-fn holds(lists: ListSource, near: &Near, within: Micros) {
-    let (mut judged, mut worst) = (0, 0);
+fn check_delay(source: ListSource, discovery: &Discovery, within: Micros) {
+    let (mut checked_changes, mut longest_delay) = (0, 0);
     for seed in 0..4_000 {
-        for (due, knew) in play(lists, seed, near, within, 90 * S) {
-            let late = knew.map_or(Micros::MAX, |knew| knew.saturating_sub(due));
+        for (due_from, known_at) in run(source, seed, discovery, within, 90 * S) {
+            let late_by =
+                known_at.map_or(Micros::MAX, |known_at| known_at.saturating_sub(due_from));
             assert!(
-                late <= within,
-                "{lists:?}, seed {seed}: due from {due}, known {late} us later"
+                late_by <= within,
+                "{source:?}, seed {seed}: due from {due_from}, known {late_by} us later"
             );
-            (judged, worst) = (judged + 1, worst.max(late));
+            (checked_changes, longest_delay) = (checked_changes + 1, longest_delay.max(late_by));
         }
     }
-    println!("{lists:?}: {judged} changes, the latest known after {worst} us of {within}");
-    assert!(judged > 4_000, "only {judged} changes were judged");
+    println!(
+        "{source:?}: {checked_changes} changes, the latest known after {longest_delay} us of {within}"
+    );
+    assert!(
+        checked_changes > 4_000,
+        "only {checked_changes} changes were checked"
+    );
 }
 
 #[test]
 fn a_polled_change_is_known_within_the_update_delay_after_any_failure() {
     // Of the second that is reserved for the next call, connecting takes up to 400 ms and an answer up to 500.
-    holds(
+    check_delay(
         ListSource::Polled,
-        &Near {
-            up: 400 * MS,
-            answer: 500 * MS,
-            kinds: &ALL,
+        &Discovery {
+            max_connect_time: 400 * MS,
+            max_answer_time: 500 * MS,
+            conditions: &ALL_CONDITIONS,
         },
-        TOLD,
+        MAX_UPDATE_DELAY,
     );
 }
 
@@ -516,29 +530,37 @@
 fn a_pushed_change_is_known_within_the_drain_grace_after_any_failure() {
     // This also holds if the call in flight is never answered. On the router's own machine connecting and answering are
     // fast.
-    for grace in GRACES {
-        holds(
-            ListSource::Pushed { drain_grace: grace },
-            &Near {
-                up: 5 * MS,
-                answer: 20 * MS,
-                kinds: &ALL,
+    for drain_grace in DRAIN_GRACES {
+        check_delay(
+            ListSource::Pushed { drain_grace },
+            &Discovery {
+                max_connect_time: 5 * MS,
+                max_answer_time: 20 * MS,
+                conditions: &ALL_CONDITIONS,
             },
-            grace,
+            drain_grace,
         );
     }
 }
 
 #[test]
 fn a_pushed_change_is_known_within_a_quarter_of_the_grace_after_a_visible_failure() {
-    const SHOWN: [Weather; 3] = [Weather::Refuses, Weather::Overbooked, Weather::Spoils];
-    for grace in GRACES {
-        let near = Near {
-            up: 2 * MS,
-            answer: 10 * MS,
-            kinds: &SHOWN,
+    const VISIBLE_FAULTS: [Condition; 3] = [
+        Condition::Refusing,
+        Condition::Rejecting,
+        Condition::Invalid,
+    ];
+    for drain_grace in DRAIN_GRACES {
+        let discovery = Discovery {
+            max_connect_time: 2 * MS,
+            max_answer_time: 10 * MS,
+            conditions: &VISIBLE_FAULTS,
         };
-        holds(ListSource::Pushed { drain_grace: grace }, &near, grace / 4);
+        check_delay(
+            ListSource::Pushed { drain_grace },
+            &discovery,
+            drain_grace / 4,
+        );
     }
 }
 
@@ -560,19 +582,19 @@
         }
     }
     let seconds: Vec<u64> = calls.windows(10).map(|w| w.iter().sum()).collect();
-    let worst = seconds.iter().copied().max().unwrap_or(0);
-    let settled = &seconds[200..];
+    let worst_rate = seconds.iter().copied().max().unwrap_or(0);
+    let settled_rates = &seconds[200..];
     println!(
-        "worst {worst} a second, settled {:?} to {:?}",
-        settled.iter().min(),
-        settled.iter().max()
+        "worst {worst_rate} a second, settled {:?} to {:?}",
+        settled_rates.iter().min(),
+        settled_rates.iter().max()
     );
-    assert!(worst <= 2 * ROUTERS, "{seconds:?}");
+    assert!(worst_rate <= 2 * ROUTERS, "{seconds:?}");
     assert!(
-        settled
+        settled_rates
             .iter()
             .all(|n| (ROUTERS / 6..=ROUTERS * 2 / 5).contains(n)),
-        "{settled:?}"
+        "{settled_rates:?}"
     );
     // The retries are spread: no tenth of a second sees more than a third of the routers.
     assert!(
@@ -584,16 +606,22 @@
 
 #[test]
 fn a_silent_local_agent_is_called_again_within_the_grace_and_not_too_often() {
-    for grace in [0, 1, 500 * MS, S, 1_500 * MS, 3_600 * S] {
-        let mut schedule = WatchSchedule::new(ListSource::Pushed { drain_grace: grace }, 6);
+    for drain_grace in [0, 1, 500 * MS, S, 1_500 * MS, 3_600 * S] {
+        let mut schedule = WatchSchedule::new(ListSource::Pushed { drain_grace }, 6);
         let mut now = 0;
         for _ in 0..100 {
             schedule.begin_connection(now);
             let (_, until) = schedule.begin_call(now, true);
             let next = schedule.record_silence(until);
-            let took = next - now;
-            assert!((100 * MS..=5 * S).contains(&took), "{grace}: {took}");
-            assert!(took < grace.max(150 * MS), "{grace}: {took}");
+            let elapsed = next - now;
+            assert!(
+                (100 * MS..=5 * S).contains(&elapsed),
+                "{drain_grace}: {elapsed}"
+            );
+            assert!(
+                elapsed < drain_grace.max(150 * MS),
+                "{drain_grace}: {elapsed}"
+            );
             now = next;
         }
     }
