--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -102,7 +102,7 @@
 impl Harness {
     /// Creates a balancer that knows the primary `p` and the replicas `r1` and `r2` of group 1.
     pub fn new(settings: Settings) -> Self {
-        Self::with(
+        Self::with_endpoints(
             settings,
             vec![
                 endpoint("p", true),
@@ -112,7 +112,8 @@
         )
     }
 
-    pub fn with(settings: Settings, endpoints: Vec<Endpoint>) -> Self {
+    /// Creates a balancer that knows these endpoints.
+    pub fn with_endpoints(settings: Settings, endpoints: Vec<Endpoint>) -> Self {
         let mut harness = Harness {
             balancer: Balancer::new(settings, 7),
             now: T0,
--- a/tests/large_fleets.rs
+++ b/tests/large_fleets.rs
@@ -54,7 +54,7 @@
 fn an_overload_rejects_requests_in_a_large_fleet_until_it_ends() {
     // With a minimum limit of one attempt for each router, 500 routers kept full queues full and nothing was answered
     // in time.
-    let mut harness = Harness::with(large_fleet(), vec![endpoint("p", true)]);
+    let mut harness = Harness::with_endpoints(large_fleet(), vec![endpoint("p", true)]);
     let rejected_in_overload = count_rejected(
         &mut harness,
         1,
@@ -93,7 +93,7 @@
 fn timeouts_alone_show_an_overload() {
     // Only answers counted as slowness. A router with one request every other second to a node learned of the overload
     // from the few answers that arrived, and 100 routers kept a queue full from which nothing was answered in time.
-    let mut harness = Harness::with(large_fleet(), vec![endpoint("p", true)]);
+    let mut harness = Harness::with_endpoints(large_fleet(), vec![endpoint("p", true)]);
     let rejected = count_rejected(
         &mut harness,
         1,
@@ -107,7 +107,7 @@
 
 #[test]
 fn a_few_routers_rely_on_the_concurrency_limit() {
-    let mut harness = Harness::with(
+    let mut harness = Harness::with_endpoints(
         Settings {
             router_count: 4,
             ..large_fleet()
@@ -132,7 +132,7 @@
 fn varying_latency_of_healthy_nodes_rejects_nothing() {
     // An admission level that could not rise above its start fell through normal variation alone, and several in 100
     // requests were rejected.
-    let mut harness = Harness::with(large_fleet(), vec![endpoint("p", true)]);
+    let mut harness = Harness::with_endpoints(large_fleet(), vec![endpoint("p", true)]);
     let mut rejected = 0;
     for round in 0..100 {
         for (number, elapsed) in [20, 150, 40, 60].into_iter().enumerate() {
@@ -223,7 +223,7 @@
         Some("r1")
     );
     // An old report has little weight: the node is tried again after less load was reported.
-    let mut old = Harness::with(reporting_fleet(), vec![endpoint("r1", false)]);
+    let mut old = Harness::with_endpoints(reporting_fleet(), vec![endpoint("r1", false)]);
     report_load(&mut old, "r1", 60, 1_000);
     old.advance(30_000 * MS);
     report_load(&mut old, "r1", 3, 500);
@@ -233,7 +233,7 @@
 #[test]
 fn reads_yield_to_writes_at_a_slow_primary() {
     // Reads for which no replica was proved fresh crowded on primaries, where writes waited a second behind them.
-    let mut harness = Harness::with(reporting_fleet(), vec![endpoint("p", true)]);
+    let mut harness = Harness::with_endpoints(reporting_fleet(), vec![endpoint("p", true)]);
     for id in 1..=3 {
         assert!(
             harness
@@ -268,7 +268,7 @@
 
 #[test]
 fn a_warming_node_gets_its_share_from_all_routers_together() {
-    // One attempt per time window and router was allowed; 450 routers overloaded the node (rule 4).
+    // One attempt per time window and router was allowed; 450 routers overloaded the node (rule 4 of the service).
     let warming = Endpoint {
         started_at: Some(T0),
         ..endpoint("r1", false)
@@ -282,12 +282,12 @@
 }
 
 /// Returns how many of 500 routers that have just received the list send a request of this class.
-fn count_senders(entries: &[Endpoint], class: usize) -> usize {
-    count_senders_at_load(entries, class, 0)
+fn count_senders(endpoints: &[Endpoint], class: usize) -> usize {
+    count_senders_at_load(endpoints, class, 0)
 }
 
 /// Returns the same number if each node has reported `in_flight` requests.
-fn count_senders_at_load(entries: &[Endpoint], class: usize, in_flight: u32) -> usize {
+fn count_senders_at_load(endpoints: &[Endpoint], class: usize, in_flight: u32) -> usize {
     let sends = |index: u32| {
         let mut balancer = Balancer::new(
             Settings {
@@ -297,16 +297,16 @@
             u64::from(index) * 7_919 + 3,
         );
         let mut events = vec![Event::EndpointsChanged(EndpointUpdate::Full(
-            entries.to_vec(),
+            endpoints.to_vec(),
         ))];
-        for entry in entries.iter().filter(|_| in_flight > 0) {
+        for endpoint in endpoints.iter().filter(|_| in_flight > 0) {
             let report = NodeReport {
                 in_flight: Some(in_flight),
                 utilization_permille: Some(1_000),
                 ..node_report(Role::Replica, T0 - MS)
             };
             events.push(Event::HealthChecked {
-                node: entry.node.clone(),
+                node: endpoint.node.clone(),
                 answered: true,
                 load_report: report,
             });
@@ -323,7 +323,7 @@
 fn the_queue_of_a_warming_node_counts_by_its_warm_share() {
     // When all warm replicas of a group were full, the requests that they rejected went to the warming ones, whose
     // queues were judged as if the nodes were warm: 190 requests in 2 s, more than half of them rejected elsewhere
-    // first. One node failed (rule 4).
+    // first. One node failed (rule 4 of the service).
     let five_replicas = |started| {
         (0..5).map(move |n| Endpoint {
             started_at: started,
@@ -386,7 +386,7 @@
         }
     };
     let polls_after = |event: fn(Time) -> (Time, Micros)| {
-        let mut harness = Harness::with(
+        let mut harness = Harness::with_endpoints(
             reporting_fleet(),
             vec![endpoint("p", true), endpoint("r1", false)],
         );
@@ -422,12 +422,12 @@
 fn no_health_checks_while_replicas_serve() {
     // Each router polled every replica of every group that it had used; health checks cost a tenth of all weight
     // earned.
-    let cfg = Settings {
+    let settings = Settings {
         health_checks_allowed: true,
         reports: ReportSource::HealthChecks,
         ..large_fleet()
     };
-    let mut harness = Harness::new(cfg);
+    let mut harness = Harness::new(settings);
     let mut polled = 0;
     for id in 1..=50 {
         harness.send_request(request_info(id, BOUNDED));
@@ -445,14 +445,14 @@
     // No replica had been polled yet, so all tied and each of 100 routers polled the first by name. All of them then
     // knew that replica to be fresh and no other: the reads of the whole fleet went there, until it answered none in
     // time.
-    let cfg = |index| Settings {
+    let settings = |index| Settings {
         router_index: index,
         ..reporting_fleet()
     };
     let replicas: Vec<Endpoint> = (0..5).map(|n| endpoint(&format!("r{n}"), false)).collect();
     let mut polled = [0; 5];
     for index in 0..500 {
-        let mut harness = Harness::with(cfg(index), replicas.clone());
+        let mut harness = Harness::with_endpoints(settings(index), replicas.clone());
         harness.send_request(request_info(1, BOUNDED));
         for (number, node) in replicas.iter().enumerate() {
             polled[number] += harness
@@ -470,13 +470,13 @@
 
 #[test]
 fn a_read_that_needs_proof_waits_for_the_polled_replica() {
-    let cfg = Settings {
+    let settings = Settings {
         health_checks_allowed: true,
         reports: ReportSource::Answers,
         replica_check: ReplicaCheck::None,
         ..large_fleet()
     };
-    let mut harness = Harness::new(cfg);
+    let mut harness = Harness::new(settings);
     assert_eq!(
         harness.send_request(request_info(1, BOUNDED)),
         None,
@@ -510,7 +510,7 @@
         group: 1 + n / 2,
         ..endpoint(&format!("r{n}"), false)
     };
-    let mut harness = Harness::with(large_fleet(), (0..6).map(replica).collect());
+    let mut harness = Harness::with_endpoints(large_fleet(), (0..6).map(replica).collect());
     let mut ejected = 0;
     for id in 1..=60 {
         if harness.send_request(request_info(id, ANY)).is_some() {
@@ -633,7 +633,7 @@
 fn a_node_that_refuses_connections_closes_none_elsewhere() {
     // Dead nodes refuse connections at once, as full ones do. After the loss of a zone, 300 routers closed every
     // connection to every node after each use for 30 s: 110,000 handshakes in 20 s instead of 38,000 connections.
-    let mut harness = Harness::with(
+    let mut harness = Harness::with_endpoints(
         large_fleet(),
         vec![endpoint("r1", false), endpoint("r2", false)],
     );
@@ -691,7 +691,7 @@
         started_at: Some(T0),
         ..endpoint("r3", false)
     };
-    let mut harness = Harness::with(
+    let mut harness = Harness::with_endpoints(
         reporting_fleet(),
         vec![
             endpoint("p", true),
@@ -737,7 +737,7 @@
         ..large_fleet()
     };
     long_deadline.classes[AT_MOST_ONCE].latency_objective = 5_000 * MS;
-    let mut harness = Harness::with(long_deadline, vec![endpoint("p", true)]);
+    let mut harness = Harness::with_endpoints(long_deadline, vec![endpoint("p", true)]);
     let mut sent = vec![harness.now];
     let mut target = harness.send_request(RequestInfo {
         time_left: 5_000 * MS,
@@ -831,7 +831,7 @@
             ..settings
         };
         let mut harness =
-            Harness::with(settings, vec![endpoint("r1", false), endpoint("r2", false)]);
+            Harness::with_endpoints(settings, vec![endpoint("r1", false), endpoint("r2", false)]);
         let (mut polls, mut attempts) = (0, 0);
         let mut target = harness.send_request(RequestInfo {
             time_left: 3_000 * MS,
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -49,7 +49,7 @@
         weight: 4.0,
         ..endpoint("r2", false)
     };
-    let mut harness = Harness::with(
+    let mut harness = Harness::with_endpoints(
         settings(),
         vec![endpoint("p", true), endpoint("r1", false), heavy],
     );
@@ -101,7 +101,7 @@
         zone: "there".into(),
         ..endpoint("r1", false)
     };
-    let mut harness = Harness::with(
+    let mut harness = Harness::with_endpoints(
         settings(),
         vec![endpoint("p", true), far, endpoint("r2", false)],
     );
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -1,5 +1,6 @@
-//! Random orders of events, from fixed seeds: whatever happens, the first three rules hold and no request leaves its
-//! group. The checks keep a record of their own, built from the actions alone.
+//! Random orders of events, from fixed seeds. Whatever happens, each request gets one final answer in time, no attempt
+//! goes to a draining or removed node or repeats what must not run twice (the first three rules of the service), and no
+//! request leaves its group. The checks keep a record of their own, built from the actions alone.
 
 mod common;
 
@@ -67,9 +68,9 @@
                 assert_eq!(endpoint.group, record.group, "sent outside its group");
                 let is_past_grace = closed.is_some_and(|at| now > at + self.settings.drain_grace);
                 assert!(!is_past_grace, "sent to a draining or removed node");
-                let is_in_flight = record.attempts.iter().filter(|t| t.is_in_flight).count();
+                let in_flight_count = record.attempts.iter().filter(|t| t.is_in_flight).count();
                 assert!(
-                    is_in_flight == 0 || (self.settings.hedging_allowed && is_in_flight == 1),
+                    in_flight_count == 0 || (self.settings.hedging_allowed && in_flight_count == 1),
                     "too many attempts at once"
                 );
                 assert!(
@@ -230,8 +231,8 @@
     }
 }
 
-fn record_list(checker: &mut Checker, now: Time, endpoints: &[Endpoint], full: bool) {
-    let open = checker.settings.removed_nodes_stay_open;
+fn record_list(checker: &mut Checker, now: Time, endpoints: &[Endpoint], is_full: bool) {
+    let stay_open = checker.settings.removed_nodes_stay_open;
     for endpoint in endpoints {
         let closed_before = checker
             .nodes
@@ -239,14 +240,14 @@
             .and_then(|(_, closed)| *closed);
         let closed = match endpoint.state {
             EndpointState::Serving => None,
-            EndpointState::Removed if open => closed_before,
+            EndpointState::Removed if stay_open => closed_before,
             _ => closed_before.or(Some(now)),
         };
         checker
             .nodes
             .insert(endpoint.node.clone(), (endpoint.clone(), closed));
     }
-    if full && !open {
+    if is_full && !stay_open {
         let listed: BTreeSet<&NodeId> = endpoints.iter().map(|endpoint| &endpoint.node).collect();
         for (_, (_, closed)) in checker
             .nodes
@@ -323,9 +324,9 @@
         for id in ids {
             let record = checker.requests.get_mut(&id).expect("listed");
             for number in 0..record.attempts.len() {
-                let t = &mut record.attempts[number];
-                let timed_out = now >= t.times_out_at;
-                if !t.is_in_flight || !(timed_out || rng.chance(6)) {
+                let attempt = &mut record.attempts[number];
+                let timed_out = now >= attempt.times_out_at;
+                if !attempt.is_in_flight || !(timed_out || rng.chance(6)) {
                     continue;
                 }
                 let end = if timed_out {
@@ -333,14 +334,14 @@
                 } else {
                     random_end(&mut rng)
                 };
-                t.is_in_flight = false;
+                attempt.is_in_flight = false;
                 let not_executed_ends = [
                     AttemptEnd::Overloaded,
                     AttemptEnd::Unreachable,
                     AttemptEnd::NeverSent,
                     AttemptEnd::Misdirected,
                 ];
-                t.not_executed = not_executed_ends.contains(&end);
+                attempt.not_executed = not_executed_ends.contains(&end);
                 if end == AttemptEnd::Success && !record.is_over {
                     record.is_over = true;
                     checker.answered += 1;
@@ -350,7 +351,7 @@
                     request: id,
                     attempt: number as u32,
                     end,
-                    elapsed: now - t.sent_at,
+                    elapsed: now - attempt.sent_at,
                     request_over: record.is_over,
                     answer_report: random_report(&mut rng, now),
                     load_report: random_report(&mut rng, now),
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -8,7 +8,8 @@
 #[test]
 fn an_unchanged_position_means_a_growing_lag() {
     // A stalled replica that kept reporting the same position looked as fresh as when it first reported it.
-    let mut harness = Harness::with(settings(), vec![endpoint("p", true), endpoint("r1", false)]);
+    let mut harness =
+        Harness::with_endpoints(settings(), vec![endpoint("p", true), endpoint("r1", false)]);
     let stalled_position = harness.now;
     for id in 1..=4 {
         assert_eq!(
@@ -34,7 +35,7 @@
 fn no_last_resort_read_at_a_replica_known_to_lag() {
     // While no primary could be reached, each such read was sent to a lagging replica, which rejected it as
     // misdirected, over and over.
-    let mut harness = Harness::with(settings(), vec![endpoint("r1", false)]);
+    let mut harness = Harness::with_endpoints(settings(), vec![endpoint("r1", false)]);
     harness.send_request(request_info(1, ANY));
     let lagging_report = node_report(Role::Replica, harness.now - 5_000 * MS);
     harness.end_attempt(1, 0, AttemptEnd::Success, lagging_report);
@@ -48,7 +49,7 @@
         started_at: Some(T0),
         ..endpoint("r1", false)
     };
-    let mut harness = Harness::with(settings(), vec![endpoint("p", true), warming]);
+    let mut harness = Harness::with_endpoints(settings(), vec![endpoint("p", true), warming]);
     assert_eq!(
         harness.send_request(request_info(1, BOUNDED)).as_deref(),
         Some("p")
@@ -63,9 +64,9 @@
         started_at: Some(T0),
         ..endpoint("r1", false)
     };
-    let mut harness = Harness::with(settings(), vec![endpoint("p", true), warming]);
-    for turn in 0..4 {
-        let first = 1 + turn * 5;
+    let mut harness = Harness::with_endpoints(settings(), vec![endpoint("p", true), warming]);
+    for slot in 0..4 {
+        let first = 1 + slot * 5;
         let targets: Vec<_> = (first..first + 5)
             .filter_map(|id| harness.send_request(request_info(id, ANY)))
             .collect();
@@ -105,19 +106,19 @@
     }
     let mut ejections = 0;
     for _ in 0..40 {
-        let log = harness
+        let count = harness
             .advance(20 * MS)
             .iter()
             .filter(|a| matches!(a, Action::Log(l) if l.reason == LogEvent::EJECTED))
             .count();
-        ejections += log;
+        ejections += count;
     }
     assert!(ejections <= 1, "{ejections} of 3 nodes ejected");
 }
 
 #[test]
 fn a_silent_node_is_ejected_and_gets_one_trial() {
-    let mut harness = Harness::with(
+    let mut harness = Harness::with_endpoints(
         settings(),
         (0..6).map(|n| endpoint(&format!("r{n}"), false)).collect(),
     );
@@ -248,7 +249,7 @@
 
 #[test]
 fn a_draining_node_gets_no_requests_and_may_return() {
-    let mut harness = Harness::with(settings(), vec![endpoint("r1", false)]);
+    let mut harness = Harness::with_endpoints(settings(), vec![endpoint("r1", false)]);
     let state = |state| {
         Event::EndpointsChanged(EndpointUpdate::Changes(vec![Endpoint {
             state,
@@ -369,9 +370,9 @@
 #[test]
 fn a_retry_past_its_objective_is_rejected_under_overload() {
     // Under overload, retries past their latency objective, which earn nothing, took the places of new requests.
-    let mut cfg = settings();
-    cfg.classes[ANY].late_weight_share = 0.0;
-    let mut harness = Harness::with(cfg, vec![endpoint("r1", false)]);
+    let mut settings = settings();
+    settings.classes[ANY].late_weight_share = 0.0;
+    let mut harness = Harness::with_endpoints(settings, vec![endpoint("r1", false)]);
     let mut id = 0;
     let mut fill_queue = |harness: &mut Harness| loop {
         id += 1;
@@ -401,7 +402,7 @@
 
 #[test]
 fn a_failed_subscription_is_renewed_after_a_pause() {
-    let mut harness = Harness::with(
+    let mut harness = Harness::with_endpoints(
         Settings {
             subscribe: true,
             ..settings()
@@ -459,7 +460,7 @@
         state: EndpointState::Removed,
         ..endpoint("r1", false)
     };
-    let mut harness = Harness::with(
+    let mut harness = Harness::with_endpoints(
         settings(),
         vec![endpoint("r1", false), endpoint("r1", false)],
     );
@@ -530,7 +531,7 @@
     // The requests in one queue are late together. Healthy nodes were ejected some sixty times a day, and the requests
     // that were cancelled there ran on and were also sent elsewhere.
     for is_answered in [true, false] {
-        let mut harness = Harness::with(
+        let mut harness = Harness::with_endpoints(
             polling_settings(),
             (0..6).map(|n| endpoint(&format!("r{n}"), false)).collect(),
         );
@@ -564,7 +565,7 @@
 fn long_reads_go_to_the_replica_that_is_furthest_behind() {
     // A long read delays the application of the log where it runs. Spread over all replicas, long reads kept every
     // replica from staying fresh, and the reads that need fresh data crowded on the primary.
-    let mut harness = Harness::with(
+    let mut harness = Harness::with_endpoints(
         polling_settings(),
         (0..4).map(|n| endpoint(&format!("r{n}"), false)).collect(),
     );
@@ -595,7 +596,7 @@
 #[test]
 fn a_replica_that_is_no_longer_fresh_is_polled_though_another_is_fresh() {
     // When replicas were polled only if none was fresh, all reads that need fresh data crowded on the one polled last.
-    let mut harness = Harness::with(
+    let mut harness = Harness::with_endpoints(
         polling_settings(),
         vec![
             endpoint("p", true),
@@ -630,7 +631,7 @@
 fn requests_of_clients_that_leave_early_are_rejected_early() {
     // Clients announced 266 ms and left after 140 ms. A fifth of the work was for clients that had left and sent their
     // requests again.
-    let mut harness = Harness::with(settings(), vec![endpoint("r1", false)]);
+    let mut harness = Harness::with_endpoints(settings(), vec![endpoint("r1", false)]);
     for id in 1..=8 {
         harness.send_request(request_info(id, ANY));
         harness.advance(100 * MS);
@@ -655,7 +656,8 @@
 #[test]
 fn removed_nodes_are_forgotten_once_nothing_is_in_flight_there() {
     // Over days of node replacements, each under a new name, the tables grew without bound.
-    let mut harness = Harness::with(settings(), vec![endpoint("p", true), endpoint("r1", false)]);
+    let mut harness =
+        Harness::with_endpoints(settings(), vec![endpoint("p", true), endpoint("r1", false)]);
     assert_eq!(
         harness.send_request(request_info(1, ANY)).as_deref(),
         Some("r1")
@@ -704,11 +706,11 @@
 fn removed_nodes_that_stay_open_are_used_while_they_answer_and_then_forgotten() {
     // If removed nodes stay open, days of node replacements would fill the table, and each selection would search all
     // of it.
-    let cfg = Settings {
+    let settings = Settings {
         removed_nodes_stay_open: true,
         ..settings()
     };
-    let mut balancer = Balancer::new(cfg, 1);
+    let mut balancer = Balancer::new(settings, 1);
     let list = |n: u64| {
         Event::EndpointsChanged(EndpointUpdate::Full(vec![
             endpoint("p", true),
--- a/tests/slow_start_slots.rs
+++ b/tests/slow_start_slots.rs
@@ -23,18 +23,18 @@
 fn fleet_settings(index: u32, routers: u32) -> Settings {
     // More than 24 routers use slots if the overload factor is low: up to 96 divided by it.
     let overload_factor = if routers > 24 { 2.0 } else { 4.0 };
-    let mut fleet_settings = Settings {
+    let mut settings = Settings {
         router_index: index,
         router_count: routers,
         overload_factor,
         overload_duration: 2_000 * MS,
         ..settings()
     };
-    fleet_settings.classes.push(Class {
+    settings.classes.push(Class {
         latency_objective: 1_200 * MS,
         ..class("long", Access::Any, Idempotency::Idempotent)
     });
-    fleet_settings
+    settings
 }
 
 fn work(class: usize) -> f64 {
@@ -43,11 +43,11 @@
 
 /// Returns the budget of a time window that ends at `end` (us of work).
 fn budget(end: Time, routers: u32) -> f64 {
-    let fleet_settings = fleet_settings(0, routers);
-    let warm = fleet_settings.slow_start_min_share
-        + (1.0 - fleet_settings.slow_start_min_share) * (end - T0) as f64
-            / fleet_settings.slow_start_duration as f64;
-    fleet_settings.overload_factor * warm * ASSUMED_CORES * fleet_settings.overload_duration as f64
+    let settings = fleet_settings(0, routers);
+    let warm = settings.slow_start_min_share
+        + (1.0 - settings.slow_start_min_share) * (end - T0) as f64
+            / settings.slow_start_duration as f64;
+    settings.overload_factor * warm * ASSUMED_CORES * settings.overload_duration as f64
 }
 
 /// A generator of random numbers from 0 to 1 (splitmix64).
--- a/tests/tenants.rs
+++ b/tests/tenants.rs
@@ -127,7 +127,7 @@
         router_count: 24,
         ..settings_with_quotas(&[0.0, 1_000.0])
     };
-    let mut harness = Harness::with(quotas, vec![endpoint("r1", false)]);
+    let mut harness = Harness::with_endpoints(quotas, vec![endpoint("r1", false)]);
     assert_eq!(send_answered(&mut harness, A, 0..4, MS).sent, 4);
     harness.handle_batch(vec![
         Event::RequestArrived(request_of(A, 100, ANY)),
@@ -193,7 +193,8 @@
         health_checks_allowed: true,
         ..settings_with_quotas(quotas)
     };
-    let mut harness = Harness::with(settings, vec![endpoint("r1", false), endpoint("r2", false)]);
+    let mut harness =
+        Harness::with_endpoints(settings, vec![endpoint("r1", false), endpoint("r2", false)]);
     for node in ["r1", "r2"] {
         let report = NodeReport {
             in_flight: Some(in_flight),
