--- a/engine/src/watch_schedule.rs
+++ b/engine/src/watch_schedule.rs
@@ -1,14 +1,14 @@
 //! The schedule of a watch on the endpoint list: how long each call asks the service to wait for a change, when a call
 //! counts as silent, and when the next call is made.
 //!
-//! A watch whose call is never answered hides every change until the next call. Of 300 routers that waited 25 s for such a
-//! call, 279 learned of nine changes only when all was over; by then nearly half of the requests had been rejected.
-//! Separate bounds on the wait, the answer margin and the pause did not keep the limit of [`MAX_UPDATE_DELAY`]: consecutive
-//! failures added 0.7 to 1 s to it.
+//! A watch whose call is never answered hides every change until the next call. Of 300 routers that waited 25 s for
+//! such a call, 279 learned of nine changes only when all was over; by then nearly half of the requests had been
+//! rejected. Separate bounds on the wait, the answer margin and the pause did not keep the limit of
+//! [`MAX_UPDATE_DELAY`]: consecutive failures added 0.7 to 1 s to it.
 //!
-//! So one limit covers them all. A *cycle* starts with each call, or with opening the connection for it, and the next call
-//! is made at most one cycle later, whatever becomes of this one. Connecting, the wait, the answer margin and the pause
-//! share the cycle.
+//! So one limit covers them all. A *cycle* starts with each call, or with opening the connection for it, and the next
+//! call is made at most one cycle later, whatever becomes of this one. Connecting, the wait, the answer margin and the
+//! pause share the cycle.
 
 use crate::Backoff;
 use plovercove::{Micros, Time};
@@ -20,12 +20,13 @@
 const NEXT_CALL_RESERVE: Micros = 1_000_000;
 /// Minimum length of a cycle, however short the drain grace is: seven calls a second cost a router nothing noticeable.
 const MIN_CYCLE: Micros = 140_000;
-/// Pause after an answer without a change that came at once instead of after the wait. It prevents a busy loop, and is half
-/// of the 200 ms within which the next call still continues the watch.
+/// Pause after an answer without a change that came at once instead of after the wait. It prevents a busy loop, and is
+/// half of the 200 ms within which the next call still continues the watch.
 const EARLY_ANSWER_PAUSE: Micros = 100_000;
 /// Factor on the lateness of the last answers by which an answer may be late.
 const LATENESS_FACTOR: Micros = 2;
-/// Divisor for the largest part of a wait that a random draw takes away, so that the calls of routers do not end together.
+/// Divisor for the largest part of a wait that a random draw takes away, so that the calls of routers do not end
+/// together.
 const JITTER_DIVISOR: Micros = 6;
 
 /// How a router gets its endpoint lists.
@@ -33,8 +34,8 @@
 pub enum ListSource {
     /// It polls one service of fixed capacity, which all routers share.
     Polled,
-    /// Lists are pushed to an agent on the router's own machine, where calls cost nothing. The router is expected to know
-    /// at once what the agent knows.
+    /// Lists are pushed to an agent on the router's own machine, where calls cost nothing. The router is expected to
+    /// know at once what the agent knows.
     Pushed {
         /// Time after a change within which a router may still send to a draining node.
         drain_grace: Micros,
@@ -42,8 +43,8 @@
 }
 
 impl ListSource {
-    /// Returns the longest time from one call to the next: the maximum update delay less the reserve for the next call, or
-    /// seven eighths of the drain grace.
+    /// Returns the longest time from one call to the next: the maximum update delay less the reserve for the next call,
+    /// or seven eighths of the drain grace.
     fn cycle(self) -> Micros {
         match self {
             ListSource::Polled => MAX_UPDATE_DELAY - NEXT_CALL_RESERVE,
@@ -52,21 +53,21 @@
         }
     }
 
-    /// Returns the part of a cycle that is reserved for the pause after a silent call, and the first and the longest pause
-    /// after other failures. All three are an eighth of the drain grace if calls cost nothing.
+    /// Returns the part of a cycle that is reserved for the pause after a silent call, and the first and the longest
+    /// pause after other failures. All three are an eighth of the drain grace if calls cost nothing.
     fn pauses(self) -> (Micros, Micros, Micros) {
         let cycle = self.cycle();
         match self {
-            // The routers' calls may all fail at once. The retries are spread over half a second at first and become rarer
-            // with each failure.
+            // The routers' calls may all fail at once. The retries are spread over half a second at first and become
+            // rarer with each failure.
             ListSource::Polled => (cycle / 10, cycle / 5, cycle),
             ListSource::Pushed { .. } => (cycle / 7, cycle / 7, cycle / 7),
         }
     }
 
-    /// Returns the time over which routers spread their first calls after a change of service. A router has 4 s to know what
-    /// the new service knows, and half a second leaves room for one lost call and its pause. An agent on the router's own
-    /// machine is called at once.
+    /// Returns the time over which routers spread their first calls after a change of service. A router has 4 s to know
+    /// what the new service knows, and half a second leaves room for one lost call and its pause. An agent on the
+    /// router's own machine is called at once.
     fn spread(self) -> Micros {
         match self {
             ListSource::Polled => self.cycle() / 10,
@@ -122,8 +123,8 @@
         now + self.cycle / 4
     }
 
-    /// Records that a call is made, for changes or for the complete list. Returns the wait to ask for, and the time at which
-    /// the call counts as silent.
+    /// Records that a call is made, for changes or for the complete list. Returns the wait to ask for, and the time at
+    /// which the call counts as silent.
     pub fn begin_call(&mut self, now: Time, asks_for_changes: bool) -> (Micros, Time) {
         if !std::mem::take(&mut self.is_connecting) {
             self.cycle_started_at = now;
@@ -133,12 +134,12 @@
             self.answer_margin(),
         );
         let full_wait = self.max_call_duration() - answer_margin;
-        // A change reaches all watches at the same time. Without a random draw their next calls would end together, over and
-        // over.
+        // A change reaches all watches at the same time. Without a random draw their next calls would end together,
+        // over and over.
         let drawn_wait = full_wait - self.backoff.random_below(full_wait / JITTER_DIVISOR);
-        // The time spent on connecting shortens the wait but is no part of the draw, so that equal seeds give equal waits.
-        // After a change of service the first call asks for no wait: the router has to know the service's list before a
-        // full wait is over, and the call may be lost.
+        // The time spent on connecting shortens the wait but is no part of the draw, so that equal seeds give equal
+        // waits. After a change of service the first call asks for no wait: the router has to know the service's list
+        // before a full wait is over, and the call may be lost.
         let is_first_after_change = std::mem::take(&mut self.is_first_after_change);
         let wait = if asks_for_changes && !is_first_after_change {
             drawn_wait.min(end.saturating_sub(now).saturating_sub(answer_margin))
@@ -154,9 +155,9 @@
         self.cycle - self.pause_reserve
     }
 
-    /// Returns how much longer than its wait a call may take to be answered. It is long enough that a late turn of a busy
-    /// machine does not look like silence. It leaves time for a wait, since calls without one would follow each other at
-    /// once.
+    /// Returns how much longer than its wait a call may take to be answered. It is long enough that a late turn of a
+    /// busy machine does not look like silence. It leaves time for a wait, since calls without one would follow each
+    /// other at once.
     fn answer_margin(&self) -> Micros {
         (LATENESS_FACTOR * self.lateness).clamp(
             self.max_call_duration() / 3,
@@ -182,8 +183,8 @@
 
     /// Records that no answer came in time. Returns the time of the next call.
     pub fn record_silence(&mut self, now: Time) -> Time {
-        // The next call waits less and leaves more time for its answer. Otherwise the answers of a service that is always later than
-        // the calls allow would never be received.
+        // The next call waits less and leaves more time for its answer. Otherwise the answers of a service that is
+        // always later than the calls allow would never be received.
         self.lateness = self.answer_margin();
         self.record_failure(now)
     }
@@ -199,8 +200,8 @@
         }
     }
 
-    /// Records that the connection could not be opened or broke, or that the call was rejected. Returns the time of the next
-    /// call.
+    /// Records that the connection could not be opened or broke, or that the call was rejected. Returns the time of the
+    /// next call.
     pub fn record_failure(&mut self, now: Time) -> Time {
         self.is_connecting = false;
         self.backoff.record_failure_within(
@@ -209,8 +210,8 @@
         )
     }
 
-    /// Records that the next call goes to another service, or to a service that is reported to work again: earlier failures
-    /// no longer count. Returns the time of the next call, which is soon and within the current cycle.
+    /// Records that the next call goes to another service, or to a service that is reported to work again: earlier
+    /// failures no longer count. Returns the time of the next call, which is soon and within the current cycle.
     pub fn record_service_change(&mut self, now: Time) -> Time {
         (self.lateness, self.is_connecting, self.last_answer_invalid) = (0, false, false);
         self.is_first_after_change = true;
--- a/src/attempt_outcome.rs
+++ b/src/attempt_outcome.rs
@@ -265,19 +265,19 @@
             .expect("looked up before");
         if observation.end == AttemptEnd::Unreachable {
             let refused_at_once = observation.elapsed < FULL_NODE_BACKOFF;
-            let scarce_for = if refused_at_once {
+            let close_after_use_for = if refused_at_once {
                 self.settings.connection_idle
             } else {
                 0
             };
-            node.connections_scarce_until = now + scarce_for;
+            node.close_after_use_until = now + close_after_use_for;
         }
         node.is_connected = !matches!(
             observation.end,
             AttemptEnd::Unreachable | AttemptEnd::Reset | AttemptEnd::NeverSent
         );
         let is_idle = node.is_connected && node.in_flight.is_empty();
-        if self.has_sparse_view && is_idle && now < node.connections_scarce_until {
+        if self.has_sparse_view && is_idle && now < node.close_after_use_until {
             node.is_connected = false;
             actions.push(Action::CloseIdle(observation.node.clone()));
         }
--- a/src/node.rs
+++ b/src/node.rs
@@ -54,7 +54,7 @@
     /// Whether a connection to the node is open, as far as the decisions know.
     pub(crate) is_connected: bool,
     /// Time until which connections to the node are closed after use, because its connection table was full.
-    pub(crate) connections_scarce_until: Time,
+    pub(crate) close_after_use_until: Time,
     pub(crate) external_load: ExternalLoad,
     /// Sort key in this router's own order of nodes, which differs from router to router.
     pub(crate) router_order: u64,
@@ -83,7 +83,7 @@
             checked_at: 0,
             reported_at: 0,
             is_connected: false,
-            connections_scarce_until: now,
+            close_after_use_until: now,
             external_load: ExternalLoad::default(),
             locality_share: None,
             slot_spending: SlotSpending::default(),
@@ -96,7 +96,7 @@
         self.outlier.restart(now);
         self.slowness = Slowness::new(now);
         self.limit.reset(router_count);
-        self.connections_scarce_until = now;
+        self.close_after_use_until = now;
     }
 
     pub(crate) fn id(&self) -> &NodeId {
--- a/src/outlier_detection.rs
+++ b/src/outlier_detection.rs
@@ -52,11 +52,11 @@
     /// Resets the state because the node's process has restarted.
     pub(crate) fn restart(&mut self, now: Time) {
         self.is_ejected = false;
-        self.answered(now);
+        self.clear_failures(now);
     }
 
     /// Clears the recorded failures after an answer.
-    fn answered(&mut self, now: Time) {
+    fn clear_failures(&mut self, now: Time) {
         self.unanswered_waits = 0.0;
         self.last_answer_at = now;
         self.trial_backoff = FIRST_TRIAL_BACKOFF;
@@ -96,7 +96,7 @@
 impl Node {
     /// Records an answer: it clears all recorded failures and ends an ejection.
     pub(crate) fn observe_answer(&mut self, now: Time, actions: &mut Vec<Action>) {
-        self.outlier.answered(now);
+        self.outlier.clear_failures(now);
         if std::mem::take(&mut self.outlier.is_ejected) {
             let text = format!("node {}: answers again", self.id());
             actions.push(Action::Log(LogEvent::for_node(
@@ -108,7 +108,7 @@
     }
 
     /// Returns whether the node's attempts have waited so long without an answer that it counts as silent.
-    fn looks_silent(&self, now: Time) -> bool {
+    fn is_silent(&self, now: Time) -> bool {
         let waits: f64 = self
             .in_flight
             .values()
@@ -173,7 +173,7 @@
         for id in &self.monitored {
             let node = self.nodes.get_mut(id).expect("monitored nodes are known");
             let may_eject = !node.outlier.is_ejected && (ejected_count + 1) as f64 <= max_ejected;
-            if !may_eject || !node.looks_silent(self.now) {
+            if !may_eject || !node.is_silent(self.now) {
                 continue;
             }
             if self.settings.health_checks_allowed
