--- a/leases/src/voter.rs
+++ b/leases/src/voter.rs
@@ -1,4 +1,4 @@
-//! A router that votes.
+//! The voter: a router that grants leases, and persists what it must not forget across a restart.
 
 use crate::ballot::{Ballot, Holder, VoteOutcome};
 use crate::event::LeaseEvent;
@@ -16,67 +16,79 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
-/// Tokens that one write to the disk allows for: a grant a second writes every quarter of an hour.
+/// Number of tokens by which one write to disk raises the ceiling. At a grant a second, a write is due every quarter of an
+/// hour.
 const TOKEN_CEILING_STEP: u64 = 1_000;
-/// Duties that a decider knows at the most: eight times what the largest fleet has.
+/// Maximum number of leases that a voter keeps: eight times the number of the largest installation.
 const MAX_LEASES: usize = 4_096;
-/// Asks that wait for the disk at the most; the others are sent again by whoever asked.
+/// Maximum number of requests that wait for a write to disk. Candidates retry the requests that are dropped.
 const MAX_DEFERRED_REQUESTS: usize = 256;
-/// So many owners lost ...
+/// Number of holders lost within [`LOSS_WINDOW_US`] that suspends a lease.
 const LOSSES_TO_SUSPEND: usize = 3;
-/// ... within this time set a duty aside (us). A lease that has to end before the next owner is not counted in it.
+/// Time within which the lost holders are counted (us), not including the leases that have to end in between.
 const LOSS_WINDOW_US: Micros = 60_000_000;
-/// A duty is set aside for no longer (us).
+/// Maximum time for which a lease is suspended (us).
 const MAX_SUSPEND_US: Micros = 3_600_000_000;
-/// Share of the datagrams that is kept for renewals: who owns must not lose it because others join.
+/// Share of the datagrams that is reserved for renewals, so that new candidates do not cost a holder its lease.
 const RENEWAL_RESERVE: f64 = 0.3;
 
-/// What it remembers of one duty.
+/// State of one lease at this voter.
 #[derive(Clone, Debug)]
 struct Record {
     ballot: Ballot,
     checkpoint: Option<Checkpoint>,
-    /// Owners whose lease ended without a word of them, and when.
+    /// Holders that neither renewed nor released the lease, and when their lease ended.
     losses: VecDeque<(Time, Holder)>,
-    /// Nobody gets it until then ...
+    /// End of the current or latest suspension.
     suspended_until: Time,
-    /// ... for the n-th time in a row.
+    /// Number of suspensions in a row.
     suspensions: u32,
 }
 
-/// What another decider said of itself, when.
+/// The latest known state of another voter.
 #[derive(Clone, Debug)]
 struct KnownState {
     state: VoterState,
-    at: Time,
+    received_at: Time,
 }
 
-/// A decider.
+/// A request that waits until the disk covers its token and lease.
+#[derive(Clone, Debug)]
+struct DeferredRequest {
+    from: Member,
+    requested_at: u64,
+    lease_ms: u32,
+    item: RequestItem,
+}
+
+/// A voter.
 #[derive(Clone, Debug)]
 pub(crate) struct Voter {
     me: Member,
     stage: VoterStage,
-    /// Tokens up to this may have been voted for, of any duty.
+    /// The voter may have voted for tokens up to this one, of any lease.
     token_floor: Token,
     records: BTreeMap<LeaseName, Record>,
-    /// On disk.
+    /// The state on disk.
     on_disk: Option<PersistedState>,
-    /// To be written next.
+    /// The state to write next.
     to_write: Option<PersistedState>,
-    /// Handed to the router, and not yet on disk.
+    /// The state that the router is writing.
     being_written: Option<PersistedState>,
-    /// It votes from then on at the earliest.
+    /// Earliest time at which it votes.
     votes_from: Time,
     started_at: Time,
     known_states: BTreeMap<SocketAddr, KnownState>,
     next_query: Time,
-    deferred: Vec<(Member, u64, u32, RequestItem)>,
+    deferred: Vec<DeferredRequest>,
     limiter: RateLimiter,
+    /// Number of requests dropped by the rate limit.
     pub(crate) dropped: u64,
+    /// Another voter has reported a higher token of this voter than its file allows.
     file_is_stale: bool,
 }
 
-/// What it wants sent, and said.
+/// Messages and events that a call has produced.
 #[derive(Default)]
 pub(crate) struct Outbox {
     pub messages: Vec<(SocketAddr, Vec<u8>)>,
@@ -92,7 +104,8 @@
 }
 
 impl Voter {
-    /// The decider that this router is by the settings; none where it is none, and was none in the former set.
+    /// Creates the voter of this router. Returns `None` if the settings list it neither in the current nor in the previous
+    /// set of voters.
     pub fn new(
         rules: &Rules,
         me: &Member,
@@ -100,23 +113,24 @@
         persisted: Option<PersistedState>,
     ) -> Option<Self> {
         let set = &rules.voters;
-        let member = set.position_of(&me.address).is_some();
-        let before = set.previous.iter().any(|d| d.address == me.address);
-        if !member && !before {
+        let is_member = set.position_of(&me.address).is_some();
+        let was_member = set.previous.iter().any(|d| d.address == me.address);
+        if !is_member && !was_member {
             return None;
         }
-        let known = persisted.as_ref().map(|k| k.generation);
-        let former = set.generation.checked_sub(1);
-        let stage = match known {
-            _ if !member => VoterStage::Former,
+        let file_generation = persisted.as_ref().map(|k| k.generation);
+        let previous_generation = set.generation.checked_sub(1);
+        let stage = match file_generation {
+            _ if !is_member => VoterStage::Former,
             Some(g) if g == set.generation => VoterStage::Waiting,
-            Some(g) if Some(g) == former && before => VoterStage::Joining,
+            Some(g) if Some(g) == previous_generation && was_member => VoterStage::Joining,
             _ => VoterStage::Blank,
         };
-        // The file of an older generation than the former says nothing that could be told to others.
-        let persisted =
-            persisted.filter(|k| k.generation == set.generation || Some(k.generation) == former);
-        let longest = persisted
+        // A file older than the previous generation holds nothing that other voters could use.
+        let persisted = persisted.filter(|k| {
+            k.generation == set.generation || Some(k.generation) == previous_generation
+        });
+        let max_lease_ms = persisted
             .as_ref()
             .map_or(0, |k| k.max_lease_ms)
             .max(rules.lease_ms);
@@ -137,7 +151,7 @@
             dropped: 0,
             file_is_stale: false,
         };
-        voter.extend_waiting(rules, now, longest);
+        voter.extend_waiting(rules, now, max_lease_ms);
         if let Some(persisted) = persisted
             && matches!(stage, VoterStage::Joining | VoterStage::Former)
             && persisted.sealed_below < set.generation
@@ -150,9 +164,10 @@
         Some(voter)
     }
 
-    /// It votes only when leases up to this length that it may have granted are over.
+    /// Delays voting until leases of up to `max_lease_ms` that the voter may have granted have ended.
     fn extend_waiting(&mut self, rules: &Rules, now: Time, max_lease_ms: u64) {
-        // Against: a decider that restarts has forgotten whose leases run, and would make a second owner at once.
+        // A restarted voter has forgotten which leases are running. If it voted at once, it could grant a
+        // lease to a second holder while the first still acts.
         if rules.is_enabled(Guard::WaitAfterStart) {
             self.votes_from = self
                 .votes_from
@@ -164,7 +179,7 @@
         self.stage
     }
 
-    /// What must be on disk before the votes that wait for it leave; one after the other.
+    /// Takes the content of the file to write, if one is due. The next is available only after [`Voter::complete_write`].
     pub fn take_pending_write(&mut self) -> Option<Vec<u8>> {
         if self.being_written.is_some() {
             return None;
@@ -173,64 +188,66 @@
         self.being_written.as_ref().map(PersistedState::encode)
     }
 
-    /// What was handed out last is on disk.
+    /// Notes that the content taken last is on disk, and answers the requests that waited for it.
     pub fn complete_write(&mut self, rules: &Rules, now: Time, outbox: &mut Outbox) {
-        let Some(being_written) = self.being_written.take() else {
+        let Some(written) = self.being_written.take() else {
             return;
         };
-        self.on_disk = Some(being_written);
+        self.on_disk = Some(written);
         self.turn(rules, now, outbox);
-        for (from, requested_at, lease_ms, item) in std::mem::take(&mut self.deferred) {
+        for deferred in std::mem::take(&mut self.deferred) {
             self.receive_request(
                 rules,
                 now,
-                &from,
-                requested_at,
-                lease_ms,
-                vec![item],
+                &deferred.from,
+                deferred.requested_at,
+                deferred.lease_ms,
+                vec![deferred.item],
                 outbox,
             );
         }
     }
 
-    /// Whether a vote for this token and lease may leave; asks for room on the disk where it may not, and ahead of that.
+    /// Returns whether the state on disk allows a vote for this token and lease. Schedules a write if it does not, and also
+    /// when half of the tokens below the ceiling are used.
     fn is_covered_by_disk(&mut self, rules: &Rules, token: Token, lease_ms: u64) -> bool {
         let Some(on_disk) = &self.on_disk else {
             return false;
         };
-        let covers = token <= on_disk.token_ceiling && lease_ms <= on_disk.max_lease_ms;
-        let coming = self
+        let is_covered = token <= on_disk.token_ceiling && lease_ms <= on_disk.max_lease_ms;
+        let latest = self
             .to_write
             .as_ref()
             .or(self.being_written.as_ref())
             .unwrap_or(on_disk);
-        if token.0.saturating_add(TOKEN_CEILING_STEP / 2) > coming.token_ceiling.0
-            || lease_ms > coming.max_lease_ms
+        if token.0.saturating_add(TOKEN_CEILING_STEP / 2) > latest.token_ceiling.0
+            || lease_ms > latest.max_lease_ms
         {
             let token_ceiling =
-                Token(token.0.saturating_add(TOKEN_CEILING_STEP)).max(coming.token_ceiling);
-            let max_lease_ms = coming.max_lease_ms.max(lease_ms).max(rules.lease_ms);
+                Token(token.0.saturating_add(TOKEN_CEILING_STEP)).max(latest.token_ceiling);
+            let max_lease_ms = latest.max_lease_ms.max(lease_ms).max(rules.lease_ms);
             self.to_write = Some(PersistedState {
                 token_ceiling,
                 max_lease_ms,
-                ..coming.clone()
+                ..latest.clone()
             });
         }
-        // Against: a decider that restarts votes again for a token that it voted for before.
-        covers || !rules.is_enabled(Guard::Ceiling)
+        // Without the ceiling on disk, a restarted voter could vote a second time for the same token.
+        is_covered || !rules.is_enabled(Guard::Ceiling)
     }
 
-    /// Whether the file on disk is of the set that the settings name.
+    /// Returns whether the state on disk is of the current generation.
     fn has_current_generation(&self, rules: &Rules) -> bool {
         self.on_disk
             .as_ref()
             .is_some_and(|k| k.generation == rules.voters.generation)
     }
 
+    /// Returns when [`Voter::turn`] is due.
     pub fn next_turn(&self) -> Time {
         match self.stage {
             VoterStage::Voting | VoterStage::Former => Time::MAX,
-            // Without its file on disk it is called again by that, or when it reads.
+            // While a write is outstanding, its completion or the next query of states calls the voter again.
             VoterStage::Waiting
                 if self.on_disk.is_some()
                     && self.to_write.is_none()
@@ -242,29 +259,30 @@
         }
     }
 
+    /// Queries the states of the other voters when that is due, and advances the stage.
     pub fn turn(&mut self, rules: &Rules, now: Time, outbox: &mut Outbox) {
         if matches!(self.stage, VoterStage::Voting | VoterStage::Former) {
             return;
         }
         if now >= self.next_query {
             self.next_query = now + 2 * rules.retry_interval();
-            let decode = Message::QueryState {
+            let query = Message::QueryState {
                 generation: rules.voters.generation,
                 token_ceiling: self.token_ceiling(),
             };
-            let all = rules.voters.members.iter().chain(&rules.voters.previous);
-            let mut to: Vec<_> = all
-                .map(|d| d.address)
+            let voters = rules.voters.members.iter().chain(&rules.voters.previous);
+            let mut receivers: Vec<_> = voters
+                .map(|v| v.address)
                 .filter(|a| *a != self.me.address)
                 .collect();
-            to.sort_unstable();
-            to.dedup();
-            to.iter().for_each(|a| outbox.send(*a, &decode));
+            receivers.sort_unstable();
+            receivers.dedup();
+            receivers.iter().for_each(|a| outbox.send(*a, &query));
         }
         self.advance(rules, now, outbox);
     }
 
-    /// It has never voted for a token over this.
+    /// Returns the highest token that the voter may have voted for.
     fn token_ceiling(&self) -> Token {
         self.on_disk
             .as_ref()
@@ -272,7 +290,7 @@
             .max(self.token_floor)
     }
 
-    /// Those of the others in this generation that know what they may have voted for.
+    /// Returns the states of the other voters of this generation that know up to which token they may have voted.
     fn informed_voters(&self, rules: &Rules) -> impl Iterator<Item = &VoterState> {
         let set = &rules.voters;
         let others = set.members.iter().filter(|d| d.address != self.me.address);
@@ -285,23 +303,24 @@
             })
     }
 
+    /// Moves on to the next stage if its conditions are met.
     fn advance(&mut self, rules: &Rules, now: Time, outbox: &mut Outbox) {
         let set = &rules.voters;
         match self.stage {
             VoterStage::Waiting => {
-                let (others, receiver_ceiling) = self
+                let (others_ceiling, own_reported_ceiling) = self
                     .informed_voters(rules)
-                    .fold((Token::NONE, Token::NONE), |(c, y), s| {
-                        (c.max(s.token_ceiling), y.max(s.receiver_ceiling))
+                    .fold((Token::NONE, Token::NONE), |(others, own), s| {
+                        (others.max(s.token_ceiling), own.max(s.receiver_ceiling))
                     });
-                if receiver_ceiling > self.token_ceiling() && !self.file_is_stale {
-                    // An old copy of the file was put back: what it lacks, only others know.
+                if own_reported_ceiling > self.token_ceiling() && !self.file_is_stale {
+                    // An old copy of the file was restored. Only the other voters know which tokens it lacks.
                     self.file_is_stale = true;
                     self.stage = VoterStage::Blank;
                     outbox.events.push(LeaseEvent::StaleFile);
                     return self.advance(rules, now, outbox);
                 }
-                self.token_floor = self.token_floor.max(others);
+                self.token_floor = self.token_floor.max(others_ceiling);
                 if now >= self.votes_from
                     && self.has_current_generation(rules)
                     && self.to_write.is_none()
@@ -311,52 +330,60 @@
                 }
             }
             VoterStage::Blank => {
-                let (count, token_ceiling, longest) = self
-                    .informed_voters(rules)
-                    .fold((0, Token::NONE, 0), |(n, c, l), s| {
-                        (n + 1, c.max(s.token_ceiling), l.max(s.max_lease_ms))
-                    });
-                // Against: a decider that has forgotten what it voted for votes for it again. Those who made an owner with it
-                // are a majority without it, so a majority of all that does not count it has one of them.
+                let (count, token_ceiling, max_lease_ms) = self.informed_voters(rules).fold(
+                    (0, Token::NONE, 0),
+                    |(count, ceiling, longest), s| {
+                        (
+                            count + 1,
+                            ceiling.max(s.token_ceiling),
+                            longest.max(s.max_lease_ms),
+                        )
+                    },
+                );
+                // A voter that has forgotten its votes could vote twice for one token. Any majority that granted a lease
+                // with this voter's vote shares a member other than this voter with any majority formed without it, so
+                // the ceilings of a majority of the others cover all of its votes.
                 if count >= set.majority() || !rules.is_enabled(Guard::CatchUp) {
-                    return self.enter_waiting(rules, now, token_ceiling, longest, outbox);
+                    return self.enter_waiting(rules, now, token_ceiling, max_lease_ms, outbox);
                 }
-                // The first start, or a set most of which is new. All of the others must answer: of those who made an owner
-                // with it, no more than a minority can have lost their files, and one that has not is among them.
+                // This is the first start, or most of the set is new. Then all other voters must answer: of those that
+                // granted a lease together with this one, at most a minority can have lost its files, so at least one
+                // answer still covers the votes.
                 let others = set.members.iter().filter(|d| d.address != self.me.address);
                 let answered = others
                     .filter_map(|d| self.known_states.get(&d.address))
                     .filter(|t| t.state.generation == set.generation);
                 if answered.count() + 1 == set.members.len() {
-                    let before = if set.previous.is_empty() {
+                    let previous_limits = if set.previous.is_empty() {
                         Some((Token::NONE, 0))
                     } else {
                         self.limits_of_previous_set(rules)
                     };
-                    if let Some((sealed_below, long)) = before {
+                    if let Some((previous_ceiling, previous_max_lease_ms)) = previous_limits {
                         self.enter_waiting(
                             rules,
                             now,
-                            token_ceiling.max(sealed_below),
-                            longest.max(long),
+                            token_ceiling.max(previous_ceiling),
+                            max_lease_ms.max(previous_max_lease_ms),
                             outbox,
                         );
                     }
                 }
             }
             VoterStage::Joining => {
-                if let Some((token_ceiling, longest)) = self.limits_of_previous_set(rules) {
-                    self.enter_waiting(rules, now, token_ceiling, longest, outbox);
+                if let Some((token_ceiling, max_lease_ms)) = self.limits_of_previous_set(rules) {
+                    self.enter_waiting(rules, now, token_ceiling, max_lease_ms, outbox);
                 }
             }
             VoterStage::Voting | VoterStage::Former => {}
         }
     }
 
-    /// What a majority of the former set had voted for, where it has sealed itself: the highest token, the longest lease.
+    /// Returns the highest token and the longest lease (ms) of the previous set's votes, once a majority of it has sealed
+    /// itself.
     fn limits_of_previous_set(&self, rules: &Rules) -> Option<(Token, u64)> {
         let set = &rules.voters;
-        let sealed_below = set.previous.iter().filter_map(|d| {
+        let sealed = set.previous.iter().filter_map(|d| {
             if d.address == self.me.address {
                 let on_disk = self
                     .on_disk
@@ -368,16 +395,22 @@
             (state.sealed_below >= set.generation)
                 .then_some((state.token_ceiling, state.max_lease_ms))
         });
-        let (count, token_ceiling, longest) = sealed_below.fold(
+        let (count, token_ceiling, max_lease_ms) = sealed.fold(
             (0, Token::NONE, 0),
-            |(n, c, l), (token_ceiling, longest)| (n + 1, c.max(token_ceiling), l.max(longest)),
+            |(count, ceiling, longest), (token_ceiling, max_lease_ms)| {
+                (
+                    count + 1,
+                    ceiling.max(token_ceiling),
+                    longest.max(max_lease_ms),
+                )
+            },
         );
-        // Against: two sets of deciders, each of which makes an owner.
+        // Otherwise both sets of voters could grant the same lease to different holders.
         (count >= majority(set.previous.len()) || !rules.is_enabled(Guard::Seal))
-            .then_some((token_ceiling, longest))
+            .then_some((token_ceiling, max_lease_ms))
     }
 
-    /// It knows now what it may have voted for, and waits for the leases.
+    /// Enters the stage [`VoterStage::Waiting`]: the voter knows up to which token it may have voted.
     fn enter_waiting(
         &mut self,
         rules: &Rules,
@@ -386,8 +419,8 @@
         max_lease_ms: u64,
         outbox: &mut Outbox,
     ) {
-        // A file that is lost waits from the start: it granted nothing since. Who takes over from a former set waits from now,
-        // since that set may have granted a lease just before it sealed itself.
+        // A voter that lost its file waits from its start, since it has granted nothing after that. A voter of a new set
+        // waits from now, since the previous set may have granted a lease just before it sealed itself.
         let since = if self.stage == VoterStage::Joining || !rules.voters.previous.is_empty() {
             now
         } else {
@@ -418,20 +451,22 @@
         });
     }
 
-    /// The loop stood still for so long, or the clock jumped, over `was` or back: whether leases are over cannot be known, so
-    /// those that ran are taken to run for as much longer.
+    /// Extends the leases that were running at the time `was`, after a stall of the event loop or a jump of the clock.
+    ///
+    /// The voter cannot know whether these leases have ended in true time, so it extends them by the length of the stall or
+    /// jump, and at most by the longest lease that it may have granted.
     pub fn extend_after_stall(&mut self, rules: &Rules, was: Time, now: Time, duration: Micros) {
-        let longest = self
+        let max_lease_ms = self
             .on_disk
             .as_ref()
             .map_or(0, |k| k.max_lease_ms)
             .max(rules.lease_ms);
-        let most = now.saturating_add(rules.lease_at_voter(longest));
-        let later = |at: Time| {
+        let latest_end = now.saturating_add(rules.lease_at_voter(max_lease_ms));
+        let extended = |end: Time| {
             if now < was {
-                most
+                latest_end
             } else {
-                at.saturating_add(duration).min(most)
+                end.saturating_add(duration).min(latest_end)
             }
         };
         for record in self
@@ -439,15 +474,15 @@
             .values_mut()
             .filter(|r| r.ballot.is_running(was))
         {
-            record.ballot.until = later(record.ballot.until);
+            record.ballot.until = extended(record.ballot.until);
         }
         if self.votes_from > was {
-            self.votes_from = later(self.votes_from);
+            self.votes_from = extended(self.votes_from);
         }
         (self.started_at, self.next_query) = (self.started_at.min(now), self.next_query.min(now));
     }
 
-    /// Another decider asks how far this one has come.
+    /// Answers another voter's query with the state of this one.
     pub fn answer_state_query(
         &mut self,
         rules: &Rules,
@@ -456,11 +491,11 @@
         token_ceiling: Token,
         outbox: &mut Outbox,
     ) {
-        let known = self
+        let known_ceiling = self
             .known_states
             .get(&from.address)
             .map_or(Token::NONE, |t| t.state.token_ceiling);
-        // What is on disk is told, not what is to be: the promise must last.
+        // The answer is a promise that must survive a restart, so it contains what is on disk, not what will be written.
         let state = VoterState {
             generation: rules.voters.generation,
             incarnation: from.incarnation,
@@ -473,18 +508,18 @@
             token_ceiling: self.token_ceiling(),
             max_lease_ms: self.on_disk.as_ref().map_or(0, |k| k.max_lease_ms),
             sealed_below: self.on_disk.as_ref().map_or(0, |k| k.sealed_below),
-            receiver_ceiling: known,
+            receiver_ceiling: known_ceiling,
         };
         outbox.send(from.address, &Message::State(state));
-        // What it tells of itself is remembered, so that it can be told when it comes back with less.
-        let decides = rules.voters.position_of(&from.address).is_some();
-        if decides && token_ceiling > known {
+        // The reported ceiling is kept, so that a voter that restarts with an old copy of its file learns of it.
+        let is_voter = rules.voters.position_of(&from.address).is_some();
+        if is_voter && token_ceiling > known_ceiling {
             self.remember_ceiling(now, from, token_ceiling);
         }
     }
 
     fn remember_ceiling(&mut self, now: Time, from: &Member, token_ceiling: Token) {
-        let known_states = self
+        let known = self
             .known_states
             .entry(from.address)
             .or_insert_with(|| KnownState {
@@ -497,13 +532,13 @@
                     sealed_below: 0,
                     receiver_ceiling: Token::NONE,
                 },
-                at: now,
+                received_at: now,
             });
-        known_states.state.token_ceiling = known_states.state.token_ceiling.max(token_ceiling);
-        known_states.at = known_states.at.max(now);
+        known.state.token_ceiling = known.state.token_ceiling.max(token_ceiling);
+        known.received_at = known.received_at.max(now);
     }
 
-    /// Another decider has told how far it has come.
+    /// Handles the state of another voter, sent in answer to a query.
     pub fn receive_state(
         &mut self,
         rules: &Rules,
@@ -513,27 +548,32 @@
         outbox: &mut Outbox,
     ) {
         let set = &rules.voters;
-        let known = set
+        let is_voter = set
             .members
             .iter()
             .chain(&set.previous)
             .any(|d| d.address == from.address);
-        if !known
+        if !is_voter
             || state.incarnation != self.me.incarnation
             || matches!(self.stage, VoterStage::Voting | VoterStage::Former)
         {
             return;
         }
         state.max_lease_ms = state.max_lease_ms.min(MAX_LEASE_MS);
-        if let Some(before) = self.known_states.get(&from.address) {
-            state.token_ceiling = state.token_ceiling.max(before.state.token_ceiling);
-        }
-        self.known_states
-            .insert(from.address, KnownState { state, at: now });
+        if let Some(known) = self.known_states.get(&from.address) {
+            state.token_ceiling = state.token_ceiling.max(known.state.token_ceiling);
+        }
+        self.known_states.insert(
+            from.address,
+            KnownState {
+                state,
+                received_at: now,
+            },
+        );
         self.advance(rules, now, outbox);
     }
 
-    /// A router asks for duties, or looks.
+    /// Handles a request for leases, or a poll of them.
     #[expect(clippy::too_many_arguments, reason = "the parts of one message")]
     pub fn receive_request(
         &mut self,
@@ -546,14 +586,14 @@
         outbox: &mut Outbox,
     ) {
         let candidate = from.holder();
-        let renews = items.iter().any(|i| {
+        let is_renewal = items.iter().any(|i| {
             self.records
                 .get(&i.lease)
                 .is_some_and(|r| r.ballot.holder == Some(candidate) && r.ballot.highest == i.token)
         });
         if !self
             .limiter
-            .try_take(now, if renews { 0.0 } else { RENEWAL_RESERVE })
+            .try_take(now, if is_renewal { 0.0 } else { RENEWAL_RESERVE })
         {
             self.dropped += 1;
             return;
@@ -583,6 +623,7 @@
         }
     }
 
+    /// Answers a request for one lease. Returns `None` if the answer has to wait for the disk.
     #[expect(clippy::too_many_arguments, reason = "the parts of one message")]
     fn answer_item(
         &mut self,
@@ -616,11 +657,15 @@
                 checkpoint: None,
             });
         }
-        // The disk first: what it does not cover must not be decided on yet.
+        // No vote may be given, nor even recorded, before the state on disk covers it.
         if item.token != Token::NONE && !self.is_covered_by_disk(rules, item.token, lease_ms) {
             if self.deferred.len() < MAX_DEFERRED_REQUESTS {
-                self.deferred
-                    .push((from.clone(), requested_at, lease_ms as u32, item));
+                self.deferred.push(DeferredRequest {
+                    from: from.clone(),
+                    requested_at,
+                    lease_ms: lease_ms as u32,
+                    item,
+                });
             }
             return None;
         }
@@ -637,16 +682,17 @@
                 duration,
             });
         }
-        let was = record.ballot.highest;
-        let left = |until: Time| u32::try_from((until - now).div_ceil(1_000)).unwrap_or(u32::MAX);
-        let renews = record.ballot.is_running(now) && record.ballot.holder == Some(candidate);
-        let said = match item.token {
-            _ if now < record.suspended_until && !renews => {
+        let highest_before = record.ballot.highest;
+        let remaining_ms =
+            |until: Time| u32::try_from((until - now).div_ceil(1_000)).unwrap_or(u32::MAX);
+        let is_renewal = record.ballot.is_running(now) && record.ballot.holder == Some(candidate);
+        let outcome = match item.token {
+            _ if now < record.suspended_until && !is_renewal => {
                 return Some(Answer {
                     lease,
-                    highest: was,
+                    highest: highest_before,
                     status: LeaseStatus::Suspended {
-                        remaining_ms: left(record.suspended_until),
+                        remaining_ms: remaining_ms(record.suspended_until),
                     },
                     checkpoint: None,
                 });
@@ -662,17 +708,17 @@
             ),
         };
         let mut checkpoint = None;
-        if said == VoteOutcome::Granted {
-            if renews && was == item.token {
+        if outcome == VoteOutcome::Granted {
+            if is_renewal && highest_before == item.token {
                 record.store_checkpoint(item.checkpoint, item.token);
             }
             checkpoint = record.checkpoint.clone().filter(|m| m.token < item.token);
         }
-        let status = match (said, record.ballot.holder) {
+        let status = match (outcome, record.ballot.holder) {
             (VoteOutcome::Granted, _) => LeaseStatus::Granted,
             (VoteOutcome::HeldByOther, Some(by)) => LeaseStatus::Held {
                 by,
-                remaining_ms: left(record.ballot.until),
+                remaining_ms: remaining_ms(record.ballot.until),
             },
             _ => LeaseStatus::Free,
         };
@@ -684,7 +730,7 @@
         })
     }
 
-    /// A router gives tokens back.
+    /// Handles the release of tokens that a router will not use again.
     pub fn release(&mut self, from: &Member, items: Vec<(LeaseName, Token)>) {
         for (lease, token) in items {
             if let Some(record) = self.records.get_mut(&lease) {
@@ -693,7 +739,7 @@
         }
     }
 
-    /// An owner hands its duty to another.
+    /// Handles the transfer of a lease from its holder to a successor, and sends the vote to the successor.
     #[expect(clippy::too_many_arguments, reason = "the parts of one message")]
     pub fn receive_transfer(
         &mut self,
@@ -711,7 +757,8 @@
         if self.stage != VoterStage::Voting || !(1..=MAX_LEASE_MS).contains(&lease_ms) {
             return;
         }
-        // It is sent again until the successor has it: there is no need to wait for the disk here.
+        // The holder repeats the transfer until the successor has the lease, so it need not be deferred until the write is
+        // complete.
         if !self.records.contains_key(&lease)
             || !self.is_covered_by_disk(rules, token.next(), lease_ms)
         {
@@ -746,6 +793,7 @@
 }
 
 impl Record {
+    /// Stores the checkpoint of the holder of this token, if it is newer than the stored one.
     fn store_checkpoint(&mut self, checkpoint: Option<Checkpoint>, token: Token) {
         let Some(checkpoint) = checkpoint.filter(|m| m.token == token) else {
             return;
@@ -759,35 +807,45 @@
         }
     }
 
-    /// Looks whether the last owner is lost, and how many were. For how long it is set aside, where it is from now on.
-    fn detect_lost_holder(&mut self, rules: &Rules, now: Time, asks: &Holder) -> Option<Micros> {
-        // Who asks was not lost by the duty: it was cut off, or merely slow.
-        self.losses.retain(|(_, holder)| holder != asks);
+    /// Detects that the last holder neither renewed nor released its lease. Returns the duration of the suspension if the
+    /// lease is suspended from now on because several holders in a row were lost.
+    fn detect_lost_holder(
+        &mut self,
+        rules: &Rules,
+        now: Time,
+        candidate: &Holder,
+    ) -> Option<Micros> {
+        // The candidate itself is alive: the work did not kill it, it was unreachable or slow.
+        self.losses.retain(|(_, holder)| holder != candidate);
         let lost = self.ballot.holder.filter(|_| now >= self.ballot.until)?;
         self.ballot.holder = None;
-        if lost == *asks {
+        if lost == *candidate {
             return None;
         }
-        let lapsed = self.ballot.until;
-        self.losses.push_back((lapsed, lost));
-        // Each of them could be replaced only when its lease was over.
-        let within =
+        let lease_end = self.ballot.until;
+        self.losses.push_back((lease_end, lost));
+        // A lost holder can be replaced only after its lease has ended, so the leases extend the window.
+        let window =
             LOSS_WINDOW_US + LOSSES_TO_SUSPEND as u64 * rules.lease_at_voter(rules.lease_ms);
-        while self.losses.front().is_some_and(|(at, _)| at + within < now)
+        while self
+            .losses
+            .front()
+            .is_some_and(|(ended_at, _)| ended_at + window < now)
             || self.losses.len() > LOSSES_TO_SUSPEND
         {
             self.losses.pop_front();
         }
-        if now.saturating_sub(self.suspended_until) > 10 * within {
+        if now.saturating_sub(self.suspended_until) > 10 * window {
             self.suspensions = 0;
         }
-        // Against: a duty that kills whoever does it goes through the whole fleet. Who was set aside before is tried once.
-        let enough = if self.suspensions > 0 {
+        // Work that kills its process would otherwise stop one router after the other. A lease that was suspended before
+        // is suspended again after a single loss.
+        let losses_needed = if self.suspensions > 0 {
             1
         } else {
             LOSSES_TO_SUSPEND
         };
-        if self.losses.len() < enough || !rules.is_enabled(Guard::Suspend) {
+        if self.losses.len() < losses_needed || !rules.is_enabled(Guard::Suspend) {
             return None;
         }
         let duration = ms(rules.suspend_ms)
