--- a/leases/src/local_lease.rs
+++ b/leases/src/local_lease.rs
@@ -1,4 +1,4 @@
-//! What a router does for one duty: look, ask, own, hand over.
+//! One lease as a router sees it: the router polls the voters, claims the lease, holds it, and hands it over.
 
 use crate::ballot::Tally;
 use crate::event::LossReason;
@@ -9,97 +9,118 @@
 use plovercove::{Micros, Time};
 use plovercove_fencing::Token;
 
-/// Who is ranked lower looks less often, but never less often than each so many renewals.
+/// Maximum time between two polls of a lease, in renewal intervals. The lower a candidate is ranked, the more rarely it
+/// polls.
 const MAX_POLL_RENEWALS: u64 = 30;
-/// Who is ranked lower than this asks no later, so that the last of 300 routers still asks within the bound.
+/// Rank from which on a candidate delays its claim no further, so that the last of 300 routers still claims a lease within
+/// the bound of [`Rules::max_gap_after_kill`].
 const MAX_DELAYED_RANK: u64 = 8;
 
-/// What a new owner begins from.
+/// Progress from which a new holder resumes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ResumePoint {
-    /// Under which token it was finished.
+    /// The token under which it was reported.
     pub token: Token,
-    /// What [`crate::Duties::finished`] was told at last.
+    /// The latest data passed to [`crate::LeaseManager::record_checkpoint`].
     pub checkpoint: Vec<u8>,
 }
 
-/// What one decider said of a duty at last.
+/// A voter's latest answer about a lease.
 #[derive(Clone, Copy, Debug)]
 struct VoterReply {
-    /// The ask that it answers.
+    /// When the answered request was sent.
     requested_at: Time,
-    /// When it came.
+    /// When the answer arrived.
     received_at: Time,
     highest: Token,
     status: LeaseStatus,
 }
 
-/// A token that is asked for or held.
+/// The token under which a router may act, and until when.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct Grant {
+    pub token: Token,
+    pub until: Time,
+}
+
+/// A token that a router requests or holds.
 #[derive(Clone, Debug)]
 pub(crate) struct Claim {
     pub token: Token,
     tally: Tally,
-    /// Since when it is asked for without a majority.
-    since: Time,
-    /// When the last ask was sent.
-    sent: Time,
-    /// It is owned now.
+    /// When the router began to request the token.
+    started_at: Time,
+    /// When the latest request was sent.
+    last_sent: Time,
+    /// A majority has granted the token.
     pub is_held: bool,
-    /// What the predecessor had finished.
+    /// The latest checkpoint of the previous holder.
     pub predecessor_checkpoint: Option<Checkpoint>,
-    /// What was finished under this token.
+    /// The latest checkpoint under this token.
     pub checkpoint: Option<Checkpoint>,
-    /// It is being handed over.
+    /// The hand-over of the lease, if one is under way.
     pub handover: Option<Handover>,
 }
 
-/// A hand-over.
+/// A successor's acceptance of an offered lease.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct SuccessorReady {
+    /// Time on the successor's clock from which its lease counts.
+    pub requested_at: u64,
+    /// Length of the successor's lease (ms).
+    pub lease_ms: u32,
+}
+
+/// The hand-over of a lease to a successor.
 #[derive(Clone, Debug)]
 pub(crate) struct Handover {
     pub to: Member,
-    /// How many have been offered it.
+    /// Number of successors that were offered the lease before this one.
     pub attempts: usize,
-    /// When it was offered to this one.
-    pub since: Time,
-    /// When the last message of it was sent.
-    pub sent: Time,
-    /// The successor's clock and lease, once it is ready: from then on this router acts no more.
-    pub ready: Option<(u64, u32)>,
+    /// When the offer, or later the transfer, was first sent.
+    pub step_started_at: Time,
+    /// When the latest message of the hand-over was sent.
+    pub last_sent: Time,
+    /// The successor's acceptance. From its arrival on this router no longer acts under the lease.
+    pub ready: Option<SuccessorReady>,
 }
 
-/// One duty as this router sees it.
+/// One lease as this router sees it.
 #[derive(Clone, Debug)]
 pub(crate) struct LocalLease {
+    /// The zone that the work is for, if it is for a single one.
     pub zone: Option<String>,
+    /// Number of members that should hold the lease rather than this router.
     pub rank: usize,
     pub claim: Option<Claim>,
-    /// When something must be sent next.
+    /// When the next request or poll is due.
     pub next_send: Time,
-    /// From when it may be asked for: a majority says that it is free.
+    /// When the router may claim the lease, after a majority has answered that it is free.
     claim_at: Option<Time>,
-    /// Since when each look found it free.
+    /// When the first poll found the lease free, if each poll since then has.
     free_since: Option<Time>,
+    /// The latest answer of each voter.
     replies: Vec<Option<VoterReply>>,
-    /// The highest token that is known of.
+    /// The highest token that any voter has reported.
     highest_token: Token,
-    /// Who is believed to own it.
+    /// The presumed holder and its token.
     pub believed_holder: Option<(Member, Token)>,
-    /// It is set aside until then.
+    /// End of the suspension.
     suspended_until: Time,
-    /// Claims that failed in a row.
+    /// Number of claims in a row that failed.
     failed_claims: u32,
-    /// The token that it still owns, and until when, while it asks for a newer one.
-    previous_grant: Option<(Token, Time)>,
+    /// The grant under which this router still holds the lease while it requests a newer token.
+    previous_grant: Option<Grant>,
 }
 
-/// What became of an answer.
+/// Effect of a voter's answer.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum AnswerEffect {
-    /// Nothing that matters.
+    /// The lease neither became held nor was rejected.
     None,
-    /// It is owned now.
+    /// The router holds the lease now.
     Acquired,
-    /// It is over: a majority refuses.
+    /// A majority can no longer be reached: too many voters reject the token.
     Rejected,
 }
 
@@ -121,23 +142,29 @@
         }
     }
 
-    /// The token under which this router may act and until when, by the votes it has.
-    pub fn current_grant(&self, rules: &Rules) -> Option<(Token, Time)> {
+    /// Returns the token under which this router may act and until when, according to its votes.
+    pub fn current_grant(&self, rules: &Rules) -> Option<Grant> {
         let claim = self.claim.as_ref()?;
         if !claim.is_held {
             return self.previous_grant;
         }
-        // Against: two that act, since the successor may have its votes while this is still under way.
+        // Once the successor is ready, it may already have its votes while the confirmation is still in flight. If this router
+        // continued until the confirmation arrives, both would act.
         if rules.is_enabled(Guard::Transfer)
             && claim.handover.as_ref().is_some_and(|p| p.ready.is_some())
         {
             return None;
         }
-        Some((claim.token, claim.lease_end(rules)?))
+        Some(Grant {
+            token: claim.token,
+            until: claim.lease_end(rules)?,
+        })
     }
 
-    /// A decider that started anew knows no lease, and takes renewals of no token that it may have voted for before it did.
-    /// A newer token is asked for while the lease runs: else a restart of one decider after the other ends it.
+    /// Requests a newer token while the lease is running.
+    ///
+    /// A restarted voter knows no leases, and rejects the renewal of any token that it may have voted for before. Without
+    /// a newer token, the restart of one voter after the other would end the lease.
     fn request_newer_token(&mut self, rules: &Rules, now: Time) {
         let Some(claim) = self
             .claim
@@ -146,8 +173,9 @@
         else {
             return;
         };
+        let token = claim.token;
         let (previous_grant, predecessor_checkpoint) = (
-            claim.lease_end(rules).map(|until| (claim.token, until)),
+            claim.lease_end(rules).map(|until| Grant { token, until }),
             claim.latest_checkpoint(),
         );
         self.previous_grant = previous_grant;
@@ -158,8 +186,8 @@
         self.next_send = now;
     }
 
-    /// Ranked for the first time, before it has looked: who is ranked lower looks later. Else each of 300 routers that
-    /// start at once would look at each duty.
+    /// Delays the first poll according to the rank. Otherwise each of 300 routers that start at the same time would poll each
+    /// lease at once.
     pub fn delay_first_poll(&mut self, rules: &Rules, now: Time, jitter: f64) {
         if self.rank > 0 && self.claim.is_none() && self.replies.iter().all(Option::is_none) {
             self.next_send = now
@@ -168,15 +196,16 @@
         }
     }
 
-    /// Whether it is set aside.
+    /// Returns whether the lease is suspended.
     pub fn is_suspended(&self, now: Time) -> bool {
         now < self.suspended_until
     }
 
-    /// The token to ask for now: none to look. Begins a claim where it is time for one.
+    /// Returns the token to request now, with the checkpoint to report; [`Token::NONE`] stands for a poll. Starts a claim if
+    /// one is due.
     pub fn next_request(&mut self, rules: &Rules, now: Time) -> (Token, Option<Checkpoint>) {
         if let Some(claim) = &mut self.claim {
-            claim.sent = now;
+            claim.last_sent = now;
             return (claim.token, claim.checkpoint.clone());
         }
         if self.claim_at.is_some_and(|at| at <= now) {
@@ -188,7 +217,7 @@
         (Token::NONE, None)
     }
 
-    /// When it is to be sent again, drawn with the share of jitter.
+    /// Sets the time of the next request or poll, with a random `jitter` between 0 and 1.
     pub fn schedule_next_send(&mut self, rules: &Rules, now: Time, jitter: f64) {
         let spread = |duration: Micros| (duration as f64 * (0.85 + 0.15 * jitter)) as Micros;
         self.next_send = match &self.claim {
@@ -197,7 +226,7 @@
                 if claim
                     .tally
                     .lease_start(rules.quorum())
-                    .is_none_or(|s| s < claim.sent) =>
+                    .is_none_or(|start| start < claim.last_sent) =>
             {
                 now + spread(2 * rules.retry_interval())
             }
@@ -206,21 +235,22 @@
         };
     }
 
-    /// Between two looks of who is ranked like this: all of them together look about six times in a renewal's time.
+    /// Returns the time between two polls at this rank. All routers together poll a lease about six times in a renewal
+    /// interval.
     fn poll_interval(&self, rules: &Rules) -> Micros {
         rules
             .renew_interval()
             .saturating_mul((self.rank as u64 + 1).min(MAX_POLL_RENEWALS))
     }
 
-    /// How much later than the first in rank it asks.
+    /// Returns how much later than the first-ranked candidate this router claims the lease.
     fn rank_delay(&self, rules: &Rules) -> Micros {
         rules
             .retry_interval()
             .saturating_mul((self.rank as u64).min(MAX_DELAYED_RANK))
     }
 
-    /// Whether an item must leave now, or may leave with others.
+    /// Returns whether a request or poll is due now, or within `ahead` so that it may share a datagram with others.
     pub fn is_due(&self, now: Time, ahead: Micros) -> bool {
         if self
             .claim
@@ -229,7 +259,7 @@
         {
             return false;
         }
-        // What is held is renewed with others where it is due within half of that, so that they stay together.
+        // Renewals are brought forward by at most half of that time, which is enough for them to share datagrams.
         let ahead = if self.claim.is_some() {
             ahead / 2
         } else {
@@ -238,7 +268,7 @@
         self.next_send <= now || (self.claim_at.is_none() && self.next_send <= now + ahead)
     }
 
-    /// A decider has answered.
+    /// Handles a voter's answer.
     pub fn receive_answer(
         &mut self,
         rules: &Rules,
@@ -249,22 +279,22 @@
         jitter: f64,
     ) -> AnswerEffect {
         self.highest_token = self.highest_token.max(answer.highest);
-        let replies = VoterReply {
+        let reply = VoterReply {
             requested_at,
             received_at: now,
             highest: answer.highest,
             status: answer.status,
         };
         match self.replies.get_mut(voter) {
-            Some(slot) if slot.is_none_or(|t| t.requested_at <= requested_at) => {
-                *slot = Some(replies)
+            Some(slot) if slot.is_none_or(|latest| latest.requested_at <= requested_at) => {
+                *slot = Some(reply)
             }
             _ => {}
         }
         let quorum = rules.quorum();
         if let Some(claim) = &mut self.claim {
             if answer.status == LeaseStatus::Granted && answer.highest == claim.token {
-                let became = claim.record_vote(
+                let effect = claim.record_vote(
                     rules,
                     now,
                     voter,
@@ -273,24 +303,25 @@
                     &mut self.next_send,
                     jitter,
                 );
-                if became == AnswerEffect::Acquired {
+                if effect == AnswerEffect::Acquired {
                     (self.previous_grant, self.failed_claims) = (None, 0);
                 }
-                return became;
+                return effect;
             }
-            let anew = answer.status == LeaseStatus::Free
+            let voter_restarted = answer.status == LeaseStatus::Free
                 && answer.highest > claim.token
-                && requested_at >= claim.since;
-            if claim.is_held && anew {
+                && requested_at >= claim.started_at;
+            if claim.is_held && voter_restarted {
                 self.request_newer_token(rules, now);
                 return AnswerEffect::None;
             }
-            let no = self.replies.iter().flatten().filter(|t| {
-                t.requested_at >= claim.since
-                    && (t.highest > claim.token || !matches!(t.status, LeaseStatus::Granted))
+            let rejections = self.replies.iter().flatten().filter(|reply| {
+                reply.requested_at >= claim.started_at
+                    && (reply.highest > claim.token
+                        || !matches!(reply.status, LeaseStatus::Granted))
             });
-            let refused = no.count() + quorum > self.replies.len();
-            return if refused {
+            let is_rejected = rejections.count() + quorum > self.replies.len();
+            return if is_rejected {
                 AnswerEffect::Rejected
             } else {
                 AnswerEffect::None
@@ -300,22 +331,27 @@
         AnswerEffect::None
     }
 
-    /// What follows from what deciders say, for who does not hold it.
+    /// Decides by the voters' answers whether and when to claim a lease that this router does not hold.
     fn evaluate_replies(&mut self, rules: &Rules, now: Time, quorum: usize, jitter: f64) {
-        let fresh = |t: &&VoterReply| t.received_at + 2 * rules.retry_interval() >= now;
-        let said: Vec<VoterReply> = self
+        let is_recent = |reply: &&VoterReply| reply.received_at + 2 * rules.retry_interval() >= now;
+        let recent: Vec<VoterReply> = self
             .replies
             .iter()
             .flatten()
-            .filter(fresh)
+            .filter(is_recent)
             .copied()
             .collect();
-        let count =
-            |is: &dyn Fn(&LeaseStatus) -> bool| said.iter().filter(|t| is(&t.status)).count();
-        let left = |ms_: u32, received_at: Time| received_at.saturating_add(ms(u64::from(ms_)));
-        if count(&|w| matches!(w, LeaseStatus::Suspended { .. })) >= quorum {
-            let ends = said.iter().filter_map(|t| match t.status {
-                LeaseStatus::Suspended { remaining_ms } => Some(left(remaining_ms, t.received_at)),
+        let count = |matches: &dyn Fn(&LeaseStatus) -> bool| {
+            recent.iter().filter(|r| matches(&r.status)).count()
+        };
+        let end_of = |remaining_ms: u32, received_at: Time| {
+            received_at.saturating_add(ms(u64::from(remaining_ms)))
+        };
+        if count(&|status| matches!(status, LeaseStatus::Suspended { .. })) >= quorum {
+            let ends = recent.iter().filter_map(|reply| match reply.status {
+                LeaseStatus::Suspended { remaining_ms } => {
+                    Some(end_of(remaining_ms, reply.received_at))
+                }
                 _ => None,
             });
             self.suspended_until = ends.min().unwrap_or(now);
@@ -325,8 +361,9 @@
                 .max(self.suspended_until + self.rank_delay(rules));
             return;
         }
-        if count(&|w| matches!(w, LeaseStatus::Free | LeaseStatus::Granted)) >= quorum {
-            // Who is ranked low leaves it to the others until its next look: they may look only with their next ping.
+        if count(&|status| matches!(status, LeaseStatus::Free | LeaseStatus::Granted)) >= quorum {
+            // A low-ranked candidate waits for a renewal interval, because better ranked ones may find the lease free only
+            // with their next poll.
             let free_since = *self.free_since.get_or_insert(now);
             if self.rank as u64 > MAX_DELAYED_RANK && now < free_since + rules.renew_interval() {
                 self.next_send = self
@@ -335,34 +372,36 @@
                 return;
             }
             if self.claim_at.is_none() {
-                let chance = (jitter * rules.retry_interval() as f64) as Micros;
+                let random_delay = (jitter * rules.retry_interval() as f64) as Micros;
                 let wait = if self.failed_claims == 0 {
-                    chance / 4
+                    random_delay / 4
                 } else {
-                    chance << self.failed_claims.min(4)
+                    random_delay << self.failed_claims.min(4)
                 };
-                let at = now + self.rank_delay(rules) + wait;
-                self.claim_at = Some(at);
-                self.next_send = self.next_send.min(at);
+                let claim_at = now + self.rank_delay(rules) + wait;
+                self.claim_at = Some(claim_at);
+                self.next_send = self.next_send.min(claim_at);
                 self.believed_holder = None;
             }
             return;
         }
-        // Somebody's lease runs at those who would have to vote.
+        // So many voters know of a running lease, or have not answered, that no majority is left to vote.
         (self.claim_at, self.free_since) = (None, None);
     }
 
-    /// Who holds it by most of the deciders that say so, and until when their leases run at the latest.
+    /// Returns the holder of the newest token that a voter has reported, that token, and the latest end of its lease.
     pub fn reported_holder(&self) -> Option<(crate::ballot::Holder, Token, Time)> {
         let newest = self
             .replies
             .iter()
             .flatten()
-            .filter_map(|t| match t.status {
+            .filter_map(|reply| match reply.status {
                 LeaseStatus::Held { by, remaining_ms } => Some((
-                    t.highest,
+                    reply.highest,
                     by,
-                    t.received_at.saturating_add(ms(u64::from(remaining_ms))),
+                    reply
+                        .received_at
+                        .saturating_add(ms(u64::from(remaining_ms))),
                 )),
                 _ => None,
             });
@@ -371,16 +410,20 @@
             .map(|(token, by, until)| (by, token, until))
     }
 
-    /// Who owned it is not seen any more: look when its lease is over.
+    /// Schedules a poll for the end of the lease, because its holder is no longer a member.
     pub fn poll_after_lease_end(&mut self, rules: &Rules, now: Time, jitter: f64) {
         let until = self
             .reported_holder()
             .map_or(now, |(_, _, until)| until.max(now));
-        let chance = (jitter * rules.retry_interval() as f64 / 2.0) as Micros;
-        self.next_send = self.next_send.min(until + self.rank_delay(rules) + chance);
+        let random_delay = (jitter * rules.retry_interval() as f64 / 2.0) as Micros;
+        self.next_send = self
+            .next_send
+            .min(until + self.rank_delay(rules) + random_delay);
     }
 
-    /// A claim that nobody answers, or a lease that is over. Why it is lost, where it was owned.
+    /// Checks whether the claim has timed out or the lease has ended.
+    ///
+    /// Returns `Some` if it has: with a reason if the router held the lease, and with `None` if it only claimed it.
     pub fn check_expiry(&mut self, rules: &Rules, now: Time) -> Option<Option<LossReason>> {
         let claim = self.claim.as_ref()?;
         if claim.is_held {
@@ -389,24 +432,24 @@
                 .is_none_or(|until| until <= now)
                 .then_some(Some(LossReason::Expired));
         }
-        if self.previous_grant.is_some_and(|(_, until)| until <= now) {
+        if self.previous_grant.is_some_and(|grant| grant.until <= now) {
             self.previous_grant = None;
             return Some(Some(LossReason::Expired));
         }
-        (claim.since + rules.claim_timeout() <= now).then_some(None)
+        (claim.started_at + rules.claim_timeout() <= now).then_some(None)
     }
 
-    /// When [`Chore::expire`] finds something next.
+    /// Returns when [`LocalLease::check_expiry`] finds the next expiry.
     pub fn next_expiry(&self, rules: &Rules) -> Option<Time> {
         let claim = self.claim.as_ref()?;
         if claim.is_held {
             return claim.lease_end(rules);
         }
-        let previous_grant = self.previous_grant.map_or(Time::MAX, |(_, until)| until);
-        Some((claim.since + rules.claim_timeout()).min(previous_grant))
+        let previous_end = self.previous_grant.map_or(Time::MAX, |grant| grant.until);
+        Some((claim.started_at + rules.claim_timeout()).min(previous_end))
     }
 
-    /// The token is given up, and never used again.
+    /// Gives up the claim and returns its token, which is never used again.
     pub fn drop_claim(&mut self, rules: &Rules, now: Time, jitter: f64) -> Option<Token> {
         let claim = self.claim.take()?;
         self.previous_grant = None;
@@ -416,23 +459,23 @@
             self.failed_claims.saturating_add(1)
         };
         self.claim_at = None;
-        self.replies.iter_mut().for_each(|t| *t = None);
+        self.replies.iter_mut().for_each(|reply| *reply = None);
         let wait = (rules.retry_interval() as f64 * jitter) as Micros;
         self.next_send = now + (wait << self.failed_claims.min(4)) + self.rank_delay(rules);
         Some(claim.token)
     }
 
-    /// The router stood still: nothing that was voted for counts.
+    /// Discards all votes after a stall. Returns the token of the lease if the router held it.
     pub fn reset_after_stall(&mut self, rules: &Rules, now: Time) -> Option<Token> {
         self.claim_at = None;
         self.next_send = now;
         let voters = self.replies.len();
         let claim = self.claim.as_mut()?;
-        let was = claim
+        let held_token = claim
             .is_held
             .then_some(claim.token)
-            .or(self.previous_grant.map(|(token, _)| token));
-        // Against: an owner whose clock stood still with it takes its lease for running.
+            .or(self.previous_grant.map(|grant| grant.token));
+        // If the clock stood still during the stall, the router would take a lease for running that has ended in true time.
         if rules.is_enabled(Guard::Stalled) {
             self.previous_grant = None;
             let (predecessor_checkpoint, checkpoint) =
@@ -444,10 +487,10 @@
             };
             claim.tally = Tally::new(voters);
         }
-        was
+        held_token
     }
 
-    /// Another hands it over to this router: the next token will be passed to it, or has been.
+    /// Prepares for a transfer from the current holder, under the given token.
     pub fn expect_transfer(
         &mut self,
         rules: &Rules,
@@ -461,7 +504,7 @@
         };
         self.claim = Some(claim);
         self.claim_at = None;
-        // Its own ask is sent only where the votes do not come by themselves.
+        // The votes follow from the transfer. This router sends a request only if they do not arrive in time.
         self.next_send = now + 2 * rules.retry_interval();
     }
 }
@@ -471,8 +514,8 @@
         Claim {
             token,
             tally: Tally::new(rules.voters.members.len()),
-            since: now,
-            sent: now,
+            started_at: now,
+            last_sent: now,
             is_held: false,
             predecessor_checkpoint: None,
             checkpoint: None,
@@ -480,7 +523,7 @@
         }
     }
 
-    /// When the lease ends, by the votes there are.
+    /// Returns the end of the lease according to the votes; `None` without a majority.
     fn lease_end(&self, rules: &Rules) -> Option<Time> {
         Some(
             self.tally
@@ -489,13 +532,14 @@
         )
     }
 
-    /// What is finished, by this owner or else by the one before.
+    /// Returns the latest checkpoint under this token or, if there is none, the previous holder's.
     pub fn latest_checkpoint(&self) -> Option<Checkpoint> {
         self.checkpoint
             .clone()
             .or_else(|| self.predecessor_checkpoint.clone())
     }
 
+    /// Counts a vote, and schedules the next renewal once a majority has granted the latest request.
     #[expect(clippy::too_many_arguments, reason = "the parts of one answer")]
     fn record_vote(
         &mut self,
@@ -507,11 +551,12 @@
         next_send: &mut Time,
         jitter: f64,
     ) -> AnswerEffect {
-        // Asks sent before a stop do not count after it.
-        if requested_at < self.since && !self.is_held {
+        // A request sent before a stall does not count after it.
+        if requested_at < self.started_at && !self.is_held {
             return AnswerEffect::None;
         }
-        // Against: votes that were long under way make a lease that is over at the deciders.
+        // The lease counts from the time of the request. If it counted from the arrival of the votes, delayed votes would
+        // grant a lease that has already ended at the voters.
         self.tally.record_vote(
             voter,
             if rules.is_enabled(Guard::CountFromRequest) {
@@ -528,14 +573,14 @@
         {
             self.predecessor_checkpoint = checkpoint;
         }
-        let Some(since) = self.tally.lease_start(rules.quorum()) else {
+        let Some(lease_start) = self.tally.lease_start(rules.quorum()) else {
             return AnswerEffect::None;
         };
-        if since >= self.sent && self.handover.is_none() {
+        if lease_start >= self.last_sent && self.handover.is_none() {
             let spread = 0.85 + 0.15 * jitter;
-            *next_send = self.sent + (rules.renew_interval() as f64 * spread) as Micros;
+            *next_send = self.last_sent + (rules.renew_interval() as f64 * spread) as Micros;
         }
-        if self.is_held || since.saturating_add(rules.lease_at_holder()) <= now {
+        if self.is_held || lease_start.saturating_add(rules.lease_at_holder()) <= now {
             return AnswerEffect::None;
         }
         self.is_held = true;
--- a/leases/src/manager.rs
+++ b/leases/src/manager.rs
@@ -1,8 +1,8 @@
-//! A router's part in the duties: a candidate for all of them, and a decider where the settings list it.
+//! A router's part in the leases: it is a candidate for all of them, and a voter if the settings list it as one.
 
 use crate::ballot::Holder;
 use crate::event::{LeaseEvent, LossReason};
-use crate::local_lease::{AnswerEffect, Handover, LocalLease, ResumePoint};
+use crate::local_lease::{AnswerEffect, Handover, LocalLease, ResumePoint, SuccessorReady};
 use crate::persisted::PersistedState;
 use crate::placement::{Member, Placement, WantedLease};
 use crate::rate_limiter::RateLimiter;
@@ -19,33 +19,33 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
-/// News that nobody takes are forgotten beyond this: the oldest first.
+/// Maximum number of events that wait to be taken. Beyond it the oldest is dropped.
 const MAX_PENDING_EVENTS: usize = 1_024;
-/// Successors that are offered a duty before it is given back.
+/// Number of successors that are offered a lease before it is released without a successor.
 const MAX_SUCCESSORS_OFFERED: usize = 3;
-/// A router that owns too much hands over one duty in so many renewals' time.
+/// Number of renewal intervals between two leases that a router hands over because it holds too many.
 const RENEWALS_BETWEEN_REBALANCES: u64 = 2;
-/// Share of the datagrams that is kept for renewals.
+/// Share of the datagrams that is reserved for renewals.
 const RENEWAL_RESERVE: f64 = 0.3;
 
 /// Counts since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Bodies sent to others.
+    /// Messages sent to other routers.
     pub sent: u64,
-    /// Their bytes.
+    /// Bytes of these messages.
     pub bytes: u64,
-    /// Bodies that were none, or of another version.
+    /// Received messages that were malformed or of another version.
     pub malformed: u64,
-    /// Asks that were not sent or not answered since too many datagrams went out.
+    /// Requests that were not sent, or not answered, because of the rate limit.
     pub dropped: u64,
-    /// Duties won.
+    /// Leases acquired.
     pub won: u64,
-    /// Duties lost.
+    /// Leases lost.
     pub lost: u64,
 }
 
-/// A router's part in the duties.
+/// Acquires, renews and hands over the leases of one router, and votes if the router is a voter.
 pub struct LeaseManager {
     rules: Rules,
     me: Member,
@@ -55,17 +55,19 @@
     members_by_holder: BTreeMap<Holder, Member>,
     placement: Placement,
     voter: Option<Voter>,
-    /// When each decider answered last that votes in this generation.
-    last_answers: Vec<Option<Time>>,
+    /// For each voter, when the latest request that it answered in the stage [`VoterStage::Voting`] was sent.
+    last_answered: Vec<Option<Time>>,
     had_majority: Option<bool>,
-    next_poll: Time,
+    /// When a request is due even if no lease needs one, to see whether the voters answer.
+    next_heartbeat: Time,
     next_rebalance: Time,
-    /// The latest time that was handed in.
+    /// The time of the latest call.
     latest_time: Time,
     next_turn: Time,
+    /// The router is shutting down: it hands its leases over and claims none.
     is_leaving: bool,
     outbox: Vec<(SocketAddr, Vec<u8>)>,
-    /// What it has to say to itself.
+    /// Messages of this router to itself.
     loopback: VecDeque<Vec<u8>>,
     events: VecDeque<LeaseEvent>,
     limiter: RateLimiter,
@@ -74,8 +76,10 @@
 }
 
 impl LeaseManager {
-    /// A router among this many. `kept` is what its file holds ([`Kept::read`]); none where there is none, or where it is
-    /// no decider.
+    /// Creates the manager of a router, in an installation of this number of routers.
+    ///
+    /// `persisted` is the content of its file ([`PersistedState::decode`]); it is `None` if the file does not exist or the
+    /// router does not vote.
     pub fn new(
         rules: Rules,
         me: Member,
@@ -87,15 +91,15 @@
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let voter = Voter::new(&rules, &me, now, persisted);
         let voters = rules.voters.members.len();
-        // All of a fleet that starts at once must not ask at once.
-        let first = if routers > 1 {
+        // Routers that start at the same time must not send their first requests at once.
+        let first_delay = if routers > 1 {
             rng.random_range(0..rules.renew_interval().max(1))
         } else {
             0
         };
-        let mut new = LeaseManager {
+        let mut manager = LeaseManager {
             limiter: RateLimiter::new(rules.datagrams_per_s, now),
-            last_answers: vec![None; voters],
+            last_answered: vec![None; voters],
             leases: BTreeMap::new(),
             wanted: Vec::new(),
             members: vec![me.clone()],
@@ -103,7 +107,7 @@
             placement: Placement::default(),
             voter,
             had_majority: None,
-            next_poll: now + first / 4,
+            next_heartbeat: now + first_delay / 4,
             next_rebalance: now,
             latest_time: now,
             next_turn: now,
@@ -116,56 +120,56 @@
             me,
             rng,
         };
-        if let Some(voter) = &new.voter {
-            new.record_event(LeaseEvent::VoterStageChanged {
+        if let Some(voter) = &manager.voter {
+            manager.record_event(LeaseEvent::VoterStageChanged {
                 stage: voter.stage(),
                 above: Token::NONE,
             });
         }
-        new
+        manager
     }
 
-    /// The settings.
+    /// Returns the settings.
     pub fn rules(&self) -> &Rules {
         &self.rules
     }
 
-    /// Who this is.
+    /// Returns this router as a member.
     pub fn me(&self) -> &Member {
         &self.me
     }
 
-    /// How far it has come as a decider; none where it is none.
+    /// Returns the stage of this router as a voter; `None` if it does not vote.
     pub fn stage(&self) -> Option<VoterStage> {
         self.voter.as_ref().map(Voter::stage)
     }
 
-    /// Counts since the start.
+    /// Returns the counts since the start.
     pub fn counts(&self) -> Counts {
-        let dropped = self.counts.dropped + self.voter.as_ref().map_or(0, |s| s.dropped);
+        let dropped = self.counts.dropped + self.voter.as_ref().map_or(0, |voter| voter.dropped);
         Counts {
             dropped,
             ..self.counts
         }
     }
 
-    /// When [`Duties::turn`] is to be called next at the latest.
+    /// Returns when [`LeaseManager::turn`] must be called next.
     pub fn next_turn(&self) -> Time {
         self.next_turn
     }
 
-    /// Takes what is to be sent: bodies for [`carried::DUTY`](https://docs.rs/) parts of peers, and where to.
+    /// Takes the messages to send, as receivers and the bodies of parts of gossip.
     pub fn take_outbox(&mut self) -> Vec<(SocketAddr, Vec<u8>)> {
         std::mem::take(&mut self.outbox)
     }
 
-    /// Takes one piece of news.
+    /// Takes the oldest event.
     pub fn take_event(&mut self) -> Option<LeaseEvent> {
         self.events.pop_front()
     }
 
-    fn record_event(&mut self, events: LeaseEvent) {
-        match events {
+    fn record_event(&mut self, event: LeaseEvent) {
+        match event {
             LeaseEvent::Acquired { .. } => self.counts.won += 1,
             LeaseEvent::Lost { .. } => self.counts.lost += 1,
             _ => {}
@@ -173,10 +177,10 @@
         if self.events.len() >= MAX_PENDING_EVENTS {
             self.events.pop_front();
         }
-        self.events.push_back(events);
+        self.events.push_back(event);
     }
 
-    /// What there is to do, alike at all routers.
+    /// Sets the leases that must have a holder. All routers set the same ones.
     pub fn set_wanted(&mut self, now: Time, mut wanted: Vec<WantedLease>) {
         self.detect_stall(now);
         wanted.sort();
@@ -184,24 +188,24 @@
         if wanted == self.wanted {
             return;
         }
-        let gone: Vec<LeaseName> = self
+        let unwanted: Vec<LeaseName> = self
             .leases
             .keys()
             .filter(|d| wanted.binary_search_by(|w| w.lease.cmp(d)).is_err())
             .cloned()
             .collect();
-        for lease in gone {
+        for lease in unwanted {
             self.give_up(now, &lease, Some(LossReason::Unwanted));
             self.leases.remove(&lease);
         }
         let voters = self.rules.voters.members.len();
         for one in &wanted {
-            // The first asks come early, and not all at once.
-            let due = now + self.rng.random_range(0..self.rules.retry_interval().max(1));
-            let new = || LocalLease::new(one.zone.clone(), voters, due);
+            // The first requests are sent early, but not all at once.
+            let next_send = now + self.rng.random_range(0..self.rules.retry_interval().max(1));
+            let new_lease = || LocalLease::new(one.zone.clone(), voters, next_send);
             self.leases
                 .entry(one.lease.clone())
-                .or_insert_with(new)
+                .or_insert_with(new_lease)
                 .zone
                 .clone_from(&one.zone);
         }
@@ -209,7 +213,7 @@
         self.update_placement(now);
     }
 
-    /// Who is seen; this router is always taken to be.
+    /// Sets the members that this router sees. The router itself is always one of them.
     pub fn set_members(&mut self, now: Time, mut members: Vec<Member>) {
         self.detect_stall(now);
         if !members.iter().any(|m| m.holder() == self.me.holder()) {
@@ -225,6 +229,7 @@
         self.update_placement(now);
     }
 
+    /// Computes the placement and the ranks anew, and reschedules polls accordingly.
     fn update_placement(&mut self, now: Time) {
         self.placement = Placement::new(&self.wanted, &self.members);
         let ranks = self.placement.ranks(&self.wanted, &self.members, &self.me);
@@ -233,30 +238,30 @@
             let Some(state) = self.leases.get_mut(&wanted.lease) else {
                 continue;
             };
-            let (rose, sank) = (rank < state.rank, rank > state.rank);
+            let (rank_improved, rank_worsened) = (rank < state.rank, rank > state.rank);
             state.rank = rank;
-            if sank {
+            if rank_worsened {
                 state.delay_first_poll(&self.rules, now, jitter);
             }
             if state.claim.is_some() {
                 continue;
             }
-            let gone = state
+            let holder_left = state
                 .reported_holder()
-                .is_some_and(|(by, _, _)| !self.members_by_holder.contains_key(&by));
-            if gone {
+                .is_some_and(|(holder, _, _)| !self.members_by_holder.contains_key(&holder));
+            if holder_left {
                 state.poll_after_lease_end(&self.rules, now, jitter);
-            } else if rose {
-                let soon = (self.rules.renew_interval() as f64 * jitter) as Micros;
+            } else if rank_improved {
+                let random_delay = (self.rules.renew_interval() as f64 * jitter) as Micros;
                 state.next_send = state
                     .next_send
-                    .min(now + soon.saturating_mul(rank as u64 + 1));
+                    .min(now + random_delay.saturating_mul(rank as u64 + 1));
             }
         }
         self.schedule_next_turn();
     }
 
-    /// Notices where the loop stood still or the clock jumped.
+    /// Detects a stall of the event loop or a jump of the clock.
     fn detect_stall(&mut self, now: Time) {
         if now < self.latest_time {
             self.handle_stall(now, self.latest_time - now);
@@ -266,14 +271,15 @@
         self.latest_time = now;
     }
 
-    /// A call after this means that the loop stood still.
+    /// Returns the time after which a call means that the event loop has stalled.
     fn stall_limit(&self) -> Time {
         self.next_turn
             .max(self.latest_time)
             .saturating_add(self.rules.renew_interval())
     }
 
-    /// The loop stood still for so long, or the clock jumped: nothing is owned until it has been asked for again.
+    /// Handles a stall of the event loop or a jump of the clock, of this length (us). The router holds no lease until the
+    /// voters have granted it again.
     pub fn handle_stall(&mut self, now: Time, duration: Micros) {
         if let Some(voter) = &mut self.voter {
             voter.extend_after_stall(&self.rules, self.latest_time, now, duration);
@@ -295,11 +301,11 @@
             }
         }
         let latest_time = self.latest_time;
-        self.last_answers
+        self.last_answered
             .iter_mut()
             .flatten()
             .for_each(|at| *at = (*at).min(latest_time).min(now));
-        (self.next_poll, self.next_rebalance) = (
+        (self.next_heartbeat, self.next_rebalance) = (
             now,
             self.next_rebalance.min(now + self.rules.renew_interval()),
         );
@@ -307,67 +313,75 @@
         self.next_turn = now;
     }
 
-    /// Whether this router may act for a duty now, and with which token: the last look at the clock before an effect.
+    /// Returns the token under which this router may act now, if it holds the lease.
+    ///
+    /// The caller must check this with a fresh reading of the clock immediately before each action.
     pub fn may_act(&self, now: Time, lease: &LeaseName) -> Option<Token> {
-        let (token, until) = self.leases.get(lease)?.current_grant(&self.rules)?;
-        // Against: an owner that was stopped since it last looked acts after its lease.
-        if self.rules.is_enabled(Guard::Clock) && now >= until {
+        let grant = self.leases.get(lease)?.current_grant(&self.rules)?;
+        // A process may have been stopped since its last check. Without this check it would act after the end of its lease.
+        if self.rules.is_enabled(Guard::Clock) && now >= grant.until {
             return None;
         }
-        // Against: the same, where its clock stood still or jumped.
-        let stood = now < self.latest_time || now > self.stall_limit();
-        (!stood || !self.rules.is_enabled(Guard::Stalled)).then_some(token)
+        // The same happens if the clock stopped together with the process, or jumped.
+        let has_stalled = now < self.latest_time || now > self.stall_limit();
+        (!has_stalled || !self.rules.is_enabled(Guard::Stalled)).then_some(grant.token)
     }
 
-    /// Who is believed to own a duty, and with which token: this router itself, or what deciders said of another.
+    /// Returns the presumed holder of a lease and its token: this router itself, or the holder that voters reported.
     pub fn holder(&self, lease: &LeaseName) -> Option<(Member, Token)> {
         let state = self.leases.get(lease)?;
-        if let Some((token, until)) = state.current_grant(&self.rules)
-            && self.latest_time < until
+        if let Some(grant) = state.current_grant(&self.rules)
+            && self.latest_time < grant.until
         {
-            return Some((self.me.clone(), token));
+            return Some((self.me.clone(), grant.token));
         }
         state.believed_holder.clone()
     }
 
-    /// Another router was seen to act for a duty with this token, which a fence has let pass.
-    pub fn note_holder(&mut self, lease: &LeaseName, from: &Member, token: Token) {
+    /// Notes that another router acted under a lease, with a token that a fence has admitted.
+    pub fn note_holder(&mut self, lease: &LeaseName, holder: &Member, token: Token) {
         if let Some(state) = self.leases.get_mut(lease)
             && state
                 .believed_holder
                 .as_ref()
                 .is_none_or(|(_, known)| *known <= token)
         {
-            state.believed_holder = Some((from.clone(), token));
+            state.believed_holder = Some((holder.clone(), token));
         }
     }
 
-    /// What this router owns now.
+    /// Returns the leases that this router holds now, with their tokens.
     pub fn held_leases(&self, now: Time) -> impl Iterator<Item = (&LeaseName, Token)> {
         self.leases
             .keys()
             .filter_map(move |lease| Some((lease, self.may_act(now, lease)?)))
     }
 
-    /// Whether too few deciders answer: then each router does the chores by itself, as without duties.
+    /// Returns whether no majority of the voters answers. Then each router does the work by itself, as if there were no
+    /// leases.
     pub fn is_without_majority(&self, now: Time) -> bool {
-        let mut last_answers: Vec<Time> = self.last_answers.iter().flatten().copied().collect();
-        last_answers.sort_unstable_by(|a, b| b.cmp(a));
-        let last = last_answers.get(self.rules.voters.majority().saturating_sub(1));
-        last.is_none_or(|at| at.saturating_add(crate::ms(self.rules.lease_ms)) <= now)
+        let mut answered: Vec<Time> = self.last_answered.iter().flatten().copied().collect();
+        answered.sort_unstable_by(|a, b| b.cmp(a));
+        let majority_answered = answered.get(self.rules.voters.majority().saturating_sub(1));
+        majority_answered
+            .is_none_or(|sent| sent.saturating_add(crate::ms(self.rules.lease_ms)) <= now)
     }
 
-    /// Whether a duty is set aside since it killed its owners. Nobody should do it then, also not by itself.
+    /// Returns whether a lease is suspended because several holders in a row were lost. No router should do its work then,
+    /// not even by itself.
     pub fn is_suspended(&self, now: Time, lease: &LeaseName) -> bool {
-        self.leases.get(lease).is_some_and(|c| c.is_suspended(now))
+        self.leases
+            .get(lease)
+            .is_some_and(|state| state.is_suspended(now))
     }
 
-    /// What is done so far (64 bytes at the most): a new owner begins from there. The deciders have it one renewal later.
-    /// Whether it was taken.
-    pub fn record_checkpoint(&mut self, lease: &LeaseName, checkpoint: Vec<u8>) -> bool {
+    /// Reports progress of a lease's work, from which the next holder resumes. Returns `false` if this router does not hold
+    /// the lease or the data is longer than 64 bytes.
+    ///
+    /// The voters receive it with the next renewal.
+    pub fn record_checkpoint(&mut self, lease: &LeaseName, data: Vec<u8>) -> bool {
         let claim = self.leases.get_mut(lease).and_then(|c| c.claim.as_mut());
-        let Some(claim) = claim.filter(|h| h.is_held && checkpoint.len() <= MAX_CHECKPOINT_BYTES)
-        else {
+        let Some(claim) = claim.filter(|h| h.is_held && data.len() <= MAX_CHECKPOINT_BYTES) else {
             return false;
         };
         let count = claim
@@ -378,12 +392,12 @@
         claim.checkpoint = Some(Checkpoint {
             token: claim.token,
             count,
-            data: checkpoint,
+            data,
         });
         true
     }
 
-    /// What the predecessor is known to have finished; none where nothing is known.
+    /// Returns the previous holder's progress, if this router holds the lease and knows of any.
     pub fn resume_point(&self, lease: &LeaseName) -> Option<ResumePoint> {
         let checkpoint = self
             .leases
@@ -399,30 +413,32 @@
         })
     }
 
-    /// What must be on disk before the votes that wait for it leave; call [`Duties::kept`] when it is. It must be written
-    /// whole and synced, beside the old file and then over it.
+    /// Takes the content of the voter's file, if it must be written; votes wait for it.
+    ///
+    /// The caller writes it to a new file, syncs that, renames it over the old file, and then calls
+    /// [`LeaseManager::complete_write`].
     pub fn take_pending_write(&mut self) -> Option<Vec<u8>> {
         self.voter.as_mut()?.take_pending_write()
     }
 
-    /// What [`Duties::to_keep`] gave last is on disk.
+    /// Notes that the content returned by [`LeaseManager::take_pending_write`] is on disk.
     pub fn complete_write(&mut self, now: Time) {
         self.detect_stall(now);
-        self.with_voter(|voter, rules, out| voter.complete_write(rules, now, out));
+        self.with_voter(|voter, rules, outbox| voter.complete_write(rules, now, outbox));
         self.deliver_loopback(now);
     }
 
-    /// Hands over all that is owned, each to a successor that says it is ready; nothing is asked for any more.
+    /// Hands each lease over to a successor that accepts it, and claims no more leases.
     pub fn hand_over_all(&mut self, now: Time) {
         self.detect_stall(now);
         self.is_leaving = true;
-        let all: Vec<LeaseName> = self.leases.keys().cloned().collect();
-        for lease in all {
-            let owns = self
+        let names: Vec<LeaseName> = self.leases.keys().cloned().collect();
+        for lease in names {
+            let is_held = self
                 .leases
                 .get(&lease)
                 .is_some_and(|c| c.claim.as_ref().is_some_and(|h| h.is_held));
-            if owns {
+            if is_held {
                 self.offer_to_successor(now, &lease, 0);
             } else {
                 self.give_up(now, &lease, None);
@@ -431,14 +447,14 @@
         self.deliver_loopback(now);
     }
 
-    /// Whether a hand-over is still under way.
+    /// Returns whether a hand-over is under way.
     pub fn is_handing_over(&self) -> bool {
         self.leases
             .values()
             .any(|c| c.claim.as_ref().is_some_and(|h| h.handover.is_some()))
     }
 
-    /// Offers a duty to the next that should own it.
+    /// Offers a lease to the member that should hold it next, after `attempts` others were offered it.
     fn offer_to_successor(&mut self, now: Time, lease: &LeaseName, attempts: usize) {
         let Some(state) = self.leases.get_mut(lease) else {
             return;
@@ -451,12 +467,12 @@
             zone: state.zone.clone(),
         };
         let order = self.placement.ranked_members(&wanted, &self.members);
-        let to = order
+        let successor = order
             .into_iter()
             .filter(|m| m.address != self.me.address)
             .nth(attempts)
             .cloned();
-        let Some(to) = to.filter(|_| attempts < MAX_SUCCESSORS_OFFERED) else {
+        let Some(to) = successor.filter(|_| attempts < MAX_SUCCESSORS_OFFERED) else {
             claim.handover = None;
             if self.is_leaving {
                 let token = claim.token;
@@ -471,14 +487,14 @@
         claim.handover = Some(Handover {
             to,
             attempts,
-            since: now,
-            sent: now,
+            step_started_at: now,
+            last_sent: now,
             ready: None,
         });
         self.send_handover(lease);
     }
 
-    /// Sends what a hand-over has to send now.
+    /// Sends the message of the current step of a hand-over.
     fn send_handover(&mut self, lease: &LeaseName) {
         let Some(claim) = self.leases.get(lease).and_then(|c| c.claim.as_ref()) else {
             return;
@@ -498,35 +514,35 @@
                 };
                 self.send(to.address, &message);
             }
-            Some((requested_at, lease_ms)) => {
+            Some(ready) => {
                 self.send_to_voters(&Message::Transfer {
                     generation,
                     lease,
                     token,
                     to,
-                    requested_at,
-                    lease_ms,
+                    requested_at: ready.requested_at,
+                    lease_ms: ready.lease_ms,
                 });
             }
         }
     }
 
-    /// Gives up what is held or asked for of a duty, and tells the deciders.
+    /// Gives up a lease or the claim to it, and releases the token at the voters.
     fn give_up(&mut self, now: Time, lease: &LeaseName, reason: Option<LossReason>) {
         let jitter: f64 = self.rng.random();
         let Some(state) = self.leases.get_mut(lease) else {
             return;
         };
-        let owned = state.current_grant(&self.rules).map(|(token, _)| token);
+        let held_token = state.current_grant(&self.rules).map(|grant| grant.token);
         let Some(token) = state.drop_claim(&self.rules, now, jitter) else {
             return;
         };
         if let Some(reason) =
-            reason.filter(|reason| owned.is_some() || *reason == LossReason::Expired)
+            reason.filter(|reason| held_token.is_some() || *reason == LossReason::Expired)
         {
             self.record_event(LeaseEvent::Lost {
                 lease: lease.clone(),
-                token: owned.unwrap_or(token),
+                token: held_token.unwrap_or(token),
                 reason,
             });
         }
@@ -555,31 +571,34 @@
 
     fn send_to_voters(&mut self, message: &Message) {
         let Some(bytes) = encode(message) else { return };
-        for n in 0..self.rules.voters.members.len() {
-            self.send_bytes(self.rules.voters.members[n].address, bytes.clone());
+        for position in 0..self.rules.voters.members.len() {
+            self.send_bytes(self.rules.voters.members[position].address, bytes.clone());
         }
     }
 
+    /// Calls the voter, if this router is one, and takes over the messages and events that the call produced.
     fn with_voter(&mut self, act: impl FnOnce(&mut Voter, &Rules, &mut Outbox)) {
         let Some(voter) = &mut self.voter else { return };
-        let mut out = Outbox::default();
-        act(voter, &self.rules, &mut out);
-        out.events
+        let mut outbox = Outbox::default();
+        act(voter, &self.rules, &mut outbox);
+        outbox
+            .events
             .into_iter()
-            .for_each(|events| self.record_event(events));
-        for (to, bytes) in out.messages {
+            .for_each(|event| self.record_event(event));
+        for (to, bytes) in outbox.messages {
             self.send_bytes(to, bytes);
         }
     }
 
-    /// A body came from another. `late` is how much longer it was under way than the fastest from there (us).
-    pub fn receive(&mut self, now: Time, from: &Member, message: &[u8], late: Micros) {
+    /// Handles a message from another router. `delay` is how much longer the network took for it than for the fastest
+    /// message of that router (us).
+    pub fn receive(&mut self, now: Time, from: &Member, message: &[u8], delay: Micros) {
         self.detect_stall(now);
-        self.process(now, from, message, late);
+        self.process(now, from, message, delay);
         self.deliver_loopback(now);
     }
 
-    /// What this router says to itself is heard at once.
+    /// Delivers the messages of this router to itself at once.
     fn deliver_loopback(&mut self, now: Time) {
         let me = self.me.clone();
         while let Some(message) = self.loopback.pop_front() {
@@ -588,12 +607,13 @@
         self.schedule_next_turn();
     }
 
-    fn process(&mut self, now: Time, from: &Member, message: &[u8], late: Micros) {
+    /// Decodes a message and passes it on to its handler.
+    fn process(&mut self, now: Time, from: &Member, message: &[u8], delay: Micros) {
         let Some(message) = decode(message) else {
             self.counts.malformed += 1;
             return;
         };
-        let ours = self.rules.voters.generation;
+        let own_generation = self.rules.voters.generation;
         match message {
             Message::Request {
                 generation,
@@ -601,17 +621,18 @@
                 lease_ms,
                 items,
             } => {
-                // What is so late would make a lease that is almost over: it only keeps others out.
-                if late > crate::ms(u64::from(lease_ms)) / 2 {
+                // A request that was delayed this long would gain a lease that has almost ended at the candidate, but that
+                // still blocks other candidates.
+                if delay > crate::ms(u64::from(lease_ms)) / 2 {
                     return;
                 }
-                let items = if generation == ours {
+                let items = if generation == own_generation {
                     items
                 } else {
                     Vec::new()
                 };
-                self.with_voter(|voter, rules, out| {
-                    voter.receive_request(rules, now, from, requested_at, lease_ms, items, out)
+                self.with_voter(|voter, rules, outbox| {
+                    voter.receive_request(rules, now, from, requested_at, lease_ms, items, outbox)
                 });
             }
             Message::Answers {
@@ -621,12 +642,12 @@
                 stage,
                 items,
             } if incarnation == self.me.incarnation
-                && generation == ours
+                && generation == own_generation
                 && requested_at <= now =>
             {
                 self.process_answers(now, from, requested_at, stage, items);
             }
-            Message::Release { generation, items } if generation == ours => {
+            Message::Release { generation, items } if generation == own_generation => {
                 self.with_voter(|voter, _, _| voter.release(from, items));
             }
             Message::Offer {
@@ -634,7 +655,7 @@
                 lease,
                 token,
                 checkpoint,
-            } if generation == ours => {
+            } if generation == own_generation => {
                 self.accept_offer(now, from, lease, token, checkpoint);
             }
             Message::Ready {
@@ -643,7 +664,7 @@
                 token,
                 requested_at,
                 lease_ms,
-            } if generation == ours => {
+            } if generation == own_generation => {
                 let claim = self.leases.get_mut(&lease).and_then(|c| c.claim.as_mut());
                 let Some(claim) = claim.filter(|h| h.is_held && h.token == token) else {
                     return;
@@ -654,8 +675,11 @@
                 if handover.to.holder() != from.holder() || handover.ready.is_some() {
                     return;
                 }
-                (handover.ready, handover.since, handover.sent) =
-                    (Some((requested_at, lease_ms)), now, now);
+                handover.ready = Some(SuccessorReady {
+                    requested_at,
+                    lease_ms,
+                });
+                (handover.step_started_at, handover.last_sent) = (now, now);
                 self.send_handover(&lease);
             }
             Message::Transfer {
@@ -665,8 +689,8 @@
                 to,
                 requested_at,
                 lease_ms,
-            } if generation == ours => {
-                self.with_voter(|voter, rules, out| {
+            } if generation == own_generation => {
+                self.with_voter(|voter, rules, outbox| {
                     voter.receive_transfer(
                         rules,
                         now,
@@ -676,7 +700,7 @@
                         to,
                         requested_at,
                         lease_ms,
-                        out,
+                        outbox,
                     );
                 });
             }
@@ -684,24 +708,25 @@
                 generation,
                 lease,
                 token,
-            } if generation == ours => self.complete_handover(now, from, &lease, token),
+            } if generation == own_generation => self.complete_handover(now, from, &lease, token),
             Message::QueryState {
                 generation,
                 token_ceiling,
-            } if generation == ours => {
-                self.with_voter(|voter, rules, out| {
-                    voter.answer_state_query(rules, now, from, token_ceiling, out)
+            } if generation == own_generation => {
+                self.with_voter(|voter, rules, outbox| {
+                    voter.answer_state_query(rules, now, from, token_ceiling, outbox)
                 });
             }
-            Message::State(state) if state.generation == ours => {
-                self.with_voter(|voter, rules, out| {
-                    voter.receive_state(rules, now, from, state, out)
+            Message::State(state) if state.generation == own_generation => {
+                self.with_voter(|voter, rules, outbox| {
+                    voter.receive_state(rules, now, from, state, outbox)
                 });
             }
             _ => {}
         }
     }
 
+    /// Handles the answers of a voter.
     fn process_answers(
         &mut self,
         now: Time,
@@ -714,7 +739,7 @@
             return;
         };
         if stage == VoterStage::Voting {
-            self.last_answers[voter] = self.last_answers[voter].max(Some(requested_at));
+            self.last_answered[voter] = self.last_answered[voter].max(Some(requested_at));
         }
         for answer in items {
             let jitter: f64 = self.rng.random();
@@ -722,7 +747,7 @@
             let Some(state) = self.leases.get_mut(&lease) else {
                 continue;
             };
-            let was_aside = state.is_suspended(now);
+            let was_suspended = state.is_suspended(now);
             match state.receive_answer(&self.rules, now, voter, requested_at, answer, jitter) {
                 AnswerEffect::None => {}
                 AnswerEffect::Acquired => {
@@ -734,7 +759,7 @@
                     continue;
                 }
             }
-            if state.is_suspended(now) && !was_aside {
+            if state.is_suspended(now) && !was_suspended {
                 let duration = state.next_send.saturating_sub(now);
                 self.record_event(LeaseEvent::Suspended { lease, duration });
                 continue;
@@ -742,48 +767,49 @@
             if state.claim.is_some() {
                 continue;
             }
-            if let Some((by, token, until)) = state.reported_holder() {
-                let unknown = || Member {
+            if let Some((holder, token, until)) = state.reported_holder() {
+                let nonmember = || Member {
                     name: String::new(),
                     zone: String::new(),
-                    address: by.address,
-                    incarnation: by.incarnation,
+                    address: holder.address,
+                    incarnation: holder.incarnation,
                 };
-                let seen = self.members_by_holder.get(&by).cloned();
+                let member = self.members_by_holder.get(&holder).cloned();
                 if until > now
                     && state
                         .believed_holder
                         .as_ref()
                         .is_none_or(|(_, known)| *known <= token)
                 {
-                    state.believed_holder = Some((seen.clone().unwrap_or_else(unknown), token));
+                    state.believed_holder = Some((member.clone().unwrap_or_else(nonmember), token));
                 }
-                if seen.is_none() {
+                if member.is_none() {
                     state.poll_after_lease_end(&self.rules, now, jitter);
                 }
             }
         }
     }
 
+    /// Records that this router has acquired a lease, and confirms it to the previous holder if it was handed over.
     fn announce_acquired(&mut self, lease: &LeaseName) {
         let Some(claim) = self.leases.get(lease).and_then(|c| c.claim.as_ref()) else {
             return;
         };
-        let (token, predecessor_checkpoint) = (
+        let (token, resumes_from) = (
             claim.token,
             claim.predecessor_checkpoint.as_ref().map(|m| m.token),
         );
         self.record_event(LeaseEvent::Acquired {
             lease: lease.clone(),
             token,
-            resumes_from: predecessor_checkpoint,
+            resumes_from,
         });
-        if let Some((from, before)) = self
+        if let Some((previous, previous_token)) = self
             .leases
             .get_mut(lease)
             .and_then(|c| c.believed_holder.take())
-            && before.next() == token
-            && from.holder() != self.me.holder()
+            && previous_token.next() == token
+            && previous.holder() != self.me.holder()
         {
             let generation = self.rules.voters.generation;
             let message = Message::TransferDone {
@@ -791,11 +817,11 @@
                 lease: lease.clone(),
                 token,
             };
-            self.send(from.address, &message);
+            self.send(previous.address, &message);
         }
     }
 
-    /// Another would hand a duty over to this router.
+    /// Accepts a holder's offer to hand a lease over to this router.
     fn accept_offer(
         &mut self,
         now: Time,
@@ -837,6 +863,7 @@
         );
     }
 
+    /// Handles the confirmation of a successor that it holds the lease.
     fn complete_handover(&mut self, now: Time, from: &Member, lease: &LeaseName, token: Token) {
         let Some(state) = self.leases.get_mut(lease) else {
             return;
@@ -863,59 +890,65 @@
         });
     }
 
-    /// Does what is due.
+    /// Does all that is due: expiries, hand-overs, requests, and the voter's work.
     pub fn turn(&mut self, now: Time) {
         self.detect_stall(now);
-        self.with_voter(|voter, rules, out| voter.turn(rules, now, out));
+        self.with_voter(|voter, rules, outbox| voter.turn(rules, now, outbox));
         self.deliver_loopback(now);
         self.expire_claims(now);
         self.continue_handovers(now);
         self.rebalance(now);
         self.send_requests(now);
         self.deliver_loopback(now);
-        let majority = !self.is_without_majority(now);
-        if self.had_majority.unwrap_or(false) != majority {
-            self.record_event(if majority {
+        let has_majority = !self.is_without_majority(now);
+        if self.had_majority.unwrap_or(false) != has_majority {
+            self.record_event(if has_majority {
                 LeaseEvent::MajorityReached
             } else {
                 LeaseEvent::MajorityLost
             });
-            self.had_majority = Some(majority);
+            self.had_majority = Some(has_majority);
         }
     }
 
+    /// Gives up the leases that have ended and the claims that have timed out.
     fn expire_claims(&mut self, now: Time) {
-        let over: Vec<_> = self
+        let expired: Vec<_> = self
             .leases
             .iter_mut()
             .filter_map(|(lease, state)| {
                 Some((lease.clone(), state.check_expiry(&self.rules, now)?))
             })
             .collect();
-        for (lease, reason) in over {
+        for (lease, reason) in expired {
             self.give_up(now, &lease, reason);
         }
     }
 
-    /// Goes on with hand-overs: sends again, or takes the next successor.
+    /// Continues hand-overs: sends unanswered messages again, or turns to the next successor.
     fn continue_handovers(&mut self, now: Time) {
-        let ask = self.rules.retry_interval();
-        let due = |c: &LocalLease| {
-            let handover = c.claim.as_ref()?.handover.as_ref()?;
-            (handover.sent + ask <= now)
-                .then(|| (handover.attempts, handover.since, handover.ready.is_some()))
+        let retry = self.rules.retry_interval();
+        let due_step = |state: &LocalLease| {
+            let handover = state.claim.as_ref()?.handover.as_ref()?;
+            (handover.last_sent + retry <= now).then(|| {
+                (
+                    handover.attempts,
+                    handover.step_started_at,
+                    handover.ready.is_some(),
+                )
+            })
         };
-        let all: Vec<_> = self
+        let due: Vec<_> = self
             .leases
             .iter()
-            .filter_map(|(d, c)| Some((d.clone(), due(c)?)))
+            .filter_map(|(lease, state)| Some((lease.clone(), due_step(state)?)))
             .collect();
-        for (lease, (attempts, since, ready)) in all {
-            if !ready && since + 2 * ask <= now {
+        for (lease, (attempts, step_started_at, is_ready)) in due {
+            if !is_ready && step_started_at + 2 * retry <= now {
                 self.offer_to_successor(now, &lease, attempts + 1);
                 continue;
             }
-            if ready && since + self.rules.claim_timeout() <= now {
+            if is_ready && step_started_at + self.rules.claim_timeout() <= now {
                 let token = self
                     .leases
                     .get(&lease)
@@ -929,13 +962,13 @@
             }
             let claim = self.leases.get_mut(&lease).and_then(|c| c.claim.as_mut());
             if let Some(handover) = claim.and_then(|h| h.handover.as_mut()) {
-                handover.sent = now;
+                handover.last_sent = now;
             }
             self.send_handover(&lease);
         }
     }
 
-    /// Hands something over where this router owns more than the spread allows.
+    /// Hands one lease over if this router holds more than [`Placement::rebalance_threshold`].
     fn rebalance(&mut self, now: Time) {
         if now < self.next_rebalance || self.is_leaving {
             return;
@@ -944,42 +977,42 @@
         self.next_rebalance = now
             + RENEWALS_BETWEEN_REBALANCES * self.rules.renew_interval()
             + (jitter * self.rules.renew_interval() as f64) as Micros;
-        let own = self
+        let held_count = self
             .leases
             .values()
             .filter(|c| c.claim.as_ref().is_some_and(|h| h.is_held))
             .count();
-        if own <= self.placement.rebalance_threshold() || self.is_handing_over() {
+        if held_count <= self.placement.rebalance_threshold() || self.is_handing_over() {
             return;
         }
-        let elsewhere = |(lease, state): (&LeaseName, &LocalLease)| {
-            let won = state.claim.as_ref().is_some_and(|h| h.is_held);
-            (won && self.placement.preferred_holder(lease) != Some(self.me.address))
+        let misplaced = |(lease, state): (&LeaseName, &LocalLease)| {
+            let is_held = state.claim.as_ref().is_some_and(|h| h.is_held);
+            (is_held && self.placement.preferred_holder(lease) != Some(self.me.address))
                 .then(|| lease.clone())
         };
-        if let Some(lease) = self.leases.iter().find_map(elsewhere) {
+        if let Some(lease) = self.leases.iter().find_map(misplaced) {
             self.offer_to_successor(now, &lease, 0);
         }
     }
 
-    /// Asks all deciders for what is due, and for what will be soon, in as few bodies as hold it.
+    /// Sends all voters the requests and polls that are due, and those that soon will be, in as few messages as possible.
     fn send_requests(&mut self, now: Time) {
-        // As far ahead as the next ping: a look at what others own never costs a datagram of its own.
+        // Polls due before the next heartbeat are sent along, so that no poll needs a datagram for itself.
         let ahead = self.rules.renew_interval();
-        let due = self
+        let is_due = self
             .leases
             .values()
             .any(|c| c.next_send <= now && c.is_due(now, 0));
-        if (!due && now < self.next_poll) || (self.is_leaving && !self.is_handing_over()) {
+        if (!is_due && now < self.next_heartbeat) || (self.is_leaving && !self.is_handing_over()) {
             return;
         }
-        let owns = self
+        let renews_held = self
             .leases
             .values()
             .any(|c| c.claim.as_ref().is_some_and(|h| h.is_held) && c.next_send <= now);
         if !self
             .limiter
-            .try_take(now, if owns { 0.0 } else { RENEWAL_RESERVE })
+            .try_take(now, if renews_held { 0.0 } else { RENEWAL_RESERVE })
         {
             self.counts.dropped += 1;
             let later = now + self.rules.retry_interval();
@@ -987,7 +1020,7 @@
                 .values_mut()
                 .filter(|c| c.next_send <= now)
                 .for_each(|c| c.next_send = later);
-            self.next_poll = self.next_poll.max(later);
+            self.next_heartbeat = self.next_heartbeat.max(later);
             return;
         }
         let mut items = Vec::new();
@@ -1004,7 +1037,7 @@
             });
         }
         let jitter: f64 = self.rng.random();
-        self.next_poll =
+        self.next_heartbeat =
             now + (self.rules.renew_interval() as f64 * (0.9 + 0.1 * jitter)) as Micros;
         let (generation, lease_ms) = (self.rules.voters.generation, self.rules.lease_ms as u32);
         let make = |items| Message::Request {
@@ -1014,42 +1047,40 @@
             items,
         };
         for bytes in encode_in_parts(&items, &make) {
-            for n in 0..self.rules.voters.members.len() {
-                self.send_bytes(self.rules.voters.members[n].address, bytes.clone());
+            for position in 0..self.rules.voters.members.len() {
+                self.send_bytes(self.rules.voters.members[position].address, bytes.clone());
             }
         }
     }
 
-    /// Finds when something is due next.
+    /// Computes when the next turn is due.
     fn schedule_next_turn(&mut self) {
         let rules = &self.rules;
-        let of = |c: &LocalLease| {
-            let handover = c
-                .claim
-                .as_ref()
-                .and_then(|h| h.handover.as_ref())
-                .map(|p| p.sent + rules.retry_interval());
-            let ends = c.next_expiry(rules);
-            let ready = c
+        let next_of = |state: &LocalLease| {
+            let handover = state
                 .claim
                 .as_ref()
-                .and_then(|h| h.handover.as_ref())
-                .is_some_and(|p| p.ready.is_some());
-            let due = if ready || (self.is_leaving && c.claim.is_none()) {
+                .and_then(|claim| claim.handover.as_ref());
+            let next_handover_send =
+                handover.map(|handover| handover.last_sent + rules.retry_interval());
+            let expiry = state.next_expiry(rules);
+            let is_ready = handover.is_some_and(|handover| handover.ready.is_some());
+            let next_send = if is_ready || (self.is_leaving && state.claim.is_none()) {
                 Time::MAX
             } else {
-                c.next_send
+                state.next_send
             };
-            due.min(handover.unwrap_or(Time::MAX))
-                .min(ends.unwrap_or(Time::MAX))
+            next_send
+                .min(next_handover_send.unwrap_or(Time::MAX))
+                .min(expiry.unwrap_or(Time::MAX))
         };
-        let leases = self.leases.values().map(of).min().unwrap_or(Time::MAX);
+        let leases = self.leases.values().map(next_of).min().unwrap_or(Time::MAX);
         let voter = self.voter.as_ref().map_or(Time::MAX, Voter::next_turn);
-        let ping = if self.is_leaving {
+        let heartbeat = if self.is_leaving {
             Time::MAX
         } else {
-            self.next_poll
+            self.next_heartbeat
         };
-        self.next_turn = leases.min(voter).min(ping);
+        self.next_turn = leases.min(voter).min(heartbeat);
     }
 }
--- a/leases/src/placement.rs
+++ b/leases/src/placement.rs
@@ -38,9 +38,9 @@
     pub zone: Option<String>,
 }
 
-/// Factor of the mean number of leases a router up to which leases are placed on one router, plus one lease.
+/// The placement gives a router up to this multiple of the mean number of leases per router, plus one.
 const PLACEMENT_FACTOR: f64 = 1.25;
-/// Factor of the mean number of leases a router above which, plus one lease, a router hands leases over.
+/// A router that holds more than this multiple of the mean number of leases per router, plus one, hands leases over.
 const REBALANCE_FACTOR: f64 = 2.0;
 
 /// The router that should hold each lease.
