--- a/router/src/main.rs
+++ b/router/src/main.rs
@@ -54,7 +54,7 @@
         parts.push(format!(
             "{} zones, a spillover of at most {}",
             rules.zones.len(),
-            rules.spill
+            rules.max_spill_share
         ));
     }
     if !operators.fronts.is_empty() {
