--- a/router/src/front/mod.rs
+++ b/router/src/front/mod.rs
@@ -145,7 +145,7 @@
                 client = key.number(),
                 ?peer,
                 hung_up,
-                "closing a client connection"
+                "client connection closed"
             );
             return self.close(key, engine);
         }
