--- a/fanout/src/client.rs
+++ b/fanout/src/client.rs
@@ -1,9 +1,9 @@
 //! A subscriber: a router, or a listener of the operators.
 
 use crate::gateway::for_me;
-use crate::mail::{Lane, Mail, spread};
-use crate::track::{Comes, Track};
-use crate::wire::{self, BODY, For, Head, Message, Standing};
+use crate::outbox::{Lane, Mail, spread};
+use crate::sequence_tracker::{Comes, Track};
+use crate::wire::{self, For, Head, MAX_BODY_BYTES, Message, Standing};
 use crate::{DUTIES, Fault, Guard, Rules, Subscriber, Topic};
 use plovercove::{Micros, Time};
 use plovercove_fencing::{Fence, FenceError, LeaseName, Token};
@@ -18,7 +18,7 @@
 
 /// What a subscriber learns.
 #[derive(Clone, Debug, PartialEq)]
-pub enum News {
+pub enum SubscriptionEvent {
     /// The next of a topic. Numbers rise within a token, and tokens rise; positions may leave numbers out.
     Item {
         /// Its topic.
@@ -43,12 +43,12 @@
         through: u64,
     },
     /// An owner that was replaced spoke, and was not believed.
-    Refused {
+    SenderRejected {
         /// Why.
-        why: FenceError,
+        error: FenceError,
     },
     /// The gateway does not answer: what is known may be older than the bound from now on.
-    Silent {
+    GatewaySilent {
         /// When it answered last; never, where none.
         since: Option<Time>,
     },
@@ -58,7 +58,7 @@
         boot: u64,
     },
     /// The gateway takes no more subscriptions.
-    Full,
+    SubscriptionsFull,
 }
 
 /// What a subscriber counted since it began.
@@ -107,7 +107,7 @@
     silent: bool,
     moved_at: Time,
     fence: Fence,
-    news: VecDeque<News>,
+    news: VecDeque<SubscriptionEvent>,
     /// Topics of news that nobody took in time.
     untaken: BTreeSet<(Topic, Token, u64)>,
     mail: Mail,
@@ -148,7 +148,7 @@
     }
 
     /// Who it is.
-    pub fn me(&self) -> &Subscriber {
+    pub fn identity(&self) -> &Subscriber {
         &self.me
     }
 
@@ -162,7 +162,7 @@
     }
 
     /// Whether its gateway holds what it holds.
-    pub fn settled(&self) -> bool {
+    pub fn is_confirmed(&self) -> bool {
         self.settled && self.unsettled.is_empty() && !self.all
     }
 
@@ -172,7 +172,7 @@
     }
 
     /// How far it is in a topic.
-    pub fn place(&self, topic: &Topic) -> Option<(Token, u64)> {
+    pub fn last_received(&self, topic: &Topic) -> Option<(Token, u64)> {
         self.topics.get(topic)?.last
     }
 
@@ -236,7 +236,7 @@
         Some(heard)
     }
 
-    /// Wants nothing any more. It has left when it is [`Client::settled`].
+    /// Wants nothing any more. It has left when it is [`Client::is_confirmed`].
     pub fn leave(&mut self, now: Time) {
         self.now = self.now.max(now);
         for topic in self.topics.keys().cloned().collect::<Vec<_>>() {
@@ -247,7 +247,7 @@
 
     /// The gateway of its zone is at this address. The subscriber speaks to it at a time of its own, since all of the
     /// zone's learn of it together.
-    pub fn gateway(&mut self, now: Time, address: SocketAddr) {
+    pub fn set_gateway(&mut self, now: Time, address: SocketAddr) {
         self.now = self.now.max(now);
         if self.gateway == Some(address) {
             return;
@@ -267,7 +267,7 @@
 
     /// A time up to a span, drawn so that subscribers do not act together.
     fn draw(&mut self, span: Micros) -> Micros {
-        if self.rules.on(Guard::Jitter) {
+        if self.rules.is_enabled(Guard::Jitter) {
             self.dice.random_range(0..=span)
         } else {
             0
@@ -275,7 +275,7 @@
     }
 
     fn spread(&mut self, span: Micros) -> Micros {
-        if self.rules.on(Guard::Jitter) {
+        if self.rules.is_enabled(Guard::Jitter) {
             spread(&mut self.dice, span)
         } else {
             span
@@ -359,7 +359,8 @@
                 _ => (),
             }
         }
-        if elsewhere && self.settled && now >= self.moved_at && self.rules.on(Guard::Moved) {
+        if elsewhere && self.settled && now >= self.moved_at && self.rules.is_enabled(Guard::Moved)
+        {
             // It left that gateway, which has not heard of it.
             self.moved_at = now + crate::ms(self.rules.answer_ms) / 2;
             let message = Message::Moved {
@@ -367,7 +368,7 @@
                 boot: self.me.boot,
                 counter: self.counter,
             };
-            self.mail.put(Lane::Answers, from, For::Gateway, &message);
+            self.mail.put(Lane::Control, from, For::Gateway, &message);
         }
         self.ask_for_holes(now);
         self.pump(now);
@@ -377,9 +378,9 @@
     /// Whether the fence lets a token pass; that it did not is told.
     fn admit(&mut self, duty: &LeaseName, token: Token) -> Result<(), Fault> {
         match self.fence.admit(duty, token) {
-            Err(why) if self.rules.on(Guard::Fence) => {
+            Err(why) if self.rules.is_enabled(Guard::Fence) => {
                 self.counts.refused += 1;
-                self.put(News::Refused { why: why.clone() });
+                self.put(SubscriptionEvent::SenderRejected { error: why.clone() });
                 Err(why.into())
             }
             _ => Ok(()),
@@ -425,14 +426,14 @@
                     made,
                     body,
                     ..
-                } => News::Item {
+                } => SubscriptionEvent::Item {
                     topic,
                     token,
                     number,
                     age: now.saturating_sub(made),
                     body,
                 },
-                Comes::Missed { token, through, .. } => News::Missed {
+                Comes::Missed { token, through, .. } => SubscriptionEvent::Missed {
                     topic,
                     token,
                     through,
@@ -441,30 +442,31 @@
         }
     }
 
-    fn put(&mut self, news: News) {
+    fn put(&mut self, news: SubscriptionEvent) {
         // Who is refused may go on for long: once is enough until it is taken.
-        if matches!(news, News::Refused { .. }) && self.news.contains(&news) {
+        if matches!(news, SubscriptionEvent::SenderRejected { .. }) && self.news.contains(&news) {
             return;
         }
         // The newest position is all that counts.
-        if let News::Item { topic, .. } = &news
+        if let SubscriptionEvent::Item { topic, .. } = &news
             && topic.collapses()
-            && self.rules.on(Guard::Collapse)
+            && self.rules.is_enabled(Guard::Collapse)
         {
-            self.news
-                .retain(|n| !matches!(n, News::Item { topic: old, .. } if old == topic));
+            self.news.retain(
+                |n| !matches!(n, SubscriptionEvent::Item { topic: old, .. } if old == topic),
+            );
         }
         self.news.push_back(news);
-        if self.news.len() > UNTAKEN && self.rules.on(Guard::Queue) {
+        if self.news.len() > UNTAKEN && self.rules.is_enabled(Guard::Queue) {
             self.counts.untaken += 1;
             match self.news.pop_front() {
-                Some(News::Item {
+                Some(SubscriptionEvent::Item {
                     topic,
                     token,
                     number,
                     ..
                 }) => self.overrun(topic, token, number),
-                Some(News::Missed {
+                Some(SubscriptionEvent::Missed {
                     topic,
                     token,
                     through,
@@ -515,11 +517,11 @@
             Standing::Replaced(boot) => {
                 self.settled = false;
                 self.renew_at = now + self.spread(self.pause);
-                self.put(News::Replaced { boot });
+                self.put(SubscriptionEvent::Replaced { boot });
             }
             Standing::Full => {
                 self.renew_at = now + self.spread(self.pause);
-                self.put(News::Full);
+                self.put(SubscriptionEvent::SubscriptionsFull);
             }
         }
     }
@@ -529,7 +531,7 @@
         let (name, boot) = (self.me.name.clone(), self.me.boot);
         let mut says = Vec::new();
         let range = |from: Option<&Topic>, through: Option<&Topic>, topics: &[&Topic], counter| {
-            Message::Says {
+            Message::Declare {
                 name: name.clone(),
                 boot,
                 counter,
@@ -548,7 +550,7 @@
             let (mut chunks, mut bytes) = (vec![Vec::new()], 0);
             for topic in self.topics.keys() {
                 bytes += topic.name().len() + 2;
-                if bytes > BODY / 2 {
+                if bytes > MAX_BODY_BYTES / 2 {
                     chunks.push(Vec::new());
                     bytes = topic.name().len() + 2;
                 }
@@ -567,7 +569,7 @@
             }
         }
         for message in &says {
-            self.mail.put(Lane::Answers, to, For::Gateway, message);
+            self.mail.put(Lane::Control, to, For::Gateway, message);
         }
         let at = self
             .topics
@@ -579,7 +581,7 @@
             holds: self.holds(),
             at: at.fold(0, |a, b| a ^ b),
         };
-        self.mail.put(Lane::Answers, to, For::Gateway, &message);
+        self.mail.put(Lane::Control, to, For::Gateway, &message);
         self.counts.renewals += 1;
         self.waits_since.get_or_insert(now);
         // Unanswered, it waits twice as long each time, up to the pause between two renewals.
@@ -594,7 +596,7 @@
         let due: Vec<Topic> = self
             .topics
             .iter()
-            .filter(|(_, t)| t.next() <= now)
+            .filter(|(_, t)| t.next_turn() <= now)
             .map(|(topic, _)| topic.clone())
             .collect();
         for topic in due {
@@ -610,7 +612,7 @@
                     token,
                     after,
                 };
-                self.mail.put(Lane::Answers, to, For::Gateway, &message);
+                self.mail.put(Lane::Control, to, For::Gateway, &message);
             }
             self.comes(&topic);
         }
@@ -626,7 +628,7 @@
         self.now = self.now.max(now);
         if let Some(to) = self.gateway
             && now >= self.renew_at
-            && (!self.topics.is_empty() || !self.settled())
+            && (!self.topics.is_empty() || !self.is_confirmed())
         {
             self.renew(now, to);
         } else if now >= self.renew_at {
@@ -638,7 +640,7 @@
                 .is_some_and(|since| now >= since + self.patience())
         {
             self.silent = true;
-            self.put(News::Silent {
+            self.put(SubscriptionEvent::GatewaySilent {
                 since: self.answered,
             });
         }
@@ -651,7 +653,7 @@
     }
 
     /// When it has to be driven next.
-    pub fn next(&self) -> Time {
+    pub fn next_turn(&self) -> Time {
         let renew = if self.gateway.is_some() {
             self.renew_at
         } else {
@@ -660,7 +662,7 @@
         let holes = if self.gateway.is_some() {
             self.topics
                 .values()
-                .map(Track::next)
+                .map(Track::next_turn)
                 .min()
                 .unwrap_or(Time::MAX)
         } else {
@@ -674,14 +676,14 @@
     }
 
     /// What is to be sent, and to whom.
-    pub fn out(&mut self) -> Vec<(SocketAddr, Vec<u8>)> {
+    pub fn take_outbox(&mut self) -> Vec<(SocketAddr, Vec<u8>)> {
         self.mail.take_out()
     }
 
     /// What it learnt, in order. Where nobody took the news for long, that some were missed comes first.
-    pub fn news(&mut self) -> Option<News> {
+    pub fn take_event(&mut self) -> Option<SubscriptionEvent> {
         if let Some((topic, token, through)) = self.untaken.pop_first() {
-            return Some(News::Missed {
+            return Some(SubscriptionEvent::Missed {
                 topic,
                 token,
                 through,
--- a/fanout/src/gateway.rs
+++ b/fanout/src/gateway.rs
@@ -1,11 +1,13 @@
 //! The gateway of a zone: what its subscribers ask for, and what they are told.
 
-use crate::held::{Held, Next};
-use crate::lists::Others;
-use crate::mail::{Lane, Mail, spread};
-use crate::table::{Name, Says, Table};
-use crate::track::{Comes, Track};
-use crate::wire::{self, BODY, Entry, For, Head, ITEM, Mark, Message, Standing, State, Told};
+use crate::outbox::{Lane, Mail, spread};
+use crate::reconciliation::Others;
+use crate::retained::{Held, Next};
+use crate::sequence_tracker::{Comes, Track};
+use crate::table::{Declaration, Name, SubscriptionTable};
+use crate::wire::{
+    self, Entry, For, Head, MAX_BODY_BYTES, MAX_ITEM_BYTES, Mark, Message, Standing, State, Told,
+};
 use crate::{DUTIES, Fault, Guard, Rules, Subscriber, Topic, rules::TIDY};
 use plovercove::{Micros, Time};
 use plovercove_fencing::{Fence, FenceError, InvalidLeaseName, LeaseName, Token};
@@ -53,7 +55,7 @@
     pub(crate) me: SocketAddr,
     pub(crate) token: Option<Token>,
     pub(crate) fence: Fence,
-    pub(crate) table: Table,
+    pub(crate) table: SubscriptionTable,
     pub(crate) others: Others,
     pub(crate) mail: Mail,
     pub(crate) dice: Pcg64Mcg,
@@ -87,7 +89,7 @@
             me,
             token: None,
             fence: Fence::new(DUTIES),
-            table: Table::new(rules.clone(), zone),
+            table: SubscriptionTable::new(rules.clone(), zone),
             others: Others::default(),
             mail: Mail::new(&rules, now),
             counts: GatewayCounts::default(),
@@ -108,7 +110,7 @@
     }
 
     /// The list: its own zone's, and copies of the others'.
-    pub fn table(&self) -> &Table {
+    pub fn table(&self) -> &SubscriptionTable {
         &self.table
     }
 
@@ -127,14 +129,14 @@
     }
 
     /// Whether it has the duty, by its own knowledge.
-    pub fn owns(&self) -> bool {
+    pub fn holds_lease(&self) -> bool {
         self.token.is_some()
     }
 
     /// Whether the fence lets a token pass. Off only in tests.
     pub(crate) fn admit(&mut self, duty: &LeaseName, token: Token) -> Result<(), FenceError> {
         let passed = self.fence.admit(duty, token).map(|_| ());
-        if self.rules.on(Guard::Fence) {
+        if self.rules.is_enabled(Guard::Fence) {
             passed
         } else {
             Ok(())
@@ -142,7 +144,7 @@
     }
 
     /// The token by which this router has the duty, or none. Told whenever it changes; the same again changes nothing.
-    pub fn token(&mut self, now: Time, token: Option<Token>) {
+    pub fn set_token(&mut self, now: Time, token: Option<Token>) {
         self.now = self.now.max(now);
         match token {
             Some(token) if self.token != Some(token) => {
@@ -150,7 +152,7 @@
                     return;
                 }
                 // Whoever was in the list of the last owner has a lease to renew here.
-                self.table.taken_over(now);
+                self.table.restart_leases(now);
                 self.token = Some(token);
                 self.others.begin(now, &mut self.dice, &self.rules);
             }
@@ -217,7 +219,7 @@
             duty: duty.clone(),
             token: self.fence.newest(duty),
         };
-        self.mail.put(Lane::Answers, to, who, &message);
+        self.mail.put(Lane::Control, to, who, &message);
     }
 
     /// What subscribers and publishers say.
@@ -258,7 +260,7 @@
                 holds,
                 at,
             } => self.renew(now, from, name, boot, holds, at),
-            Message::Says {
+            Message::Declare {
                 name,
                 boot,
                 counter,
@@ -273,14 +275,14 @@
                     zone: self.zone.clone(),
                 };
                 let (from_topic, through) = (first.as_ref(), through.as_ref());
-                let says = Says {
+                let says = Declaration {
                     subscriber: &subscriber,
                     counter,
                     from: from_topic,
                     through,
                     topics: &topics,
                 };
-                if !self.table.says(now, &says) {
+                if !self.table.apply(now, &says) {
                     self.stands(now, from, name.clone(), boot, 0, Standing::Full);
                     return Err(Fault::Full {
                         what: "subscriptions",
@@ -342,7 +344,7 @@
             {
                 for mark in far {
                     self.mail.put(
-                        Lane::Answers,
+                        Lane::Control,
                         from,
                         For::Subscriber(name.clone()),
                         &Message::Heads(mark),
@@ -362,7 +364,7 @@
         holds: u64,
         standing: Standing,
     ) {
-        let pause = self.rules.pause(self.subscribers);
+        let pause = self.rules.renewal_interval(self.subscribers);
         let message = Message::Stands {
             boot,
             holds,
@@ -370,7 +372,7 @@
             pause,
         };
         self.mail
-            .put(Lane::Answers, to, For::Subscriber(name), &message);
+            .put(Lane::Control, to, For::Subscriber(name), &message);
     }
 
     /// Asks a subscriber to say all that it holds anew.
@@ -406,11 +408,11 @@
         item: &[u8],
     ) -> Result<(), Fault> {
         self.now = self.now.max(now);
-        if item.len() > ITEM {
+        if item.len() > MAX_ITEM_BYTES {
             return Err(Fault::Large {
                 topic: topic.name().into(),
                 bytes: item.len(),
-                most: ITEM,
+                most: MAX_ITEM_BYTES,
             });
         }
         let body: Arc<[u8]> = item.into();
@@ -534,7 +536,7 @@
     fn tell(
         rules: &Rules,
         now: Time,
-        table: &mut Table,
+        table: &mut SubscriptionTable,
         held: &BTreeMap<Topic, Held>,
         line: &mut VecDeque<Name>,
         mail: &mut Mail,
@@ -560,7 +562,7 @@
                 let Some(held) = held.get(topic) else {
                     continue;
                 };
-                while bytes < BODY
+                while bytes < MAX_BODY_BYTES
                     && let Some((next, place)) = held.after(rules, topic, now, kept.place)
                 {
                     let message = match next {
@@ -570,14 +572,14 @@
                     bytes += wire::bytes(&message).len();
                     kept.place = Some((held.token, place));
                     mail.put(
-                        Lane::News,
+                        Lane::Items,
                         subscriber.address,
                         For::Subscriber(name.clone()),
                         &message,
                     );
                 }
             }
-            if bytes >= BODY {
+            if bytes >= MAX_BODY_BYTES {
                 // There may be more: the others first.
                 person.queued = true;
                 line.push_back(name);
@@ -607,9 +609,10 @@
         self.now = self.now.max(now);
         if now >= self.tidy_at {
             let before = self.table.changed.len();
-            self.subscribers = self.table.own_people();
-            let lease = self.rules.lease(self.subscribers);
-            self.table.tidy(now, self.token.is_some(), lease);
+            self.subscribers = self.table.own_subscriber_count();
+            let lease = self.rules.subscriber_lease(self.subscribers);
+            self.table
+                .expire_and_forget(now, self.token.is_some(), lease);
             self.counts.expired += (self.table.changed.len() - before) as u64;
             self.tidy_at = now + spread(&mut self.dice, TIDY);
         }
@@ -620,7 +623,7 @@
         let mut asks = Vec::new();
         let mut due = Vec::new();
         for (topic, (track, publisher)) in &mut self.tracks {
-            if track.next() <= now {
+            if track.next_turn() <= now {
                 let fetch = track.fetch(&rules, now, spread(&mut self.dice, again));
                 if let (Some((token, after)), Some(to)) = (fetch, *publisher) {
                     asks.push((
@@ -637,7 +640,7 @@
             }
         }
         for (to, message) in asks {
-            self.mail.put(Lane::Answers, to, For::Publisher, &message);
+            self.mail.put(Lane::Control, to, For::Publisher, &message);
         }
         for topic in due {
             self.comes(&topic);
@@ -646,15 +649,15 @@
     }
 
     /// When it has to be driven next.
-    pub fn next(&self) -> Time {
+    pub fn next_turn(&self) -> Time {
         let holes = self
             .tracks
             .values()
-            .map(|(track, _)| track.next())
+            .map(|(track, _)| track.next_turn())
             .min()
             .unwrap_or(Time::MAX);
         let lists = if self.token.is_some() {
-            self.others.next()
+            self.others.next_turn()
         } else {
             Time::MAX
         };
@@ -665,7 +668,7 @@
     }
 
     /// What is to be sent, and to whom.
-    pub fn out(&mut self) -> Vec<(SocketAddr, Vec<u8>)> {
+    pub fn take_outbox(&mut self) -> Vec<(SocketAddr, Vec<u8>)> {
         self.mail.take_out()
     }
 }
--- a/fanout/src/lib.rs
+++ b/fanout/src/lib.rs
@@ -8,24 +8,24 @@
 mod client;
 mod fault;
 mod gateway;
-mod held;
-mod lists;
-mod mail;
+mod outbox;
 mod publisher;
+mod reconciliation;
+mod retained;
 mod rules;
+mod sequence_tracker;
 mod table;
 mod topic;
-mod track;
 mod wire;
 
-pub use client::{Client, ClientCounts, News};
+pub use client::{Client, ClientCounts, SubscriptionEvent};
 pub use fault::Fault;
 pub use gateway::{Gateway, GatewayCounts};
 pub use publisher::Publisher;
-pub use rules::{DIFFERENCE, Guard, Rules};
-pub use table::{Merged, Says, Table};
+pub use rules::{Guard, MAX_DIFFERENCE_BYTES, Rules};
+pub use table::{Declaration, MergeOutcome, SubscriptionTable};
 pub use topic::{Subscriber, Topic};
-pub use wire::{BODY, Entry, ITEM, State};
+pub use wire::{Entry, MAX_BODY_BYTES, MAX_ITEM_BYTES, State};
 
 /// Milliseconds as the module's spans.
 fn ms(ms: u64) -> plovercove::Micros {
--- a/fanout/src/mail.rs
+++ b/fanout/src/outbox.rs
@@ -1,7 +1,7 @@
 //! What waits to be sent: within the budget, packed by address, and in turns between its kinds.
 
 use crate::Rules;
-use crate::wire::{self, BODY, For, Head, Message};
+use crate::wire::{self, For, Head, MAX_BODY_BYTES, Message};
 use plovercove::{Micros, Time};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -55,7 +55,7 @@
     /// Whether a datagram of any length may go.
     fn may(&mut self, now: Time) -> bool {
         self.fill(now);
-        self.datagrams >= 1_000_000 && self.bytes >= BODY as u64 * 1_000_000
+        self.datagrams >= 1_000_000 && self.bytes >= MAX_BODY_BYTES as u64 * 1_000_000
     }
 
     fn spend(&mut self, bytes: usize) {
@@ -68,7 +68,7 @@
         let wait = |lacks: u64, per_s: u64| lacks.div_ceil(per_s.max(1));
         let datagrams = wait(1_000_000u64.saturating_sub(self.datagrams), self.per_s.0);
         let bytes = wait(
-            (BODY as u64 * 1_000_000).saturating_sub(self.bytes),
+            (MAX_BODY_BYTES as u64 * 1_000_000).saturating_sub(self.bytes),
             self.per_s.1,
         );
         self.at + datagrams.max(bytes)
@@ -79,11 +79,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Lane {
     /// Answers, changes and requests.
-    Answers,
+    Control,
     /// The comparison of lists.
     Lists,
     /// News, which the owner of the mail makes when it is their turn.
-    News,
+    Items,
 }
 
 type To = (SocketAddr, For);
@@ -116,7 +116,7 @@
         });
         let mut packed = 0;
         while let Some(message) = waits.front()
-            && (packed == 0 || body.len() + message.len() <= BODY)
+            && (packed == 0 || body.len() + message.len() <= MAX_BODY_BYTES)
         {
             body.extend_from_slice(message);
             waits.pop_front();
@@ -195,7 +195,7 @@
         mut news: impl FnMut(&mut Mail) -> bool,
     ) {
         while self.pace.may(now) {
-            if self.idle(Lane::News) && !news(self) && self.waits == 0 {
+            if self.idle(Lane::Items) && !news(self) && self.waits == 0 {
                 return;
             }
             let lanes = self.queues.len();
--- a/fanout/src/publisher.rs
+++ b/fanout/src/publisher.rs
@@ -1,8 +1,8 @@
 //! The owner of a watch: it numbers the news of each topic within its token, and tells each gateway once.
 
-use crate::held::{Held, Next};
-use crate::mail::{Lane, Mail, spread};
-use crate::wire::{self, BODY, For, ITEM, Message};
+use crate::outbox::{Lane, Mail, spread};
+use crate::retained::{Held, Next};
+use crate::wire::{self, For, MAX_BODY_BYTES, MAX_ITEM_BYTES, Message};
 use crate::{DUTIES, Fault, Guard, Rules, Topic};
 use plovercove::{Micros, Time};
 use plovercove_fencing::{FenceError, LeaseName, Token};
@@ -46,7 +46,7 @@
     }
 
     /// The gateways of all zones as the duties have them now.
-    pub fn gateways(&mut self, now: Time, list: &[SocketAddr]) {
+    pub fn set_gateways(&mut self, now: Time, list: &[SocketAddr]) {
         self.readers.retain(|address, _| list.contains(address));
         for address in list {
             let heads_at = now + spread(&mut self.dice, crate::ms(self.rules.answer_ms));
@@ -70,11 +70,11 @@
         token: Token,
         item: &[u8],
     ) -> Result<u64, Fault> {
-        if item.len() > ITEM {
+        if item.len() > MAX_ITEM_BYTES {
             return Err(Fault::Large {
                 topic: topic.name().into(),
                 bytes: item.len(),
-                most: ITEM,
+                most: MAX_ITEM_BYTES,
             });
         }
         if self.held.len() >= DUTIES && !self.held.contains_key(topic) {
@@ -87,7 +87,7 @@
             .held
             .entry(topic.clone())
             .or_insert_with(|| Held::new(duty.clone(), token));
-        if held.token > token && self.rules.on(Guard::Fence) {
+        if held.token > token && self.rules.is_enabled(Guard::Fence) {
             return Err(FenceError::Older {
                 lease: duty.clone(),
                 token,
@@ -115,12 +115,12 @@
     }
 
     /// The duty ended here: its topics are another's.
-    pub fn ended(&mut self, duty: &LeaseName) {
+    pub fn drop_lease(&mut self, duty: &LeaseName) {
         self.held.retain(|_, held| held.duty != *duty);
     }
 
     /// A newer token that a gateway knows of a duty that was told here; the topics of it are dropped.
-    pub fn refused(&mut self) -> Option<FenceError> {
+    pub fn take_rejection(&mut self) -> Option<FenceError> {
         self.refused.pop()
     }
 
@@ -160,7 +160,7 @@
                 Message::Refused { duty, token } => {
                     let old = |h: &Held| h.duty == duty && h.token < token;
                     if let Some(told) = self.held.values().find(|h| old(h)).map(|h| h.token)
-                        && self.rules.on(Guard::Fence)
+                        && self.rules.is_enabled(Guard::Fence)
                     {
                         self.refused.push(FenceError::Older {
                             lease: duty.clone(),
@@ -188,7 +188,7 @@
                 reader.queued = false;
                 let mut bytes = 0;
                 for (topic, held) in held {
-                    while bytes < BODY
+                    while bytes < MAX_BODY_BYTES
                         && let Some((next, place)) =
                             held.after(rules, topic, now, reader.places.get(topic).copied())
                     {
@@ -198,10 +198,10 @@
                         };
                         bytes += wire::bytes(&message).len();
                         reader.places.insert(topic.clone(), (held.token, place));
-                        mail.put(Lane::News, address, For::Gateway, &message);
+                        mail.put(Lane::Items, address, For::Gateway, &message);
                     }
                 }
-                if bytes >= BODY {
+                if bytes >= MAX_BODY_BYTES {
                     reader.queued = true;
                     line.push_back(address);
                 }
@@ -220,7 +220,7 @@
                 reader.heads_at = now + spread(&mut self.dice, crate::ms(self.rules.heads_ms));
                 for (topic, held) in &self.held {
                     self.mail.put(
-                        Lane::Answers,
+                        Lane::Control,
                         *address,
                         For::Gateway,
                         &Message::Heads(held.mark(topic, held.head)),
@@ -235,7 +235,7 @@
     }
 
     /// When it has to be driven next.
-    pub fn next(&self) -> Time {
+    pub fn next_turn(&self) -> Time {
         let heads = self
             .readers
             .values()
@@ -246,7 +246,7 @@
     }
 
     /// What is to be sent, and to whom.
-    pub fn out(&mut self) -> Vec<(SocketAddr, Vec<u8>)> {
+    pub fn take_outbox(&mut self) -> Vec<(SocketAddr, Vec<u8>)> {
         self.mail.take_out()
     }
 }
--- a/fanout/src/lists.rs
+++ b/fanout/src/reconciliation.rs
@@ -4,8 +4,8 @@
 //! the next comparison finds what still differs.
 
 use crate::gateway::Gateway;
-use crate::mail::{Lane, spread};
-use crate::table::{self, LEVELS, Merged, Name, PARTS};
+use crate::outbox::{Lane, spread};
+use crate::table::{self, LEVELS, MergeOutcome, Name, PARTS};
 use crate::wire::{Entry, For, Message, State};
 use crate::{Guard, Rules};
 use plovercove::{Micros, Time};
@@ -49,7 +49,7 @@
     }
 
     /// When the next comparison is due.
-    pub fn next(&self) -> Time {
+    pub fn next_turn(&self) -> Time {
         self.by_zone
             .values()
             .map(|o| o.compare_at)
@@ -69,7 +69,7 @@
 
 impl Gateway {
     /// The gateways of the other zones as the duties have them now, and that of this zone where it is another router.
-    pub fn others(&mut self, now: Time, list: &[(String, SocketAddr, Token)]) {
+    pub fn set_gateways(&mut self, now: Time, list: &[(String, SocketAddr, Token)]) {
         self.now = self.now.max(now);
         let mut seen = Vec::new();
         for (zone, address, token) in list {
@@ -108,7 +108,7 @@
     fn replaced(&mut self, now: Time, address: SocketAddr, token: Token) {
         if address != self.me {
             self.others.successor = Some(address);
-            if self.token.is_some_and(|mine| mine < token) && self.rules.on(Guard::Fence) {
+            if self.token.is_some_and(|mine| mine < token) && self.rules.is_enabled(Guard::Fence) {
                 self.lose(now);
             }
             self.ask_successor();
@@ -130,7 +130,7 @@
         };
         for entry in std::mem::take(&mut self.others.asked) {
             self.mail
-                .put(Lane::Answers, to, For::Gateway, &Message::Request(entry));
+                .put(Lane::Control, to, For::Gateway, &Message::Request(entry));
         }
     }
 
@@ -172,7 +172,7 @@
                 other.compare_at = now + pause;
             }
             let busy = self.mail.waits_for(Lane::Lists, to);
-            if self.zone > zone || busy || !self.rules.on(Guard::Repair) {
+            if self.zone > zone || busy || !self.rules.is_enabled(Guard::Repair) {
                 continue;
             }
             self.others.round = self.others.round.wrapping_add(1);
@@ -213,7 +213,7 @@
             {
                 continue;
             }
-            if self.table.merge(now, &entry) == Merged::Taken {
+            if self.table.merge(now, &entry) == MergeOutcome::Applied {
                 self.counts.requests += 1;
                 self.table.note(&entry);
             }
@@ -233,7 +233,10 @@
             match message {
                 Message::Refused { duty, token } if duty == self.duty => {
                     let newer = self.token.is_some_and(|mine| mine < token);
-                    if newer && self.admit(&duty, token).is_ok() && self.rules.on(Guard::Fence) {
+                    if newer
+                        && self.admit(&duty, token).is_ok()
+                        && self.rules.is_enabled(Guard::Fence)
+                    {
                         self.lose(now);
                         self.others.successor = Some(from)
                             .filter(|_| *zone == self.zone)
@@ -304,7 +307,7 @@
     fn compare_one(&mut self, now: Time, zone: &Name, sum: u64, age: Micros) -> bool {
         let same = self.table.sum(zone, 0, 0) == sum;
         if same && *zone != self.zone {
-            self.table.confirm(zone, now.saturating_sub(age));
+            self.table.confirm_copy(zone, now.saturating_sub(age));
         }
         same
     }
@@ -346,7 +349,7 @@
                 &Message::Same { zones: same },
             );
         }
-        if busy || !self.rules.on(Guard::Repair) {
+        if busy || !self.rules.is_enabled(Guard::Repair) {
             return;
         }
         // How old the copies here are goes before their entries.
@@ -482,11 +485,11 @@
         };
         let oldest = now.saturating_sub(crate::ms(self.rules.forget_ms));
         let stale = entry.state == State::Live && fresh.is_none_or(|at| at < oldest);
-        if stale && self.rules.on(Guard::Away) {
+        if stale && self.rules.is_enabled(Guard::Away) {
             return;
         }
         match self.table.merge(now, entry) {
-            Merged::Taken => {
+            MergeOutcome::Applied => {
                 self.counts.taken += 1;
                 if *zone != self.zone
                     && let Some(at) = fresh
@@ -494,12 +497,12 @@
                     self.table.taint(zone, at);
                 }
             }
-            Merged::Older(mine) => {
+            MergeOutcome::Stale(mine) => {
                 self.mail
                     .put(Lane::Lists, from, For::Gateway, &Message::Entry(mine));
             }
-            Merged::Contested(to, name) => self.ask_anew(now, to, name),
-            Merged::Same | Merged::Full => (),
+            MergeOutcome::Contested(to, name) => self.ask_anew(now, to, name),
+            MergeOutcome::Unchanged | MergeOutcome::Full => (),
         }
     }
 }
--- a/fanout/src/held.rs
+++ b/fanout/src/retained.rs
@@ -41,12 +41,12 @@
     pub fn push(&mut self, rules: &Rules, topic: &Topic, number: u64, made: Time, body: Arc<[u8]>) {
         self.head = self.head.max(number);
         self.items.push_back((number, made, body));
-        let most = if topic.collapses() && rules.on(Guard::Collapse) {
+        let most = if topic.collapses() && rules.is_enabled(Guard::Collapse) {
             1
         } else {
-            rules.held.max(1)
+            rules.retained_items.max(1)
         };
-        while self.items.len() > most && rules.on(Guard::Queue) {
+        while self.items.len() > most && rules.is_enabled(Guard::Queue) {
             if let Some((number, ..)) = self.items.pop_front() {
                 self.gone = self.gone.max(number);
             }
@@ -100,7 +100,7 @@
         if at.is_some_and(|at| at >= self.head) {
             return None;
         }
-        if topic.collapses() && rules.on(Guard::Collapse) {
+        if topic.collapses() && rules.is_enabled(Guard::Collapse) {
             let newest = self.items.back()?;
             return (at.is_none_or(|at| newest.0 > at))
                 .then(|| (Next::Told(self.told(topic, now, newest)), self.head));
--- a/fanout/src/rules.rs
+++ b/fanout/src/rules.rs
@@ -49,7 +49,7 @@
     ];
 
     /// The guard of this name, as scripts write it.
-    pub fn named(name: &str) -> Option<Guard> {
+    pub fn from_name(name: &str) -> Option<Guard> {
         use serde::de::IntoDeserializer;
         let name: serde::de::value::StrDeserializer<'_, serde::de::value::Error> =
             name.into_deserializer();
@@ -61,7 +61,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Rules {
-    /// A subscriber renews at least so often (ms). A gateway of many makes it longer, see [`Rules::pause`].
+    /// A subscriber renews at least so often (ms). A gateway of many makes it longer, see [`Rules::renewal_interval`].
     pub renew_ms: u64,
     /// An answer that takes longer is asked for again (ms), after twice the time at each further try.
     pub answer_ms: u64,
@@ -74,7 +74,8 @@
     /// A hole in the numbers that is not filled for so long is told as missed (ms).
     pub gap_ms: u64,
     /// News held of each topic for those who missed some, and for slow subscribers.
-    pub held: usize,
+    #[serde(rename = "held")]
+    pub retained_items: usize,
     /// Topics of one subscriber at the most.
     pub topics: usize,
     /// Subscriptions of all zones at the most; who left counts while it is remembered.
@@ -86,7 +87,7 @@
     /// Tests only: the guard that is off.
     #[cfg(feature = "mutations")]
     #[serde(skip)]
-    pub without: Option<Guard>,
+    pub disabled_guard: Option<Guard>,
 }
 
 impl Default for Rules {
@@ -99,13 +100,13 @@
             forget_ms: 600_000,
             heads_ms: 1_000,
             gap_ms: 3_000,
-            held: 64,
+            retained_items: 64,
             topics: 512,
             subscriptions: 50_000,
             datagrams_per_s: 80,
             bytes_per_s: 40_000,
             #[cfg(feature = "mutations")]
-            without: None,
+            disabled_guard: None,
         }
     }
 }
@@ -113,56 +114,56 @@
 impl Rules {
     /// Whether a guard is on. It is, but in tests that take it away.
     #[cfg(feature = "mutations")]
-    pub(crate) fn on(&self, guard: Guard) -> bool {
-        self.without != Some(guard)
+    pub(crate) fn is_enabled(&self, guard: Guard) -> bool {
+        self.disabled_guard != Some(guard)
     }
 
     /// Whether a guard is on. It is, but in tests that take it away.
     #[cfg(not(feature = "mutations"))]
-    pub(crate) fn on(&self, _: Guard) -> bool {
+    pub(crate) fn is_enabled(&self, _: Guard) -> bool {
         true
     }
 
     /// Between two renewals of one of so many subscribers of a gateway (us): the answers take a third of its datagrams.
-    pub fn pause(&self, subscribers: usize) -> Micros {
+    pub fn renewal_interval(&self, subscribers: usize) -> Micros {
         let spread = 3 * subscribers as u64 * 1_000_000 / u64::from(self.datagrams_per_s.max(1));
         crate::ms(self.renew_ms).max(spread)
     }
 
     /// Who has not renewed for so long is gone (us): three renewals in a row were lost, and the last was tried again.
-    pub fn lease(&self, subscribers: usize) -> Micros {
-        3 * self.pause(subscribers) + crate::ms(4 * self.answer_ms)
+    pub fn subscriber_lease(&self, subscribers: usize) -> Micros {
+        3 * self.renewal_interval(subscribers) + crate::ms(4 * self.answer_ms)
     }
 
     /// Who left is remembered for so long (us): an old copy is thrown away before, at whichever gateway it lies.
-    pub fn keep(&self) -> Micros {
+    pub fn tombstone_retention(&self) -> Micros {
         crate::ms(self.forget_ms + 10 * self.compare_ms)
     }
 
     /// How long after a heal the lists are equal at all gateways (us), where this many subscriptions differ: two
     /// comparisons with each other gateway, of which one may be lost, six ways there and back, and the bytes. Each
-    /// difference costs [`DIFFERENCE`] bytes at the most, on each of the links that a gateway has.
-    pub fn equal_within(&self, differences: usize, gateways: usize) -> Micros {
+    /// difference costs [`MAX_DIFFERENCE_BYTES`] bytes at the most, on each of the links that a gateway has.
+    pub fn convergence_bound(&self, differences: usize, gateways: usize) -> Micros {
         let links = gateways.saturating_sub(1).max(1) as u64;
-        let bytes = (differences as u64 * DIFFERENCE + 4_000) * links;
+        let bytes = (differences as u64 * MAX_DIFFERENCE_BYTES + 4_000) * links;
         let send = bytes * 1_000_000 / u64::from(self.bytes_per_s.max(1));
         crate::ms(4 * self.compare_ms) + send + WAYS
     }
 
     /// The greatest age at which a subscriber that can reach its gateway believes the newest of a topic without being told
     /// that it missed (us): the publisher's next telling of its numbers, the subscriber's next renewal, the tries of both.
-    pub fn believed_within(&self, subscribers: usize) -> Micros {
+    pub fn staleness_bound(&self, subscribers: usize) -> Micros {
         crate::ms(2 * self.heads_ms + 2 * self.gap_ms + 4 * self.answer_ms)
-            + 2 * self.pause(subscribers)
+            + 2 * self.renewal_interval(subscribers)
     }
 
     /// For how long after a move two gateways may tell one subscriber (us): until the new one has told the old one, or the
     /// subscriber has; where neither gets through, until it has not renewed there for a lease.
-    pub fn told_twice_within(&self, subscribers: usize, reached: bool) -> Micros {
+    pub fn duplicate_delivery_bound(&self, subscribers: usize, reached: bool) -> Micros {
         if reached {
             crate::ms(3 * self.answer_ms + self.compare_ms)
         } else {
-            self.lease(subscribers) + TIDY
+            self.subscriber_lease(subscribers) + TIDY
         }
     }
 
@@ -195,7 +196,7 @@
         )?;
         within("heads_ms", self.heads_ms, 50, 60_000)?;
         within("gap_ms", self.gap_ms, self.answer_ms, 600_000)?;
-        within("held", self.held as u64, 1, 10_000)?;
+        within("held", self.retained_items as u64, 1, 10_000)?;
         within("topics", self.topics as u64, 1, 10_000)?;
         within("subscriptions", self.subscriptions as u64, 1, 1_000_000)?;
         within(
@@ -219,4 +220,4 @@
 const WAYS: Micros = 6 * 200_000;
 /// What one differing subscription costs at the most (bytes): sums of 16 ranges on three levels, the list of its leaf, and
 /// its entry on both sides.
-pub const DIFFERENCE: u64 = 600;
+pub const MAX_DIFFERENCE_BYTES: u64 = 600;
--- a/fanout/src/track.rs
+++ b/fanout/src/sequence_tracker.rs
@@ -81,7 +81,7 @@
         self.collapses = topic.collapses();
         self.last = Some((token, at));
         // Nobody can say how far the other numbers went, so what led here is to be asked for elsewhere.
-        if !topic.collapses() && rules.on(Guard::Gap) {
+        if !topic.collapses() && rules.is_enabled(Guard::Gap) {
             self.out.push(Comes::Missed {
                 duty: duty.clone(),
                 token,
@@ -93,7 +93,7 @@
     /// Whether this token's numbers count: not an older one's.
     fn follows(&self, rules: &Rules, token: Token) -> bool {
         self.last_heard()
-            .is_none_or(|(last, _)| token >= last || !rules.on(Guard::Fence))
+            .is_none_or(|(last, _)| token >= last || !rules.is_enabled(Guard::Fence))
     }
 
     pub fn item(&mut self, rules: &Rules, now: Time, told: &Told, late: Micros) {
@@ -113,7 +113,7 @@
         if told.number <= self.number() {
             return;
         }
-        let whole = told.topic.collapses() || !rules.on(Guard::Gap);
+        let whole = told.topic.collapses() || !rules.is_enabled(Guard::Gap);
         if whole || told.number == self.number() + 1 {
             self.emit(told.number, made, told.body.clone());
             self.drain();
@@ -143,7 +143,7 @@
 
     /// The sender is at this number.
     pub fn head(&mut self, rules: &Rules, now: Time, mark: &Mark) {
-        if !self.follows(rules, mark.token) || !rules.on(Guard::Gap) {
+        if !self.follows(rules, mark.token) || !rules.is_enabled(Guard::Gap) {
             return;
         }
         if self.last.is_none_or(|(last, _)| last != mark.token) {
@@ -175,7 +175,7 @@
     }
 
     /// When it has to be looked at next.
-    pub fn next(&self) -> Time {
+    pub fn next_turn(&self) -> Time {
         self.hole.map_or(Time::MAX, |(_, next)| next)
     }
 
--- a/fanout/src/table.rs
+++ b/fanout/src/table.rs
@@ -47,13 +47,13 @@
 
 /// What became of an entry that another gateway told.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Merged {
+pub enum MergeOutcome {
     /// It was newer and taken.
-    Taken,
+    Applied,
     /// Both are alike.
-    Same,
+    Unchanged,
     /// What is known here is newer; this is it.
-    Older(Entry),
+    Stale(Entry),
     /// Another gateway ended by age who renewed here: its subscriber has to say it anew.
     Contested(SocketAddr, Arc<str>),
     /// There are too many.
@@ -62,7 +62,7 @@
 
 /// What a subscriber says of a range of topics.
 #[derive(Clone, Debug)]
-pub struct Says<'a> {
+pub struct Declaration<'a> {
     /// Who says it, with its gateway's zone.
     pub subscriber: &'a Subscriber,
     /// Its number.
@@ -77,7 +77,7 @@
 
 /// The list of one gateway: its own zone's, and copies of the others'.
 #[derive(Clone, Debug)]
-pub struct Table {
+pub struct SubscriptionTable {
     rules: Rules,
     zone: Name,
     pub(crate) people: BTreeMap<Name, Person>,
@@ -92,17 +92,17 @@
     pub(crate) changed: BTreeSet<u64>,
 }
 
-impl PartialEq for Table {
+impl PartialEq for SubscriptionTable {
     fn eq(&self, other: &Self) -> bool {
         (&self.zone, &self.people, &self.confirmed)
             == (&other.zone, &other.people, &other.confirmed)
     }
 }
 
-impl Eq for Table {}
+impl Eq for SubscriptionTable {}
 
 /// For model checks: the rest follows from these.
-impl std::hash::Hash for Table {
+impl std::hash::Hash for SubscriptionTable {
     fn hash<H: std::hash::Hasher>(&self, to: &mut H) {
         (&self.zone, &self.people, &self.confirmed).hash(to);
     }
@@ -133,10 +133,10 @@
     ])
 }
 
-impl Table {
+impl SubscriptionTable {
     /// An empty one at the gateway of a zone.
     pub fn new(rules: Rules, zone: &str) -> Self {
-        Table {
+        SubscriptionTable {
             rules,
             zone: zone.into(),
             people: BTreeMap::new(),
@@ -159,12 +159,12 @@
     }
 
     /// What holds, of all zones.
-    pub fn live(&self) -> impl Iterator<Item = &Entry> {
-        self.all().filter(|e| e.state == State::Live)
+    pub fn live_entries(&self) -> impl Iterator<Item = &Entry> {
+        self.entries().filter(|e| e.state == State::Live)
     }
 
     /// All that is remembered.
-    pub fn all(&self) -> impl Iterator<Item = &Entry> {
+    pub fn entries(&self) -> impl Iterator<Item = &Entry> {
         self.people
             .values()
             .flat_map(|p| p.topics.values())
@@ -192,7 +192,7 @@
     }
 
     /// Subscribers that this zone's gateway tells.
-    pub fn own_people(&self) -> usize {
+    pub fn own_subscriber_count(&self) -> usize {
         self.people
             .values()
             .filter(|p| p.topics.values().any(|k| self.own(&k.entry)))
@@ -302,10 +302,10 @@
         let person = self.people.entry(name.clone()).or_default();
         person.topics.insert(topic.clone(), kept);
         self.keys.insert(key, (name.clone(), topic.clone()));
-        if self.rules.on(Guard::Order) {
+        if self.rules.is_enabled(Guard::Order) {
             self.end_old_lives(now, &name, boot);
         }
-        if ended && !self.rules.on(Guard::Tombstone) {
+        if ended && !self.rules.is_enabled(Guard::Tombstone) {
             self.remove(&name, &topic);
         }
         true
@@ -353,7 +353,7 @@
 
     /// Takes a subscriber's own word on a range of topics. It counts for each where its number is newer. False where
     /// there are too many.
-    pub fn says(&mut self, now: Time, says: &Says<'_>) -> bool {
+    pub fn apply(&mut self, now: Time, says: &Declaration<'_>) -> bool {
         let who = says.subscriber;
         let later = |k: &Entry| (k.boot, k.counter) >= (who.boot, says.counter);
         let entry = |topic: &Topic, state| Entry {
@@ -363,7 +363,7 @@
             subscriber: who.clone(),
             topic: topic.clone(),
         };
-        let order = self.rules.on(Guard::Order);
+        let order = self.rules.is_enabled(Guard::Order);
         let ends = (
             says.from.map_or(Bound::Unbounded, Bound::Included),
             says.through.map_or(Bound::Unbounded, Bound::Included),
@@ -446,7 +446,7 @@
     }
 
     /// Takes what another gateway tells.
-    pub fn merge(&mut self, now: Time, entry: &Entry) -> Merged {
+    pub fn merge(&mut self, now: Time, entry: &Entry) -> MergeOutcome {
         let known = self
             .people
             .get(&entry.subscriber.name)
@@ -458,29 +458,32 @@
         if let Some(known) = known {
             let known = &known.entry;
             if known == entry {
-                return Merged::Same;
+                return MergeOutcome::Unchanged;
             }
             // What a gateway ended by age is no word of the subscriber, who knows better.
             let alike = (known.boot, known.counter) == (entry.boot, entry.counter);
             if alike && entry.state == State::Expired && self.own(known) && own_word {
-                return Merged::Contested(known.subscriber.address, known.subscriber.name.clone());
+                return MergeOutcome::Contested(
+                    known.subscriber.address,
+                    known.subscriber.name.clone(),
+                );
             }
-            if known > entry && self.rules.on(Guard::Order) {
-                return Merged::Older(known.clone());
+            if known > entry && self.rules.is_enabled(Guard::Order) {
+                return MergeOutcome::Stale(known.clone());
             }
-        } else if entry.state != State::Live && !self.rules.on(Guard::Tombstone) {
-            return Merged::Same;
+        } else if entry.state != State::Live && !self.rules.is_enabled(Guard::Tombstone) {
+            return MergeOutcome::Unchanged;
         }
         if entry.state == State::Live
-            && self.rules.on(Guard::Order)
+            && self.rules.is_enabled(Guard::Order)
             && let Some(latest) = self.latest(&entry.subscriber.name)
             && latest.boot > entry.boot
         {
-            return Merged::Older(latest.clone());
+            return MergeOutcome::Stale(latest.clone());
         }
         let (name, zone) = (entry.subscriber.name.clone(), entry.subscriber.zone.clone());
         if !self.set(now, entry.clone()) {
-            return Merged::Full;
+            return MergeOutcome::Full;
         }
         self.confirmed.entry(zone).or_insert(now);
         if let Some(person) = self.people.get_mut(&name)
@@ -489,12 +492,12 @@
             // A copy: who is truly there says so within a lease.
             person.renewed = now;
         }
-        Merged::Taken
+        MergeOutcome::Applied
     }
 
     /// This zone's gateway is another one from now on, or this one anew: whoever is in its list has a lease to say that
     /// it is there.
-    pub fn taken_over(&mut self, now: Time) {
+    pub fn restart_leases(&mut self, now: Time) {
         for person in self.people.values_mut() {
             person.renewed = now;
             person.own_word = false;
@@ -502,7 +505,7 @@
     }
 
     /// A zone's gateway confirmed at that time that the copy here is its list.
-    pub fn confirm(&mut self, zone: &str, at: Time) {
+    pub fn confirm_copy(&mut self, zone: &str, at: Time) {
         // Of an empty list there is nothing to confirm, and whoever makes zones up fills nothing.
         if self.leaves.contains_key(zone) {
             let known = self.confirmed.entry(zone.into()).or_insert(at);
@@ -528,9 +531,15 @@
 
     /// Ends what was not renewed, forgets what cannot matter any more, and throws away copies that are too old. `owner`
     /// is whether this gateway is the one that its zone's subscribers renew with.
-    pub fn tidy(&mut self, now: Time, owner: bool, lease: Micros) {
-        let (expiry, away) = (self.rules.on(Guard::Expiry), self.rules.on(Guard::Away));
-        let (keep, forget) = (self.rules.keep(), crate::ms(self.rules.forget_ms));
+    pub fn expire_and_forget(&mut self, now: Time, owner: bool, lease: Micros) {
+        let (expiry, away) = (
+            self.rules.is_enabled(Guard::Expiry),
+            self.rules.is_enabled(Guard::Away),
+        );
+        let (keep, forget) = (
+            self.rules.tombstone_retention(),
+            crate::ms(self.rules.forget_ms),
+        );
         let old = |at: Option<&Time>| at.is_some_and(|at| at + forget < now);
         let (mut expired, mut forgotten) = (Vec::new(), Vec::new());
         for (name, person) in &self.people {
--- a/fanout/src/wire.rs
+++ b/fanout/src/wire.rs
@@ -6,9 +6,9 @@
 use std::sync::Arc;
 
 /// The longest body (bytes): what is left of a datagram of 1,200 beside its envelope.
-pub const BODY: usize = 1_000;
+pub const MAX_BODY_BYTES: usize = 1_000;
 /// The longest item of news (bytes): beside its head and the names in it.
-pub const ITEM: usize = 700;
+pub const MAX_ITEM_BYTES: usize = 700;
 
 /// Whom a body is for. One router may be all three at one address.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -100,7 +100,7 @@
         at: u64,
     },
     /// Between these topics, both counted, it holds these and no other, as of this number.
-    Says {
+    Declare {
         name: Arc<str>,
         boot: u64,
         counter: u64,
@@ -191,7 +191,7 @@
 /// Reads a body: all of it, or nothing.
 pub(crate) fn read(body: &[u8]) -> Option<(Head, Vec<Message>)> {
     // Longer ones come from no one who keeps to the datagram.
-    if body.len() > 2 * BODY {
+    if body.len() > 2 * MAX_BODY_BYTES {
         return None;
     }
     let (head, mut rest) = postcard::take_from_bytes::<Head>(body).ok()?;
@@ -205,13 +205,13 @@
         |name: &Arc<str>| !name.is_empty() && name.len() <= plovercove_fencing::MAX_NAME_BYTES;
     let fits = messages.iter().all(|m| match m {
         Message::Renew { name, .. }
-        | Message::Says { name, .. }
+        | Message::Declare { name, .. }
         | Message::Fetch { name, .. }
         | Message::Moved { name, .. } => names(name),
         Message::Entry(e) | Message::Request(e) => {
             names(&e.subscriber.name) && names(&e.subscriber.zone)
         }
-        Message::Item(told) => told.body.len() <= ITEM,
+        Message::Item(told) => told.body.len() <= MAX_ITEM_BYTES,
         Message::Sums { zones, .. } | Message::Same { zones } => {
             zones.iter().all(|(zone, ..)| names(zone))
         }
--- a/fanout/tests/common/mod.rs
+++ b/fanout/tests/common/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code, missing_docs, reason = "each test uses a part of it")]
 
 use plovercove::{Micros, Time};
-use plovercove_fanout::{Client, Gateway, News, Publisher, Rules, Subscriber, Topic};
+use plovercove_fanout::{Client, Gateway, Publisher, Rules, Subscriber, SubscriptionEvent, Topic};
 use plovercove_fencing::{LeaseName, Token};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -41,7 +41,7 @@
     held: Vec<(usize, Vec<u8>)>,
     due: Time,
     /// What a subscriber learnt, and when.
-    pub news: Vec<(Time, News)>,
+    pub news: Vec<(Time, SubscriptionEvent)>,
 }
 
 /// What the network does to a datagram: none where it is lost, else how often it comes and after how long.
@@ -185,7 +185,7 @@
         for name in topics {
             client.subscribe(&topic(name)).expect("few");
         }
-        client.gateway(self.now, address(self.owners[zone].0));
+        client.set_gateway(self.now, address(self.owners[zone].0));
         self.add(zone, Role::Client(Box::new(client)))
     }
 
@@ -216,7 +216,7 @@
     pub fn moves(&mut self, n: usize, zone: usize) {
         let to = address(self.owners[zone].0);
         self.hosts[n].zone = zone;
-        self.with(n, |client, now| client.gateway(now, to));
+        self.with(n, |client, now| client.set_gateway(now, to));
     }
 
     /// Tells those that are up, and not stopped, who has which duty.
@@ -238,13 +238,13 @@
             .collect();
         match &mut self.hosts[n].role {
             Role::Gateway(gateway) => {
-                gateway.token(now, (owners[zone].0 == n).then_some(owners[zone].1));
-                gateway.others(now, &others);
+                gateway.set_token(now, (owners[zone].0 == n).then_some(owners[zone].1));
+                gateway.set_gateways(now, &others);
             }
             Role::Publisher(publisher) => {
-                publisher.gateways(now, &owners.map(|(n, _)| address(n)));
+                publisher.set_gateways(now, &owners.map(|(n, _)| address(n)));
             }
-            Role::Client(client) => client.gateway(now, address(owners[zone].0)),
+            Role::Client(client) => client.set_gateway(now, address(owners[zone].0)),
         }
         self.wake(n);
     }
@@ -357,13 +357,13 @@
         let now = self.now;
         let Host { role, news, .. } = &mut self.hosts[n];
         let (out, next) = match role {
-            Role::Gateway(gateway) => (gateway.out(), gateway.next()),
-            Role::Publisher(publisher) => (publisher.out(), publisher.next()),
+            Role::Gateway(gateway) => (gateway.take_outbox(), gateway.next_turn()),
+            Role::Publisher(publisher) => (publisher.take_outbox(), publisher.next_turn()),
             Role::Client(client) => {
-                while let Some(told) = client.news() {
+                while let Some(told) = client.take_event() {
                     news.push((now, told));
                 }
-                (client.out(), client.next())
+                (client.take_outbox(), client.next_turn())
             }
         };
         for (to, bytes) in out {
@@ -416,7 +416,7 @@
                 e.subscriber.zone.to_string(),
             )
         };
-        self.gateway(n).table().live().map(of).collect()
+        self.gateway(n).table().live_entries().map(of).collect()
     }
 
     /// What is so: by the wishes of the latest life of each name that is up.
@@ -424,8 +424,10 @@
         let mut latest: BTreeMap<String, (u64, usize)> = BTreeMap::new();
         for (n, host) in self.hosts.iter().enumerate() {
             if let (Role::Client(client), true) = (&host.role, host.up) {
-                let at = latest.entry(client.me().name.to_string()).or_default();
-                *at = (*at).max((client.me().boot, n));
+                let at = latest
+                    .entry(client.identity().name.to_string())
+                    .or_default();
+                *at = (*at).max((client.identity().boot, n));
             }
         }
         let of = |(name, (_, n)): (&String, &(u64, usize))| {
@@ -464,13 +466,13 @@
         let mut last: BTreeMap<String, (Token, u64)> = BTreeMap::new();
         for (_, news) in &self.hosts[n].news {
             let (topic, place, missed) = match news {
-                News::Item {
+                SubscriptionEvent::Item {
                     topic,
                     token,
                     number,
                     ..
                 } => (topic, (*token, *number), false),
-                News::Missed {
+                SubscriptionEvent::Missed {
                     topic,
                     token,
                     through,
--- a/fanout/tests/costs.rs
+++ b/fanout/tests/costs.rs
@@ -3,7 +3,9 @@
 mod common;
 
 use common::{Net, S, calm, cut, topic};
-use plovercove_fanout::{Client, Entry, Merged, Rules, Says, State, Subscriber, Table};
+use plovercove_fanout::{
+    Client, Declaration, Entry, MergeOutcome, Rules, State, Subscriber, SubscriptionTable,
+};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet};
@@ -25,9 +27,9 @@
                 .subscribe(&topic(&format!("nodes/{t}")))
                 .expect("few");
         }
-        client.gateway(net.now, common::address(gateway));
+        client.set_gateway(net.now, common::address(gateway));
         client.turn(net.now + S);
-        for (_, body) in client.out() {
+        for (_, body) in client.take_outbox() {
             net.feed(gateway, address, &body);
         }
     }
@@ -59,7 +61,7 @@
     let whole: u64 = net
         .gateway(0)
         .table()
-        .live()
+        .live_entries()
         .map(|e| e.subscriber.name.len() as u64 + e.topic.name().len() as u64 + 28)
         .sum();
     println!(
@@ -76,7 +78,7 @@
         net.run(10 * S);
         let before = lists(&net);
         net.weather = calm();
-        let bound = net.rules.equal_within(differences, 3);
+        let bound = net.rules.convergence_bound(differences, 3);
         let took = net.until(bound, alike);
         let bytes = lists(&net) - before;
         let took = took.unwrap_or_else(|| panic!("{differences}: not by {bound} us"));
@@ -117,7 +119,7 @@
 const ENTRY: u64 = 45;
 
 /// The subscriber's own number decides.
-struct Own([Table; 3]);
+struct Own([SubscriptionTable; 3]);
 
 impl Way for Own {
     fn says(&mut self, word: Word) {
@@ -136,22 +138,22 @@
         };
         let of = topic("role/1");
         let (from, through) = (Some(&of), Some(&of));
-        let says = Says {
+        let says = Declaration {
             subscriber: &subscriber,
             counter: word.counter,
             from,
             through,
             topics: &topics,
         };
-        self.0[word.to].says(1, &says);
+        self.0[word.to].apply(1, &says);
     }
 
     fn compare(&mut self) -> u64 {
         let mut bytes = 0;
         for (a, b) in [(0, 1), (1, 2), (0, 2), (0, 1)] {
             for (from, to) in [(a, b), (b, a)] {
-                let known: BTreeSet<Entry> = self.0[to].all().cloned().collect();
-                for entry in self.0[from].all().cloned().collect::<Vec<_>>() {
+                let known: BTreeSet<Entry> = self.0[to].entries().cloned().collect();
+                for entry in self.0[from].entries().cloned().collect::<Vec<_>>() {
                     if known.contains(&entry) {
                         continue;
                     }
@@ -164,7 +166,7 @@
                         continue;
                     }
                     bytes += ENTRY;
-                    if let Merged::Older(newer) = self.0[to].merge(1, &entry) {
+                    if let MergeOutcome::Stale(newer) = self.0[to].merge(1, &entry) {
                         bytes += ENTRY;
                         self.0[from].merge(1, &newer);
                     }
@@ -177,7 +179,7 @@
     fn list(&self, at: usize) -> BTreeSet<(usize, usize)> {
         let zone = |z: &str| common::ZONES.iter().position(|n| *n == z).unwrap_or(9);
         self.0[at]
-            .live()
+            .live_entries()
             .map(|e| {
                 (
                     e.subscriber.name.parse().unwrap_or(9),
@@ -335,7 +337,7 @@
 fn the_subscribers_own_number_is_never_wrong_and_the_other_ways_are() {
     let mut sums = [(0, 0); 3];
     for seed in 0..50 {
-        let table = |zone: &str| Table::new(Rules::default(), zone);
+        let table = |zone: &str| SubscriptionTable::new(Rules::default(), zone);
         let own = play(&mut Own(common::ZONES.map(table)), seed);
         let observed = play(&mut Observed(Default::default()), seed);
         let one = play(&mut OneOwner(Default::default()), seed);
--- a/fanout/tests/faults.rs
+++ b/fanout/tests/faults.rs
@@ -1,6 +1,8 @@
 //! Every fault is met by someone, and says what an operator can do.
 
-use plovercove_fanout::{Client, Fault, Gateway, ITEM, Publisher, Rules, Subscriber, Topic};
+use plovercove_fanout::{
+    Client, Fault, Gateway, MAX_ITEM_BYTES, Publisher, Rules, Subscriber, Topic,
+};
 use plovercove_fencing::{LeaseName, Token};
 use std::net::SocketAddr;
 
@@ -12,7 +14,7 @@
 fn every_fault_is_met_and_helps() {
     let rules = Rules::default();
     let setting = Rules {
-        held: 0,
+        retained_items: 0,
         ..rules.clone()
     }
     .check()
@@ -33,7 +35,7 @@
     let refused = gateway
         .publish(1, &role, &watch, Token(1), 2, b"x")
         .expect_err("older");
-    let large = vec![0; ITEM + 1];
+    let large = vec![0; MAX_ITEM_BYTES + 1];
     let large = Publisher::new(rules.clone(), 1, 1).publish(1, &role, &watch, Token(1), &large);
     let me = Subscriber {
         name: "r".into(),
--- a/fanout/tests/fleet.rs
+++ b/fanout/tests/fleet.rs
@@ -5,12 +5,12 @@
 
 use common::{Net, S, address, calm, cut, rough};
 use plovercove::Micros;
-use plovercove_fanout::{Guard, News, Rules};
+use plovercove_fanout::{Guard, Rules, SubscriptionEvent};
 use plovercove_fencing::Token;
 
 fn without(guard: Guard) -> Rules {
     Rules {
-        without: Some(guard),
+        disabled_guard: Some(guard),
         ..Rules::default()
     }
 }
@@ -50,11 +50,12 @@
     for n in 0..30 {
         assert_eq!(net.bad_news(host(n)), None);
         let states = net.hosts[host(n)].news.iter().filter(
-            |(_, news)| matches!(news, News::Item { topic, .. } if topic.name() == "role/1"),
+            |(_, news)| matches!(news, SubscriptionEvent::Item { topic, .. } if topic.name() == "role/1"),
         );
         assert_eq!(states.count(), 50);
         assert_eq!(
-            net.client(host(n)).place(&common::topic("positions/1")),
+            net.client(host(n))
+                .last_received(&common::topic("positions/1")),
             Some((Token(1), 50))
         );
     }
@@ -75,7 +76,7 @@
         net.with(host(n), |client, now| client.leave(now));
     }
     net.run(10 * S);
-    assert!(net.client(host(6)).settled() && net.client(host(4)).settled());
+    assert!(net.client(host(6)).is_confirmed() && net.client(host(4)).is_confirmed());
     net.kill(host(6));
     net.kill(host(4));
     net.moves(host(9), 0);
@@ -83,7 +84,7 @@
     net.add_client("r12", 2, &["owners"]);
     net.add_client("new", 0, &["owners", "role/1"]);
     net.run(45 * S);
-    let bound = net.rules.equal_within(30, 3);
+    let bound = net.rules.convergence_bound(30, 3);
     net.weather = calm();
     let took = net.until(bound, Net::equal);
     let wrong = net.wrong();
@@ -118,7 +119,7 @@
     let mut net = thirty(3, rules);
     settle(&mut net);
     net.kill(host(5));
-    let lease = net.rules.lease(10);
+    let lease = net.rules.subscriber_lease(10);
     net.until(lease + 2 * S, Net::equal).is_none()
 }
 
@@ -171,7 +172,7 @@
     let (fine, asked, refused, net) = wakes(Rules::default());
     assert!(fine, "{:?}", net.wrong());
     assert!(asked > 0 && refused > 0, "asked {asked}, refused {refused}");
-    assert!(!net.gateway(0).owns());
+    assert!(!net.gateway(0).holds_lease());
     assert!(
         wakes(without(Guard::Fence)).2 == 0,
         "the check catches nothing"
@@ -226,10 +227,10 @@
     let last = |net: &Net, n: usize| {
         ["role/1", "positions/1"]
             .iter()
-            .all(|t| net.client(host(n)).place(&common::topic(t)) == Some((Token(1), 60)))
+            .all(|t| net.client(host(n)).last_received(&common::topic(t)) == Some((Token(1), 60)))
     };
     let all = |net: &Net| (0..30).all(|n| last(net, n));
-    let took = net.until(net.rules.believed_within(10), all);
+    let took = net.until(net.rules.staleness_bound(10), all);
     if took.is_none() {
         return Some("not all come to the last number".into());
     }
@@ -303,14 +304,13 @@
     net.run(25 * S);
     assert_eq!(net.bad_news(host(0)), None);
     let count = |topic: &str| {
-        let of = |news: &News| matches!(news, News::Item { topic: t, .. } if t.name() == topic);
+        let of = |news: &SubscriptionEvent| matches!(news, SubscriptionEvent::Item { topic: t, .. } if t.name() == topic);
         net.hosts[host(0)].news[before..]
             .iter()
             .filter(|(_, news)| of(news))
             .count()
     };
-    let missed =
-        |news: &News| matches!(news, News::Missed { topic, .. } if topic.name() == "role/1");
+    let missed = |news: &SubscriptionEvent| matches!(news, SubscriptionEvent::Missed { topic, .. } if topic.name() == "role/1");
     let missed = net.hosts[host(0)].news[before..]
         .iter()
         .any(|(_, news)| missed(news));
@@ -328,16 +328,16 @@
     let (positions, states, missed, held) = slow(rules.clone());
     assert!(positions <= 2, "{positions} positions");
     assert!(
-        states <= rules.held && missed,
+        states <= rules.retained_items && missed,
         "{states} states, missed {missed}"
     );
-    assert!(held <= rules.held as u64 + 1, "{held} held");
+    assert!(held <= rules.retained_items as u64 + 1, "{held} held");
     assert!(
         slow(without(Guard::Collapse)).0 > 2,
         "the check catches nothing"
     );
     assert!(
-        slow(without(Guard::Queue)).3 > rules.held as u64 + 1,
+        slow(without(Guard::Queue)).3 > rules.retained_items as u64 + 1,
         "the check catches nothing"
     );
 }
@@ -350,7 +350,7 @@
         net.add_client(&format!("l{n}"), 0, &["role/1"]);
     }
     let took = net.until(60 * S, Net::equal);
-    if took.is_none() && net.rules.without.is_none() {
+    if took.is_none() && net.rules.disabled_guard.is_none() {
         panic!("{:?}", net.wrong());
     }
     net.weather = cut(|from, _| from == 0);
@@ -358,7 +358,7 @@
     net.weather = calm();
     net.came.clear();
     let from = net.now;
-    net.run(net.rules.lease(500));
+    net.run(net.rules.subscriber_lease(500));
     let came = &net.came[&0];
     let most = (0..60)
         .map(|s| came.iter().filter(|at| (**at - from) / S == s).count())
@@ -421,7 +421,7 @@
     settle(&mut net);
     net.weather = cut(|from, to| from == 0 && (to == 1 || to == 2));
     net.moves(host(0), 1);
-    net.until(20 * S, |net| net.client(host(0)).settled())
+    net.until(20 * S, |net| net.client(host(0)).is_confirmed())
         .expect("it moves");
     let (from, mut last, mut before) = (net.now, net.now, net.client(host(0)).counts().elsewhere);
     for n in 0..200u8 {
@@ -433,7 +433,7 @@
         }
     }
     assert_eq!(net.bad_news(host(0)), None);
-    (last - from, net.rules.told_twice_within(10, true))
+    (last - from, net.rules.duplicate_delivery_bound(10, true))
 }
 
 #[test]
@@ -445,7 +445,7 @@
         took > bound,
         "the check catches nothing: {took} us of {bound}"
     );
-    let bound = Rules::default().told_twice_within(10, false);
+    let bound = Rules::default().duplicate_delivery_bound(10, false);
     assert!(took <= bound, "{took} us of {bound}");
 }
 
@@ -478,7 +478,7 @@
         net.tell_owners();
         let took = net.until(60 * S, Net::equal);
         assert!(took.is_some(), "seed {seed}: {:?}", net.wrong());
-        net.run(net.rules.lease(150) + S);
+        net.run(net.rules.subscriber_lease(150) + S);
         assert!(net.equal(), "seed {seed}: {:?}", net.wrong());
     }
 }
@@ -493,7 +493,7 @@
         net.hosts[host(n)]
             .news
             .iter()
-            .any(|(_, news)| matches!(news, News::Silent { .. }))
+            .any(|(_, news)| matches!(news, SubscriptionEvent::GatewaySilent { .. }))
     };
     assert!(silent(0) && !silent(1));
     assert_eq!(address(0), net.gateway(0).address());
--- a/fanout/tests/model.rs
+++ b/fanout/tests/model.rs
@@ -3,7 +3,9 @@
 //! gateways have compared and the subscriber has renewed, all lists are what the subscriber wants.
 
 use plovercove::Time;
-use plovercove_fanout::{Guard, Merged, Rules, Says, Subscriber, Table, Topic};
+use plovercove_fanout::{
+    Declaration, Guard, MergeOutcome, Rules, Subscriber, SubscriptionTable, Topic,
+};
 use stateright::{Checker, Model, Property};
 
 const ZONES: [&str; 3] = ["a", "b", "c"];
@@ -22,7 +24,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
     now: Time,
-    tables: [Table; 3],
+    tables: [SubscriptionTable; 3],
     said: Vec<Said>,
     boot: u64,
     counter: u64,
@@ -76,7 +78,7 @@
             &[]
         };
         let (from, through) = (Some(&topic), Some(&topic));
-        let says = Says {
+        let says = Declaration {
             subscriber: &subscriber,
             counter: said.counter,
             from,
@@ -84,18 +86,18 @@
             topics,
         };
         let now = world.now;
-        world.tables[said.to].says(now, &says);
+        world.tables[said.to].apply(now, &says);
     }
 
     /// Two gateways tell each other all; the table decides.
     fn compare(&self, world: &mut World, a: usize, b: usize) {
-        if self.rules.without == Some(Guard::Repair) {
+        if self.rules.disabled_guard == Some(Guard::Repair) {
             return;
         }
         let now = world.now;
         for (from, to) in [(a, b), (b, a)] {
-            for entry in world.tables[from].all().cloned().collect::<Vec<_>>() {
-                if let Merged::Older(newer) = world.tables[to].merge(now, &entry) {
+            for entry in world.tables[from].entries().cloned().collect::<Vec<_>>() {
+                if let MergeOutcome::Stale(newer) = world.tables[to].merge(now, &entry) {
                     world.tables[from].merge(now, &newer);
                 }
             }
@@ -112,7 +114,7 @@
     fn renew(&self, world: &mut World) {
         let Some(to) = world.wants else { return };
         if !world.tables[to]
-            .live()
+            .live_entries()
             .any(|e| *e.subscriber.zone == *ZONES[to] && e.boot == world.boot)
         {
             world.counter += 1;
@@ -128,9 +130,9 @@
     }
 
     fn tidy(&self, world: &mut World) {
-        let (now, lease) = (world.now, self.rules.lease(1));
+        let (now, lease) = (world.now, self.rules.subscriber_lease(1));
         for table in &mut world.tables {
-            table.tidy(now, true, lease);
+            table.expire_and_forget(now, true, lease);
         }
     }
 
@@ -143,7 +145,7 @@
         let right = |world: &World| {
             world.tables.iter().all(|table| {
                 let lives: Vec<_> = table
-                    .live()
+                    .live_entries()
                     .map(|e| (e.boot, e.subscriber.zone.to_string()))
                     .collect();
                 lives
@@ -158,7 +160,7 @@
         let left = last.is_some_and(|s| !s.holds);
         if world.wants.is_none() && (!left || world.restarted) {
             // It died without a word, or the gateway that it told died with it: a lease later it is gone.
-            world.now += self.rules.lease(1) + 1;
+            world.now += self.rules.subscriber_lease(1) + 1;
             self.tidy(&mut world);
             self.compare_all(&mut world);
         }
@@ -171,7 +173,7 @@
     type Action = Step;
 
     fn init_states(&self) -> Vec<World> {
-        let tables = ZONES.map(|zone| Table::new(self.rules.clone(), zone));
+        let tables = ZONES.map(|zone| SubscriptionTable::new(self.rules.clone(), zone));
         vec![World {
             now: BEGIN,
             tables,
@@ -202,7 +204,7 @@
                 if !world.restarted {
                     actions.push(Step::Restart(to));
                 }
-                if world.wants != Some(to) && world.tables[to].own_people() > 0 {
+                if world.wants != Some(to) && world.tables[to].own_subscriber_count() > 0 {
                     actions.push(Step::Expire(to));
                 }
             }
@@ -258,12 +260,12 @@
             Step::Compare(a, b) => self.compare(&mut world, a, b),
             Step::Restart(g) => {
                 world.restarted = true;
-                world.tables[g] = Table::new(self.rules.clone(), ZONES[g]);
+                world.tables[g] = SubscriptionTable::new(self.rules.clone(), ZONES[g]);
             }
             Step::Expire(g) => {
-                world.now += self.rules.lease(1) + 1;
-                let (now, lease) = (world.now, self.rules.lease(1));
-                world.tables[g].tidy(now, true, lease);
+                world.now += self.rules.subscriber_lease(1) + 1;
+                let (now, lease) = (world.now, self.rules.subscriber_lease(1));
+                world.tables[g].expire_and_forget(now, true, lease);
             }
             Step::Long(away) => {
                 let near: Vec<usize> = (0..3).filter(|g| *g != away).collect();
@@ -273,14 +275,18 @@
                 // What was under way has come or is lost.
                 world.said.iter_mut().for_each(|s| s.came = 2);
                 // Who died ends by its lease, and is then forgotten; those who hear each other go on comparing.
-                for span in [self.rules.lease(1), self.rules.keep(), self.rules.keep()] {
+                for span in [
+                    self.rules.subscriber_lease(1),
+                    self.rules.tombstone_retention(),
+                    self.rules.tombstone_retention(),
+                ] {
                     world.now += span + 1;
                     self.renew(&mut world);
                     // A copy is confirmed where it was found to be the same.
                     self.compare(&mut world, near[0], near[1]);
                     let now = world.now;
-                    world.tables[near[0]].confirm(ZONES[near[1]], now);
-                    world.tables[near[1]].confirm(ZONES[near[0]], now);
+                    world.tables[near[0]].confirm_copy(ZONES[near[1]], now);
+                    world.tables[near[1]].confirm_copy(ZONES[near[0]], now);
                     self.tidy(&mut world);
                     self.compare(&mut world, near[0], near[1]);
                 }
@@ -296,15 +302,15 @@
                 world.said.iter().any(|s| s.came == 0) || lists.heals(world)
             }),
             Property::sometimes("it is told", |_, world: &World| {
-                world.tables[0].live().next().is_some()
+                world.tables[0].live_entries().next().is_some()
             }),
         ]
     }
 }
 
-fn check(without: Option<Guard>, most: u8) -> (usize, Option<Vec<Step>>) {
+fn check(disabled_guard: Option<Guard>, most: u8) -> (usize, Option<Vec<Step>>) {
     let rules = Rules {
-        without,
+        disabled_guard,
         ..Rules::default()
     };
     let checker = Lists { rules, most }
--- a/fanout/tests/random.rs
+++ b/fanout/tests/random.rs
@@ -103,7 +103,7 @@
     }
     net.tell_owners();
     // Who died is gone after a lease; until then it is in the lists by right.
-    net.run(net.rules.lease(8) + net.rules.pause(8) + 5 * S);
+    net.run(net.rules.subscriber_lease(8) + net.rules.renewal_interval(8) + 5 * S);
     prop_assert!(net.equal(), "{:?}", net.wrong());
     net.run(5 * S);
     prop_assert!(net.equal(), "later: {:?}", net.wrong());
@@ -160,7 +160,7 @@
     fn whatever_is_read_does_no_harm(bodies in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..200), 1..40)) {
         let rules = Rules::default();
         let mut gateway = Gateway::new(rules.clone(), "a", address(0), S, 1).expect("a zone");
-        gateway.token(S, Some(Token(1)));
+        gateway.set_token(S, Some(Token(1)));
         let me = Subscriber { name: "r".into(), boot: 1, address: address(1), zone: "a".into() };
         let mut client = Client::new(rules.clone(), me, S, 1);
         let mut publisher = Publisher::new(rules, S, 1);
--- a/router/src/lease_tasks/mod.rs
+++ b/router/src/lease_tasks/mod.rs
@@ -300,7 +300,7 @@
         self.publish(now);
         self.publisher.turn(now);
         self.client.turn(now);
-        if let Some((_, gateway)) = self.gateway.as_mut().filter(|(_, g)| g.owns()) {
+        if let Some((_, gateway)) = self.gateway.as_mut().filter(|(_, g)| g.holds_lease()) {
             gateway.turn(now);
         }
         for _ in 0..ROUNDS {
@@ -320,7 +320,7 @@
         while let Some(news) = self.duties.borrow_mut().take_event() {
             tell::duties(&news);
         }
-        while let Some(why) = self.publisher.refused() {
+        while let Some(why) = self.publisher.take_rejection() {
             self.refuse(&why);
         }
     }
@@ -339,7 +339,7 @@
         for group in self.watches.set_held(now, &owned) {
             LeaseName::new(&positions(group))
                 .iter()
-                .for_each(|duty| self.publisher.ended(duty));
+                .for_each(|duty| self.publisher.drop_lease(duty));
         }
         // A gateway of another zone than its own tells nobody: its zone has no router.
         let at = |(zone, duty): &(String, LeaseName)| {
@@ -350,13 +350,13 @@
         };
         let gateways: Vec<SocketAddr> = self.zones.iter().filter_map(at).collect();
         if gateways != self.gateways {
-            self.publisher.gateways(now, &gateways);
+            self.publisher.set_gateways(now, &gateways);
             self.gateways = gateways;
         }
         if let Some((duty, gateway)) = &mut self.gateway {
-            gateway.token(now, duties.may_act(now, duty));
+            gateway.set_token(now, duties.may_act(now, duty));
             if let Some((owner, _)) = duties.holder(duty) {
-                self.client.gateway(now, owner.address);
+                self.client.set_gateway(now, owner.address);
             }
         }
     }
@@ -420,11 +420,11 @@
             .map(|(to, body)| (to, payload_kind::LEASE, body));
         let mut all: Vec<_> = duties.collect();
         let fanout = [
-            self.publisher.out(),
-            self.client.out(),
+            self.publisher.take_outbox(),
+            self.client.take_outbox(),
             self.gateway
                 .as_mut()
-                .map(|(_, g)| g.out())
+                .map(|(_, g)| g.take_outbox())
                 .unwrap_or_default(),
         ];
         all.extend(
@@ -444,13 +444,13 @@
 
     /// Takes what the watches' owners told of nodes as evidence, as old as it is.
     fn learn(&mut self, engine: &mut Engine) {
-        while let Some(news) = self.client.news() {
-            let fanout::News::Item {
+        while let Some(news) = self.client.take_event() {
+            let fanout::SubscriptionEvent::Item {
                 topic, age, body, ..
             } = news
             else {
                 match &news {
-                    fanout::News::Refused { why } => self.refuse(why),
+                    fanout::SubscriptionEvent::SenderRejected { error } => self.refuse(error),
                     other => tell::fanout(other),
                 }
                 continue;
@@ -500,8 +500,8 @@
         let gateway = self
             .gateway
             .as_ref()
-            .filter(|(_, g)| g.owns())
-            .map_or(Time::MAX, |(_, g)| g.next());
+            .filter(|(_, g)| g.holds_lease())
+            .map_or(Time::MAX, |(_, g)| g.next_turn());
         let file = self
             .file
             .as_ref()
@@ -509,8 +509,8 @@
         let own = if self.own.is_empty() { Time::MAX } else { 0 };
         [
             self.duties.borrow().next_turn(),
-            self.client.next(),
-            self.publisher.next(),
+            self.client.next_turn(),
+            self.publisher.next_turn(),
             self.watches.next_deadline(),
             gateway,
             file,
@@ -567,7 +567,7 @@
             stage: duties.stage(),
             alone: duties.is_without_majority(now),
             topics: self.client.topics().count(),
-            settled: self.client.settled(),
+            settled: self.client.is_confirmed(),
             duties: duties.counts(),
             client: self.client.counts(),
             gateway,
--- a/router/src/lease_tasks/tell.rs
+++ b/router/src/lease_tasks/tell.rs
@@ -105,10 +105,10 @@
 }
 
 /// What became of subscriptions.
-pub fn fanout(news: &fanout::News) {
+pub fn fanout(news: &fanout::SubscriptionEvent) {
     match news {
-        fanout::News::Item { .. } => {}
-        fanout::News::Missed {
+        fanout::SubscriptionEvent::Item { .. } => {}
+        fanout::SubscriptionEvent::Missed {
             topic,
             token,
             through,
@@ -120,20 +120,20 @@
             through,
             "news of {topic} was missed"
         ),
-        fanout::News::Refused { why } => refused(why),
-        fanout::News::Silent { since } => warn!(
+        fanout::SubscriptionEvent::SenderRejected { error } => refused(error),
+        fanout::SubscriptionEvent::GatewaySilent { since } => warn!(
             reason = "gateway silent",
             help = "nothing where it comes back within the gap after a kill; else look at the gateway of this zone",
             since,
             "the gateway does not answer: this router asks nodes by itself"
         ),
-        fanout::News::Replaced { boot } => warn!(
+        fanout::SubscriptionEvent::Replaced { boot } => warn!(
             reason = "replaced",
             help = "give each router its own name; this one is not told any more",
             boot,
             "a later life of this router's name subscribes"
         ),
-        fanout::News::Full => warn!(
+        fanout::SubscriptionEvent::SubscriptionsFull => warn!(
             reason = "full",
             help = "raise `duties.fanout.subscriptions`",
             "the gateway takes no more subscriptions"
--- a/router/src/lease_tasks/terms.rs
+++ b/router/src/lease_tasks/terms.rs
@@ -137,8 +137,8 @@
                         Some(plovercove_leases::Guard::named(name).ok_or_else(unknown)?);
                 }
                 Some(("fanout", name)) => {
-                    fanout.without =
-                        Some(plovercove_fanout::Guard::named(name).ok_or_else(unknown)?);
+                    fanout.disabled_guard =
+                        Some(plovercove_fanout::Guard::from_name(name).ok_or_else(unknown)?);
                 }
                 _ => {}
             }
--- a/router/src/lease_tasks/watch.rs
+++ b/router/src/lease_tasks/watch.rs
@@ -14,7 +14,7 @@
 /// any connection timeout.
 const QUERY_LOST_AFTER_US: Micros = 5_000_000;
 /// Maximum size of an item (bytes), which fits in one datagram. Nodes that do not fit come first in the next item.
-const MAX_ITEM_BYTES: usize = plovercove_fanout::ITEM;
+const MAX_ITEM_BYTES: usize = plovercove_fanout::MAX_ITEM_BYTES;
 
 /// The status of one node, as published to the other routers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
