--- a/leases/tests/common/mod.rs
+++ b/leases/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Routers with duties in virtual time: each with its own clock and disk, and whatever weather a test makes between them.
+//! Routers with leases in virtual time. Each has a clock and a disk, and a test sets the conditions of the network.
 #![allow(dead_code, missing_docs, reason = "each test uses a part of it")]
 
 use plovercove::{Micros, Time};
@@ -15,112 +15,132 @@
 
 pub const S: Micros = 1_000_000;
 pub const MS: Micros = 1_000;
-/// Who was not heard for so long is not seen by others.
-const UNSEEN: Micros = 4 * S;
+/// Time without contact after which a router is no longer a member for another one.
+const MEMBER_TIMEOUT: Micros = 4 * S;
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Sample,
-    See,
+    UpdateMembers,
+    /// Turn of a node's incarnation.
     Turn(usize, u64),
-    Came {
+    /// A message arrives at a node.
+    Arrive {
         to: usize,
         incarnation: u64,
         from: usize,
         from_incarnation: u64,
         body: Vec<u8>,
-        late: Micros,
+        delay: Micros,
     },
-    Disk(usize, u64, Vec<u8>),
+    /// A write to disk by a node's incarnation is complete.
+    WriteDone(usize, u64, Vec<u8>),
+}
+
+/// A message that arrived at a stopped node.
+struct WaitingMessage {
+    from: usize,
+    from_incarnation: u64,
+    body: Vec<u8>,
+    delay: Micros,
 }
 
 pub struct Node {
     pub manager: Option<LeaseManager>,
     pub incarnation: u64,
-    pub frozen: bool,
-    /// Its clock: true time times the rate, and so much more.
+    pub is_stopped: bool,
+    /// Rate of its clock: the clock shows the true time multiplied by the rate, plus the offset.
     pub rate: f64,
     pub offset: i64,
     pub disk: Option<Vec<u8>>,
     pub rules: Rules,
-    held: Vec<(usize, u64, Vec<u8>, Micros)>,
-    pub news: Vec<(Time, LeaseEvent)>,
+    /// Messages that arrived while the node was stopped.
+    waiting: Vec<WaitingMessage>,
+    pub events: Vec<(Time, LeaseEvent)>,
 }
 
-/// What the network does to a body: none where it is lost, else after how long it comes, each time.
-pub type Weather = Box<dyn FnMut(Time, usize, usize, &mut Pcg64Mcg) -> Vec<Micros>>;
+/// Returns the delay of each copy of a message that arrives; none if the message is lost. The parameters are the time, the
+/// sender, the receiver, and the source of randomness.
+pub type NetworkConditions = Box<dyn FnMut(Time, usize, usize, &mut Pcg64Mcg) -> Vec<Micros>>;
 
+/// The simulated routers and the network between them.
 pub struct Net {
     pub now: Time,
     pub nodes: Vec<Node>,
     pub wanted: Vec<WantedLease>,
-    pub weather: Weather,
-    /// Links that let nothing through, from and to.
+    pub conditions: NetworkConditions,
+    /// Whether the link from one node (first index) to another is cut.
     pub cut: Vec<Vec<bool>>,
-    /// What cannot be, as it was seen.
-    pub wrong: Vec<String>,
-    /// Who acted for a duty with which token; the newest; when anybody acted last; the longest time without anybody.
-    pub acts: BTreeMap<LeaseName, Acts>,
-    /// How long a write to disk takes; none where it never ends.
+    /// Descriptions of the violations seen so far.
+    pub violations: Vec<String>,
+    /// The actions seen under each lease.
+    pub activity: BTreeMap<LeaseName, Activity>,
+    /// Duration of a write to disk; with `None` it never completes.
     pub disk: Option<Micros>,
     pub rng: Pcg64Mcg,
-    heard: Vec<Vec<Time>>,
-    /// Whom each was told of last: who, and which life.
-    told: Vec<Vec<(usize, u64)>>,
+    /// When each node (first index) last had contact with another.
+    last_contact: Vec<Vec<Time>>,
+    /// The members last reported to each node, as nodes and their incarnations.
+    seen_members: Vec<Vec<(usize, u64)>>,
     heap: BinaryHeap<Reverse<(Time, u64, Event)>>,
     order: u64,
     zones: usize,
-    /// Bodies and bytes that each has sent.
+    /// Number of messages and of bytes that each node has sent.
     pub sent: Vec<(u64, u64)>,
-    /// Between two looks at who acts.
-    pub every: Micros,
+    /// Time between two samples of the acting holders.
+    pub sample_interval: Micros,
 }
 
+/// The actions seen under one lease.
 #[derive(Default, Clone)]
-pub struct Acts {
-    pub by: BTreeMap<Token, (usize, u64)>,
+pub struct Activity {
+    /// The node and incarnation that acted under each token.
+    pub by_token: BTreeMap<Token, (usize, u64)>,
+    /// The newest token of an action.
     pub newest: Token,
+    /// Time of the latest action.
     pub last: Time,
+    /// Longest time without an action.
     pub gap: Micros,
-    /// Samples at which two acted.
-    pub two: u64,
+    /// Number of actions under a token older than the newest.
+    pub stale_actions: u64,
 }
 
 pub fn address(n: usize) -> SocketAddr {
     SocketAddr::from(([127, 0, (n / 250) as u8, 1], 7_000 + (n % 250) as u16))
 }
 
-/// The router at this address.
-fn number(address: SocketAddr) -> Option<usize> {
+/// Returns the node with this address.
+fn node_at(address: SocketAddr) -> Option<usize> {
     let SocketAddr::V4(v4) = address else {
         return None;
     };
     Some(usize::from(v4.ip().octets()[2]) * 250 + usize::from(address.port()).checked_sub(7_000)?)
 }
 
-pub fn calm() -> Weather {
+pub fn reliable_network() -> NetworkConditions {
     Box::new(|_, _, _, rng| vec![500 + rng.random_range(0..1_500)])
 }
 
-/// Lost, twice, and late by up to 5 s, each with a chance.
-pub fn rough(lost: f64, twice: f64, late: f64) -> Weather {
+/// Loses, duplicates and delays messages, each with its own probability. Delays and duplicates take up to 5 s.
+pub fn faulty_network(loss: f64, duplicate: f64, delay: f64) -> NetworkConditions {
     Box::new(move |_, _, _, rng| {
-        if rng.random::<f64>() < lost {
+        if rng.random::<f64>() < loss {
             return Vec::new();
         }
-        let mut after = vec![500 + rng.random_range(0..1_500)];
-        if rng.random::<f64>() < late {
-            after[0] += rng.random_range(0..5 * S);
+        let mut delays = vec![500 + rng.random_range(0..1_500)];
+        if rng.random::<f64>() < delay {
+            delays[0] += rng.random_range(0..5 * S);
         }
-        if rng.random::<f64>() < twice {
-            after.push(after[0] + rng.random_range(0..5 * S));
+        if rng.random::<f64>() < duplicate {
+            delays.push(delays[0] + rng.random_range(0..5 * S));
         }
-        after
+        delays
     })
 }
 
 pub fn rules(voters: usize) -> Rules {
-    let one = |n: usize| VoterConfig {
+    let voter = |n: usize| VoterConfig {
         name: format!("n{n}"),
         address: address(n),
     };
@@ -128,7 +148,7 @@
         installation: "test".into(),
         voters: VoterSet {
             generation: 1,
-            members: (0..voters).map(one).collect(),
+            members: (0..voters).map(voter).collect(),
             previous: Vec::new(),
         },
         lease_ms: 3_000,
@@ -144,8 +164,8 @@
     }
 }
 
-pub fn wanted_leases(n: usize) -> Vec<WantedLease> {
-    (0..n)
+pub fn wanted_leases(count: usize) -> Vec<WantedLease> {
+    (0..count)
         .map(|n| WantedLease {
             lease: lease(n),
             zone: None,
@@ -154,7 +174,7 @@
 }
 
 pub fn lease(n: usize) -> LeaseName {
-    LeaseName::new(&format!("positions/{n}")).expect("a name")
+    LeaseName::new(&format!("positions/{n}")).expect("a valid name")
 }
 
 impl Net {
@@ -163,19 +183,19 @@
             now: 1_000 * S,
             nodes: Vec::new(),
             wanted,
-            weather: calm(),
+            conditions: reliable_network(),
             cut: vec![vec![false; routers]; routers],
-            wrong: Vec::new(),
-            acts: BTreeMap::new(),
+            violations: Vec::new(),
+            activity: BTreeMap::new(),
             disk: Some(5 * MS),
             rng: Pcg64Mcg::seed_from_u64(seed),
-            heard: vec![vec![0; routers]; routers],
-            told: vec![Vec::new(); routers],
+            last_contact: vec![vec![0; routers]; routers],
+            seen_members: vec![Vec::new(); routers],
             heap: BinaryHeap::new(),
             order: 0,
             zones: 3,
             sent: vec![(0, 0); routers],
-            every: 10 * MS,
+            sample_interval: 10 * MS,
         };
         for n in 0..routers {
             let offset = net.rng.random_range(0..1_000 * S) as i64;
@@ -184,19 +204,19 @@
             net.nodes.push(Node {
                 manager: None,
                 incarnation: 0,
-                frozen: false,
+                is_stopped: false,
                 rate,
                 offset,
                 disk: None,
                 rules: rules.clone(),
-                held: Vec::new(),
-                news: Vec::new(),
+                waiting: Vec::new(),
+                events: Vec::new(),
             });
             net.start(n);
         }
-        net.see();
-        net.at(net.now, Event::Sample);
-        net.at(net.now, Event::See);
+        net.update_members();
+        net.schedule(net.now, Event::Sample);
+        net.schedule(net.now, Event::UpdateMembers);
         net
     }
 
@@ -209,66 +229,71 @@
         }
     }
 
-    fn at(&mut self, at: Time, event: Event) {
+    fn schedule(&mut self, at: Time, event: Event) {
         self.order += 1;
         self.heap.push(Reverse((at, self.order, event)));
     }
 
-    /// A node's own clock.
+    /// Returns the time on a node's clock.
     pub fn clock(&self, n: usize) -> Time {
         let node = &self.nodes[n];
         ((self.now as f64 * node.rate) as i64 + node.offset) as Time
     }
 
-    pub fn up(&self, n: usize) -> bool {
+    pub fn is_up(&self, n: usize) -> bool {
         self.nodes[n].manager.is_some()
     }
 
     pub fn start(&mut self, n: usize) {
-        if self.up(n) {
+        if self.is_up(n) {
             return;
         }
         self.nodes[n].incarnation = self.nodes[n].incarnation.max(self.now) + 1;
         let (me, now, seed) = (self.member(n), self.clock(n), self.rng.random());
         let node = &mut self.nodes[n];
-        let kept = node
+        let persisted = node
             .disk
             .as_ref()
             .and_then(|b| PersistedState::decode(b, &node.rules, &me.name).ok());
         let routers = self.cut.len() as u32;
-        let mut manager = LeaseManager::new(node.rules.clone(), me, routers, now, seed, kept);
+        let mut manager = LeaseManager::new(node.rules.clone(), me, routers, now, seed, persisted);
         manager.set_wanted(now, self.wanted.clone());
-        (node.manager, node.frozen) = (Some(manager), false);
-        self.told[n].clear();
-        self.after(n);
+        (node.manager, node.is_stopped) = (Some(manager), false);
+        self.seen_members[n].clear();
+        self.process_output(n);
     }
 
     pub fn kill(&mut self, n: usize) {
         let node = &mut self.nodes[n];
-        (node.manager, node.frozen) = (None, false);
-        node.held.clear();
+        (node.manager, node.is_stopped) = (None, false);
+        node.waiting.clear();
     }
 
-    pub fn freeze(&mut self, n: usize) {
-        self.nodes[n].frozen = self.up(n);
+    pub fn stop(&mut self, n: usize) {
+        self.nodes[n].is_stopped = self.is_up(n);
     }
 
-    /// It goes on, and the first that it does is what it was about to do.
-    pub fn thaw(&mut self, n: usize) {
-        if !self.nodes[n].frozen {
+    /// Resumes a stopped node. Its first action is the one that it was about to take when it was stopped.
+    pub fn resume(&mut self, n: usize) {
+        if !self.nodes[n].is_stopped {
             return;
         }
-        self.nodes[n].frozen = false;
+        self.nodes[n].is_stopped = false;
         self.sample();
-        let held = std::mem::take(&mut self.nodes[n].held);
-        for (from, incarnation, body, late) in held {
-            self.came(n, from, incarnation, &body, late);
+        for message in std::mem::take(&mut self.nodes[n].waiting) {
+            self.deliver(
+                n,
+                message.from,
+                message.from_incarnation,
+                &message.body,
+                message.delay,
+            );
         }
         self.turn(n);
     }
 
-    /// A cut between two sets of routers, in both directions, or the end of it.
-    pub fn part(&mut self, sides: &[&[usize]], on: bool) {
+    /// Cuts the links between sets of nodes in both directions, or restores them.
+    pub fn partition(&mut self, sides: &[&[usize]], is_cut: bool) {
         for (a, one) in sides.iter().enumerate() {
             for other in sides
                 .iter()
@@ -277,58 +302,63 @@
                 .map(|(_, o)| o)
             {
                 for (x, y) in one.iter().flat_map(|x| other.iter().map(move |y| (*x, *y))) {
-                    self.cut[x][y] = on;
+                    self.cut[x][y] = is_cut;
                 }
             }
         }
     }
 
+    /// Restores all links.
     pub fn heal(&mut self) {
         self.cut.iter_mut().flatten().for_each(|c| *c = false);
     }
 
-    pub fn with<T>(
+    /// Calls the lease manager of a node at its local time, and processes the output.
+    pub fn call<T>(
         &mut self,
         n: usize,
-        act: impl FnOnce(&mut LeaseManager, Time) -> T,
+        action: impl FnOnce(&mut LeaseManager, Time) -> T,
     ) -> Option<T> {
         let now = self.clock(n);
-        let done = self.nodes[n].manager.as_mut().map(|d| act(d, now));
-        self.after(n);
-        done
+        let result = self.nodes[n]
+            .manager
+            .as_mut()
+            .map(|manager| action(manager, now));
+        self.process_output(n);
+        result
     }
 
     fn turn(&mut self, n: usize) {
-        self.with(n, |d, now| d.turn(now));
+        self.call(n, |manager, now| manager.turn(now));
     }
 
-    fn came(&mut self, n: usize, from: usize, incarnation: u64, body: &[u8], late: Micros) {
+    fn deliver(&mut self, n: usize, from: usize, incarnation: u64, body: &[u8], delay: Micros) {
         let member = Member {
             incarnation,
             ..self.member(from)
         };
-        self.with(n, |d, now| d.receive(now, &member, body, late));
+        self.call(n, |manager, now| manager.receive(now, &member, body, delay));
     }
 
-    /// Takes out what a node has to say.
-    fn after(&mut self, n: usize) {
+    /// Takes the output of a node, and schedules the arrival of its messages, its write to disk and its next turn.
+    fn process_output(&mut self, n: usize) {
         let (incarnation, clock, rate) =
             (self.nodes[n].incarnation, self.clock(n), self.nodes[n].rate);
         let Some(manager) = &mut self.nodes[n].manager else {
             return;
         };
-        let (out, next, file) = (
+        let (outbox, next, file) = (
             manager.take_outbox(),
             manager.next_turn(),
             manager.take_pending_write(),
         );
-        let news: Vec<LeaseEvent> = std::iter::from_fn(|| manager.take_event()).collect();
+        let events: Vec<LeaseEvent> = std::iter::from_fn(|| manager.take_event()).collect();
         let now = self.now;
         self.nodes[n]
-            .news
-            .extend(news.into_iter().map(|news| (now, news)));
-        for (to, body) in out {
-            let Some(to) = number(to).filter(|n| *n < self.nodes.len()) else {
+            .events
+            .extend(events.into_iter().map(|event| (now, event)));
+        for (to, body) in outbox {
+            let Some(to) = node_at(to).filter(|n| *n < self.nodes.len()) else {
                 continue;
             };
             let (bodies, bytes) = self.sent[n];
@@ -336,232 +366,249 @@
             if self.cut[n][to] {
                 continue;
             }
-            for after in (self.weather)(now, n, to, &mut self.rng) {
-                let late = after.saturating_sub(500);
-                let came = Event::Came {
+            for transit in (self.conditions)(now, n, to, &mut self.rng) {
+                let delay = transit.saturating_sub(500);
+                let arrival = Event::Arrive {
                     to,
                     incarnation: self.nodes[to].incarnation,
                     from: n,
                     from_incarnation: incarnation,
                     body: body.clone(),
-                    late,
+                    delay,
                 };
-                self.at(now + after, came);
+                self.schedule(now + transit, arrival);
             }
         }
-        if let (Some(file), Some(takes)) = (file, self.disk) {
-            self.at(now + takes, Event::Disk(n, incarnation, file));
+        if let (Some(file), Some(write_time)) = (file, self.disk) {
+            self.schedule(now + write_time, Event::WriteDone(n, incarnation, file));
         }
         if next < Time::MAX {
             let wait = (next.saturating_sub(clock) as f64 / rate) as Micros + 1;
-            self.at(now + wait, Event::Turn(n, incarnation));
+            self.schedule(now + wait, Event::Turn(n, incarnation));
         }
     }
 
-    pub fn run(&mut self, span: Micros) {
-        let until = self.now + span;
+    pub fn run(&mut self, duration: Micros) {
+        let end = self.now + duration;
         while let Some(Reverse((at, _, _))) = self.heap.peek()
-            && *at <= until
+            && *at <= end
         {
             let Some(Reverse((at, _, event))) = self.heap.pop() else {
                 break;
             };
             self.now = self.now.max(at);
-            let acts = |net: &Net, n: usize, incarnation: u64| {
-                net.nodes[n].incarnation == incarnation && !net.nodes[n].frozen
+            let is_active = |net: &Net, n: usize, incarnation: u64| {
+                net.nodes[n].incarnation == incarnation && !net.nodes[n].is_stopped
             };
             match event {
                 Event::Sample => {
                     self.sample();
-                    self.at(self.now + self.every, Event::Sample);
+                    self.schedule(self.now + self.sample_interval, Event::Sample);
                 }
-                Event::See => {
-                    self.see();
-                    self.at(self.now + S / 2, Event::See);
+                Event::UpdateMembers => {
+                    self.update_members();
+                    self.schedule(self.now + S / 2, Event::UpdateMembers);
                 }
-                Event::Turn(n, incarnation) if acts(self, n, incarnation) => {
+                Event::Turn(n, incarnation) if is_active(self, n, incarnation) => {
                     let now = self.clock(n);
                     if self.nodes[n]
                         .manager
                         .as_ref()
-                        .is_some_and(|d| d.next_turn() <= now)
+                        .is_some_and(|manager| manager.next_turn() <= now)
                     {
                         self.turn(n);
                     }
                 }
-                Event::Came {
+                Event::Arrive {
                     to,
                     incarnation,
                     from,
                     from_incarnation,
                     body,
-                    late,
+                    delay,
                 } => {
-                    if acts(self, to, incarnation) {
-                        self.came(to, from, from_incarnation, &body, late);
-                    } else if self.nodes[to].incarnation == incarnation && self.up(to) {
-                        self.nodes[to]
-                            .held
-                            .push((from, from_incarnation, body, late));
+                    if is_active(self, to, incarnation) {
+                        self.deliver(to, from, from_incarnation, &body, delay);
+                    } else if self.nodes[to].incarnation == incarnation && self.is_up(to) {
+                        self.nodes[to].waiting.push(WaitingMessage {
+                            from,
+                            from_incarnation,
+                            body,
+                            delay,
+                        });
                     }
                 }
-                Event::Disk(n, incarnation, file)
-                    if self.nodes[n].incarnation == incarnation && self.up(n) =>
+                Event::WriteDone(n, incarnation, file)
+                    if self.nodes[n].incarnation == incarnation && self.is_up(n) =>
                 {
                     self.nodes[n].disk = Some(file);
-                    if !self.nodes[n].frozen {
-                        self.with(n, |d, now| d.complete_write(now));
+                    if !self.nodes[n].is_stopped {
+                        self.call(n, |manager, now| manager.complete_write(now));
                     }
                 }
                 _ => {}
             }
         }
-        self.now = until;
+        self.now = end;
     }
 
-    /// Whom a router was told of last.
-    pub fn seen(&self, n: usize) -> Vec<Member> {
-        let known = |(m, incarnation): &(usize, u64)| Member {
+    /// Returns the members last reported to a node.
+    pub fn members_seen_by(&self, n: usize) -> Vec<Member> {
+        let member = |(m, incarnation): &(usize, u64)| Member {
             incarnation: *incarnation,
             ..self.member(*m)
         };
-        self.told[n].iter().map(known).collect()
+        self.seen_members[n].iter().map(member).collect()
     }
 
-    /// What membership would have told by now.
-    fn see(&mut self) {
+    /// Reports to each node the members that gossip would show it by now.
+    fn update_members(&mut self) {
         for a in 0..self.nodes.len() {
             for b in 0..self.nodes.len() {
-                let alive = self.up(b) && !self.nodes[b].frozen;
-                if alive && !self.cut[a][b] && !self.cut[b][a] {
-                    self.heard[a][b] = self.now;
+                let is_alive = self.is_up(b) && !self.nodes[b].is_stopped;
+                if is_alive && !self.cut[a][b] && !self.cut[b][a] {
+                    self.last_contact[a][b] = self.now;
                 }
             }
         }
         for a in 0..self.nodes.len() {
-            if self.nodes[a].frozen || !self.up(a) {
+            if self.nodes[a].is_stopped || !self.is_up(a) {
                 continue;
             }
-            let seen =
-                |b: &usize| self.heard[a][*b] + UNSEEN > self.now && self.nodes[*b].incarnation > 0;
-            let lives: Vec<(usize, u64)> = (0..self.nodes.len())
-                .filter(seen)
+            let is_seen = |b: &usize| {
+                self.last_contact[a][*b] + MEMBER_TIMEOUT > self.now
+                    && self.nodes[*b].incarnation > 0
+            };
+            let members_now: Vec<(usize, u64)> = (0..self.nodes.len())
+                .filter(is_seen)
                 .map(|b| (b, self.nodes[b].incarnation))
                 .collect();
-            if lives == self.told[a] {
+            if members_now == self.seen_members[a] {
                 continue;
             }
-            let members: Vec<Member> = lives.iter().map(|(b, _)| self.member(*b)).collect();
-            self.told[a] = lives;
-            self.with(a, |d, now| d.set_members(now, members));
+            let members: Vec<Member> = members_now.iter().map(|(b, _)| self.member(*b)).collect();
+            self.seen_members[a] = members_now;
+            self.call(a, |manager, now| manager.set_members(now, members));
         }
     }
 
-    /// Who acts at this moment of true time.
+    /// Records which nodes may act at this moment of true time.
     fn sample(&mut self) {
         for n in 0..self.nodes.len() {
-            if self.nodes[n].frozen {
+            if self.nodes[n].is_stopped {
                 continue;
             }
             let (now, incarnation) = (self.clock(n), self.nodes[n].incarnation);
             let Some(manager) = &self.nodes[n].manager else {
                 continue;
             };
-            let owned: Vec<(LeaseName, Token)> = manager
+            let held: Vec<(LeaseName, Token)> = manager
                 .held_leases(now)
                 .map(|(d, t)| (d.clone(), t))
                 .collect();
-            for (lease, token) in owned {
-                self.act(n, incarnation, lease, token);
+            for (lease, token) in held {
+                self.record_action(n, incarnation, lease, token);
             }
         }
     }
 
-    fn act(&mut self, n: usize, incarnation: u64, lease: LeaseName, token: Token) {
+    /// Records an action under a lease, and a violation if its token is stale or belongs to another node.
+    fn record_action(&mut self, n: usize, incarnation: u64, lease: LeaseName, token: Token) {
         let now = self.now;
-        let acts = self.acts.entry(lease.clone()).or_default();
-        let other = *acts.by.entry(token).or_insert((n, incarnation));
-        let mut wrong = Vec::new();
+        let activity = self.activity.entry(lease.clone()).or_default();
+        let other = *activity.by_token.entry(token).or_insert((n, incarnation));
+        let mut violations = Vec::new();
         if other != (n, incarnation) {
-            wrong.push(format!("{lease} {token}: n{n} and n{} have it", other.0));
+            violations.push(format!("{lease} {token}: n{n} and n{} hold it", other.0));
         }
-        if token < acts.newest {
-            acts.two += 1;
-            wrong.push(format!(
+        if token < activity.newest {
+            activity.stale_actions += 1;
+            violations.push(format!(
                 "{lease}: n{n} acts with {token} after {} acted with {}",
-                acts.by[&acts.newest].0, acts.newest
+                activity.by_token[&activity.newest].0, activity.newest
             ));
         }
-        acts.newest = acts.newest.max(token);
-        if acts.last > 0 {
-            acts.gap = acts.gap.max(now - acts.last);
+        activity.newest = activity.newest.max(token);
+        if activity.last > 0 {
+            activity.gap = activity.gap.max(now - activity.last);
         }
-        acts.last = now;
-        if self.wrong.len() < 20 {
-            self.wrong
-                .extend(wrong.into_iter().map(|w| format!("{now}: {w}")));
+        activity.last = now;
+        if self.violations.len() < 20 {
+            self.violations
+                .extend(violations.into_iter().map(|text| format!("{now}: {text}")));
         }
     }
 
-    /// Which nodes own a duty now.
-    pub fn owners(&self, lease: &LeaseName) -> Vec<usize> {
-        let owns = |n: &usize| {
+    /// Returns the nodes that may act under a lease now.
+    pub fn acting_holders(&self, lease: &LeaseName) -> Vec<usize> {
+        let may_act = |n: &usize| {
             let now = self.clock(*n);
-            !self.nodes[*n].frozen
+            !self.nodes[*n].is_stopped
                 && self.nodes[*n]
                     .manager
                     .as_ref()
-                    .is_some_and(|d| d.may_act(now, lease).is_some())
+                    .is_some_and(|manager| manager.may_act(now, lease).is_some())
         };
-        (0..self.nodes.len()).filter(owns).collect()
+        (0..self.nodes.len()).filter(may_act).collect()
     }
 
-    pub fn owner(&self, n: usize) -> usize {
-        self.owners(&lease(n))
+    pub fn holder_of(&self, n: usize) -> usize {
+        self.acting_holders(&lease(n))
             .first()
             .copied()
-            .unwrap_or_else(|| panic!("nobody owns {n}"))
+            .unwrap_or_else(|| panic!("lease {n} has no holder"))
     }
 
-    /// Runs until a condition holds; how long that took.
-    pub fn until(&mut self, within: Micros, mut holds: impl FnMut(&Net) -> bool) -> Option<Micros> {
+    /// Runs until a condition holds, and returns how long that took; `None` if it does not hold within the time.
+    pub fn run_until(
+        &mut self,
+        within: Micros,
+        mut condition: impl FnMut(&Net) -> bool,
+    ) -> Option<Micros> {
         let from = self.now;
         while self.now < from + within {
-            if holds(self) {
+            if condition(self) {
                 return Some(self.now - from);
             }
-            self.run(self.every);
+            self.run(self.sample_interval);
         }
-        holds(self).then(|| self.now - from)
+        condition(self).then(|| self.now - from)
     }
 
-    /// Runs until each duty has its owner.
-    pub fn settled(&mut self) -> Micros {
-        let took = self.until(60 * S, Net::all_owned);
-        took.unwrap_or_else(|| panic!("not all are owned: {:?}", self.unowned()))
+    /// Runs until each lease has exactly one holder.
+    pub fn run_until_all_held(&mut self) -> Micros {
+        let took = self.run_until(60 * S, Net::all_held);
+        took.unwrap_or_else(|| {
+            panic!(
+                "leases without a holder: {:?}",
+                self.leases_without_holder()
+            )
+        })
     }
 
-    pub fn all_owned(&self) -> bool {
-        self.wanted.iter().all(|w| self.owners(&w.lease).len() == 1)
+    pub fn all_held(&self) -> bool {
+        self.wanted
+            .iter()
+            .all(|w| self.acting_holders(&w.lease).len() == 1)
     }
 
-    pub fn unowned(&self) -> Vec<&LeaseName> {
+    pub fn leases_without_holder(&self) -> Vec<&LeaseName> {
         self.wanted
             .iter()
             .map(|w| &w.lease)
-            .filter(|d| self.owners(d).is_empty())
+            .filter(|d| self.acting_holders(d).is_empty())
             .collect()
     }
 
-    pub fn sound(&self) {
-        assert!(self.wrong.is_empty(), "{:#?}", self.wrong);
+    pub fn assert_no_violations(&self) {
+        assert!(self.violations.is_empty(), "{:#?}", self.violations);
     }
 
     pub fn clear_gaps(&mut self) {
-        self.acts.values_mut().for_each(|a| a.gap = 0);
+        self.activity.values_mut().for_each(|a| a.gap = 0);
     }
 
-    pub fn gap(&self) -> Micros {
-        self.acts.values().map(|a| a.gap).max().unwrap_or(0)
+    pub fn longest_gap(&self) -> Micros {
+        self.activity.values().map(|a| a.gap).max().unwrap_or(0)
     }
 }
--- a/leases/tests/compare.rs
+++ b/leases/tests/compare.rs
@@ -1,5 +1,6 @@
-//! Three ways to agree on who does a duty, played on the same virtual network: the rendezvous hash over the members that are
-//! seen, leases of a majority, and a replicated log. What is measured: time with two owners, time without one, messages.
+//! Compares three ways to choose the holder of a lease on the same virtual network: the rendezvous hash over the visible
+//! members, leases granted by a majority, and a replicated log. Measures the time with two acting holders, the time without
+//! one, and the number of messages.
 #![allow(missing_docs, reason = "a test")]
 
 mod common;
@@ -8,79 +9,81 @@
 use common::{MS, Net, S, rules, wanted_leases};
 use plovercove::{Micros, Time};
 use plovercove_leases::{Placement, Rules};
-use replicated_log::Logged;
+use replicated_log::ReplicatedLog;
 
 pub const ROUTERS: usize = 9;
-const DUTIES: usize = 12;
+const LEASES: usize = 12;
 const STEP: Micros = 20 * MS;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Trouble {
-    Calm,
-    /// The first owner of all is killed.
+enum Fault {
+    None,
+    /// A holder is killed.
     Kill,
-    /// It is stopped for 15 s, and goes on.
+    /// A holder is stopped for 15 s and resumes.
     Stop,
-    /// One side has a majority of the deciders.
-    Two,
-    /// No side has.
-    Three,
+    /// The network splits in two, and one side has a majority of the voters.
+    TwoPartitions,
+    /// The network splits in three, and no side has a majority.
+    ThreePartitions,
 }
 
-/// Of all duties together (router-milliseconds), and messages of all routers in a second.
+/// Sums over all leases, and messages of all routers.
 #[derive(Clone, Copy, Debug, Default)]
-struct Seen {
-    two: u64,
-    none: u64,
-    /// The longest time that one duty had nobody (ms).
-    gap: u64,
-    messages: u64,
+struct Measured {
+    /// Time with more than one acting holder, summed over the leases.
+    overlap_ms: u64,
+    /// Time without an acting holder, summed over the leases.
+    unheld_ms: u64,
+    /// The longest time for which one lease had no acting holder.
+    longest_gap_ms: u64,
+    messages_per_s: u64,
 }
 
-/// One way to agree.
-trait Way {
+/// A way to choose the holder of a lease.
+trait Protocol {
     fn net(&mut self) -> &mut Net;
-    fn run(&mut self, span: Micros);
-    /// Who acts for a duty now.
+    fn run(&mut self, duration: Micros);
+    /// Returns the nodes that act under a lease now.
     fn acting(&self, lease: usize) -> Vec<usize>;
     fn sent(&self) -> u64;
 }
 
 struct Leases(Net);
 
-impl Way for Leases {
+impl Protocol for Leases {
     fn net(&mut self) -> &mut Net {
         &mut self.0
     }
-    fn run(&mut self, span: Micros) {
-        self.0.run(span);
+    fn run(&mut self, duration: Micros) {
+        self.0.run(duration);
     }
     fn acting(&self, lease: usize) -> Vec<usize> {
-        self.0.owners(&common::lease(lease))
+        self.0.acting_holders(&common::lease(lease))
     }
     fn sent(&self) -> u64 {
         self.0.sent.iter().map(|s| s.0).sum()
     }
 }
 
-/// Who is seen decides, and nobody is asked. The members are those that the network's membership tells.
-struct Hashed {
+/// Each node computes the holder from the members that it sees, without any message.
+struct RendezvousHash {
     net: Net,
-    /// For each duty who acts now.
+    /// The nodes that act under each lease now.
     acting: Vec<Vec<usize>>,
 }
 
-impl Way for Hashed {
+impl Protocol for RendezvousHash {
     fn net(&mut self) -> &mut Net {
         &mut self.net
     }
-    fn run(&mut self, span: Micros) {
-        self.net.run(span);
-        self.acting = vec![Vec::new(); DUTIES];
-        for n in (0..ROUTERS).filter(|n| self.net.up(*n) && !self.net.nodes[*n].frozen) {
-            let placed = Placement::new(&self.net.wanted, &self.net.seen(n));
+    fn run(&mut self, duration: Micros) {
+        self.net.run(duration);
+        self.acting = vec![Vec::new(); LEASES];
+        for n in (0..ROUTERS).filter(|n| self.net.is_up(*n) && !self.net.nodes[*n].is_stopped) {
+            let placement = Placement::new(&self.net.wanted, &self.net.members_seen_by(n));
             for (lease, acting) in self.acting.iter_mut().enumerate() {
-                if placed.preferred_holder(&common::lease(lease)) == Some(common::address(n)) {
+                if placement.preferred_holder(&common::lease(lease)) == Some(common::address(n)) {
                     acting.push(n);
                 }
             }
@@ -94,33 +97,39 @@
     }
 }
 
-impl Way for Logged {
+impl Protocol for ReplicatedLog {
     fn net(&mut self) -> &mut Net {
         &mut self.net
     }
-    fn run(&mut self, span: Micros) {
-        Logged::run(self, span);
+    fn run(&mut self, duration: Micros) {
+        ReplicatedLog::run(self, duration);
     }
     fn acting(&self, lease: usize) -> Vec<usize> {
-        Logged::acting(self, lease)
+        ReplicatedLog::acting(self, lease)
     }
     fn sent(&self) -> u64 {
         self.sent
     }
 }
 
-fn watch(way: &mut dyn Way, span: Micros, last: &mut [Option<Time>], seen: &mut Seen) {
-    let until = way.net().now + span;
-    while way.net().now < until {
-        way.run(STEP);
-        let now = way.net().now;
+/// Runs the protocol and samples the acting holders. `last` keeps the time of the latest action under each lease.
+fn measure(
+    protocol: &mut dyn Protocol,
+    duration: Micros,
+    last: &mut [Option<Time>],
+    measured: &mut Measured,
+) {
+    let end = protocol.net().now + duration;
+    while protocol.net().now < end {
+        protocol.run(STEP);
+        let now = protocol.net().now;
         for (lease, last) in last.iter_mut().enumerate() {
-            let acting = way.acting(lease).len();
-            seen.two += if acting > 1 { STEP / MS } else { 0 };
-            seen.none += if acting == 0 { STEP / MS } else { 0 };
-            seen.gap = seen
-                .gap
-                .max(last.map_or(0, |at| (now - at).saturating_sub(STEP) / MS));
+            let acting = protocol.acting(lease).len();
+            measured.overlap_ms += if acting > 1 { STEP / MS } else { 0 };
+            measured.unheld_ms += if acting == 0 { STEP / MS } else { 0 };
+            measured.longest_gap_ms = measured
+                .longest_gap_ms
+                .max(last.map_or(0, |acted_at| (now - acted_at).saturating_sub(STEP) / MS));
             if acting > 0 {
                 *last = Some(now);
             }
@@ -128,87 +137,103 @@
     }
 }
 
-fn play(way: &mut dyn Way, trouble: Trouble) -> Seen {
-    way.run(40 * S);
-    let mut last = vec![None; DUTIES];
-    watch(way, S, &mut last, &mut Seen::default());
-    let (mut seen, sent, begin) = (Seen::default(), way.sent(), way.net().now);
-    let owner = (0..DUTIES)
-        .flat_map(|d| way.acting(d))
+/// Runs a protocol with a fault of 15 s, and measures until 15 s after it.
+fn run_scenario(protocol: &mut dyn Protocol, fault: Fault) -> Measured {
+    protocol.run(40 * S);
+    let mut last = vec![None; LEASES];
+    measure(protocol, S, &mut last, &mut Measured::default());
+    let (mut measured, sent, begin) = (Measured::default(), protocol.sent(), protocol.net().now);
+    let holder = (0..LEASES)
+        .flat_map(|lease| protocol.acting(lease))
         .find(|n| *n > 4)
-        .expect("an owner that decides nothing");
-    match trouble {
-        Trouble::Calm => {}
-        Trouble::Kill => way.net().kill(owner),
-        Trouble::Stop => way.net().freeze(owner),
-        Trouble::Two => way.net().part(&[&[0, 1, 3, 4, 5], &[2, 6, 7, 8]], true),
-        Trouble::Three => way.net().part(&[&[0, 3, 4], &[1, 5, 6], &[2, 7, 8]], true),
+        .expect("a holder that does not vote");
+    match fault {
+        Fault::None => {}
+        Fault::Kill => protocol.net().kill(holder),
+        Fault::Stop => protocol.net().stop(holder),
+        Fault::TwoPartitions => protocol
+            .net()
+            .partition(&[&[0, 1, 3, 4, 5], &[2, 6, 7, 8]], true),
+        Fault::ThreePartitions => protocol
+            .net()
+            .partition(&[&[0, 3, 4], &[1, 5, 6], &[2, 7, 8]], true),
     }
-    watch(way, 15 * S, &mut last, &mut seen);
-    way.net().thaw(owner);
-    way.net().heal();
-    watch(way, 15 * S, &mut last, &mut seen);
-    let span = (way.net().now - begin) / S;
-    seen.messages = (way.sent() - sent) / span;
-    seen
+    measure(protocol, 15 * S, &mut last, &mut measured);
+    protocol.net().resume(holder);
+    protocol.net().heal();
+    measure(protocol, 15 * S, &mut last, &mut measured);
+    let duration = (protocol.net().now - begin) / S;
+    measured.messages_per_s = (protocol.sent() - sent) / duration;
+    measured
 }
 
-/// The worst of several, each from its own seed.
-fn worst<W: Way>(trouble: Trouble, make: impl Fn(u64) -> W) -> Seen {
-    (20..23).fold(Seen::default(), |worst, seed| {
-        let seen = play(&mut make(seed), trouble);
-        Seen {
-            two: worst.two.max(seen.two),
-            none: worst.none.max(seen.none),
-            gap: worst.gap.max(seen.gap),
-            messages: worst.messages.max(seen.messages),
+/// Returns the worst of three runs with different seeds, for each measure separately.
+fn worst_of_seeds<W: Protocol>(fault: Fault, make: impl Fn(u64) -> W) -> Measured {
+    (20..23).fold(Measured::default(), |worst, seed| {
+        let measured = run_scenario(&mut make(seed), fault);
+        Measured {
+            overlap_ms: worst.overlap_ms.max(measured.overlap_ms),
+            unheld_ms: worst.unheld_ms.max(measured.unheld_ms),
+            longest_gap_ms: worst.longest_gap_ms.max(measured.longest_gap_ms),
+            messages_per_s: worst.messages_per_s.max(measured.messages_per_s),
         }
     })
 }
 
 #[test]
-fn three_ways_in_the_same_weather() {
+fn compare_three_protocols_under_the_same_faults() {
     let rules: Rules = rules(3);
-    for trouble in [
-        Trouble::Calm,
-        Trouble::Kill,
-        Trouble::Stop,
-        Trouble::Two,
-        Trouble::Three,
+    for fault in [
+        Fault::None,
+        Fault::Kill,
+        Fault::Stop,
+        Fault::TwoPartitions,
+        Fault::ThreePartitions,
     ] {
-        let net = |seed| Net::new(ROUTERS, wanted_leases(DUTIES), seed, &rules);
-        let hash = worst(trouble, |seed| Hashed {
+        let net = |seed| Net::new(ROUTERS, wanted_leases(LEASES), seed, &rules);
+        let hash = worst_of_seeds(fault, |seed| RendezvousHash {
             net: net(seed),
             acting: Vec::new(),
         });
-        let lease = worst(trouble, |seed| Leases(net(seed)));
-        let five = worst(trouble, |seed| {
+        let lease = worst_of_seeds(fault, |seed| Leases(net(seed)));
+        let five = worst_of_seeds(fault, |seed| {
             Leases(Net::new(
                 ROUTERS,
-                wanted_leases(DUTIES),
+                wanted_leases(LEASES),
                 seed,
                 &common::rules(5),
             ))
         });
-        let log = worst(trouble, |seed| Logged::new(net(seed), DUTIES, &rules));
+        let log = worst_of_seeds(fault, |seed| ReplicatedLog::new(net(seed), LEASES, &rules));
         println!(
-            "{trouble:?}: hash {hash:?}\n  leases {lease:?}\n  leases, 5 deciders {five:?}\n  log {log:?}"
+            "{fault:?}: hash {hash:?}\n  leases {lease:?}\n  leases, 5 voters {five:?}\n  log {log:?}"
         );
         assert_eq!(
-            (lease.two, five.two, log.two),
+            (lease.overlap_ms, five.overlap_ms, log.overlap_ms),
             (0, 0, 0),
-            "an owner by a lease is alone"
+            "a lease has one acting holder"
         );
-        match trouble {
-            Trouble::Calm => assert_eq!((hash.gap, lease.gap, five.gap, log.gap), (0, 0, 0, 0)),
-            Trouble::Kill => {
+        match fault {
+            Fault::None => assert_eq!(
+                (
+                    hash.longest_gap_ms,
+                    lease.longest_gap_ms,
+                    five.longest_gap_ms,
+                    log.longest_gap_ms
+                ),
+                (0, 0, 0, 0)
+            ),
+            Fault::Kill => {
                 assert!(
-                    lease.gap.max(five.gap) <= rules.max_gap_after_kill() / MS,
+                    lease.longest_gap_ms.max(five.longest_gap_ms)
+                        <= rules.max_gap_after_kill() / MS,
                     "{lease:?} {five:?}"
                 );
             }
-            Trouble::Stop => {}
-            Trouble::Two | Trouble::Three => assert!(hash.two > 0, "each side has its own owner"),
+            Fault::Stop => {}
+            Fault::TwoPartitions | Fault::ThreePartitions => {
+                assert!(hash.overlap_ms > 0, "each side has its own holder")
+            }
         }
     }
 }
--- a/leases/tests/fleet.rs
+++ b/leases/tests/fleet.rs
@@ -1,154 +1,161 @@
-//! Fleets in virtual time: one owner at a time, in each failure that is named.
+//! Groups of routers in virtual time: a lease has at most one acting holder, under each of the named failures.
 #![allow(missing_docs, reason = "a test")]
 
 mod common;
 
-use common::{MS, Net, S, calm, lease, rough, rules, rules_without, wanted_leases};
+use common::{
+    MS, Net, S, faulty_network, lease, reliable_network, rules, rules_without, wanted_leases,
+};
 use plovercove_leases::{Guard, LeaseEvent, Rules, VoterSet};
 use proptest::collection::vec;
 use proptest::prelude::*;
 
 #[test]
-fn each_duty_gets_one_owner_and_a_kill_moves_it() {
+fn each_lease_gets_one_holder_and_a_kill_moves_it() {
     let mut net = Net::new(9, wanted_leases(12), 1, &rules(3));
-    let took = net.settled();
-    println!("all owned after {} ms", took / MS);
+    let took = net.run_until_all_held();
+    println!("all leases held after {} ms", took / MS);
     net.run(20 * S);
-    net.sound();
-    assert!(net.all_owned());
-    let owner = net.owner(0);
+    net.assert_no_violations();
+    assert!(net.all_held());
+    let holder = net.holder_of(0);
     net.clear_gaps();
-    net.kill(owner);
-    let took = net.until(60 * S, Net::all_owned).expect("taken over");
+    net.kill(holder);
+    let took = net.run_until(60 * S, Net::all_held).expect("taken over");
     println!("taken over after {} ms", took / MS);
     net.run(S);
-    net.sound();
-    assert_ne!(net.owners(&lease(0)), vec![owner]);
+    net.assert_no_violations();
+    assert_ne!(net.acting_holders(&lease(0)), vec![holder]);
 }
 
-/// With all guards what is named never happens; without this one it is seen.
-fn caught(guard: Guard, play: impl Fn(Option<Guard>) -> Vec<String>) {
-    let with = play(None);
-    assert!(with.is_empty(), "with all guards: {with:#?}");
-    let off = play(Some(guard));
-    assert!(!off.is_empty(), "nobody notices that {guard:?} is off");
-    println!("{guard:?} off: {}", off[0]);
+/// Runs a scenario that returns violations: there must be none with all guards, and at least one without this guard.
+fn assert_detected(guard: Guard, run_scenario: impl Fn(Option<Guard>) -> Vec<String>) {
+    let guarded = run_scenario(None);
+    assert!(guarded.is_empty(), "with all guards: {guarded:#?}");
+    let unguarded = run_scenario(Some(guard));
+    assert!(
+        !unguarded.is_empty(),
+        "no violation is seen without the guard {guard:?}"
+    );
+    println!("without {guard:?}: {}", unguarded[0]);
 }
 
-fn long(guard: Option<Guard>) -> Rules {
+fn long_lease(guard: Option<Guard>) -> Rules {
     Rules {
         lease_ms: 8_000,
         ..rules_without(guard)
     }
 }
 
-/// The owner of duty 0, where it is none of the deciders: the first duty that has such an owner.
-fn outsider(net: &Net) -> usize {
+/// Returns the holder of the first lease whose holder is not a voter; nodes 0 to 2 vote.
+fn holder_that_does_not_vote(net: &Net) -> usize {
     (0..net.wanted.len())
-        .map(|n| net.owner(n))
+        .map(|n| net.holder_of(n))
         .find(|n| *n > 2)
-        .expect("an owner that does not decide")
+        .expect("a holder that does not vote")
 }
 
+/// Cuts all links of a node.
 fn isolate(net: &mut Net, n: usize) {
     let others: Vec<usize> = (0..net.nodes.len()).filter(|m| *m != n).collect();
-    net.part(&[&[n], &others], true);
+    net.partition(&[&[n], &others], true);
 }
 
 #[test]
-fn guard_clock_an_owner_stopped_over_the_end_of_its_lease() {
-    let play = |guard, seed| {
-        let mut net = Net::new(7, wanted_leases(8), seed, &long(guard));
-        net.settled();
+fn guard_clock_a_holder_is_stopped_past_the_end_of_its_lease() {
+    let run_scenario = |guard, seed| {
+        let mut net = Net::new(7, wanted_leases(8), seed, &long_lease(guard));
+        net.run_until_all_held();
         net.run(20 * S);
-        let owner = outsider(&net);
-        isolate(&mut net, owner);
-        // Its lease ends between 5.2 and 8 s from now; it is stopped several times, each time too briefly to be noticed.
+        let holder = holder_that_does_not_vote(&net);
+        isolate(&mut net, holder);
+        // Its lease ends between 5.2 and 8 s from now. It is stopped several times, each time too briefly to be detected as
+        // a stall.
         net.run(5 * S);
         for _ in 0..4 {
-            net.freeze(owner);
+            net.stop(holder);
             net.run(2 * S);
-            net.thaw(owner);
+            net.resume(holder);
         }
-        net.wrong
+        net.violations
     };
-    caught(Guard::Clock, |guard| {
-        (0..8).flat_map(|seed| play(guard, seed)).collect()
+    assert_detected(Guard::Clock, |guard| {
+        (0..8).flat_map(|seed| run_scenario(guard, seed)).collect()
     });
 }
 
 #[test]
-fn guard_stood_an_owner_whose_clock_stood_still_with_it() {
-    caught(Guard::Stalled, |guard| {
-        let mut net = Net::new(7, wanted_leases(8), 4, &long(guard));
-        net.settled();
+fn guard_stalled_the_clock_of_a_holder_stops_with_it() {
+    assert_detected(Guard::Stalled, |guard| {
+        let mut net = Net::new(7, wanted_leases(8), 4, &long_lease(guard));
+        net.run_until_all_held();
         net.run(20 * S);
-        let owner = outsider(&net);
-        net.freeze(owner);
+        let holder = holder_that_does_not_vote(&net);
+        net.stop(holder);
         net.run(20 * S);
-        // No decider tells it otherwise.
-        isolate(&mut net, owner);
-        net.nodes[owner].offset -= 20_000_000;
-        net.nodes[owner].frozen = false;
-        net.with(owner, |d, now| d.handle_stall(now, 20 * S));
+        // No answer of a voter may reveal that another node holds the lease now.
+        isolate(&mut net, holder);
+        net.nodes[holder].offset -= 20_000_000;
+        net.nodes[holder].is_stopped = false;
+        net.call(holder, |manager, now| manager.handle_stall(now, 20 * S));
         net.run(S);
-        net.wrong
+        net.violations
     });
 }
 
 #[test]
-fn guard_drift_a_slow_clock_at_the_owner_and_fast_ones_at_the_deciders() {
-    caught(Guard::Drift, |guard| {
+fn guard_drift_a_slow_clock_at_the_holder_and_fast_clocks_at_the_voters() {
+    assert_detected(Guard::Drift, |guard| {
         let rules = Rules {
             drift: 0.1,
-            ..long(guard)
+            ..long_lease(guard)
         };
         let mut net = Net::new(7, wanted_leases(24), 5, &rules);
         (0..7).for_each(|n| net.nodes[n].rate = if n < 3 { 1.1 } else { 0.9 });
-        net.settled();
+        net.run_until_all_held();
         net.run(20 * S);
-        let owner = outsider(&net);
-        isolate(&mut net, owner);
+        let holder = holder_that_does_not_vote(&net);
+        isolate(&mut net, holder);
         net.run(20 * S);
-        net.wrong
+        net.violations
     });
 }
 
 #[test]
-fn guard_asked_votes_that_come_late() {
-    caught(Guard::CountFromRequest, |guard| {
-        let mut net = Net::new(7, wanted_leases(8), 6, &long(guard));
-        net.settled();
+fn guard_count_from_request_votes_arrive_late() {
+    assert_detected(Guard::CountFromRequest, |guard| {
+        let mut net = Net::new(7, wanted_leases(8), 6, &long_lease(guard));
+        net.run_until_all_held();
         net.run(20 * S);
-        let owner = outsider(&net);
-        net.weather = Box::new(move |_, _, to, _| vec![if to == owner { 4 * S } else { MS }]);
+        let holder = holder_that_does_not_vote(&net);
+        net.conditions = Box::new(move |_, _, to, _| vec![if to == holder { 4 * S } else { MS }]);
         net.run(12 * S);
-        // Its asks get no further; the answers to the last ones are under way.
-        (0..7).for_each(|n| net.cut[owner][n] = true);
+        // Further requests of the holder are lost, and the answers to the last ones are still in flight.
+        (0..7).for_each(|n| net.cut[holder][n] = true);
         net.run(20 * S);
-        net.wrong
+        net.violations
     });
 }
 
 #[test]
-fn guard_wait_deciders_that_restart_under_a_running_lease() {
-    caught(Guard::WaitAfterStart, |guard| {
-        let mut net = Net::new(7, wanted_leases(8), 7, &long(guard));
-        net.settled();
+fn guard_wait_after_start_voters_restart_during_a_running_lease() {
+    assert_detected(Guard::WaitAfterStart, |guard| {
+        let mut net = Net::new(7, wanted_leases(8), 7, &long_lease(guard));
+        net.run_until_all_held();
         net.run(20 * S);
-        let owner = outsider(&net);
-        isolate(&mut net, owner);
+        let holder = holder_that_does_not_vote(&net);
+        isolate(&mut net, holder);
         net.run(100 * MS);
         (0..3).for_each(|n| net.kill(n));
         (0..3).for_each(|n| net.start(n));
         net.run(20 * S);
-        net.wrong
+        net.violations
     });
 }
 
 #[test]
-fn guard_ceiling_a_disk_that_does_not_keep() {
-    caught(Guard::Ceiling, |guard| {
+fn guard_ceiling_writes_to_disk_never_complete() {
+    assert_detected(Guard::Ceiling, |guard| {
         let mut net = Net::new(5, wanted_leases(4), 8, &rules_without(guard));
         net.run(2 * S);
         net.disk = None;
@@ -156,17 +163,17 @@
         (0..5).for_each(|n| net.kill(n));
         (0..5).for_each(|n| net.start(n));
         net.run(20 * S);
-        net.wrong
+        net.violations
     });
 }
 
 #[test]
-fn guard_catch_up_a_decider_that_lost_its_disk() {
-    caught(Guard::CatchUp, |guard| {
+fn guard_catch_up_a_voter_loses_its_disk() {
+    assert_detected(Guard::CatchUp, |guard| {
         let mut net = Net::new(7, wanted_leases(8), 9, &rules_without(guard));
-        net.settled();
+        net.run_until_all_held();
         isolate(&mut net, 2);
-        // Tokens rise, and only two deciders see them.
+        // Tokens rise, and only two of the three voters see them.
         for n in [0, 1, 0, 1, 0, 1] {
             net.kill(n);
             net.start(n);
@@ -181,46 +188,49 @@
         (3..7).for_each(|n| net.start(n));
         net.start(0);
         net.run(30 * S);
-        let mut wrong = std::mem::take(&mut net.wrong);
+        let mut violations = std::mem::take(&mut net.violations);
         if guard.is_none() {
             net.heal();
-            net.settled();
-            wrong.append(&mut net.wrong);
+            net.run_until_all_held();
+            violations.append(&mut net.violations);
         }
-        wrong
+        violations
     });
 }
 
 #[test]
-fn guard_majority_a_partition_in_three_splits_the_deciders() {
-    caught(Guard::Majority, |guard| {
+fn guard_majority_three_partitions_split_the_voters() {
+    assert_detected(Guard::Majority, |guard| {
         let mut net = Net::new(9, wanted_leases(8), 10, &rules_without(guard));
-        net.settled();
-        net.part(&[&[0, 3, 4], &[1, 5, 6], &[2, 7, 8]], true);
+        net.run_until_all_held();
+        net.partition(&[&[0, 3, 4], &[1, 5, 6], &[2, 7, 8]], true);
         net.run(30 * S);
         if guard.is_none() {
-            let alone = |n: usize| {
+            let is_without_majority = |n: usize| {
                 net.nodes[n]
                     .manager
                     .as_ref()
-                    .is_some_and(|d| d.is_without_majority(net.clock(n)))
+                    .is_some_and(|manager| manager.is_without_majority(net.clock(n)))
             };
-            assert!((0..9).all(alone), "each does the chores by itself");
+            assert!(
+                (0..9).all(is_without_majority),
+                "each router does the work by itself"
+            );
             net.heal();
-            net.settled();
+            net.run_until_all_held();
             assert!(
                 !net.nodes[4]
                     .manager
                     .as_ref()
-                    .is_some_and(|d| d.is_without_majority(net.clock(4)))
+                    .is_some_and(|manager| manager.is_without_majority(net.clock(4)))
             );
         }
-        net.wrong
+        net.violations
     });
 }
 
-/// Deciders 0, 1, 2 become 2, 3, 4.
-fn second(first: &Rules) -> Rules {
+/// Returns settings in which the voters 0, 1, 2 are replaced by 2, 3, 4.
+fn second_generation(first: &Rules) -> Rules {
     let all = rules(5).voters.members;
     let voters = VoterSet {
         generation: 2,
@@ -233,165 +243,185 @@
     }
 }
 
-fn with_second(net: &mut Net, n: usize) {
+fn restart_with_second_generation(net: &mut Net, n: usize) {
     net.kill(n);
-    net.nodes[n].rules = second(&net.nodes[n].rules);
+    net.nodes[n].rules = second_generation(&net.nodes[n].rules);
     net.start(n);
 }
 
 #[test]
-fn guard_seal_a_new_set_of_deciders_beside_the_old() {
-    caught(Guard::Seal, |guard| {
+fn guard_seal_a_new_set_of_voters_beside_the_previous_one() {
+    assert_detected(Guard::Seal, |guard| {
         let mut net = Net::new(8, wanted_leases(8), 11, &rules_without(guard));
-        net.settled();
-        // Who still has the former settings keeps a majority of the former set.
-        (2..6).for_each(|n| with_second(&mut net, n));
+        net.run_until_all_held();
+        // The nodes that still have the previous settings include a majority of the previous set of voters.
+        (2..6).for_each(|n| restart_with_second_generation(&mut net, n));
         net.run(30 * S);
-        let mut wrong = std::mem::take(&mut net.wrong);
+        let mut violations = std::mem::take(&mut net.violations);
         if guard.is_none() {
             assert!(
-                net.owners(&lease(0))
+                net.acting_holders(&lease(0))
                     .iter()
                     .all(|n| [0, 1, 6, 7].contains(n)),
-                "the old set decides"
+                "the previous set of voters grants the leases"
             );
-            (0..2).for_each(|n| with_second(&mut net, n));
-            (6..8).for_each(|n| with_second(&mut net, n));
-            net.settled();
+            (0..2).for_each(|n| restart_with_second_generation(&mut net, n));
+            (6..8).for_each(|n| restart_with_second_generation(&mut net, n));
+            net.run_until_all_held();
             net.run(10 * S);
-            wrong.append(&mut net.wrong);
+            violations.append(&mut net.violations);
         }
-        wrong
+        violations
     });
 }
 
 #[test]
-fn guard_pass_who_hands_over_acts_no_more() {
-    caught(Guard::Transfer, |guard| {
+fn guard_transfer_a_router_stops_acting_when_it_hands_over() {
+    assert_detected(Guard::Transfer, |guard| {
         let mut net = Net::new(7, wanted_leases(8), 12, &rules_without(guard));
-        net.settled();
+        net.run_until_all_held();
         net.run(5 * S);
-        let owner = outsider(&net);
-        // The successor is ready at once; that it took over is told late.
+        let holder = holder_that_does_not_vote(&net);
+        // The successor is ready at once, but its confirmation that it holds the lease is delayed.
         let begin = net.now;
-        net.weather = Box::new(move |now, _, to, _| {
-            vec![if to == owner && now > begin + 2 * MS {
+        net.conditions = Box::new(move |now, _, to, _| {
+            vec![if to == holder && now > begin + 2 * MS {
                 S
             } else {
                 MS
             }]
         });
-        net.with(owner, |d, now| d.hand_over_all(now));
+        net.call(holder, |manager, now| manager.hand_over_all(now));
         net.run(10 * S);
-        net.wrong
+        net.violations
     });
 }
 
 #[test]
-fn guard_aside_a_duty_that_kills_its_owners() {
-    let play = |guard| {
+fn guard_suspend_work_that_kills_its_holders() {
+    #[derive(Debug)]
+    struct Outcome {
+        killed: usize,
+        was_suspended: bool,
+    }
+    let run_scenario = |guard| {
         let mut net = Net::new(8, wanted_leases(1), 13, &rules_without(guard));
-        net.settled();
+        net.run_until_all_held();
         let mut killed = 0;
         let begin = net.now;
         while net.now < begin + 60 * S {
             net.run(50 * MS);
-            if let Some(owner) = net.owners(&lease(0)).first().copied().filter(|n| *n > 2) {
-                net.kill(owner);
+            if let Some(holder) = net
+                .acting_holders(&lease(0))
+                .first()
+                .copied()
+                .filter(|n| *n > 2)
+            {
+                net.kill(holder);
                 killed += 1;
-            } else if let Some(owner) = net.owners(&lease(0)).first().copied() {
-                net.with(owner, |d, now| d.hand_over_all(now));
+            } else if let Some(holder) = net.acting_holders(&lease(0)).first().copied() {
+                net.call(holder, |manager, now| manager.hand_over_all(now));
                 net.run(S);
-                net.kill(owner);
-                net.start(owner);
+                net.kill(holder);
+                net.start(holder);
             }
         }
-        net.sound();
-        let told = net
+        net.assert_no_violations();
+        let was_suspended = net
             .nodes
             .iter()
-            .flat_map(|n| &n.news)
-            .any(|(_, n)| matches!(n, LeaseEvent::Suspended { .. }));
-        (killed, told)
+            .flat_map(|node| &node.events)
+            .any(|(_, event)| matches!(event, LeaseEvent::Suspended { .. }));
+        Outcome {
+            killed,
+            was_suspended,
+        }
     };
-    let (with, off) = (play(None), play(Some(Guard::Suspend)));
-    println!("killed {} with the guard, {} without", with.0, off.0);
+    let (guarded, unguarded) = (run_scenario(None), run_scenario(Some(Guard::Suspend)));
+    println!(
+        "killed {} with the guard, {} without",
+        guarded.killed, unguarded.killed
+    );
     assert!(
-        with.1 && with.0 <= 4 && !off.1 && off.0 > with.0,
-        "{with:?} {off:?}"
+        guarded.was_suspended
+            && guarded.killed <= 4
+            && !unguarded.was_suspended
+            && unguarded.killed > guarded.killed,
+        "{guarded:?} {unguarded:?}"
     );
 }
 
 #[test]
-fn a_hand_over_leaves_no_gap_and_a_kill_one_within_the_bound() {
+fn a_hand_over_leaves_no_gap_and_a_kill_a_bounded_one() {
     for seed in 0..10 {
         let mut net = Net::new(9, wanted_leases(12), 100 + seed, &rules(3));
-        net.settled();
+        net.run_until_all_held();
         net.run(5 * S);
         net.clear_gaps();
-        let owner = net.owner(seed as usize);
-        net.with(owner, |d, now| d.hand_over_all(now));
+        let holder = net.holder_of(seed as usize);
+        net.call(holder, |manager, now| manager.hand_over_all(now));
         net.run(2 * S);
         assert!(
-            !net.nodes[owner]
+            !net.nodes[holder]
                 .manager
                 .as_ref()
                 .expect("up")
                 .is_handing_over()
         );
         assert!(
-            net.gap() <= 20 * MS,
-            "seed {seed}: {} ms without an owner",
-            net.gap() / MS
+            net.longest_gap() <= 20 * MS,
+            "seed {seed}: {} ms without a holder",
+            net.longest_gap() / MS
         );
-        net.kill(owner);
+        net.kill(holder);
         net.run(5 * S);
         net.clear_gaps();
-        let owner = net.owner(seed as usize + 1);
-        net.kill(owner);
-        net.until(60 * S, Net::all_owned).expect("taken over");
+        let holder = net.holder_of(seed as usize + 1);
+        net.kill(holder);
+        net.run_until(60 * S, Net::all_held).expect("taken over");
         net.run(100 * MS);
         println!(
-            "seed {seed}: {} ms without an owner after a kill",
-            net.gap() / MS
+            "seed {seed}: {} ms without a holder after a kill",
+            net.longest_gap() / MS
         );
         assert!(
-            net.gap() <= net.nodes[0].rules.max_gap_after_kill() + 20 * MS,
+            net.longest_gap() <= net.nodes[0].rules.max_gap_after_kill() + 20 * MS,
             "{} ms",
-            net.gap() / MS
+            net.longest_gap() / MS
         );
-        net.sound();
+        net.assert_no_violations();
     }
 }
 
 #[test]
-fn a_new_owner_begins_from_what_is_finished() {
+fn a_new_holder_resumes_from_the_last_checkpoint() {
     let mut net = Net::new(7, wanted_leases(4), 14, &rules(3));
-    net.settled();
-    let owner = net.owner(0);
+    net.run_until_all_held();
+    let holder = net.holder_of(0);
     assert_eq!(
-        net.with(owner, |d, _| d
+        net.call(holder, |manager, _| manager
             .record_checkpoint(&lease(0), b"page 7".to_vec())),
         Some(true)
     );
     assert_eq!(
-        net.with(owner, |d, _| d.record_checkpoint(&lease(0), vec![0; 65])),
+        net.call(holder, |manager, _| manager
+            .record_checkpoint(&lease(0), vec![0; 65])),
         Some(false)
     );
     net.run(3 * S);
-    net.kill(owner);
-    net.settled();
-    let next = net.owner(0);
-    let begin = net.nodes[next]
+    net.kill(holder);
+    net.run_until_all_held();
+    let next = net.holder_of(0);
+    let resume_point = net.nodes[next]
         .manager
         .as_ref()
-        .and_then(|d| d.resume_point(&lease(0)))
-        .expect("known");
-    assert_eq!(begin.checkpoint, b"page 7");
+        .and_then(|manager| manager.resume_point(&lease(0)))
+        .expect("a checkpoint");
+    assert_eq!(resume_point.checkpoint, b"page 7");
 }
 
 #[test]
-fn three_hundred_routers_stay_within_their_datagrams() {
+fn three_hundred_routers_stay_within_their_datagram_budget() {
     let rules = Rules {
         lease_ms: 30_000,
         retry_ms: 500,
@@ -399,72 +429,76 @@
     };
     assert_eq!(rules.check(300), Ok(()));
     let mut net = Net::new(300, wanted_leases(500), 15, &rules);
-    net.every = S;
-    let took = net.until(150 * S, Net::all_owned).expect("all are owned");
-    // Who won more than its share while all began hands it over.
+    net.sample_interval = S;
+    let took = net
+        .run_until(150 * S, Net::all_held)
+        .expect("all leases are held");
+    // Routers that acquired more than their share during the start hand leases over.
     net.run(90 * S);
-    net.sound();
+    net.assert_no_violations();
     net.sent.iter_mut().for_each(|s| *s = (0, 0));
     net.run(30 * S);
-    let most = |of: &[(u64, u64)]| {
-        of.iter()
+    let max_per_second = |sent: &[(u64, u64)]| {
+        sent.iter()
             .map(|s| (s.0.div_ceil(30), s.1.div_ceil(30)))
             .max()
             .unwrap_or_default()
     };
-    let (voters, others) = (most(&net.sent[..5]), most(&net.sent[5..]));
-    let owned = |n: usize| {
+    let (voters, others) = (
+        max_per_second(&net.sent[..5]),
+        max_per_second(&net.sent[5..]),
+    );
+    let held_count = |n: usize| {
         net.nodes[n]
             .manager
             .as_ref()
-            .map_or(0, |d| d.held_leases(net.clock(n)).count())
+            .map_or(0, |manager| manager.held_leases(net.clock(n)).count())
     };
-
-    let spread = (0..300).map(owned).max().unwrap_or_default();
+    let max_held = (0..300).map(held_count).max().unwrap_or_default();
     println!(
-        "all owned after {} s; a second: voters {voters:?}, others {others:?} (bodies, bytes); most owned {spread}",
+        "all leases held after {} s; per second: voters {voters:?}, others {others:?} (messages, bytes); most held {max_held}",
         took / S
     );
     assert!(
         voters.0 <= 40 && others.0 <= 4 && voters.1 <= 24_000,
         "{voters:?} {others:?}"
     );
-    // One is handed over in 25 s; it were 26 where the first to look took all.
-    assert!(spread <= 10, "{spread} at one router");
+    // A router hands over one lease in 25 s. If the first router to poll took all free leases, it would hold 26.
+    assert!(max_held <= 10, "{max_held} at one router");
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 48, failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(3), ..ProptestConfig::default() })]
     #[test]
-    fn whatever_happens_one_owner_acts(
+    fn one_holder_acts_under_random_faults(
         seed in 0_u64..1_000_000, five in any::<bool>(), steps in vec((0_u8..10, 0_usize..7, 0_usize..7, 1_u64..6_000), 1..25),
     ) {
         let drift = 0.05;
         let mut net = Net::new(7, wanted_leases(5), seed, &Rules { drift, ..rules(if five { 5 } else { 3 }) });
-        net.weather = rough(0.1, 0.05, 0.05);
-        for (what, a, b, ms) in steps {
-            match what {
+        net.conditions = faulty_network(0.1, 0.05, 0.05);
+        for (action, a, b, ms) in steps {
+            match action {
                 0 => net.kill(a),
                 1 | 2 => net.start(a),
-                3 => net.freeze(a),
-                4 => net.thaw(a),
+                3 => net.stop(a),
+                4 => net.resume(a),
                 5 => net.cut[a][b] = true,
                 6 => isolate(&mut net, a),
-                7 => net.part(&[&[0, 3], &[1, 4], &[2, 5, 6]], true),
+                7 => net.partition(&[&[0, 3], &[1, 4], &[2, 5, 6]], true),
                 8 => net.heal(),
-                _ => { net.with(a, |d, now| d.hand_over_all(now)); }
+                _ => { net.call(a, |manager, now| manager.hand_over_all(now)); }
             }
             net.run(ms * MS);
-            prop_assert!(net.wrong.is_empty(), "{:#?}", net.wrong);
+            prop_assert!(net.violations.is_empty(), "{:#?}", net.violations);
         }
         net.heal();
-        net.weather = calm();
-        (0..7).for_each(|n| net.thaw(n));
+        net.conditions = reliable_network();
+        (0..7).for_each(|n| net.resume(n));
         for n in 0..7 {
             net.kill(n);
             net.start(n);
         }
-        let took = net.until(90 * S, Net::all_owned);
-        prop_assert!(took.is_some() && net.wrong.is_empty(), "{:?} {:#?}", net.unowned(), net.wrong);
+        let took = net.run_until(90 * S, Net::all_held);
+        prop_assert!(took.is_some() && net.violations.is_empty(), "{:?} {:#?}", net.leases_without_holder(), net.violations);
     }
 }
--- a/leases/tests/kept.rs
+++ b/leases/tests/kept.rs
@@ -1,4 +1,5 @@
-//! The decider's file: what is torn, changed or another's is refused with what to do; and the settings' faults.
+//! A voter's file that is truncated, altered or of another router is rejected, with help for the operator. Faults of the
+//! settings name their key, and a ballot grants a token once.
 #![allow(missing_docs, reason = "a test")]
 
 use plovercove_fencing::Token;
@@ -8,13 +9,13 @@
 };
 
 fn rules() -> Rules {
-    let one = |n: u16| VoterConfig {
+    let voter = |n: u16| VoterConfig {
         name: format!("n{n}"),
         address: ([127_u8, 0, 0, 1], 7_000 + n).into(),
     };
     let voters = VoterSet {
         generation: 1,
-        members: (0..3).map(one).collect(),
+        members: (0..3).map(voter).collect(),
         previous: Vec::new(),
     };
     Rules {
@@ -24,7 +25,7 @@
     }
 }
 
-fn kept() -> PersistedState {
+fn state() -> PersistedState {
     PersistedState {
         installation: "test".into(),
         name: "n0".into(),
@@ -36,9 +37,9 @@
 }
 
 #[test]
-fn a_file_that_is_torn_at_any_byte_or_has_any_bit_flipped_is_refused() {
-    let (rules, bytes) = (rules(), kept().encode());
-    assert_eq!(PersistedState::decode(&bytes, &rules, "n0"), Ok(kept()));
+fn a_file_truncated_at_any_byte_or_with_any_bit_flipped_is_rejected() {
+    let (rules, bytes) = (rules(), state().encode());
+    assert_eq!(PersistedState::decode(&bytes, &rules, "n0"), Ok(state()));
     for end in 0..bytes.len() {
         let fault = PersistedState::decode(&bytes[..end], &rules, "n0").expect_err("torn");
         assert!(!fault.help().is_empty() && !fault.to_string().is_empty());
@@ -57,28 +58,28 @@
 }
 
 #[test]
-fn a_file_of_another_is_refused() {
-    let read = |kept: PersistedState| {
-        PersistedState::decode(&kept.encode(), &rules(), "n0").expect_err("another's")
+fn a_file_of_another_router_installation_or_generation_is_rejected() {
+    let decode_fault = |state: PersistedState| {
+        PersistedState::decode(&state.encode(), &rules(), "n0").expect_err("another's")
     };
     assert!(matches!(
-        read(PersistedState {
+        decode_fault(PersistedState {
             name: "n1".into(),
-            ..kept()
+            ..state()
         }),
         PersistedStateFault::Name { .. }
     ));
     assert!(matches!(
-        read(PersistedState {
+        decode_fault(PersistedState {
             installation: "x".into(),
-            ..kept()
+            ..state()
         }),
         PersistedStateFault::Installation { .. }
     ));
     assert!(matches!(
-        read(PersistedState {
+        decode_fault(PersistedState {
             generation: 2,
-            ..kept()
+            ..state()
         }),
         PersistedStateFault::Newer {
             got: 2,
@@ -88,7 +89,7 @@
 }
 
 #[test]
-fn settings_that_cannot_be_meant_name_their_key() {
+fn faults_of_settings_name_their_key() {
     assert_eq!(rules().check(300), Ok(()));
     let fault = |change: &dyn Fn(&mut Rules), routers| {
         let mut rules = rules();
@@ -124,12 +125,12 @@
 }
 
 #[test]
-fn the_lease_is_renewed_by_the_life_that_holds_it_alone() {
+fn a_lease_is_renewed_only_by_the_incarnation_that_holds_it() {
     let holder = |incarnation| Holder {
         address: ([127_u8, 0, 0, 1], 7_000).into(),
         incarnation,
     };
-    let claims = |rules: &Rules| {
+    let second_incarnation_requests = |rules: &Rules| {
         let mut ballot = Ballot::new(Token(0));
         assert_eq!(
             ballot.request_vote(rules, 0, &holder(1), Token(1), 100),
@@ -141,27 +142,27 @@
         )
     };
     assert_eq!(
-        claims(&rules()),
+        second_incarnation_requests(&rules()),
         (VoteOutcome::HeldByOther, VoteOutcome::HeldByOther)
     );
-    let off = Rules {
+    let unguarded = Rules {
         disabled_guard: Some(Guard::Incarnation),
         ..rules()
     };
     assert_eq!(
-        claims(&off),
+        second_incarnation_requests(&unguarded),
         (VoteOutcome::Granted, VoteOutcome::Granted),
-        "the guard's removal is seen"
+        "the test detects the missing guard"
     );
 }
 
 #[test]
-fn a_token_that_was_given_back_is_voted_for_no_more() {
+fn a_released_token_is_not_granted_again() {
     let holder = |n: u16| Holder {
         address: ([127_u8, 0, 0, 1], 7_000 + n).into(),
         incarnation: 1,
     };
-    let again = |rules: &Rules| {
+    let requests_after_release = |rules: &Rules| {
         let mut ballot = Ballot::new(Token(0));
         assert_eq!(
             ballot.request_vote(rules, 0, &holder(1), Token(1), 100),
@@ -174,11 +175,11 @@
         )
     };
     assert_eq!(
-        again(&rules()),
+        requests_after_release(&rules()),
         (VoteOutcome::StaleToken, VoteOutcome::StaleToken)
     );
     assert_eq!(
-        again(&Rules {
+        requests_after_release(&Rules {
             disabled_guard: Some(Guard::VoteOnce),
             ..rules()
         })
@@ -186,3 +187,29 @@
         VoteOutcome::Granted
     );
 }
+
+/// Scripts and settings name guards by these words, whatever the variants are called.
+#[test]
+fn guards_keep_their_names_in_settings() {
+    let names = [
+        ("clock", Guard::Clock),
+        ("stood", Guard::Stalled),
+        ("drift", Guard::Drift),
+        ("asked", Guard::CountFromRequest),
+        ("once", Guard::VoteOnce),
+        ("held", Guard::RunningLease),
+        ("wait", Guard::WaitAfterStart),
+        ("ceiling", Guard::Ceiling),
+        ("catch-up", Guard::CatchUp),
+        ("majority", Guard::Majority),
+        ("life", Guard::Incarnation),
+        ("seal", Guard::Seal),
+        ("pass", Guard::Transfer),
+        ("aside", Guard::Suspend),
+    ];
+    assert_eq!(names.map(|(_, guard)| guard), Guard::ALL);
+    for (name, guard) in names {
+        assert_eq!(Guard::named(name), Some(guard), "{name}");
+    }
+    assert_eq!(Guard::named("stalled"), None);
+}
--- a/leases/tests/model.rs
+++ b/leases/tests/model.rs
@@ -1,5 +1,5 @@
-//! The agreement tried in every order: three deciders, three owners, asks and answers lost, twice and late, crashes, stops,
-//! and a change of deciders. Ballots and tallies are those of the crate.
+//! Model check of the agreement: three voters and up to three candidates, whose messages are lost, duplicated and delayed in
+//! every order, with crashes, stops and a change of voters. It uses the ballots and tallies of the crate.
 #![allow(missing_docs, reason = "a test")]
 
 use plovercove_fencing::Token;
@@ -9,120 +9,126 @@
 
 /// One tick of true time (us).
 const TICK: u64 = 1_000;
-/// How far a clock may be off.
+/// Maximum share by which a clock runs faster or slower than true time.
 const DRIFT: f64 = 0.5;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Message {
-    Ask {
-        owner: usize,
+    Request {
+        candidate: usize,
         voter: usize,
         token: Token,
-        asked: u64,
+        requested_at: u64,
     },
-    Pass {
-        owner: usize,
+    Transfer {
+        candidate: usize,
         to: usize,
         voter: usize,
         token: Token,
-        asked: u64,
+        requested_at: u64,
     },
-    Yes {
-        owner: usize,
+    Vote {
+        candidate: usize,
         voter: usize,
         token: Token,
-        asked: u64,
+        requested_at: u64,
     },
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Voter {
     ballot: Ballot,
-    /// On disk: no vote for a token over this.
+    /// The highest token that it may have voted for, as persisted on its disk.
     token_ceiling: Token,
-    from: u64,
+    /// Time from which it votes.
+    votes_from: u64,
     generation: u8,
-    /// It lost its disk, and has not read the others since.
-    blank: bool,
+    /// It has lost its disk, and has not read the states of the other voters since.
+    is_blank: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Owner {
+struct Candidate {
     token: Token,
     tally: Tally,
-    won: bool,
-    asks: u8,
+    is_held: bool,
+    /// Number of requests sent.
+    requests: u8,
     generation: u8,
-    /// It was stopped for so long, and its clock with it.
-    slept: u64,
-    /// It hands over, and acts no more.
-    passing: bool,
+    /// Total time for which it was stopped together with its clock.
+    clock_stopped_for: u64,
+    /// It is handing the lease over, and no longer acts.
+    is_handing_over: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     now: u64,
     voters: Vec<Voter>,
-    owners: Vec<Owner>,
-    /// What was sent may come at any time, any number of times, or never.
+    candidates: Vec<Candidate>,
+    /// All messages sent so far. Each may arrive at any time, any number of times, or never.
     sent: BTreeSet<Message>,
     crashes: u8,
-    newest: Token,
-    doubled: bool,
+    /// The newest token under which a candidate has acted.
+    newest_token: Token,
+    /// The property does not hold in this state or in one before it.
+    is_violated: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Action {
     Tick,
-    /// With the token after the lowest or the highest that deciders tell.
+    /// A candidate requests the token after the highest token that its voters report or, if the flag is false, after the
+    /// lowest one.
     Claim(usize, bool),
     Renew(usize),
-    Come(Message),
+    Deliver(Message),
     Crash(usize),
-    /// A decider loses its disk, and with it what it promised.
-    Lose(usize),
-    /// It reads the others, when it has waited.
-    Read(usize),
-    /// A tick passes while this owner is stopped with its clock; it is told so.
-    Sleep(usize),
-    /// One hands over to another that says that it is ready.
-    Pass(usize, usize),
-    /// A decider is given the settings of the second generation.
-    Change(usize),
+    /// A voter loses its disk, and with it its promises.
+    LoseDisk(usize),
+    /// A voter that lost its disk reads the states of the others, after its wait.
+    CatchUp(usize),
+    /// A candidate is stopped for a tick together with its clock, and detects that afterwards.
+    StopWithClock(usize),
+    /// A candidate hands the lease over to another one that is ready.
+    HandOver(usize, usize),
+    /// A voter gets the settings of the second generation.
+    ChangeGeneration(usize),
 }
 
-/// What may happen beside.
+/// Additional actions of a search.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Also {
-    Nothing,
-    /// Stops of owners and their clocks, and hand-overs.
-    Handing,
-    /// Lost disks rather than crashes.
-    Losing,
+enum Variation {
+    None,
+    /// Candidates are stopped together with their clocks, and hand the lease over.
+    HandOvers,
+    /// Voters lose their disks instead of merely crashing.
+    LostDisks,
 }
 
-struct Fleet {
+/// The model and the bounds of its actions.
+struct LeaseModel {
     rules: Rules,
-    owners: usize,
+    candidates: usize,
     ticks: u64,
-    asks: u8,
-    crashes: u8,
+    max_requests: u8,
+    max_crashes: u8,
     change: bool,
-    also: Also,
+    variation: Variation,
 }
 
-impl Fleet {
+impl LeaseModel {
     fn is_enabled(&self, guard: Guard) -> bool {
         self.rules.disabled_guard != Some(guard)
     }
 
-    /// The lease at a decider whose clock is as fast as it may be, in true time.
-    fn hold(&self) -> u64 {
+    /// Returns the length of a lease in true time at a voter whose clock is as fast as allowed.
+    fn lease_at_voter(&self) -> u64 {
         (self.rules.lease_at_voter(self.rules.lease_ms) as f64 / (1.0 + DRIFT)) as u64
     }
 
-    /// The lease at an owner whose clock is as slow as it may be, in true time.
-    fn own(&self) -> u64 {
+    /// Returns the length of a lease in true time at a holder whose clock is as slow as allowed.
+    fn lease_at_holder(&self) -> u64 {
         (self.rules.lease_at_holder() as f64 / (1.0 - DRIFT)) as u64
     }
 
@@ -134,8 +140,8 @@
         }
     }
 
-    /// The third is the first, started anew while its former life goes on.
-    fn who(n: usize) -> Holder {
+    /// Returns the identity of a candidate. The third one is a restart of the first, whose previous process still runs.
+    fn holder(n: usize) -> Holder {
         let (port, incarnation) = if n == 2 {
             (7_000, 2)
         } else {
@@ -147,43 +153,46 @@
         }
     }
 
-    fn acts(&self, state: &State, n: usize) -> bool {
-        let owner = &state.owners[n];
-        let until = owner
+    /// Returns whether a candidate may act under its token.
+    fn may_act(&self, state: &State, n: usize) -> bool {
+        let candidate = &state.candidates[n];
+        let until = candidate
             .tally
             .lease_start(self.quorum())
-            .map(|since| since + self.own());
-        let passing = owner.passing && self.is_enabled(Guard::Transfer);
-        owner.won
-            && !passing
+            .map(|start| start + self.lease_at_holder());
+        let is_handing_over = candidate.is_handing_over && self.is_enabled(Guard::Transfer);
+        candidate.is_held
+            && !is_handing_over
             && (!self.is_enabled(Guard::Clock)
                 || until.is_some_and(|until| Self::clock(state, n) < until))
     }
 
+    /// Returns the time on a candidate's clock.
     fn clock(state: &State, n: usize) -> u64 {
-        state.now - state.owners[n].slept
+        state.now - state.candidates[n].clock_stopped_for
     }
 
-    /// Which deciders an owner asks: 0 to 2, or 1 to 3 after the change.
-    fn set(generation: u8) -> std::ops::Range<usize> {
+    /// Returns the voters of a generation: 0 to 2, or 1 to 3 after the change.
+    fn voters_of(generation: u8) -> std::ops::Range<usize> {
         if generation == 1 { 0..3 } else { 1..4 }
     }
 
-    fn send(state: &mut State, n: usize) {
-        let (token, now) = (state.owners[n].token, Self::clock(state, n));
-        state.owners[n].asks += 1;
-        for voter in Self::set(state.owners[n].generation) {
-            state.sent.insert(Message::Ask {
-                owner: n,
+    /// Sends a candidate's request to all voters of its generation.
+    fn send_requests(state: &mut State, n: usize) {
+        let (token, now) = (state.candidates[n].token, Self::clock(state, n));
+        state.candidates[n].requests += 1;
+        for voter in Self::voters_of(state.candidates[n].generation) {
+            state.sent.insert(Message::Request {
+                candidate: n,
                 voter,
                 token,
-                asked: now,
+                requested_at: now,
             });
         }
     }
 }
 
-impl Model for Fleet {
+impl Model for LeaseModel {
     type State = State;
     type Action = Action;
 
@@ -191,30 +200,30 @@
         let voter = Voter {
             ballot: Ballot::new(Token(0)),
             token_ceiling: Token(0),
-            from: 0,
+            votes_from: 0,
             generation: 1,
-            blank: false,
+            is_blank: false,
         };
-        let owner = Owner {
+        let candidate = Candidate {
             token: Token(0),
             tally: Tally::new(4),
-            won: false,
-            asks: 0,
+            is_held: false,
+            requests: 0,
             generation: 1,
-            slept: 0,
-            passing: false,
+            clock_stopped_for: 0,
+            is_handing_over: false,
         };
         let mut first = State {
             now: TICK,
             voters: vec![voter; 4],
-            owners: vec![owner; self.owners],
+            candidates: vec![candidate; self.candidates],
             sent: BTreeSet::new(),
             crashes: 0,
-            newest: Token(0),
-            doubled: false,
+            newest_token: Token(0),
+            is_violated: false,
         };
         if self.change {
-            first.owners[1].generation = 2;
+            first.candidates[1].generation = 2;
         }
         vec![first]
     }
@@ -223,42 +232,49 @@
         if state.now < self.ticks * TICK {
             actions.push(Action::Tick);
         }
-        for n in 0..self.owners {
-            if state.owners[n].asks < self.asks {
-                if !self.acts(state, n) {
+        for n in 0..self.candidates {
+            if state.candidates[n].requests < self.max_requests {
+                if !self.may_act(state, n) {
                     actions.extend([Action::Claim(n, false), Action::Claim(n, true)]);
                 } else {
                     actions.push(Action::Renew(n));
                 }
             }
         }
-        actions.extend(state.sent.iter().cloned().map(Action::Come));
-        if state.crashes < self.crashes {
-            let crash = if self.also == Also::Losing {
-                Action::Lose
+        actions.extend(state.sent.iter().cloned().map(Action::Deliver));
+        if state.crashes < self.max_crashes {
+            let crash = if self.variation == Variation::LostDisks {
+                Action::LoseDisk
             } else {
                 Action::Crash
             };
             actions.extend((0..3).map(crash));
         }
-        actions.extend((0..3).filter(|n| state.voters[*n].blank).map(Action::Read));
-        if self.also == Also::Handing {
-            for n in 0..self.owners {
-                if state.now < self.ticks * TICK && state.owners[n].slept < 2 * TICK {
-                    actions.push(Action::Sleep(n));
+        actions.extend(
+            (0..3)
+                .filter(|n| state.voters[*n].is_blank)
+                .map(Action::CatchUp),
+        );
+        if self.variation == Variation::HandOvers {
+            for n in 0..self.candidates {
+                if state.now < self.ticks * TICK && state.candidates[n].clock_stopped_for < 2 * TICK
+                {
+                    actions.push(Action::StopWithClock(n));
                 }
-                if self.acts(state, n) && !state.owners[n].passing {
-                    let others = (0..self.owners).filter(|m| {
-                        *m != n && !self.acts(state, *m) && state.owners[*m].asks < self.asks
+                if self.may_act(state, n) && !state.candidates[n].is_handing_over {
+                    let others = (0..self.candidates).filter(|m| {
+                        *m != n
+                            && !self.may_act(state, *m)
+                            && state.candidates[*m].requests < self.max_requests
                     });
-                    actions.extend(others.map(|m| Action::Pass(n, m)));
+                    actions.extend(others.map(|m| Action::HandOver(n, m)));
                 }
             }
         }
         if self.change {
             let changes = (0..4)
                 .filter(|n| state.voters[*n].generation == 1)
-                .map(Action::Change);
+                .map(Action::ChangeGeneration);
             actions.extend(changes);
         }
     }
@@ -267,249 +283,277 @@
         let mut state = before.clone();
         match action {
             Action::Tick => state.now += TICK,
-            Action::Claim(n, high) => {
-                let told =
-                    Self::set(state.owners[n].generation).map(|d| state.voters[d].ballot.highest);
-                let highest = if high { told.max() } else { told.min() }.unwrap_or_default();
-                state.owners[n].token = highest.next().max(state.owners[n].token.next());
-                (state.owners[n].won, state.owners[n].tally) = (false, Tally::new(4));
-                state.owners[n].passing = false;
-                Self::send(&mut state, n);
+            Action::Claim(n, after_highest) => {
+                let reported = Self::voters_of(state.candidates[n].generation)
+                    .map(|voter| state.voters[voter].ballot.highest);
+                let highest = if after_highest {
+                    reported.max()
+                } else {
+                    reported.min()
+                }
+                .unwrap_or_default();
+                state.candidates[n].token = highest.next().max(state.candidates[n].token.next());
+                (state.candidates[n].is_held, state.candidates[n].tally) = (false, Tally::new(4));
+                state.candidates[n].is_handing_over = false;
+                Self::send_requests(&mut state, n);
             }
-            Action::Renew(n) => Self::send(&mut state, n),
-            Action::Come(Message::Ask {
-                owner,
+            Action::Renew(n) => Self::send_requests(&mut state, n),
+            Action::Deliver(Message::Request {
+                candidate,
                 voter,
                 token,
-                asked,
+                requested_at,
             }) => {
-                let (now, hold, on) = (state.now, self.hold(), self.is_enabled(Guard::Ceiling));
-                let generation = state.owners[owner].generation;
-                let one = &mut state.voters[voter];
-                if now < one.from
-                    || one.blank
-                    || one.generation != generation
+                let (now, lease_at_voter) = (state.now, self.lease_at_voter());
+                let persists_ceiling = self.is_enabled(Guard::Ceiling);
+                let generation = state.candidates[candidate].generation;
+                let receiver = &mut state.voters[voter];
+                if now < receiver.votes_from
+                    || receiver.is_blank
+                    || receiver.generation != generation
                     || (voter == 3 && generation == 1)
                 {
                     return None;
                 }
-                if one
-                    .ballot
-                    .request_vote(&self.rules, now, &Self::who(owner), token, hold)
-                    != VoteOutcome::Granted
+                if receiver.ballot.request_vote(
+                    &self.rules,
+                    now,
+                    &Self::holder(candidate),
+                    token,
+                    lease_at_voter,
+                ) != VoteOutcome::Granted
                 {
                     return None;
                 }
-                if on {
-                    one.token_ceiling = one.token_ceiling.max(token);
+                if persists_ceiling {
+                    receiver.token_ceiling = receiver.token_ceiling.max(token);
                 }
-                state.sent.insert(Message::Yes {
-                    owner,
+                state.sent.insert(Message::Vote {
+                    candidate,
                     voter,
                     token,
-                    asked,
+                    requested_at,
                 });
             }
-            Action::Come(Message::Pass {
-                owner,
+            Action::Deliver(Message::Transfer {
+                candidate,
                 to,
                 voter,
                 token,
-                asked,
+                requested_at,
             }) => {
-                let (now, hold, on) = (state.now, self.hold(), self.is_enabled(Guard::Ceiling));
-                let one = &mut state.voters[voter];
-                if now < one.from || one.blank || one.generation != state.owners[owner].generation {
+                let (now, lease_at_voter) = (state.now, self.lease_at_voter());
+                let persists_ceiling = self.is_enabled(Guard::Ceiling);
+                let receiver = &mut state.voters[voter];
+                if now < receiver.votes_from
+                    || receiver.is_blank
+                    || receiver.generation != state.candidates[candidate].generation
+                {
                     return None;
                 }
-                if !one
-                    .ballot
-                    .transfer(now, &Self::who(owner), token, &Self::who(to), hold)
-                {
+                if !receiver.ballot.transfer(
+                    now,
+                    &Self::holder(candidate),
+                    token,
+                    &Self::holder(to),
+                    lease_at_voter,
+                ) {
                     return None;
                 }
-                if on {
-                    one.token_ceiling = one.token_ceiling.max(token.next());
+                if persists_ceiling {
+                    receiver.token_ceiling = receiver.token_ceiling.max(token.next());
                 }
-                state.sent.insert(Message::Yes {
-                    owner: to,
+                state.sent.insert(Message::Vote {
+                    candidate: to,
                     voter,
                     token: token.next(),
-                    asked,
+                    requested_at,
                 });
             }
-            Action::Sleep(n) => {
+            Action::StopWithClock(n) => {
                 state.now += TICK;
-                let one = &mut state.owners[n];
-                one.slept += TICK;
+                let candidate = &mut state.candidates[n];
+                candidate.clock_stopped_for += TICK;
                 if self.is_enabled(Guard::Stalled) {
-                    // It would have to ask anew for the token that it has; here it asks for a newer one.
-                    (one.won, one.tally, one.token) = (false, Tally::new(4), one.token.next());
+                    // A router requests its token again after a stall. In the model it requests a newer one instead.
+                    (candidate.is_held, candidate.tally, candidate.token) =
+                        (false, Tally::new(4), candidate.token.next());
                 }
             }
-            Action::Lose(n) => {
+            Action::LoseDisk(n) => {
                 let wait = if self.is_enabled(Guard::WaitAfterStart) {
-                    self.hold()
+                    self.lease_at_voter()
                 } else {
                     0
                 };
-                let one = &mut state.voters[n];
-                (one.ballot, one.token_ceiling) = (Ballot::new(Token(0)), Token(0));
-                (one.from, one.blank) = (state.now + wait, self.is_enabled(Guard::CatchUp));
+                let voter = &mut state.voters[n];
+                (voter.ballot, voter.token_ceiling) = (Ballot::new(Token(0)), Token(0));
+                (voter.votes_from, voter.is_blank) =
+                    (state.now + wait, self.is_enabled(Guard::CatchUp));
                 state.crashes += 1;
             }
-            Action::Read(n) => {
-                if state.now < state.voters[n].from {
+            Action::CatchUp(n) => {
+                if state.now < state.voters[n].votes_from {
                     return None;
                 }
-                let told = (0..3)
-                    .filter(|d| *d != n)
-                    .map(|d| state.voters[d].token_ceiling)
+                let reported = (0..3)
+                    .filter(|voter| *voter != n)
+                    .map(|voter| state.voters[voter].token_ceiling)
                     .max();
-                let highest = told.unwrap_or_default();
-                let one = &mut state.voters[n];
-                (one.ballot, one.token_ceiling, one.blank) = (Ballot::new(highest), highest, false);
+                let highest = reported.unwrap_or_default();
+                let voter = &mut state.voters[n];
+                (voter.ballot, voter.token_ceiling, voter.is_blank) =
+                    (Ballot::new(highest), highest, false);
             }
-            Action::Pass(n, m) => {
-                let (token, asked) = (state.owners[n].token, Self::clock(&state, m));
-                if state.owners[m].token >= token.next() {
+            Action::HandOver(n, m) => {
+                let (token, requested_at) = (state.candidates[n].token, Self::clock(&state, m));
+                if state.candidates[m].token >= token.next() {
                     return None;
                 }
-                state.owners[n].passing = true;
-                let to = &mut state.owners[m];
-                to.asks += 1;
-                (to.token, to.tally, to.won, to.passing) =
+                state.candidates[n].is_handing_over = true;
+                let to = &mut state.candidates[m];
+                to.requests += 1;
+                (to.token, to.tally, to.is_held, to.is_handing_over) =
                     (token.next(), Tally::new(4), false, false);
-                for voter in Self::set(state.owners[n].generation) {
-                    state.sent.insert(Message::Pass {
-                        owner: n,
+                for voter in Self::voters_of(state.candidates[n].generation) {
+                    state.sent.insert(Message::Transfer {
+                        candidate: n,
                         to: m,
                         voter,
                         token,
-                        asked,
+                        requested_at,
                     });
                 }
             }
-            Action::Come(Message::Yes {
-                owner,
+            Action::Deliver(Message::Vote {
+                candidate,
                 voter,
                 token,
-                asked,
+                requested_at,
             }) => {
-                let (quorum, now) = (self.quorum(), Self::clock(&state, owner));
-                let one = &mut state.owners[owner];
-                if one.token != token {
+                let (quorum, now) = (self.quorum(), Self::clock(&state, candidate));
+                let receiver = &mut state.candidates[candidate];
+                if receiver.token != token {
                     return None;
                 }
-                one.tally.record_vote(
+                receiver.tally.record_vote(
                     voter,
                     if self.is_enabled(Guard::CountFromRequest) {
-                        asked
+                        requested_at
                     } else {
                         now
                     },
                 );
-                let since = one.tally.lease_start(quorum);
-                if !one.won && since.is_some_and(|since| now < since + self.own()) {
-                    one.won = true;
+                let start = receiver.tally.lease_start(quorum);
+                if !receiver.is_held
+                    && start.is_some_and(|start| now < start + self.lease_at_holder())
+                {
+                    receiver.is_held = true;
                 }
             }
             Action::Crash(n) => {
                 let wait = if self.is_enabled(Guard::WaitAfterStart) {
-                    self.hold()
+                    self.lease_at_voter()
                 } else {
                     0
                 };
                 let token_ceiling = state.voters[n].token_ceiling;
                 state.voters[n].ballot = Ballot::new(token_ceiling);
-                state.voters[n].from = state.now + wait;
+                state.voters[n].votes_from = state.now + wait;
                 state.crashes += 1;
             }
-            Action::Change(n) => {
+            Action::ChangeGeneration(n) => {
                 state.voters[n].generation = 2;
-                // A member of the new set votes when a majority of the old has sealed itself: it is asked at any time, so
-                // that the last possible moment of its entry is when it is asked.
-                let sealed_below: Vec<usize> = (0..3)
-                    .filter(|d| state.voters[*d].generation == 2)
+                // A voter of the new set enters once a majority of the previous set has sealed itself, and then waits for the
+                // longest lease. Settings may change at any time, so the model lets the voters enter at the moment of a change.
+                let sealed: Vec<usize> = (0..3)
+                    .filter(|voter| state.voters[*voter].generation == 2)
                     .collect();
-                if self.is_enabled(Guard::Seal) && sealed_below.len() < 2 {
-                    state.voters[n].from = u64::MAX;
+                if self.is_enabled(Guard::Seal) && sealed.len() < 2 {
+                    state.voters[n].votes_from = u64::MAX;
                 } else {
                     let now = state.now;
-                    let highest = sealed_below
+                    let highest = sealed
                         .iter()
-                        .map(|d| state.voters[*d].ballot.highest)
+                        .map(|voter| state.voters[*voter].ballot.highest)
                         .max()
                         .unwrap_or_default();
-                    let changed: Vec<usize> = Self::set(2)
-                        .filter(|d| state.voters[*d].generation == 2)
+                    let changed: Vec<usize> = Self::voters_of(2)
+                        .filter(|voter| state.voters[*voter].generation == 2)
                         .collect();
-                    for d in changed {
-                        let one = &mut state.voters[d];
-                        if d == n || one.from == u64::MAX {
-                            one.ballot = Ballot::new(one.ballot.highest.max(highest));
-                            one.from = now + self.hold();
+                    for number in changed {
+                        let voter = &mut state.voters[number];
+                        if number == n || voter.votes_from == u64::MAX {
+                            voter.ballot = Ballot::new(voter.ballot.highest.max(highest));
+                            voter.votes_from = now + self.lease_at_voter();
                         }
                     }
                 }
             }
         }
-        // Who acts now, and whether that can be.
-        let acting: Vec<Token> = (0..self.owners)
-            .filter(|n| self.acts(&state, *n))
-            .map(|n| state.owners[n].token)
+        // No two candidates may act at once, none under a token older than the newest, and none may win such a token.
+        let acting: Vec<Token> = (0..self.candidates)
+            .filter(|n| self.may_act(&state, *n))
+            .map(|n| state.candidates[n].token)
             .collect();
-        state.doubled |= acting.len() > 1 || acting.iter().any(|t| *t < state.newest);
-        let won_again = (0..self.owners).any(|n| {
-            state.owners[n].won && !before.owners[n].won && state.owners[n].token <= state.newest
+        state.is_violated |=
+            acting.len() > 1 || acting.iter().any(|token| *token < state.newest_token);
+        let won_stale_token = (0..self.candidates).any(|n| {
+            state.candidates[n].is_held
+                && !before.candidates[n].is_held
+                && state.candidates[n].token <= state.newest_token
         });
-        state.doubled |= won_again && !acting.is_empty();
-        state.newest = acting
+        state.is_violated |= won_stale_token && !acting.is_empty();
+        state.newest_token = acting
             .into_iter()
             .max()
             .unwrap_or_default()
-            .max(state.newest);
+            .max(state.newest_token);
         (state != *before).then_some(state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![Property::always(
-            "one owner at a time, and tokens rise",
-            |_, state: &State| !state.doubled,
+            "a lease has one acting holder, and its tokens rise",
+            |_, state: &State| !state.is_violated,
         )]
     }
 }
 
-fn fleet(guard: Option<Guard>, change: bool, ticks: u64) -> Fleet {
+/// Returns the model without a guard, with or without a change of voters.
+fn model(guard: Option<Guard>, change: bool, ticks: u64) -> LeaseModel {
     let rules = Rules {
         lease_ms: 2,
         drift: DRIFT,
         disabled_guard: guard,
         ..Rules::default()
     };
-    let (owners, crashes) = if change { (2, 0) } else { (3, 1) };
-    Fleet {
+    let (candidates, max_crashes) = if change { (2, 0) } else { (3, 1) };
+    LeaseModel {
         rules,
-        owners,
+        candidates,
         ticks,
-        asks: 1,
-        crashes,
+        max_requests: 1,
+        max_crashes,
         change,
-        also: Also::Nothing,
+        variation: Variation::None,
     }
 }
 
+/// Result of a search.
 struct Explored {
+    /// A violation was found.
     found: bool,
+    /// Number of distinct states.
     states: usize,
-    /// There are no other states.
-    all: bool,
+    /// All reachable states were explored.
+    is_exhaustive: bool,
 }
 
-/// Looks for a violation until so many states were made.
-fn explore(fleet: Fleet, most: usize, deep: bool) -> Explored {
-    let builder = fleet.checker().threads(4).target_state_count(most);
-    if deep {
+/// Searches for a violation until `max_states` states have been generated.
+fn explore(model: LeaseModel, max_states: usize, depth_first: bool) -> Explored {
+    let builder = model.checker().threads(4).target_state_count(max_states);
+    if depth_first {
         let checker = builder.spawn_dfs().join();
         let (found, states) = (
             !checker.discoveries().is_empty(),
@@ -518,7 +562,7 @@
         return Explored {
             found,
             states,
-            all: !found && checker.state_count() < most,
+            is_exhaustive: !found && checker.state_count() < max_states,
         };
     }
     let checker = builder.spawn_bfs().join();
@@ -529,41 +573,47 @@
     Explored {
         found,
         states,
-        all: !found && checker.state_count() < most,
+        is_exhaustive: !found && checker.state_count() < max_states,
     }
 }
 
-/// The longer the time, the more states: the shortest first, each as deep as it goes and then as wide.
-fn search(guard: Option<Guard>, change: bool, also: Also, owners: usize) -> Explored {
+/// Searches for a violation within one to four ticks, since the number of states grows with the time. Each search runs depth
+/// first and then breadth first.
+fn search(guard: Option<Guard>, change: bool, variation: Variation, candidates: usize) -> Explored {
     let mut states = 0;
-    let mut all = true;
+    let mut is_exhaustive = true;
     for ticks in 1..=4 {
-        for deep in [true, false] {
-            let of = explore(
-                Fleet {
-                    owners,
-                    also,
-                    ..fleet(guard, change, ticks)
+        for depth_first in [true, false] {
+            let explored = explore(
+                LeaseModel {
+                    candidates,
+                    variation,
+                    ..model(guard, change, ticks)
                 },
-                MOST,
-                deep,
+                MAX_STATES,
+                depth_first,
             );
-            states += of.states;
-            if of.found {
+            states += explored.states;
+            if explored.found {
                 return Explored {
                     found: true,
                     states,
-                    all: false,
+                    is_exhaustive: false,
                 };
             }
             if guard.is_none() {
-                let (n, all) = (of.states, if of.all { ", all there are" } else { "" });
+                let count = explored.states;
+                let note = if explored.is_exhaustive {
+                    ", exhaustive"
+                } else {
+                    ""
+                };
                 println!(
-                    "all guards, change {change}, also {also:?}, {owners} owners, {ticks} ticks, deep {deep}: {n} states{all}"
+                    "all guards, change of voters {change}, variation {variation:?}, {candidates} candidates, {ticks} ticks, depth first {depth_first}: {count} states{note}"
                 );
             }
-            all &= of.all;
-            if of.all {
+            is_exhaustive &= explored.is_exhaustive;
+            if explored.is_exhaustive {
                 break;
             }
         }
@@ -571,54 +621,54 @@
     Explored {
         found: false,
         states,
-        all,
+        is_exhaustive,
     }
 }
 
-/// States that are made in one search at the most.
-const MOST: usize = 300_000;
+/// Maximum number of states generated in one search.
+const MAX_STATES: usize = 300_000;
 
 #[test]
-fn all_guards_hold() {
-    for (change, also, owners) in [
-        (false, Also::Nothing, 2),
-        (false, Also::Nothing, 3),
-        (true, Also::Nothing, 2),
-        (false, Also::Handing, 2),
-        (false, Also::Losing, 2),
+fn no_violation_is_found_with_all_guards() {
+    for (change, variation, candidates) in [
+        (false, Variation::None, 2),
+        (false, Variation::None, 3),
+        (true, Variation::None, 2),
+        (false, Variation::HandOvers, 2),
+        (false, Variation::LostDisks, 2),
     ] {
         assert!(
-            !search(None, change, also, owners).found,
-            "violated: change {change}, {owners} owners"
+            !search(None, change, variation, candidates).found,
+            "violated: change of voters {change}, {candidates} candidates"
         );
     }
 }
 
 #[test]
-fn each_guard_removed_is_found() {
+fn a_violation_is_found_without_each_guard() {
     let guards = [
-        (Guard::Clock, false, Also::Nothing, 2),
-        (Guard::Drift, false, Also::Nothing, 2),
-        (Guard::CountFromRequest, false, Also::Nothing, 2),
-        (Guard::RunningLease, false, Also::Nothing, 2),
-        (Guard::VoteOnce, false, Also::Nothing, 2),
-        (Guard::WaitAfterStart, false, Also::Nothing, 2),
-        (Guard::Ceiling, false, Also::Nothing, 2),
-        (Guard::Majority, false, Also::Nothing, 2),
-        (Guard::Incarnation, false, Also::Nothing, 3),
-        (Guard::Seal, true, Also::Nothing, 2),
-        (Guard::Stalled, false, Also::Handing, 2),
-        (Guard::CatchUp, false, Also::Losing, 2),
-        (Guard::Transfer, false, Also::Handing, 2),
+        (Guard::Clock, false, Variation::None, 2),
+        (Guard::Drift, false, Variation::None, 2),
+        (Guard::CountFromRequest, false, Variation::None, 2),
+        (Guard::RunningLease, false, Variation::None, 2),
+        (Guard::VoteOnce, false, Variation::None, 2),
+        (Guard::WaitAfterStart, false, Variation::None, 2),
+        (Guard::Ceiling, false, Variation::None, 2),
+        (Guard::Majority, false, Variation::None, 2),
+        (Guard::Incarnation, false, Variation::None, 3),
+        (Guard::Seal, true, Variation::None, 2),
+        (Guard::Stalled, false, Variation::HandOvers, 2),
+        (Guard::CatchUp, false, Variation::LostDisks, 2),
+        (Guard::Transfer, false, Variation::HandOvers, 2),
     ];
     let mut missed = Vec::new();
-    for (guard, change, also, owners) in guards {
-        let of = search(Some(guard), change, also, owners);
+    for (guard, change, variation, candidates) in guards {
+        let explored = search(Some(guard), change, variation, candidates);
         println!(
-            "{guard:?} off: found {} after {} states",
-            of.found, of.states
+            "without {guard:?}: found {} after {} states",
+            explored.found, explored.states
         );
-        if !of.found {
+        if !explored.found {
             missed.push(guard);
         }
     }
--- a/leases/tests/stored_formats.rs
+++ b/leases/tests/stored_formats.rs
@@ -1,5 +1,5 @@
-//! Datagrams and files keep their bytes: routers of two versions talk to each other, and a file outlives the version that
-//! wrote it. The fixtures were recorded with the version before the renaming of types.
+//! The encoding of messages and files does not change: routers of two versions exchange messages, and a file outlives the
+//! version that wrote it. The fixtures were recorded with the version before types were renamed.
 
 use plovercove::Time;
 use plovercove_fencing::{LeaseName, Token};
@@ -80,8 +80,8 @@
     digits.map(byte).collect()
 }
 
-/// What three routers say to each other in eight seconds, one of which hands over at the end: a line for each body, from, to
-/// and bytes; and a line for each file that is to be kept.
+/// Returns the messages of three routers within eight seconds, one of which hands its leases over at the end. A line
+/// `body` has the sender, the receiver and the bytes; a line `file` has the voter and the content of its file.
 fn record() -> String {
     let mut routers: Vec<LeaseManager> = (0..ROUTERS).map(router).collect();
     let mut lines = Vec::new();
@@ -107,51 +107,51 @@
 }
 
 #[test]
-fn bodies_and_files_are_those_that_the_version_before_wrote() {
+fn messages_and_files_equal_those_of_the_previous_version() {
     let recorded = include_str!("fixtures/exchange.txt");
     let written = record();
-    for (line, (now, then)) in written.lines().zip(recorded.lines()).enumerate() {
-        assert_eq!(now, then, "line {}", line + 1);
+    for (line, (actual, expected)) in written.lines().zip(recorded.lines()).enumerate() {
+        assert_eq!(actual, expected, "line {}", line + 1);
     }
     assert_eq!(written.lines().count(), recorded.lines().count());
 }
 
 #[test]
-fn a_file_of_the_version_before_is_read() {
+fn a_file_of_the_previous_version_is_decoded() {
     let recorded = include_str!("fixtures/exchange.txt");
     let file = recorded
         .lines()
         .find_map(|line| line.strip_prefix("file 0 "));
-    let kept =
-        PersistedState::decode(&unhex(file.expect("a file")), &rules(), "n0").expect("it is read");
+    let state = PersistedState::decode(&unhex(file.expect("a file")), &rules(), "n0")
+        .expect("a valid file");
     assert_eq!(
-        (kept.installation.as_str(), kept.name.as_str()),
+        (state.installation.as_str(), state.name.as_str()),
         ("test", "n0")
     );
     assert_eq!(
-        (kept.generation, kept.max_lease_ms, kept.sealed_below),
+        (state.generation, state.max_lease_ms, state.sealed_below),
         (1, 3_000, 1)
     );
-    assert_eq!(kept.token_ceiling, Token(0));
+    assert_eq!(state.token_ceiling, Token(0));
 }
 
 #[test]
-fn bodies_of_the_version_before_are_understood() {
+fn messages_of_the_previous_version_are_decoded() {
     let recorded = include_str!("fixtures/exchange.txt");
-    let mut listener = router(0);
+    let mut receiver = router(0);
     let bodies = recorded
         .lines()
         .filter_map(|line| line.strip_prefix("body "));
     let mut count = 0;
     for body in bodies {
-        let mut words = body.split(' ');
-        let from: usize = words.next().unwrap().parse().unwrap();
-        let to = words.next().unwrap();
+        let mut fields = body.split(' ');
+        let from: usize = fields.next().unwrap().parse().unwrap();
+        let to = fields.next().unwrap();
         if to == "0" {
-            listener.receive(BEGIN, &member(from), &unhex(words.next().unwrap()), 0);
+            receiver.receive(BEGIN, &member(from), &unhex(fields.next().unwrap()), 0);
             count += 1;
         }
     }
-    assert!(count > 10, "{count} bodies were recorded for it");
-    assert_eq!(listener.counts().malformed, 0);
+    assert!(count > 10, "{count} messages to router 0 were recorded");
+    assert_eq!(receiver.counts().malformed, 0);
 }
