--- a/fanout/src/client.rs
+++ b/fanout/src/client.rs
@@ -1,10 +1,10 @@
-//! A subscriber: a router, or a listener of the operators.
+//! The client of a subscriber, which is a router or a listener of the operators.
 
-use crate::gateway::for_me;
-use crate::outbox::{Lane, Mail, spread};
-use crate::sequence_tracker::{Comes, Track};
-use crate::wire::{self, For, Head, MAX_BODY_BYTES, Message, Standing};
-use crate::{DUTIES, Fault, Guard, Rules, Subscriber, Topic};
+use crate::gateway::is_for_subscriber;
+use crate::outbox::{Lane, Outbox, jittered};
+use crate::sequence_tracker::{Delivery, SequenceTracker};
+use crate::wire::{self, Header, MAX_BODY_BYTES, Message, Recipient, RenewalStatus};
+use crate::{Fault, Guard, MAX_TRACKED_LEASES, Rules, Subscriber, Topic};
 use plovercove::{Micros, Time};
 use plovercove_fencing::{Fence, FenceError, LeaseName, Token};
 use rand::{RngExt, SeedableRng};
@@ -13,55 +13,56 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// News that nobody took, at the most.
-const UNTAKEN: usize = 1_024;
+/// Maximum number of events that wait to be taken.
+const MAX_PENDING_EVENTS: usize = 1_024;
 
-/// What a subscriber learns.
+/// An event that a subscriber is notified of.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SubscriptionEvent {
-    /// The next of a topic. Numbers rise within a token, and tokens rise; positions may leave numbers out.
+    /// The next item of a topic. Numbers rise within a token, and tokens rise. Numbers of positions may have gaps.
     Item {
-        /// Its topic.
+        /// The topic.
         topic: Topic,
-        /// The token of the watch's owner.
+        /// Fencing token of the watch's lease holder.
         token: Token,
-        /// Its number within the token.
+        /// Number within the token.
         number: u64,
-        /// How old it is (us): since the owner of the watch told it.
+        /// Age of the item since its publisher sent it first (us).
         age: Micros,
-        /// What it says.
+        /// Content of the item.
         body: Arc<[u8]>,
     },
-    /// Up to this number of this token something was not told, or may not have been: what it was has to be asked for
-    /// elsewhere. It comes also at the beginning, and where another owner begins to number.
+    /// Items up to this number of this token were missed, or may have been. The subscriber has to get the state
+    /// elsewhere. This event also comes at the start of a subscription, and when another lease holder starts its
+    /// numbers.
     Missed {
-        /// Its topic.
+        /// The topic.
         topic: Topic,
-        /// The token of the watch's owner.
+        /// Fencing token of the watch's lease holder.
         token: Token,
-        /// The last number that cannot be had.
+        /// The last number that is not available.
         through: u64,
     },
-    /// An owner that was replaced spoke, and was not believed.
+    /// A message was rejected because its sender's lease has been granted to another router.
     SenderRejected {
-        /// Why.
+        /// Why the message was rejected.
         error: FenceError,
     },
-    /// The gateway does not answer: what is known may be older than the bound from now on.
+    /// The gateway does not answer, so the known state may be older than the staleness bound from now on.
     GatewaySilent {
-        /// When it answered last; never, where none.
+        /// When the gateway answered last; `None` if it never did.
         since: Option<Time>,
     },
-    /// A later life of this name subscribes: this one is not told any more.
+    /// A later incarnation of this name has subscribed, so this one gets no more items.
     Replaced {
-        /// When that one began.
+        /// When the later incarnation started.
         boot: u64,
     },
-    /// The gateway takes no more subscriptions.
+    /// The gateway accepts no more subscriptions.
     SubscriptionsFull,
 }
 
-/// What a subscriber counted since it began.
+/// Counters of a subscriber since it was created.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClientCounts {
     /// Datagrams sent.
@@ -70,370 +71,393 @@
     pub bytes: u64,
     /// Renewals sent.
     pub renewals: u64,
-    /// News that were told by a gateway that this subscriber left.
+    /// Items delivered by another gateway than the current one.
     pub elsewhere: u64,
-    /// Bodies and news of an older token.
+    /// Bodies and items that were rejected for an older fencing token.
     pub refused: u64,
-    /// Bodies that cannot be read.
+    /// Bodies that could not be decoded.
     pub unread: u64,
-    /// News that nobody took in time.
+    /// Events dropped because nobody took them in time.
     pub untaken: u64,
 }
 
-/// One life of a subscriber.
+/// One incarnation of a subscriber.
 #[derive(Debug)]
 pub struct Client {
     rules: Rules,
-    me: Subscriber,
+    identity: Subscriber,
     counter: u64,
-    topics: BTreeMap<Topic, Track>,
-    /// Topics that it left, the last at the end, and how far it had heard each.
+    trackers: BTreeMap<Topic, SequenceTracker>,
+    /// Topics that the subscriber left, latest last, with the last item delivered of each.
     left: VecDeque<(Topic, (Token, u64))>,
-    /// The number by which each was last said.
-    said: BTreeMap<Topic, u64>,
-    /// What changed and is not known to have come, with the number of the change.
-    unsettled: BTreeMap<Topic, u64>,
-    /// All of it has to be said anew.
-    all: bool,
+    /// The counter under which each topic was last declared.
+    declared: BTreeMap<Topic, u64>,
+    /// Changed topics that the gateway has not confirmed, with the counter of the change.
+    unconfirmed: BTreeMap<Topic, u64>,
+    /// Whether all topics have to be declared again.
+    declare_all: bool,
     gateway: Option<SocketAddr>,
-    /// The gateway has said that it holds what this subscriber holds.
-    settled: bool,
-    pause: Micros,
+    /// Whether the gateway has confirmed the subscriptions since it was set.
+    confirmed: bool,
+    renewal_interval: Micros,
     renew_at: Time,
-    tries: u32,
-    /// The last answer, and from when on none was heard.
-    answered: Option<Time>,
-    waits_since: Option<Time>,
-    silent: bool,
-    moved_at: Time,
+    attempts: u32,
+    /// When the gateway answered last, and since when an answer is due.
+    answered_at: Option<Time>,
+    waiting_since: Option<Time>,
+    gateway_silent: bool,
+    moved_notice_at: Time,
     fence: Fence,
-    news: VecDeque<SubscriptionEvent>,
-    /// Topics of news that nobody took in time.
-    untaken: BTreeSet<(Topic, Token, u64)>,
-    mail: Mail,
-    dice: Pcg64Mcg,
+    events: VecDeque<SubscriptionEvent>,
+    /// Topics whose events were dropped because nobody took them in time, with the last number dropped.
+    overrun: BTreeSet<(Topic, Token, u64)>,
+    outbox: Outbox,
+    rng: Pcg64Mcg,
     counts: ClientCounts,
     now: Time,
 }
 
 impl Client {
-    /// A subscriber that holds nothing yet.
-    pub fn new(rules: Rules, me: Subscriber, now: Time, seed: u64) -> Self {
+    /// Creates a subscriber without subscriptions.
+    pub fn new(rules: Rules, identity: Subscriber, now: Time, seed: u64) -> Self {
         Client {
-            me,
+            identity,
             counter: 0,
-            topics: BTreeMap::new(),
+            trackers: BTreeMap::new(),
             left: VecDeque::new(),
-            said: BTreeMap::new(),
-            unsettled: BTreeMap::new(),
-            all: false,
+            declared: BTreeMap::new(),
+            unconfirmed: BTreeMap::new(),
+            declare_all: false,
             gateway: None,
-            settled: false,
-            pause: crate::ms(rules.renew_ms),
+            confirmed: false,
+            renewal_interval: crate::us_from_ms(rules.renew_ms),
             renew_at: Time::MAX,
-            tries: 0,
-            answered: None,
-            waits_since: None,
-            silent: false,
-            moved_at: 0,
-            fence: Fence::new(DUTIES),
-            news: VecDeque::new(),
-            untaken: BTreeSet::new(),
-            mail: Mail::new(&rules, now),
-            dice: Pcg64Mcg::seed_from_u64(seed),
+            attempts: 0,
+            answered_at: None,
+            waiting_since: None,
+            gateway_silent: false,
+            moved_notice_at: 0,
+            fence: Fence::new(MAX_TRACKED_LEASES),
+            events: VecDeque::new(),
+            overrun: BTreeSet::new(),
+            outbox: Outbox::new(&rules, now),
+            rng: Pcg64Mcg::seed_from_u64(seed),
             counts: ClientCounts::default(),
             now,
             rules,
         }
     }
 
-    /// Who it is.
+    /// Returns the identity of the subscriber.
     pub fn identity(&self) -> &Subscriber {
-        &self.me
+        &self.identity
     }
 
-    /// What it counted.
+    /// Returns the counters.
     pub fn counts(&self) -> ClientCounts {
         ClientCounts {
-            datagrams: self.mail.datagrams,
-            bytes: self.mail.bytes,
+            datagrams: self.outbox.datagrams,
+            bytes: self.outbox.bytes,
             ..self.counts
         }
     }
 
-    /// Whether its gateway holds what it holds.
+    /// Returns whether the gateway has confirmed all subscriptions and unsubscriptions.
     pub fn is_confirmed(&self) -> bool {
-        self.settled && self.unsettled.is_empty() && !self.all
+        self.confirmed && self.unconfirmed.is_empty() && !self.declare_all
     }
 
-    /// What it holds.
+    /// Returns the topics subscribed to.
     pub fn topics(&self) -> impl Iterator<Item = &Topic> {
-        self.topics.keys()
+        self.trackers.keys()
     }
 
-    /// How far it is in a topic.
+    /// Returns token and number of the last item of a topic that was received or reported as missed.
     pub fn last_received(&self, topic: &Topic) -> Option<(Token, u64)> {
-        self.topics.get(topic)?.last
+        self.trackers.get(topic)?.last
     }
 
-    fn changed(&mut self, topic: &Topic) {
+    fn record_change(&mut self, topic: &Topic) {
         self.counter += 1;
-        self.unsettled.insert(topic.clone(), self.counter);
-        if self.topics.contains_key(topic) {
-            self.said.insert(topic.clone(), self.counter);
+        self.unconfirmed.insert(topic.clone(), self.counter);
+        if self.trackers.contains_key(topic) {
+            self.declared.insert(topic.clone(), self.counter);
         } else {
-            self.said.remove(topic);
+            self.declared.remove(topic);
         }
-        self.tries = 0;
-        // Several that change together, and several that begin together, are not sent at once.
-        let soon = self.now + self.draw(crate::ms(self.rules.answer_ms) / 2);
-        self.renew_at = self.renew_at.min(soon);
+        self.attempts = 0;
+        // Delays the renewal, so that several changes go into one, and subscribers that change at the same time do not
+        // send at the same time.
+        let renew_at = self.now + self.random_delay(crate::us_from_ms(self.rules.answer_ms) / 2);
+        self.renew_at = self.renew_at.min(renew_at);
     }
 
-    /// Wants the news of a topic.
+    /// Subscribes to a topic.
     ///
     /// # Errors
-    /// It holds as many as it may.
+    /// The subscriber has the maximum number of topics.
     pub fn subscribe(&mut self, topic: &Topic) -> Result<(), Fault> {
-        if self.topics.contains_key(topic) {
+        if self.trackers.contains_key(topic) {
             return Ok(());
         }
-        if self.topics.len() >= self.rules.topics {
+        if self.trackers.len() >= self.rules.topics {
             return Err(Fault::Full {
                 what: "topics",
                 most: self.rules.topics,
             });
         }
-        let heard_before = self.take_left(topic);
-        self.topics
-            .insert(topic.clone(), Track::after(heard_before));
-        self.changed(topic);
+        let delivered_before = self.take_left(topic);
+        self.trackers.insert(
+            topic.clone(),
+            SequenceTracker::resume_after(delivered_before),
+        );
+        self.record_change(topic);
         Ok(())
     }
 
-    /// Wants it no more.
+    /// Unsubscribes from a topic.
     pub fn unsubscribe(&mut self, topic: &Topic) {
-        if let Some(track) = self.topics.remove(topic) {
-            if let Some(heard) = track.last_heard() {
-                self.remember_left(topic, heard);
+        if let Some(tracker) = self.trackers.remove(topic) {
+            if let Some(delivered) = tracker.last_delivered() {
+                self.remember_left(topic, delivered);
             }
-            self.changed(topic);
+            self.record_change(topic);
         }
     }
 
-    /// Remembers how far a topic was heard that it leaves, for as many topics as it may hold.
-    fn remember_left(&mut self, topic: &Topic, heard: (Token, u64)) {
+    /// Remembers the last item delivered of a topic that the subscriber leaves, for as many topics as it may subscribe
+    /// to.
+    fn remember_left(&mut self, topic: &Topic, delivered: (Token, u64)) {
         if self.left.len() >= self.rules.topics {
             self.left.pop_front();
         }
-        self.left.push_back((topic.clone(), heard));
+        self.left.push_back((topic.clone(), delivered));
     }
 
-    /// How far a topic had been heard that it subscribes anew.
+    /// Returns the last item that was delivered of a topic before the subscriber left it, and forgets it.
     fn take_left(&mut self, topic: &Topic) -> Option<(Token, u64)> {
         let index = self.left.iter().position(|(left, _)| left == topic)?;
-        let (_, heard) = self.left.remove(index)?;
-        Some(heard)
+        let (_, delivered) = self.left.remove(index)?;
+        Some(delivered)
     }
 
-    /// Wants nothing any more. It has left when it is [`Client::is_confirmed`].
+    /// Unsubscribes from all topics. The gateway knows of it once [`Client::is_confirmed`] returns true.
     pub fn leave(&mut self, now: Time) {
         self.now = self.now.max(now);
-        for topic in self.topics.keys().cloned().collect::<Vec<_>>() {
+        for topic in self.trackers.keys().cloned().collect::<Vec<_>>() {
             self.unsubscribe(&topic);
         }
         self.renew_at = self.now;
     }
 
-    /// The gateway of its zone is at this address. The subscriber speaks to it at a time of its own, since all of the
-    /// zone's learn of it together.
+    /// Sets the address of the zone's gateway. The first renewal there is delayed by a random time, because all
+    /// subscribers of the zone are notified of a new gateway at the same time.
     pub fn set_gateway(&mut self, now: Time, address: SocketAddr) {
         self.now = self.now.max(now);
         if self.gateway == Some(address) {
             return;
         }
-        let first = self.gateway.is_none();
+        let is_first = self.gateway.is_none();
         self.gateway = Some(address);
-        self.settled = false;
-        self.tries = 0;
-        let within = if first {
-            crate::ms(self.rules.answer_ms)
+        self.confirmed = false;
+        self.attempts = 0;
+        let max_delay = if is_first {
+            crate::us_from_ms(self.rules.answer_ms)
         } else {
-            self.pause / 2
+            self.renewal_interval / 2
         };
-        self.renew_at = now + self.draw(within);
-        self.waits_since.get_or_insert(now);
+        self.renew_at = now + self.random_delay(max_delay);
+        self.waiting_since.get_or_insert(now);
     }
 
-    /// A time up to a span, drawn so that subscribers do not act together.
-    fn draw(&mut self, span: Micros) -> Micros {
+    /// Returns a random delay up to `max_delay`, so that subscribers do not act at the same time.
+    fn random_delay(&mut self, max_delay: Micros) -> Micros {
         if self.rules.is_enabled(Guard::Jitter) {
-            self.dice.random_range(0..=span)
+            self.rng.random_range(0..=max_delay)
         } else {
             0
         }
     }
 
-    fn spread(&mut self, span: Micros) -> Micros {
+    fn jittered(&mut self, duration: Micros) -> Micros {
         if self.rules.is_enabled(Guard::Jitter) {
-            spread(&mut self.dice, span)
+            jittered(&mut self.rng, duration)
         } else {
-            span
+            duration
         }
     }
 
-    fn holds(&self) -> u64 {
-        wire::holds(
-            self.me.boot,
-            self.said.iter().map(|(topic, counter)| (topic, *counter)),
+    fn subscriptions_digest(&self) -> u64 {
+        wire::subscriptions_digest(
+            self.identity.boot,
+            self.declared
+                .iter()
+                .map(|(topic, counter)| (topic, *counter)),
         )
     }
 
-    /// Takes a body that came. `late` is how much longer it was under way than others (us).
+    /// Takes a received body. `extra_delay` is how much longer it was under way than usual (us).
     ///
     /// # Errors
-    /// It cannot be read, or its sender has been replaced.
+    /// The body cannot be decoded, or its sender's token is not the newest.
     pub fn receive(
         &mut self,
         now: Time,
         from: SocketAddr,
         body: &[u8],
-        late: Micros,
+        extra_delay: Micros,
     ) -> Result<(), Fault> {
         self.now = self.now.max(now);
-        let Some((head, messages)) = wire::read(body) else {
+        let Some((header, messages)) = wire::decode_body(body) else {
             self.counts.unread += 1;
             return Err(Fault::Unread { from });
         };
-        if !for_me(&head, &self.me.name) {
+        if !is_for_subscriber(&header, &self.identity.name) {
             return Ok(());
         }
-        let Head {
+        let Header {
             gateway: Some((zone, token)),
             ..
-        } = head
+        } = header
         else {
             return Ok(());
         };
-        let duty = crate::gateway::duty(&zone)?;
-        self.admit(&duty, token)?;
-        let elsewhere = self.gateway != Some(from);
+        let lease = crate::gateway::gateway_lease(&zone)?;
+        self.check_fence(&lease, token)?;
+        let from_other_gateway = self.gateway != Some(from);
         let mut result = Ok(());
         for message in messages {
             match message {
-                Message::Stands {
+                Message::RenewalReply {
                     boot,
-                    holds,
-                    standing,
-                    pause,
-                } if !elsewhere && (boot == self.me.boot || boot == 0) => {
-                    self.stands(now, holds, standing, pause);
+                    subscriptions_digest,
+                    status,
+                    renewal_interval,
+                } if !from_other_gateway && (boot == self.identity.boot || boot == 0) => {
+                    self.handle_renewal_reply(now, subscriptions_digest, status, renewal_interval);
                 }
-                Message::Item(told) => {
-                    self.counts.elsewhere += u64::from(elsewhere);
-                    let taken = self.track(
-                        &told.topic.clone(),
-                        &told.duty,
-                        told.token,
+                Message::Item(item) => {
+                    self.counts.elsewhere += u64::from(from_other_gateway);
+                    let updated = self.update_tracker(
+                        &item.topic.clone(),
+                        &item.lease,
+                        item.token,
                         from,
-                        |rules, track| {
-                            track.item(rules, now, &told, late);
+                        |rules, tracker| {
+                            tracker.receive_item(rules, now, &item, extra_delay);
                         },
                     );
-                    result = result.and(taken);
+                    result = result.and(updated);
                 }
-                Message::Heads(mark) => {
-                    let taken =
-                        self.track(&mark.topic, &mark.duty, mark.token, from, |rules, track| {
-                            track.head(rules, now, &mark);
-                        });
-                    result = result.and(taken);
+                Message::LatestNumber(topic_number) => {
+                    let updated = self.update_tracker(
+                        &topic_number.topic,
+                        &topic_number.lease,
+                        topic_number.token,
+                        from,
+                        |rules, tracker| {
+                            tracker.receive_latest_number(rules, now, &topic_number);
+                        },
+                    );
+                    result = result.and(updated);
                 }
-                Message::Missed(mark) => {
-                    let taken =
-                        self.track(&mark.topic, &mark.duty, mark.token, from, |rules, track| {
-                            track.missed(rules, now, &mark);
-                        });
-                    result = result.and(taken);
+                Message::Missed(topic_number) => {
+                    let updated = self.update_tracker(
+                        &topic_number.topic,
+                        &topic_number.lease,
+                        topic_number.token,
+                        from,
+                        |rules, tracker| {
+                            tracker.receive_missed(rules, now, &topic_number);
+                        },
+                    );
+                    result = result.and(updated);
                 }
                 _ => (),
             }
         }
-        if elsewhere && self.settled && now >= self.moved_at && self.rules.is_enabled(Guard::Moved)
+        if from_other_gateway
+            && self.confirmed
+            && now >= self.moved_notice_at
+            && self.rules.is_enabled(Guard::Moved)
         {
-            // It left that gateway, which has not heard of it.
-            self.moved_at = now + crate::ms(self.rules.answer_ms) / 2;
+            // The subscriber has left the sending gateway, which does not know it yet.
+            self.moved_notice_at = now + crate::us_from_ms(self.rules.answer_ms) / 2;
             let message = Message::Moved {
-                name: self.me.name.clone(),
-                boot: self.me.boot,
+                name: self.identity.name.clone(),
+                boot: self.identity.boot,
                 counter: self.counter,
             };
-            self.mail.put(Lane::Control, from, For::Gateway, &message);
+            self.outbox
+                .enqueue(Lane::Control, from, Recipient::Gateway, &message);
         }
-        self.ask_for_holes(now);
-        self.pump(now);
+        self.fetch_gaps(now);
+        self.send_due(now);
         result
     }
 
-    /// Whether the fence lets a token pass; that it did not is told.
-    fn admit(&mut self, duty: &LeaseName, token: Token) -> Result<(), Fault> {
-        match self.fence.admit(duty, token) {
-            Err(why) if self.rules.is_enabled(Guard::Fence) => {
+    /// Returns an error and adds an event if the fence has seen a newer token of the lease.
+    fn check_fence(&mut self, lease: &LeaseName, token: Token) -> Result<(), Fault> {
+        match self.fence.admit(lease, token) {
+            Err(error) if self.rules.is_enabled(Guard::Fence) => {
                 self.counts.refused += 1;
-                self.put(SubscriptionEvent::SenderRejected { error: why.clone() });
-                Err(why.into())
+                self.push_event(SubscriptionEvent::SenderRejected {
+                    error: error.clone(),
+                });
+                Err(error.into())
             }
             _ => Ok(()),
         }
     }
 
-    fn track(
+    fn update_tracker(
         &mut self,
         topic: &Topic,
-        duty: &LeaseName,
+        lease: &LeaseName,
         token: Token,
         from: SocketAddr,
-        take: impl FnOnce(&Rules, &mut Track),
+        update: impl FnOnce(&Rules, &mut SequenceTracker),
     ) -> Result<(), Fault> {
-        self.admit(duty, token)?;
-        let Some(track) = self.topics.get_mut(topic) else {
-            // It left, and the gateway has not heard of it or has it from an old copy.
-            let room = self.unsettled.len() < 2 * self.rules.topics;
-            if room && self.gateway == Some(from) && !self.unsettled.contains_key(topic) {
-                self.changed(topic);
+        self.check_fence(lease, token)?;
+        let Some(tracker) = self.trackers.get_mut(topic) else {
+            // The subscriber has left the topic, but the gateway does not know it or has the subscription from an old
+            // copy. A new change makes the gateway end it.
+            let has_room = self.unconfirmed.len() < 2 * self.rules.topics;
+            if has_room && self.gateway == Some(from) && !self.unconfirmed.contains_key(topic) {
+                self.record_change(topic);
             }
             return Ok(());
         };
-        take(&self.rules, track);
-        self.comes(topic);
+        update(&self.rules, tracker);
+        self.push_deliveries(topic);
         Ok(())
     }
 
-    /// Tells what came out of a topic's track.
-    fn comes(&mut self, topic: &Topic) {
+    /// Turns the deliveries of a topic's tracker into events.
+    fn push_deliveries(&mut self, topic: &Topic) {
         let now = self.now;
-        let out = self
-            .topics
+        let deliveries = self
+            .trackers
             .get_mut(topic)
-            .map(Track::take)
+            .map(SequenceTracker::take_deliveries)
             .unwrap_or_default();
-        for comes in out {
+        for delivery in deliveries {
             let topic = topic.clone();
-            self.put(match comes {
-                Comes::Item {
+            self.push_event(match delivery {
+                Delivery::Item {
                     token,
                     number,
-                    made,
+                    made_at,
                     body,
                     ..
                 } => SubscriptionEvent::Item {
                     topic,
                     token,
                     number,
-                    age: now.saturating_sub(made),
+                    age: now.saturating_sub(made_at),
                     body,
                 },
-                Comes::Missed { token, through, .. } => SubscriptionEvent::Missed {
+                Delivery::Missed { token, through, .. } => SubscriptionEvent::Missed {
                     topic,
                     token,
                     through,
@@ -442,113 +466,121 @@
         }
     }
 
-    fn put(&mut self, news: SubscriptionEvent) {
-        // Who is refused may go on for long: once is enough until it is taken.
-        if matches!(news, SubscriptionEvent::SenderRejected { .. }) && self.news.contains(&news) {
+    fn push_event(&mut self, event: SubscriptionEvent) {
+        // A rejected sender may continue for long, so an equal event that still waits is not repeated.
+        if matches!(event, SubscriptionEvent::SenderRejected { .. }) && self.events.contains(&event)
+        {
             return;
         }
-        // The newest position is all that counts.
-        if let SubscriptionEvent::Item { topic, .. } = &news
+        // Of positions only the newest counts.
+        if let SubscriptionEvent::Item { topic, .. } = &event
             && topic.collapses()
             && self.rules.is_enabled(Guard::Collapse)
         {
-            self.news.retain(
-                |n| !matches!(n, SubscriptionEvent::Item { topic: old, .. } if old == topic),
+            self.events.retain(
+                |waiting| !matches!(waiting, SubscriptionEvent::Item { topic: old, .. } if old == topic),
             );
         }
-        self.news.push_back(news);
-        if self.news.len() > UNTAKEN && self.rules.is_enabled(Guard::Queue) {
+        self.events.push_back(event);
+        if self.events.len() > MAX_PENDING_EVENTS && self.rules.is_enabled(Guard::Queue) {
             self.counts.untaken += 1;
-            match self.news.pop_front() {
+            match self.events.pop_front() {
                 Some(SubscriptionEvent::Item {
                     topic,
                     token,
                     number,
                     ..
-                }) => self.overrun(topic, token, number),
+                }) => self.record_overrun(topic, token, number),
                 Some(SubscriptionEvent::Missed {
                     topic,
                     token,
                     through,
-                }) => self.overrun(topic, token, through),
+                }) => self.record_overrun(topic, token, through),
                 _ => (),
             }
         }
     }
 
-    fn overrun(&mut self, topic: Topic, token: Token, through: u64) {
-        self.untaken.retain(|(t, ..)| *t != topic);
-        self.untaken.insert((topic, token, through));
+    fn record_overrun(&mut self, topic: Topic, token: Token, through: u64) {
+        self.overrun.retain(|(old, ..)| *old != topic);
+        self.overrun.insert((topic, token, through));
     }
 
-    fn stands(&mut self, now: Time, holds: u64, standing: Standing, pause: Micros) {
-        let current = holds == self.holds();
-        self.answered = Some(now);
-        self.waits_since = None;
-        self.silent = false;
-        self.pause = pause.clamp(
-            crate::ms(self.rules.renew_ms),
-            60 * crate::ms(self.rules.renew_ms),
+    fn handle_renewal_reply(
+        &mut self,
+        now: Time,
+        subscriptions_digest: u64,
+        status: RenewalStatus,
+        renewal_interval: Micros,
+    ) {
+        let is_current = subscriptions_digest == self.subscriptions_digest();
+        self.answered_at = Some(now);
+        self.waiting_since = None;
+        self.gateway_silent = false;
+        self.renewal_interval = renewal_interval.clamp(
+            crate::us_from_ms(self.rules.renew_ms),
+            60 * crate::us_from_ms(self.rules.renew_ms),
         );
-        match standing {
-            Standing::Holds if current => {
-                self.unsettled.clear();
-                self.all = false;
-                self.settled = true;
-                self.tries = 0;
-                self.renew_at = now + self.spread(self.pause);
+        match status {
+            RenewalStatus::Confirmed if is_current => {
+                self.unconfirmed.clear();
+                self.declare_all = false;
+                self.confirmed = true;
+                self.attempts = 0;
+                self.renew_at = now + self.jittered(self.renewal_interval);
             }
-            Standing::Holds => (),
-            Standing::Differs => {
-                if self.settled || self.tries > 0 {
-                    self.all = true;
+            RenewalStatus::Confirmed => (),
+            RenewalStatus::Differs => {
+                if self.confirmed || self.attempts > 0 {
+                    self.declare_all = true;
                     self.counter += 1;
-                    self.said
+                    self.declared
                         .values_mut()
                         .for_each(|counter| *counter = self.counter);
-                    let soon = if self.tries > 2 {
-                        self.pause / 2
+                    let max_delay = if self.attempts > 2 {
+                        self.renewal_interval / 2
                     } else {
-                        crate::ms(self.rules.answer_ms) / 2
+                        crate::us_from_ms(self.rules.answer_ms) / 2
                     };
-                    self.renew_at = now + self.draw(soon);
+                    self.renew_at = now + self.random_delay(max_delay);
                 }
             }
-            Standing::Replaced(boot) => {
-                self.settled = false;
-                self.renew_at = now + self.spread(self.pause);
-                self.put(SubscriptionEvent::Replaced { boot });
+            RenewalStatus::Replaced(boot) => {
+                self.confirmed = false;
+                self.renew_at = now + self.jittered(self.renewal_interval);
+                self.push_event(SubscriptionEvent::Replaced { boot });
             }
-            Standing::Full => {
-                self.renew_at = now + self.spread(self.pause);
-                self.put(SubscriptionEvent::SubscriptionsFull);
+            RenewalStatus::Full => {
+                self.renew_at = now + self.jittered(self.renewal_interval);
+                self.push_event(SubscriptionEvent::SubscriptionsFull);
             }
         }
     }
 
-    /// Says what it holds, as far as the gateway may not know it, and that it is there.
-    fn renew(&mut self, now: Time, to: SocketAddr) {
-        let (name, boot) = (self.me.name.clone(), self.me.boot);
-        let mut says = Vec::new();
-        let range = |from: Option<&Topic>, through: Option<&Topic>, topics: &[&Topic], counter| {
+    /// Declares what the gateway may not know yet, and renews the subscriptions.
+    fn send_renewal(&mut self, now: Time, to: SocketAddr) {
+        let (name, boot) = (self.identity.name.clone(), self.identity.boot);
+        let mut declarations = Vec::new();
+        let declare = |first: Option<&Topic>, last: Option<&Topic>, topics: &[&Topic], counter| {
             Message::Declare {
                 name: name.clone(),
                 boot,
                 counter,
-                from: from.cloned(),
-                through: through.cloned(),
+                first: first.cloned(),
+                last: last.cloned(),
                 topics: topics.iter().map(|t| (*t).clone()).collect(),
             }
         };
-        for (topic, counter) in &self.unsettled {
-            let holds = self.topics.contains_key(topic);
-            let topics: &[&Topic] = if holds { &[topic] } else { &[] };
-            says.push(range(Some(topic), Some(topic), topics, *counter));
+        for (topic, counter) in &self.unconfirmed {
+            let is_subscribed = self.trackers.contains_key(topic);
+            let topics: &[&Topic] = if is_subscribed { &[topic] } else { &[] };
+            declarations.push(declare(Some(topic), Some(topic), topics, *counter));
         }
-        if self.all {
-            // Ranges that touch: each says also the first of the next, so that nothing between them is left out.
+        if self.declare_all {
+            // The ranges overlap: each also declares the first topic of the next one, so that no topic between two
+            // ranges is left out.
             let (mut chunks, mut bytes) = (vec![Vec::new()], 0);
-            for topic in self.topics.keys() {
+            for topic in self.trackers.keys() {
                 bytes += topic.name().len() + 2;
                 if bytes > MAX_BODY_BYTES / 2 {
                     chunks.push(Vec::new());
@@ -556,139 +588,147 @@
                 }
                 chunks.last_mut().into_iter().for_each(|c| c.push(topic));
             }
-            for n in 0..chunks.len() {
-                let mut topics = chunks[n].clone();
-                let from = if n == 0 {
+            for index in 0..chunks.len() {
+                let mut topics = chunks[index].clone();
+                let first = if index == 0 {
                     None
                 } else {
                     topics.first().copied()
                 };
-                let through = chunks.get(n + 1).and_then(|next| next.first()).copied();
-                topics.extend(through);
-                says.push(range(from, through, &topics, self.counter));
+                let last = chunks.get(index + 1).and_then(|next| next.first()).copied();
+                topics.extend(last);
+                declarations.push(declare(first, last, &topics, self.counter));
             }
         }
-        for message in &says {
-            self.mail.put(Lane::Control, to, For::Gateway, message);
+        for message in &declarations {
+            self.outbox
+                .enqueue(Lane::Control, to, Recipient::Gateway, message);
         }
-        let at = self
-            .topics
-            .iter()
-            .filter_map(|(t, track)| track.last.map(|(token, n)| wire::at(t, token, n)));
+        let progress = self.trackers.iter().filter_map(|(topic, tracker)| {
+            tracker
+                .last
+                .map(|(token, number)| wire::progress_digest(topic, token, number))
+        });
         let message = Message::Renew {
             name,
             boot,
-            holds: self.holds(),
-            at: at.fold(0, |a, b| a ^ b),
+            subscriptions_digest: self.subscriptions_digest(),
+            progress_digest: progress.fold(0, |all, digest| all ^ digest),
         };
-        self.mail.put(Lane::Control, to, For::Gateway, &message);
+        self.outbox
+            .enqueue(Lane::Control, to, Recipient::Gateway, &message);
         self.counts.renewals += 1;
-        self.waits_since.get_or_insert(now);
-        // Unanswered, it waits twice as long each time, up to the pause between two renewals.
-        let again = crate::ms(self.rules.answer_ms) << self.tries.min(6);
-        self.tries += 1;
-        self.renew_at = now + self.spread(again.min(self.pause)).max(1);
+        self.waiting_since.get_or_insert(now);
+        // Without an answer the delay doubles at each attempt, up to the renewal interval.
+        let retry_after = crate::us_from_ms(self.rules.answer_ms) << self.attempts.min(6);
+        self.attempts += 1;
+        self.renew_at = now + self.jittered(retry_after.min(self.renewal_interval)).max(1);
     }
 
-    fn ask_for_holes(&mut self, now: Time) {
+    fn fetch_gaps(&mut self, now: Time) {
         let Some(to) = self.gateway else { return };
-        let again = crate::ms(self.rules.answer_ms);
+        let retry_after = crate::us_from_ms(self.rules.answer_ms);
         let due: Vec<Topic> = self
-            .topics
+            .trackers
             .iter()
-            .filter(|(_, t)| t.next_turn() <= now)
+            .filter(|(_, tracker)| tracker.next_turn() <= now)
             .map(|(topic, _)| topic.clone())
             .collect();
         for topic in due {
-            let again = spread(&mut self.dice, again);
+            let retry_after = jittered(&mut self.rng, retry_after);
             let fetch = self
-                .topics
+                .trackers
                 .get_mut(&topic)
-                .and_then(|t| t.fetch(&self.rules, now, again));
+                .and_then(|tracker| tracker.next_fetch(&self.rules, now, retry_after));
             if let Some((token, after)) = fetch {
                 let message = Message::Fetch {
-                    name: self.me.name.clone(),
+                    name: self.identity.name.clone(),
                     topic: topic.clone(),
                     token,
                     after,
                 };
-                self.mail.put(Lane::Control, to, For::Gateway, &message);
+                self.outbox
+                    .enqueue(Lane::Control, to, Recipient::Gateway, &message);
             }
-            self.comes(&topic);
+            self.push_deliveries(&topic);
         }
     }
 
-    /// How long a gateway may say nothing: two renewals, and the tries of the second.
-    fn patience(&self) -> Micros {
-        2 * self.pause + crate::ms(4 * self.rules.answer_ms)
+    /// Returns how long the gateway may be silent: two renewals, and the repetitions of the second.
+    fn silence_limit(&self) -> Micros {
+        2 * self.renewal_interval + crate::us_from_ms(4 * self.rules.answer_ms)
     }
 
-    /// Does what is due: renews, fetches what is missing, says that the gateway is silent.
+    /// Does what is due: renews, requests missing items, and reports a silent gateway.
     pub fn turn(&mut self, now: Time) {
         self.now = self.now.max(now);
         if let Some(to) = self.gateway
             && now >= self.renew_at
-            && (!self.topics.is_empty() || !self.is_confirmed())
+            && (!self.trackers.is_empty() || !self.is_confirmed())
         {
-            self.renew(now, to);
+            self.send_renewal(now, to);
         } else if now >= self.renew_at {
             self.renew_at = Time::MAX;
         }
-        if !self.silent
+        if !self.gateway_silent
             && self
-                .waits_since
-                .is_some_and(|since| now >= since + self.patience())
+                .waiting_since
+                .is_some_and(|since| now >= since + self.silence_limit())
         {
-            self.silent = true;
-            self.put(SubscriptionEvent::GatewaySilent {
-                since: self.answered,
+            self.gateway_silent = true;
+            self.push_event(SubscriptionEvent::GatewaySilent {
+                since: self.answered_at,
             });
         }
-        self.ask_for_holes(now);
-        self.pump(now);
+        self.fetch_gaps(now);
+        self.send_due(now);
     }
 
-    fn pump(&mut self, now: Time) {
-        self.mail.pump(now, &None, |_| false);
+    fn send_due(&mut self, now: Time) {
+        self.outbox.send_due(now, &None, |_| false);
     }
 
-    /// When it has to be driven next.
+    /// Returns when [`Client::turn`] has to be called next.
     pub fn next_turn(&self) -> Time {
         let renew = if self.gateway.is_some() {
             self.renew_at
         } else {
             Time::MAX
         };
-        let holes = if self.gateway.is_some() {
-            self.topics
+        let gaps = if self.gateway.is_some() {
+            self.trackers
                 .values()
-                .map(Track::next_turn)
+                .map(SequenceTracker::next_turn)
                 .min()
                 .unwrap_or(Time::MAX)
         } else {
             Time::MAX
         };
-        let silent = match self.waits_since {
-            Some(since) if !self.silent => since + self.patience(),
+        let silence = match self.waiting_since {
+            Some(since) if !self.gateway_silent => since + self.silence_limit(),
             _ => Time::MAX,
         };
-        renew.min(holes).min(silent).min(self.mail.next(false))
+        renew
+            .min(gaps)
+            .min(silence)
+            .min(self.outbox.next_send(false))
     }
 
-    /// What is to be sent, and to whom.
+    /// Returns the bodies to send, with their destinations.
     pub fn take_outbox(&mut self) -> Vec<(SocketAddr, Vec<u8>)> {
-        self.mail.take_out()
+        self.outbox.take_bodies()
     }
 
-    /// What it learnt, in order. Where nobody took the news for long, that some were missed comes first.
+    /// Returns the next event. If events were dropped because nobody took them in time, they are reported as missed
+    /// first.
     pub fn take_event(&mut self) -> Option<SubscriptionEvent> {
-        if let Some((topic, token, through)) = self.untaken.pop_first() {
+        if let Some((topic, token, through)) = self.overrun.pop_first() {
             return Some(SubscriptionEvent::Missed {
                 topic,
                 token,
                 through,
             });
         }
-        self.news.pop_front()
+        self.events.pop_front()
     }
 }
--- a/fanout/src/fault.rs
+++ b/fanout/src/fault.rs
@@ -1,57 +1,57 @@
-//! What can be wrong, and what an operator can do.
+//! Faults of this crate, and advice for operators.
 
 use plovercove_fencing::{FenceError, InvalidLeaseName};
 
-/// Why something was not taken.
+/// Why a setting, a name or a message was not accepted.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
 pub enum Fault {
-    /// A setting that cannot be meant.
+    /// A setting is out of range.
     #[error("{key}: expected {least} to {most}, got {value}")]
     Setting {
-        /// Its key.
+        /// The settings key.
         key: &'static str,
-        /// What was set.
+        /// The configured value.
         value: u64,
-        /// The least.
+        /// The smallest allowed value.
         least: u64,
-        /// The most.
+        /// The largest allowed value.
         most: u64,
     },
-    /// A topic, zone or subscriber with a name that cannot stand in a datagram.
+    /// A topic, zone or subscriber has an invalid name.
     #[error(transparent)]
     Name(#[from] InvalidLeaseName),
-    /// An owner that was replaced.
+    /// The sender's lease has been granted to another router.
     #[error(transparent)]
     Refused(#[from] FenceError),
-    /// News that does not fit a datagram.
+    /// An item is too large for a datagram.
     #[error("news of {topic} has {bytes} bytes, {most} fit a datagram")]
     Large {
-        /// Its topic.
+        /// The topic of the item.
         topic: String,
-        /// Its size.
+        /// The size of the item.
         bytes: usize,
-        /// What fits.
+        /// The maximum size.
         most: usize,
     },
-    /// As many topics or subscriptions as there may be.
+    /// The maximum number of topics or subscriptions is reached.
     #[error("{what}: there are {most} already")]
     Full {
-        /// Of what.
+        /// What there are too many of.
         what: &'static str,
-        /// The most.
+        /// The maximum.
         most: usize,
     },
-    /// A body that no router of this version sends.
+    /// A body could not be decoded, or no router of this version sends it.
     #[error("a body from {from} that cannot be read")]
     Unread {
-        /// Who sent it.
+        /// The sender.
         from: std::net::SocketAddr,
     },
 }
 
 impl Fault {
-    /// What an operator can do.
+    /// Returns advice for the operator.
     pub fn help(&self) -> &'static str {
         match self {
             Fault::Setting { .. } => {
--- a/fanout/src/gateway.rs
+++ b/fanout/src/gateway.rs
@@ -1,14 +1,17 @@
-//! The gateway of a zone: what its subscribers ask for, and what they are told.
+//! The gateway of a zone: takes the subscriptions of the zone's subscribers and delivers items to them.
 
-use crate::outbox::{Lane, Mail, spread};
-use crate::reconciliation::Others;
-use crate::retained::{Held, Next};
-use crate::sequence_tracker::{Comes, Track};
+use crate::outbox::{Lane, Outbox, jittered};
+use crate::reconciliation::OtherGateways;
+use crate::retained::{NextDelivery, RetainedItems};
+use crate::sequence_tracker::{Delivery, SequenceTracker};
 use crate::table::{Declaration, Name, SubscriptionTable};
 use crate::wire::{
-    self, Entry, For, Head, MAX_BODY_BYTES, MAX_ITEM_BYTES, Mark, Message, Standing, State, Told,
+    self, Entry, Header, Item, MAX_BODY_BYTES, MAX_ITEM_BYTES, Message, Recipient, RenewalStatus,
+    State, TopicNumber,
+};
+use crate::{
+    Fault, Guard, MAX_TRACKED_LEASES, Rules, Subscriber, Topic, rules::EXPIRY_CHECK_INTERVAL_US,
 };
-use crate::{DUTIES, Fault, Guard, Rules, Subscriber, Topic, rules::TIDY};
 use plovercove::{Micros, Time};
 use plovercove_fencing::{Fence, FenceError, InvalidLeaseName, LeaseName, Token};
 use rand::SeedableRng;
@@ -17,255 +20,267 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// What a gateway counted since it began.
+/// Counters of a gateway since it was created.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct GatewayCounts {
-    /// Datagrams and bytes sent.
+    /// Datagrams sent.
     pub datagrams: u64,
     /// Bytes sent.
     pub bytes: u64,
     /// Bytes sent to compare lists.
     pub lists: u64,
-    /// Messages that were not sent, since too many waited.
+    /// Messages dropped because too many were waiting.
     pub dropped: u64,
-    /// Bodies that cannot be read.
+    /// Bodies that could not be decoded.
     pub unread: u64,
-    /// Bodies and news of an older token.
+    /// Bodies and items that were rejected for an older fencing token.
     pub refused: u64,
-    /// Entries that were taken from other gateways.
+    /// Entries taken over from other gateways.
     pub taken: u64,
-    /// Entries that an old owner asked for and that were taken.
+    /// Entries taken over from a former gateway of this zone, at which subscribers had declared them.
     pub requests: u64,
-    /// Subscriptions that ended by age.
+    /// Subscriptions that expired.
     pub expired: u64,
-    /// News held for those who missed some.
+    /// Items retained for retransmission.
     pub held: u64,
-    /// Subscriptions that are remembered, of all zones.
+    /// Remembered subscriptions of all zones.
     pub subscriptions: u64,
-    /// Subscribers that this gateway tells.
+    /// Subscribers that this gateway serves.
     pub subscribers: u64,
 }
 
-/// The gateway of a zone. It acts only while it has the duty's token.
+/// The gateway of a zone. It acts only while it has the token of the zone's gateway lease.
 #[derive(Debug)]
 pub struct Gateway {
     pub(crate) rules: Rules,
     pub(crate) zone: Name,
-    pub(crate) duty: LeaseName,
-    pub(crate) me: SocketAddr,
+    pub(crate) lease: LeaseName,
+    pub(crate) address: SocketAddr,
     pub(crate) token: Option<Token>,
     pub(crate) fence: Fence,
     pub(crate) table: SubscriptionTable,
-    pub(crate) others: Others,
-    pub(crate) mail: Mail,
-    pub(crate) dice: Pcg64Mcg,
+    pub(crate) others: OtherGateways,
+    pub(crate) outbox: Outbox,
+    pub(crate) rng: Pcg64Mcg,
     pub(crate) counts: GatewayCounts,
-    held: BTreeMap<Topic, Held>,
-    tracks: BTreeMap<Topic, (Track, Option<SocketAddr>)>,
-    /// Subscribers with something to be told, in turns.
-    line: VecDeque<Name>,
-    tidy_at: Time,
-    subscribers: usize,
-    /// When this gateway was last driven: a process that stood still looks at its token first.
+    retained: BTreeMap<Topic, RetainedItems>,
+    /// Tracker of each topic, and address of its publisher; `None` if the publisher is in the same router.
+    trackers: BTreeMap<Topic, (SequenceTracker, Option<SocketAddr>)>,
+    /// Queue of subscribers for which there are items to deliver, served in turns.
+    ready: VecDeque<Name>,
+    expiry_check_at: Time,
+    subscriber_count: usize,
+    /// The latest time that the caller passed.
     pub(crate) now: Time,
 }
 
 impl Gateway {
-    /// A gateway of this zone at this address, without the duty yet.
+    /// Creates a gateway for this zone at this address, which does not hold the lease yet.
     ///
     /// # Errors
-    /// The zone has a name that no duty can have.
+    /// The zone's name cannot be part of the name of a lease.
     pub fn new(
         rules: Rules,
         zone: &str,
-        me: SocketAddr,
+        address: SocketAddr,
         now: Time,
         seed: u64,
     ) -> Result<Self, InvalidLeaseName> {
-        let mut dice = Pcg64Mcg::seed_from_u64(seed);
+        let mut rng = Pcg64Mcg::seed_from_u64(seed);
         Ok(Gateway {
-            duty: duty(zone)?,
+            lease: gateway_lease(zone)?,
             zone: zone.into(),
-            me,
+            address,
             token: None,
-            fence: Fence::new(DUTIES),
+            fence: Fence::new(MAX_TRACKED_LEASES),
             table: SubscriptionTable::new(rules.clone(), zone),
-            others: Others::default(),
-            mail: Mail::new(&rules, now),
+            others: OtherGateways::default(),
+            outbox: Outbox::new(&rules, now),
             counts: GatewayCounts::default(),
-            held: BTreeMap::new(),
-            tracks: BTreeMap::new(),
-            line: VecDeque::new(),
-            tidy_at: now + spread(&mut dice, TIDY),
-            subscribers: 0,
+            retained: BTreeMap::new(),
+            trackers: BTreeMap::new(),
+            ready: VecDeque::new(),
+            expiry_check_at: now + jittered(&mut rng, EXPIRY_CHECK_INTERVAL_US),
+            subscriber_count: 0,
             now,
-            dice,
+            rng,
             rules,
         })
     }
 
-    /// Where it is.
+    /// Returns the address of the gateway.
     pub fn address(&self) -> SocketAddr {
-        self.me
+        self.address
     }
 
-    /// The list: its own zone's, and copies of the others'.
+    /// Returns the subscription list: the gateway's own zone, and the copies of the other zones' lists.
     pub fn table(&self) -> &SubscriptionTable {
         &self.table
     }
 
-    /// What it counted.
+    /// Returns the counters.
     pub fn counts(&self) -> GatewayCounts {
         GatewayCounts {
-            datagrams: self.mail.datagrams,
-            bytes: self.mail.bytes,
-            lists: self.mail.lists,
-            dropped: self.mail.dropped,
-            held: self.held.values().map(|h| h.len() as u64).sum(),
+            datagrams: self.outbox.datagrams,
+            bytes: self.outbox.bytes,
+            lists: self.outbox.list_bytes,
+            dropped: self.outbox.dropped,
+            held: self.retained.values().map(|h| h.len() as u64).sum(),
             subscriptions: self.table.len() as u64,
-            subscribers: self.subscribers as u64,
+            subscribers: self.subscriber_count as u64,
             ..self.counts
         }
     }
 
-    /// Whether it has the duty, by its own knowledge.
+    /// Returns whether this gateway holds its zone's lease, as far as it knows.
     pub fn holds_lease(&self) -> bool {
         self.token.is_some()
     }
 
-    /// Whether the fence lets a token pass. Off only in tests.
-    pub(crate) fn admit(&mut self, duty: &LeaseName, token: Token) -> Result<(), FenceError> {
-        let passed = self.fence.admit(duty, token).map(|_| ());
+    /// Returns an error if the fence has seen a newer token of the lease. Only tests switch the fence off.
+    pub(crate) fn check_fence(
+        &mut self,
+        lease: &LeaseName,
+        token: Token,
+    ) -> Result<(), FenceError> {
+        let result = self.fence.admit(lease, token).map(|_| ());
         if self.rules.is_enabled(Guard::Fence) {
-            passed
+            result
         } else {
             Ok(())
         }
     }
 
-    /// The token by which this router has the duty, or none. Told whenever it changes; the same again changes nothing.
+    /// Sets the token under which this router holds the gateway lease, or `None`. The caller calls it at each change; a
+    /// repeated value has no effect.
     pub fn set_token(&mut self, now: Time, token: Option<Token>) {
         self.now = self.now.max(now);
         match token {
             Some(token) if self.token != Some(token) => {
-                if self.admit(&self.duty.clone(), token).is_err() {
+                if self.check_fence(&self.lease.clone(), token).is_err() {
                     return;
                 }
-                // Whoever was in the list of the last owner has a lease to renew here.
+                // The subscribers of the previous lease holder have a complete lease to renew here.
                 self.table.restart_leases(now);
                 self.token = Some(token);
-                self.others.begin(now, &mut self.dice, &self.rules);
+                self.others
+                    .schedule_comparisons(now, &mut self.rng, &self.rules);
             }
-            None if self.token.is_some() => self.lose(now),
+            None if self.token.is_some() => self.lose_lease(now),
             _ => (),
         }
     }
 
-    /// The duty is another's: nothing more is told, and what subscribers said here is asked of the new owner.
-    pub(crate) fn lose(&mut self, now: Time) {
-        let requests = self.table.own_words();
-        self.hand_over(now, requests);
+    /// Stops delivery, because another router holds the lease. What subscribers declared here is kept, to be proposed
+    /// to the new lease holder.
+    pub(crate) fn lose_lease(&mut self, now: Time) {
+        let entries = self.table.locally_renewed_entries();
+        self.hand_over(now, entries);
         self.token = None;
-        self.mail.clear();
-        self.line.clear();
-        for person in self.table.people.values_mut() {
-            person.queued = false;
+        self.outbox.clear();
+        self.ready.clear();
+        for record in self.table.subscribers.values_mut() {
+            record.queued = false;
         }
     }
 
-    /// Takes a body that came. `late` is how much longer it was under way than others (us).
+    /// Takes a received body. `extra_delay` is how much longer it was under way than usual (us).
     ///
     /// # Errors
-    /// It cannot be read, or its sender has been replaced; nothing was taken but the requests in it.
+    /// The body cannot be decoded, or its sender's token is not the newest. In the latter case only the proposed
+    /// entries in it were taken.
     pub fn receive(
         &mut self,
         now: Time,
         from: SocketAddr,
         body: &[u8],
-        late: Micros,
+        extra_delay: Micros,
     ) -> Result<(), Fault> {
         self.now = self.now.max(now);
-        let Some((head, messages)) = wire::read(body) else {
+        let Some((header, messages)) = wire::decode_body(body) else {
             self.counts.unread += 1;
             return Err(Fault::Unread { from });
         };
-        if head.to != For::Gateway {
+        if header.to != Recipient::Gateway {
             return Ok(());
         }
         let mut result = Ok(());
-        if let Some((zone, token)) = &head.gateway {
-            let duty = duty(zone)?;
-            if let Err(refused) = self.admit(&duty, *token) {
+        if let Some((zone, token)) = &header.gateway {
+            let lease = gateway_lease(zone)?;
+            if let Err(error) = self.check_fence(&lease, *token) {
                 self.counts.refused += 1;
-                self.refuse(from, &duty, For::Gateway);
-                self.requests(now, messages);
-                result = Err(refused.into());
+                self.reject(from, &lease, Recipient::Gateway);
+                self.apply_proposals(now, messages);
+                result = Err(error.into());
             } else {
-                self.between(now, from, zone, messages, late);
+                self.handle_gateway_messages(now, from, zone, messages, extra_delay);
             }
         } else {
             for message in messages {
-                if let Err(fault) = self.take(now, from, message, late) {
+                if let Err(fault) = self.handle_message(now, from, message, extra_delay) {
                     result = Err(fault);
                 }
             }
         }
-        self.pump(now);
+        self.send_due(now);
         result
     }
 
-    pub(crate) fn refuse(&mut self, to: SocketAddr, duty: &LeaseName, who: For) {
-        let message = Message::Refused {
-            duty: duty.clone(),
-            token: self.fence.newest(duty),
+    pub(crate) fn reject(&mut self, to: SocketAddr, lease: &LeaseName, recipient: Recipient) {
+        let message = Message::Rejected {
+            lease: lease.clone(),
+            token: self.fence.newest(lease),
         };
-        self.mail.put(Lane::Control, to, who, &message);
+        self.outbox.enqueue(Lane::Control, to, recipient, &message);
     }
 
-    /// What subscribers and publishers say.
-    fn take(
+    /// Handles a message from a subscriber or a publisher.
+    fn handle_message(
         &mut self,
         now: Time,
         from: SocketAddr,
         message: Message,
-        late: Micros,
+        extra_delay: Micros,
     ) -> Result<(), Fault> {
         match message {
-            Message::Item(told) => self.news(now, Some(from), &told, late)?,
-            Message::Heads(mark) | Message::Missed(mark)
-                if self.admit(&mark.duty, mark.token).is_err() =>
+            Message::Item(item) => self.receive_item(now, Some(from), &item, extra_delay)?,
+            Message::LatestNumber(topic_number) | Message::Missed(topic_number)
+                if self
+                    .check_fence(&topic_number.lease, topic_number.token)
+                    .is_err() =>
             {
                 self.counts.refused += 1;
-                self.refuse(from, &mark.duty, For::Publisher);
+                self.reject(from, &topic_number.lease, Recipient::Publisher);
             }
-            Message::Heads(mark) => {
+            Message::LatestNumber(topic_number) => {
                 let rules = self.rules.clone();
-                if let Some(track) = self.track(&mark.topic, Some(from)) {
-                    track.head(&rules, now, &mark);
+                if let Some(tracker) = self.tracker(&topic_number.topic, Some(from)) {
+                    tracker.receive_latest_number(&rules, now, &topic_number);
                 }
-                self.comes(&mark.topic);
+                self.retain_deliveries(&topic_number.topic);
             }
-            Message::Missed(mark) => {
+            Message::Missed(topic_number) => {
                 let rules = self.rules.clone();
-                if let Some(track) = self.track(&mark.topic, Some(from)) {
-                    track.missed(&rules, now, &mark);
+                if let Some(tracker) = self.tracker(&topic_number.topic, Some(from)) {
+                    tracker.receive_missed(&rules, now, &topic_number);
                 }
-                self.comes(&mark.topic);
+                self.retain_deliveries(&topic_number.topic);
             }
-            // The rest needs the duty: who has none answers nobody, and they look for the one who has.
+            // All other messages need the lease. Without it the gateway does not answer, so that the subscriber looks
+            // for the lease holder.
             _ if self.token.is_none() => (),
             Message::Renew {
                 name,
                 boot,
-                holds,
-                at,
-            } => self.renew(now, from, name, boot, holds, at),
+                subscriptions_digest,
+                progress_digest,
+            } => self.handle_renewal(now, from, name, boot, subscriptions_digest, progress_digest),
             Message::Declare {
                 name,
                 boot,
                 counter,
-                from: first,
-                through,
+                first,
+                last,
                 topics,
             } => {
                 let subscriber = Subscriber {
@@ -274,22 +289,21 @@
                     address: from,
                     zone: self.zone.clone(),
                 };
-                let (from_topic, through) = (first.as_ref(), through.as_ref());
-                let says = Declaration {
+                let declaration = Declaration {
                     subscriber: &subscriber,
                     counter,
-                    from: from_topic,
-                    through,
+                    first: first.as_ref(),
+                    last: last.as_ref(),
                     topics: &topics,
                 };
-                if !self.table.apply(now, &says) {
-                    self.stands(now, from, name.clone(), boot, 0, Standing::Full);
+                if !self.table.apply(now, &declaration) {
+                    self.reply_to_renewal(now, from, name.clone(), boot, 0, RenewalStatus::Full);
                     return Err(Fault::Full {
                         what: "subscriptions",
                         most: self.rules.subscriptions,
                     });
                 }
-                self.enlist(&name);
+                self.queue_subscriber(&name);
             }
             Message::Fetch {
                 name,
@@ -297,11 +311,11 @@
                 token,
                 after,
             } => {
-                if let Some(person) = self.table.people.get_mut(&name)
-                    && let Some(kept) = person.topics.get_mut(&topic)
+                if let Some(record) = self.table.subscribers.get_mut(&name)
+                    && let Some(stored) = record.topics.get_mut(&topic)
                 {
-                    kept.place = Some((token, after));
-                    self.enlist(&name);
+                    stored.delivered = Some((token, after));
+                    self.queue_subscriber(&name);
                 }
             }
             Message::Moved {
@@ -309,8 +323,8 @@
                 boot,
                 counter,
             } => {
-                if let Some(person) = self.table.people.get_mut(&name) {
-                    person.moved = person.moved.max((boot, counter));
+                if let Some(record) = self.table.subscribers.get_mut(&name) {
+                    record.moved = record.moved.max((boot, counter));
                 }
             }
             _ => (),
@@ -318,91 +332,103 @@
         Ok(())
     }
 
-    fn renew(&mut self, now: Time, from: SocketAddr, name: Name, boot: u64, holds: u64, at: u64) {
-        let (known, latest) = self.table.holds(&name);
-        let same = self.table.people.get(&name).is_none_or(|p| {
-            p.topics
+    fn handle_renewal(
+        &mut self,
+        now: Time,
+        from: SocketAddr,
+        name: Name,
+        boot: u64,
+        subscriptions_digest: u64,
+        progress_digest: u64,
+    ) {
+        let (known_digest, latest_boot) = self.table.subscriptions_digest(&name);
+        let is_same_address = self.table.subscribers.get(&name).is_none_or(|record| {
+            record
+                .topics
                 .values()
-                .filter(|k| self.table.own(&k.entry))
-                .all(|k| k.entry.subscriber.address == from)
+                .filter(|stored| self.table.is_local(&stored.entry))
+                .all(|stored| stored.entry.subscriber.address == from)
         });
-        let standing = if latest > boot {
-            Standing::Replaced(latest)
-        } else if known == holds && same {
-            Standing::Holds
+        let status = if latest_boot > boot {
+            RenewalStatus::Replaced(latest_boot)
+        } else if known_digest == subscriptions_digest && is_same_address {
+            RenewalStatus::Confirmed
         } else {
-            Standing::Differs
+            RenewalStatus::Differs
         };
-        if standing == Standing::Holds {
-            self.table.heard(now, &name);
-            // It may have moved away and come back.
-            let far = self.heads(&name);
-            if far
-                .iter()
-                .fold(0, |sum, m| sum ^ wire::at(&m.topic, m.token, m.number))
-                != at
+        if status == RenewalStatus::Confirmed {
+            self.table.record_renewal(now, &name);
+            // The subscriber may have moved to another gateway and back, and may have missed items meanwhile.
+            let latest_numbers = self.latest_numbers(&name);
+            if latest_numbers.iter().fold(0, |digest, m| {
+                digest ^ wire::progress_digest(&m.topic, m.token, m.number)
+            }) != progress_digest
             {
-                for mark in far {
-                    self.mail.put(
+                for topic_number in latest_numbers {
+                    self.outbox.enqueue(
                         Lane::Control,
                         from,
-                        For::Subscriber(name.clone()),
-                        &Message::Heads(mark),
+                        Recipient::Subscriber(name.clone()),
+                        &Message::LatestNumber(topic_number),
                     );
                 }
             }
         }
-        self.stands(now, from, name, boot, holds, standing);
+        self.reply_to_renewal(now, from, name, boot, subscriptions_digest, status);
     }
 
-    fn stands(
+    fn reply_to_renewal(
         &mut self,
         _now: Time,
         to: SocketAddr,
         name: Name,
         boot: u64,
-        holds: u64,
-        standing: Standing,
+        subscriptions_digest: u64,
+        status: RenewalStatus,
     ) {
-        let pause = self.rules.renewal_interval(self.subscribers);
-        let message = Message::Stands {
+        let renewal_interval = self.rules.renewal_interval(self.subscriber_count);
+        let message = Message::RenewalReply {
             boot,
-            holds,
-            standing,
-            pause,
+            subscriptions_digest,
+            status,
+            renewal_interval,
         };
-        self.mail
-            .put(Lane::Control, to, For::Subscriber(name), &message);
+        self.outbox
+            .enqueue(Lane::Control, to, Recipient::Subscriber(name), &message);
     }
 
-    /// Asks a subscriber to say all that it holds anew.
-    pub(crate) fn ask_anew(&mut self, now: Time, to: SocketAddr, name: Name) {
-        let boot = self.table.holds(&name).1;
-        self.stands(now, to, name, boot, 0, Standing::Differs);
+    /// Requests a subscriber to declare all its subscriptions again.
+    pub(crate) fn request_declaration(&mut self, now: Time, to: SocketAddr, name: Name) {
+        let boot = self.table.subscriptions_digest(&name).1;
+        self.reply_to_renewal(now, to, name, boot, 0, RenewalStatus::Differs);
     }
 
-    /// How far the topics of a subscriber are.
-    fn heads(&self, name: &str) -> Vec<Mark> {
-        let Some(person) = self.table.people.get(name) else {
+    /// Returns the newest number of each topic of a subscriber.
+    fn latest_numbers(&self, name: &str) -> Vec<TopicNumber> {
+        let Some(record) = self.table.subscribers.get(name) else {
             return Vec::new();
         };
-        let own = person
+        let own = record
             .topics
             .iter()
-            .filter(|(_, k)| self.table.own(&k.entry));
-        own.filter_map(|(topic, _)| self.held.get(topic).map(|h| h.mark(topic, h.head)))
-            .collect()
+            .filter(|(_, k)| self.table.is_local(&k.entry));
+        own.filter_map(|(topic, _)| {
+            self.retained
+                .get(topic)
+                .map(|h| h.topic_number(topic, h.latest))
+        })
+        .collect()
     }
 
-    /// News of a topic, by the owner of its watch at this router or elsewhere.
+    /// Takes an item of a topic from the lease holder of its watch at the same router.
     ///
     /// # Errors
-    /// It is too large, or its publisher has been replaced.
+    /// The item is too large, or its publisher's token is not the newest.
     pub fn publish(
         &mut self,
         now: Time,
         topic: &Topic,
-        duty: &LeaseName,
+        lease: &LeaseName,
         token: Token,
         number: u64,
         item: &[u8],
@@ -416,60 +442,60 @@
             });
         }
         let body: Arc<[u8]> = item.into();
-        let told = Told {
+        let item = Item {
             topic: topic.clone(),
-            duty: duty.clone(),
+            lease: lease.clone(),
             token,
             number,
             age: 0,
             body,
         };
-        self.news(now, None, &told, 0)?;
-        self.pump(now);
+        self.receive_item(now, None, &item, 0)?;
+        self.send_due(now);
         Ok(())
     }
 
-    fn news(
+    fn receive_item(
         &mut self,
         now: Time,
         from: Option<SocketAddr>,
-        told: &Told,
-        late: Micros,
+        item: &Item,
+        extra_delay: Micros,
     ) -> Result<(), Fault> {
-        if let Err(refused) = self.admit(&told.duty, told.token) {
+        if let Err(error) = self.check_fence(&item.lease, item.token) {
             self.counts.refused += 1;
             if let Some(from) = from {
-                self.refuse(from, &told.duty, For::Publisher);
+                self.reject(from, &item.lease, Recipient::Publisher);
             }
-            return Err(refused.into());
+            return Err(error.into());
         }
         let rules = self.rules.clone();
-        let track = self.track(&told.topic, from);
-        let track = track.ok_or(Fault::Full {
+        let tracker = self.tracker(&item.topic, from);
+        let tracker = tracker.ok_or(Fault::Full {
             what: "topics",
-            most: DUTIES,
+            most: MAX_TRACKED_LEASES,
         })?;
-        track.item(&rules, now, told, late);
-        self.comes(&told.topic);
+        tracker.receive_item(&rules, now, item, extra_delay);
+        self.retain_deliveries(&item.topic);
         Ok(())
     }
 
-    fn track(&mut self, topic: &Topic, from: Option<SocketAddr>) -> Option<&mut Track> {
-        if self.tracks.len() >= DUTIES && !self.tracks.contains_key(topic) {
+    fn tracker(&mut self, topic: &Topic, from: Option<SocketAddr>) -> Option<&mut SequenceTracker> {
+        if self.trackers.len() >= MAX_TRACKED_LEASES && !self.trackers.contains_key(topic) {
             return None;
         }
-        let (track, publisher) = self.tracks.entry(topic.clone()).or_default();
+        let (tracker, publisher) = self.trackers.entry(topic.clone()).or_default();
         *publisher = from;
-        Some(track)
+        Some(tracker)
     }
 
-    /// Holds what came out in order, and puts those who asked for it in line.
-    fn comes(&mut self, topic: &Topic) {
-        let Some((track, _)) = self.tracks.get_mut(topic) else {
+    /// Retains what the tracker delivered in order, and queues the subscribers of the topic.
+    fn retain_deliveries(&mut self, topic: &Topic) {
+        let Some((tracker, _)) = self.trackers.get_mut(topic) else {
             return;
         };
-        let out = track.take();
-        if out.is_empty() {
+        let deliveries = tracker.take_deliveries();
+        if deliveries.is_empty() {
             return;
         }
         let names: Vec<Name> = self
@@ -480,109 +506,117 @@
             .flatten()
             .cloned()
             .collect();
-        // Who subscribed before this came, and was told nothing yet, begins with it.
-        if let Some(Comes::Item { token, number, .. }) =
-            out.iter().find(|c| matches!(c, Comes::Item { .. }))
+        // A subscriber that subscribed before this item and was not sent any yet starts with it.
+        if let Some(Delivery::Item { token, number, .. }) = deliveries
+            .iter()
+            .find(|c| matches!(c, Delivery::Item { .. }))
         {
             for name in &names {
-                if let Some(kept) = self
+                if let Some(stored) = self
                     .table
-                    .people
+                    .subscribers
                     .get_mut(name)
                     .and_then(|p| p.topics.get_mut(topic))
                 {
-                    kept.place.get_or_insert((*token, number - 1));
+                    stored.delivered.get_or_insert((*token, number - 1));
                 }
             }
         }
-        for comes in out {
-            let (duty, token) = match &comes {
-                Comes::Item { duty, token, .. } | Comes::Missed { duty, token, .. } => {
-                    (duty, *token)
+        for delivery in deliveries {
+            let (lease, token) = match &delivery {
+                Delivery::Item { lease, token, .. } | Delivery::Missed { lease, token, .. } => {
+                    (lease, *token)
                 }
             };
-            let held = self
-                .held
+            let retained = self
+                .retained
                 .entry(topic.clone())
-                .or_insert_with(|| Held::new(duty.clone(), token));
-            if held.token != token {
-                *held = Held::new(duty.clone(), token);
+                .or_insert_with(|| RetainedItems::new(lease.clone(), token));
+            if retained.token != token {
+                *retained = RetainedItems::new(lease.clone(), token);
             }
-            match comes {
-                Comes::Item {
-                    number, made, body, ..
-                } => held.push(&self.rules, topic, number, made, body),
-                // The newest position is all that counts: nothing of it can be missed for good.
-                Comes::Missed { through, .. } if !topic.collapses() => held.lose(through),
-                Comes::Missed { .. } => (),
+            match delivery {
+                Delivery::Item {
+                    number,
+                    made_at,
+                    body,
+                    ..
+                } => retained.push(&self.rules, topic, number, made_at, body),
+                // Of positions only the newest counts, so none is lost for good.
+                Delivery::Missed { through, .. } if !topic.collapses() => {
+                    retained.discard_through(through)
+                }
+                Delivery::Missed { .. } => (),
             }
         }
         for name in names {
-            self.enlist(&name);
+            self.queue_subscriber(&name);
         }
     }
 
-    fn enlist(&mut self, name: &Name) {
-        if let Some(person) = self.table.people.get_mut(name)
-            && !person.queued
+    fn queue_subscriber(&mut self, name: &Name) {
+        if let Some(record) = self.table.subscribers.get_mut(name)
+            && !record.queued
             && self.token.is_some()
         {
-            person.queued = true;
-            self.line.push_back(name.clone());
+            record.queued = true;
+            self.ready.push_back(name.clone());
         }
     }
 
-    /// Puts the next subscriber's news into the mail: as much as one body takes. False where nobody waits.
-    fn tell(
+    /// Adds the items of the next queued subscriber to the outbox, up to the length of one body. Returns false if no
+    /// subscriber is queued.
+    fn enqueue_items(
         rules: &Rules,
         now: Time,
         table: &mut SubscriptionTable,
-        held: &BTreeMap<Topic, Held>,
-        line: &mut VecDeque<Name>,
-        mail: &mut Mail,
+        retained: &BTreeMap<Topic, RetainedItems>,
+        ready: &mut VecDeque<Name>,
+        outbox: &mut Outbox,
     ) -> bool {
-        while let Some(name) = line.pop_front() {
+        while let Some(name) = ready.pop_front() {
             let zone = table.zone().clone();
-            let Some(person) = table.people.get_mut(&name) else {
+            let Some(record) = table.subscribers.get_mut(&name) else {
                 continue;
             };
-            person.queued = false;
-            let (mut bytes, moved) = (0, person.moved);
-            for (topic, kept) in &mut person.topics {
+            record.queued = false;
+            let (mut bytes, moved) = (0, record.moved);
+            for (topic, stored) in &mut record.topics {
                 let Entry {
                     boot,
                     counter,
                     state,
                     subscriber,
                     ..
-                } = &kept.entry;
+                } = &stored.entry;
                 if *state != State::Live || subscriber.zone != zone || (*boot, *counter) <= moved {
                     continue;
                 }
-                let Some(held) = held.get(topic) else {
+                let Some(retained) = retained.get(topic) else {
                     continue;
                 };
                 while bytes < MAX_BODY_BYTES
-                    && let Some((next, place)) = held.after(rules, topic, now, kept.place)
+                    && let Some((next, delivered)) =
+                        retained.next_after(rules, topic, now, stored.delivered)
                 {
                     let message = match next {
-                        Next::Told(told) => Message::Item(told),
-                        Next::Missed(mark) => Message::Missed(mark),
+                        NextDelivery::Item(item) => Message::Item(item),
+                        NextDelivery::Missed(topic_number) => Message::Missed(topic_number),
                     };
-                    bytes += wire::bytes(&message).len();
-                    kept.place = Some((held.token, place));
-                    mail.put(
+                    bytes += wire::encode_message(&message).len();
+                    stored.delivered = Some((retained.token, delivered));
+                    outbox.enqueue(
                         Lane::Items,
                         subscriber.address,
-                        For::Subscriber(name.clone()),
+                        Recipient::Subscriber(name.clone()),
                         &message,
                     );
                 }
             }
             if bytes >= MAX_BODY_BYTES {
-                // There may be more: the others first.
-                person.queued = true;
-                line.push_back(name);
+                // More items may follow; the other subscribers come first.
+                record.queued = true;
+                ready.push_back(name);
             }
             if bytes > 0 {
                 return true;
@@ -592,41 +626,46 @@
     }
 
     /// Sends what the budget allows.
-    pub(crate) fn pump(&mut self, now: Time) {
-        self.push_changes();
+    pub(crate) fn send_due(&mut self, now: Time) {
+        self.broadcast_changes();
         let header = self
             .token
             .map(|token| (self.zone.clone(), token))
-            .or(self.others.old.clone());
-        let (rules, table, held, line) = (&self.rules, &mut self.table, &self.held, &mut self.line);
-        self.mail.pump(now, &header, |mail| {
-            Self::tell(rules, now, table, held, line, mail)
+            .or(self.others.former_lease.clone());
+        let (rules, table, retained, ready) = (
+            &self.rules,
+            &mut self.table,
+            &self.retained,
+            &mut self.ready,
+        );
+        self.outbox.send_due(now, &header, |outbox| {
+            Self::enqueue_items(rules, now, table, retained, ready, outbox)
         });
     }
 
-    /// Does what is due: ends what is too old, compares lists, fetches what is missing, and sends.
+    /// Does what is due: expires subscriptions, compares lists, requests missing items, and sends.
     pub fn turn(&mut self, now: Time) {
         self.now = self.now.max(now);
-        if now >= self.tidy_at {
+        if now >= self.expiry_check_at {
             let before = self.table.changed.len();
-            self.subscribers = self.table.own_subscriber_count();
-            let lease = self.rules.subscriber_lease(self.subscribers);
+            self.subscriber_count = self.table.own_subscriber_count();
+            let lease = self.rules.subscriber_lease(self.subscriber_count);
             self.table
                 .expire_and_forget(now, self.token.is_some(), lease);
             self.counts.expired += (self.table.changed.len() - before) as u64;
-            self.tidy_at = now + spread(&mut self.dice, TIDY);
+            self.expiry_check_at = now + jittered(&mut self.rng, EXPIRY_CHECK_INTERVAL_US);
         }
         if self.token.is_some() {
-            self.compare(now);
+            self.start_due_comparisons(now);
         }
-        let (rules, again) = (self.rules.clone(), crate::ms(self.rules.answer_ms));
-        let mut asks = Vec::new();
+        let (rules, retry_after) = (self.rules.clone(), crate::us_from_ms(self.rules.answer_ms));
+        let mut fetches = Vec::new();
         let mut due = Vec::new();
-        for (topic, (track, publisher)) in &mut self.tracks {
-            if track.next_turn() <= now {
-                let fetch = track.fetch(&rules, now, spread(&mut self.dice, again));
+        for (topic, (tracker, publisher)) in &mut self.trackers {
+            if tracker.next_turn() <= now {
+                let fetch = tracker.next_fetch(&rules, now, jittered(&mut self.rng, retry_after));
                 if let (Some((token, after)), Some(to)) = (fetch, *publisher) {
-                    asks.push((
+                    fetches.push((
                         to,
                         Message::Fetch {
                             name: self.zone.clone(),
@@ -639,21 +678,22 @@
                 due.push(topic.clone());
             }
         }
-        for (to, message) in asks {
-            self.mail.put(Lane::Control, to, For::Publisher, &message);
+        for (to, message) in fetches {
+            self.outbox
+                .enqueue(Lane::Control, to, Recipient::Publisher, &message);
         }
         for topic in due {
-            self.comes(&topic);
+            self.retain_deliveries(&topic);
         }
-        self.pump(now);
+        self.send_due(now);
     }
 
-    /// When it has to be driven next.
+    /// Returns when [`Gateway::turn`] has to be called next.
     pub fn next_turn(&self) -> Time {
-        let holes = self
-            .tracks
+        let gaps = self
+            .trackers
             .values()
-            .map(|(track, _)| track.next_turn())
+            .map(|(tracker, _)| tracker.next_turn())
             .min()
             .unwrap_or(Time::MAX);
         let lists = if self.token.is_some() {
@@ -661,24 +701,24 @@
         } else {
             Time::MAX
         };
-        self.tidy_at
-            .min(holes)
+        self.expiry_check_at
+            .min(gaps)
             .min(lists)
-            .min(self.mail.next(!self.line.is_empty()))
+            .min(self.outbox.next_send(!self.ready.is_empty()))
     }
 
-    /// What is to be sent, and to whom.
+    /// Returns the bodies to send, with their destinations.
     pub fn take_outbox(&mut self) -> Vec<(SocketAddr, Vec<u8>)> {
-        self.mail.take_out()
+        self.outbox.take_bodies()
     }
 }
 
-/// The duty of a zone's gateway.
-pub(crate) fn duty(zone: &str) -> Result<LeaseName, InvalidLeaseName> {
+/// Returns the name of the lease of a zone's gateway.
+pub(crate) fn gateway_lease(zone: &str) -> Result<LeaseName, InvalidLeaseName> {
     LeaseName::new(&format!("gateway/{zone}"))
 }
 
-/// Whether a head says that a body is for this subscriber.
-pub(crate) fn for_me(head: &Head, name: &str) -> bool {
-    matches!(&head.to, For::Subscriber(to) if **to == *name)
+/// Returns whether a body is addressed to this subscriber.
+pub(crate) fn is_for_subscriber(header: &Header, name: &str) -> bool {
+    matches!(&header.to, Recipient::Subscriber(to) if **to == *name)
 }
--- a/fanout/src/lib.rs
+++ b/fanout/src/lib.rs
@@ -1,9 +1,11 @@
-//! Subscriber lists of gateways that heal after a partition, and numbered news, without I/O or clock.
+//! Subscriber lists of gateways that converge after a partition, and delivery of numbered items, without I/O or clock.
 //!
-//! A [`Publisher`] (the owner of a watch) numbers the news of its topics within its token and tells each gateway once. A
-//! [`Gateway`] (the owner of the duty `gateway/ZONE`) holds the list of its zone's subscribers, keeps copies of the other
-//! zones' lists equal by digests and differences, and tells its subscribers. A [`Client`] subscribes, renews, and notices
-//! what it missed. All three are driven alike: bodies and the time go in, bodies and news come out.
+//! A [`Publisher`] (the lease holder of a watch) numbers the items of its topics within its fencing token and sends
+//! each item once to each gateway. A [`Gateway`] (the holder of the lease `gateway/ZONE`) keeps the list of its zone's
+//! subscribers and copies of the other zones' lists, repairs the copies by comparing digests and sending differences,
+//! and delivers items to its subscribers. A [`Client`] subscribes, renews its subscriptions, and detects items that it
+//! missed. All three are driven in the same way: the caller passes received bodies and the time, and takes out bodies
+//! to send and events.
 
 mod client;
 mod fault;
@@ -27,10 +29,10 @@
 pub use topic::{Subscriber, Topic};
 pub use wire::{Entry, MAX_BODY_BYTES, MAX_ITEM_BYTES, State};
 
-/// Milliseconds as the module's spans.
-fn ms(ms: u64) -> plovercove::Micros {
+/// Converts milliseconds to microseconds.
+fn us_from_ms(ms: u64) -> plovercove::Micros {
     ms * 1_000
 }
 
-/// Topics and duties that are remembered of what others tell, at the most: more than a fleet of 120 groups has.
-const DUTIES: usize = 4_096;
+/// Maximum number of topics and leases that are remembered from messages of other routers. 120 groups need fewer.
+const MAX_TRACKED_LEASES: usize = 4_096;
--- a/fanout/src/outbox.rs
+++ b/fanout/src/outbox.rs
@@ -1,60 +1,58 @@
-//! What waits to be sent: within the budget, packed by address, and in turns between its kinds.
+//! Messages waiting to be sent: limited by the send budget, packed into bodies by recipient, in turns between lanes.
 
 use crate::Rules;
-use crate::wire::{self, For, Head, MAX_BODY_BYTES, Message};
+use crate::wire::{self, Header, MAX_BODY_BYTES, Message, Recipient};
 use plovercove::{Micros, Time};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
-/// Messages that wait at the most. Past it the newest is dropped: whoever waited for it asks again.
-const MOST: usize = 8_192;
+/// Maximum number of waiting messages. A message beyond it is dropped; its recipient requests it again.
+const MAX_WAITING_MESSAGES: usize = 8_192;
 
-/// What may be sent by now: both budgets fill up evenly, to a quarter of a second's worth.
+/// Budget of datagrams and bytes that may be sent. Both refill evenly, up to the amount of a quarter of a second.
 #[derive(Debug)]
-pub(crate) struct Pace {
-    /// In millionths of a datagram and of a byte.
+pub(crate) struct SendBudget {
+    /// Available budget, in millionths of a datagram and of a byte.
     datagrams: u64,
     bytes: u64,
-    at: Time,
-    per_s: (u64, u64),
+    refilled_at: Time,
+    datagrams_per_s: u64,
+    bytes_per_s: u64,
 }
 
-impl Pace {
+impl SendBudget {
     pub fn new(rules: &Rules, now: Time) -> Self {
-        let per_s = (
-            u64::from(rules.datagrams_per_s),
-            u64::from(rules.bytes_per_s),
-        );
-        let mut pace = Pace {
+        let mut budget = SendBudget {
             datagrams: 0,
             bytes: 0,
-            at: now,
-            per_s,
+            refilled_at: now,
+            datagrams_per_s: u64::from(rules.datagrams_per_s),
+            bytes_per_s: u64::from(rules.bytes_per_s),
         };
-        pace.fill(now + 1_000_000);
-        pace.at = now;
-        pace
+        budget.refill(now + 1_000_000);
+        budget.refilled_at = now;
+        budget
     }
 
-    /// One of each and a whole body have to fit, whatever the budget.
-    fn most(&self) -> (u64, u64) {
+    /// Returns the maximum of both budgets. However low the rates are, one datagram with a complete body has to fit.
+    fn capacity(&self) -> (u64, u64) {
         (
-            (self.per_s.0 * 250_000).max(1_000_000),
-            (self.per_s.1 * 250_000).max(1_200_000_000),
+            (self.datagrams_per_s * 250_000).max(1_000_000),
+            (self.bytes_per_s * 250_000).max(1_200_000_000),
         )
     }
 
-    fn fill(&mut self, now: Time) {
-        let span = now.saturating_sub(self.at).min(10_000_000);
-        let most = self.most();
-        self.datagrams = (self.datagrams + span * self.per_s.0).min(most.0);
-        self.bytes = (self.bytes + span * self.per_s.1).min(most.1);
-        self.at = self.at.max(now);
+    fn refill(&mut self, now: Time) {
+        let elapsed = now.saturating_sub(self.refilled_at).min(10_000_000);
+        let capacity = self.capacity();
+        self.datagrams = (self.datagrams + elapsed * self.datagrams_per_s).min(capacity.0);
+        self.bytes = (self.bytes + elapsed * self.bytes_per_s).min(capacity.1);
+        self.refilled_at = self.refilled_at.max(now);
     }
 
-    /// Whether a datagram of any length may go.
-    fn may(&mut self, now: Time) -> bool {
-        self.fill(now);
+    /// Returns whether a datagram of any length may be sent.
+    fn may_send(&mut self, now: Time) -> bool {
+        self.refill(now);
         self.datagrams >= 1_000_000 && self.bytes >= MAX_BODY_BYTES as u64 * 1_000_000
     }
 
@@ -63,185 +61,189 @@
         self.bytes = self.bytes.saturating_sub(bytes as u64 * 1_000_000);
     }
 
-    /// When the next may go.
-    fn next(&self) -> Time {
-        let wait = |lacks: u64, per_s: u64| lacks.div_ceil(per_s.max(1));
-        let datagrams = wait(1_000_000u64.saturating_sub(self.datagrams), self.per_s.0);
+    /// Returns when the next datagram may be sent.
+    fn next_send(&self) -> Time {
+        let wait = |missing: u64, per_s: u64| missing.div_ceil(per_s.max(1));
+        let datagrams = wait(
+            1_000_000u64.saturating_sub(self.datagrams),
+            self.datagrams_per_s,
+        );
         let bytes = wait(
             (MAX_BODY_BYTES as u64 * 1_000_000).saturating_sub(self.bytes),
-            self.per_s.1,
+            self.bytes_per_s,
         );
-        self.at + datagrams.max(bytes)
+        self.refilled_at + datagrams.max(bytes)
     }
 }
 
-/// The kinds of messages, each of which gets its turn.
+/// Lanes of messages, which are served in turns.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Lane {
-    /// Answers, changes and requests.
+    /// Renewals, declarations, requests and their answers.
     Control,
-    /// The comparison of lists.
+    /// Messages that compare the lists of gateways.
     Lists,
-    /// News, which the owner of the mail makes when it is their turn.
+    /// Items of topics. The owner of the outbox creates them when the lane's turn comes.
     Items,
 }
 
-type To = (SocketAddr, For);
+type Destination = (SocketAddr, Recipient);
 
 #[derive(Debug, Default)]
 struct Queue {
-    waits: BTreeMap<To, VecDeque<Vec<u8>>>,
-    turns: VecDeque<To>,
+    messages: BTreeMap<Destination, VecDeque<Vec<u8>>>,
+    ready: VecDeque<Destination>,
 }
 
 impl Queue {
-    fn put(&mut self, to: To, message: Vec<u8>) {
-        let waits = self.waits.entry(to.clone()).or_default();
-        if waits.is_empty() {
-            self.turns.push_back(to);
+    fn push(&mut self, to: Destination, message: Vec<u8>) {
+        let messages = self.messages.entry(to.clone()).or_default();
+        if messages.is_empty() {
+            self.ready.push_back(to);
         }
-        waits.push_back(message);
+        messages.push_back(message);
     }
 
-    /// The next body, of as many messages to one address as fit.
-    fn take(
+    /// Returns the next body, with as many messages for one recipient as fit.
+    fn take_body(
         &mut self,
         gateway: &Option<(std::sync::Arc<str>, plovercove_fencing::Token)>,
-    ) -> Option<(To, Vec<u8>, usize)> {
-        let to = self.turns.pop_front()?;
-        let waits = self.waits.get_mut(&to)?;
-        let mut body = wire::head(&Head {
+    ) -> Option<(Destination, Vec<u8>, usize)> {
+        let to = self.ready.pop_front()?;
+        let messages = self.messages.get_mut(&to)?;
+        let mut body = wire::encode_header(&Header {
             to: to.1.clone(),
             gateway: gateway.clone(),
         });
         let mut packed = 0;
-        while let Some(message) = waits.front()
+        while let Some(message) = messages.front()
             && (packed == 0 || body.len() + message.len() <= MAX_BODY_BYTES)
         {
             body.extend_from_slice(message);
-            waits.pop_front();
+            messages.pop_front();
             packed += 1;
         }
-        if waits.is_empty() {
-            self.waits.remove(&to);
+        if messages.is_empty() {
+            self.messages.remove(&to);
         } else {
-            self.turns.push_back(to.clone());
+            self.ready.push_back(to.clone());
         }
         Some((to, body, packed))
     }
 }
 
-/// What waits to be sent, and what was sent.
+/// Messages that wait to be sent, and bodies that are ready to be sent.
 #[derive(Debug)]
-pub(crate) struct Mail {
-    pace: Pace,
+pub(crate) struct Outbox {
+    budget: SendBudget,
     queues: [Queue; 3],
-    waits: usize,
-    turn: usize,
-    out: Vec<(SocketAddr, Vec<u8>)>,
+    waiting: usize,
+    next_lane: usize,
+    bodies: Vec<(SocketAddr, Vec<u8>)>,
     pub dropped: u64,
     pub datagrams: u64,
     pub bytes: u64,
-    /// Bytes of the comparison of lists.
-    pub lists: u64,
+    /// Bytes sent to compare lists.
+    pub list_bytes: u64,
 }
 
-impl Mail {
+impl Outbox {
     pub fn new(rules: &Rules, now: Time) -> Self {
-        Mail {
-            pace: Pace::new(rules, now),
+        Outbox {
+            budget: SendBudget::new(rules, now),
             queues: Default::default(),
-            waits: 0,
-            turn: 0,
-            out: Vec::new(),
+            waiting: 0,
+            next_lane: 0,
+            bodies: Vec::new(),
             dropped: 0,
             datagrams: 0,
             bytes: 0,
-            lists: 0,
+            list_bytes: 0,
         }
     }
 
-    pub fn put(&mut self, lane: Lane, address: SocketAddr, to: For, message: &Message) {
-        if self.waits >= MOST {
+    pub fn enqueue(&mut self, lane: Lane, address: SocketAddr, to: Recipient, message: &Message) {
+        if self.waiting >= MAX_WAITING_MESSAGES {
             self.dropped += 1;
             return;
         }
-        let message = wire::bytes(message);
+        let message = wire::encode_message(message);
         if message.is_empty() {
             return;
         }
-        self.waits += 1;
-        self.queues[lane as usize].put((address, to), message);
+        self.waiting += 1;
+        self.queues[lane as usize].push((address, to), message);
     }
 
-    /// Whether a lane has nothing waiting.
-    pub fn idle(&self, lane: Lane) -> bool {
-        self.queues[lane as usize].turns.is_empty()
+    /// Returns whether no message waits in a lane.
+    pub fn is_lane_empty(&self, lane: Lane) -> bool {
+        self.queues[lane as usize].ready.is_empty()
     }
 
-    /// Whether something waits for an address in a lane.
-    pub fn waits_for(&self, lane: Lane, address: SocketAddr) -> bool {
+    /// Returns whether a message for an address waits in a lane.
+    pub fn has_waiting(&self, lane: Lane, address: SocketAddr) -> bool {
         self.queues[lane as usize]
-            .waits
+            .messages
             .keys()
             .any(|(to, _)| *to == address)
     }
 
-    /// Sends what may go by now; the lanes take turns. `news` puts the next news into their lane, if there are any.
-    pub fn pump(
+    /// Packs the messages that the budget allows into bodies, taking the lanes in turns. `enqueue_items` adds the next
+    /// items to their lane and returns whether there were any.
+    pub fn send_due(
         &mut self,
         now: Time,
         gateway: &Option<(std::sync::Arc<str>, plovercove_fencing::Token)>,
-        mut news: impl FnMut(&mut Mail) -> bool,
+        mut enqueue_items: impl FnMut(&mut Outbox) -> bool,
     ) {
-        while self.pace.may(now) {
-            if self.idle(Lane::Items) && !news(self) && self.waits == 0 {
+        while self.budget.may_send(now) {
+            if self.is_lane_empty(Lane::Items) && !enqueue_items(self) && self.waiting == 0 {
                 return;
             }
             let lanes = self.queues.len();
             let Some(lane) = (0..lanes)
-                .map(|n| (self.turn + n) % lanes)
-                .find(|n| !self.queues[*n].turns.is_empty())
+                .map(|lane| (self.next_lane + lane) % lanes)
+                .find(|lane| !self.queues[*lane].ready.is_empty())
             else {
                 return;
             };
-            self.turn = lane + 1;
-            let Some((to, body, packed)) = self.queues[lane].take(gateway) else {
+            self.next_lane = lane + 1;
+            let Some((to, body, packed)) = self.queues[lane].take_body(gateway) else {
                 return;
             };
-            self.waits -= packed;
-            self.pace.spend(body.len());
+            self.waiting -= packed;
+            self.budget.spend(body.len());
             self.datagrams += 1;
             self.bytes += body.len() as u64;
             if lane == Lane::Lists as usize {
-                self.lists += body.len() as u64;
+                self.list_bytes += body.len() as u64;
             }
-            self.out.push((to.0, body));
+            self.bodies.push((to.0, body));
         }
     }
 
-    /// When more may go, if anything waits.
-    pub fn next(&self, more: bool) -> Time {
-        if self.waits == 0 && !more {
+    /// Returns when the next body may be sent, or `Time::MAX` if nothing waits.
+    pub fn next_send(&self, has_more: bool) -> Time {
+        if self.waiting == 0 && !has_more {
             Time::MAX
         } else {
-            self.pace.next()
+            self.budget.next_send()
         }
     }
 
-    pub fn take_out(&mut self) -> Vec<(SocketAddr, Vec<u8>)> {
-        std::mem::take(&mut self.out)
+    pub fn take_bodies(&mut self) -> Vec<(SocketAddr, Vec<u8>)> {
+        std::mem::take(&mut self.bodies)
     }
 
-    /// Forgets what waits: it was said under a duty that is no longer held.
+    /// Discards the waiting messages, because they were written under a lease that is no longer held.
     pub fn clear(&mut self) {
         self.queues = Default::default();
-        self.waits = 0;
+        self.waiting = 0;
     }
 }
 
-/// A time that is spread: half of a span to the whole of it.
-pub(crate) fn spread(dice: &mut rand_pcg::Pcg64Mcg, span: Micros) -> Micros {
+/// Returns a random duration from half of the given one to all of it.
+pub(crate) fn jittered(rng: &mut rand_pcg::Pcg64Mcg, duration: Micros) -> Micros {
     use rand::RngExt;
-    span / 2 + dice.random_range(0..=span / 2)
+    duration / 2 + rng.random_range(0..=duration / 2)
 }
--- a/fanout/src/publisher.rs
+++ b/fanout/src/publisher.rs
@@ -1,9 +1,10 @@
-//! The owner of a watch: it numbers the news of each topic within its token, and tells each gateway once.
+//! The publisher at the lease holder of a watch: numbers the items of each topic within its token and sends each item
+//! once to each gateway.
 
-use crate::outbox::{Lane, Mail, spread};
-use crate::retained::{Held, Next};
-use crate::wire::{self, For, MAX_BODY_BYTES, MAX_ITEM_BYTES, Message};
-use crate::{DUTIES, Fault, Guard, Rules, Topic};
+use crate::outbox::{Lane, Outbox, jittered};
+use crate::retained::{NextDelivery, RetainedItems};
+use crate::wire::{self, MAX_BODY_BYTES, MAX_ITEM_BYTES, Message, Recipient};
+use crate::{Fault, Guard, MAX_TRACKED_LEASES, Rules, Topic};
 use plovercove::{Micros, Time};
 use plovercove_fencing::{FenceError, LeaseName, Token};
 use rand::SeedableRng;
@@ -11,62 +12,66 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
-/// A gateway that is told.
+/// State of the delivery to one gateway.
 #[derive(Debug, Default)]
-struct Reader {
-    places: BTreeMap<Topic, (Token, u64)>,
+struct GatewayState {
+    /// Token and number of the last item that was sent of each topic.
+    sent: BTreeMap<Topic, (Token, u64)>,
     queued: bool,
-    heads_at: Time,
+    announce_at: Time,
 }
 
-/// Tells the news of the watches that this router owns.
+/// Sends the items of the watches whose leases this router holds.
 #[derive(Debug)]
 pub struct Publisher {
     rules: Rules,
-    held: BTreeMap<Topic, Held>,
-    readers: BTreeMap<SocketAddr, Reader>,
-    line: VecDeque<SocketAddr>,
-    mail: Mail,
-    dice: Pcg64Mcg,
-    refused: Vec<FenceError>,
+    retained: BTreeMap<Topic, RetainedItems>,
+    gateways: BTreeMap<SocketAddr, GatewayState>,
+    /// Queue of gateways for which there may be items to send, served in turns.
+    ready: VecDeque<SocketAddr>,
+    outbox: Outbox,
+    rng: Pcg64Mcg,
+    rejections: Vec<FenceError>,
 }
 
 impl Publisher {
-    /// One that has told nothing.
+    /// Creates a publisher without topics.
     pub fn new(rules: Rules, now: Time, seed: u64) -> Self {
         Publisher {
-            held: BTreeMap::new(),
-            readers: BTreeMap::new(),
-            line: VecDeque::new(),
-            mail: Mail::new(&rules, now),
-            dice: Pcg64Mcg::seed_from_u64(seed),
-            refused: Vec::new(),
+            retained: BTreeMap::new(),
+            gateways: BTreeMap::new(),
+            ready: VecDeque::new(),
+            outbox: Outbox::new(&rules, now),
+            rng: Pcg64Mcg::seed_from_u64(seed),
+            rejections: Vec::new(),
             rules,
         }
     }
 
-    /// The gateways of all zones as the duties have them now.
-    pub fn set_gateways(&mut self, now: Time, list: &[SocketAddr]) {
-        self.readers.retain(|address, _| list.contains(address));
-        for address in list {
-            let heads_at = now + spread(&mut self.dice, crate::ms(self.rules.answer_ms));
-            self.readers.entry(*address).or_insert(Reader {
-                heads_at,
-                ..Reader::default()
+    /// Sets the gateways of all zones as the leases have them now.
+    pub fn set_gateways(&mut self, now: Time, addresses: &[SocketAddr]) {
+        self.gateways
+            .retain(|address, _| addresses.contains(address));
+        for address in addresses {
+            let announce_at =
+                now + jittered(&mut self.rng, crate::us_from_ms(self.rules.answer_ms));
+            self.gateways.entry(*address).or_insert(GatewayState {
+                announce_at,
+                ..GatewayState::default()
             });
         }
-        self.pump(now);
+        self.send_due(now);
     }
 
-    /// Numbers an item and tells it to all gateways; the number is given back. Numbers begin at 1 with each token.
+    /// Numbers an item, sends it to all gateways, and returns its number. The numbers of each token start at 1.
     ///
     /// # Errors
-    /// It is too large, or the duty was granted to another since.
+    /// The item is too large, there are too many topics, or the lease has been granted to another router since.
     pub fn publish(
         &mut self,
         now: Time,
         topic: &Topic,
-        duty: &LeaseName,
+        lease: &LeaseName,
         token: Token,
         item: &[u8],
     ) -> Result<u64, Fault> {
@@ -77,66 +82,67 @@
                 most: MAX_ITEM_BYTES,
             });
         }
-        if self.held.len() >= DUTIES && !self.held.contains_key(topic) {
+        if self.retained.len() >= MAX_TRACKED_LEASES && !self.retained.contains_key(topic) {
             return Err(Fault::Full {
                 what: "topics",
-                most: DUTIES,
+                most: MAX_TRACKED_LEASES,
             });
         }
-        let held = self
-            .held
+        let retained = self
+            .retained
             .entry(topic.clone())
-            .or_insert_with(|| Held::new(duty.clone(), token));
-        if held.token > token && self.rules.is_enabled(Guard::Fence) {
+            .or_insert_with(|| RetainedItems::new(lease.clone(), token));
+        if retained.token > token && self.rules.is_enabled(Guard::Fence) {
             return Err(FenceError::Older {
-                lease: duty.clone(),
+                lease: lease.clone(),
                 token,
-                newest: held.token,
+                newest: retained.token,
             }
             .into());
         }
-        if held.token != token {
-            *held = Held::new(duty.clone(), token);
+        if retained.token != token {
+            *retained = RetainedItems::new(lease.clone(), token);
         }
-        let number = held.head + 1;
-        held.push(&self.rules, topic, number, now, item.into());
-        for (address, reader) in &mut self.readers {
-            // Who was never told anything begins with this item where it is the first.
+        let number = retained.latest + 1;
+        retained.push(&self.rules, topic, number, now, item.into());
+        for (address, gateway) in &mut self.gateways {
+            // The item is the first of its token, so every gateway starts with it and has missed nothing of this token.
             if number == 1 {
-                reader.places.insert(topic.clone(), (token, 0));
+                gateway.sent.insert(topic.clone(), (token, 0));
             }
-            if !reader.queued {
-                reader.queued = true;
-                self.line.push_back(*address);
+            if !gateway.queued {
+                gateway.queued = true;
+                self.ready.push_back(*address);
             }
         }
-        self.pump(now);
+        self.send_due(now);
         Ok(number)
     }
 
-    /// The duty ended here: its topics are another's.
-    pub fn drop_lease(&mut self, duty: &LeaseName) {
-        self.held.retain(|_, held| held.duty != *duty);
+    /// Drops the topics of a lease that this router no longer holds.
+    pub fn drop_lease(&mut self, lease: &LeaseName) {
+        self.retained.retain(|_, retained| retained.lease != *lease);
     }
 
-    /// A newer token that a gateway knows of a duty that was told here; the topics of it are dropped.
+    /// Returns a rejection by a gateway that knows a newer token of a lease. The topics of that lease have been
+    /// dropped.
     pub fn take_rejection(&mut self) -> Option<FenceError> {
-        self.refused.pop()
+        self.rejections.pop()
     }
 
-    /// Takes a body that came.
+    /// Takes a received body.
     ///
     /// # Errors
-    /// It cannot be read.
+    /// The body cannot be decoded.
     pub fn receive(
         &mut self,
         now: Time,
         from: SocketAddr,
         body: &[u8],
-        _late: Micros,
+        _extra_delay: Micros,
     ) -> Result<(), Fault> {
-        let (head, messages) = wire::read(body).ok_or(Fault::Unread { from })?;
-        if head.to != For::Publisher {
+        let (header, messages) = wire::decode_body(body).ok_or(Fault::Unread { from })?;
+        if header.to != Recipient::Publisher {
             return Ok(());
         }
         for message in messages {
@@ -147,63 +153,73 @@
                     after,
                     ..
                 } => {
-                    if let Some(reader) = self.readers.get_mut(&from)
-                        && self.held.contains_key(&topic)
+                    if let Some(gateway) = self.gateways.get_mut(&from)
+                        && self.retained.contains_key(&topic)
                     {
-                        reader.places.insert(topic, (token, after));
-                        if !reader.queued {
-                            reader.queued = true;
-                            self.line.push_back(from);
+                        gateway.sent.insert(topic, (token, after));
+                        if !gateway.queued {
+                            gateway.queued = true;
+                            self.ready.push_back(from);
                         }
                     }
                 }
-                Message::Refused { duty, token } => {
-                    let old = |h: &Held| h.duty == duty && h.token < token;
-                    if let Some(told) = self.held.values().find(|h| old(h)).map(|h| h.token)
+                Message::Rejected { lease, token } => {
+                    let is_older = |retained: &RetainedItems| {
+                        retained.lease == lease && retained.token < token
+                    };
+                    if let Some(used_token) = self
+                        .retained
+                        .values()
+                        .find(|retained| is_older(retained))
+                        .map(|retained| retained.token)
                         && self.rules.is_enabled(Guard::Fence)
                     {
-                        self.refused.push(FenceError::Older {
-                            lease: duty.clone(),
-                            token: told,
+                        self.rejections.push(FenceError::Older {
+                            lease: lease.clone(),
+                            token: used_token,
                             newest: token,
                         });
-                        self.held.retain(|_, held| !old(held));
+                        self.retained.retain(|_, retained| !is_older(retained));
                     }
                 }
                 _ => (),
             }
         }
-        self.pump(now);
+        self.send_due(now);
         Ok(())
     }
 
-    fn pump(&mut self, now: Time) {
-        let (rules, held, readers, line) =
-            (&self.rules, &self.held, &mut self.readers, &mut self.line);
-        self.mail.pump(now, &None, |mail| {
-            while let Some(address) = line.pop_front() {
-                let Some(reader) = readers.get_mut(&address) else {
+    fn send_due(&mut self, now: Time) {
+        let (rules, retained, gateways, ready) = (
+            &self.rules,
+            &self.retained,
+            &mut self.gateways,
+            &mut self.ready,
+        );
+        self.outbox.send_due(now, &None, |outbox| {
+            while let Some(address) = ready.pop_front() {
+                let Some(gateway) = gateways.get_mut(&address) else {
                     continue;
                 };
-                reader.queued = false;
+                gateway.queued = false;
                 let mut bytes = 0;
-                for (topic, held) in held {
+                for (topic, retained) in retained {
                     while bytes < MAX_BODY_BYTES
-                        && let Some((next, place)) =
-                            held.after(rules, topic, now, reader.places.get(topic).copied())
+                        && let Some((next, number)) =
+                            retained.next_after(rules, topic, now, gateway.sent.get(topic).copied())
                     {
                         let message = match next {
-                            Next::Told(told) => Message::Item(told),
-                            Next::Missed(mark) => Message::Missed(mark),
+                            NextDelivery::Item(item) => Message::Item(item),
+                            NextDelivery::Missed(topic_number) => Message::Missed(topic_number),
                         };
-                        bytes += wire::bytes(&message).len();
-                        reader.places.insert(topic.clone(), (held.token, place));
-                        mail.put(Lane::Items, address, For::Gateway, &message);
+                        bytes += wire::encode_message(&message).len();
+                        gateway.sent.insert(topic.clone(), (retained.token, number));
+                        outbox.enqueue(Lane::Items, address, Recipient::Gateway, &message);
                     }
                 }
                 if bytes >= MAX_BODY_BYTES {
-                    reader.queued = true;
-                    line.push_back(address);
+                    gateway.queued = true;
+                    ready.push_back(address);
                 }
                 if bytes > 0 {
                     return true;
@@ -213,40 +229,41 @@
         });
     }
 
-    /// Tells how far the numbers are, where it is due, so that the loss of the last is noticed too.
+    /// Announces the newest number of each topic when it is due, so that the loss of the last item is detected too.
     pub fn turn(&mut self, now: Time) {
-        for (address, reader) in &mut self.readers {
-            if reader.heads_at <= now {
-                reader.heads_at = now + spread(&mut self.dice, crate::ms(self.rules.heads_ms));
-                for (topic, held) in &self.held {
-                    self.mail.put(
+        for (address, gateway) in &mut self.gateways {
+            if gateway.announce_at <= now {
+                gateway.announce_at =
+                    now + jittered(&mut self.rng, crate::us_from_ms(self.rules.heads_ms));
+                for (topic, retained) in &self.retained {
+                    self.outbox.enqueue(
                         Lane::Control,
                         *address,
-                        For::Gateway,
-                        &Message::Heads(held.mark(topic, held.head)),
+                        Recipient::Gateway,
+                        &Message::LatestNumber(retained.topic_number(topic, retained.latest)),
                     );
                 }
-                reader
-                    .places
-                    .retain(|topic, _| self.held.contains_key(topic));
+                gateway
+                    .sent
+                    .retain(|topic, _| self.retained.contains_key(topic));
             }
         }
-        self.pump(now);
+        self.send_due(now);
     }
 
-    /// When it has to be driven next.
+    /// Returns when [`Publisher::turn`] has to be called next.
     pub fn next_turn(&self) -> Time {
-        let heads = self
-            .readers
+        let announcement = self
+            .gateways
             .values()
-            .map(|r| r.heads_at)
+            .map(|gateway| gateway.announce_at)
             .min()
             .unwrap_or(Time::MAX);
-        heads.min(self.mail.next(!self.line.is_empty()))
+        announcement.min(self.outbox.next_send(!self.ready.is_empty()))
     }
 
-    /// What is to be sent, and to whom.
+    /// Returns the bodies to send, with their destinations.
     pub fn take_outbox(&mut self) -> Vec<(SocketAddr, Vec<u8>)> {
-        self.mail.take_out()
+        self.outbox.take_bodies()
     }
 }
--- a/fanout/src/reconciliation.rs
+++ b/fanout/src/reconciliation.rs
@@ -1,12 +1,13 @@
-//! How gateways keep their lists equal: changes at once, and digests of ranges with the differences only.
+//! Reconciliation of the lists of all gateways: changes are sent at once, and comparisons by digests of ranges find the
+//! remaining differences.
 //!
-//! Nothing of a comparison is kept between two messages, so a gateway that dies in the middle leaves nothing to clear up:
-//! the next comparison finds what still differs.
+//! No state of a comparison is kept between two messages. A gateway that dies during a comparison leaves nothing to
+//! clean up: the next comparison finds the remaining differences.
 
 use crate::gateway::Gateway;
-use crate::outbox::{Lane, spread};
-use crate::table::{self, LEVELS, MergeOutcome, Name, PARTS};
-use crate::wire::{Entry, For, Message, State};
+use crate::outbox::{Lane, jittered};
+use crate::table::{self, CHILDREN_PER_RANGE, MergeOutcome, Name, RANGE_LEVELS};
+use crate::wire::{Entry, EntryDigest, Message, Recipient, State, ZoneDigest};
 use crate::{Guard, Rules};
 use plovercove::{Micros, Time};
 use plovercove_fencing::Token;
@@ -14,165 +15,178 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Zones in one message of sums: they fit a body with the longest names.
-const ZONES: usize = 8;
-/// Entries of a leaf that are listed at the most: they fit a body.
-const LISTED: usize = 100;
+/// Maximum number of zones in one message of digests. With the longest names they fit a body.
+const MAX_ZONES_PER_MESSAGE: usize = 8;
+/// Maximum number of entries listed of a leaf. They fit a body.
+const MAX_LEAF_ENTRIES: usize = 100;
 
-/// Another zone's gateway.
+/// The gateway of another zone.
 #[derive(Debug)]
-pub(crate) struct Other {
+pub(crate) struct OtherGateway {
     pub address: SocketAddr,
     compare_at: Time,
-    /// When its copies of the zones were last confirmed, by this gateway's clock.
-    copies: BTreeMap<Name, Time>,
+    /// When each of its copies was last confirmed by that zone's gateway, by this gateway's clock.
+    copies_confirmed_at: BTreeMap<Name, Time>,
 }
 
-/// The other zones' gateways, and that of this zone where it is another router.
+/// The gateways of the other zones, and the gateway of this zone if it is another router.
 #[derive(Debug, Default)]
-pub(crate) struct Others {
-    by_zone: BTreeMap<Name, Other>,
-    /// The gateway of this zone that is in charge now.
+pub(crate) struct OtherGateways {
+    by_zone: BTreeMap<Name, OtherGateway>,
+    /// The current gateway of this zone, if it is another router.
     successor: Option<SocketAddr>,
-    /// What an old owner asks of the one in charge, and the token that it had.
-    asked: Vec<Entry>,
-    pub old: Option<(Name, Token)>,
+    /// Entries that subscribers declared here before this gateway lost its lease; they are proposed to the successor.
+    proposed: Vec<Entry>,
+    /// Zone and token of the lost lease, under which the proposals are sent.
+    pub former_lease: Option<(Name, Token)>,
     round: u32,
 }
 
-impl Others {
-    /// Compares soon with all of them.
-    pub fn begin(&mut self, now: Time, dice: &mut Pcg64Mcg, rules: &Rules) {
+impl OtherGateways {
+    /// Schedules a comparison with each of them soon.
+    pub fn schedule_comparisons(&mut self, now: Time, rng: &mut Pcg64Mcg, rules: &Rules) {
         for other in self.by_zone.values_mut() {
-            other.compare_at = now + spread(dice, crate::ms(rules.answer_ms));
+            other.compare_at = now + jittered(rng, crate::us_from_ms(rules.answer_ms));
         }
     }
 
-    /// When the next comparison is due.
+    /// Returns when the next comparison is due.
     pub fn next_turn(&self) -> Time {
         self.by_zone
             .values()
-            .map(|o| o.compare_at)
+            .map(|other| other.compare_at)
             .min()
             .unwrap_or(Time::MAX)
     }
 }
 
-/// A part of a sum: other bits in each round, so that two that look alike once do not do so for ever.
-fn part(sum: u64, round: u32) -> u32 {
+/// Returns one half of a digest. The halves alternate between rounds, so that a collision in one half hides a
+/// difference for one round only.
+fn digest_half(digest: u64, round: u32) -> u32 {
     if round.is_multiple_of(2) {
-        sum as u32
+        digest as u32
     } else {
-        (sum >> 32) as u32
+        (digest >> 32) as u32
     }
 }
 
 impl Gateway {
-    /// The gateways of the other zones as the duties have them now, and that of this zone where it is another router.
+    /// Sets the gateways of all zones as the leases have them now. The gateway of this zone is noted if it is another
+    /// router.
     pub fn set_gateways(&mut self, now: Time, list: &[(String, SocketAddr, Token)]) {
         self.now = self.now.max(now);
         let mut seen = Vec::new();
         for (zone, address, token) in list {
-            let Ok(duty) = crate::gateway::duty(zone) else {
+            let Ok(lease) = crate::gateway::gateway_lease(zone) else {
                 continue;
             };
-            if self.admit(&duty, *token).is_err() {
+            if self.check_fence(&lease, *token).is_err() {
                 continue;
             }
             if **zone == *self.zone {
-                self.replaced(now, *address, *token);
+                self.note_successor(now, *address, *token);
                 continue;
             }
             let zone: Name = zone.as_str().into();
             seen.push(zone.clone());
-            let compare_at = now + spread(&mut self.dice, crate::ms(self.rules.answer_ms));
-            let fresh = Other {
+            let compare_at = now + jittered(&mut self.rng, crate::us_from_ms(self.rules.answer_ms));
+            let fresh = OtherGateway {
                 address: *address,
                 compare_at,
-                copies: BTreeMap::new(),
+                copies_confirmed_at: BTreeMap::new(),
             };
             let other = self.others.by_zone.entry(zone).or_insert(fresh);
             if other.address != *address {
-                *other = Other {
+                *other = OtherGateway {
                     address: *address,
                     compare_at,
-                    copies: BTreeMap::new(),
+                    copies_confirmed_at: BTreeMap::new(),
                 };
             }
         }
         self.others.by_zone.retain(|zone, _| seen.contains(zone));
-        self.pump(now);
+        self.send_due(now);
     }
 
-    /// This zone has a gateway of that token at that address.
-    fn replaced(&mut self, now: Time, address: SocketAddr, token: Token) {
-        if address != self.me {
+    /// Notes that this zone's gateway is at this address and has this token.
+    fn note_successor(&mut self, now: Time, address: SocketAddr, token: Token) {
+        if address != self.address {
             self.others.successor = Some(address);
             if self.token.is_some_and(|mine| mine < token) && self.rules.is_enabled(Guard::Fence) {
-                self.lose(now);
+                self.lose_lease(now);
             }
-            self.ask_successor();
+            self.propose_to_successor();
         }
     }
 
-    /// What subscribers said to an old owner is asked of the one in charge: it may know better.
-    pub(crate) fn hand_over(&mut self, _now: Time, requests: Vec<Entry>) {
-        self.others.old = self.token.map(|token| (self.zone.clone(), token));
-        self.others.asked = requests;
+    /// Keeps the entries that subscribers declared here, to propose them to the new lease holder, which may know newer
+    /// ones.
+    pub(crate) fn hand_over(&mut self, _now: Time, entries: Vec<Entry>) {
+        self.others.former_lease = self.token.map(|token| (self.zone.clone(), token));
+        self.others.proposed = entries;
     }
 
-    pub(crate) fn ask_successor(&mut self) {
+    pub(crate) fn propose_to_successor(&mut self) {
         if self.token.is_some() {
             return;
         }
         let Some(to) = self.others.successor else {
             return;
         };
-        for entry in std::mem::take(&mut self.others.asked) {
-            self.mail
-                .put(Lane::Control, to, For::Gateway, &Message::Request(entry));
+        for entry in std::mem::take(&mut self.others.proposed) {
+            self.outbox.enqueue(
+                Lane::Control,
+                to,
+                Recipient::Gateway,
+                &Message::ProposedEntry(entry),
+            );
         }
     }
 
-    /// Tells the other gateways what changed here, at once.
-    pub(crate) fn push_changes(&mut self) {
+    /// Sends the entries that changed here to the other gateways at once.
+    pub(crate) fn broadcast_changes(&mut self) {
         let changed = std::mem::take(&mut self.table.changed);
         if self.token.is_none() || changed.is_empty() {
             return;
         }
-        let to: Vec<SocketAddr> = self.others.by_zone.values().map(|o| o.address).collect();
+        let to: Vec<SocketAddr> = self
+            .others
+            .by_zone
+            .values()
+            .map(|other| other.address)
+            .collect();
         for key in changed {
-            let Some(entry) = self.table.kept(key).map(|k| k.entry.clone()) else {
+            let Some(entry) = self.table.stored(key).map(|k| k.entry.clone()) else {
                 continue;
             };
             for to in &to {
-                self.mail.put(
+                self.outbox.enqueue(
                     Lane::Lists,
                     *to,
-                    For::Gateway,
+                    Recipient::Gateway,
                     &Message::Entry(entry.clone()),
                 );
             }
         }
     }
 
-    /// Begins the comparisons that are due. Of two gateways the one whose zone's name is first begins, and not while
-    /// it still sends what the last one found.
-    pub(crate) fn compare(&mut self, now: Time) {
+    /// Starts the comparisons that are due. Of two gateways the one whose zone name sorts first starts, unless
+    /// differences found by the last comparison still wait to be sent.
+    pub(crate) fn start_due_comparisons(&mut self, now: Time) {
         let due: Vec<(Name, SocketAddr)> = self
             .others
             .by_zone
             .iter()
-            .filter(|(_, o)| o.compare_at <= now)
-            .map(|(zone, o)| (zone.clone(), o.address))
+            .filter(|(_, other)| other.compare_at <= now)
+            .map(|(zone, other)| (zone.clone(), other.address))
             .collect();
         for (zone, to) in due {
-            let pause = spread(&mut self.dice, crate::ms(self.rules.compare_ms));
+            let interval = jittered(&mut self.rng, crate::us_from_ms(self.rules.compare_ms));
             if let Some(other) = self.others.by_zone.get_mut(&zone) {
-                other.compare_at = now + pause;
+                other.compare_at = now + interval;
             }
-            let busy = self.mail.waits_for(Lane::Lists, to);
-            if self.zone > zone || busy || !self.rules.is_enabled(Guard::Repair) {
+            let is_sending = self.outbox.has_waiting(Lane::Lists, to);
+            if self.zone > zone || is_sending || !self.rules.is_enabled(Guard::Repair) {
                 continue;
             }
             self.others.round = self.others.round.wrapping_add(1);
@@ -182,31 +196,38 @@
             names.push(self.zone.clone());
             names.sort();
             names.dedup();
-            for names in names.chunks(ZONES) {
-                let zones = names.iter().map(|zone| self.tells_of(now, zone)).collect();
-                self.mail.put(
+            for names in names.chunks(MAX_ZONES_PER_MESSAGE) {
+                let zones = names
+                    .iter()
+                    .map(|zone| self.zone_digest(now, zone))
+                    .collect();
+                self.outbox.enqueue(
                     Lane::Lists,
                     to,
-                    For::Gateway,
-                    &Message::Sums { round, zones },
+                    Recipient::Gateway,
+                    &Message::Digests { round, zones },
                 );
             }
         }
     }
 
-    /// The sum of a zone's list here, and how long ago its gateway confirmed it.
-    fn tells_of(&self, now: Time, zone: &Name) -> (Name, u64, Micros) {
-        let age = now.saturating_sub(self.table.confirmed(now, zone));
-        (zone.clone(), self.table.sum(zone, 0, 0), age)
+    /// Returns the digest of this gateway's list of a zone, and the time since that zone's gateway confirmed it.
+    fn zone_digest(&self, now: Time, zone: &Name) -> ZoneDigest {
+        let age = now.saturating_sub(self.table.confirmed_at(now, zone));
+        ZoneDigest {
+            zone: zone.clone(),
+            digest: self.table.range_digest(zone, 0, 0),
+            age,
+        }
     }
 
-    /// What an old owner took from subscribers: it is asked for, and what is known to be newer stays.
-    pub(crate) fn requests(&mut self, now: Time, messages: Vec<Message>) {
+    /// Takes the entries that a former gateway of this zone proposes, unless newer ones are known.
+    pub(crate) fn apply_proposals(&mut self, now: Time, messages: Vec<Message>) {
         for message in messages {
-            let Message::Request(entry) = message else {
+            let Message::ProposedEntry(entry) = message else {
                 continue;
             };
-            // That it ended by age is the old owner's own judgement.
+            // The expiry is an assumption of the former gateway, not a declaration of the subscriber.
             if entry.state == State::Expired
                 || entry.subscriber.zone != self.zone
                 || self.token.is_none()
@@ -215,293 +236,356 @@
             }
             if self.table.merge(now, &entry) == MergeOutcome::Applied {
                 self.counts.requests += 1;
-                self.table.note(&entry);
+                self.table.mark_changed(&entry);
             }
         }
     }
 
-    /// What another gateway says, whose token passed.
-    pub(crate) fn between(
+    /// Handles messages from another gateway whose token the fence has accepted.
+    pub(crate) fn handle_gateway_messages(
         &mut self,
         now: Time,
         from: SocketAddr,
         zone: &Name,
         messages: Vec<Message>,
-        late: Micros,
+        extra_delay: Micros,
     ) {
         for message in messages {
             match message {
-                Message::Refused { duty, token } if duty == self.duty => {
-                    let newer = self.token.is_some_and(|mine| mine < token);
-                    if newer
-                        && self.admit(&duty, token).is_ok()
+                Message::Rejected { lease, token } if lease == self.lease => {
+                    let is_replaced = self.token.is_some_and(|mine| mine < token);
+                    if is_replaced
+                        && self.check_fence(&lease, token).is_ok()
                         && self.rules.is_enabled(Guard::Fence)
                     {
-                        self.lose(now);
+                        self.lose_lease(now);
                         self.others.successor = Some(from)
                             .filter(|_| *zone == self.zone)
                             .or(self.others.successor);
-                        self.ask_successor();
+                        self.propose_to_successor();
                     }
                 }
-                Message::Refused { duty, token } => {
-                    let _ = self.admit(&duty, token);
+                Message::Rejected { lease, token } => {
+                    let _ = self.check_fence(&lease, token);
                 }
-                Message::Request(_) => self.requests(now, vec![message]),
+                Message::ProposedEntry(_) => self.apply_proposals(now, vec![message]),
                 _ if self.token.is_none() || *zone == self.zone => (),
-                Message::Sums { round, zones } => self.sums(now, from, zone, round, &zones, late),
-                Message::Same { zones } => {
-                    self.told_of(now, zone, &zones, late);
-                    for (name, sum, age) in zones {
-                        self.compare_one(now, &name, sum, age.saturating_add(late));
+                Message::Digests { round, zones } => {
+                    self.handle_digests(now, from, zone, round, &zones, extra_delay)
+                }
+                Message::DigestReply { zones } => {
+                    self.record_copy_ages(now, zone, &zones, extra_delay);
+                    for zone in zones {
+                        let age = zone.age.saturating_add(extra_delay);
+                        self.confirm_if_equal(now, &zone.zone, zone.digest, age);
                     }
                 }
-                Message::Ranges {
+                Message::RangeDigests {
                     zone,
                     round,
                     level,
                     index,
-                    sums,
+                    digests,
                 } => {
-                    self.ranges(from, &zone, round, level, index as usize, &sums);
+                    self.handle_range_digests(from, &zone, round, level, index as usize, &digests);
                 }
-                Message::All { zone, level, index } => {
-                    for entry in self.table.in_range(&zone, level, index as usize) {
-                        self.mail
-                            .put(Lane::Lists, from, For::Gateway, &Message::Entry(entry));
+                Message::FetchRange { zone, level, index } => {
+                    for entry in self
+                        .table
+                        .live_entries_in_range(&zone, level, index as usize)
+                    {
+                        self.outbox.enqueue(
+                            Lane::Lists,
+                            from,
+                            Recipient::Gateway,
+                            &Message::Entry(entry),
+                        );
                     }
                 }
-                Message::Leaf { zone, index, held } => self.leaf(from, &zone, index, &held),
-                Message::Want { index, keys } => {
+                Message::LeafContents {
+                    zone,
+                    index,
+                    entries,
+                } => self.handle_leaf(from, &zone, index, &entries),
+                Message::FetchEntries { index, keys } => {
                     let mut wanted = Vec::new();
-                    for kept in self.table.in_leaf(index as usize % table::LEAVES) {
-                        if keys.contains(&table::ends(kept.key, &kept.entry).0) {
-                            wanted.push(kept.entry.clone());
+                    for stored in self
+                        .table
+                        .entries_in_leaf(index as usize % table::LEAF_COUNT)
+                    {
+                        if keys.contains(&table::entry_digest(stored.key, &stored.entry).key) {
+                            wanted.push(stored.entry.clone());
                         }
                     }
                     for entry in wanted {
-                        self.mail
-                            .put(Lane::Lists, from, For::Gateway, &Message::Entry(entry));
+                        self.outbox.enqueue(
+                            Lane::Lists,
+                            from,
+                            Recipient::Gateway,
+                            &Message::Entry(entry),
+                        );
                     }
                 }
-                Message::Entry(entry) => self.entry(now, from, zone, &entry),
+                Message::Entry(entry) => self.handle_entry(now, from, zone, &entry),
                 _ => (),
             }
         }
     }
 
-    /// Remembers how old another gateway's copies are.
-    fn told_of(&mut self, now: Time, from: &Name, zones: &[(Name, u64, Micros)], late: Micros) {
+    /// Records how old another gateway's copies are.
+    fn record_copy_ages(
+        &mut self,
+        now: Time,
+        from: &Name,
+        zones: &[ZoneDigest],
+        extra_delay: Micros,
+    ) {
         if let Some(other) = self.others.by_zone.get_mut(from) {
-            for (zone, _, age) in zones.iter().take(ZONES) {
-                if other.copies.len() < 8 * ZONES || other.copies.contains_key(zone) {
-                    other
-                        .copies
-                        .insert(zone.clone(), now.saturating_sub(age.saturating_add(late)));
+            for ZoneDigest { zone, age, .. } in zones.iter().take(MAX_ZONES_PER_MESSAGE) {
+                if other.copies_confirmed_at.len() < 8 * MAX_ZONES_PER_MESSAGE
+                    || other.copies_confirmed_at.contains_key(zone)
+                {
+                    other.copies_confirmed_at.insert(
+                        zone.clone(),
+                        now.saturating_sub(age.saturating_add(extra_delay)),
+                    );
                 }
             }
         }
     }
 
-    /// Whether a zone's list is the same here; then it is as fresh as the fresher of the two.
-    fn compare_one(&mut self, now: Time, zone: &Name, sum: u64, age: Micros) -> bool {
-        let same = self.table.sum(zone, 0, 0) == sum;
-        if same && *zone != self.zone {
+    /// Returns whether the local list of a zone has this digest. If it has, the local copy is at least as fresh as the
+    /// other one.
+    fn confirm_if_equal(&mut self, now: Time, zone: &Name, digest: u64, age: Micros) -> bool {
+        let is_equal = self.table.range_digest(zone, 0, 0) == digest;
+        if is_equal && *zone != self.zone {
             self.table.confirm_copy(zone, now.saturating_sub(age));
         }
-        same
+        is_equal
     }
 
-    fn sums(
+    fn handle_digests(
         &mut self,
         now: Time,
         from: SocketAddr,
         other: &Name,
         round: u32,
-        zones: &[(Name, u64, Micros)],
-        late: Micros,
+        zones: &[ZoneDigest],
+        extra_delay: Micros,
     ) {
-        self.told_of(now, other, zones, late);
-        let busy = self.mail.waits_for(Lane::Lists, from);
-        let mut same = Vec::new();
-        let mut differ: Vec<Name> = Vec::new();
-        for (zone, sum, age) in zones {
-            if self.compare_one(now, zone, *sum, age.saturating_add(late)) {
-                same.push(self.tells_of(now, zone));
+        self.record_copy_ages(now, other, zones, extra_delay);
+        let is_sending = self.outbox.has_waiting(Lane::Lists, from);
+        let mut equal = Vec::new();
+        let mut different: Vec<Name> = Vec::new();
+        for ZoneDigest { zone, digest, age } in zones {
+            if self.confirm_if_equal(now, zone, *digest, age.saturating_add(extra_delay)) {
+                equal.push(self.zone_digest(now, zone));
             } else {
-                differ.push(zone.clone());
+                different.push(zone.clone());
             }
         }
-        // A zone that the other has never heard of.
-        let new = self
+        // Zones that the other gateway did not list because it does not know them.
+        let unlisted = self
             .table
             .zones()
-            .filter(|z| !zones.iter().any(|(told, ..)| told == *z));
-        differ.extend(
-            new.filter(|z| !self.others.by_zone.contains_key(*z) && zones.len() < ZONES)
+            .filter(|z| !zones.iter().any(|listed| listed.zone == **z));
+        different.extend(
+            unlisted
+                .filter(|z| {
+                    !self.others.by_zone.contains_key(*z) && zones.len() < MAX_ZONES_PER_MESSAGE
+                })
                 .cloned(),
         );
-        if !same.is_empty() {
-            self.mail.put(
+        if !equal.is_empty() {
+            self.outbox.enqueue(
                 Lane::Lists,
                 from,
-                For::Gateway,
-                &Message::Same { zones: same },
+                Recipient::Gateway,
+                &Message::DigestReply { zones: equal },
             );
         }
-        if busy || !self.rules.is_enabled(Guard::Repair) {
+        if is_sending || !self.rules.is_enabled(Guard::Repair) {
             return;
         }
-        // How old the copies here are goes before their entries.
-        let ages = differ
+        // The ages of the local copies have to arrive before their entries.
+        let ages = different
             .iter()
-            .map(|zone| self.tells_of(now, zone))
+            .map(|zone| self.zone_digest(now, zone))
             .collect::<Vec<_>>();
-        for ages in ages.chunks(ZONES) {
-            self.mail.put(
+        for ages in ages.chunks(MAX_ZONES_PER_MESSAGE) {
+            self.outbox.enqueue(
                 Lane::Lists,
                 from,
-                For::Gateway,
-                &Message::Same {
+                Recipient::Gateway,
+                &Message::DigestReply {
                     zones: ages.to_vec(),
                 },
             );
         }
-        for zone in differ {
-            self.send_ranges(from, &zone, round, 0, 0);
+        for zone in different {
+            self.send_range_digests(from, &zone, round, 0, 0);
         }
     }
 
-    fn send_ranges(&mut self, to: SocketAddr, zone: &Name, round: u32, level: u8, index: usize) {
-        let sum = |n: usize| part(self.table.sum(zone, level + 1, index * PARTS + n), round);
-        let sums = std::array::from_fn(sum);
-        let message = Message::Ranges {
+    fn send_range_digests(
+        &mut self,
+        to: SocketAddr,
+        zone: &Name,
+        round: u32,
+        level: u8,
+        index: usize,
+    ) {
+        let child_digest = |child: usize| {
+            digest_half(
+                self.table
+                    .range_digest(zone, level + 1, index * CHILDREN_PER_RANGE + child),
+                round,
+            )
+        };
+        let digests = std::array::from_fn(child_digest);
+        let message = Message::RangeDigests {
             zone: zone.clone(),
             round,
             level,
             index: index as u16,
-            sums,
+            digests,
         };
-        self.mail.put(Lane::Lists, to, For::Gateway, &message);
+        self.outbox
+            .enqueue(Lane::Lists, to, Recipient::Gateway, &message);
     }
 
-    fn ranges(
+    fn handle_range_digests(
         &mut self,
         from: SocketAddr,
         zone: &Name,
         round: u32,
         level: u8,
         index: usize,
-        sums: &[u32; PARTS],
+        digests: &[u32; CHILDREN_PER_RANGE],
     ) {
-        if level >= LEVELS || index >= PARTS.pow(u32::from(level)) {
+        if level >= RANGE_LEVELS || index >= CHILDREN_PER_RANGE.pow(u32::from(level)) {
             return;
         }
-        for (n, theirs) in sums.iter().enumerate() {
-            let child = index * PARTS + n;
-            let mine = self.table.sum(zone, level + 1, child);
-            if part(mine, round) == *theirs {
+        for (n, theirs) in digests.iter().enumerate() {
+            let child = index * CHILDREN_PER_RANGE + n;
+            let mine = self.table.range_digest(zone, level + 1, child);
+            if digest_half(mine, round) == *theirs {
                 continue;
             }
             if mine == 0 {
-                let all = Message::All {
+                let fetch = Message::FetchRange {
                     zone: zone.clone(),
                     level: level + 1,
                     index: child as u16,
                 };
-                self.mail.put(Lane::Lists, from, For::Gateway, &all);
+                self.outbox
+                    .enqueue(Lane::Lists, from, Recipient::Gateway, &fetch);
             }
-            // What the other has may have ended here: leaves tell.
-            if level + 1 < LEVELS {
+            // An empty subrange here may consist of ended entries; the comparison of the leaves finds them.
+            if level + 1 < RANGE_LEVELS {
                 if mine != 0 {
-                    self.send_ranges(from, zone, round, level + 1, child);
+                    self.send_range_digests(from, zone, round, level + 1, child);
                 }
                 continue;
             }
             if mine != 0 {
-                let held = self
+                let entries = self
                     .table
-                    .in_leaf(child)
+                    .entries_in_leaf(child)
                     .filter(|k| k.entry.state == State::Live && k.entry.subscriber.zone == *zone);
-                let held = held
-                    .take(LISTED)
-                    .map(|k| table::ends(k.key, &k.entry))
+                let entries = entries
+                    .take(MAX_LEAF_ENTRIES)
+                    .map(|k| table::entry_digest(k.key, &k.entry))
                     .collect();
-                let message = Message::Leaf {
+                let message = Message::LeafContents {
                     zone: zone.clone(),
                     index: child as u16,
-                    held,
+                    entries,
                 };
-                self.mail.put(Lane::Lists, from, For::Gateway, &message);
+                self.outbox
+                    .enqueue(Lane::Lists, from, Recipient::Gateway, &message);
             }
         }
     }
 
-    fn leaf(&mut self, from: SocketAddr, zone: &Name, index: u16, held: &[([u8; 4], [u8; 4])]) {
+    fn handle_leaf(&mut self, from: SocketAddr, zone: &Name, index: u16, listed: &[EntryDigest]) {
         let (mut send, mut known) = (Vec::new(), Vec::new());
-        for kept in self.table.in_leaf(index as usize % table::LEAVES) {
-            let (key, sum) = table::ends(kept.key, &kept.entry);
-            let listed = held.iter().find(|(theirs, _)| *theirs == key);
-            let counts = kept.entry.state == State::Live && kept.entry.subscriber.zone == *zone;
-            known.push(key);
-            match listed {
-                Some((_, theirs)) if counts && *theirs == sum => (),
-                // It ended here, or is in another zone, or is of another number.
-                Some(_) => send.push(kept.entry.clone()),
-                None if counts => send.push(kept.entry.clone()),
+        for stored in self
+            .table
+            .entries_in_leaf(index as usize % table::LEAF_COUNT)
+        {
+            let digest = table::entry_digest(stored.key, &stored.entry);
+            let theirs = listed.iter().find(|theirs| theirs.key == digest.key);
+            let is_listable =
+                stored.entry.state == State::Live && stored.entry.subscriber.zone == *zone;
+            known.push(digest.key);
+            match theirs {
+                Some(theirs) if is_listable && theirs.content == digest.content => (),
+                // The entry ended here, or is in another zone, or has another counter or address.
+                Some(_) => send.push(stored.entry.clone()),
+                None if is_listable => send.push(stored.entry.clone()),
                 None => (),
             }
         }
-        let keys: Vec<_> = held
+        let keys: Vec<_> = listed
             .iter()
-            .map(|(key, _)| *key)
+            .map(|entry| entry.key)
             .filter(|key| !known.contains(key))
             .collect();
         if !keys.is_empty() {
-            self.mail.put(
+            self.outbox.enqueue(
                 Lane::Lists,
                 from,
-                For::Gateway,
-                &Message::Want { index, keys },
+                Recipient::Gateway,
+                &Message::FetchEntries { index, keys },
             );
         }
         for entry in send {
-            self.mail
-                .put(Lane::Lists, from, For::Gateway, &Message::Entry(entry));
+            self.outbox.enqueue(
+                Lane::Lists,
+                from,
+                Recipient::Gateway,
+                &Message::Entry(entry),
+            );
         }
     }
 
-    fn entry(&mut self, now: Time, from: SocketAddr, other: &Name, entry: &Entry) {
+    fn handle_entry(&mut self, now: Time, from: SocketAddr, other: &Name, entry: &Entry) {
         let zone = &entry.subscriber.zone;
-        // From its own gateway it is fresh; another's copy is as fresh as that told.
-        let fresh = if zone == other {
+        // An entry from its own zone's gateway is fresh. An entry from a copy is as fresh as that gateway reported its
+        // copy to be.
+        let confirmed_at = if zone == other {
             Some(now)
         } else {
             self.others
                 .by_zone
                 .get(other)
-                .and_then(|o| o.copies.get(zone))
+                .and_then(|other| other.copies_confirmed_at.get(zone))
                 .copied()
         };
-        let oldest = now.saturating_sub(crate::ms(self.rules.forget_ms));
-        let stale = entry.state == State::Live && fresh.is_none_or(|at| at < oldest);
-        if stale && self.rules.is_enabled(Guard::Away) {
+        let oldest = now.saturating_sub(crate::us_from_ms(self.rules.forget_ms));
+        let is_stale = entry.state == State::Live && confirmed_at.is_none_or(|at| at < oldest);
+        if is_stale && self.rules.is_enabled(Guard::Away) {
             return;
         }
         match self.table.merge(now, entry) {
             MergeOutcome::Applied => {
                 self.counts.taken += 1;
                 if *zone != self.zone
-                    && let Some(at) = fresh
+                    && let Some(at) = confirmed_at
                 {
-                    self.table.taint(zone, at);
+                    self.table.limit_freshness(zone, at);
                 }
             }
-            MergeOutcome::Stale(mine) => {
-                self.mail
-                    .put(Lane::Lists, from, For::Gateway, &Message::Entry(mine));
+            MergeOutcome::Stale(newer) => {
+                self.outbox.enqueue(
+                    Lane::Lists,
+                    from,
+                    Recipient::Gateway,
+                    &Message::Entry(newer),
+                );
             }
-            MergeOutcome::Contested(to, name) => self.ask_anew(now, to, name),
+            MergeOutcome::Contested(to, name) => self.request_declaration(now, to, name),
             MergeOutcome::Unchanged | MergeOutcome::Full => (),
         }
     }
--- a/fanout/src/retained.rs
+++ b/fanout/src/retained.rs
@@ -1,121 +1,156 @@
-//! The news that a sender holds of each topic: the newest few, by number within a token.
+//! Items that a sender retains of each topic for retransmission: the newest few, by number within a token.
 
-use crate::wire::{Mark, Told};
+use crate::wire::{Item, TopicNumber};
 use crate::{Guard, Rules, Topic};
 use plovercove::{Micros, Time};
 use plovercove_fencing::{LeaseName, Token};
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// What is held of one topic.
+/// A retained item.
 #[derive(Debug, Clone)]
-pub(crate) struct Held {
-    pub duty: LeaseName,
+struct RetainedItem {
+    number: u64,
+    made_at: Time,
+    body: Arc<[u8]>,
+}
+
+/// The retained items of one topic.
+#[derive(Debug, Clone)]
+pub(crate) struct RetainedItems {
+    pub lease: LeaseName,
     pub token: Token,
-    /// The newest number; 0 before the first.
-    pub head: u64,
-    /// Up to this number nothing can be had.
-    pub gone: u64,
-    /// The newest, oldest first: the number, when it was made by this side's clock, and what it says.
-    items: VecDeque<(u64, Time, Arc<[u8]>)>,
+    /// The newest number; 0 before the first item.
+    pub latest: u64,
+    /// Items up to this number are no longer available.
+    pub lost_through: u64,
+    /// The newest items, oldest first.
+    items: VecDeque<RetainedItem>,
 }
 
-/// What a subscriber is to be told next.
-pub(crate) enum Next {
-    Told(Told),
-    Missed(Mark),
+/// What a receiver is sent next.
+pub(crate) enum NextDelivery {
+    Item(Item),
+    Missed(TopicNumber),
 }
 
-impl Held {
-    pub fn new(duty: LeaseName, token: Token) -> Self {
-        Held {
-            duty,
+impl RetainedItems {
+    pub fn new(lease: LeaseName, token: Token) -> Self {
+        RetainedItems {
+            lease,
             token,
-            head: 0,
-            gone: 0,
+            latest: 0,
+            lost_through: 0,
             items: VecDeque::new(),
         }
     }
 
-    /// Takes the next one in order.
-    pub fn push(&mut self, rules: &Rules, topic: &Topic, number: u64, made: Time, body: Arc<[u8]>) {
-        self.head = self.head.max(number);
-        self.items.push_back((number, made, body));
-        let most = if topic.collapses() && rules.is_enabled(Guard::Collapse) {
+    /// Adds the next item in order.
+    pub fn push(
+        &mut self,
+        rules: &Rules,
+        topic: &Topic,
+        number: u64,
+        made_at: Time,
+        body: Arc<[u8]>,
+    ) {
+        self.latest = self.latest.max(number);
+        self.items.push_back(RetainedItem {
+            number,
+            made_at,
+            body,
+        });
+        let capacity = if topic.collapses() && rules.is_enabled(Guard::Collapse) {
             1
         } else {
             rules.retained_items.max(1)
         };
-        while self.items.len() > most && rules.is_enabled(Guard::Queue) {
-            if let Some((number, ..)) = self.items.pop_front() {
-                self.gone = self.gone.max(number);
+        while self.items.len() > capacity && rules.is_enabled(Guard::Queue) {
+            if let Some(oldest) = self.items.pop_front() {
+                self.lost_through = self.lost_through.max(oldest.number);
             }
         }
     }
 
-    /// Up to this number nothing can be had any more.
-    pub fn lose(&mut self, through: u64) {
-        self.head = self.head.max(through);
-        self.gone = self.gone.max(through);
-        self.items.retain(|(number, ..)| *number > through);
+    /// Marks all items up to this number as unavailable.
+    pub fn discard_through(&mut self, through: u64) {
+        self.latest = self.latest.max(through);
+        self.lost_through = self.lost_through.max(through);
+        self.items.retain(|item| item.number > through);
     }
 
     pub fn len(&self) -> usize {
         self.items.len()
     }
 
-    pub fn mark(&self, topic: &Topic, number: u64) -> Mark {
-        Mark {
+    pub fn topic_number(&self, topic: &Topic, number: u64) -> TopicNumber {
+        TopicNumber {
             topic: topic.clone(),
-            duty: self.duty.clone(),
+            lease: self.lease.clone(),
             token: self.token,
             number,
         }
     }
 
-    fn told(&self, topic: &Topic, now: Time, item: &(u64, Time, Arc<[u8]>)) -> Told {
-        let age: Micros = now.saturating_sub(item.1);
-        let (duty, token) = (self.duty.clone(), self.token);
-        Told {
+    fn make_item(&self, topic: &Topic, now: Time, item: &RetainedItem) -> Item {
+        let age: Micros = now.saturating_sub(item.made_at);
+        let (lease, token) = (self.lease.clone(), self.token);
+        Item {
             topic: topic.clone(),
-            duty,
+            lease,
             token,
-            number: item.0,
+            number: item.number,
             age,
-            body: item.2.clone(),
+            body: item.body.clone(),
         }
     }
 
-    /// What comes after a place, and the place then: one that nobody told anything has none.
-    pub fn after(
+    /// Returns what follows the last item that the receiver has, and the number that the receiver is at afterwards.
+    /// `received` is `None` for a receiver that was never sent anything.
+    pub fn next_after(
         &self,
         rules: &Rules,
         topic: &Topic,
         now: Time,
-        place: Option<(Token, u64)>,
-    ) -> Option<(Next, u64)> {
-        let at = place
+        received: Option<(Token, u64)>,
+    ) -> Option<(NextDelivery, u64)> {
+        let after = received
             .filter(|(token, _)| *token == self.token)
             .map(|(_, number)| number);
-        if at.is_some_and(|at| at >= self.head) {
+        if after.is_some_and(|after| after >= self.latest) {
             return None;
         }
         if topic.collapses() && rules.is_enabled(Guard::Collapse) {
             let newest = self.items.back()?;
-            return (at.is_none_or(|at| newest.0 > at))
-                .then(|| (Next::Told(self.told(topic, now, newest)), self.head));
+            return (after.is_none_or(|after| newest.number > after)).then(|| {
+                (
+                    NextDelivery::Item(self.make_item(topic, now, newest)),
+                    self.latest,
+                )
+            });
         }
-        // Who is new begins at the newest: what was before it has to be asked for elsewhere. Who knows an older token
-        // begins with this one's first.
-        let at = match (at, place) {
-            (Some(at), _) => at,
+        // A new receiver starts at the newest number and has to get the earlier state elsewhere. A receiver that knows
+        // an older token starts at the first number of this token.
+        let after = match (after, received) {
+            (Some(after), _) => after,
             (None, Some(_)) => 0,
-            (None, None) => return Some((Next::Missed(self.mark(topic, self.head)), self.head)),
+            (None, None) => {
+                return Some((
+                    NextDelivery::Missed(self.topic_number(topic, self.latest)),
+                    self.latest,
+                ));
+            }
         };
-        if at < self.gone {
-            return Some((Next::Missed(self.mark(topic, self.gone)), self.gone));
+        if after < self.lost_through {
+            return Some((
+                NextDelivery::Missed(self.topic_number(topic, self.lost_through)),
+                self.lost_through,
+            ));
         }
-        let item = self.items.iter().find(|(number, ..)| *number > at)?;
-        Some((Next::Told(self.told(topic, now, item)), item.0))
+        let item = self.items.iter().find(|item| item.number > after)?;
+        Some((
+            NextDelivery::Item(self.make_item(topic, now, item)),
+            item.number,
+        ))
     }
 }
--- a/fanout/src/rules.rs
+++ b/fanout/src/rules.rs
@@ -1,39 +1,39 @@
-//! What operators set of fanout, and the bounds that follow from it.
+//! Settings of the subscription lists and of delivery, and the bounds that follow from them.
 
 use crate::Fault;
 use plovercove::Micros;
 use serde::{Deserialize, Serialize};
 
-/// A guard that tests can switch off, to see that the check against it catches that.
+/// A safeguard that tests can switch off, to show that a check notices the failure that the safeguard prevents.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Guard {
-    /// What an older token sends is refused.
+    /// Messages with an older fencing token are rejected.
     Fence,
-    /// Who left is remembered for as long as an old copy can come.
+    /// An ended subscription is remembered for as long as an old copy of it can arrive.
     Tombstone,
-    /// The subscriber's own counter decides, not what came last.
+    /// The subscriber's own counter decides which of two entries is newer, not the order of arrival.
     Order,
-    /// Who does not renew ends.
+    /// A subscription that is not renewed ends.
     Expiry,
-    /// A hole in the numbers is fetched or told.
+    /// A gap in the numbers is fetched, or reported as missed.
     Gap,
-    /// Positions collapse to the newest.
+    /// Of positions only the newest is kept.
     Collapse,
-    /// What is held for slow subscribers is bounded.
+    /// The number of items retained for slow subscribers is bounded.
     Queue,
-    /// Renewals are spread.
+    /// Renewals are spread over time.
     Jitter,
-    /// Lists are compared and differences sent.
+    /// Gateways compare their lists and send the differences.
     Repair,
-    /// A copy that its zone has not confirmed for long is thrown away.
+    /// A copy of a list is discarded if its zone's gateway has not confirmed it for long.
     Away,
-    /// A subscriber tells a gateway that it left for another.
+    /// A subscriber notifies a gateway that it has moved to another one.
     Moved,
 }
 
 impl Guard {
-    /// All of them, for tests that take each away.
+    /// All guards, for tests that switch off each one.
     pub const ALL: [Guard; 11] = [
         Guard::Fence,
         Guard::Tombstone,
@@ -48,7 +48,7 @@
         Guard::Moved,
     ];
 
-    /// The guard of this name, as scripts write it.
+    /// Returns the guard of this name, as written in `PLOVERCOVE_WITHOUT`.
     pub fn from_name(name: &str) -> Option<Guard> {
         use serde::de::IntoDeserializer;
         let name: serde::de::value::StrDeserializer<'_, serde::de::value::Error> =
@@ -57,41 +57,43 @@
     }
 }
 
-/// The settings of fanout.
+/// Settings of the subscription lists and of delivery.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Rules {
-    /// A subscriber renews at least so often (ms). A gateway of many makes it longer, see [`Rules::renewal_interval`].
+    /// Interval between renewals of a subscriber (ms). A gateway with many subscribers makes it longer, see
+    /// [`Rules::renewal_interval`].
     pub renew_ms: u64,
-    /// An answer that takes longer is asked for again (ms), after twice the time at each further try.
+    /// Time after which an unanswered request is repeated (ms). A subscriber doubles it at each further attempt of a
+    /// renewal.
     pub answer_ms: u64,
-    /// Between two comparisons of lists with one other gateway (ms).
+    /// Interval between comparisons of the lists with one other gateway (ms).
     pub compare_ms: u64,
-    /// A copy of another zone's list is thrown away where its gateway has not confirmed it for so long (ms).
+    /// Time after which a copy of another zone's list is discarded, if that zone's gateway has not confirmed it (ms).
     pub forget_ms: u64,
-    /// Between two tellings of a publisher how far its numbers are (ms).
+    /// Interval at which a publisher announces its newest numbers (ms).
     pub heads_ms: u64,
-    /// A hole in the numbers that is not filled for so long is told as missed (ms).
+    /// Time after which a gap in the numbers that was not filled is reported as missed (ms).
     pub gap_ms: u64,
-    /// News held of each topic for those who missed some, and for slow subscribers.
+    /// Number of items retained of each topic for retransmission and for slow subscribers.
     #[serde(rename = "held")]
     pub retained_items: usize,
-    /// Topics of one subscriber at the most.
+    /// Maximum number of topics of one subscriber.
     pub topics: usize,
-    /// Subscriptions of all zones at the most; who left counts while it is remembered.
+    /// Maximum number of subscriptions of all zones. Ended subscriptions count while they are remembered.
     pub subscriptions: usize,
-    /// Datagrams a second that a gateway, a publisher or a subscriber sends at the most.
+    /// Maximum number of datagrams per second that a gateway, a publisher or a subscriber sends.
     pub datagrams_per_s: u32,
-    /// Bytes a second that a gateway, a publisher or a subscriber sends at the most.
+    /// Maximum number of bytes per second that a gateway, a publisher or a subscriber sends.
     pub bytes_per_s: u32,
-    /// Tests only: the guard that is off.
+    /// The guard that is switched off. Only for tests.
     #[cfg(feature = "mutations")]
     #[serde(skip)]
     pub disabled_guard: Option<Guard>,
 }
 
 impl Default for Rules {
-    /// Three zones with answers well under 100 ms, within the budget of `peers`.
+    /// Defaults for three zones with round trips well under 100 ms. They fit the budget of the `peers` block.
     fn default() -> Self {
         Rules {
             renew_ms: 10_000,
@@ -112,67 +114,73 @@
 }
 
 impl Rules {
-    /// Whether a guard is on. It is, but in tests that take it away.
+    /// Returns whether a guard is on. Only tests switch one off.
     #[cfg(feature = "mutations")]
     pub(crate) fn is_enabled(&self, guard: Guard) -> bool {
         self.disabled_guard != Some(guard)
     }
 
-    /// Whether a guard is on. It is, but in tests that take it away.
+    /// Returns whether a guard is on. Only tests switch one off.
     #[cfg(not(feature = "mutations"))]
     pub(crate) fn is_enabled(&self, _: Guard) -> bool {
         true
     }
 
-    /// Between two renewals of one of so many subscribers of a gateway (us): the answers take a third of its datagrams.
+    /// Returns the interval between renewals of one subscriber (us) for a gateway with this many subscribers. At this
+    /// interval the answers take at most a third of the gateway's datagrams.
     pub fn renewal_interval(&self, subscribers: usize) -> Micros {
-        let spread = 3 * subscribers as u64 * 1_000_000 / u64::from(self.datagrams_per_s.max(1));
-        crate::ms(self.renew_ms).max(spread)
+        let interval = 3 * subscribers as u64 * 1_000_000 / u64::from(self.datagrams_per_s.max(1));
+        crate::us_from_ms(self.renew_ms).max(interval)
     }
 
-    /// Who has not renewed for so long is gone (us): three renewals in a row were lost, and the last was tried again.
+    /// Returns the time after which a subscriber that has not renewed is removed (us). It allows for three lost renewals
+    /// in a row, and for repetitions of the last one.
     pub fn subscriber_lease(&self, subscribers: usize) -> Micros {
-        3 * self.renewal_interval(subscribers) + crate::ms(4 * self.answer_ms)
+        3 * self.renewal_interval(subscribers) + crate::us_from_ms(4 * self.answer_ms)
     }
 
-    /// Who left is remembered for so long (us): an old copy is thrown away before, at whichever gateway it lies.
+    /// Returns how long an ended subscription is remembered (us). Every gateway discards an unconfirmed copy earlier
+    /// than that, so that no old copy can revive the subscription.
     pub fn tombstone_retention(&self) -> Micros {
-        crate::ms(self.forget_ms + 10 * self.compare_ms)
+        crate::us_from_ms(self.forget_ms + 10 * self.compare_ms)
     }
 
-    /// How long after a heal the lists are equal at all gateways (us), where this many subscriptions differ: two
-    /// comparisons with each other gateway, of which one may be lost, six ways there and back, and the bytes. Each
-    /// difference costs [`MAX_DIFFERENCE_BYTES`] bytes at the most, on each of the links that a gateway has.
+    /// Returns the time after the end of a partition within which the lists of all gateways are equal (us), if this
+    /// many subscriptions differ. It consists of two comparisons with each other gateway, one of which may be lost, of
+    /// six round trips, and of the transmission of at most [`MAX_DIFFERENCE_BYTES`] per difference on each link of a
+    /// gateway.
     pub fn convergence_bound(&self, differences: usize, gateways: usize) -> Micros {
         let links = gateways.saturating_sub(1).max(1) as u64;
         let bytes = (differences as u64 * MAX_DIFFERENCE_BYTES + 4_000) * links;
-        let send = bytes * 1_000_000 / u64::from(self.bytes_per_s.max(1));
-        crate::ms(4 * self.compare_ms) + send + WAYS
+        let transmission = bytes * 1_000_000 / u64::from(self.bytes_per_s.max(1));
+        crate::us_from_ms(4 * self.compare_ms) + transmission + ROUND_TRIPS_US
     }
 
-    /// The greatest age at which a subscriber that can reach its gateway believes the newest of a topic without being told
-    /// that it missed (us): the publisher's next telling of its numbers, the subscriber's next renewal, the tries of both.
+    /// Returns the maximum time for which a subscriber that reaches its gateway takes an outdated item for the newest
+    /// without being notified that it missed one (us): until the publisher's next announcement and the subscriber's
+    /// next renewal, with the repetitions of both.
     pub fn staleness_bound(&self, subscribers: usize) -> Micros {
-        crate::ms(2 * self.heads_ms + 2 * self.gap_ms + 4 * self.answer_ms)
+        crate::us_from_ms(2 * self.heads_ms + 2 * self.gap_ms + 4 * self.answer_ms)
             + 2 * self.renewal_interval(subscribers)
     }
 
-    /// For how long after a move two gateways may tell one subscriber (us): until the new one has told the old one, or the
-    /// subscriber has; where neither gets through, until it has not renewed there for a lease.
+    /// Returns the maximum time after a move during which two gateways deliver to one subscriber (us): until the new
+    /// gateway or the subscriber has notified the old one. If neither reaches it (`reached` is false), the old gateway
+    /// delivers until the subscriber's lease there ends.
     pub fn duplicate_delivery_bound(&self, subscribers: usize, reached: bool) -> Micros {
         if reached {
-            crate::ms(3 * self.answer_ms + self.compare_ms)
+            crate::us_from_ms(3 * self.answer_ms + self.compare_ms)
         } else {
-            self.subscriber_lease(subscribers) + TIDY
+            self.subscriber_lease(subscribers) + EXPIRY_CHECK_INTERVAL_US
         }
     }
 
-    /// Checks what cannot be meant.
+    /// Checks the ranges of the settings.
     ///
     /// # Errors
-    /// Names the key at fault.
+    /// Returns the key that is out of range.
     pub fn check(&self) -> Result<(), Fault> {
-        let within = |key: &'static str, value: u64, least: u64, most: u64| {
+        let check_range = |key: &'static str, value: u64, least: u64, most: u64| {
             if (least..=most).contains(&value) {
                 Ok(())
             } else {
@@ -184,28 +192,29 @@
                 })
             }
         };
-        within("renew_ms", self.renew_ms, 100, 600_000)?;
-        within("answer_ms", self.answer_ms, 10, self.renew_ms)?;
-        within("compare_ms", self.compare_ms, 50, 60_000)?;
-        // A copy has to outlive every list that is merely slow to be compared.
-        within(
+        check_range("renew_ms", self.renew_ms, 100, 600_000)?;
+        check_range("answer_ms", self.answer_ms, 10, self.renew_ms)?;
+        check_range("compare_ms", self.compare_ms, 50, 60_000)?;
+        // A copy has to be kept for longer than any delay of the comparisons, or lists would be discarded while their
+        // zones can still be reached.
+        check_range(
             "forget_ms",
             self.forget_ms,
             60 * self.compare_ms.min(60_000),
             86_400_000,
         )?;
-        within("heads_ms", self.heads_ms, 50, 60_000)?;
-        within("gap_ms", self.gap_ms, self.answer_ms, 600_000)?;
-        within("held", self.retained_items as u64, 1, 10_000)?;
-        within("topics", self.topics as u64, 1, 10_000)?;
-        within("subscriptions", self.subscriptions as u64, 1, 1_000_000)?;
-        within(
+        check_range("heads_ms", self.heads_ms, 50, 60_000)?;
+        check_range("gap_ms", self.gap_ms, self.answer_ms, 600_000)?;
+        check_range("held", self.retained_items as u64, 1, 10_000)?;
+        check_range("topics", self.topics as u64, 1, 10_000)?;
+        check_range("subscriptions", self.subscriptions as u64, 1, 1_000_000)?;
+        check_range(
             "datagrams_per_s",
             u64::from(self.datagrams_per_s),
             4,
             100_000,
         )?;
-        within(
+        check_range(
             "bytes_per_s",
             u64::from(self.bytes_per_s),
             2_400,
@@ -214,10 +223,11 @@
     }
 }
 
-/// Between two looks at what has ended by age (us).
-pub(crate) const TIDY: Micros = 250_000;
-/// The ways there and back of one comparison, from the sums of all to the differing entries (us), 200 ms each.
-const WAYS: Micros = 6 * 200_000;
-/// What one differing subscription costs at the most (bytes): sums of 16 ranges on three levels, the list of its leaf, and
-/// its entry on both sides.
+/// Interval between checks for expired subscriptions (us).
+pub(crate) const EXPIRY_CHECK_INTERVAL_US: Micros = 250_000;
+/// Duration of the six round trips of a comparison, from the digests of all lists to the differing entries, at 200 ms
+/// each (us).
+const ROUND_TRIPS_US: Micros = 6 * 200_000;
+/// Maximum cost of one differing subscription (bytes): digests of 16 ranges on three levels, the digests of its leaf,
+/// and its entry in both directions.
 pub const MAX_DIFFERENCE_BYTES: u64 = 600;
--- a/fanout/src/sequence_tracker.rs
+++ b/fanout/src/sequence_tracker.rs
@@ -1,239 +1,283 @@
-//! What a receiver knows of one topic's numbers: holes are seen, fetched, and told where they cannot be filled.
+//! Tracks the numbers of one topic at a receiver: detects gaps, requests the missing items, and reports as missed what
+//! does not arrive.
 
-use crate::wire::{Mark, Told};
+use crate::wire::{Item, TopicNumber};
 use crate::{Guard, Rules, Topic};
 use plovercove::{Micros, Time};
 use plovercove_fencing::{LeaseName, Token};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// News that came before the ones they follow, at the most.
-const AHEAD: usize = 64;
+/// Maximum number of items that are buffered while an earlier one is missing.
+const MAX_ITEMS_AHEAD: usize = 64;
 
-/// What comes out, in order.
+/// What the tracker delivers, in the order of the numbers.
 #[derive(Debug, Clone, PartialEq)]
-pub(crate) enum Comes {
+pub(crate) enum Delivery {
     Item {
-        duty: LeaseName,
+        lease: LeaseName,
         token: Token,
         number: u64,
-        made: Time,
+        made_at: Time,
         body: Arc<[u8]>,
     },
-    /// Up to this number it was missed.
+    /// The items up to this number were missed.
     Missed {
-        duty: LeaseName,
+        lease: LeaseName,
         token: Token,
         through: u64,
     },
 }
 
+/// A gap in the numbers.
+#[derive(Debug, Clone, Copy)]
+struct Gap {
+    since: Time,
+    /// When the missing items are requested next.
+    fetch_at: Time,
+}
+
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Track {
-    /// The token and number of the last that came out.
+pub(crate) struct SequenceTracker {
+    /// Token and number of the last item delivered or reported as missed.
     pub last: Option<(Token, u64)>,
-    /// The last that came out before its receiver left the topic: nothing up to there comes out again.
-    heard_before: Option<(Token, u64)>,
-    duty: Option<LeaseName>,
+    /// Last item delivered before the receiver left the topic; nothing up to it is delivered again.
+    delivered_before_leaving: Option<(Token, u64)>,
+    lease: Option<LeaseName>,
     ahead: BTreeMap<u64, (Time, Arc<[u8]>)>,
     /// The newest number that is known to exist.
-    known: u64,
-    /// Whether the newest says all: then nothing is skipped, the newest is asked for until it comes.
+    latest_known: u64,
+    /// Whether the newest item replaces all earlier ones. Then a gap is never skipped: the newest item is requested
+    /// until it arrives.
     collapses: bool,
-    /// Since when there is a hole, and when it is asked for next.
-    hole: Option<(Time, Time)>,
-    out: Vec<Comes>,
+    /// The gap after `last`, if there is one.
+    gap: Option<Gap>,
+    deliveries: Vec<Delivery>,
 }
 
-impl Track {
-    /// One of a topic that was left when this had come out.
-    pub fn after(heard_before: Option<(Token, u64)>) -> Self {
-        Track {
-            heard_before,
-            ..Track::default()
+impl SequenceTracker {
+    /// Creates a tracker for a topic that its receiver left after this item and subscribes to again.
+    pub fn resume_after(delivered_before_leaving: Option<(Token, u64)>) -> Self {
+        SequenceTracker {
+            delivered_before_leaving,
+            ..SequenceTracker::default()
         }
     }
 
-    /// The last that ever came out, also before the topic was left.
-    pub fn last_heard(&self) -> Option<(Token, u64)> {
-        self.last.max(self.heard_before)
+    /// Returns the last item ever delivered, including those before the receiver left the topic.
+    pub fn last_delivered(&self) -> Option<(Token, u64)> {
+        self.last.max(self.delivered_before_leaving)
     }
 
-    /// What came out since.
-    pub fn take(&mut self) -> Vec<Comes> {
-        std::mem::take(&mut self.out)
+    /// Returns the deliveries since the last call.
+    pub fn take_deliveries(&mut self) -> Vec<Delivery> {
+        std::mem::take(&mut self.deliveries)
     }
 
-    fn number(&self) -> u64 {
+    fn last_number(&self) -> u64 {
         self.last.map_or(0, |(_, number)| number)
     }
 
-    /// Begins with another token's numbers, or with the first.
-    fn turn_to(&mut self, rules: &Rules, topic: &Topic, duty: &LeaseName, token: Token, at: u64) {
-        let at = match self.heard_before {
-            Some((heard, number)) if heard == token => at.max(number),
-            _ => at,
+    /// Switches to the numbers of another token, or starts with the first one.
+    fn switch_to(
+        &mut self,
+        rules: &Rules,
+        topic: &Topic,
+        lease: &LeaseName,
+        token: Token,
+        start: u64,
+    ) {
+        let start = match self.delivered_before_leaving {
+            Some((delivered_token, number)) if delivered_token == token => start.max(number),
+            _ => start,
         };
         self.ahead.clear();
-        self.hole = None;
-        self.known = at;
-        self.duty = Some(duty.clone());
+        self.gap = None;
+        self.latest_known = start;
+        self.lease = Some(lease.clone());
         self.collapses = topic.collapses();
-        self.last = Some((token, at));
-        // Nobody can say how far the other numbers went, so what led here is to be asked for elsewhere.
+        self.last = Some((token, start));
+        // How far the earlier numbering went is unknown, so the receiver has to get the earlier state elsewhere.
         if !topic.collapses() && rules.is_enabled(Guard::Gap) {
-            self.out.push(Comes::Missed {
-                duty: duty.clone(),
+            self.deliveries.push(Delivery::Missed {
+                lease: lease.clone(),
                 token,
-                through: at,
+                through: start,
             });
         }
     }
 
-    /// Whether this token's numbers count: not an older one's.
-    fn follows(&self, rules: &Rules, token: Token) -> bool {
-        self.last_heard()
+    /// Returns whether the numbers of this token count, that is, whether the token is not older than the last one.
+    fn is_current(&self, rules: &Rules, token: Token) -> bool {
+        self.last_delivered()
             .is_none_or(|(last, _)| token >= last || !rules.is_enabled(Guard::Fence))
     }
 
-    pub fn item(&mut self, rules: &Rules, now: Time, told: &Told, late: Micros) {
-        if !self.follows(rules, told.token) || told.number == 0 {
+    pub fn receive_item(&mut self, rules: &Rules, now: Time, item: &Item, extra_delay: Micros) {
+        if !self.is_current(rules, item.token) || item.number == 0 {
             return;
         }
-        if self.last.is_none_or(|(last, _)| last != told.token) {
-            let at = if told.topic.collapses() {
+        if self.last.is_none_or(|(last, _)| last != item.token) {
+            let start = if item.topic.collapses() {
                 0
             } else {
-                told.number - 1
+                item.number - 1
             };
-            self.turn_to(rules, &told.topic, &told.duty, told.token, at);
+            self.switch_to(rules, &item.topic, &item.lease, item.token, start);
         }
-        self.known = self.known.max(told.number);
-        let made = now.saturating_sub(told.age.saturating_add(late));
-        if told.number <= self.number() {
+        self.latest_known = self.latest_known.max(item.number);
+        let made_at = now.saturating_sub(item.age.saturating_add(extra_delay));
+        if item.number <= self.last_number() {
             return;
         }
-        let whole = told.topic.collapses() || !rules.is_enabled(Guard::Gap);
-        if whole || told.number == self.number() + 1 {
-            self.emit(told.number, made, told.body.clone());
-            self.drain();
+        let deliver_at_once = item.topic.collapses() || !rules.is_enabled(Guard::Gap);
+        if deliver_at_once || item.number == self.last_number() + 1 {
+            self.deliver(item.number, made_at, item.body.clone());
+            self.deliver_ahead();
         } else {
-            self.ahead.insert(told.number, (made, told.body.clone()));
-            if self.ahead.len() > AHEAD {
-                self.give_up();
+            self.ahead.insert(item.number, (made_at, item.body.clone()));
+            if self.ahead.len() > MAX_ITEMS_AHEAD {
+                self.give_up_gap();
             }
         }
-        self.look(now);
+        self.update_gap(now);
     }
 
-    /// Up to this number nothing is to be had.
-    pub fn missed(&mut self, rules: &Rules, now: Time, mark: &Mark) {
-        if !self.follows(rules, mark.token) {
+    /// Takes a notice that the items up to this number are no longer available.
+    pub fn receive_missed(&mut self, rules: &Rules, now: Time, topic_number: &TopicNumber) {
+        if !self.is_current(rules, topic_number.token) {
             return;
         }
-        if self.last.is_none_or(|(last, _)| last != mark.token) {
-            self.turn_to(rules, &mark.topic, &mark.duty, mark.token, mark.number);
-        } else if mark.number > self.number() {
-            self.skip(mark.number);
+        if self.last.is_none_or(|(last, _)| last != topic_number.token) {
+            self.switch_to(
+                rules,
+                &topic_number.topic,
+                &topic_number.lease,
+                topic_number.token,
+                topic_number.number,
+            );
+        } else if topic_number.number > self.last_number() {
+            self.skip_through(topic_number.number);
         }
-        self.known = self.known.max(mark.number);
-        self.drain();
-        self.look(now);
+        self.latest_known = self.latest_known.max(topic_number.number);
+        self.deliver_ahead();
+        self.update_gap(now);
     }
 
-    /// The sender is at this number.
-    pub fn head(&mut self, rules: &Rules, now: Time, mark: &Mark) {
-        if !self.follows(rules, mark.token) || !rules.is_enabled(Guard::Gap) {
+    /// Takes an announcement of the sender's newest number.
+    pub fn receive_latest_number(&mut self, rules: &Rules, now: Time, topic_number: &TopicNumber) {
+        if !self.is_current(rules, topic_number.token) || !rules.is_enabled(Guard::Gap) {
             return;
         }
-        if self.last.is_none_or(|(last, _)| last != mark.token) {
-            let at = if mark.topic.collapses() {
+        if self.last.is_none_or(|(last, _)| last != topic_number.token) {
+            let start = if topic_number.topic.collapses() {
                 0
             } else {
-                mark.number
+                topic_number.number
             };
-            self.turn_to(rules, &mark.topic, &mark.duty, mark.token, at);
+            self.switch_to(
+                rules,
+                &topic_number.topic,
+                &topic_number.lease,
+                topic_number.token,
+                start,
+            );
         }
-        self.known = self.known.max(mark.number);
-        self.look(now);
+        self.latest_known = self.latest_known.max(topic_number.number);
+        self.update_gap(now);
     }
 
-    /// What to fetch now, if there is a hole: the token, and after which number. Asked again after `again`.
-    pub fn fetch(&mut self, rules: &Rules, now: Time, again: Micros) -> Option<(Token, u64)> {
-        let (since, next) = self.hole?;
-        if now >= since + crate::ms(rules.gap_ms) {
-            self.give_up();
-            self.hole = self.hole.map(|_| (now, next));
-            self.look(now);
+    /// Returns the token and number after which items are to be requested now, if there is a gap. The request is
+    /// repeated after `retry_after`.
+    pub fn next_fetch(
+        &mut self,
+        rules: &Rules,
+        now: Time,
+        retry_after: Micros,
+    ) -> Option<(Token, u64)> {
+        let Gap { since, fetch_at } = self.gap?;
+        if now >= since + crate::us_from_ms(rules.gap_ms) {
+            self.give_up_gap();
+            self.gap = self.gap.map(|_| Gap {
+                since: now,
+                fetch_at,
+            });
+            self.update_gap(now);
         }
-        let (_, next) = self.hole?;
-        if now < next {
+        let Gap { fetch_at, .. } = self.gap?;
+        if now < fetch_at {
             return None;
         }
-        self.hole = self.hole.map(|(since, _)| (since, now + again));
+        self.gap = self.gap.map(|gap| Gap {
+            fetch_at: now + retry_after,
+            ..gap
+        });
         self.last
     }
 
-    /// When it has to be looked at next.
+    /// Returns when [`SequenceTracker::next_fetch`] has to be called next.
     pub fn next_turn(&self) -> Time {
-        self.hole.map_or(Time::MAX, |(_, next)| next)
+        self.gap.map_or(Time::MAX, |gap| gap.fetch_at)
     }
 
-    fn look(&mut self, now: Time) {
-        let hole = self.known > self.number();
-        if !hole {
-            self.hole = None;
-        } else if self.hole.is_none() {
-            self.hole = Some((now, now));
+    fn update_gap(&mut self, now: Time) {
+        let has_gap = self.latest_known > self.last_number();
+        if !has_gap {
+            self.gap = None;
+        } else if self.gap.is_none() {
+            self.gap = Some(Gap {
+                since: now,
+                fetch_at: now,
+            });
         }
     }
 
-    fn emit(&mut self, number: u64, made: Time, body: Arc<[u8]>) {
-        let (Some((token, _)), Some(duty)) = (self.last, self.duty.clone()) else {
+    fn deliver(&mut self, number: u64, made_at: Time, body: Arc<[u8]>) {
+        let (Some((token, _)), Some(lease)) = (self.last, self.lease.clone()) else {
             return;
         };
         self.last = Some((token, number));
-        self.out.push(Comes::Item {
-            duty,
+        self.deliveries.push(Delivery::Item {
+            lease,
             token,
             number,
-            made,
+            made_at,
             body,
         });
     }
 
-    fn skip(&mut self, through: u64) {
-        let (Some((token, _)), Some(duty)) = (self.last, self.duty.clone()) else {
+    fn skip_through(&mut self, through: u64) {
+        let (Some((token, _)), Some(lease)) = (self.last, self.lease.clone()) else {
             return;
         };
         self.last = Some((token, through));
         self.ahead.retain(|number, _| *number > through);
-        self.out.push(Comes::Missed {
-            duty,
+        self.deliveries.push(Delivery::Missed {
+            lease,
             token,
             through,
         });
     }
 
-    fn drain(&mut self) {
-        let before = self.number();
-        while let Some((made, body)) = self.ahead.remove(&(self.number() + 1)) {
-            self.emit(self.number() + 1, made, body);
+    fn deliver_ahead(&mut self) {
+        let before = self.last_number();
+        while let Some((made_at, body)) = self.ahead.remove(&(self.last_number() + 1)) {
+            self.deliver(self.last_number() + 1, made_at, body);
         }
-        if self.number() > before {
-            self.hole = None;
+        if self.last_number() > before {
+            self.gap = None;
         }
     }
 
-    /// The hole will not be filled in time: says so, and goes on after it. Positions are asked for all the same, since
-    /// the newest is all that counts.
-    fn give_up(&mut self) {
+    /// Reports a gap that was not filled in time as missed, and continues after it. A position is requested further,
+    /// because only the newest one counts.
+    fn give_up_gap(&mut self) {
         if self.collapses {
-            if let (Some((token, _)), Some(duty)) = (self.last, self.duty.clone()) {
-                self.out.push(Comes::Missed {
-                    duty,
+            if let (Some((token, _)), Some(lease)) = (self.last, self.lease.clone()) {
+                self.deliveries.push(Delivery::Missed {
+                    lease,
                     token,
-                    through: self.known,
+                    through: self.latest_known,
                 });
             }
             return;
@@ -242,8 +286,8 @@
             .ahead
             .keys()
             .next()
-            .map_or(self.known, |first| first - 1);
-        self.skip(through);
-        self.drain();
+            .map_or(self.latest_known, |first| first - 1);
+        self.skip_through(through);
+        self.deliver_ahead();
     }
 }
