--- a/fanout/src/table.rs
+++ b/fanout/src/table.rs
@@ -1,7 +1,7 @@
-//! Who subscribed to what, at all zones' gateways: the subscriber's own number decides between two words about one
-//! subscription, so that gateways need not agree on anything to come to the same list.
+//! The subscriptions of all zones, as one gateway knows them. The subscriber's own counter decides which of two entries
+//! of a subscription is newer, so gateways come to the same list without any agreement among them.
 
-use crate::wire::{self, Entry, State};
+use crate::wire::{self, Entry, EntryDigest, State};
 use crate::{Guard, Rules, Subscriber, Topic};
 use plovercove::{Micros, Time};
 use std::collections::{BTreeMap, BTreeSet};
@@ -9,123 +9,127 @@
 use std::ops::Bound;
 use std::sync::Arc;
 
-/// Parts of a range, levels of ranges, and leaves at the bottom: at 10,000 subscriptions a leaf has two or three.
-pub(crate) const PARTS: usize = 16;
-pub(crate) const LEVELS: u8 = 3;
-pub(crate) const LEAVES: usize = 4_096;
+/// Subranges of a range, levels of ranges, and leaves at the lowest level. With 10,000 subscriptions, a leaf has two or
+/// three entries.
+pub(crate) const CHILDREN_PER_RANGE: usize = 16;
+pub(crate) const RANGE_LEVELS: u8 = 3;
+pub(crate) const LEAF_COUNT: usize = 4_096;
 
-/// Zones at the most: the sums of each take 32 kB, and whoever makes names up must not fill the memory.
-const ZONES: usize = 64;
+/// Maximum number of zones. The digests of one zone take 32 kB, so a sender that invents zone names must not be able to
+/// fill the memory.
+const MAX_ZONES: usize = 64;
 
-/// The name of a zone, or of a subscriber.
+/// Name of a zone or of a subscriber.
 pub(crate) type Name = Arc<str>;
 
-/// What is kept beside an entry, at this gateway alone.
+/// An entry, with what only this gateway knows about it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(crate) struct Kept {
+pub(crate) struct StoredEntry {
     pub entry: Entry,
     pub key: u64,
-    /// When it ended, as learnt here.
-    since: Time,
-    /// The news of its topic that the subscriber was told last.
-    pub place: Option<(plovercove_fencing::Token, u64)>,
+    /// When this gateway stored the entry's current state.
+    changed_at: Time,
+    /// The last item of the topic that was sent to the subscriber.
+    pub delivered: Option<(plovercove_fencing::Token, u64)>,
 }
 
-/// A subscriber, with all that it subscribed to.
+/// A subscriber with all its entries.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub(crate) struct Person {
-    pub topics: BTreeMap<Topic, Kept>,
-    /// When it was last known to want to be told: by its own word, or by another gateway's.
-    pub renewed: Time,
-    /// It renewed here itself.
-    pub own_word: bool,
-    /// Up to this number of this life it said that another gateway tells it.
+pub(crate) struct SubscriberRecord {
+    pub topics: BTreeMap<Topic, StoredEntry>,
+    /// When the subscriber last renewed here, or when another gateway's copy of one of its entries was stored.
+    pub renewed_at: Time,
+    /// Whether the subscriber itself renewed at this gateway.
+    pub renewed_here: bool,
+    /// Incarnation and counter up to which the subscriber reported that another gateway serves it.
     pub moved: (u64, u64),
-    /// It waits in line to be told.
+    /// Whether the subscriber waits in the queue for delivery.
     pub queued: bool,
 }
 
-/// What became of an entry that another gateway told.
+/// Result of merging an entry from another gateway.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MergeOutcome {
-    /// It was newer and taken.
+    /// The entry was newer and was stored.
     Applied,
-    /// Both are alike.
+    /// The entry was known already, or an ended one was ignored.
     Unchanged,
-    /// What is known here is newer; this is it.
+    /// The known entry, which is returned, is newer.
     Stale(Entry),
-    /// Another gateway ended by age who renewed here: its subscriber has to say it anew.
+    /// The other gateway ended a subscription whose subscriber renewed here. The subscriber with this address and name
+    /// has to declare it again.
     Contested(SocketAddr, Arc<str>),
-    /// There are too many.
+    /// The table has no room for the entry.
     Full,
 }
 
-/// What a subscriber says of a range of topics.
+/// A subscriber's declaration of its subscriptions within a range of topics.
 #[derive(Clone, Debug)]
 pub struct Declaration<'a> {
-    /// Who says it, with its gateway's zone.
+    /// The subscriber, with the zone of the gateway that received the declaration.
     pub subscriber: &'a Subscriber,
-    /// Its number.
+    /// The subscriber's counter.
     pub counter: u64,
-    /// The first topic of the range, if it has one.
-    pub from: Option<&'a Topic>,
-    /// The last topic of the range, if it has one.
-    pub through: Option<&'a Topic>,
-    /// What it holds of the range.
+    /// The first topic of the range; `None` if the range has no lower end.
+    pub first: Option<&'a Topic>,
+    /// The last topic of the range; `None` if the range has no upper end.
+    pub last: Option<&'a Topic>,
+    /// All topics in the range that the subscriber subscribes to.
     pub topics: &'a [Topic],
 }
 
-/// The list of one gateway: its own zone's, and copies of the others'.
+/// Subscription list of one gateway: its own zone's subscribers, and copies of the other zones' lists.
 #[derive(Clone, Debug)]
 pub struct SubscriptionTable {
     rules: Rules,
     zone: Name,
-    pub(crate) people: BTreeMap<Name, Person>,
+    pub(crate) subscribers: BTreeMap<Name, SubscriberRecord>,
     keys: BTreeMap<u64, (Name, Topic)>,
     /// Subscribers of this zone, by topic.
     pub(crate) listeners: BTreeMap<Topic, BTreeSet<Name>>,
-    /// Sums over what holds, by zone and leaf.
-    leaves: BTreeMap<Name, Vec<u64>>,
-    /// When each zone's gateway last confirmed the copy of its list here.
-    confirmed: BTreeMap<Name, Time>,
-    /// Keys that changed here by the subscriber's word or by age, to be told to the other gateways.
+    /// Digests of the live entries, by zone and leaf.
+    leaf_digests: BTreeMap<Name, Vec<u64>>,
+    /// When each zone's gateway last confirmed this copy of its list.
+    confirmed_at: BTreeMap<Name, Time>,
+    /// Keys of the entries that were changed here by a declaration or by expiry and have to be sent to the other
+    /// gateways.
     pub(crate) changed: BTreeSet<u64>,
 }
 
 impl PartialEq for SubscriptionTable {
     fn eq(&self, other: &Self) -> bool {
-        (&self.zone, &self.people, &self.confirmed)
-            == (&other.zone, &other.people, &other.confirmed)
+        (&self.zone, &self.subscribers, &self.confirmed_at)
+            == (&other.zone, &other.subscribers, &other.confirmed_at)
     }
 }
 
 impl Eq for SubscriptionTable {}
 
-/// For model checks: the rest follows from these.
+/// Only for the model checker. The other fields follow from these.
 impl std::hash::Hash for SubscriptionTable {
-    fn hash<H: std::hash::Hasher>(&self, to: &mut H) {
-        (&self.zone, &self.people, &self.confirmed).hash(to);
+    fn hash<H: std::hash::Hasher>(&self, state: &mut H) {
+        (&self.zone, &self.subscribers, &self.confirmed_at).hash(state);
     }
 }
 
-fn key(name: &str, topic: &Topic) -> u64 {
-    wire::hash(&[name.as_bytes(), topic.name().as_bytes()])
+fn entry_key(name: &str, topic: &Topic) -> u64 {
+    wire::hash_parts(&[name.as_bytes(), topic.name().as_bytes()])
 }
 
-pub(crate) fn leaf(key: u64) -> usize {
+pub(crate) fn leaf_of_key(key: u64) -> usize {
     (key >> 52) as usize
 }
 
-/// What tells an entry of a leaf from the others, and its state from another one.
-pub(crate) fn ends(key: u64, entry: &Entry) -> ([u8; 4], [u8; 4]) {
-    (
-        (key as u32).to_le_bytes(),
-        (sum(key, entry) as u32).to_le_bytes(),
-    )
+/// Returns what distinguishes an entry from the others of its leaf, and from other states of itself.
+pub(crate) fn entry_digest(key: u64, entry: &Entry) -> EntryDigest {
+    EntryDigest {
+        key: (key as u32).to_le_bytes(),
+        content: (full_entry_digest(key, entry) as u32).to_le_bytes(),
+    }
 }
 
-fn sum(key: u64, entry: &Entry) -> u64 {
-    wire::hash(&[
+fn full_entry_digest(key: u64, entry: &Entry) -> u64 {
+    wire::hash_parts(&[
         &key.to_le_bytes(),
         &entry.boot.to_le_bytes(),
         &entry.counter.to_le_bytes(),
@@ -134,38 +138,38 @@
 }
 
 impl SubscriptionTable {
-    /// An empty one at the gateway of a zone.
+    /// Creates an empty table for the gateway of a zone.
     pub fn new(rules: Rules, zone: &str) -> Self {
         SubscriptionTable {
             rules,
             zone: zone.into(),
-            people: BTreeMap::new(),
+            subscribers: BTreeMap::new(),
             keys: BTreeMap::new(),
             listeners: BTreeMap::new(),
-            leaves: BTreeMap::new(),
-            confirmed: BTreeMap::new(),
+            leaf_digests: BTreeMap::new(),
+            confirmed_at: BTreeMap::new(),
             changed: BTreeSet::new(),
         }
     }
 
-    /// Subscriptions that are remembered, those that ended too.
+    /// Returns the number of remembered subscriptions, including ended ones.
     pub fn len(&self) -> usize {
         self.keys.len()
     }
 
-    /// Whether there are none.
+    /// Returns whether no subscription is remembered.
     pub fn is_empty(&self) -> bool {
         self.keys.is_empty()
     }
 
-    /// What holds, of all zones.
+    /// Returns the live entries of all zones.
     pub fn live_entries(&self) -> impl Iterator<Item = &Entry> {
         self.entries().filter(|e| e.state == State::Live)
     }
 
-    /// All that is remembered.
+    /// Returns all remembered entries.
     pub fn entries(&self) -> impl Iterator<Item = &Entry> {
-        self.people
+        self.subscribers
             .values()
             .flat_map(|p| p.topics.values())
             .map(|k| &k.entry)
@@ -175,161 +179,168 @@
         &self.zone
     }
 
-    /// What this zone's subscribers said here themselves: that they hold something, or that they left.
-    pub(crate) fn own_words(&self) -> Vec<Entry> {
-        let people = self.people.values().filter(|p| p.own_word);
-        let entries = people.flat_map(|p| p.topics.values()).map(|k| &k.entry);
+    /// Returns the entries that this zone's subscribers declared here themselves: live ones, and those that they ended.
+    pub(crate) fn locally_renewed_entries(&self) -> Vec<Entry> {
+        let subscribers = self.subscribers.values().filter(|p| p.renewed_here);
+        let entries = subscribers
+            .flat_map(|p| p.topics.values())
+            .map(|k| &k.entry);
         entries
             .filter(|e| e.subscriber.zone == self.zone && e.state != State::Expired)
             .cloned()
             .collect()
     }
 
-    /// The other gateways are to be told of it.
-    pub(crate) fn note(&mut self, entry: &Entry) {
+    /// Marks an entry to be sent to the other gateways.
+    pub(crate) fn mark_changed(&mut self, entry: &Entry) {
         self.changed
-            .insert(key(&entry.subscriber.name, &entry.topic));
+            .insert(entry_key(&entry.subscriber.name, &entry.topic));
     }
 
-    /// Subscribers that this zone's gateway tells.
+    /// Returns the number of subscribers that this gateway serves.
     pub fn own_subscriber_count(&self) -> usize {
-        self.people
+        self.subscribers
             .values()
-            .filter(|p| p.topics.values().any(|k| self.own(&k.entry)))
+            .filter(|p| p.topics.values().any(|k| self.is_local(&k.entry)))
             .count()
     }
 
-    /// Whether this gateway tells it.
-    pub(crate) fn own(&self, entry: &Entry) -> bool {
+    /// Returns whether this gateway serves the subscription.
+    pub(crate) fn is_local(&self, entry: &Entry) -> bool {
         entry.state == State::Live && entry.subscriber.zone == self.zone
     }
 
-    pub(crate) fn kept(&self, key: u64) -> Option<&Kept> {
+    pub(crate) fn stored(&self, key: u64) -> Option<&StoredEntry> {
         let (name, topic) = self.keys.get(&key)?;
-        self.people.get(name)?.topics.get(topic)
+        self.subscribers.get(name)?.topics.get(topic)
     }
 
-    /// What is remembered of a leaf, of all zones and also what ended.
-    pub(crate) fn in_leaf(&self, leaf: usize) -> impl Iterator<Item = &Kept> {
+    /// Returns all remembered entries of a leaf: of all zones, and ended ones too.
+    pub(crate) fn entries_in_leaf(&self, leaf: usize) -> impl Iterator<Item = &StoredEntry> {
         let first = (leaf as u64) << 52;
         let last = first | ((1 << 52) - 1);
         self.keys
             .range(first..=last)
-            .filter_map(|(key, _)| self.kept(*key))
+            .filter_map(|(key, _)| self.stored(*key))
     }
 
-    /// What holds of a zone's list in a range.
-    pub(crate) fn in_range(&self, zone: &str, level: u8, index: usize) -> Vec<Entry> {
-        let wide = LEAVES >> (4 * level.min(LEVELS));
-        let leaves = index * wide..((index + 1) * wide).min(LEAVES);
-        let holds = |k: &&Kept| k.entry.state == State::Live && *k.entry.subscriber.zone == *zone;
+    /// Returns the live entries of a zone within a range.
+    pub(crate) fn live_entries_in_range(&self, zone: &str, level: u8, index: usize) -> Vec<Entry> {
+        let leaves_per_range = LEAF_COUNT >> (4 * level.min(RANGE_LEVELS));
+        let leaves = index * leaves_per_range..((index + 1) * leaves_per_range).min(LEAF_COUNT);
+        let is_listed =
+            |k: &&StoredEntry| k.entry.state == State::Live && *k.entry.subscriber.zone == *zone;
         leaves
             .flat_map(|leaf| {
-                self.in_leaf(leaf)
-                    .filter(holds)
+                self.entries_in_leaf(leaf)
+                    .filter(is_listed)
                     .map(|k| k.entry.clone())
                     .collect::<Vec<_>>()
             })
             .collect()
     }
 
-    /// The zones whose lists are compared.
+    /// Returns the zones whose lists are compared.
     pub(crate) fn zones(&self) -> impl Iterator<Item = &Name> {
-        self.leaves.keys()
+        self.leaf_digests.keys()
     }
 
-    /// The sum of a range of a zone's list; level 0 is all of it.
-    pub(crate) fn sum(&self, zone: &str, level: u8, index: usize) -> u64 {
-        let Some(leaves) = self.leaves.get(zone) else {
+    /// Returns the digest of a range of a zone's list. The range of level 0 is the complete list.
+    pub(crate) fn range_digest(&self, zone: &str, level: u8, index: usize) -> u64 {
+        let Some(leaves) = self.leaf_digests.get(zone) else {
             return 0;
         };
-        let wide = LEAVES >> (4 * level.min(LEVELS));
+        let leaves_per_range = LEAF_COUNT >> (4 * level.min(RANGE_LEVELS));
         leaves
             .iter()
-            .skip(index * wide)
-            .take(wide)
-            .fold(0, |all, leaf| all ^ leaf)
+            .skip(index * leaves_per_range)
+            .take(leaves_per_range)
+            .fold(0, |digest, leaf| digest ^ leaf)
     }
 
-    fn toggle(&mut self, key: u64, entry: &Entry) {
+    fn toggle_live(&mut self, key: u64, entry: &Entry) {
         if entry.state != State::Live {
             return;
         }
         let leaves = self
-            .leaves
+            .leaf_digests
             .entry(entry.subscriber.zone.clone())
-            .or_insert_with(|| vec![0; LEAVES]);
-        leaves[leaf(key)] ^= sum(key, entry);
+            .or_insert_with(|| vec![0; LEAF_COUNT]);
+        leaves[leaf_of_key(key)] ^= full_entry_digest(key, entry);
         if entry.subscriber.zone == self.zone {
-            let at = self.listeners.entry(entry.topic.clone()).or_default();
-            if !at.remove(&entry.subscriber.name) {
-                at.insert(entry.subscriber.name.clone());
+            let names = self.listeners.entry(entry.topic.clone()).or_default();
+            if !names.remove(&entry.subscriber.name) {
+                names.insert(entry.subscriber.name.clone());
             }
-            if at.is_empty() {
+            if names.is_empty() {
                 self.listeners.remove(&entry.topic);
             }
         }
     }
 
-    /// Puts an entry in the place of what there is.
-    fn set(&mut self, now: Time, entry: Entry) -> bool {
+    /// Stores an entry in place of the known one. Returns false if there is no room for it.
+    fn store(&mut self, now: Time, entry: Entry) -> bool {
         let (name, topic) = (entry.subscriber.name.clone(), entry.topic.clone());
-        let key = key(&name, &topic);
-        let before = self
-            .people
+        let key = entry_key(&name, &topic);
+        let known = self
+            .subscribers
             .get(&name)
             .and_then(|p| p.topics.get(&topic))
             .cloned();
         let zone = &entry.subscriber.zone;
-        let strange =
-            !self.leaves.contains_key(zone) && *zone != self.zone && self.leaves.len() >= ZONES;
-        if strange || (before.is_none() && self.keys.len() >= self.rules.subscriptions) {
+        let exceeds_zones = !self.leaf_digests.contains_key(zone)
+            && *zone != self.zone
+            && self.leaf_digests.len() >= MAX_ZONES;
+        if exceeds_zones || (known.is_none() && self.keys.len() >= self.rules.subscriptions) {
             return false;
         }
-        let same_life = before.as_ref().is_some_and(|b| b.entry.boot == entry.boot);
-        if let Some(before) = &before {
-            self.toggle(key, &before.entry);
+        let is_same_incarnation = known.as_ref().is_some_and(|b| b.entry.boot == entry.boot);
+        if let Some(known) = &known {
+            self.toggle_live(key, &known.entry);
         }
-        self.toggle(key, &entry);
-        let ended = entry.state != State::Live;
+        self.toggle_live(key, &entry);
+        let is_ended = entry.state != State::Live;
         let boot = entry.boot;
-        let kept = Kept {
+        let stored = StoredEntry {
             key,
-            since: now,
-            place: before.and_then(|b| b.place).filter(|_| !ended && same_life),
+            changed_at: now,
+            delivered: known
+                .and_then(|b| b.delivered)
+                .filter(|_| !is_ended && is_same_incarnation),
             entry,
         };
-        let person = self.people.entry(name.clone()).or_default();
-        person.topics.insert(topic.clone(), kept);
+        let record = self.subscribers.entry(name.clone()).or_default();
+        record.topics.insert(topic.clone(), stored);
         self.keys.insert(key, (name.clone(), topic.clone()));
         if self.rules.is_enabled(Guard::Order) {
-            self.end_old_lives(now, &name, boot);
+            self.end_earlier_incarnations(now, &name, boot);
         }
-        if ended && !self.rules.is_enabled(Guard::Tombstone) {
+        if is_ended && !self.rules.is_enabled(Guard::Tombstone) {
             self.remove(&name, &topic);
         }
         true
     }
 
-    /// A later life of a subscriber ends all that an earlier one holds, also topics that it does not ask for itself.
-    fn end_old_lives(&mut self, now: Time, name: &Name, boot: u64) {
-        let Some(person) = self.people.get_mut(name) else {
+    /// Ends all entries of earlier incarnations of a subscriber, including topics that the later incarnation does not
+    /// subscribe to.
+    fn end_earlier_incarnations(&mut self, now: Time, name: &Name, boot: u64) {
+        let Some(record) = self.subscribers.get_mut(name) else {
             return;
         };
-        let old = |k: &&mut Kept| k.entry.boot < boot && k.entry.state == State::Live;
+        let is_earlier = |k: &&mut StoredEntry| k.entry.boot < boot && k.entry.state == State::Live;
         let mut ended = Vec::new();
-        for kept in person.topics.values_mut().filter(old) {
-            ended.push((kept.key, kept.entry.clone()));
-            (kept.entry.state, kept.since, kept.place) = (State::Left, now, None);
+        for stored in record.topics.values_mut().filter(is_earlier) {
+            ended.push((stored.key, stored.entry.clone()));
+            (stored.entry.state, stored.changed_at, stored.delivered) = (State::Left, now, None);
         }
         for (key, entry) in ended {
-            self.toggle(key, &entry);
+            self.toggle_live(key, &entry);
         }
     }
 
-    /// The latest life of a name, and one entry of it.
-    fn latest(&self, name: &str) -> Option<&Entry> {
-        self.people
+    /// Returns an entry of the latest incarnation of a subscriber.
+    fn latest_entry(&self, name: &str) -> Option<&Entry> {
+        self.subscribers
             .get(name)?
             .topics
             .values()
@@ -338,131 +349,155 @@
     }
 
     fn remove(&mut self, name: &Name, topic: &Topic) {
-        let Some(person) = self.people.get_mut(name) else {
+        let Some(record) = self.subscribers.get_mut(name) else {
             return;
         };
-        let Some(kept) = person.topics.remove(topic) else {
+        let Some(stored) = record.topics.remove(topic) else {
             return;
         };
-        if person.topics.is_empty() {
-            self.people.remove(name);
+        if record.topics.is_empty() {
+            self.subscribers.remove(name);
         }
-        self.keys.remove(&kept.key);
-        self.toggle(kept.key, &kept.entry);
+        self.keys.remove(&stored.key);
+        self.toggle_live(stored.key, &stored.entry);
     }
 
-    /// Takes a subscriber's own word on a range of topics. It counts for each where its number is newer. False where
-    /// there are too many.
-    pub fn apply(&mut self, now: Time, says: &Declaration<'_>) -> bool {
-        let who = says.subscriber;
-        let later = |k: &Entry| (k.boot, k.counter) >= (who.boot, says.counter);
+    /// Applies a subscriber's declaration to each topic of the range for which its counter is newer. Returns false if
+    /// there is no room for a subscription.
+    pub fn apply(&mut self, now: Time, declaration: &Declaration<'_>) -> bool {
+        let subscriber = declaration.subscriber;
+        let is_not_older =
+            |k: &Entry| (k.boot, k.counter) >= (subscriber.boot, declaration.counter);
         let entry = |topic: &Topic, state| Entry {
-            boot: who.boot,
-            counter: says.counter,
+            boot: subscriber.boot,
+            counter: declaration.counter,
             state,
-            subscriber: who.clone(),
+            subscriber: subscriber.clone(),
             topic: topic.clone(),
         };
-        let order = self.rules.is_enabled(Guard::Order);
-        let ends = (
-            says.from.map_or(Bound::Unbounded, Bound::Included),
-            says.through.map_or(Bound::Unbounded, Bound::Included),
+        let checks_order = self.rules.is_enabled(Guard::Order);
+        let range = (
+            declaration.first.map_or(Bound::Unbounded, Bound::Included),
+            declaration.last.map_or(Bound::Unbounded, Bound::Included),
         );
-        if order && self.latest(&who.name).is_some_and(|e| e.boot > who.boot) {
+        if checks_order
+            && self
+                .latest_entry(&subscriber.name)
+                .is_some_and(|e| e.boot > subscriber.boot)
+        {
             return true;
         }
         let mut changes = Vec::new();
-        let backwards =
-            matches!((says.from, says.through), (Some(from), Some(through)) if from > through);
-        if let Some(person) = self.people.get(&who.name).filter(|_| !backwards) {
-            let gone = person.topics.range::<Topic, _>(ends).map(|(_, k)| &k.entry);
-            let gone = gone.filter(|e| e.state == State::Live && !says.topics.contains(&e.topic));
+        let is_reversed = matches!(
+            (declaration.first, declaration.last),
+            (Some(first), Some(last)) if first > last
+        );
+        if let Some(record) = self
+            .subscribers
+            .get(&subscriber.name)
+            .filter(|_| !is_reversed)
+        {
+            let removed = record
+                .topics
+                .range::<Topic, _>(range)
+                .map(|(_, k)| &k.entry);
+            let removed = removed
+                .filter(|e| e.state == State::Live && !declaration.topics.contains(&e.topic));
             changes.extend(
-                gone.filter(|e| !order || !later(e))
+                removed
+                    .filter(|e| !checks_order || !is_not_older(e))
                     .map(|e| entry(&e.topic, State::Left)),
             );
         }
-        // A leave is remembered also where the subscription that it ends never came, be there nothing or an older leave:
-        // it may be on its way.
-        let person = self.people.get(&who.name);
-        if let (Some(from), Some(through), true) = (says.from, says.through, says.topics.is_empty())
-            && from == through
-            && person
-                .and_then(|p| p.topics.get(from))
-                .is_none_or(|k| k.entry.state != State::Live && (!order || !later(&k.entry)))
+        // An unsubscription is stored even if the table has no live entry that it ends: the subscription may still
+        // arrive from another gateway or as a delayed message.
+        let record = self.subscribers.get(&subscriber.name);
+        if let (Some(first), Some(last), true) = (
+            declaration.first,
+            declaration.last,
+            declaration.topics.is_empty(),
+        ) && first == last
+            && record.and_then(|p| p.topics.get(first)).is_none_or(|k| {
+                k.entry.state != State::Live && (!checks_order || !is_not_older(&k.entry))
+            })
         {
-            changes.push(entry(from, State::Left));
+            changes.push(entry(first, State::Left));
         }
-        for topic in says.topics.iter().take(self.rules.topics) {
-            let known = person.and_then(|p| p.topics.get(topic)).map(|k| &k.entry);
-            if known.is_none_or(|k| !order || !later(k)) {
+        for topic in declaration.topics.iter().take(self.rules.topics) {
+            let known = record.and_then(|p| p.topics.get(topic)).map(|k| &k.entry);
+            if known.is_none_or(|k| !checks_order || !is_not_older(k)) {
                 changes.push(entry(topic, State::Live));
             }
         }
-        let mut all = true;
+        let mut all_fit = true;
         for entry in changes {
-            let key = key(&entry.subscriber.name, &entry.topic);
-            let many = self
-                .people
-                .get(&who.name)
+            let key = entry_key(&entry.subscriber.name, &entry.topic);
+            let is_full = self
+                .subscribers
+                .get(&subscriber.name)
                 .is_some_and(|p| p.topics.len() >= 2 * self.rules.topics);
-            let fits = (!many || self.keys.contains_key(&key)) && self.set(now, entry);
-            all &= fits;
+            let fits = (!is_full || self.keys.contains_key(&key)) && self.store(now, entry);
+            all_fit &= fits;
             if fits {
                 self.changed.insert(key);
             }
         }
-        self.heard(now, &who.name);
-        all
+        self.record_renewal(now, &subscriber.name);
+        all_fit
     }
 
-    /// A subscriber is there, by its own word.
-    pub(crate) fn heard(&mut self, now: Time, name: &str) {
-        if let Some(person) = self.people.get_mut(name) {
-            person.renewed = now;
-            person.own_word = true;
+    /// Records that the subscriber itself renewed here.
+    pub(crate) fn record_renewal(&mut self, now: Time, name: &str) {
+        if let Some(record) = self.subscribers.get_mut(name) {
+            record.renewed_at = now;
+            record.renewed_here = true;
         }
     }
 
-    /// The sum of what a subscriber holds here, and its latest life.
-    pub(crate) fn holds(&self, name: &str) -> (u64, u64) {
-        let Some(person) = self.people.get(name) else {
+    /// Returns the digest of a subscriber's subscriptions at this gateway, and its latest incarnation.
+    pub(crate) fn subscriptions_digest(&self, name: &str) -> (u64, u64) {
+        let Some(record) = self.subscribers.get(name) else {
             return (0, 0);
         };
-        let boot = person
+        let boot = record
             .topics
             .values()
             .map(|k| k.entry.boot)
             .max()
             .unwrap_or(0);
-        let own = person
+        let own = record
             .topics
             .values()
-            .filter(|k| self.own(&k.entry) && k.entry.boot == boot);
+            .filter(|k| self.is_local(&k.entry) && k.entry.boot == boot);
         (
-            wire::holds(boot, own.map(|k| (&k.entry.topic, k.entry.counter))),
+            wire::subscriptions_digest(boot, own.map(|k| (&k.entry.topic, k.entry.counter))),
             boot,
         )
     }
 
-    /// Takes what another gateway tells.
+    /// Merges an entry that another gateway sent.
     pub fn merge(&mut self, now: Time, entry: &Entry) -> MergeOutcome {
         let known = self
-            .people
+            .subscribers
             .get(&entry.subscriber.name)
             .and_then(|p| p.topics.get(&entry.topic));
-        let own_word = self
-            .people
+        let renewed_here = self
+            .subscribers
             .get(&entry.subscriber.name)
-            .is_some_and(|p| p.own_word);
+            .is_some_and(|p| p.renewed_here);
         if let Some(known) = known {
             let known = &known.entry;
             if known == entry {
                 return MergeOutcome::Unchanged;
             }
-            // What a gateway ended by age is no word of the subscriber, who knows better.
-            let alike = (known.boot, known.counter) == (entry.boot, entry.counter);
-            if alike && entry.state == State::Expired && self.own(known) && own_word {
+            // An expiry is the other gateway's assumption. This gateway knows better, because the subscriber renewed
+            // here.
+            let is_same_change = (known.boot, known.counter) == (entry.boot, entry.counter);
+            if is_same_change
+                && entry.state == State::Expired
+                && self.is_local(known)
+                && renewed_here
+            {
                 return MergeOutcome::Contested(
                     known.subscriber.address,
                     known.subscriber.name.clone(),
@@ -476,87 +511,87 @@
         }
         if entry.state == State::Live
             && self.rules.is_enabled(Guard::Order)
-            && let Some(latest) = self.latest(&entry.subscriber.name)
+            && let Some(latest) = self.latest_entry(&entry.subscriber.name)
             && latest.boot > entry.boot
         {
             return MergeOutcome::Stale(latest.clone());
         }
         let (name, zone) = (entry.subscriber.name.clone(), entry.subscriber.zone.clone());
-        if !self.set(now, entry.clone()) {
+        if !self.store(now, entry.clone()) {
             return MergeOutcome::Full;
         }
-        self.confirmed.entry(zone).or_insert(now);
-        if let Some(person) = self.people.get_mut(&name)
-            && !person.own_word
+        self.confirmed_at.entry(zone).or_insert(now);
+        if let Some(record) = self.subscribers.get_mut(&name)
+            && !record.renewed_here
         {
-            // A copy: who is truly there says so within a lease.
-            person.renewed = now;
+            // The entry is a copy, so its subscriber gets a complete lease to renew.
+            record.renewed_at = now;
         }
         MergeOutcome::Applied
     }
 
-    /// This zone's gateway is another one from now on, or this one anew: whoever is in its list has a lease to say that
-    /// it is there.
+    /// Restarts the leases of all subscribers, because this gateway has just acquired its zone's lease: each subscriber
+    /// in the list has a complete lease to renew here.
     pub fn restart_leases(&mut self, now: Time) {
-        for person in self.people.values_mut() {
-            person.renewed = now;
-            person.own_word = false;
+        for record in self.subscribers.values_mut() {
+            record.renewed_at = now;
+            record.renewed_here = false;
         }
     }
 
-    /// A zone's gateway confirmed at that time that the copy here is its list.
-    pub fn confirm_copy(&mut self, zone: &str, at: Time) {
-        // Of an empty list there is nothing to confirm, and whoever makes zones up fills nothing.
-        if self.leaves.contains_key(zone) {
-            let known = self.confirmed.entry(zone.into()).or_insert(at);
-            *known = (*known).max(at);
+    /// Records that a zone's gateway confirmed this copy of its list at that time.
+    pub fn confirm_copy(&mut self, zone: &str, confirmed_at: Time) {
+        // An empty list needs no confirmation, and a sender that invents zone names must not fill the memory.
+        if self.leaf_digests.contains_key(zone) {
+            let known = self.confirmed_at.entry(zone.into()).or_insert(confirmed_at);
+            *known = (*known).max(confirmed_at);
         }
     }
 
-    /// The copy is no fresher than that from now on: some of it was taken from another copy.
-    pub(crate) fn taint(&mut self, zone: &str, at: Time) {
-        if let Some(known) = self.confirmed.get_mut(zone) {
-            *known = (*known).min(at);
+    /// Limits how fresh a copy counts, because a part of it was taken from another gateway's copy of that age.
+    pub(crate) fn limit_freshness(&mut self, zone: &str, confirmed_at: Time) {
+        if let Some(known) = self.confirmed_at.get_mut(zone) {
+            *known = (*known).min(confirmed_at);
         }
     }
 
-    /// When a zone's gateway last confirmed the copy of its list here.
-    pub(crate) fn confirmed(&self, now: Time, zone: &str) -> Time {
+    /// Returns when a zone's gateway last confirmed this copy of its list.
+    pub(crate) fn confirmed_at(&self, now: Time, zone: &str) -> Time {
         if *zone == *self.zone {
             now
         } else {
-            self.confirmed.get(zone).copied().unwrap_or(now)
+            self.confirmed_at.get(zone).copied().unwrap_or(now)
         }
     }
 
-    /// Ends what was not renewed, forgets what cannot matter any more, and throws away copies that are too old. `owner`
-    /// is whether this gateway is the one that its zone's subscribers renew with.
-    pub fn expire_and_forget(&mut self, now: Time, owner: bool, lease: Micros) {
-        let (expiry, away) = (
+    /// Expires subscriptions that were not renewed, forgets ended ones after their retention, and discards copies that
+    /// are too old. `holds_lease` is whether this gateway is the one with which its zone's subscribers renew.
+    pub fn expire_and_forget(&mut self, now: Time, holds_lease: bool, lease: Micros) {
+        let (expires, discards_copies) = (
             self.rules.is_enabled(Guard::Expiry),
             self.rules.is_enabled(Guard::Away),
         );
-        let (keep, forget) = (
+        let (retention, forget_after) = (
             self.rules.tombstone_retention(),
-            crate::ms(self.rules.forget_ms),
+            crate::us_from_ms(self.rules.forget_ms),
         );
-        let old = |at: Option<&Time>| at.is_some_and(|at| at + forget < now);
+        let is_old = |at: Option<&Time>| at.is_some_and(|at| at + forget_after < now);
         let (mut expired, mut forgotten) = (Vec::new(), Vec::new());
-        for (name, person) in &self.people {
-            for (topic, kept) in &person.topics {
-                let zone = &kept.entry.subscriber.zone;
-                if kept.entry.state != State::Live {
-                    if kept.since + keep < now {
+        for (name, record) in &self.subscribers {
+            for (topic, stored) in &record.topics {
+                let zone = &stored.entry.subscriber.zone;
+                if stored.entry.state != State::Live {
+                    if stored.changed_at + retention < now {
                         forgotten.push((name.clone(), topic.clone()));
                     }
                 } else if *zone == self.zone {
-                    if owner && expiry && person.renewed + lease < now {
+                    if holds_lease && expires && record.renewed_at + lease < now {
                         expired.push(Entry {
                             state: State::Expired,
-                            ..kept.entry.clone()
+                            ..stored.entry.clone()
                         });
                     }
-                } else if away && old(self.confirmed.get(zone)) {
+                } else if discards_copies && is_old(self.confirmed_at.get(zone)) {
                     forgotten.push((name.clone(), topic.clone()));
                 }
             }
@@ -566,14 +601,14 @@
         }
         for entry in expired {
             self.changed
-                .insert(key(&entry.subscriber.name, &entry.topic));
-            self.set(now, entry);
+                .insert(entry_key(&entry.subscriber.name, &entry.topic));
+            self.store(now, entry);
         }
-        if away {
-            // The zone's list is empty here now; what comes next begins a new copy.
-            self.confirmed.retain(|_, at| *at + forget >= now);
+        if discards_copies {
+            // The copy of the zone's list is empty now. The next entry starts a new copy.
+            self.confirmed_at.retain(|_, at| *at + forget_after >= now);
         }
-        self.leaves
-            .retain(|zone, leaves| *zone == self.zone || leaves.iter().any(|sum| *sum != 0));
+        self.leaf_digests
+            .retain(|zone, leaves| *zone == self.zone || leaves.iter().any(|digest| *digest != 0));
     }
 }
--- a/fanout/src/topic.rs
+++ b/fanout/src/topic.rs
@@ -1,4 +1,4 @@
-//! What subscribers ask for, and who they are.
+//! Topics and the identity of their subscribers.
 
 use plovercove_fencing::{InvalidLeaseName, LeaseName};
 use serde::{Deserialize, Serialize};
@@ -6,25 +6,26 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// A topic's name, alike at all routers: `positions/12`, `nodes/12`, `role/12`, `owners`.
+/// Name of a topic, the same on all routers: `positions/12`, `nodes/12`, `role/12`, `owners`.
 #[derive(Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Topic(LeaseName);
 
 impl Topic {
-    /// The topic of this name.
+    /// Creates the topic of this name.
     ///
     /// # Errors
-    /// The name is empty, too long, or has characters that logs cannot hold.
+    /// The name is empty, is too long, or has characters that are not allowed in logs.
     pub fn new(name: &str) -> Result<Self, InvalidLeaseName> {
         LeaseName::new(name).map(Topic)
     }
 
-    /// Its name.
+    /// Returns the name.
     pub fn name(&self) -> &str {
         self.0.as_str()
     }
 
-    /// Whether the newest says all that earlier ones said: positions do, changes of state do not.
+    /// Returns whether the newest item replaces all earlier ones. It does for positions, and does not for changes of
+    /// state.
     pub fn collapses(&self) -> bool {
         self.0.split_kind().0 == "positions"
     }
@@ -42,15 +43,17 @@
     }
 }
 
-/// One life of a subscriber. A restart under the same name has a higher `boot` and takes its place.
+/// One incarnation of a subscriber. After a restart under the same name, the incarnation has a higher `boot` and
+/// replaces the earlier one.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Subscriber {
-    /// Its name, one for each in the fleet.
+    /// Name of the subscriber, unique among all routers.
     pub name: Arc<str>,
-    /// Rises with each start: Unix time at the start (us).
+    /// Unix time at the start of the process (us); it rises with each restart.
     pub boot: u64,
-    /// Where it is told.
+    /// Address to which items are delivered.
     pub address: SocketAddr,
-    /// The zone of the gateway that tells it. A subscriber gives its own; the gateway sets what it is told by.
+    /// Zone of the gateway that delivers the items. A subscriber sets its own zone; a gateway replaces it by the zone
+    /// that it serves.
     pub zone: Arc<str>,
 }
--- a/fanout/tests/costs.rs
+++ b/fanout/tests/costs.rs
@@ -136,16 +136,15 @@
         } else {
             Vec::new()
         };
-        let of = topic("role/1");
-        let (from, through) = (Some(&of), Some(&of));
-        let says = Declaration {
+        let role = topic("role/1");
+        let declaration = Declaration {
             subscriber: &subscriber,
             counter: word.counter,
-            from,
-            through,
+            first: Some(&role),
+            last: Some(&role),
             topics: &topics,
         };
-        self.0[word.to].apply(1, &says);
+        self.0[word.to].apply(1, &declaration);
     }
 
     fn compare(&mut self) -> u64 {
--- a/fanout/tests/model.rs
+++ b/fanout/tests/model.rs
@@ -77,16 +77,15 @@
         } else {
             &[]
         };
-        let (from, through) = (Some(&topic), Some(&topic));
-        let says = Declaration {
+        let declaration = Declaration {
             subscriber: &subscriber,
             counter: said.counter,
-            from,
-            through,
+            first: Some(&topic),
+            last: Some(&topic),
             topics,
         };
         let now = world.now;
-        world.tables[said.to].apply(now, &says);
+        world.tables[said.to].apply(now, &declaration);
     }
 
     /// Two gateways tell each other all; the table decides.
