--- a/router/src/gossip.rs
+++ b/router/src/gossip.rs
@@ -1,5 +1,5 @@
-//! Talk with the other routers: one datagram socket, and the crate that knows what to say. Without a `peers` block in the
-//! operators' file none of it is there. What a router does for the fleet goes by the same socket, within the same budget.
+//! Gossip with the other routers: a datagram socket driven by `plovercove-gossip`. It exists only if the operators' file has
+//! a `peers` block. The messages of the lease tasks use the same socket and the same datagram budget.
 
 use crate::Error;
 use crate::clock::Clock;
@@ -17,63 +17,63 @@
 use std::net::{SocketAddr, UdpSocket};
 use tracing::{debug, info, warn};
 
-/// Datagrams read in one turn: a flood of them leaves time for clients.
-const EACH_TURN: usize = 64;
+/// Maximum number of datagrams read in one turn, so that a flood of them leaves time for clients.
+const MAX_DATAGRAMS_PER_TURN: usize = 64;
 
-/// What operators say of peers, checked and with the keys read.
+/// The checked `peers` and `duties` blocks of the operators' file, with the keys.
 #[derive(Clone)]
 pub struct GossipConfig {
-    /// Where datagrams come.
+    /// The address at which this router receives datagrams.
     pub listen: SocketAddr,
-    /// Where the others reach this router; its listening address where none is told.
+    /// The address at which the others reach this router, if it differs from the listening address.
     pub advertise: Option<SocketAddr>,
-    /// The keys.
+    /// The keys of the datagrams.
     pub keys: Keys,
-    /// All else.
+    /// The gossip rules.
     pub rules: Rules,
-    /// What it does for the fleet, if anything.
+    /// The lease tasks, if configured.
     pub lease_tasks: Option<lease_tasks::LeaseTasksConfig>,
 }
 
-/// The router among its peers.
+/// The gossip socket, the gossip protocol and the lease tasks.
 pub struct GossipSocket {
     socket: Registered<UdpSocket>,
-    peers: Gossip,
-    due: Option<Time>,
+    gossip: Gossip,
+    deadline: Option<Time>,
     advertise: SocketAddr,
-    chores: Option<LeaseTasks>,
-    /// It ends, when what it owns has been handed over.
-    leaving: bool,
+    lease_tasks: Option<LeaseTasks>,
+    /// The router leaves the group of members as soon as its leases are handed over.
+    is_leaving: bool,
 }
 
-/// The witness that stands beside the module, where peers are on.
+/// Returns the observer that wraps the engine's locality policy if gossip is configured.
 pub fn observer(engine: &mut Engine) -> Option<&mut Observer> {
     engine
         .locality_policy()
-        .map(|zoning| zoning as &mut dyn Any)
+        .map(|policy| policy as &mut dyn Any)
         .and_then(<dyn Any>::downcast_mut)
 }
 
 impl GossipSocket {
-    /// Opens the socket. Nobody is called yet.
+    /// Opens the socket. No datagram is sent before `start`.
     pub fn open(
         poll: &Poll,
-        terms: GossipConfig,
+        config: GossipConfig,
         name: &str,
         settings: &Settings,
         clock: Clock,
         seed: u64,
     ) -> Result<Self, Error> {
         let now = clock.now();
-        let refused = |source| Error::Listen {
-            address: terms.listen,
+        let listen_error = |source| Error::Listen {
+            address: config.listen,
             what: "the other routers",
             source,
         };
-        let socket = UdpSocket::bind(terms.listen).map_err(refused)?;
+        let socket = UdpSocket::bind(config.listen).map_err(listen_error)?;
         socket.set_nonblocking(true)?;
         let listen = socket.local_addr()?;
-        let advertise = terms.advertise.unwrap_or(listen);
+        let advertise = config.advertise.unwrap_or(listen);
         let me = Incarnation {
             address: advertise,
             boot: now,
@@ -81,36 +81,36 @@
             name: name.into(),
             zone: settings.zone.clone(),
         };
-        info!(reason = "peers", peers = %listen, advertise = %advertise, boot = now, "talks with other routers");
+        info!(reason = "peers", peers = %listen, advertise = %advertise, boot = now, "gossip with other routers is enabled");
         let socket = poll.register(socket, poll_key(EventSource::Gossip, None), Interest::Read)?;
-        let routers = terms.rules.routers;
-        let chores = terms
+        let routers = config.rules.routers;
+        let lease_tasks = config
             .lease_tasks
-            .map(|terms| LeaseTasks::new(terms, &me, routers, clock, seed));
-        let peers = Gossip::new(terms.rules, terms.keys, me, now, seed);
+            .map(|tasks_config| LeaseTasks::new(tasks_config, &me, routers, clock, seed));
+        let gossip = Gossip::new(config.rules, config.keys, me, now, seed);
         Ok(GossipSocket {
             socket,
-            peers,
-            due: None,
+            gossip,
+            deadline: None,
             advertise,
-            chores,
-            leaving: false,
+            lease_tasks,
+            is_leaving: false,
         })
     }
 
-    /// Begins to call the others.
+    /// Starts to contact the other routers.
     pub fn start(&mut self, now: Time, engine: &mut Engine) {
-        self.turn(now, engine);
+        self.run_due(now, engine);
     }
 
-    /// Datagrams have come.
-    pub fn event(&mut self, now: Time, engine: &mut Engine) {
+    /// Reads received datagrams.
+    pub fn read_datagrams(&mut self, now: Time, engine: &mut Engine) {
         let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
-        for _ in 0..EACH_TURN {
+        for _ in 0..MAX_DATAGRAMS_PER_TURN {
             match self.socket.recv(&mut bytes) {
-                Ok(length) => self.peers.receive(now, &bytes[..length]),
+                Ok(length) => self.gossip.receive(now, &bytes[..length]),
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                // Another's port that is closed is told here; SWIM finds out by itself.
+                // Reports the closed port of another router. The failure detector finds that out by itself.
                 Err(e) if e.kind() == ErrorKind::ConnectionRefused => {}
                 Err(_) => break,
             }
@@ -118,157 +118,174 @@
         self.flush(now, engine);
     }
 
-    /// Something of it is due.
-    pub fn turn(&mut self, now: Time, engine: &mut Engine) {
-        self.due = None;
+    /// Runs what is due at the deadline.
+    pub fn run_due(&mut self, now: Time, engine: &mut Engine) {
+        self.deadline = None;
         if let Some(observer) = observer(engine) {
-            self.peers.turn(now, observer);
+            self.gossip.turn(now, observer);
         }
         self.flush(now, engine);
     }
 
-    /// The list has changed.
-    pub fn listed(&mut self, now: Time, engine: &Engine) {
-        if let Some(chores) = &mut self.chores {
-            chores.listed(now, engine);
+    /// Notifies the lease tasks of a changed endpoint list.
+    pub fn endpoints_changed(&mut self, now: Time, engine: &Engine) {
+        if let Some(lease_tasks) = &mut self.lease_tasks {
+            lease_tasks.endpoints_changed(now, engine);
         }
     }
 
-    /// Takes the questions that are to be asked for the fleet.
-    pub fn take_asks(&mut self) -> Vec<NodeQuery> {
-        self.chores
+    /// Takes the queries that the lease tasks want to send to nodes.
+    pub fn take_queries(&mut self) -> Vec<NodeQuery> {
+        self.lease_tasks
             .as_mut()
-            .map(LeaseTasks::take_asks)
+            .map(LeaseTasks::take_queries)
             .unwrap_or_default()
     }
 
-    /// What became of them.
-    pub fn heard(&mut self, now: Time, all: Vec<QueryOutcome>, engine: &mut Engine) {
-        let Some(chores) = &mut self.chores else {
+    /// Passes the outcomes of queries to the lease tasks.
+    pub fn queries_ended(&mut self, now: Time, outcomes: Vec<QueryOutcome>, engine: &mut Engine) {
+        let Some(lease_tasks) = &mut self.lease_tasks else {
             return;
         };
-        for heard in all {
-            chores.heard(now, heard);
+        for outcome in outcomes {
+            lease_tasks.query_ended(now, outcome);
         }
         self.flush(now, engine);
     }
 
-    /// Sends, tells the log, and sets the next deadline.
+    /// Logs events, runs the lease tasks, sends queued datagrams and sets the next deadline.
     fn flush(&mut self, now: Time, engine: &mut Engine) {
-        let (mut changed, mut others) = (false, false);
-        while let Some(news) = self.peers.next_event() {
-            changed |= matches!(news, GossipEvent::Verdict { .. });
-            others |= matches!(news, GossipEvent::MemberUp(_) | GossipEvent::MemberDown(_));
-            if let (GossipEvent::Stalled(span), Some(chores)) = (&news, &mut self.chores) {
-                chores.stood(now, *span);
+        let (mut verdicts_changed, mut members_changed) = (false, false);
+        while let Some(event) = self.gossip.next_event() {
+            verdicts_changed |= matches!(event, GossipEvent::Verdict { .. });
+            members_changed |=
+                matches!(event, GossipEvent::MemberUp(_) | GossipEvent::MemberDown(_));
+            if let (GossipEvent::Stalled(duration), Some(lease_tasks)) =
+                (&event, &mut self.lease_tasks)
+            {
+                lease_tasks.process_stalled(now, *duration);
             }
-            tell(news);
+            log_event(event);
         }
-        let mut next = self.chores(now, others, engine);
-        if self.leaving && !self.chores.as_ref().is_some_and(LeaseTasks::handing) {
-            self.gone(now);
-            next = Time::MAX;
+        let mut tasks_deadline = self.run_lease_tasks(now, members_changed, engine);
+        if self.is_leaving
+            && !self
+                .lease_tasks
+                .as_ref()
+                .is_some_and(LeaseTasks::is_handing_over)
+        {
+            self.leave_members(now);
+            tasks_deadline = Time::MAX;
         }
         self.send();
-        if changed {
-            // Requests that wait are decided anew.
+        if verdicts_changed {
+            // Pending requests are decided again under the new verdicts.
             engine.wake();
         }
-        let next = self.peers.next_deadline().min(next);
-        let at = (next < Time::MAX).then(|| next.max(now + 1));
-        engine.deadlines.set(&mut self.due, Deadline::Gossip, at);
+        let next = self.gossip.next_deadline().min(tasks_deadline);
+        let deadline = (next < Time::MAX).then(|| next.max(now + 1));
+        engine
+            .deadlines
+            .set(&mut self.deadline, Deadline::Gossip, deadline);
     }
 
-    /// Drives what is done for the fleet; when something of it is due next.
-    fn chores(&mut self, now: Time, others: bool, engine: &mut Engine) -> Time {
-        let Some(chores) = &mut self.chores else {
+    /// Runs the lease tasks. Returns their next deadline.
+    fn run_lease_tasks(&mut self, now: Time, members_changed: bool, engine: &mut Engine) -> Time {
+        let Some(lease_tasks) = &mut self.lease_tasks else {
             return Time::MAX;
         };
-        if others {
-            chores.seen(now, self.peers.members());
+        if members_changed {
+            lease_tasks.members_changed(now, self.gossip.members());
         }
-        while let Some(part) = self.peers.next_received_part() {
-            chores.arrived(now, part);
+        while let Some(part) = self.gossip.next_received_part() {
+            lease_tasks.receive_part(now, part);
         }
-        chores.turn(now, engine);
-        for (to, kind, body) in chores.take_out() {
-            if !self.peers.send_part(now, to, kind, body) {
-                chores.unsent();
+        lease_tasks.run_due(now, engine);
+        for (to, kind, body) in lease_tasks.take_outgoing() {
+            if !self.gossip.send_part(now, to, kind, body) {
+                lease_tasks.count_unsent();
             }
         }
-        chores.next()
+        lease_tasks.next_deadline()
     }
 
     fn send(&mut self) {
-        for (to, bytes) in self.peers.take_outgoing() {
-            // One that cannot be sent is lost as others are.
+        for (to, bytes) in self.gossip.take_outgoing() {
+            // The protocol tolerates lost datagrams, so a failed send needs no handling.
             let _ = self.socket.send_to(&bytes, to);
         }
     }
 
-    /// Takes over what a running router can: keys.
-    pub fn change(&mut self, terms: GossipConfig) {
-        if terms.lease_tasks.as_ref() != self.chores.as_ref().map(LeaseTasks::terms) {
-            warn!(reason = "duties", "SIGHUP: other duties need a restart");
+    /// Applies a reloaded configuration. Only the keys can change while the router runs.
+    pub fn reload(&mut self, config: GossipConfig) {
+        if config.lease_tasks.as_ref() != self.lease_tasks.as_ref().map(LeaseTasks::config) {
+            warn!(
+                reason = "duties",
+                "SIGHUP: changes of the duties block need a restart"
+            );
         }
-        if terms.rules != *self.peers.rules()
-            || terms.advertise.is_some_and(|a| a != self.advertise)
+        if config.rules != *self.gossip.rules()
+            || config
+                .advertise
+                .is_some_and(|address| address != self.advertise)
         {
             warn!(
                 reason = "peers",
-                "SIGHUP: of peers only keys are taken over; the rest needs a restart"
+                "SIGHUP: only the keys of the peers block are reloaded; other changes need a restart"
             );
         }
-        self.peers.replace_keys(terms.keys);
+        self.gossip.replace_keys(config.keys);
     }
 
-    /// This router ends: what it owns is handed over, then the others are told.
-    pub fn leave(&mut self, now: Time, engine: &mut Engine) {
-        if let Some(chores) = &mut self.chores {
-            chores.hand_over(now);
+    /// Starts the shutdown: hands the leases over, then announces to the other members that this router leaves.
+    pub fn start_leaving(&mut self, now: Time, engine: &mut Engine) {
+        if let Some(lease_tasks) = &mut self.lease_tasks {
+            lease_tasks.hand_over(now);
         }
-        self.leaving = true;
+        self.is_leaving = true;
         self.flush(now, engine);
     }
 
-    /// The time for handing over is up: the others are told that this router ends.
-    pub fn end(&mut self, now: Time) {
-        self.gone(now);
+    /// Announces that this router leaves, because the time for the handover is up.
+    pub fn finish_leaving(&mut self, now: Time) {
+        self.leave_members(now);
         self.send();
     }
 
-    fn gone(&mut self, now: Time) {
-        // What was not taken by now ends with its lease.
-        self.chores = None;
-        self.leaving = false;
-        self.peers.leave(now);
+    fn leave_members(&mut self, now: Time) {
+        // Leases that were not handed over expire.
+        self.lease_tasks = None;
+        self.is_leaving = false;
+        self.gossip.leave(now);
     }
 
-    /// Tells the log what this router believes.
-    pub fn dump(&self, now: Time, engine: &mut Engine) {
-        self.chores.iter().for_each(|chores| chores.dump(now));
+    /// Logs the state of gossip and of the lease tasks.
+    pub fn log_state(&self, now: Time, engine: &mut Engine) {
+        self.lease_tasks
+            .iter()
+            .for_each(|lease_tasks| lease_tasks.log_state(now));
         let Some(observer) = observer(engine) else {
             return;
         };
-        let belief = self.peers.snapshot(observer);
-        let levels: Vec<String> = belief
+        let snapshot = self.gossip.snapshot(observer);
+        let levels: Vec<String> = snapshot
             .levels
             .iter()
             .map(|(node, level, age)| format!("{node} {level} {age} ms"))
             .collect();
-        let counts = belief.counts;
+        let counts = snapshot.counts;
         let dropped: Vec<String> = counts
             .dropped
             .iter()
-            .map(|(why, n)| format!("{why} {n}"))
+            .map(|(why, count)| format!("{why} {count}"))
             .collect();
         info!(
             reason = "belief",
-            me = belief.me,
-            seen = belief.seen,
-            should = belief.expected,
-            members = belief.members.join(" "),
-            records = belief.records,
+            me = snapshot.me,
+            seen = snapshot.seen,
+            should = snapshot.expected,
+            members = snapshot.members.join(" "),
+            records = snapshot.records,
             levels = levels.join(", "),
             sent = counts.sent.0,
             sent_bytes = counts.sent.1,
@@ -279,39 +296,47 @@
             late = counts.late,
             unknown = counts.unknown_records,
             odd = counts.invalid_messages,
-            "what this router believes"
+            "gossip state"
         );
     }
 }
 
-fn tell(news: GossipEvent) {
-    match news {
-        GossipEvent::MemberUp(life) => {
-            info!(reason = "peer up", router = life.name, address = %life.address, zone = life.zone, boot = life.boot, turn = life.renewals, "a router is there");
+fn log_event(event: GossipEvent) {
+    match event {
+        GossipEvent::MemberUp(member) => {
+            info!(reason = "peer up", router = member.name, address = %member.address, zone = member.zone, boot = member.boot, turn = member.renewals, "a router is up");
         }
-        GossipEvent::MemberDown(life) => {
-            info!(reason = "peer down", router = life.name, address = %life.address, zone = life.zone, boot = life.boot, turn = life.renewals, "a router is gone");
+        GossipEvent::MemberDown(member) => {
+            info!(reason = "peer down", router = member.name, address = %member.address, zone = member.zone, boot = member.boot, turn = member.renewals, "a router is down");
         }
         GossipEvent::MemberCount { seen, expected } => {
-            info!(reason = "peers", seen, should = expected, "routers")
+            info!(
+                reason = "peers",
+                seen,
+                should = expected,
+                "number of routers"
+            )
         }
-        GossipEvent::DuplicateName(a, b) => {
-            warn!(reason = "twins", router = a.name, address = %a.address, other = %b.address, "two routers have one name");
+        GossipEvent::DuplicateName(first, second) => {
+            warn!(reason = "twins", router = first.name, address = %first.address, other = %second.address, "two routers have the same name");
         }
-        GossipEvent::Rejoined(life) => {
+        GossipEvent::Rejoined(incarnation) => {
             info!(
                 reason = "again",
-                turn = life.renewals,
-                "the others took this router for gone"
+                turn = incarnation.renewals,
+                "the other routers considered this router down; it has rejoined"
             );
         }
         GossipEvent::AddressTaken => {
-            warn!(reason = "taken", "another router holds this one's address")
+            warn!(
+                reason = "taken",
+                "another router uses the address of this router"
+            )
         }
-        GossipEvent::Stalled(span) => info!(
+        GossipEvent::Stalled(duration) => info!(
             reason = "stood",
-            ms = span / 1_000,
-            "this router stood still"
+            ms = duration / 1_000,
+            "this process stalled"
         ),
         GossipEvent::Dropped(fault, count) => {
             warn!(
@@ -319,11 +344,11 @@
                 why = fault.label(),
                 count,
                 help = fault.help(),
-                "datagrams that cannot be taken"
+                "rejected datagrams"
             );
         }
         GossipEvent::Observed { node, observation } => {
-            debug!(reason = "observed", %node, saw = %observation, "tells the others what it saw");
+            debug!(reason = "observed", %node, saw = %observation, "sends an observation to the other routers");
         }
         GossipEvent::Verdict {
             node,
@@ -333,7 +358,7 @@
             reports,
         } => {
             let reports: Vec<String> = reports.iter().map(ToString::to_string).collect();
-            debug!(reason = "testimonies", %node, said = reports.join("; "), "what the verdict rests on");
+            debug!(reason = "testimonies", %node, said = reports.join("; "), "observations behind the verdict");
             info!(
                 reason = "verdict",
                 %node,
--- a/router/src/lease_tasks/mod.rs
+++ b/router/src/lease_tasks/mod.rs
@@ -1,18 +1,19 @@
-//! What a router does for the fleet: it owns duties, asks the nodes of the groups that it watches, tells the gateways what
-//! they answered, is its zone's gateway where that is its duty, and learns from the others' watches. Without a `duties`
-//! block in the operators' file none of it is there.
+//! Tasks that one router does for all, under a lease each. The lease of a group's watch makes its holder query the nodes
+//! of the group and publish their status to the gateways. The lease of a zone's gateway makes its holder forward what is
+//! published to the routers of the zone. Each router subscribes to the watches of all groups and passes the published
+//! status to its engine. The tasks exist only if the operators' file has a `duties` block.
 //!
-//! It opens nothing: messages go by the socket and within the budget of [`crate::gossip`], questions by the connections of
-//! [`crate::upstream`].
+//! This module opens no sockets: messages use the socket and the datagram budget of [`crate::gossip`], queries use the
+//! connections of [`crate::upstream`].
 
+mod config;
 mod file;
+mod log;
 mod nodes;
-mod tell;
-mod terms;
 mod watch;
 
+pub use config::{LeaseTasksBlock, LeaseTasksConfig, TermsFault};
 pub use file::{FileFault, StateFile, WriteCounts};
-pub use terms::{LeaseTasksBlock, LeaseTasksConfig, TermsFault};
 
 use crate::clock::Clock;
 use crate::upstream::{LeaseCheck, NodeQuery, QueryOutcome};
@@ -29,34 +30,34 @@
 use std::rc::Rc;
 use watch::{Watches, decode_item};
 
-/// What this router's parts say to each other in one turn is heard in this many rounds at the most; the rest waits for the
-/// next turn. A question and its answer are two.
-const ROUNDS: usize = 8;
-/// Refused owners that are remembered, so that each is told once: more duties than a fleet has.
-const TOLD: usize = 4_096;
+/// Maximum number of rounds in one turn that deliver messages from this router to itself. The rest waits for the next
+/// turn. A request and its reply need two rounds.
+const MAX_LOCAL_ROUNDS: usize = 8;
+/// Maximum number of logged rejections that are remembered, so that each is logged once. A fleet has fewer leases.
+const MAX_LOGGED_REJECTIONS: usize = 4_096;
 
-/// What was counted since the start.
+/// Counts since the start.
 #[derive(Clone, Copy, Debug, Default)]
 struct Counts {
-    asked: u64,
-    unasked: u64,
-    told: u64,
-    learned: u64,
-    other_life: u64,
+    queried: u64,
+    unanswered: u64,
+    published: u64,
+    applied: u64,
+    other_incarnation: u64,
     unread: u64,
     unsent: u64,
 }
 
-/// A router's part in the fleet's work.
+/// The lease tasks of a router.
 pub struct LeaseTasks {
     clock: Clock,
-    terms: LeaseTasksConfig,
+    config: LeaseTasksConfig,
     me: Member,
     duties: Rc<RefCell<Duties>>,
     file: Option<StateFile>,
     client: Client,
     publisher: Publisher,
-    /// Its zone's gateway, and the duty of it; none where the zone's name can be no duty's.
+    /// The gateway of this router's zone and the name of its lease. `None` if the zone's name is not valid in a lease name.
     gateway: Option<(Duty, Gateway)>,
     watches: Watches,
     watching: BTreeSet<GroupId>,
@@ -64,30 +65,30 @@
     members: Vec<Member>,
     zones: Vec<(String, Duty)>,
     gateways: Vec<SocketAddr>,
-    asks: Vec<NodeQuery>,
-    out: Vec<(SocketAddr, u8, Vec<u8>)>,
-    own: VecDeque<(u8, Vec<u8>)>,
-    refused: BTreeMap<Duty, Token>,
+    queries: Vec<NodeQuery>,
+    outbox: Vec<(SocketAddr, u8, Vec<u8>)>,
+    local_messages: VecDeque<(u8, Vec<u8>)>,
+    logged_rejections: BTreeMap<Duty, Token>,
     counts: Counts,
 }
 
-fn positions(group: GroupId) -> String {
+fn watch_name(group: GroupId) -> String {
     format!("positions/{group}")
 }
 
-fn member(life: &Incarnation) -> Member {
+fn member(incarnation: &Incarnation) -> Member {
     Member {
-        name: life.name.clone(),
-        zone: life.zone.clone(),
-        address: life.address,
-        boot: life.boot,
+        name: incarnation.name.clone(),
+        zone: incarnation.zone.clone(),
+        address: incarnation.address,
+        boot: incarnation.boot,
     }
 }
 
 impl LeaseTasks {
-    /// A router that owns nothing yet. Reads the decider's file where it is one.
+    /// Creates the tasks of a router that holds no lease yet. Reads the state file if the router is a voter.
     pub fn new(
-        terms: LeaseTasksConfig,
+        config: LeaseTasksConfig,
         me: &Incarnation,
         routers: u32,
         clock: Clock,
@@ -95,32 +96,38 @@
     ) -> Self {
         let now = clock.now();
         let me = member(me);
-        let here = |d: &plovercove_leases::Decider| d.address == me.address;
-        let deciders = &terms.rules.deciders;
+        let is_this_router = |d: &plovercove_leases::Decider| d.address == me.address;
+        let deciders = &config.rules.deciders;
         let (mut file, mut kept) = (None, None);
-        if deciders.members.iter().chain(&deciders.before).any(here) {
-            match &terms.file {
+        if deciders
+            .members
+            .iter()
+            .chain(&deciders.before)
+            .any(is_this_router)
+        {
+            match &config.file {
                 Some(path) => {
-                    let (found, read) = StateFile::read(path, &terms.rules, &me.name);
+                    let (found, read) = StateFile::read(path, &config.rules, &me.name);
                     kept = read.unwrap_or_else(|fault| {
-                        tell::file(&fault);
+                        log::state_file_fault(&fault);
                         None
                     });
                     file = Some(found);
                 }
-                // Danger: a vote that is on no disk is forgotten at the next start, and given twice. It never leaves.
-                None => tell::no_file(),
+                // A vote that is not on disk is lost at the next start, and the router may vote a second time. Without a
+                // file, no vote is sent.
+                None => log::no_state_file(),
             }
         }
         let gateway = Duty::new(&format!("gateway/{}", me.zone))
             .ok()
             .and_then(|duty| {
-                let made =
-                    Gateway::new(terms.fanout.clone(), &me.zone, me.address, now, seed ^ 1).ok()?;
+                let made = Gateway::new(config.fanout.clone(), &me.zone, me.address, now, seed ^ 1)
+                    .ok()?;
                 Some((duty, made))
             });
         if gateway.is_none() {
-            tell::zone(&me.zone);
+            log::zone_without_gateway(&me.zone);
         }
         let subscriber = Subscriber {
             name: me.name.as_str().into(),
@@ -129,7 +136,7 @@
             zone: me.zone.as_str().into(),
         };
         let duties = Duties::new(
-            terms.rules.clone(),
+            config.rules.clone(),
             me.clone(),
             routers,
             now,
@@ -140,49 +147,54 @@
             clock,
             duties: Rc::new(RefCell::new(duties)),
             file,
-            client: Client::new(terms.fanout.clone(), subscriber, now, seed ^ 3),
-            publisher: Publisher::new(terms.fanout.clone(), now, seed ^ 4),
+            client: Client::new(config.fanout.clone(), subscriber, now, seed ^ 3),
+            publisher: Publisher::new(config.fanout.clone(), now, seed ^ 4),
             gateway,
-            watches: Watches::new(terms.watch_interval),
+            watches: Watches::new(config.watch_interval),
             watching: BTreeSet::new(),
             nodes: Nodes::default(),
             members: vec![me.clone()],
             zones: Vec::new(),
             gateways: Vec::new(),
-            asks: Vec::new(),
-            out: Vec::new(),
-            own: VecDeque::new(),
-            refused: BTreeMap::new(),
+            queries: Vec::new(),
+            outbox: Vec::new(),
+            local_messages: VecDeque::new(),
+            logged_rejections: BTreeMap::new(),
             counts: Counts::default(),
             me,
-            terms,
+            config,
         }
     }
 
-    /// What it was made with.
-    pub fn terms(&self) -> &LeaseTasksConfig {
-        &self.terms
+    /// Returns the configuration.
+    pub fn config(&self) -> &LeaseTasksConfig {
+        &self.config
     }
 
-    /// The list has changed.
-    pub fn listed(&mut self, now: Time, engine: &Engine) {
+    /// Follows a changed endpoint list.
+    pub fn endpoints_changed(&mut self, now: Time, engine: &Engine) {
         self.nodes = Nodes::from_engine(engine);
-        self.want(now);
+        self.update_wanted(now);
     }
 
-    /// Who is there has changed.
-    pub fn seen<'a>(&mut self, now: Time, others: impl Iterator<Item = &'a Incarnation>) {
+    /// Follows a change of the gossip members. `others` are all members except this router.
+    pub fn members_changed<'a>(
+        &mut self,
+        now: Time,
+        others: impl Iterator<Item = &'a Incarnation>,
+    ) {
         self.members = others.map(member).chain([self.me.clone()]).collect();
         self.duties.borrow_mut().members(now, self.members.clone());
-        self.want(now);
+        self.update_wanted(now);
     }
 
-    /// What there is to do: a watch for each group of the list, a gateway for each zone that has a node or a router.
-    fn want(&mut self, now: Time) {
+    /// Updates the wanted leases and the subscriptions: a watch for each group of the list, and a gateway for each zone that
+    /// has a node or a router.
+    fn update_wanted(&mut self, now: Time) {
         let mut wanted = Vec::new();
         let groups = self.nodes.groups();
         for group in &groups {
-            wanted.extend(Duty::new(&positions(*group)).map(|duty| Wanted { duty, zone: None }));
+            wanted.extend(Duty::new(&watch_name(*group)).map(|duty| Wanted { duty, zone: None }));
         }
         let zones: BTreeSet<&String> = self
             .members
@@ -190,14 +202,14 @@
             .map(|m| &m.zone)
             .chain(self.nodes.zones())
             .collect();
-        // A zone whose name no duty can have has no gateway; its routers do without, and say so.
-        let gate = |zone: &&String| {
+        // A zone whose name is not valid in a lease name has no gateway. Its routers work without one and log a warning.
+        let gateway_lease = |zone: &&String| {
             Some((
                 zone.to_string(),
                 Duty::new(&format!("gateway/{zone}")).ok()?,
             ))
         };
-        self.zones = zones.iter().filter_map(gate).collect();
+        self.zones = zones.iter().filter_map(gateway_lease).collect();
         wanted.extend(self.zones.iter().map(|(zone, duty)| Wanted {
             duty: duty.clone(),
             zone: Some(zone.clone()),
@@ -205,16 +217,16 @@
         self.duties.borrow_mut().want(now, wanted);
         if groups != self.watching {
             for group in self.watching.difference(&groups) {
-                Topic::new(&positions(*group))
+                Topic::new(&watch_name(*group))
                     .iter()
                     .for_each(|topic| self.client.unsubscribe(topic));
             }
             for group in groups.difference(&self.watching) {
-                let Ok(topic) = Topic::new(&positions(*group)) else {
+                let Ok(topic) = Topic::new(&watch_name(*group)) else {
                     continue;
                 };
                 if let Err(fault) = self.client.subscribe(&topic) {
-                    tell::fault(&fault);
+                    log::fanout_fault(&fault);
                     break;
                 }
             }
@@ -222,123 +234,127 @@
         }
     }
 
-    /// The loop stood still.
-    pub fn stood(&mut self, now: Time, span: Micros) {
-        self.duties.borrow_mut().stood(now, span);
+    /// Handles a process stall.
+    pub fn process_stalled(&mut self, now: Time, duration: Micros) {
+        self.duties.borrow_mut().stood(now, duration);
     }
 
-    /// A part came.
-    pub fn arrived(&mut self, now: Time, part: ReceivedPart) {
+    /// Handles a message from another router.
+    pub fn receive_part(&mut self, now: Time, part: ReceivedPart) {
         match part.kind {
             payload_kind::LEASE => {
                 self.duties
                     .borrow_mut()
                     .receive(now, &member(&part.from), &part.body, part.late);
             }
-            payload_kind::FANOUT => self.fanout(now, part.from.address, &part.body, part.late),
+            payload_kind::FANOUT => {
+                self.receive_fanout(now, part.from.address, &part.body, part.late)
+            }
             _ => {}
         }
     }
 
-    /// One router may be gateway, owner and subscriber: each takes what is for it.
-    fn fanout(&mut self, now: Time, from: SocketAddr, body: &[u8], late: Micros) {
+    /// Handles a message of the subscriptions. A router may be gateway, publisher and subscriber at once, and each of them
+    /// handles the kinds of messages that are for it.
+    fn receive_fanout(&mut self, now: Time, from: SocketAddr, body: &[u8], late: Micros) {
         let gateway = self
             .gateway
             .as_mut()
             .map_or(Ok(()), |(_, g)| g.receive(now, from, body, late));
         let publisher = self.publisher.receive(now, from, body, late);
-        // The client tells in its news whom it refused.
+        // The client reports rejections in its events.
         let _ = self.client.receive(now, from, body, late);
         match gateway {
-            Err(Fault::Refused(why)) => self.refuse(&why),
+            Err(Fault::Refused(why)) => self.log_rejection(&why),
             Err(Fault::Unread { .. }) => self.counts.unread += 1,
             _ => {}
         }
         if let Err(Fault::Refused(why)) = publisher {
-            self.refuse(&why);
+            self.log_rejection(&why);
         }
     }
 
-    /// Tells of an old owner, once for each of its tokens: it may go on for long.
-    fn refuse(&mut self, why: &Refused) {
+    /// Logs a rejected message. A former lease holder, which may continue to send for long, is logged once for each token.
+    fn log_rejection(&mut self, why: &Refused) {
         let Refused::Older { duty, told, .. } = why else {
-            return tell::refused(why);
+            return log::rejected(why);
         };
-        if self.refused.len() >= TOLD {
-            self.refused.clear();
+        if self.logged_rejections.len() >= MAX_LOGGED_REJECTIONS {
+            self.logged_rejections.clear();
         }
-        if self.refused.insert(duty.clone(), *told) != Some(*told) {
-            tell::refused(why);
+        if self.logged_rejections.insert(duty.clone(), *told) != Some(*told) {
+            log::rejected(why);
         }
     }
 
-    /// What became of a question.
-    pub fn heard(&mut self, now: Time, heard: QueryOutcome) {
-        let Some((group, started)) = self.nodes.group_and_start(&heard.node) else {
+    /// Handles the outcome of a query to a node.
+    pub fn query_ended(&mut self, now: Time, outcome: QueryOutcome) {
+        let Some((group, started)) = self.nodes.group_and_start(&outcome.node) else {
             return;
         };
-        self.counts.unasked += u64::from(heard.answer.is_none());
+        self.counts.unanswered += u64::from(outcome.answer.is_none());
         self.watches
-            .end_query(now, group, &heard.node, started, heard.answer);
+            .end_query(now, group, &outcome.node, started, outcome.answer);
     }
 
-    /// Does what is due, and whatever follows from it.
-    pub fn turn(&mut self, now: Time, engine: &mut Engine) {
+    /// Runs what is due, and delivers the messages from this router to itself.
+    pub fn run_due(&mut self, now: Time, engine: &mut Engine) {
         self.duties.borrow_mut().turn(now);
-        self.take_on(now);
-        self.ask(now);
+        self.apply_leases(now);
+        self.query_nodes(now);
         self.publish(now);
         self.publisher.turn(now);
         self.client.turn(now);
         if let Some((_, gateway)) = self.gateway.as_mut().filter(|(_, g)| g.owns()) {
             gateway.turn(now);
         }
-        for _ in 0..ROUNDS {
-            self.keep(now);
-            self.post();
-            if self.own.is_empty() {
+        for _ in 0..MAX_LOCAL_ROUNDS {
+            self.persist(now);
+            self.collect_outgoing();
+            if self.local_messages.is_empty() {
                 break;
             }
-            for (kind, body) in std::mem::take(&mut self.own) {
+            for (kind, body) in std::mem::take(&mut self.local_messages) {
                 match kind {
-                    payload_kind::FANOUT => self.fanout(now, self.me.address, &body, 0),
+                    payload_kind::FANOUT => self.receive_fanout(now, self.me.address, &body, 0),
                     _ => self.duties.borrow_mut().receive(now, &self.me, &body, 0),
                 }
             }
         }
-        self.learn(engine);
+        self.apply_published(engine);
         while let Some(news) = self.duties.borrow_mut().news() {
-            tell::duties(&news);
+            log::lease_event(&news);
         }
         while let Some(why) = self.publisher.refused() {
-            self.refuse(&why);
+            self.log_rejection(&why);
         }
     }
 
-    /// What this router owns now, and whom it turns to.
-    fn take_on(&mut self, now: Time) {
+    /// Applies the current lease holders: the watches that this router holds, and the gateways that it publishes to and
+    /// subscribes at.
+    fn apply_leases(&mut self, now: Time) {
         let duties = self.duties.borrow();
         let mut owned = BTreeMap::new();
         for group in &self.watching {
-            if let Ok(duty) = Duty::new(&positions(*group))
+            if let Ok(duty) = Duty::new(&watch_name(*group))
                 && let Some(token) = duties.may_act(now, &duty)
             {
                 owned.insert(*group, token);
             }
         }
         for group in self.watches.set_held(now, &owned) {
-            Duty::new(&positions(group))
+            Duty::new(&watch_name(group))
                 .iter()
                 .for_each(|duty| self.publisher.ended(duty));
         }
-        // A gateway of another zone than its own tells nobody: its zone has no router.
-        let at = |(zone, duty): &(String, Duty)| {
+        // A gateway whose holder is in another zone is left out: its own zone has no router, and thus no subscriber.
+        let gateway_address = |(zone, duty): &(String, Duty)| {
             duties
                 .owner(duty)
                 .filter(|(owner, _)| owner.zone == *zone)
                 .map(|(owner, _)| owner.address)
         };
-        let gateways: Vec<SocketAddr> = self.zones.iter().filter_map(at).collect();
+        let gateways: Vec<SocketAddr> = self.zones.iter().filter_map(gateway_address).collect();
         if gateways != self.gateways {
             self.publisher.gateways(now, &gateways);
             self.gateways = gateways;
@@ -351,21 +367,21 @@
         }
     }
 
-    /// Asks the nodes of the groups whose turn it is.
-    fn ask(&mut self, now: Time) {
+    /// Queries the nodes of the groups whose next query is due.
+    fn query_nodes(&mut self, now: Time) {
         for (group, token) in self.watches.take_due(now) {
-            let Ok(duty) = Duty::new(&positions(group)) else {
+            let Ok(duty) = Duty::new(&watch_name(group)) else {
                 continue;
             };
-            // Against: an owner that stood still since this turn began, or whose question waited for a connection, asks
-            // after its lease. A node cannot look at a token, so the clock is read anew when the question leaves.
+            // The lease may expire before the query is sent, if the process stalls in this turn or if the query waits for
+            // a connection. A node cannot check tokens, so the lease is checked with a fresh clock when the query is sent.
             let (duties, clock) = (self.duties.clone(), self.clock);
             let lease_check: LeaseCheck =
                 Rc::new(move || duties.borrow().may_act(clock.now(), &duty) == Some(token));
             for node in self.nodes.serving(group) {
                 if self.watches.begin_query(now, group, node) {
-                    self.counts.asked += 1;
-                    self.asks.push(NodeQuery {
+                    self.counts.queried += 1;
+                    self.queries.push(NodeQuery {
                         node: node.clone(),
                         lease_check: lease_check.clone(),
                     });
@@ -374,34 +390,34 @@
         }
     }
 
-    /// Tells what nodes answered.
+    /// Publishes the answers of nodes.
     fn publish(&mut self, now: Time) {
         for (group, token, item) in self.watches.take_items(now) {
-            let name = positions(group);
+            let name = watch_name(group);
             let (Ok(duty), Ok(topic)) = (Duty::new(&name), Topic::new(&name)) else {
                 continue;
             };
             match self.publisher.publish(now, &topic, &duty, token, &item) {
-                Ok(_) => self.counts.told += 1,
-                Err(Fault::Refused(why)) => self.refuse(&why),
-                Err(fault) => tell::fault(&fault),
+                Ok(_) => self.counts.published += 1,
+                Err(Fault::Refused(why)) => self.log_rejection(&why),
+                Err(fault) => log::fanout_fault(&fault),
             }
         }
     }
 
-    /// Writes the decider's file where votes wait for it.
-    fn keep(&mut self, now: Time) {
+    /// Writes the state file if votes depend on it.
+    fn persist(&mut self, now: Time) {
         let Some(file) = &mut self.file else { return };
         let fresh = self.duties.borrow_mut().to_keep();
         match file.persist(now, fresh) {
             Ok(true) => self.duties.borrow_mut().kept(now),
             Ok(false) => {}
-            Err(fault) => tell::file(&fault),
+            Err(fault) => log::state_file_fault(&fault),
         }
     }
 
-    /// What all parts have to say; what is for this router itself takes no way over the network.
-    fn post(&mut self) {
+    /// Collects the outgoing messages of all parts. Those to this router itself do not go through the network.
+    fn collect_outgoing(&mut self) {
         let duties = self
             .duties
             .borrow_mut()
@@ -425,23 +441,23 @@
         );
         for (to, kind, body) in all {
             if to == self.me.address {
-                self.own.push_back((kind, body));
+                self.local_messages.push_back((kind, body));
             } else {
-                self.out.push((to, kind, body));
+                self.outbox.push((to, kind, body));
             }
         }
     }
 
-    /// Takes what the watches' owners told of nodes as evidence, as old as it is.
-    fn learn(&mut self, engine: &mut Engine) {
+    /// Passes the published status of nodes to the engine as evidence of its age.
+    fn apply_published(&mut self, engine: &mut Engine) {
         while let Some(news) = self.client.news() {
             let fanout::News::Item {
                 topic, age, body, ..
             } = news
             else {
                 match &news {
-                    fanout::News::Refused { why } => self.refuse(why),
-                    other => tell::fanout(other),
+                    fanout::News::Refused { why } => self.log_rejection(why),
+                    other => log::fanout_event(other),
                 }
                 continue;
             };
@@ -457,36 +473,36 @@
                 continue;
             };
             for status in statuses {
-                let Some((node, own)) = self.nodes.find_reported(group, &status) else {
+                let Some((node, is_current)) = self.nodes.find_reported(group, &status) else {
                     continue;
                 };
-                if !own {
-                    self.counts.other_life += 1;
+                if !is_current {
+                    self.counts.other_incarnation += 1;
                     continue;
                 }
-                self.counts.learned += 1;
+                self.counts.applied += 1;
                 engine.health_check_ended(node.clone(), Some(status.to_report(age)));
             }
         }
     }
 
-    /// Takes the questions that are to be asked.
-    pub fn take_asks(&mut self) -> Vec<NodeQuery> {
-        std::mem::take(&mut self.asks)
+    /// Takes the queries that are to be sent to nodes.
+    pub fn take_queries(&mut self) -> Vec<NodeQuery> {
+        std::mem::take(&mut self.queries)
     }
 
-    /// Takes what is to be sent: where to, which kind of part, and the body.
-    pub fn take_out(&mut self) -> Vec<(SocketAddr, u8, Vec<u8>)> {
-        std::mem::take(&mut self.out)
+    /// Takes the outgoing messages: receiver, kind of the part, and body.
+    pub fn take_outgoing(&mut self) -> Vec<(SocketAddr, u8, Vec<u8>)> {
+        std::mem::take(&mut self.outbox)
     }
 
-    /// A body was not sent: the budget of peers is spent.
-    pub fn unsent(&mut self) {
+    /// Counts a message that was not sent because the datagram budget is spent.
+    pub fn count_unsent(&mut self) {
         self.counts.unsent += 1;
     }
 
-    /// When something is due.
-    pub fn next(&self) -> Time {
+    /// Returns the next deadline, or `Time::MAX`.
+    pub fn next_deadline(&self) -> Time {
         let gateway = self
             .gateway
             .as_ref()
@@ -496,7 +512,11 @@
             .file
             .as_ref()
             .map_or(Time::MAX, StateFile::next_deadline);
-        let own = if self.own.is_empty() { Time::MAX } else { 0 };
+        let local = if self.local_messages.is_empty() {
+            Time::MAX
+        } else {
+            0
+        };
         [
             self.duties.borrow().next(),
             self.client.next(),
@@ -504,43 +524,43 @@
             self.watches.next_deadline(),
             gateway,
             file,
-            own,
+            local,
         ]
         .into_iter()
         .fold(Time::MAX, Time::min)
     }
 
-    /// This router ends: what it owns goes to others, and nobody needs to tell it anything.
+    /// Starts the shutdown: unsubscribes and hands the leases over.
     pub fn hand_over(&mut self, now: Time) {
         self.client.leave(now);
         self.duties.borrow_mut().hand_over(now);
     }
 
-    /// Whether something is still being handed over.
-    pub fn handing(&self) -> bool {
+    /// Returns whether a handover is in progress.
+    pub fn is_handing_over(&self) -> bool {
         self.duties.borrow().handing()
     }
 
-    /// Tells the log what it does, and what it believes that others do.
-    pub fn dump(&self, now: Time) {
+    /// Logs the leases that this router holds, the holders that it knows of, and the counts.
+    pub fn log_state(&self, now: Time) {
         let duties = self.duties.borrow();
-        let mut owners = Vec::new();
+        let mut holders = Vec::new();
         for duty in self
             .watching
             .iter()
-            .filter_map(|g| Duty::new(&positions(*g)).ok())
+            .filter_map(|g| Duty::new(&watch_name(*g)).ok())
         {
-            owners.extend(
+            holders.extend(
                 duties
                     .owner(&duty)
-                    .map(|(who, token)| (duty, who.name, token)),
+                    .map(|(holder, token)| (duty, holder.name, token)),
             );
         }
         for (_, duty) in &self.zones {
-            owners.extend(
+            holders.extend(
                 duties
                     .owner(duty)
-                    .map(|(who, token)| (duty.clone(), who.name, token)),
+                    .map(|(holder, token)| (duty.clone(), holder.name, token)),
             );
         }
         let gateway = self
@@ -548,17 +568,17 @@
             .as_ref()
             .map(|(_, g)| g.counts())
             .unwrap_or_default();
-        tell::dump(&tell::Dump {
-            owned: &duties
+        log::log_state(&log::State {
+            held: &duties
                 .owned(now)
                 .map(|(duty, token)| (duty.clone(), token))
                 .collect::<Vec<_>>(),
-            owners: &owners,
+            holders: &holders,
             stage: duties.stage(),
             alone: duties.alone(now),
             topics: self.client.topics().count(),
             settled: self.client.settled(),
-            duties: duties.counts(),
+            leases: duties.counts(),
             client: self.client.counts(),
             gateway,
             counts: self.counts,
--- a/router/src/serve.rs
+++ b/router/src/serve.rs
@@ -230,7 +230,7 @@
                     Signal::Stop => self.terminate(now),
                     Signal::DumpState => {
                         if let Some(peers) = &self.peers {
-                            peers.dump(now, &mut self.engine);
+                            peers.log_state(now, &mut self.engine);
                         }
                     }
                 }
@@ -241,7 +241,7 @@
     fn read_gossip(&mut self, ready: &Ready<'_>, now: Time) {
         for _ in ready.of(EventSource::Gossip) {
             if let Some(peers) = &mut self.peers {
-                peers.event(now, &mut self.engine);
+                peers.read_datagrams(now, &mut self.engine);
             }
         }
     }
@@ -281,11 +281,13 @@
             Deadline::Gossip => self
                 .peers
                 .iter_mut()
-                .for_each(|peers| peers.turn(now, &mut self.engine)),
+                .for_each(|peers| peers.run_due(now, &mut self.engine)),
             Deadline::Accept => self.front.resume_accepting(now, &mut self.engine),
             Deadline::Shutdown => {
                 // Handing over does not keep clients waiting.
-                self.peers.iter_mut().for_each(|peers| peers.end(now));
+                self.peers
+                    .iter_mut()
+                    .for_each(|peers| peers.finish_leaving(now));
                 self.front.drain(now, &mut self.engine);
             }
         }
@@ -336,9 +338,9 @@
         let Some(peers) = &mut self.peers else { return };
         let heard = self.upstream.take_query_outcomes();
         if !heard.is_empty() {
-            peers.heard(now, heard, &mut self.engine);
+            peers.queries_ended(now, heard, &mut self.engine);
         }
-        for ask in peers.take_asks() {
+        for ask in peers.take_queries() {
             self.upstream.query(ask, now, &mut self.engine);
         }
     }
@@ -369,7 +371,7 @@
             .update_endpoints(&listing, now, &mut self.engine);
         self.peers
             .iter_mut()
-            .for_each(|peers| peers.listed(now, &self.engine));
+            .for_each(|peers| peers.endpoints_changed(now, &self.engine));
     }
 
     /// Takes over what a running router can; a file that is no good leaves all as it was.
@@ -407,7 +409,7 @@
             }
             self.upstream.change_options(told.connect_options);
             match (&mut self.peers, told.gossip) {
-                (Some(peers), Some(terms)) => peers.change(terms),
+                (Some(peers), Some(terms)) => peers.reload(terms),
                 (None, None) => {}
                 _ => warn!(
                     reason = "peers",
@@ -451,7 +453,7 @@
         );
         self.peers
             .iter_mut()
-            .for_each(|peers| peers.leave(now, &mut self.engine));
+            .for_each(|peers| peers.start_leaving(now, &mut self.engine));
         self.engine
             .deadlines
             .add(now + STILL_ACCEPTING, Deadline::Shutdown);
--- a/router/tests/peers.rs
+++ b/router/tests/peers.rs
@@ -136,9 +136,13 @@
     let mut on = on;
     for process in [&mut on, &mut with] {
         process.strike(Blow::Tell);
-        assert!(process.says("what this router believes", HANGS).is_some());
+        assert!(process.says("gossip state", HANGS).is_some());
     }
-    let said = |p: &Process| p.lines().iter().any(|l| l.contains("for the fleet"));
+    let said = |p: &Process| {
+        p.lines()
+            .iter()
+            .any(|l| l.contains("state of the lease tasks"))
+    };
     assert_eq!(
         [&off, &empty, &on, &with].map(said),
         [false, false, false, true],
@@ -318,7 +322,7 @@
     let fast = ", \"probe_ms\": 200, \"answer_ms\": 60, \"suspect_ms\": 600, \"gossip_ms\": 60, \"repair_ms\": 200, \"datagrams_per_s\": 200";
     let one = start(&folder, &agent, "one", Some(&block(&folder, KEY, fast)));
     let line = one
-        .says("talks with other routers", HANGS)
+        .says("gossip with other routers is enabled", HANGS)
         .expect("it talks");
     let address = line
         .split("advertise=")
@@ -398,5 +402,5 @@
     two.strike(Blow::Term);
     assert!(two.ended(HANGS).is_some_and(|status| status.success()));
     // Who leaves is missed at once.
-    assert!(one.says("a router is gone", HANGS).is_some());
+    assert!(one.says("a router is down", HANGS).is_some());
 }
