--- a/experiments/src/faults/play.rs
+++ b/experiments/src/faults/play.rs
@@ -786,7 +786,7 @@
             zone: ["a", "b", "c"][(who % 3) as usize].into(),
         };
         let record = GossipRecord::from_observation(&from, seq, &"s4".into(), None, &seen);
-        let parts = record.and_then(|r| r.part()).into_iter().collect();
+        let parts = record.and_then(|r| r.to_part()).into_iter().collect();
         if let Some(bytes) = keys.seal(&Envelope {
             from,
             seq,
--- a/gossip/benches/turn.rs
+++ b/gossip/benches/turn.rs
@@ -1,4 +1,5 @@
-//! What a router's talk costs at 300 routers and 120 db nodes: a second of all of them, in calm and while eight nodes are bad.
+//! Cost of gossip with 300 routers and 120 database nodes: one second of all routers, while all nodes serve and while eight
+//! fail.
 
 #[path = "../tests/common/mod.rs"]
 mod common;
@@ -9,7 +10,7 @@
 use plovercove_gossip::Rules;
 use std::time::Duration;
 
-/// Routers; the time of one router's second is this part of what is printed.
+/// Number of routers. The printed time divided by this number is the time of one router.
 const ROUTERS: usize = 300;
 
 fn main() {
@@ -20,8 +21,8 @@
         .configure_from_args();
     for bad in [false, true] {
         let mut net = Net::new(ROUTERS, 40, 1, Rules::default());
-        net.joined();
-        net.fate = Box::new(move |_, _, node, _| {
+        net.run_until_joined();
+        net.attempt_result = Box::new(move |_, _, node, _| {
             let number = node[1..].parse::<usize>().unwrap_or(0);
             if bad && number % 15 == 4 {
                 (AttemptEnd::TimedOut, 200_000)
--- a/gossip/src/budget.rs
+++ b/gossip/src/budget.rs
@@ -1,8 +1,8 @@
-//! The budget of datagrams and bytes, as two token buckets: a fleet that gossips must not fill its own links.
+//! Budget of datagrams and bytes, as two token buckets, so that gossip does not saturate the links of the routers.
 
 use plovercove::Time;
 
-/// A router may save up so many seconds of its budget.
+/// Depth of the buckets, as seconds of the budget that a router may save up.
 const BURST_S: f64 = 0.5;
 
 /// A token bucket.
@@ -20,13 +20,13 @@
         }
     }
 
-    fn refill(&mut self, passed_s: f64) {
-        let most = (self.rate_per_s * BURST_S).max(1.0);
-        self.tokens = (self.tokens + self.rate_per_s * passed_s).min(most);
+    fn refill(&mut self, elapsed_s: f64) {
+        let max_tokens = (self.rate_per_s * BURST_S).max(1.0);
+        self.tokens = (self.tokens + self.rate_per_s * elapsed_s).min(max_tokens);
     }
 }
 
-/// Tokens for datagrams and for their bytes.
+/// Token buckets for datagrams and for their bytes.
 #[derive(Debug)]
 pub(crate) struct Budget {
     datagrams: TokenBucket,
@@ -43,12 +43,12 @@
         }
     }
 
-    /// Takes what a datagram of so many bytes costs, if there is enough.
+    /// Takes the tokens of a datagram of this size if there are enough, and returns whether there were.
     pub(crate) fn take(&mut self, now: Time, bytes: usize) -> bool {
-        let passed_s = now.saturating_sub(self.refilled_at) as f64 / 1e6;
+        let elapsed_s = now.saturating_sub(self.refilled_at) as f64 / 1e6;
         self.refilled_at = now;
-        self.datagrams.refill(passed_s);
-        self.bytes.refill(passed_s);
+        self.datagrams.refill(elapsed_s);
+        self.bytes.refill(elapsed_s);
         let is_enough = self.datagrams.tokens >= 1.0 && self.bytes.tokens >= bytes as f64;
         if is_enough {
             self.datagrams.tokens -= 1.0;
--- a/gossip/src/datagram.rs
+++ b/gossip/src/datagram.rs
@@ -1,65 +1,72 @@
-//! What a datagram is made of: a version, the installation, a body and a tag that only holders of the key can make.
+//! Format of a datagram: a version, the installation, a body, and a tag that only a holder of the key can create.
 
 use crate::error::{Error, LEAST_KEY};
 use crate::incarnation::Incarnation;
 use serde::{Deserialize, Serialize};
 
-/// No datagram is longer: it fits in one frame of every usual network, whatever tunnels it.
+/// Maximum length of a datagram. It fits in one frame of all common networks, also within a tunnel.
 pub const MAX_DATAGRAM_BYTES: usize = 1_200;
-/// The version of the frame. What a newer version adds comes as further kinds of parts, which are skipped.
+/// Version of the format. Newer versions add kinds of parts, which older ones skip.
 const VERSION: u8 = 1;
-const HEAD: usize = 5;
-const TAG: usize = 32;
-/// Parts of one datagram.
-const PARTS: usize = 32;
+/// Length of the header: the version and the short hash of the installation's name.
+const HEADER_BYTES: usize = 5;
+const TAG_BYTES: usize = 32;
+/// Maximum number of parts of one datagram.
+const MAX_PARTS: usize = 32;
 
-/// Kinds of parts.
-pub(crate) mod kind {
+/// Kinds of parts that gossip itself uses.
+pub(crate) mod part_kind {
+    /// Message of the membership protocol.
     pub const SWIM: u8 = 1;
+    /// Records.
     pub const RECORDS: u8 = 2;
+    /// Digest of the sender's records.
     pub const DIGEST: u8 = 3;
-    pub const WANT: u8 = 4;
-    pub const ROLL: u8 = 5;
+    /// Names of records that the sender requests.
+    pub const WANTED_RECORDS: u8 = 4;
+    /// Checksums of the members that the sender knows.
+    pub const MEMBER_CHECKSUMS: u8 = 5;
+    /// Members that the sender knows.
     pub const MEMBERS: u8 = 6;
 }
 
-/// Kinds of parts that belong to other crates: what came of them is kept for whoever asks ([`crate::Gossip::next_received_part`]).
+/// Kinds of parts that belong to other crates. Received ones wait to be taken by [`crate::Gossip::next_received_part`].
 pub mod payload_kind {
-    /// Requests, votes and grants of duties.
+    /// Requests, votes and grants of leases.
     pub const LEASE: u8 = 16;
-    /// Subscriptions, lists and news.
+    /// Subscriptions, endpoint lists and events of the fanout.
     pub const FANOUT: u8 = 17;
-    /// Questions to the fleet and what gateways answer.
+    /// Queries to all routers, and the answers of gateways.
     pub const QUERY: u8 = 18;
-    /// The least and greatest of them.
+    /// Range of the kinds that belong to other crates.
     pub const RANGE: std::ops::RangeInclusive<u8> = 16..=31;
 }
 
-/// Why a datagram is dropped.
+/// Reason for which a received datagram is dropped.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, strum::IntoStaticStr, strum::VariantNames,
 )]
 pub enum DatagramFault {
-    /// It is of another installation, or no datagram of routers at all.
+    /// It comes from another installation, or is no datagram of a router at all.
     Foreign,
-    /// It is of a version that is not spoken.
+    /// It has an unsupported version.
     Version,
-    /// It was not made by a holder of the key, or was changed on its way.
+    /// Its tag is wrong: its sender has another key, or it was changed on the way.
     Tag,
-    /// Its body is none.
+    /// Its body cannot be decoded.
     Malformed,
-    /// It has been here before, or is so old that nobody can tell.
+    /// It was received before, or is too old to determine that.
     Replayed,
-    /// Its sender's life has ended.
+    /// It comes from an earlier incarnation of its sender.
     OldLife,
     /// Its sender is this router.
     Own,
-    /// It brings more than may be held.
+    /// Its sender is unknown, and there are too many members already.
     TooMuch,
 }
 
 impl DatagramFault {
-    /// In a word, for logs.
+    /// Returns the label of the fault in logs.
     pub fn label(self) -> &'static str {
         match self {
             DatagramFault::Foreign => "foreign",
@@ -75,7 +82,7 @@
 }
 
 impl DatagramFault {
-    /// What an operator can do.
+    /// Returns what an operator can do about the fault.
     pub fn help(self) -> &'static str {
         match self {
             DatagramFault::Foreign => {
@@ -109,104 +116,108 @@
 /// One part of a datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Part {
-    /// What it is; unknown kinds are skipped.
+    /// Kind of the part. Unknown kinds are skipped.
     pub kind: u8,
-    /// Its content.
+    /// Content of the part.
     pub body: Vec<u8>,
 }
 
-/// A datagram's body.
+/// Body of a datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Envelope {
-    /// Who sent it.
+    /// Sender of the datagram.
     pub from: Incarnation,
-    /// Counts this life's datagrams.
+    /// Sequence number of the datagram within the sender's incarnation.
     pub seq: u64,
-    /// The sender's own clock (ms since the start of its process), compared only with others from it.
+    /// Clock of the sender (ms since the start of its process). It is compared only with other values of the same sender.
     pub clock_ms: u64,
-    /// What it brings.
+    /// Parts of the datagram.
     pub parts: Vec<Part>,
 }
 
-/// The keys of an installation.
+/// Keys of an installation.
 #[derive(Clone)]
 pub struct Keys {
     installation: [u8; 4],
-    ours: [u8; 32],
-    /// Taken as well while the key is being changed.
-    also: Option<[u8; 32]>,
+    current: [u8; 32],
+    /// Second key that is accepted while the key is being changed.
+    additional: Option<[u8; 32]>,
 }
 
 impl Keys {
-    /// The keys made of the content of key files.
+    /// Derives the keys of an installation from the content of its key files.
     ///
     /// # Errors
-    /// A key is too short.
-    pub fn new(installation: &str, ours: &[u8], also: Option<&[u8]>) -> Result<Self, Error> {
-        let key = |bytes: &[u8]| {
+    /// Returns an error if a key is too short.
+    pub fn new(
+        installation: &str,
+        current: &[u8],
+        additional: Option<&[u8]>,
+    ) -> Result<Self, Error> {
+        let derive = |bytes: &[u8]| {
             if bytes.len() < LEAST_KEY {
                 return Err(Error::ShortKey);
             }
             let context = format!("plovercove 2026-12 peers of {installation}");
             Ok(blake3::derive_key(&context, bytes))
         };
-        let mut short = [0; 4];
-        short.copy_from_slice(&blake3::hash(installation.as_bytes()).as_bytes()[..4]);
+        let mut installation_hash = [0; 4];
+        installation_hash.copy_from_slice(&blake3::hash(installation.as_bytes()).as_bytes()[..4]);
         Ok(Keys {
-            installation: short,
-            ours: key(ours)?,
-            also: also.map(key).transpose()?,
+            installation: installation_hash,
+            current: derive(current)?,
+            additional: additional.map(derive).transpose()?,
         })
     }
 
-    /// Makes a datagram; none where it would be too long.
+    /// Encodes and signs a datagram, or returns `None` if it would be too long.
     pub fn seal(&self, envelope: &Envelope) -> Option<Vec<u8>> {
         let mut out = vec![VERSION];
         out.extend_from_slice(&self.installation);
         let mut out = postcard::to_extend(envelope, out).ok()?;
-        let tag = blake3::keyed_hash(&self.ours, &out);
+        let tag = blake3::keyed_hash(&self.current, &out);
         out.extend_from_slice(tag.as_bytes());
         (out.len() <= MAX_DATAGRAM_BYTES).then_some(out)
     }
 
-    /// How much room parts have in a datagram of this life.
-    pub fn room(from: &Incarnation) -> usize {
-        // Numbers and lengths take ten bytes each at the most.
+    /// Returns how many bytes the parts of a datagram of this sender may have.
+    pub fn max_parts_bytes(from: &Incarnation) -> usize {
+        // Numbers and lengths take at most ten bytes each.
         MAX_DATAGRAM_BYTES
-            - HEAD
-            - TAG
+            - HEADER_BYTES
+            - TAG_BYTES
             - (19 + 10 + 5 + from.name.len() + from.zone.len() + 4)
             - 10
             - 10
             - 2
     }
 
-    /// Opens a datagram.
+    /// Verifies and decodes a datagram.
     ///
     /// # Errors
-    /// Why it must be dropped.
-    pub fn open(&self, bytes: &[u8], check: bool) -> Result<Envelope, DatagramFault> {
-        if bytes.len() < HEAD + TAG
+    /// Returns the reason for which the datagram has to be dropped.
+    pub fn open(&self, bytes: &[u8], check_tag: bool) -> Result<Envelope, DatagramFault> {
+        if bytes.len() < HEADER_BYTES + TAG_BYTES
             || bytes.len() > MAX_DATAGRAM_BYTES
-            || bytes[1..HEAD] != self.installation
+            || bytes[1..HEADER_BYTES] != self.installation
         {
             return Err(DatagramFault::Foreign);
         }
         if bytes[0] != VERSION {
             return Err(DatagramFault::Version);
         }
-        let (signed, tag) = bytes.split_at(bytes.len() - TAG);
-        let mut told = [0; TAG];
-        told.copy_from_slice(tag);
-        let told = blake3::Hash::from_bytes(told);
-        // Hashes are compared in a time that tells nothing of them.
-        let good = |key: &[u8; 32]| blake3::keyed_hash(key, signed) == told;
-        if check && !good(&self.ours) && !self.also.as_ref().is_some_and(good) {
+        let (signed, tag) = bytes.split_at(bytes.len() - TAG_BYTES);
+        let mut received = [0; TAG_BYTES];
+        received.copy_from_slice(tag);
+        let received = blake3::Hash::from_bytes(received);
+        // The comparison of hashes takes constant time, so that its duration reveals nothing about them.
+        let matches = |key: &[u8; 32]| blake3::keyed_hash(key, signed) == received;
+        if check_tag && !matches(&self.current) && !self.additional.as_ref().is_some_and(matches) {
             return Err(DatagramFault::Tag);
         }
         let envelope: Envelope =
-            postcard::from_bytes(&signed[HEAD..]).map_err(|_| DatagramFault::Malformed)?;
-        if envelope.parts.len() > PARTS || !envelope.from.fits() {
+            postcard::from_bytes(&signed[HEADER_BYTES..]).map_err(|_| DatagramFault::Malformed)?;
+        if envelope.parts.len() > MAX_PARTS || !envelope.from.has_valid_names() {
             return Err(DatagramFault::Malformed);
         }
         Ok(envelope)
--- a/gossip/src/datagram/tests.rs
+++ b/gossip/src/datagram/tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of `wire`.
+//! Unit tests of `datagram`.
 
 use super::*;
 
@@ -18,21 +18,21 @@
     }
 }
 
-fn keys(ours: &str, also: Option<&str>) -> Keys {
-    Keys::new("here", ours.as_bytes(), also.map(str::as_bytes)).expect("long enough")
+fn keys(current: &str, additional: Option<&str>) -> Keys {
+    Keys::new("here", current.as_bytes(), additional.map(str::as_bytes)).expect("long enough")
 }
 
 const OLD: &str = "an old key of enough bytes";
 const NEW: &str = "a new key, also long enough";
 
 #[test]
-fn what_fills_the_room_fits_in_a_datagram_and_comes_back() {
-    let told = envelope(vec![Part {
+fn largest_parts_fit_in_a_datagram_and_decode() {
+    let message = envelope(vec![Part {
         kind: 7,
-        body: vec![1; Keys::room(&envelope(Vec::new()).from)],
+        body: vec![1; Keys::max_parts_bytes(&envelope(Vec::new()).from)],
     }]);
-    let sealed = keys(OLD, None).seal(&told).expect("it fits");
-    assert_eq!(keys(OLD, None).open(&sealed, true), Ok(told));
+    let sealed = keys(OLD, None).seal(&message).expect("it fits");
+    assert_eq!(keys(OLD, None).open(&sealed, true), Ok(message));
     assert!(
         keys(OLD, None)
             .seal(&envelope(vec![Part {
@@ -44,53 +44,56 @@
 }
 
 #[test]
-fn a_key_is_changed_without_a_moment_in_which_routers_are_strangers() {
-    // First all take the new one as well, then all use it, then the old one goes.
+fn key_change_in_steps_keeps_all_routers_connected() {
+    // First all routers accept the new key as well, then all use it, then the old one is removed.
     let steps = [
         keys(OLD, None),
         keys(OLD, Some(NEW)),
         keys(NEW, Some(OLD)),
         keys(NEW, None),
     ];
-    let told = envelope(Vec::new());
+    let message = envelope(Vec::new());
     for (from, to) in steps
         .windows(2)
         .flat_map(|w| [(&w[0], &w[1]), (&w[1], &w[0])])
     {
-        assert!(to.open(&from.seal(&told).expect("small"), true).is_ok());
+        assert!(to.open(&from.seal(&message).expect("small"), true).is_ok());
     }
     assert_eq!(
-        steps[0].open(&steps[3].seal(&told).expect("small"), true),
+        steps[0].open(&steps[3].seal(&message).expect("small"), true),
         Err(DatagramFault::Tag)
     );
 }
 
 #[test]
-fn whatever_is_changed_or_foreign_is_dropped_with_its_reason() {
-    let (ours, told) = (
+fn changed_or_foreign_datagrams_are_dropped_with_the_reason() {
+    let (keys, message) = (
         keys(OLD, None),
         envelope(vec![Part {
             kind: 1,
             body: vec![3; 40],
         }]),
     );
-    let sealed = ours.seal(&told).expect("small");
-    for at in 0..sealed.len() {
+    let sealed = keys.seal(&message).expect("small");
+    for position in 0..sealed.len() {
         for flip in [1, 128] {
             let mut changed = sealed.clone();
-            changed[at] ^= flip;
-            let want = [
+            changed[position] ^= flip;
+            let expected = [
                 DatagramFault::Version,
                 DatagramFault::Foreign,
                 DatagramFault::Tag,
-            ][usize::from(at > 0) + usize::from(at >= HEAD)];
-            assert_eq!(ours.open(&changed, true), Err(want), "byte {at}");
+            ][usize::from(position > 0) + usize::from(position >= HEADER_BYTES)];
+            assert_eq!(keys.open(&changed, true), Err(expected), "byte {position}");
         }
     }
     for length in 0..sealed.len() {
-        assert!(ours.open(&sealed[..length], true).is_err());
+        assert!(keys.open(&sealed[..length], true).is_err());
     }
-    let there = Keys::new("there", OLD.as_bytes(), None).expect("long enough");
-    assert_eq!(there.open(&sealed, true), Err(DatagramFault::Foreign));
+    let other_installation = Keys::new("there", OLD.as_bytes(), None).expect("long enough");
+    assert_eq!(
+        other_installation.open(&sealed, true),
+        Err(DatagramFault::Foreign)
+    );
     assert!(Keys::new("here", b"short", None).is_err());
 }
--- a/gossip/src/error.rs
+++ b/gossip/src/error.rs
@@ -1,41 +1,41 @@
-//! What is wrong with what operators say of peers.
+//! Faults in the settings and keys of gossip.
 
-/// The least bytes of a key: one of fewer could be guessed.
+/// Minimum length of a key (bytes). A shorter one could be guessed.
 pub(crate) const LEAST_KEY: usize = 16;
-/// Routers that are called at the start; the rest become known by them.
+/// Maximum number of seeds. The other members become known through them.
 pub(crate) const MOST_SEEDS: usize = 64;
 
-/// What is wrong with the rules or keys of peers. Rules name their key.
+/// Fault in the settings or keys of gossip.
 #[derive(Clone, Debug, PartialEq, thiserror::Error, strum::IntoStaticStr, strum::VariantNames)]
 pub enum Error {
-    /// A key that could be guessed.
+    /// A key is too short.
     #[error("expected a key of {LEAST_KEY} bytes or more")]
     ShortKey,
-    /// A whole number out of its bounds.
+    /// An integer is out of its bounds.
     #[error("{key}: expected {least} to {most}, got {got}")]
     Range {
-        /// Its key.
+        /// Key of the setting.
         key: &'static str,
-        /// The least.
+        /// Least allowed value.
         least: u64,
-        /// The most.
+        /// Greatest allowed value.
         most: u64,
-        /// What stands there.
+        /// Value that is set.
         got: u64,
     },
-    /// The life of evidence is out of its bounds (s).
+    /// The lifetime of observations is out of its bounds (s).
     #[error("evidence_s: expected 1 to 600, got {0}")]
     Evidence(f64),
-    /// An installation without a name, or with one too long for a file of keys.
+    /// The installation has no name, or one that is too long for a key file.
     #[error("installation: expected a name of 1 to 64 bytes")]
     Name,
-    /// Too many routers to call at the start.
+    /// There are too many seeds.
     #[error("seeds: expected {MOST_SEEDS} at the most")]
     Seeds,
 }
 
 impl Error {
-    /// What an operator can do.
+    /// Returns what an operator can do about the fault.
     pub fn help(&self) -> &'static str {
         match self {
             Error::ShortKey => {
--- a/gossip/src/event.rs
+++ b/gossip/src/event.rs
@@ -1,4 +1,4 @@
-//! What a router's gossip tells its surroundings: events for the log, parts for other crates, counts and a snapshot.
+//! Output of gossip: events for the log, received parts for other crates, counters and a snapshot.
 
 use crate::datagram::DatagramFault;
 use crate::incarnation::Incarnation;
@@ -9,62 +9,62 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// What came about, for the log.
+/// Event of gossip, for the log.
 #[derive(Clone, Debug, PartialEq)]
 pub enum GossipEvent {
-    /// A router is there.
+    /// A member is up.
     MemberUp(Incarnation),
-    /// A router is gone: it left, or says nothing.
+    /// A member is down: it left, or does not answer.
     MemberDown(Incarnation),
-    /// How many are there, this one among them, of how many there should be.
+    /// The number of members that are up changed.
     MemberCount {
-        /// Seen.
+        /// Number of members that are up, including this router.
         seen: usize,
-        /// By the settings.
+        /// Expected number of routers, from the settings.
         expected: u32,
     },
-    /// Two routers have one name.
+    /// Two routers have the same name.
     DuplicateName(Incarnation, Incarnation),
-    /// The others took this router for gone.
+    /// The other members considered this router down, and it rejoined with this identity.
     Rejoined(Incarnation),
-    /// Another router holds this one's address.
+    /// Another router, which started later, uses this one's address.
     AddressTaken,
-    /// This router stood still for so long.
+    /// This router was stalled for this time.
     Stalled(Micros),
-    /// Datagrams that were dropped since this was told last.
+    /// Number of datagrams that were dropped for this reason since the last such event.
     Dropped(DatagramFault, u64),
     /// The verdict on a node changed.
     Verdict {
-        /// The node.
+        /// Name of the node.
         node: NodeId,
-        /// What was held of it.
+        /// Level of the node before.
         previous: Level,
-        /// What is.
+        /// New verdict.
         verdict: Verdict,
-        /// Whether this router tries it for all.
+        /// Whether this router is one of those that send trial requests to the ejected node.
         runs_trials: bool,
-        /// What was said of the node at that moment.
+        /// The reports of all observers about the node at that moment.
         reports: Vec<ObserverReport>,
     },
-    /// This router tells the others what it saw of a node.
+    /// This router publishes an observation of a node.
     Observed {
-        /// The node.
+        /// Name of the node.
         node: NodeId,
-        /// What it saw.
+        /// The observation.
         observation: Observation,
     },
 }
 
-/// What one router says of a node, with the names that operators know.
+/// Report of one observer about a node, with names instead of numbers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ObserverReport {
-    /// Who says it.
+    /// Name of the observer.
     pub observer: String,
-    /// The zone it stands in.
+    /// Zone of the observer.
     pub zone: String,
-    /// What it saw.
+    /// The observation.
     pub observation: Observation,
-    /// How long ago it said so.
+    /// Age of the report.
     pub age: Micros,
 }
 
@@ -84,58 +84,58 @@
     }
 }
 
-/// A part that came for another crate.
+/// Received part that belongs to another crate.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReceivedPart {
-    /// Who sent it; the tag vouches for a holder of the key, not for the name.
+    /// Sender of the part. The tag of the datagram proves only that the sender has the key, not its name.
     pub from: Incarnation,
-    /// What it is, of [`payload_kind`](crate::payload_kind).
+    /// Kind of the part, one of [`payload_kind`](crate::payload_kind).
     pub kind: u8,
-    /// Its content.
+    /// Content of the part.
     pub body: Vec<u8>,
-    /// How much longer it was under way than the fastest datagram of its sender, where that is worth counting.
+    /// Delay of the datagram compared with the fastest of its sender, or 0 if it does not count as late.
     pub late: Micros,
 }
 
-/// What was counted since the start.
+/// Counters since the start.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Counts {
-    /// Datagrams and bytes sent.
+    /// Number of datagrams and bytes sent.
     pub sent: (u64, u64),
-    /// Datagrams and bytes that came and were good.
+    /// Number of valid datagrams received, and of their bytes.
     #[serde(rename = "came")]
     pub received: (u64, u64),
-    /// Datagrams that the budget kept from being sent.
+    /// Number of datagrams that were not sent because the budget was used up.
     #[serde(rename = "held_back")]
     pub over_budget: u64,
-    /// Datagrams that were dropped, by reason.
+    /// Number of received datagrams that were dropped, by reason.
     pub dropped: BTreeMap<&'static str, u64>,
-    /// Records of kinds that are not known.
+    /// Number of records of unknown kinds.
     #[serde(rename = "unknown")]
     pub unknown_records: u64,
-    /// Datagrams that were long under way.
+    /// Number of late datagrams.
     pub late: u64,
-    /// Messages of membership that made no sense.
+    /// Number of invalid membership messages.
     #[serde(rename = "odd")]
     pub invalid_messages: u64,
 }
 
-/// What a router believes, for people.
+/// Snapshot of a router's view of members and nodes, for the log.
 #[derive(Clone, Debug, Serialize)]
 pub struct Snapshot {
-    /// This router.
+    /// Identity of this router.
     pub me: String,
-    /// Routers that are seen, this one among them.
+    /// Number of members that are up, including this router.
     pub seen: usize,
-    /// Routers that there should be.
+    /// Expected number of routers.
     #[serde(rename = "should")]
     pub expected: u32,
-    /// Their names.
+    /// Names of the other members.
     pub members: Vec<String>,
-    /// Records held.
+    /// Number of stored records.
     pub records: usize,
-    /// Nodes that are not in, with level and the age of the evidence (ms).
+    /// Nodes that are not fully in service, each with the label of its level and the age of the oldest evidence (ms).
     pub levels: Vec<(String, &'static str, u64)>,
-    /// What was counted.
+    /// Counters since the start.
     pub counts: Counts,
 }
--- a/gossip/src/incarnation.rs
+++ b/gossip/src/incarnation.rs
@@ -1,27 +1,27 @@
-//! One life of a router: from the start of its process to its end.
+//! Incarnation of a router: its identity from the start of its process to its end.
 
 use foca::Identity;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::net::SocketAddr;
 
-/// A router's identity among its peers. A restart is a new life; what the old one said ends with it.
+/// Identity of a router among the members. A restart begins a new incarnation, and the records of the old one become void.
 #[derive(Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Incarnation {
-    /// Where the others reach it. There is one router at an address.
+    /// Address at which the other members reach the router. Each router has its own address.
     pub address: SocketAddr,
-    /// Rises with each start: Unix time at the start (us).
+    /// Unix time at the start of the process (us), which rises with each start.
     pub boot: u64,
-    /// Rises where peers took this life for ended and it was not.
+    /// Number of times that the members considered this incarnation down although it was not, and it rejoined.
     pub renewals: u32,
-    /// Its name.
+    /// Name of the router.
     pub name: String,
-    /// The zone it stands in.
+    /// Zone of the router.
     pub zone: String,
 }
 
 impl Incarnation {
-    /// Whoever is at an address: all that is known of a seed.
+    /// Returns the identity of an unknown router at an address, as of a seed that has not answered yet.
     pub fn unknown(address: SocketAddr) -> Self {
         Incarnation {
             address,
@@ -32,8 +32,8 @@
         }
     }
 
-    /// Whether names are short enough to be told in every datagram.
-    pub fn fits(&self) -> bool {
+    /// Returns whether the names are short enough to be part of every datagram.
+    pub fn has_valid_names(&self) -> bool {
         self.name.len() <= 48 && self.zone.len() <= 32
     }
 }
@@ -63,7 +63,7 @@
     }
 
     fn win_addr_conflict(&self, other: &Self) -> bool {
-        // The names decide where two began in the same microsecond, so that all decide alike.
+        // If two started in the same microsecond, the name decides, so that all members decide alike.
         (self.boot, self.renewals, &self.name) > (other.boot, other.renewals, &other.name)
     }
 }
--- a/gossip/src/lib.rs
+++ b/gossip/src/lib.rs
@@ -1,8 +1,12 @@
-//! Routers that know each other. Who is there ([`Incarnation`], by SWIM with suspicion), what each saw of the db nodes (records
-//! that are gossiped and repaired), and what follows for all ([`decide_verdicts`], a pure function of fresh records).
+//! Gossip between routers: membership, observations of database nodes, and verdicts on them.
 //!
-//! Nothing here does I/O or reads a clock: the router's loop, the model's virtual time and the tests hand in datagrams
-//! and the time, and take datagrams, levels and news out. Without a `peers` block none of it exists.
+//! Membership is SWIM with suspicion; a member is an [`Incarnation`]. Each router publishes its observations of the database
+//! nodes as records, which are gossiped and repaired. All routers derive the same verdicts from them
+//! ([`decide_verdicts`], a pure function of the fresh records).
+//!
+//! The crate does no I/O and reads no clock. The event loop of the router, the simulation and the tests pass in datagrams
+//! and the time, and take datagrams, verdicts and events out. A router without a `peers` block in its settings does not use
+//! this crate.
 
 mod budget;
 mod datagram;
@@ -32,13 +36,13 @@
 pub use replay::ReplayGuard;
 pub use rules::{Guard, Rules};
 
-/// Milliseconds as the module's spans.
-fn ms(ms: u64) -> plovercove::Micros {
+/// Converts milliseconds to microseconds.
+fn ms_to_us(ms: u64) -> plovercove::Micros {
     ms * 1_000
 }
 
-/// An even draw in 0 to 1 that all routers make alike for the same words.
-fn draw(words: &[&[u8]]) -> u64 {
+/// Returns a uniform pseudo-random number that every router derives equally from the same words.
+fn shared_draw(words: &[&[u8]]) -> u64 {
     let mut hasher = blake3::Hasher::new();
     for word in words {
         hasher.update(&(word.len() as u64).to_le_bytes());
--- a/gossip/src/members.rs
+++ b/gossip/src/members.rs
@@ -1,7 +1,7 @@
-//! Who is there: SWIM by the crate `foca`, on a clock that stands still while this router does.
+//! Membership: SWIM by the crate `foca`, on a clock that does not advance while this router is stalled.
 
 use crate::incarnation::Incarnation;
-use crate::rules::{Guard, Rules, SEEK};
+use crate::rules::{Guard, MAX_SEEK_BACKOFF_MS, MIN_SEEK_BACKOFF_MS, Rules};
 use foca::{
     AccumulatingRuntime, Config, Foca, NoCustomBroadcast, OwnedNotification, PeriodicParams,
     PostcardCodec, Timer,
@@ -15,119 +15,137 @@
 use std::num::{NonZeroU8, NonZeroUsize};
 use std::time::Duration;
 
-/// A timer that is later than this was held up by this router itself: a loop's turn is far shorter.
-const STALL: Micros = 250_000;
-/// Addresses of members that are gone and may come back.
-const FORGOTTEN: usize = 1_024;
-/// Members that are down are called in turn, one in this time (ms), and forgotten by SWIM itself after so long (s).
-const DOWN: (u64, u64) = (2_000, 600);
-/// Members that are known at the most: what a holder of the key could make up ends here.
-const MOST: usize = 2_048;
-/// Others that are asked to probe who does not answer.
-const INDIRECT: usize = 3;
+/// Lateness of a timer from which on this router was stalled: a turn of the event loop is far shorter.
+const STALL_THRESHOLD_US: Micros = 250_000;
+/// Maximum number of former members whose addresses are remembered because they may come back.
+const MAX_FORMER_MEMBERS: usize = 1_024;
+/// Interval at which one of the members that are down is contacted (ms).
+const DOWN_ANNOUNCE_INTERVAL_MS: u64 = 2_000;
+/// Time after which the SWIM implementation forgets a member that is down (s).
+const DOWN_MEMORY_S: u64 = 600;
+/// Maximum number of members, so that a holder of the key cannot fill the memory with invented ones.
+const MAX_MEMBERS: usize = 2_048;
+/// Number of members that are requested to probe a member that does not answer.
+const INDIRECT_PROBES: usize = 3;
 
-/// A sum over the members of each part of the order of addresses: two routers with the same sums see the same members.
-pub(crate) type Roll = [u64; 16];
+/// Checksums of the members, one for each bucket of addresses. Two routers with the same checksums know the same members.
+pub(crate) type MemberChecksums = [u64; 16];
 
-/// In which part of a roll an address counts.
-fn place(address: &SocketAddr) -> usize {
-    (crate::draw(&[address.to_string().as_bytes()]) % 16) as usize
+/// Returns the bucket of an address in [`MemberChecksums`].
+fn bucket_of(address: &SocketAddr) -> usize {
+    (crate::shared_draw(&[address.to_string().as_bytes()]) % 16) as usize
 }
 
-/// What changed.
+/// Change of the membership.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Change {
     Up(Incarnation),
     Down(Incarnation),
-    /// The others took this life for ended; it goes on as this.
-    Again(Incarnation),
-    /// Another holds this router's address, and began later.
-    Taken,
+    /// The other members considered this router down, and it rejoined with this identity.
+    Rejoined(Incarnation),
+    /// Another router, which started later, uses this router's address.
+    AddressTaken,
 }
 
+/// Membership of one router.
 pub(crate) struct Members {
     foca: Foca<Incarnation, PostcardCodec, Pcg64Mcg, NoCustomBroadcast>,
     runtime: AccumulatingRuntime<Incarnation>,
     timers: BTreeMap<(Time, u64), Timer<Incarnation>>,
-    order: u64,
-    /// How long this router has stood still, all in all: its timers are late by no more than a turn.
-    stood: Micros,
+    /// Sequence number of the last timer, which orders timers of the same time.
+    timer_seq: u64,
+    /// Total duration of all stalls of this router, by which its timers are postponed.
+    total_stall: Micros,
     active: BTreeMap<SocketAddr, Incarnation>,
-    forgotten: BTreeMap<SocketAddr, Time>,
+    /// Former members, and when each went down.
+    former: BTreeMap<SocketAddr, Time>,
     seeds: Vec<SocketAddr>,
-    should: usize,
-    pauses: Backoff,
+    expected: usize,
+    seek_backoff: Backoff,
     seek_at: Time,
-    dice: Pcg64Mcg,
-    remembers: bool,
-    doubts: bool,
+    rng: Pcg64Mcg,
+    contacts_former: bool,
+    excludes_stalls: bool,
     pub(crate) changes: VecDeque<Change>,
-    /// Messages that made no sense.
+    /// Number of invalid messages.
     pub(crate) invalid_messages: u64,
 }
 
-fn config(rules: &Rules, room: usize) -> Config {
+fn config(rules: &Rules, max_bytes: usize) -> Config {
     let ms = Duration::from_millis;
-    let some = |n: usize| NonZeroUsize::new(n.max(1)).unwrap_or(NonZeroUsize::MIN);
-    let often = |every: u64, members: usize| PeriodicParams {
-        frequency: ms(every),
-        num_members: some(members),
+    let non_zero = |n: usize| NonZeroUsize::new(n.max(1)).unwrap_or(NonZeroUsize::MIN);
+    let periodic = |interval_ms: u64, members: usize| PeriodicParams {
+        frequency: ms(interval_ms),
+        num_members: non_zero(members),
     };
     Config {
         probe_period: ms(rules.probe_ms),
         probe_rtt: ms(rules.answer_ms),
-        num_indirect_probes: some(INDIRECT),
-        max_transmissions: NonZeroU8::new(rules.sends()).unwrap_or(NonZeroU8::MIN),
+        num_indirect_probes: non_zero(INDIRECT_PROBES),
+        max_transmissions: NonZeroU8::new(rules.record_transmissions()).unwrap_or(NonZeroU8::MIN),
         suspect_to_down_after: ms(rules.suspect_ms),
-        remove_down_after: Some(Duration::from_secs(DOWN.1)),
-        max_packet_size: some(room),
+        remove_down_after: Some(Duration::from_secs(DOWN_MEMORY_S)),
+        max_packet_size: non_zero(max_bytes),
         notify_down_members: true,
-        periodic_announce: Some(often(10 * rules.probe_ms, 1)),
-        periodic_announce_to_down_members: rules.on(Guard::Forgotten).then(|| often(DOWN.0, 1)),
-        periodic_gossip: Some(often(rules.gossip_ms, rules.fanout)),
+        periodic_announce: Some(periodic(10 * rules.probe_ms, 1)),
+        periodic_announce_to_down_members: rules
+            .is_enabled(Guard::Forgotten)
+            .then(|| periodic(DOWN_ANNOUNCE_INTERVAL_MS, 1)),
+        periodic_gossip: Some(periodic(rules.gossip_ms, rules.fanout)),
     }
 }
 
 impl Members {
-    pub(crate) fn new(incarnation: Incarnation, rules: &Rules, room: usize, seed: u64) -> Self {
-        let mut dice = Pcg64Mcg::seed_from_u64(seed);
+    /// Creates the membership of a router that knows no other member. `max_bytes` limits the length of a message.
+    pub(crate) fn new(
+        incarnation: Incarnation,
+        rules: &Rules,
+        max_bytes: usize,
+        seed: u64,
+    ) -> Self {
+        let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let foca = Foca::new(
             incarnation.clone(),
-            config(rules, room),
-            Pcg64Mcg::seed_from_u64(dice.random()),
+            config(rules, max_bytes),
+            Pcg64Mcg::seed_from_u64(rng.random()),
             PostcardCodec,
         );
-        let pauses = Backoff::new(crate::ms(SEEK.0), crate::ms(SEEK.1), dice.random());
+        let seek_backoff = Backoff::new(
+            crate::ms_to_us(MIN_SEEK_BACKOFF_MS),
+            crate::ms_to_us(MAX_SEEK_BACKOFF_MS),
+            rng.random(),
+        );
         Members {
             foca,
             runtime: AccumulatingRuntime::new(),
             timers: BTreeMap::new(),
-            order: 0,
-            stood: 0,
+            timer_seq: 0,
+            total_stall: 0,
             active: BTreeMap::new(),
-            forgotten: BTreeMap::new(),
+            former: BTreeMap::new(),
             seeds: rules
                 .seeds
                 .iter()
                 .copied()
                 .filter(|s| *s != incarnation.address)
                 .collect(),
-            should: rules.routers as usize,
-            pauses,
+            expected: rules.routers as usize,
+            seek_backoff,
             seek_at: 0,
-            dice,
-            remembers: rules.on(Guard::Forgotten),
-            doubts: rules.on(Guard::Stopped),
+            rng,
+            contacts_former: rules.is_enabled(Guard::Forgotten),
+            excludes_stalls: rules.is_enabled(Guard::Stopped),
             changes: VecDeque::new(),
             invalid_messages: 0,
         }
     }
 
-    pub(crate) fn me(&self) -> &Incarnation {
+    /// Returns the identity of this router.
+    pub(crate) fn identity(&self) -> &Incarnation {
         self.foca.identity()
     }
 
-    /// The other members that are up, as far as can be told.
+    /// Returns the other members that are up, as far as this router knows.
     pub(crate) fn active(&self) -> &BTreeMap<SocketAddr, Incarnation> {
         &self.active
     }
@@ -137,30 +155,35 @@
     }
 
     pub(crate) fn is_full(&self) -> bool {
-        self.active.len() >= MOST
+        self.active.len() >= MAX_MEMBERS
     }
 
-    /// The sums over all members, this router among them.
-    pub(crate) fn roll(&self) -> Roll {
-        let mut roll = Roll::default();
-        for incarnation in self.active.values().chain([self.me()]) {
+    /// Returns the checksums of all members, including this router.
+    pub(crate) fn checksums(&self) -> MemberChecksums {
+        let mut checksums = MemberChecksums::default();
+        for incarnation in self.active.values().chain([self.identity()]) {
             let (boot, renewals) = (
                 incarnation.boot.to_le_bytes(),
                 incarnation.renewals.to_le_bytes(),
             );
-            roll[place(&incarnation.address)] ^=
-                crate::draw(&[incarnation.address.to_string().as_bytes(), &boot, &renewals]);
+            checksums[bucket_of(&incarnation.address)] ^=
+                crate::shared_draw(&[incarnation.address.to_string().as_bytes(), &boot, &renewals]);
         }
-        roll
+        checksums
     }
 
-    /// Members of the parts in which another's sums differ, from one drawn at random on, as many as there is room for.
-    pub(crate) fn differing(&mut self, theirs: &Roll, room: usize) -> Vec<Incarnation> {
-        let ours = self.roll();
-        let first = self.dice.random_range(0..ours.len());
+    /// Returns the members of the buckets in which another router's checksums differ, up to this size. The first bucket is
+    /// drawn at random.
+    pub(crate) fn members_of_differing_buckets(
+        &mut self,
+        theirs: &MemberChecksums,
+        max_bytes: usize,
+    ) -> Vec<Incarnation> {
+        let ours = self.checksums();
+        let first = self.rng.random_range(0..ours.len());
         let mut incarnations = Vec::new();
-        let mut left = room;
-        for part in (first..first + ours.len())
+        let mut bytes_left = max_bytes;
+        for bucket in (first..first + ours.len())
             .map(|n| n % ours.len())
             .filter(|n| ours[*n] != theirs[*n])
         {
@@ -168,153 +191,157 @@
                 .active
                 .values()
                 .chain([self.foca.identity()])
-                .filter(|l| place(&l.address) == part)
+                .filter(|member| bucket_of(&member.address) == bucket)
             {
-                // Numbers, address and lengths take at most so much beside the names.
+                // The numbers, the address and the lengths take at most 36 bytes besides the names.
                 let size = 36 + incarnation.name.len() + incarnation.zone.len();
-                if size > left {
+                if size > bytes_left {
                     return incarnations;
                 }
-                left -= size;
+                bytes_left -= size;
                 incarnations.push(incarnation.clone());
             }
         }
         incarnations
     }
 
-    /// Another sees these; those that are not known here are members until SWIM finds otherwise.
+    /// Adds members that another router knows. They stay members until SWIM finds that they are down.
     ///
-    /// Danger: what SWIM piggybacks is sent a bounded number of times. Where many come and go at once some miss it, and
-    /// without this would not know of them for minutes.
-    pub(crate) fn learn(&mut self, now: Time, incarnations: Vec<Incarnation>) {
-        let known = |l: &Incarnation| {
-            self.active.get(&l.address) == Some(l) || l.address == self.foca.identity().address
+    /// SWIM piggybacks each change only a bounded number of times. If many members come and go at once, some routers miss
+    /// changes. Without this method they would not know of these members for minutes.
+    pub(crate) fn add_members(&mut self, now: Time, incarnations: Vec<Incarnation>) {
+        let is_known = |member: &Incarnation| {
+            self.active.get(&member.address) == Some(member)
+                || member.address == self.foca.identity().address
         };
-        let fresh: Vec<_> = incarnations
+        let unknown: Vec<_> = incarnations
             .into_iter()
-            .filter(|l| l.fits() && !known(l))
+            .filter(|member| member.has_valid_names() && !is_known(member))
             .map(foca::Member::alive)
             .collect();
-        if !fresh.is_empty() && !self.is_full() {
+        if !unknown.is_empty() && !self.is_full() {
             let result = self
                 .foca
-                .apply_many(fresh.into_iter(), false, &mut self.runtime);
-            self.settle(now, result);
+                .apply_many(unknown.into_iter(), false, &mut self.runtime);
+            self.process_output(now, result);
         }
     }
 
-    /// Members drawn at random.
-    pub(crate) fn some(&mut self, count: usize) -> Vec<SocketAddr> {
+    /// Returns the addresses of members that are drawn at random.
+    pub(crate) fn random_members(&mut self, count: usize) -> Vec<SocketAddr> {
         let mut all: Vec<SocketAddr> = self.active.keys().copied().collect();
         let count = count.min(all.len());
         for n in 0..count {
-            let other = self.dice.random_range(n..all.len());
+            let other = self.rng.random_range(n..all.len());
             all.swap(n, other);
         }
         all.truncate(count);
         all
     }
 
-    pub(crate) fn next(&self) -> Time {
+    /// Returns the time at which [`Members::run_timers`] has to run next.
+    pub(crate) fn next_deadline(&self) -> Time {
         let timer = self
             .timers
             .first_key_value()
-            .map_or(Time::MAX, |((at, _), _)| at + self.stood);
+            .map_or(Time::MAX, |((at, _), _)| at + self.total_stall);
         timer.min(self.seek_at)
     }
 
+    /// Handles a received message.
     pub(crate) fn receive(&mut self, now: Time, data: &[u8]) {
         let result = self.foca.handle_data(data, &mut self.runtime);
-        self.settle(now, result);
+        self.process_output(now, result);
     }
 
-    /// Does what is due; tells how long this router has stood still, where it has.
-    pub(crate) fn due(&mut self, now: Time) -> Option<Micros> {
+    /// Runs the timers that are due. Returns the duration of a stall of this router if there was one.
+    pub(crate) fn run_timers(&mut self, now: Time) -> Option<Micros> {
         let due = self
             .timers
             .first_key_value()
-            .map(|((at, _), _)| at + self.stood);
+            .map(|((at, _), _)| at + self.total_stall);
         let late = due.map_or(0, |due| now.saturating_sub(due));
-        // Danger: a router that was stopped for 10 s finds every answer overdue and every suspect's time run out, and
-        // would tell all the others so. Its own timers are late, so it is itself that it must doubt: for them, the time
-        // it stood still has not passed. What came meanwhile is read before they fall due.
-        let stood = late > STALL;
-        if stood && self.doubts {
-            self.stood += late;
+        // After a stall, for example of 10 s, every answer would be overdue and every suspicion would have expired, and this
+        // router would report all members as down. Since its own timers are late, the stall is its own fault, and the timers
+        // are postponed by its duration. The datagrams that arrived during the stall are read before the timers are due.
+        let has_stalled = late > STALL_THRESHOLD_US;
+        if has_stalled && self.excludes_stalls {
+            self.total_stall += late;
         }
         while let Some(entry) = self.timers.first_entry()
-            && entry.key().0 + self.stood <= now
+            && entry.key().0 + self.total_stall <= now
         {
             let timer = entry.remove();
             let result = self.foca.handle_timer(timer, &mut self.runtime);
-            self.settle(now, result);
+            self.process_output(now, result);
         }
         if now >= self.seek_at {
             self.seek(now);
         }
-        stood.then_some(late)
+        has_stalled.then_some(late)
     }
 
-    /// Calls a seed or a member that is gone, as long as fewer are there than should be.
+    /// Announces this router to a seed or a former member, as long as there are fewer members than expected.
     fn seek(&mut self, now: Time) {
-        if self.active.len() + 1 >= self.should {
-            self.pauses.record_success();
-            self.seek_at = now + crate::ms(SEEK.1);
+        if self.active.len() + 1 >= self.expected {
+            self.seek_backoff.record_success();
+            self.seek_at = now + crate::ms_to_us(MAX_SEEK_BACKOFF_MS);
             return;
         }
-        self.seek_at = self.pauses.record_failure(now);
-        let gone = self.forgotten.keys().filter(|_| self.remembers);
-        let mut all: Vec<SocketAddr> = self.seeds.iter().chain(gone).copied().collect();
-        all.retain(|a| !self.active.contains_key(a));
+        self.seek_at = self.seek_backoff.record_failure(now);
+        let former = self.former.keys().filter(|_| self.contacts_former);
+        let mut all: Vec<SocketAddr> = self.seeds.iter().chain(former).copied().collect();
+        all.retain(|address| !self.active.contains_key(address));
         if !all.is_empty() {
-            let one = all[self.dice.random_range(0..all.len())];
+            let target = all[self.rng.random_range(0..all.len())];
             let result = self
                 .foca
-                .announce(Incarnation::unknown(one), &mut self.runtime);
-            self.settle(now, result);
+                .announce(Incarnation::unknown(target), &mut self.runtime);
+            self.process_output(now, result);
         }
     }
 
-    /// Tells the others that this life ends.
+    /// Announces to the other members that this router ends.
     pub(crate) fn leave(&mut self, now: Time) {
         let result = self.foca.leave_cluster(&mut self.runtime);
-        self.settle(now, result);
+        self.process_output(now, result);
         self.timers.clear();
         self.seek_at = Time::MAX;
     }
 
-    /// What is to be sent.
-    pub(crate) fn sends(&mut self) -> Option<(SocketAddr, Vec<u8>)> {
+    /// Returns the next message to send, with the address of its receiver.
+    pub(crate) fn next_outgoing(&mut self) -> Option<(SocketAddr, Vec<u8>)> {
         self.runtime
             .to_send()
             .map(|(to, bytes)| (to.address, bytes.to_vec()))
     }
 
-    fn settle(&mut self, now: Time, result: Result<(), foca::Error>) {
+    /// Takes over the timers and the changes that a call of the SWIM implementation produced.
+    fn process_output(&mut self, now: Time, result: Result<(), foca::Error>) {
         self.invalid_messages += u64::from(result.is_err());
         while let Some((after, timer)) = self.runtime.to_schedule() {
-            self.order += 1;
-            let at = now.saturating_sub(self.stood) + after.as_micros() as Micros;
-            self.timers.insert((at, self.order), timer);
+            self.timer_seq += 1;
+            let at = now.saturating_sub(self.total_stall) + after.as_micros() as Micros;
+            self.timers.insert((at, self.timer_seq), timer);
         }
-        while let Some(told) = self.runtime.to_notify() {
-            match told {
+        while let Some(notification) = self.runtime.to_notify() {
+            match notification {
                 OwnedNotification::MemberUp(incarnation) => {
-                    self.forgotten.remove(&incarnation.address);
+                    self.former.remove(&incarnation.address);
                     self.active.insert(incarnation.address, incarnation.clone());
                     self.changes.push_back(Change::Up(incarnation));
                 }
                 OwnedNotification::MemberDown(incarnation) => {
                     self.active.remove(&incarnation.address);
-                    if self.forgotten.len() >= FORGOTTEN {
+                    if self.former.len() >= MAX_FORMER_MEMBERS {
                         let oldest = self
-                            .forgotten
+                            .former
                             .iter()
                             .min_by_key(|(_, at)| **at)
-                            .map(|(a, _)| *a);
-                        oldest.map(|a| self.forgotten.remove(&a));
+                            .map(|(address, _)| *address);
+                        oldest.map(|address| self.former.remove(&address));
                     }
-                    self.forgotten.insert(incarnation.address, now);
+                    self.former.insert(incarnation.address, now);
                     self.changes.push_back(Change::Down(incarnation));
                 }
                 OwnedNotification::Rename(_, incarnation) => {
@@ -324,9 +351,9 @@
                     }
                 }
                 OwnedNotification::Rejoin(incarnation) => {
-                    self.changes.push_back(Change::Again(incarnation))
+                    self.changes.push_back(Change::Rejoined(incarnation))
                 }
-                OwnedNotification::Defunct => self.changes.push_back(Change::Taken),
+                OwnedNotification::Defunct => self.changes.push_back(Change::AddressTaken),
                 OwnedNotification::Active | OwnedNotification::Idle => {}
             }
         }
--- a/gossip/src/observations.rs
+++ b/gossip/src/observations.rs
@@ -1,96 +1,99 @@
-//! What one router saw of each db node's present life, and when that is worth telling the others.
+//! Observations of one router about each database node since the node's present start, and when to report them.
 
 use crate::reach::Reach;
-use crate::rules::{Guard, HOLD, Rules};
+use crate::rules::{Guard, REPORT_INTERVAL_US, Rules};
 use plovercove::{AttemptEnd, EndpointState, EndpointUpdate, Micros, NodeId, Time};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// A sample of slowness counts for so much in a running mean: some ten samples of memory.
-const GAIN: f64 = 0.1;
-/// Answers before a node's slowness says anything.
-const SAMPLES: u32 = 5;
-/// Slower than others by so many times is worth telling.
-const SLOW: f64 = 3.0;
-/// Once so many accuse a node, and once so many say that it serves, who has not done so yet need not: it would only cost all
-/// of them datagrams. Of a node that is merely busy, whom hundreds of routers meet rarely, some always know nothing but a
-/// time-out: those it serves must be able to outvote them.
-const ENOUGH: (usize, usize) = (12, 24);
-/// Who accuses must have seen the node fail within this time, and who answers an accusation must have been answered by it: what it
-/// did before says nothing, and would be told as if it were new.
-const FRESH: Micros = 2_000_000;
-/// Failures in a row after which what a node answered before them says nothing more of it.
-const FAILURES_IN_A_ROW: u32 = 2;
-/// So much of a faded count is still one sight.
-const SIGHT: f64 = 0.5;
+/// Gain of the running means of latency and slowness, which corresponds to a memory of about ten samples.
+const LATENCY_GAIN: f64 = 0.1;
+/// Number of answers below which the slowness of a node is unknown.
+const MIN_SLOWNESS_SAMPLES: u32 = 5;
+/// Slowness compared with other nodes from which on a node is reported as slow.
+const REPORTED_SLOWNESS: f64 = 3.0;
+/// Number of accusers from which on further routers do not report that the node fails, since more reports would only cost
+/// datagrams.
+const ENOUGH_ACCUSERS: usize = 12;
+/// Number of routers that report that a node serves, from which on further ones do not. It is higher than
+/// [`ENOUGH_ACCUSERS`], because of a node that is only busy some of hundreds of routers always know nothing but a time-out,
+/// and the routers that it serves have to be able to outvote them.
+const ENOUGH_SUPPORTERS: usize = 24;
+/// Maximum age of the failure behind a new accusation, and of the answer behind a report that the node serves. Older ones
+/// say nothing about the present, but would be reported as if they were new.
+const MAX_EVIDENCE_AGE_US: Micros = 2_000_000;
+/// Number of failures in a row from which on earlier answers of the node do not count any more.
+const FAILURES_THAT_VOID_ANSWERS: u32 = 2;
+/// Decayed count from which on it still counts as one event.
+const MIN_COUNT: f64 = 0.5;
 
-/// What a router saw of a node: counts that fade by half in a third of the evidence's life.
+/// Observation of one router about a node. The counts decay by half in a third of the lifetime of an observation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Observation {
-    /// Requests that it answered, in tenths.
+    /// Number of requests that the node answered, in tenths.
     pub answers: u16,
-    /// Errors, in tenths.
+    /// Number of errors, in tenths.
     pub errors: u16,
-    /// Time-outs and connections that broke, in tenths.
+    /// Number of time-outs and broken connections, in tenths.
     pub no_reply: u16,
-    /// Connections that did not come up, in tenths.
+    /// Number of connections that could not be established, in tenths.
     pub unreachable: u16,
-    /// Writes that it turned away as no primary, in tenths.
+    /// Number of writes that the node rejected because it is not the primary, in tenths.
     pub misdirected: u16,
-    /// How many times slower than other nodes it answers, in tenths; 0 where too few were seen.
+    /// Latency of the node relative to other nodes, in tenths; 0 if there were too few answers to determine it.
     pub slowness_tenths: u16,
-    /// For how long it has been so, failing or slow, when this was told, in tenths of a second.
+    /// Time for which the node had been failing or slow when this was reported, in tenths of a second.
     pub duration_tenths_s: u16,
-    /// Of how many nodes the router saw anything ...
+    /// Number of nodes of which the observer has observations.
     pub nodes_seen: u16,
-    /// ... and how many of them fail.
+    /// Number of these nodes that fail.
     pub nodes_failing: u16,
 }
 
 impl Observation {
-    /// Failures of all kinds.
+    /// Returns the number of failures of all kinds.
     pub fn failures(&self) -> f64 {
         f64::from(self.errors) / 10.0
             + f64::from(self.no_reply) / 10.0
             + f64::from(self.unreachable) / 10.0
     }
 
-    /// Whether it fails more than it answers.
+    /// Returns whether the node fails more often than it answers.
     pub fn fails(&self) -> bool {
-        self.failures() >= SIGHT && self.failures() >= f64::from(self.answers) / 10.0
+        self.failures() >= MIN_COUNT && self.failures() >= f64::from(self.answers) / 10.0
     }
 
-    /// With the failures of what was told before, where those were more and the node fails still: counts fade, and a further
-    /// failure must not make an accusation weaker.
-    fn with_failures_of(self, told: &Observation) -> Observation {
-        if !self.fails() || told.failures() <= self.failures() {
+    /// Returns the observation with the failures of the previous report if those are more and the node still fails. Since
+    /// counts decay, a further failure could otherwise make an accusation weaker.
+    fn with_failures_of(self, reported: &Observation) -> Observation {
+        if !self.fails() || reported.failures() <= self.failures() {
             return self;
         }
         Observation {
-            errors: told.errors,
-            no_reply: told.no_reply,
-            unreachable: told.unreachable,
+            errors: reported.errors,
+            no_reply: reported.no_reply,
+            unreachable: reported.unreachable,
             ..self
         }
     }
 
-    /// Whether it answers.
+    /// Returns whether the node answers.
     pub fn serves(&self) -> bool {
-        !self.fails() && f64::from(self.answers) / 10.0 >= SIGHT
+        !self.fails() && f64::from(self.answers) / 10.0 >= MIN_COUNT
     }
 
-    /// Whether it is slow enough to be worth telling.
+    /// Returns whether the node is slow enough to be reported.
     pub(crate) fn is_slow(&self) -> bool {
-        self.slowness().unwrap_or(1.0) >= SLOW
+        self.slowness().unwrap_or(1.0) >= REPORTED_SLOWNESS
     }
 
-    /// For how long it had been so when this was told (us).
+    /// Returns for how long the node had been failing or slow when this was reported (us).
     pub fn duration(&self) -> Micros {
         Micros::from(self.duration_tenths_s) * 100_000
     }
 
-    /// How many times slower than others it answers; none where too few were seen.
+    /// Returns the latency of the node relative to other nodes, or `None` if there were too few answers to determine it.
     pub fn slowness(&self) -> Option<f64> {
         (self.slowness_tenths > 0).then_some(f64::from(self.slowness_tenths) / 10.0)
     }
@@ -114,120 +117,129 @@
 #[derive(Default)]
 struct Node {
     started: Option<Time>,
-    at: Time,
-    /// Answers, errors, silences, refused connections, denials; faded up to `at`.
+    decayed_at: Time,
+    /// Answers, errors, attempts without a reply, failed connections and misdirected writes, decayed up to `decayed_at`.
     counts: [f64; 5],
-    /// Running mean of the logarithm of its slowness.
-    slow: f64,
+    /// Running mean of the logarithm of the slowness.
+    log_slowness: f64,
     samples: u32,
-    told: Option<(Time, Observation)>,
-    /// When it answered last.
-    answered: Time,
-    /// When it failed last.
-    failed: Time,
-    /// Failures since it answered last.
+    /// The last report about the node, and its time.
+    reported: Option<(Time, Observation)>,
+    /// Time of the last answer.
+    answered_at: Time,
+    /// Time of the last failure.
+    failed_at: Time,
+    /// Number of failures since the last answer.
     failures_in_a_row: u32,
-    /// Since when enough others accuse it that it matters what this router saw.
-    contested: Option<Time>,
-    /// Since when it fails or is slow.
-    since: Option<Time>,
-    /// Since when it fails.
+    /// Time since which so many others accuse the node that this router's observation matters.
+    contested_since: Option<Time>,
+    /// Time since which the node fails or is slow.
+    bad_since: Option<Time>,
+    /// Time since which the node fails.
     failing_since: Option<Time>,
 }
 
 impl Node {
-    fn fade(&mut self, now: Time, half: f64) {
-        let passed = now.saturating_sub(self.at) as f64;
-        let factor = 0.5_f64.powf(passed / half);
+    fn decay(&mut self, now: Time, half_life: f64) {
+        let passed = now.saturating_sub(self.decayed_at) as f64;
+        let factor = 0.5_f64.powf(passed / half_life);
         self.counts.iter_mut().for_each(|count| *count *= factor);
-        self.at = now;
+        self.decayed_at = now;
     }
 
-    /// Whether it failed since it was told last: an accusation told again without that would outlive its evidence.
-    fn has_failed_since_told(&self) -> bool {
-        self.told.is_none_or(|(told_at, _)| self.failed > told_at)
+    /// Returns whether the node failed since the last report. An accusation that is repeated without a new failure would outlive
+    /// its evidence.
+    fn has_failed_since_report(&self) -> bool {
+        self.reported
+            .is_none_or(|(reported_at, _)| self.failed_at > reported_at)
     }
 
-    /// Whether what it fails at may be the fault of this router's own links. An accusation that goes on needs answers of
-    /// others since it was told last.
+    /// Returns whether the failures of the node may be the fault of this router's own links. A repeated accusation needs
+    /// answers of other nodes since the last report.
     fn is_uncertain(&self, reach: &Reach) -> bool {
-        let told_at = self.told.filter(|(_, told)| told.fails()).map(|(at, _)| at);
-        let since = self.failing_since.max(told_at);
+        let reported_at = self
+            .reported
+            .filter(|(_, reported)| reported.fails())
+            .map(|(at, _)| at);
+        let since = self.failing_since.max(reported_at);
         since.is_some_and(|since| reach.is_uncertain_since(since))
     }
 
-    fn seen(&self, now: Time, half: f64) -> Observation {
-        let factor = 0.5_f64.powf(now.saturating_sub(self.at) as f64 / half);
+    /// Returns the present observation of the node.
+    fn observe(&self, now: Time, half_life: f64) -> Observation {
+        let factor = 0.5_f64.powf(now.saturating_sub(self.decayed_at) as f64 / half_life);
         let tenths = |count: f64| (count * factor * 10.0).round().min(65_535.0) as u16;
-        let [answers, errors, silent, unreachable, misdirected] = self.counts.map(tenths);
-        let answers = if self.failures_in_a_row < FAILURES_IN_A_ROW {
+        let [answers, errors, no_reply, unreachable, misdirected] = self.counts.map(tenths);
+        let answers = if self.failures_in_a_row < FAILURES_THAT_VOID_ANSWERS {
             answers
         } else {
             0
         };
-        let slow = if self.samples >= SAMPLES {
-            (self.slow.exp() * 10.0).round().clamp(1.0, 60_000.0) as u16
+        let slowness_tenths = if self.samples >= MIN_SLOWNESS_SAMPLES {
+            (self.log_slowness.exp() * 10.0)
+                .round()
+                .clamp(1.0, 60_000.0) as u16
         } else {
             0
         };
         Observation {
             answers,
             errors,
-            no_reply: silent,
+            no_reply,
             unreachable,
             misdirected,
-            slowness_tenths: slow,
+            slowness_tenths,
             ..Observation::default()
         }
     }
 }
 
-/// What the others say of a node.
+/// Summary of the reports of the other routers about a node.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PeerEvidence {
-    /// How many accuse it.
+    /// Number of routers that accuse the node.
     pub accusers: usize,
-    /// How many say that it serves.
+    /// Number of routers that report that the node serves.
     pub supporters: usize,
-    /// Whether one more accuser could take it out.
+    /// Whether one more accuser could eject the node.
     pub contested: bool,
-    /// How long this router waits before it says that it serves: another may say so first.
+    /// Time that this router waits before it reports that the node serves, since others may do so first.
     pub wait: Micros,
 }
 
-/// What a router saw.
+/// Observations of one router about all nodes.
 #[derive(Default)]
 pub struct Observations {
     nodes: BTreeMap<NodeId, Node>,
-    /// Running mean of the logarithm of the time of an answer (us) by class; a slow node among few hardly moves it.
-    usual: Vec<f64>,
-    half: f64,
-    /// Until then failures may be this router's own: it was stopped.
-    doubts: Time,
+    /// Running mean of the logarithm of the latency (us) by class. A single slow node hardly changes it.
+    mean_log_latencies: Vec<f64>,
+    half_life: f64,
+    /// Time until which failures do not count, since a stall of this router may have caused them.
+    ignores_failures_until: Time,
 }
 
 impl Observations {
-    /// A ledger for so many classes.
+    /// Creates the observations of a router with this number of classes.
     pub fn new(rules: &Rules, classes: usize) -> Self {
-        let half = rules.evidence_lifetime() as f64 / 3.0;
+        let half_life = rules.evidence_lifetime() as f64 / 3.0;
         Observations {
             nodes: BTreeMap::new(),
-            usual: vec![0.0; classes],
-            half,
-            doubts: 0,
+            mean_log_latencies: vec![0.0; classes],
+            half_life,
+            ignores_failures_until: 0,
         }
     }
 
-    /// The list said something. Another start of a node is another life: what was seen of the old one is over.
-    pub fn listed(&mut self, update: &EndpointUpdate) {
-        let (entries, whole) = match update {
+    /// Handles an update of the endpoint list. If a node has another start, its old observations are dropped.
+    pub fn update_endpoints(&mut self, update: &EndpointUpdate) {
+        let (entries, is_full) = match update {
             EndpointUpdate::Changes(entries) => (entries, false),
             EndpointUpdate::Full(entries) | EndpointUpdate::Restored(entries) => (entries, true),
             EndpointUpdate::Failed => return,
         };
-        if whole {
+        if is_full {
             self.nodes
-                .retain(|id, _| entries.iter().any(|e| e.node == *id));
+                .retain(|id, _| entries.iter().any(|entry| entry.node == *id));
         }
         for entry in entries {
             if entry.state == EndpointState::Removed {
@@ -244,158 +256,169 @@
         }
     }
 
-    /// This router stood still until now: what ended badly meanwhile says nothing of the nodes.
-    pub fn awoke(&mut self, now: Time, doubts: Micros) {
-        self.doubts = now + doubts;
+    /// Notes that this router was stalled until now. Failures within the next `ignore_for` say nothing about the nodes.
+    pub fn note_stall(&mut self, now: Time, ignore_for: Micros) {
+        self.ignores_failures_until = now + ignore_for;
     }
 
-    /// An attempt ended.
-    pub fn ended(
+    /// Records the end of an attempt.
+    pub fn record_end(
         &mut self,
         now: Time,
         class: usize,
-        write: bool,
+        is_write: bool,
         id: &NodeId,
         ending: AttemptEnd,
         elapsed: Micros,
     ) {
-        let place = match ending {
+        let counter = match ending {
             AttemptEnd::Success => 0,
-            AttemptEnd::Misdirected if write => 4,
+            AttemptEnd::Misdirected if is_write => 4,
             AttemptEnd::Misdirected => 0,
             AttemptEnd::Failure => 1,
             AttemptEnd::TimedOut | AttemptEnd::Reset => 2,
             AttemptEnd::Unreachable => 3,
             AttemptEnd::Overloaded | AttemptEnd::Cancelled | AttemptEnd::NeverSent => return,
         };
-        if now < self.doubts && (1..=3).contains(&place) {
+        if now < self.ignores_failures_until && (1..=3).contains(&counter) {
             return;
         }
-        let half = self.half;
+        let half_life = self.half_life;
         let Some(node) = self.nodes.get_mut(id) else {
             return;
         };
-        node.fade(now, half);
-        node.counts[place] += 1.0;
-        match place {
+        node.decay(now, half_life);
+        node.counts[counter] += 1.0;
+        match counter {
             0 => {
-                node.answered = now;
+                node.answered_at = now;
                 node.failures_in_a_row = 0;
             }
             1..=3 => {
-                node.failed = now;
+                node.failed_at = now;
                 node.failures_in_a_row = node.failures_in_a_row.saturating_add(1);
             }
             _ => {}
         }
         if ending == AttemptEnd::Success
-            && let Some(usual) = self.usual.get_mut(class)
+            && let Some(mean_log_latency) = self.mean_log_latencies.get_mut(class)
         {
-            let took = (elapsed.max(1) as f64).ln();
-            *usual = if *usual == 0.0 {
-                took
+            let log_latency = (elapsed.max(1) as f64).ln();
+            *mean_log_latency = if *mean_log_latency == 0.0 {
+                log_latency
             } else {
-                *usual + GAIN * (took - *usual)
+                *mean_log_latency + LATENCY_GAIN * (log_latency - *mean_log_latency)
             };
-            node.slow += GAIN.max(1.0 / f64::from(node.samples + 1)) * (took - *usual - node.slow);
+            node.log_slowness += LATENCY_GAIN.max(1.0 / f64::from(node.samples + 1))
+                * (log_latency - *mean_log_latency - node.log_slowness);
             node.samples += 1;
         }
     }
 
-    /// How all nodes stand, by what was seen of each.
-    fn reach(&self, seen: &[(NodeId, Observation)]) -> Reach {
+    /// Returns the reachability of all nodes.
+    fn reach(&self, observations: &[(NodeId, Observation)]) -> Reach {
         let mut reach = Reach::default();
-        for (id, seen) in seen {
+        for (id, observation) in observations {
             let Some(node) = self.nodes.get(id) else {
                 continue;
             };
-            if seen.fails() {
+            if observation.fails() {
                 reach.failing += 1;
-            } else if seen.serves() && node.failed > node.answered {
+            } else if observation.serves() && node.failed_at > node.answered_at {
                 reach.suspected += 1;
-            } else if seen.serves() {
-                reach.last_answers.push(node.answered);
+            } else if observation.serves() {
+                reach.last_answers.push(node.answered_at);
             }
         }
         reach
     }
 
-    /// What is worth telling now: a node that begins or goes on to fail, or that is slow, and what this router saw of one
-    /// that others accuse; `others` tells how many others accuse it, and how many say that it serves. Each with its node, that node's start, and what was seen.
-    pub fn news(
+    /// Returns the observations to report now, each with the node and its start.
+    ///
+    /// A node is reported if it begins or continues to fail, if it is slow, or if others accuse it although it serves this
+    /// router. `others` returns a summary of the reports of the other routers.
+    pub fn take_reports(
         &mut self,
         now: Time,
         rules: &Rules,
         others: impl Fn(&NodeId) -> PeerEvidence,
     ) -> Vec<(NodeId, Option<Time>, Observation)> {
-        let (half, incarnation) = (self.half, rules.evidence_lifetime());
-        let seen: Vec<(NodeId, Observation)> = self
+        let (half_life, lifetime) = (self.half_life, rules.evidence_lifetime());
+        let observations: Vec<(NodeId, Observation)> = self
             .nodes
             .iter()
-            .map(|(id, n)| (id.clone(), n.seen(now, half)))
+            .map(|(id, node)| (id.clone(), node.observe(now, half_life)))
             .collect();
-        let reach = self.reach(&seen);
-        let mut news = Vec::new();
-        for (id, seen) in seen {
+        let reach = self.reach(&observations);
+        let mut reports = Vec::new();
+        for (id, observation) in observations {
             let Some(node) = self.nodes.get_mut(&id) else {
                 continue;
             };
-            let since = node
-                .told
+            let since_report = node
+                .reported
                 .map_or(Micros::MAX, |(at, _)| now.saturating_sub(at));
-            let told = node
-                .told
-                .map(|(_, told)| told)
-                .filter(|_| since <= incarnation)
+            let reported = node
+                .reported
+                .map(|(_, reported)| reported)
+                .filter(|_| since_report <= lifetime)
                 .unwrap_or_default();
-            let slow = seen.is_slow();
-            let bad = seen.fails() || slow;
-            node.since = node.since.or(Some(now)).filter(|_| bad);
-            node.failing_since = node.failing_since.or(Some(now)).filter(|_| seen.fails());
-            if since < HOLD {
+            let is_slow = observation.is_slow();
+            let is_bad = observation.fails() || is_slow;
+            node.bad_since = node.bad_since.or(Some(now)).filter(|_| is_bad);
+            node.failing_since = node
+                .failing_since
+                .or(Some(now))
+                .filter(|_| observation.fails());
+            if since_report < REPORT_INTERVAL_US {
                 continue;
             }
-            let stale = since >= incarnation / 3;
-            let worth = if seen.fails() {
-                let has_grown = seen.failures() >= told.failures() + 0.9;
-                if told.fails() && !has_grown {
-                    stale && node.has_failed_since_told()
-                } else if node.failed + FRESH < now
-                    || (rules.on(Guard::Blame) && node.is_uncertain(&reach))
+            let is_old_report = since_report >= lifetime / 3;
+            let is_due = if observation.fails() {
+                let has_grown = observation.failures() >= reported.failures() + 0.9;
+                if reported.fails() && !has_grown {
+                    is_old_report && node.has_failed_since_report()
+                } else if node.failed_at + MAX_EVIDENCE_AGE_US < now
+                    || (rules.is_enabled(Guard::Blame) && node.is_uncertain(&reach))
                 {
                     false
                 } else {
-                    told.fails() || others(&id).accusers < ENOUGH.0
+                    reported.fails() || others(&id).accusers < ENOUGH_ACCUSERS
                 }
-            } else if seen.serves() {
-                let was = told.is_slow();
+            } else if observation.serves() {
+                let was_slow = reported.is_slow();
                 let others = others(&id);
-                node.contested = node.contested.or(Some(now)).filter(|_| others.contested);
-                let turn = node
-                    .contested
+                node.contested_since = node
+                    .contested_since
+                    .or(Some(now))
+                    .filter(|_| others.contested);
+                let has_waited = node
+                    .contested_since
                     .is_some_and(|since| now >= since + others.wait);
-                let answers = turn && others.supporters < ENOUGH.1 && node.answered + FRESH >= now;
-                told.fails() || slow != was || (stale && (slow || answers))
+                let supports = has_waited
+                    && others.supporters < ENOUGH_SUPPORTERS
+                    && node.answered_at + MAX_EVIDENCE_AGE_US >= now;
+                reported.fails() || is_slow != was_slow || (is_old_report && (is_slow || supports))
             } else {
                 false
             };
-            if worth {
-                let lasted = node
-                    .since
+            if is_due {
+                let duration_tenths_s = node
+                    .bad_since
                     .map_or(0, |from| now.saturating_sub(from) / 100_000)
                     .min(65_535) as u16;
-                let seen = Observation {
+                let observation = Observation {
                     nodes_seen: reach.nodes().min(65_535) as u16,
                     nodes_failing: reach.failing.min(65_535) as u16,
-                    duration_tenths_s: lasted,
-                    ..seen
+                    duration_tenths_s,
+                    ..observation
                 };
-                let seen = seen.with_failures_of(&told);
-                node.told = Some((now, seen));
-                news.push((id, node.started, seen));
+                let observation = observation.with_failures_of(&reported);
+                node.reported = Some((now, observation));
+                reports.push((id, node.started, observation));
             }
         }
-        news
+        reports
     }
 }
 
--- a/gossip/src/observer.rs
+++ b/gossip/src/observer.rs
@@ -1,5 +1,6 @@
-//! What stands beside the decision module: it sees every attempt and its end, and says how much a node counts by the
-//! verdicts of all. What says which zones a request may use stands behind it and is asked first.
+//! Observer: the locality policy that records every attempt and applies the verdicts on nodes.
+//!
+//! It wraps the policy that decides which zones a request may use, and queries that one first.
 
 use crate::observations::Observations;
 use crate::outlier_vote::{Level, Subject};
@@ -10,102 +11,128 @@
 };
 use std::collections::{BTreeMap, VecDeque};
 
-/// How much of its weight a node counts for that is doubted, or that is out and on trial.
-const DOUBTED: f64 = 0.5;
+/// Share of its weight that a node has at reduced weight, and for a trial request while it is ejected.
+const REDUCED_WEIGHT: f64 = 0.5;
 
-/// Trials of a node that is out: this router makes some on behalf of all.
+/// Trial requests to an ejected node, which this router makes on behalf of all routers.
 #[derive(Clone, Copy, Debug)]
 struct Trial {
-    next: Time,
-    every: Micros,
+    next_at: Time,
+    interval: Micros,
 }
 
-/// What a router sees and how it judges, beside its decision module.
+/// Node in the endpoint list.
+struct ListedNode {
+    subject: Subject,
+    started_at: Option<Time>,
+    is_serving: bool,
+}
+
+/// Observations and verdicts of one router, as a locality policy of its decision module.
 pub struct Observer {
-    inner: Option<Box<dyn LocalityPolicy>>,
-    /// Classes that only the primary serves: no verdict keeps them from it, for nobody else can take its place.
-    only_primary: Vec<bool>,
+    locality_policy: Option<Box<dyn LocalityPolicy>>,
+    /// Whether only the primary serves a class. No verdict applies to such a class, since no other node can replace the
+    /// primary.
+    is_primary_only: Vec<bool>,
     pub(crate) observations: Observations,
-    members: BTreeMap<NodeId, (Subject, Option<Time>, bool)>,
+    nodes: BTreeMap<NodeId, ListedNode>,
     levels: BTreeMap<NodeId, Level>,
     trials: BTreeMap<NodeId, Trial>,
-    news: VecDeque<LogEvent>,
+    log_events: VecDeque<LogEvent>,
 }
 
 impl Observer {
-    /// A witness before whatever says which zones a request may use.
-    pub fn new(rules: &Rules, settings: &Settings, inner: Option<Box<dyn LocalityPolicy>>) -> Self {
-        let only = |access: Access| matches!(access, Access::Write | Access::Latest);
+    /// Creates an observer that wraps the policy that decides which zones a request may use.
+    pub fn new(
+        rules: &Rules,
+        settings: &Settings,
+        locality_policy: Option<Box<dyn LocalityPolicy>>,
+    ) -> Self {
+        let is_primary_only = |access: Access| matches!(access, Access::Write | Access::Latest);
         Observer {
-            inner,
-            only_primary: settings.classes.iter().map(|c| only(c.access)).collect(),
+            locality_policy,
+            is_primary_only: settings
+                .classes
+                .iter()
+                .map(|class| is_primary_only(class.access))
+                .collect(),
             observations: Observations::new(rules, settings.classes.len()),
-            members: BTreeMap::new(),
+            nodes: BTreeMap::new(),
             levels: BTreeMap::new(),
             trials: BTreeMap::new(),
-            news: VecDeque::new(),
+            log_events: VecDeque::new(),
         }
     }
 
-    /// What says which zones a request may use.
+    /// Returns the wrapped policy that decides which zones a request may use.
     pub fn locality_policy(&mut self) -> Option<&mut dyn LocalityPolicy> {
-        self.inner.as_deref_mut()
+        self.locality_policy.as_deref_mut()
     }
 
-    /// A witness that goes on from what this one saw and judged, before something else that says which zones a request
-    /// may use.
-    pub fn with_locality_policy(&mut self, inner: Option<Box<dyn LocalityPolicy>>) -> Observer {
+    /// Returns an observer that wraps another policy. It takes over the observations and verdicts of this one.
+    pub fn with_locality_policy(
+        &mut self,
+        locality_policy: Option<Box<dyn LocalityPolicy>>,
+    ) -> Observer {
         Observer {
-            inner,
-            only_primary: self.only_primary.clone(),
+            locality_policy,
+            is_primary_only: self.is_primary_only.clone(),
             observations: std::mem::take(&mut self.observations),
-            members: std::mem::take(&mut self.members),
+            nodes: std::mem::take(&mut self.nodes),
             levels: std::mem::take(&mut self.levels),
             trials: std::mem::take(&mut self.trials),
-            news: std::mem::take(&mut self.news),
+            log_events: std::mem::take(&mut self.log_events),
         }
     }
 
-    /// The members that the list names as serving, with the starts it tells.
+    /// Returns the nodes that the endpoint list has as serving, each with its start.
     pub(crate) fn serving(&self) -> impl Iterator<Item = (&Subject, Option<Time>)> {
-        self.members
+        self.nodes
             .values()
-            .filter(|(_, _, serving)| *serving)
-            .map(|(s, started, _)| (s, *started))
+            .filter(|node| node.is_serving)
+            .map(|node| (&node.subject, node.started_at))
     }
 
-    /// The start of a node that the list tells.
+    /// Returns the start of a node, if the endpoint list has it.
     pub(crate) fn started_at(&self, node: &NodeId) -> Option<Time> {
-        self.members.get(node).and_then(|(_, started, _)| *started)
+        self.nodes.get(node).and_then(|node| node.started_at)
     }
 
-    /// Whether the list names a node.
+    /// Returns whether a node is in the endpoint list.
     pub(crate) fn is_listed(&self, node: &NodeId) -> bool {
-        self.members.contains_key(node)
+        self.nodes.contains_key(node)
     }
 
-    /// The level of a node.
+    /// Returns the level of a node.
     pub fn level(&self, node: &NodeId) -> Level {
         self.levels.get(node).copied().unwrap_or_default()
     }
 
-    /// All levels but those that are in.
+    /// Returns the levels of all nodes that are not fully in service.
     pub fn levels(&self) -> &BTreeMap<NodeId, Level> {
         &self.levels
     }
 
-    /// From now on this is the level of a node; where it is out, `tries` says how often this router tries it for all.
-    pub(crate) fn set(&mut self, now: Time, node: &NodeId, level: Level, tries: Option<Micros>) {
+    /// Sets the level of a node. For an ejected node, `trial_interval` is the interval of this router's trial requests, or
+    /// `None` if other routers make them.
+    pub(crate) fn set_level(
+        &mut self,
+        now: Time,
+        node: &NodeId,
+        level: Level,
+        trial_interval: Option<Micros>,
+    ) {
         if level == Level::InService {
             self.levels.remove(node);
         } else {
             self.levels.insert(node.clone(), level);
         }
-        match tries.filter(|_| level == Level::Ejected) {
-            Some(every) => {
-                self.trials
-                    .entry(node.clone())
-                    .or_insert(Trial { next: now, every });
+        match trial_interval.filter(|_| level == Level::Ejected) {
+            Some(interval) => {
+                self.trials.entry(node.clone()).or_insert(Trial {
+                    next_at: now,
+                    interval,
+                });
             }
             None => drop(self.trials.remove(node)),
         }
@@ -114,21 +141,21 @@
 
 impl LocalityPolicy for Observer {
     fn endpoints_changed(&mut self, now: Time, update: &EndpointUpdate) {
-        if let Some(inner) = &mut self.inner {
-            inner.endpoints_changed(now, update);
+        if let Some(policy) = &mut self.locality_policy {
+            policy.endpoints_changed(now, update);
         }
-        self.observations.listed(update);
-        let (entries, whole) = match update {
+        self.observations.update_endpoints(update);
+        let (entries, is_full) = match update {
             EndpointUpdate::Changes(entries) => (entries, false),
             EndpointUpdate::Full(entries) | EndpointUpdate::Restored(entries) => (entries, true),
             EndpointUpdate::Failed => return,
         };
-        if whole {
-            self.members.clear();
+        if is_full {
+            self.nodes.clear();
         }
         for entry in entries {
             if entry.state == EndpointState::Removed {
-                self.members.remove(&entry.node);
+                self.nodes.remove(&entry.node);
                 continue;
             }
             let subject = Subject {
@@ -136,75 +163,78 @@
                 group: entry.group,
                 primary: entry.listed_as_primary,
             };
-            let serving = entry.state == EndpointState::Serving;
-            self.members
-                .insert(entry.node.clone(), (subject, entry.started_at, serving));
+            let node = ListedNode {
+                subject,
+                started_at: entry.started_at,
+                is_serving: entry.state == EndpointState::Serving,
+            };
+            self.nodes.insert(entry.node.clone(), node);
         }
-        let members = &self.members;
-        self.levels.retain(|id, _| members.contains_key(id));
-        self.trials.retain(|id, _| members.contains_key(id));
+        let nodes = &self.nodes;
+        self.levels.retain(|id, _| nodes.contains_key(id));
+        self.trials.retain(|id, _| nodes.contains_key(id));
     }
 
-    fn weight_share(&mut self, now: Time, ask: &RoutingQuery, node: &NodeId) -> Option<f64> {
+    fn weight_share(&mut self, now: Time, query: &RoutingQuery, node: &NodeId) -> Option<f64> {
         let base = self
-            .inner
+            .locality_policy
             .as_mut()
-            .map_or(Some(1.0), |inner| inner.weight_share(now, ask, node))?;
+            .map_or(Some(1.0), |policy| policy.weight_share(now, query, node))?;
         match self.levels.get(node) {
             None | Some(Level::InService) => Some(base),
-            Some(Level::ReducedWeight) => Some(base * DOUBTED),
+            Some(Level::ReducedWeight) => Some(base * REDUCED_WEIGHT),
             Some(Level::Ejected)
-                if ask.is_write || self.only_primary.get(ask.class) == Some(&true) =>
+                if query.is_write || self.is_primary_only.get(query.class) == Some(&true) =>
             {
                 Some(base)
             }
             Some(Level::Ejected) => self
                 .trials
                 .get(node)
-                .filter(|trial| now >= trial.next)
-                .map(|_| base * DOUBTED),
+                .filter(|trial| now >= trial.next_at)
+                .map(|_| base * REDUCED_WEIGHT),
         }
     }
 
-    fn attempt_sent(&mut self, now: Time, ask: &RoutingQuery, node: &NodeId) {
-        if let Some(inner) = &mut self.inner {
-            inner.attempt_sent(now, ask, node);
+    fn attempt_sent(&mut self, now: Time, query: &RoutingQuery, node: &NodeId) {
+        if let Some(policy) = &mut self.locality_policy {
+            policy.attempt_sent(now, query, node);
         }
         if let Some(trial) = self.trials.get_mut(node) {
-            trial.next = now + trial.every;
+            trial.next_at = now + trial.interval;
         }
     }
 
     fn attempt_ended(
         &mut self,
         now: Time,
-        ask: &RoutingQuery,
+        query: &RoutingQuery,
         node: &NodeId,
         ending: AttemptEnd,
         elapsed: Micros,
     ) {
-        if let Some(inner) = &mut self.inner {
-            inner.attempt_ended(now, ask, node, ending, elapsed);
+        if let Some(policy) = &mut self.locality_policy {
+            policy.attempt_ended(now, query, node, ending, elapsed);
         }
         self.observations
-            .ended(now, ask.class, ask.is_write, node, ending, elapsed);
+            .record_end(now, query.class, query.is_write, node, ending, elapsed);
     }
 
-    fn retry_after(&self, ask: &RoutingQuery, most: Micros) -> Micros {
-        self.inner
+    fn retry_after(&self, query: &RoutingQuery, max_delay: Micros) -> Micros {
+        self.locality_policy
             .as_ref()
-            .map_or(most / 2, |inner| inner.retry_after(ask, most))
+            .map_or(max_delay / 2, |policy| policy.retry_after(query, max_delay))
     }
 
     fn paces_slow_start(&self) -> bool {
-        self.inner
+        self.locality_policy
             .as_ref()
-            .is_some_and(|inner| inner.paces_slow_start())
+            .is_some_and(|policy| policy.paces_slow_start())
     }
 
     fn next_log_event(&mut self) -> Option<LogEvent> {
-        self.news
+        self.log_events
             .pop_front()
-            .or_else(|| self.inner.as_mut()?.next_log_event())
+            .or_else(|| self.locality_policy.as_mut()?.next_log_event())
     }
 }
--- a/gossip/src/outlier_vote.rs
+++ b/gossip/src/outlier_vote.rs
@@ -1,5 +1,6 @@
-//! Is this node bad, for all of us? A pure function of the fresh opinions: routers with the same records and the same
-//! list come to the same verdicts, and nobody has to lead.
+//! Outlier vote: the verdicts on nodes, as a pure function of the fresh opinions of all routers.
+//!
+//! Routers with the same records and the same endpoint list reach the same verdicts, so no leader is needed.
 
 use crate::observations::Observation;
 use crate::reach::blames_itself;
@@ -7,27 +8,31 @@
 use plovercove::{GroupId, Micros, NodeId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A node is doubted where others answer so many times faster, and a replica is out at so many.
-const SLOW: (f64, f64) = (3.0, 8.0);
-/// Of those who saw a node of late, so many must find it bad: for less weight, and for none.
-const SHARE: (f64, f64) = (0.4, 0.6);
-/// At most one of so many members of a group is out.
-const THIRD: usize = 3;
+/// Slowness from which on a node gets reduced weight.
+const REDUCED_WEIGHT_SLOWNESS: f64 = 3.0;
+/// Slowness from which on a replica is ejected.
+const EJECTION_SLOWNESS: f64 = 8.0;
+/// Share of the observers that have to find a node bad for reduced weight.
+const REDUCED_WEIGHT_SHARE: f64 = 0.4;
+/// Share of the observers that have to find a node bad for its ejection.
+const EJECTION_SHARE: f64 = 0.6;
+/// Number of members of a group for each one that may be ejected.
+const MEMBERS_PER_EJECTION: usize = 3;
 
-/// What the verdict on a node is.
+/// Level at which a node takes part.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Level {
-    /// It takes part.
+    /// The node is fully in service.
     #[default]
     InService,
-    /// It counts for less.
+    /// The node has reduced weight.
     ReducedWeight,
-    /// It gets nothing but what only it can do, and trials by a few.
+    /// The node is ejected. It gets only requests that no other node can serve, and trial requests of a few routers.
     Ejected,
 }
 
 impl Level {
-    /// In a word, for logs.
+    /// Returns the label of the level in logs.
     pub fn label(self) -> &'static str {
         match self {
             Level::InService => "in",
@@ -37,92 +42,96 @@
     }
 }
 
-/// A node that is judged.
+/// Node about which the routers vote.
 #[derive(Clone, Debug)]
 pub struct Subject {
-    /// The node.
+    /// Name of the node.
     pub node: NodeId,
-    /// Its group.
+    /// Group of the node.
     pub group: GroupId,
-    /// Whether the list holds it for its group's primary.
+    /// Whether the endpoint list has the node as the primary of its group.
     pub primary: bool,
 }
 
-/// What one observer says of one node. Observers and zones go by numbers; only whether two are the same matters.
+/// Opinion of one observer about one node. Observers and zones are numbered; only the equality of two numbers has a meaning.
 #[derive(Clone, Copy, Debug)]
 pub struct Opinion {
-    /// Who says it.
+    /// Number of the observer.
     pub observer: u32,
-    /// The zone it stands in.
+    /// Number of the observer's zone.
     pub zone: u32,
-    /// What it saw.
-    pub seen: Observation,
-    /// How long ago it said so.
+    /// The observation.
+    pub observation: Observation,
+    /// Age of the opinion.
     pub age: Micros,
 }
 
-/// A verdict, and what it rests on.
+/// Verdict on a node, and its evidence.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Verdict {
-    /// The level.
+    /// Level of the node.
     pub level: Level,
-    /// Observers that find the node bad.
+    /// Number of observers that find the node bad.
     pub observers: usize,
-    /// The age of the oldest evidence that it rests on.
+    /// Age of the oldest opinion behind the verdict.
     pub oldest: Micros,
-    /// What decided, in a word or two.
+    /// Label of the reason for the verdict, in logs.
     pub why: &'static str,
 }
 
 impl Opinion {
-    /// Whether it speaks against the node.
+    /// Returns whether the opinion is against the node.
     pub(crate) fn accuses(&self) -> bool {
-        self.seen.fails() || self.seen.is_slow()
+        self.observation.fails() || self.observation.is_slow()
     }
 }
 
-/// These opinions without the accusations that were outvoted by what was said since.
+/// Returns these opinions without the accusations that were outvoted by later opinions.
 ///
-/// Who is served says so once, and is believed for a shorter time than an accusation lives. Without this an accusation that
-/// all others contradicted would win as soon as they are believed no more.
+/// A router that a node serves reports that once, and this report counts for a shorter time than an accusation. Without this
+/// step, an accusation that all other routers contradicted would win as soon as their reports stop counting.
 pub(crate) fn without_outvoted<'a>(
     opinions: impl Iterator<Item = &'a Opinion>,
 ) -> Vec<&'a Opinion> {
     let mut opinions: Vec<&Opinion> = opinions.collect();
-    // The latest first; of two that spoke at once, who is served.
+    // The latest opinions come first, and of the same age those that the node serves.
     opinions.sort_by_key(|opinion| (opinion.age, opinion.accuses(), opinion.observer));
     let (mut accusing, mut serving) = (0, 0);
     opinions.retain(|opinion| {
         if !opinion.accuses() {
-            serving += u32::from(opinion.seen.serves());
+            serving += u32::from(opinion.observation.serves());
             return true;
         }
         let share = f64::from(accusing + 1) / f64::from(accusing + 1 + serving);
-        let stands = share >= SHARE.0;
-        accusing += u32::from(stands);
-        stands
+        let is_upheld = share >= REDUCED_WEIGHT_SHARE;
+        accusing += u32::from(is_upheld);
+        is_upheld
     });
     opinions
 }
 
-/// One node as all see it.
-fn weigh(
+/// Returns the verdict on one node by the opinions about it, and for how long it has been bad.
+///
+/// The opinions of the observers in `distrusted` do not count, since their own links may be at fault.
+fn verdict_on(
     rules: &Rules,
     subject: &Subject,
     opinions: &[Opinion],
     zones: usize,
-    blind: &BTreeSet<u32>,
+    distrusted: &BTreeSet<u32>,
 ) -> (Verdict, Micros) {
-    let settle = rules.settle();
-    // Danger: a node that dies would be held up by what it did before: who is answered by it says so again and again.
-    let counts = |o: &&Opinion| o.accuses() || o.age <= rules.fresh();
-    let sees = |o: &&Opinion| !blind.contains(&o.observer);
-    let standing = without_outvoted(opinions.iter().filter(sees)).into_iter();
-    let told: Vec<&Opinion> = standing.filter(counts).collect();
-    // What is bad for longer stays the worse: whom a group cannot spare must not change from one review to the next.
-    let lasted = |bad: &[&Opinion]| {
+    let settle_time = rules.settle_time();
+    // Reports that the node serves count only while they are fresh. Routers repeat them, and older ones would protect a node
+    // that has failed since.
+    let counts = |o: &&Opinion| o.accuses() || o.age <= rules.support_lifetime();
+    let is_trusted = |o: &&Opinion| !distrusted.contains(&o.observer);
+    let upheld = without_outvoted(opinions.iter().filter(is_trusted)).into_iter();
+    let counted: Vec<&Opinion> = upheld.filter(counts).collect();
+    // The node that has been bad for longest ranks as the worst, so that the choice of the node that a group cannot spare
+    // does not change from one review to the next.
+    let bad_for = |bad: &[&Opinion]| {
         bad.iter()
-            .map(|o| o.age + o.seen.duration())
+            .map(|o| o.age + o.observation.duration())
             .max()
             .unwrap_or(0)
     };
@@ -132,110 +141,139 @@
         oldest: bad.iter().map(|o| o.age).max().unwrap_or(0),
         why,
     };
-    let spread = |bad: &[&Opinion]| {
-        let seen: BTreeSet<u32> = bad.iter().map(|o| o.zone).collect();
-        !rules.on(Guard::OneZone) || zones < 2 || seen.len() >= 2
+    let are_in_several_zones = |bad: &[&Opinion]| {
+        let observer_zones: BTreeSet<u32> = bad.iter().map(|o| o.zone).collect();
+        !rules.is_enabled(Guard::OneZone) || zones < 2 || observer_zones.len() >= 2
     };
-    let enough = |bad: &[&Opinion]| !rules.on(Guard::Observers) || bad.len() >= 2;
-    let share = |bad: &[&Opinion]| bad.len() as f64 / told.len().max(1) as f64;
-    let bad: Vec<&Opinion> = told.iter().copied().filter(|o| o.seen.fails()).collect();
-    let each = if rules.on(Guard::Observers) {
-        rules.each()
+    let are_enough_observers =
+        |bad: &[&Opinion]| !rules.is_enabled(Guard::Observers) || bad.len() >= 2;
+    let share = |bad: &[&Opinion]| bad.len() as f64 / counted.len().max(1) as f64;
+    let bad: Vec<&Opinion> = counted
+        .iter()
+        .copied()
+        .filter(|o| o.observation.fails())
+        .collect();
+    let max_per_observer = if rules.is_enabled(Guard::Observers) {
+        rules.max_failures_per_observer()
     } else {
         f64::INFINITY
     };
-    // An accusation counts once those who saw the node serve had time to say so.
-    let settled = |o: &&&Opinion| o.age + o.seen.duration() >= settle;
+    // An accusation counts after the routers that the node serves had time to report that.
+    let is_settled = |o: &&&Opinion| o.age + o.observation.duration() >= settle_time;
     let failures: f64 = bad
         .iter()
-        .filter(settled)
-        .map(|o| o.seen.failures().min(each))
+        .filter(is_settled)
+        .map(|o| o.observation.failures().min(max_per_observer))
         .sum();
-    let need = f64::from(rules.failures) - 0.5;
-    if enough(&bad) && failures >= need && share(&bad) >= SHARE.0 {
-        if !spread(&bad) {
+    let needed_failures = f64::from(rules.failures) - 0.5;
+    if are_enough_observers(&bad)
+        && failures >= needed_failures
+        && share(&bad) >= REDUCED_WEIGHT_SHARE
+    {
+        if !are_in_several_zones(&bad) {
             return (verdict(&bad, Level::InService, "one zone"), 0);
         }
-        let level = if share(&bad) >= SHARE.1 {
+        let level = if share(&bad) >= EJECTION_SHARE {
             Level::Ejected
         } else {
             Level::ReducedWeight
         };
-        return (verdict(&bad, level, "fails"), lasted(&bad));
+        return (verdict(&bad, level, "fails"), bad_for(&bad));
     }
-    let slower = |by: f64| {
-        told.iter()
+    let slower_than = |factor: f64| {
+        counted
+            .iter()
             .copied()
-            .filter(|o| o.seen.slowness().is_some_and(|s| s >= by))
+            .filter(|o| {
+                o.observation
+                    .slowness()
+                    .is_some_and(|slowness| slowness >= factor)
+            })
             .collect::<Vec<_>>()
     };
-    for (by, level) in [(SLOW.1, Level::Ejected), (SLOW.0, Level::ReducedWeight)] {
-        let slow = slower(by);
-        let old = slow.iter().any(|o| o.age + o.seen.duration() >= settle);
-        if enough(&slow) && !slow.is_empty() && old && share(&slow) >= SHARE.1 && spread(&slow) {
-            let spared = subject.primary && rules.on(Guard::Primary);
+    for (factor, level) in [
+        (EJECTION_SLOWNESS, Level::Ejected),
+        (REDUCED_WEIGHT_SLOWNESS, Level::ReducedWeight),
+    ] {
+        let slow = slower_than(factor);
+        let is_old = slow
+            .iter()
+            .any(|o| o.age + o.observation.duration() >= settle_time);
+        if are_enough_observers(&slow)
+            && !slow.is_empty()
+            && is_old
+            && share(&slow) >= EJECTION_SHARE
+            && are_in_several_zones(&slow)
+        {
+            let is_spared = subject.primary && rules.is_enabled(Guard::Primary);
             return (
                 verdict(
                     &slow,
-                    if spared { Level::ReducedWeight } else { level },
+                    if is_spared {
+                        Level::ReducedWeight
+                    } else {
+                        level
+                    },
                     "slow",
                 ),
-                lasted(&slow),
+                bad_for(&slow),
             );
         }
     }
     (Verdict::default(), 0)
 }
 
-/// The verdicts on these nodes, all that serve, each with the fresh opinions on it. `zones` is in how many zones routers
-/// stand.
+/// Returns the verdicts on nodes. `cases` are all nodes that serve, each with the opinions about it; `zones` is the number of
+/// zones with routers.
 pub fn decide_verdicts(
     rules: &Rules,
     cases: &[(Subject, Vec<Opinion>)],
     zones: usize,
 ) -> BTreeMap<NodeId, Verdict> {
-    // Who sees most nodes fail: by the most that it told of, since what it says first it says before it can know, and what
-    // it says last when it has stopped trying; and by how many it accuses, which it need not have seen fail at once.
-    let mut sights: BTreeMap<u32, (u16, u16, u16)> = BTreeMap::new();
+    // Finds the observers that see many nodes fail. Their greatest reported numbers count: the first reports are too early to
+    // include all failures, and the last ones come when the router has stopped trying. The number of nodes that an observer
+    // accuses counts as well, since it may not have seen all of them fail at the same time.
+    let mut nodes_by_observer: BTreeMap<u32, (u16, u16, u16)> = BTreeMap::new();
     for opinion in cases
         .iter()
-        .flat_map(|(_, told)| told)
-        .filter(|_| rules.on(Guard::Blame))
+        .flat_map(|(_, opinions)| opinions)
+        .filter(|_| rules.is_enabled(Guard::Blame))
     {
-        let (failing, nodes, accused) = sights.entry(opinion.observer).or_default();
-        *failing = (*failing).max(opinion.seen.nodes_failing);
-        *nodes = (*nodes).max(opinion.seen.nodes_seen);
-        *accused += u16::from(opinion.seen.fails());
+        let (failing, nodes, accused) = nodes_by_observer.entry(opinion.observer).or_default();
+        *failing = (*failing).max(opinion.observation.nodes_failing);
+        *nodes = (*nodes).max(opinion.observation.nodes_seen);
+        *accused += u16::from(opinion.observation.fails());
     }
-    let blames = |(failing, nodes, accused): (u16, u16, u16)| {
+    let sees_many_fail = |(failing, nodes, accused): (u16, u16, u16)| {
         blames_itself(usize::from(failing.max(accused)), usize::from(nodes))
     };
-    let blind: BTreeSet<u32> = sights
+    let distrusted: BTreeSet<u32> = nodes_by_observer
         .into_iter()
-        .filter(|(_, s)| blames(*s))
-        .map(|(o, _)| o)
+        .filter(|(_, counts)| sees_many_fail(*counts))
+        .map(|(observer, _)| observer)
         .collect();
     let mut verdicts = BTreeMap::new();
-    let mut out: BTreeMap<GroupId, Vec<(Micros, NodeId)>> = BTreeMap::new();
-    for (subject, told) in cases.iter().filter(|(_, told)| !told.is_empty()) {
-        let (verdict, weight) = weigh(rules, subject, told, zones, &blind);
+    let mut ejected: BTreeMap<GroupId, Vec<(Micros, NodeId)>> = BTreeMap::new();
+    for (subject, opinions) in cases.iter().filter(|(_, opinions)| !opinions.is_empty()) {
+        let (verdict, bad_for) = verdict_on(rules, subject, opinions, zones, &distrusted);
         if verdict.level == Level::Ejected {
-            out.entry(subject.group)
+            ejected
+                .entry(subject.group)
                 .or_default()
-                .push((weight, subject.node.clone()));
+                .push((bad_for, subject.node.clone()));
         }
         if verdict != Verdict::default() {
             verdicts.insert(subject.node.clone(), verdict);
         }
     }
-    for (group, mut nodes) in out {
+    for (group, mut nodes) in ejected {
         let members = cases.iter().filter(|(s, _)| s.group == group).count();
-        let allowed = if rules.on(Guard::Third) {
-            members / THIRD
+        let allowed = if rules.is_enabled(Guard::Third) {
+            members / MEMBERS_PER_EJECTION
         } else {
             members
         };
-        // The worst first; the name decides between equals, so that all decide alike.
+        // The worst come first. The name decides between equal ones, so that all routers decide alike.
         nodes.sort_by(|a, b| b.0.cmp(&a.0).then_with(|| a.1.cmp(&b.1)));
         for (_, node) in nodes.into_iter().skip(allowed) {
             verdicts
--- a/gossip/src/outlier_vote/tests.rs
+++ b/gossip/src/outlier_vote/tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of `verdict`.
+//! Unit tests of `outlier_vote`.
 
 use super::*;
 
@@ -11,18 +11,18 @@
     }
 }
 
-fn judged(
+fn verdicts_on(
     nodes: &[&str],
     opinions: &BTreeMap<NodeId, Vec<Opinion>>,
     zones: usize,
 ) -> BTreeMap<NodeId, Verdict> {
-    let told = |s: Subject| {
-        let said = opinions.get(&s.node).cloned().unwrap_or_default();
-        (s, said)
+    let case = |subject: Subject| {
+        let opinions = opinions.get(&subject.node).cloned().unwrap_or_default();
+        (subject, opinions)
     };
     decide_verdicts(
         &rules(),
-        &subjects(nodes).into_iter().map(told).collect::<Vec<_>>(),
+        &subjects(nodes).into_iter().map(case).collect::<Vec<_>>(),
         zones,
     )
 }
@@ -36,10 +36,10 @@
     nodes.iter().enumerate().map(subject).collect()
 }
 
-fn says(observer: &str, zone: &str, answers: u16, failures: u16) -> Opinion {
+fn opinion(observer: &str, zone: &str, answers: u16, failures: u16) -> Opinion {
     let number = |name: &str| name.bytes().fold(0, |sum, b| sum * 256 + u32::from(b));
     let (observer, zone) = (number(observer), number(zone));
-    let seen = Observation {
+    let observation = Observation {
         answers: answers * 10,
         no_reply: failures * 10,
         nodes_seen: 9,
@@ -49,84 +49,90 @@
     Opinion {
         observer,
         zone,
-        seen,
+        observation,
         age: 2 * S,
     }
 }
 
-fn of(node: &str, opinions: Vec<Opinion>) -> BTreeMap<NodeId, Vec<Opinion>> {
+fn opinions_on(node: &str, opinions: Vec<Opinion>) -> BTreeMap<NodeId, Vec<Opinion>> {
     BTreeMap::from([(node.into(), opinions)])
 }
 
-/// The verdict on the replica x of a group of three, routers in three zones.
-fn on_x(opinions: Vec<Opinion>) -> Level {
-    let verdicts = judged(&["p", "x", "y"], &of("x", opinions), 3);
+/// Returns the level of the replica x in a group of three, with routers in three zones.
+fn level_of_x(opinions: Vec<Opinion>) -> Level {
+    let verdicts = verdicts_on(&["p", "x", "y"], &opinions_on("x", opinions), 3);
     verdicts.get("x").map_or(Level::InService, |v| v.level)
 }
 
 #[test]
-fn what_several_see_fail_is_out_for_all() {
+fn node_that_several_observers_see_fail_is_ejected() {
     assert_eq!(
-        on_x(vec![says("n1", "a", 0, 4), says("n2", "b", 0, 4)]),
+        level_of_x(vec![opinion("n1", "a", 0, 4), opinion("n2", "b", 0, 4)]),
         Level::Ejected
     );
     let all = ["n1", "n2", "n3", "n4"].iter().zip(["a", "b", "c", "a"]);
     assert_eq!(
-        on_x(all.map(|(n, z)| says(n, z, 0, 2)).collect()),
+        level_of_x(all.map(|(n, z)| opinion(n, z, 0, 2)).collect()),
         Level::Ejected,
         "two failures each"
     );
 }
 
 #[test]
-fn one_observer_takes_nobody_out_whatever_it_says() {
-    assert_eq!(on_x(vec![says("n1", "a", 0, 6_000)]), Level::InService);
+fn one_observer_alone_ejects_no_node() {
     assert_eq!(
-        on_x(vec![says("n1", "a", 0, 6_000), says("n2", "b", 9, 0)]),
+        level_of_x(vec![opinion("n1", "a", 0, 6_000)]),
+        Level::InService
+    );
+    assert_eq!(
+        level_of_x(vec![opinion("n1", "a", 0, 6_000), opinion("n2", "b", 9, 0)]),
         Level::InService
     );
 }
 
 #[test]
-fn observers_in_one_zone_speak_for_their_link() {
+fn observers_in_one_zone_alone_eject_no_node() {
     assert_eq!(
-        on_x(vec![
-            says("n1", "a", 0, 9),
-            says("n2", "a", 0, 9),
-            says("n3", "a", 0, 9)
+        level_of_x(vec![
+            opinion("n1", "a", 0, 9),
+            opinion("n2", "a", 0, 9),
+            opinion("n3", "a", 0, 9)
         ]),
         Level::InService
     );
 }
 
 #[test]
-fn who_sees_most_nodes_fail_blames_itself() {
-    let mut opinions = of(
+fn observers_that_see_most_nodes_fail_do_not_count() {
+    let mut opinions = opinions_on(
         "x",
         vec![
-            says("n1", "a", 0, 9),
-            says("n2", "b", 0, 9),
-            says("n3", "c", 0, 2),
+            opinion("n1", "a", 0, 9),
+            opinion("n2", "b", 0, 9),
+            opinion("n3", "c", 0, 2),
         ],
     );
     assert_eq!(
-        judged(&["p", "x", "y"], &opinions, 3)["x"].level,
+        verdicts_on(&["p", "x", "y"], &opinions, 3)["x"].level,
         Level::Ejected
     );
-    // What they say of another node, a little later, tells that they see most of them fail.
-    let blind = |n: &str, z: &str| {
-        let told = says(n, z, 0, 9);
+    // Their later opinions about another node show that they see most nodes fail.
+    let distrusted = |n: &str, z: &str| {
+        let base = opinion(n, z, 0, 9);
         Opinion {
-            seen: Observation {
+            observation: Observation {
                 nodes_failing: 5,
-                ..told.seen
+                ..base.observation
             },
             age: S,
-            ..told
+            ..base
         }
     };
-    opinions.insert("y".into(), vec![blind("n1", "a"), blind("n2", "b")]);
-    let verdicts = judged(&["p", "x", "y"], &opinions, 3);
+    opinions.insert(
+        "y".into(),
+        vec![distrusted("n1", "a"), distrusted("n2", "b")],
+    );
+    let verdicts = verdicts_on(&["p", "x", "y"], &opinions, 3);
     assert!(
         verdicts.values().all(|v| v.level == Level::InService),
         "{verdicts:?}"
@@ -134,89 +140,102 @@
 }
 
 #[test]
-fn those_who_saw_it_serve_outvote_a_few() {
-    let mut told = vec![says("n1", "a", 0, 4), says("n2", "b", 0, 4)];
-    told.extend(["n3", "n4", "n5", "n6"].map(|n| says(n, "c", 5, 0)));
-    assert_eq!(on_x(told), Level::InService);
+fn supporters_outvote_a_few_accusers() {
+    let mut opinions = vec![opinion("n1", "a", 0, 4), opinion("n2", "b", 0, 4)];
+    opinions.extend(["n3", "n4", "n5", "n6"].map(|n| opinion(n, "c", 5, 0)));
+    assert_eq!(level_of_x(opinions), Level::InService);
 }
 
 #[test]
-fn an_accusation_that_was_outvoted_does_not_win_when_its_answers_grow_old() {
-    // Failure: a busy node timed out once for each of several routers, was answered for by all others, and went out when
-    // those were believed no more, while the accusations still were.
-    let at = |age: Micros, o: Opinion| Opinion { age, ..o };
+fn outvoted_accusations_do_not_win_when_supporting_opinions_expire() {
+    // A busy node timed out once for each of several routers, and served all others. It was ejected when the reports of the
+    // others had expired, while the accusations had not.
+    let aged = |age: Micros, o: Opinion| Opinion { age, ..o };
     let accusers = ["n1", "n2", "n3", "n4"].iter().zip(["a", "b", "c", "a"]);
-    let accused: Vec<Opinion> = accusers.map(|(n, z)| at(8 * S, says(n, z, 0, 4))).collect();
-    let served = ["n5", "n6", "n7", "n8", "n9", "o1", "o2"].map(|n| at(7 * S, says(n, "c", 5, 0)));
-    assert!(rules().fresh() < 7 * S && 8 * S < rules().evidence_lifetime());
-    assert_eq!(on_x(accused.clone()), Level::Ejected, "nobody answered");
+    let accused: Vec<Opinion> = accusers
+        .map(|(n, z)| aged(8 * S, opinion(n, z, 0, 4)))
+        .collect();
+    let served =
+        ["n5", "n6", "n7", "n8", "n9", "o1", "o2"].map(|n| aged(7 * S, opinion(n, "c", 5, 0)));
+    assert!(rules().support_lifetime() < 7 * S && 8 * S < rules().evidence_lifetime());
+    assert_eq!(
+        level_of_x(accused.clone()),
+        Level::Ejected,
+        "no router reports that the node serves"
+    );
     let both: Vec<Opinion> = accused.iter().copied().chain(served).collect();
-    assert_eq!(on_x(both.clone()), Level::InService);
-    // It dies after that: what is said since counts, and the old answers hold it up no longer.
-    let dies = ["n1", "n2", "n3"].iter().zip(["a", "b", "c"]);
-    let dies = dies.map(|(n, z)| at(2 * S, says(n, z, 0, 4)));
-    let since: Vec<Opinion> = both.into_iter().skip(3).chain(dies).collect();
-    assert_eq!(on_x(since), Level::Ejected);
+    assert_eq!(level_of_x(both.clone()), Level::InService);
+    // After that the node fails. New accusations count, and the old reports do not protect it any more.
+    let new_accusers = ["n1", "n2", "n3"].iter().zip(["a", "b", "c"]);
+    let new_accusations = new_accusers.map(|(n, z)| aged(2 * S, opinion(n, z, 0, 4)));
+    let later: Vec<Opinion> = both.into_iter().skip(3).chain(new_accusations).collect();
+    assert_eq!(level_of_x(later), Level::Ejected);
 }
 
 #[test]
-fn an_accusation_waits_for_its_answer() {
+fn accusations_count_after_the_settle_time() {
     let young = |n, z| Opinion {
         age: 0,
-        ..says(n, z, 0, 4)
+        ..opinion(n, z, 0, 4)
     };
     assert_eq!(
-        on_x(vec![young("n1", "a"), young("n2", "b")]),
+        level_of_x(vec![young("n1", "a"), young("n2", "b")]),
         Level::InService
     );
 }
 
 #[test]
-fn a_third_of_a_group_at_the_most_is_out_and_the_one_that_is_bad_for_longest() {
+fn at_most_a_third_of_a_group_is_ejected_and_the_longest_bad_node_first() {
     let mut opinions = BTreeMap::new();
-    for (node, lasted) in [("p", 10), ("x", 90), ("y", 20)] {
-        let long = |o: Opinion| Opinion {
-            seen: Observation {
-                duration_tenths_s: lasted,
-                ..o.seen
+    for (node, duration_tenths_s) in [("p", 10), ("x", 90), ("y", 20)] {
+        let bad_for_long = |o: Opinion| Opinion {
+            observation: Observation {
+                duration_tenths_s,
+                ..o.observation
             },
             ..o
         };
         opinions.insert(
             node.into(),
-            vec![long(says("n1", "a", 0, 4)), says("n2", "b", 0, 4)],
+            vec![
+                bad_for_long(opinion("n1", "a", 0, 4)),
+                opinion("n2", "b", 0, 4),
+            ],
         );
     }
-    let verdicts = judged(&["p", "x", "y"], &opinions, 3);
+    let verdicts = verdicts_on(&["p", "x", "y"], &opinions, 3);
     let levels: Vec<Level> = verdicts.values().map(|v| v.level).collect();
     assert_eq!(
         levels,
         [Level::ReducedWeight, Level::Ejected, Level::ReducedWeight]
     );
-    let pair = judged(&["p", "x"], &opinions, 3);
+    let pair = verdicts_on(&["p", "x"], &opinions, 3);
     assert_eq!(
         pair["x"].level,
         Level::ReducedWeight,
-        "of two none can be spared"
+        "a group of two cannot spare a member"
     );
 }
 
 #[test]
-fn slowness_takes_a_replica_out_and_never_a_primary() {
+fn slowness_ejects_a_replica_but_never_a_primary() {
     let slow = |n: &str, z: &str| {
-        let told = says(n, z, 9, 0);
+        let base = opinion(n, z, 9, 0);
         Opinion {
-            seen: Observation {
+            observation: Observation {
                 slowness_tenths: 100,
-                ..told.seen
+                ..base.observation
             },
-            ..told
+            ..base
         }
     };
-    assert_eq!(on_x(vec![slow("n1", "a"), slow("n2", "b")]), Level::Ejected);
-    let told = of("p", vec![slow("n1", "a"), slow("n2", "b")]);
     assert_eq!(
-        judged(&["p", "x", "y"], &told, 3)["p"].level,
+        level_of_x(vec![slow("n1", "a"), slow("n2", "b")]),
+        Level::Ejected
+    );
+    let opinions = opinions_on("p", vec![slow("n1", "a"), slow("n2", "b")]);
+    assert_eq!(
+        verdicts_on(&["p", "x", "y"], &opinions, 3)["p"].level,
         Level::ReducedWeight
     );
 }
--- a/gossip/src/reach.rs
+++ b/gossip/src/reach.rs
@@ -1,40 +1,43 @@
-//! Which db nodes reach this router, all taken together: whether what it sees fail may be the fault of its own links.
+//! Reachability of all database nodes from this router: whether the failures that it sees may be the fault of its own links.
 //!
-//! It guards against a router that is cut off and accuses healthy nodes. Its attempts time out one after the other, and until
-//! enough of them have, most nodes still count as serving, by answers from before the cut. Such an answer is no evidence that
-//! a link works now; one that came after the accused node began to fail is.
+//! This prevents a router that is cut off from accusing healthy nodes. The attempts of such a router time out one after the
+//! other. Until enough of them have, most nodes still count as serving, because they answered before the cut. Such an answer
+//! does not prove that the links work now; an answer after the accused node began to fail does.
 
 use plovercove::Time;
 
-/// A router that sees so many nodes fail, and more than a third of those it sees, has a broken link of its own.
+/// A router that sees at least this many nodes fail, and more than a third of all nodes that it sees, assumes a fault of its
+/// own links.
 const MIN_BLAMED_FAILURES: usize = 3;
-/// An accuser was answered by so many other nodes for each that fails.
+/// Number of other nodes that have to answer for each node that fails, before a router accuses one.
 const ANSWERING_PER_FAILING: usize = 2;
 
-/// Whether a router for which so many of so many nodes fail blames its own links.
+/// Returns whether a router that sees `failing` of `nodes` nodes fail assumes a fault of its own links.
 pub(crate) fn blames_itself(failing: usize, nodes: usize) -> bool {
     failing >= MIN_BLAMED_FAILURES && 3 * failing > nodes
 }
 
-/// What one router sees of all nodes at one moment.
+/// State of all nodes as one router sees them at one moment.
 #[derive(Debug, Default)]
 pub(crate) struct Reach {
-    /// Nodes that fail.
+    /// Number of nodes that fail.
     pub(crate) failing: usize,
-    /// Nodes that answered more than they failed, but not at the last attempt.
+    /// Number of nodes that answered more often than they failed, but failed at the last attempt.
     pub(crate) suspected: usize,
-    /// When each of the others answered last.
+    /// Time of the last answer of each other node.
     pub(crate) last_answers: Vec<Time>,
 }
 
 impl Reach {
-    /// Of how many nodes this router saw anything.
+    /// Returns the number of nodes of which this router has observations.
     pub(crate) fn nodes(&self) -> usize {
         self.failing + self.suspected + self.last_answers.len()
     }
 
-    /// Whether this router cannot tell yet if a node that fails since then is at fault, or its own links: it has to blame
-    /// itself if those that it suspects fail as well, or, where too few have answered since, those that have not.
+    /// Returns whether it is still open if a node that has failed since this time is at fault, or this router's own links.
+    ///
+    /// It is open if the router would have to assume a fault of its own links once the suspected nodes fail as well, and,
+    /// if too few nodes have answered since then, also those that have not answered.
     pub(crate) fn is_uncertain_since(&self, since: Time) -> bool {
         if blames_itself(self.failing, self.nodes()) {
             return false;
--- a/gossip/src/reach/tests.rs
+++ b/gossip/src/reach/tests.rs
@@ -2,7 +2,8 @@
 
 use super::*;
 
-/// So many nodes fail since 100; the others answered last at these times.
+/// Returns whether it is uncertain that this many nodes, which fail since time 100, are at fault. The others answered last at
+/// these times.
 fn is_uncertain(failing: usize, last_answers: &[Time]) -> bool {
     let reach = Reach {
         failing,
@@ -13,32 +14,38 @@
 }
 
 #[test]
-fn answers_from_before_the_failure_say_nothing_of_the_links() {
+fn answers_before_the_failure_do_not_prove_working_links() {
     assert!(is_uncertain(1, &[90, 91, 92, 93, 94, 95, 96, 97]));
     assert!(is_uncertain(1, &[101, 91, 92, 93, 94, 95, 96, 97]));
     assert!(!is_uncertain(1, &[101, 102, 92, 93, 94, 95, 96, 97]));
     assert!(
         is_uncertain(2, &[101, 102, 103, 93, 94, 95, 96]),
-        "two fail"
+        "two nodes fail"
     );
 }
 
 #[test]
-fn a_node_of_a_small_group_is_accused_by_those_who_see_the_others_or_one_of_them() {
-    assert!(!is_uncertain(1, &[]), "nothing else is known");
-    assert!(!is_uncertain(1, &[90]), "of two nodes");
-    assert!(is_uncertain(1, &[90, 91]), "of three, none was heard since");
-    assert!(!is_uncertain(1, &[90, 101]), "of three, one was");
+fn with_few_nodes_one_later_answer_is_enough() {
+    assert!(!is_uncertain(1, &[]), "no other node is known");
+    assert!(!is_uncertain(1, &[90]), "one of two nodes fails");
+    assert!(
+        is_uncertain(1, &[90, 91]),
+        "one of three nodes fails, and none has answered since"
+    );
+    assert!(
+        !is_uncertain(1, &[90, 101]),
+        "one of three nodes fails, and one has answered since"
+    );
 }
 
 #[test]
-fn who_blames_itself_has_no_doubt_any_more() {
+fn nothing_is_uncertain_once_the_own_links_are_at_fault() {
     assert!(!is_uncertain(5, &[101, 91, 92, 93]));
     assert!(!is_uncertain(0, &[101, 102, 103]));
 }
 
 #[test]
-fn nodes_that_failed_at_the_last_attempt_may_be_cut_off_as_well() {
+fn suspected_nodes_may_be_unreachable_as_well() {
     let reach = |suspected| Reach {
         failing: 2,
         suspected,
--- a/gossip/src/records.rs
+++ b/gossip/src/records.rs
@@ -1,6 +1,9 @@
-//! What each router says of what it saw: versioned by origin, start and sequence, ended by age, and repaired.
+//! Records: what each router publishes about the database nodes.
+//!
+//! A record has a version by origin, start and sequence number. It expires by age, and lost records are repaired by comparing
+//! digests.
 
-use crate::datagram::{Envelope, Part, kind};
+use crate::datagram::{Envelope, Part, part_kind};
 use crate::event::ObserverReport;
 use crate::incarnation::Incarnation;
 use crate::observations::Observation;
@@ -10,52 +13,54 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// Records that are held, of all routers together and of one.
-const MOST: (usize, usize) = (4_096, 64);
-/// Origins whose present start is remembered.
-const ORIGINS: usize = 4_096;
-/// Names that are numbered before all are numbered anew.
-const NUMBERS: usize = 4 * MOST.0;
-/// Entries of one digest, so that it fits in a datagram beside a roll of the members.
-const DIGEST: usize = 36;
-/// Bytes that names in a record may have.
-const NAMES: usize = 128;
+/// Maximum number of stored records of all routers together.
+const MAX_RECORDS: usize = 4_096;
+/// Maximum number of stored records of one router.
+const MAX_RECORDS_PER_ORIGIN: usize = 64;
+/// Maximum number of origins whose present start is remembered.
+const MAX_ORIGINS: usize = 4_096;
+/// Number of numbered names beyond which all names in use are numbered anew.
+const MAX_NUMBERED_NAMES: usize = 4 * MAX_RECORDS;
+/// Maximum number of entries of a digest, so that it fits in a datagram together with the checksums of the members.
+const MAX_DIGEST_ENTRIES: usize = 36;
+/// Maximum length of all names of a record together, and of its body (bytes).
+const MAX_FIELD_BYTES: usize = 128;
 
 /// Kinds of records.
-pub(crate) mod about {
-    /// What was seen of a db node.
+pub(crate) mod record_kind {
+    /// Observation of a database node.
     pub const NODE: u8 = 1;
 }
 
-/// One thing that one router says.
+/// Versioned statement of one router.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// Whose it is.
+    /// Name of the router that published it.
     pub origin: String,
-    /// The start of its origin's process.
+    /// Start of the origin's process.
     pub boot: u64,
-    /// Its origin's zone.
+    /// Zone of the origin.
     pub zone: String,
-    /// Rises with each record of an origin.
+    /// Sequence number, which rises with each record of an origin.
     pub seq: u64,
-    /// How old it was when it was sent (ms): no clock of another machine is needed to tell when it ends.
+    /// Age of the record when it was sent (ms), by which it expires without a comparison of clocks.
     pub age_ms: u32,
-    /// What it is about; unknown kinds are skipped.
+    /// Kind of the record. Unknown kinds are skipped.
     pub kind: u8,
-    /// Of what.
+    /// Subject of the record, for example a node and its start.
     pub subject: String,
-    /// What is said.
+    /// Encoded content.
     pub body: Vec<u8>,
 }
 
 impl Record {
-    /// What a router of this life saw of a node since that node's start.
+    /// Creates the record of a router's observation of a node since the start of that node.
     pub fn from_observation(
         incarnation: &Incarnation,
         seq: u64,
         node: &NodeId,
         started: Option<Time>,
-        seen: &Observation,
+        observation: &Observation,
     ) -> Option<Record> {
         Some(Record {
             origin: incarnation.name.clone(),
@@ -63,61 +68,71 @@
             zone: incarnation.zone.clone(),
             seq,
             age_ms: 0,
-            kind: about::NODE,
-            subject: subject(node, started),
-            body: postcard::to_allocvec(seen).ok()?,
+            kind: record_kind::NODE,
+            subject: subject_of(node, started),
+            body: postcard::to_allocvec(observation).ok()?,
         })
     }
 
-    /// A part that holds it alone.
-    pub fn part(&self) -> Option<Part> {
-        part(kind::RECORDS, self)
+    /// Returns a part of a datagram with only this record.
+    pub fn to_part(&self) -> Option<Part> {
+        encode_part(part_kind::RECORDS, self)
     }
 
+    /// Returns the name of the record, a hash of its origin, kind and subject.
     fn name(&self) -> u64 {
-        crate::draw(&[
+        crate::shared_draw(&[
             self.origin.as_bytes(),
             &[self.kind],
             self.subject.as_bytes(),
         ])
     }
 
-    /// A newer one of the same name has a greater version: starts lie further apart than one start has records.
+    /// Returns the version. A newer record with the same name has a higher version, since two starts lie further apart (us)
+    /// than the number of records of one start.
     fn version(&self) -> u64 {
         self.boot.saturating_add(self.seq)
     }
 }
 
-struct Held {
+struct StoredRecord {
     record: Record,
-    /// What it says of a node, read once; and its origin, zone and subject as numbers.
-    seen: Observation,
+    /// The decoded body.
+    observation: Observation,
+    /// Numbers of the origin, the zone and the subject.
     numbers: [u32; 3],
-    born: Time,
-    sends: u8,
+    published_at: Time,
+    remaining_transmissions: u8,
 }
 
-impl Held {
-    /// Its place among what is to be sent: what was sent least first, then the youngest.
-    fn heat(&self, name: u64) -> (Reverse<u8>, Reverse<Time>, u64) {
-        (Reverse(self.sends), Reverse(self.born), name)
+impl StoredRecord {
+    /// Returns the position in the send queue. Records that were sent least come first, then the youngest.
+    fn send_position(&self, name: u64) -> (Reverse<u8>, Reverse<Time>, u64) {
+        (
+            Reverse(self.remaining_transmissions),
+            Reverse(self.published_at),
+            name,
+        )
     }
 }
 
-/// What one router holds, in a part of the order of names, for another to compare.
+/// Names and versions of the records that a router has within a range of names, for another router to compare.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Digest {
+    /// First name of the range.
     from: u64,
+    /// Last name of the range.
     to: u64,
-    held: Vec<(u64, u64)>,
+    /// Name and version of each record.
+    entries: Vec<(u64, u64)>,
 }
 
-/// Numbers for names: judging compares thousands of them ten times a second.
+/// Numbers in place of names, since a review compares thousands of names ten times per second.
 #[derive(Default)]
-struct Numbers(HashMap<String, u32>);
+struct NumberedNames(HashMap<String, u32>);
 
-impl Numbers {
-    fn of(&mut self, name: &str) -> u32 {
+impl NumberedNames {
+    fn number_of(&mut self, name: &str) -> u32 {
         if let Some(known) = self.0.get(name) {
             return *known;
         }
@@ -127,92 +142,111 @@
     }
 }
 
-/// The records that a router holds.
+/// Store of the records that a router knows.
 pub struct RecordStore {
-    numbers: Numbers,
-    held: BTreeMap<u64, Held>,
-    /// Those that are to be sent, in that order.
-    hot: BTreeSet<(Reverse<u8>, Reverse<Time>, u64)>,
-    /// The names of each origin's records.
-    of: BTreeMap<String, BTreeSet<u64>>,
+    numbered_names: NumberedNames,
+    records: BTreeMap<u64, StoredRecord>,
+    /// Records that are still to be sent, in the order of sending.
+    send_queue: BTreeSet<(Reverse<u8>, Reverse<Time>, u64)>,
+    /// Names of the records of each origin.
+    names_by_origin: BTreeMap<String, BTreeSet<u64>>,
+    /// Present start of each origin.
     boots: BTreeMap<String, u64>,
-    incarnation: Micros,
-    sends: u8,
-    /// Where the next digest begins.
-    next: u64,
-    ages: bool,
-    ends: bool,
+    lifetime: Micros,
+    transmissions: u8,
+    /// Name at which the next digest begins.
+    next_digest_from: u64,
+    expires_by_age: bool,
+    expires_by_start: bool,
 }
 
 impl RecordStore {
-    /// A store whose records live so long and are sent so often each.
+    /// Creates a store whose records expire after `lifetime` and are sent `transmissions` times each.
     ///
-    /// `ages` and `ends`: whether records end by age and with their origin's life; tests take that away.
-    pub fn new(incarnation: Micros, sends: u8, ages: bool, ends: bool) -> Self {
+    /// `expires_by_age` and `expires_by_start` say whether records expire by age and with a new start of their origin. Only
+    /// tests disable them.
+    pub fn new(
+        lifetime: Micros,
+        transmissions: u8,
+        expires_by_age: bool,
+        expires_by_start: bool,
+    ) -> Self {
         RecordStore {
-            numbers: Numbers::default(),
-            held: BTreeMap::new(),
-            hot: BTreeSet::new(),
-            of: BTreeMap::new(),
+            numbered_names: NumberedNames::default(),
+            records: BTreeMap::new(),
+            send_queue: BTreeSet::new(),
+            names_by_origin: BTreeMap::new(),
             boots: BTreeMap::new(),
-            incarnation,
-            sends,
-            next: 0,
-            ages,
-            ends,
+            lifetime,
+            transmissions,
+            next_digest_from: 0,
+            expires_by_age,
+            expires_by_start,
         }
     }
 
-    /// How many it holds.
+    /// Returns the number of stored records.
     pub fn len(&self) -> usize {
-        self.held.len()
+        self.records.len()
     }
 
-    /// Whether it holds none.
+    /// Returns whether there are no records.
     pub fn is_empty(&self) -> bool {
-        self.held.is_empty()
+        self.records.is_empty()
     }
 
-    /// The one place where a record is let go.
+    /// Removes a record from all indexes. Nothing else removes records.
     fn remove(&mut self, name: u64) {
-        let Some(held) = self.held.remove(&name) else {
+        let Some(stored) = self.records.remove(&name) else {
             return;
         };
-        self.hot.remove(&held.heat(name));
-        if let Some(names) = self.of.get_mut(&held.record.origin) {
+        self.send_queue.remove(&stored.send_position(name));
+        if let Some(names) = self.names_by_origin.get_mut(&stored.record.origin) {
             names.remove(&name);
             if names.is_empty() {
-                self.of.remove(&held.record.origin);
+                self.names_by_origin.remove(&stored.record.origin);
             }
         }
     }
 
-    /// This router started then: what earlier starts said is void.
-    pub fn started(&mut self, origin: &str, boot: u64) {
-        if !self.ends || self.boots.get(origin).is_some_and(|known| *known >= boot) {
+    /// Notes the start of a router, and removes its records from earlier starts.
+    pub fn note_start(&mut self, origin: &str, boot: u64) {
+        if !self.expires_by_start || self.boots.get(origin).is_some_and(|known| *known >= boot) {
             return;
         }
-        if self.boots.len() >= ORIGINS {
-            let of = &self.of;
-            self.boots.retain(|name, _| of.contains_key(name));
+        if self.boots.len() >= MAX_ORIGINS {
+            let names_by_origin = &self.names_by_origin;
+            self.boots
+                .retain(|origin, _| names_by_origin.contains_key(origin));
         }
         self.boots.insert(origin.into(), boot);
-        let names = self.of.get(origin).cloned().unwrap_or_default();
+        let names = self
+            .names_by_origin
+            .get(origin)
+            .cloned()
+            .unwrap_or_default();
         for name in names {
-            if self.held.get(&name).is_some_and(|h| h.record.boot < boot) {
+            if self
+                .records
+                .get(&name)
+                .is_some_and(|h| h.record.boot < boot)
+            {
                 self.remove(name);
             }
         }
     }
 
-    /// Takes a record that was so much longer under way than usual; true where it is news.
-    pub fn put(&mut self, now: Time, record: Record, late: Micros) -> bool {
-        let age = crate::ms(u64::from(record.age_ms)) + late;
-        let names = record.origin.len() + record.zone.len() + record.subject.len();
-        if (self.ages && age > self.incarnation) || names > NAMES || record.body.len() > NAMES {
+    /// Stores a record, whose age rises by the delay of its datagram. Returns whether the record is new.
+    pub fn insert(&mut self, now: Time, record: Record, delay: Micros) -> bool {
+        let age = crate::ms_to_us(u64::from(record.age_ms)) + delay;
+        let names_bytes = record.origin.len() + record.zone.len() + record.subject.len();
+        if (self.expires_by_age && age > self.lifetime)
+            || names_bytes > MAX_FIELD_BYTES
+            || record.body.len() > MAX_FIELD_BYTES
+        {
             return false;
         }
-        if self.ends
+        if self.expires_by_start
             && self
                 .boots
                 .get(&record.origin)
@@ -222,84 +256,86 @@
         }
         let name = record.name();
         if self
-            .held
+            .records
             .get(&name)
-            .is_some_and(|held| held.record.version() >= record.version())
+            .is_some_and(|stored| stored.record.version() >= record.version())
         {
             return false;
         }
-        let Ok(seen) = postcard::from_bytes::<Observation>(&record.body) else {
+        let Ok(observation) = postcard::from_bytes::<Observation>(&record.body) else {
             return false;
         };
-        self.started(&record.origin, record.boot);
+        self.note_start(&record.origin, record.boot);
         self.remove(name);
-        let of = self.of.get(&record.origin);
+        let own_names = self.names_by_origin.get(&record.origin);
         let oldest = |all: &mut dyn Iterator<Item = &u64>| {
-            all.filter_map(|n| Some((self.held.get(n)?.born, *n)))
+            all.filter_map(|n| Some((self.records.get(n)?.published_at, *n)))
                 .min()
                 .map(|(_, n)| n)
         };
-        let leaves = match of {
-            Some(own) if own.len() >= MOST.1 => oldest(&mut own.iter()),
-            _ if self.held.len() >= MOST.0 => oldest(&mut self.held.keys()),
+        let removed = match own_names {
+            Some(own) if own.len() >= MAX_RECORDS_PER_ORIGIN => oldest(&mut own.iter()),
+            _ if self.records.len() >= MAX_RECORDS => oldest(&mut self.records.keys()),
             _ => None,
         };
-        if let Some(leaves) = leaves {
-            self.remove(leaves);
+        if let Some(removed) = removed {
+            self.remove(removed);
         }
-        self.of
+        self.names_by_origin
             .entry(record.origin.clone())
             .or_default()
             .insert(name);
-        if self.numbers.0.len() > NUMBERS {
-            // Names that nobody uses any more: all are numbered anew.
-            self.numbers.0.clear();
-            for held in self.held.values_mut() {
-                let r = &held.record;
-                held.numbers = [&r.origin, &r.zone, &r.subject].map(|name| self.numbers.of(name));
+        if self.numbered_names.0.len() > MAX_NUMBERED_NAMES {
+            // Some of the names are not used any more, so all names in use are numbered anew.
+            self.numbered_names.0.clear();
+            for stored in self.records.values_mut() {
+                let r = &stored.record;
+                stored.numbers = [&r.origin, &r.zone, &r.subject]
+                    .map(|name| self.numbered_names.number_of(name));
             }
         }
-        let numbers =
-            [&record.origin, &record.zone, &record.subject].map(|name| self.numbers.of(name));
-        let held = Held {
+        let numbers = [&record.origin, &record.zone, &record.subject]
+            .map(|name| self.numbered_names.number_of(name));
+        let stored = StoredRecord {
             record,
-            seen,
+            observation,
             numbers,
-            born: now.saturating_sub(age),
-            sends: self.sends,
+            published_at: now.saturating_sub(age),
+            remaining_transmissions: self.transmissions,
         };
-        self.hot.insert(held.heat(name));
-        self.held.insert(name, held);
+        self.send_queue.insert(stored.send_position(name));
+        self.records.insert(name, stored);
         true
     }
 
-    /// Lets go of what is too old.
-    pub fn fade(&mut self, now: Time) {
-        let over = |h: &Held| now.saturating_sub(h.born) > self.incarnation;
-        let over: Vec<u64> = self
-            .held
+    /// Removes records that have expired.
+    pub fn remove_expired(&mut self, now: Time) {
+        let is_expired =
+            |stored: &StoredRecord| now.saturating_sub(stored.published_at) > self.lifetime;
+        let expired: Vec<u64> = self
+            .records
             .iter()
-            .filter(|(_, h)| self.ages && over(h))
+            .filter(|(_, stored)| self.expires_by_age && is_expired(stored))
             .map(|(name, _)| *name)
             .collect();
-        over.into_iter().for_each(|name| self.remove(name));
+        expired.into_iter().for_each(|name| self.remove(name));
     }
 
-    /// What is said of each subject, by its number.
+    /// Returns all opinions by the number of their subject.
     pub(crate) fn opinions(&self, now: Time) -> HashMap<u32, Vec<Opinion>> {
         let mut all: HashMap<u32, Vec<Opinion>> = HashMap::new();
-        for Held {
-            seen,
+        for StoredRecord {
+            observation,
             numbers: [observer, zone, subject],
-            born,
+            published_at,
             ..
-        } in self.held.values()
+        } in self.records.values()
         {
-            let age = now.saturating_sub(*born);
+            let age = now.saturating_sub(*published_at);
             let opinion = Opinion {
                 observer: *observer,
                 zone: *zone,
-                seen: *seen,
+                observation: *observation,
                 age,
             };
             all.entry(*subject).or_default().push(opinion);
@@ -307,88 +343,101 @@
         all
     }
 
-    /// What is said of one subject, with the names of who says it.
-    pub(crate) fn testimonies(&self, now: Time, subject: &str) -> Vec<ObserverReport> {
-        let held = self.held.values();
-        let of_subject = held.filter(|held| held.record.subject == subject);
+    /// Returns the reports of all observers about one subject.
+    pub(crate) fn reports(&self, now: Time, subject: &str) -> Vec<ObserverReport> {
+        let stored = self.records.values();
+        let of_subject = stored.filter(|stored| stored.record.subject == subject);
         of_subject
-            .map(|held| ObserverReport {
-                observer: held.record.origin.clone(),
-                zone: held.record.zone.clone(),
-                observation: held.seen,
-                age: now.saturating_sub(held.born),
+            .map(|stored| ObserverReport {
+                observer: stored.record.origin.clone(),
+                zone: stored.record.zone.clone(),
+                observation: stored.observation,
+                age: now.saturating_sub(stored.published_at),
             })
             .collect()
     }
 
-    /// The number of a name, if any record has it.
+    /// Returns the number of a name, or `None` if no record has the name.
     pub(crate) fn number(&self, name: &str) -> Option<u32> {
-        self.numbers.0.get(name).copied()
+        self.numbered_names.0.get(name).copied()
     }
 
-    /// The records that were sent least so far, as many as there is room for; they count as sent once more.
-    pub(crate) fn hot(&mut self, now: Time, room: usize) -> Option<Part> {
-        if self.hot.is_empty() {
+    /// Returns a part with the records that were sent least so far, up to this size, and counts them as sent once more.
+    pub(crate) fn next_part(&mut self, now: Time, max_bytes: usize) -> Option<Part> {
+        if self.send_queue.is_empty() {
             return None;
         }
-        let (part, sent) = self.pack(now, self.hot.iter().map(|(_, _, name)| *name), room);
+        let (part, sent) = self.pack(
+            now,
+            self.send_queue.iter().map(|(_, _, name)| *name),
+            max_bytes,
+        );
         for name in sent {
-            if let Some(held) = self.held.get_mut(&name) {
-                self.hot.remove(&held.heat(name));
-                held.sends -= 1;
-                if held.sends > 0 {
-                    self.hot.insert(held.heat(name));
+            if let Some(stored) = self.records.get_mut(&name) {
+                self.send_queue.remove(&stored.send_position(name));
+                stored.remaining_transmissions -= 1;
+                if stored.remaining_transmissions > 0 {
+                    self.send_queue.insert(stored.send_position(name));
                 }
             }
         }
         part
     }
 
-    /// As many of these as there is room for, and which they are.
+    /// Encodes records until the part reaches this size. Returns the part, and the names of the records in it.
     fn pack(
         &self,
         now: Time,
         names: impl Iterator<Item = u64>,
-        room: usize,
+        max_bytes: usize,
     ) -> (Option<Part>, Vec<u64>) {
         let (mut body, mut sent) = (Vec::new(), Vec::new());
         for name in names {
-            let Some(Held {
-                record: r, born, ..
-            }) = self.held.get(&name)
+            let Some(StoredRecord {
+                record,
+                published_at,
+                ..
+            }) = self.records.get(&name)
             else {
                 continue;
             };
-            let age = now.saturating_sub(*born);
+            let age = now.saturating_sub(*published_at);
             let age_ms = u32::try_from(age.div_ceil(1_000)).unwrap_or(u32::MAX);
-            // A record with its age of now; the fields as in `Record`.
+            // The record with its present age. The fields are those of `Record`, in the same order.
             let aged = (
-                &r.origin, r.boot, &r.zone, r.seq, age_ms, r.kind, &r.subject, &r.body,
+                &record.origin,
+                record.boot,
+                &record.zone,
+                record.seq,
+                age_ms,
+                record.kind,
+                &record.subject,
+                &record.body,
             );
-            let before = body.len();
+            let length_before = body.len();
             let Ok(longer) = postcard::to_extend(&aged, std::mem::take(&mut body)) else {
                 break;
             };
             body = longer;
-            if body.len() > room {
-                body.truncate(before);
+            if body.len() > max_bytes {
+                body.truncate(length_before);
                 break;
             }
             sent.push(name);
         }
         (
             (!sent.is_empty()).then_some(Part {
-                kind: kind::RECORDS,
+                kind: part_kind::RECORDS,
                 body,
             }),
             sent,
         )
     }
 
-    /// The records of a part.
+    /// Decodes the records of a part.
     ///
     /// # Errors
-    /// It holds something else.
+    /// Returns an error if the part contains anything else.
     pub(crate) fn unpack(mut body: &[u8]) -> Result<Vec<Record>, postcard::Error> {
         let mut records = Vec::new();
         while !body.is_empty() {
@@ -399,69 +448,83 @@
         Ok(records)
     }
 
-    /// What is held, from where the last digest ended.
+    /// Returns the digest of the next range of names, which begins after the range of the last digest.
     pub(crate) fn digest(&mut self) -> Digest {
-        let from = self.next;
+        let from = self.next_digest_from;
         let entries = self
-            .held
+            .records
             .range(from..)
-            .take(DIGEST + 1)
+            .take(MAX_DIGEST_ENTRIES + 1)
             .map(|(n, h)| (*n, h.record.version()));
-        let mut held: Vec<(u64, u64)> = entries.collect();
-        let more = (held.len() > DIGEST).then(|| held.pop()).flatten();
-        self.next = more.map_or(0, |(name, _)| name);
+        let mut entries: Vec<(u64, u64)> = entries.collect();
+        let more = (entries.len() > MAX_DIGEST_ENTRIES)
+            .then(|| entries.pop())
+            .flatten();
+        self.next_digest_from = more.map_or(0, |(name, _)| name);
         Digest {
             from,
             to: more.map_or(u64::MAX, |(name, _)| name - 1),
-            held,
+            entries,
         }
     }
 
-    /// What the other lacks, and the names of what it has and is lacking here.
-    pub(crate) fn compare(
+    /// Compares the digest of another router with the store. Returns a part with the records that the other router lacks, and
+    /// the names of the records that are missing here.
+    pub(crate) fn compare_digest(
         &self,
         now: Time,
         theirs: &Digest,
-        room: usize,
+        max_bytes: usize,
     ) -> (Option<Part>, Vec<u64>) {
         if theirs.from > theirs.to {
             return (None, Vec::new());
         }
-        let told: BTreeMap<u64, u64> = theirs.held.iter().copied().collect();
-        let lacking = self.held.range(theirs.from..=theirs.to);
-        let lacking = lacking.filter(|(n, h)| told.get(n).is_none_or(|v| *v < h.record.version()));
-        let (part, _) = self.pack(now, lacking.map(|(n, _)| *n), room);
-        let newer = |(n, v): &(u64, u64)| self.held.get(n).is_none_or(|h| h.record.version() < *v);
+        let their_versions: BTreeMap<u64, u64> = theirs.entries.iter().copied().collect();
+        let missing_there = self.records.range(theirs.from..=theirs.to);
+        let missing_there = missing_there.filter(|(n, h)| {
+            their_versions
+                .get(n)
+                .is_none_or(|v| *v < h.record.version())
+        });
+        let (part, _) = self.pack(now, missing_there.map(|(n, _)| *n), max_bytes);
+        let is_missing_here =
+            |(n, v): &(u64, u64)| self.records.get(n).is_none_or(|h| h.record.version() < *v);
         (
             part,
-            told.into_iter()
-                .filter(newer)
+            their_versions
+                .into_iter()
+                .filter(is_missing_here)
                 .map(|(n, _)| n)
-                .take(DIGEST)
+                .take(MAX_DIGEST_ENTRIES)
                 .collect(),
         )
     }
 
-    /// The records of these names.
-    pub(crate) fn wanted(&self, now: Time, names: &[u64], room: usize) -> Option<Part> {
-        self.pack(now, names.iter().take(DIGEST).copied(), room).0
+    /// Returns a part with the records of these names.
+    pub(crate) fn part_with(&self, now: Time, names: &[u64], max_bytes: usize) -> Option<Part> {
+        self.pack(
+            now,
+            names.iter().take(MAX_DIGEST_ENTRIES).copied(),
+            max_bytes,
+        )
+        .0
     }
 }
 
-/// A node's name and start as a record's subject: another start is another subject.
-pub(crate) fn subject(node: &NodeId, started: Option<Time>) -> String {
+/// Returns the subject of records about a node. It contains the start of the node, so another start is another subject.
+pub(crate) fn subject_of(node: &NodeId, started: Option<Time>) -> String {
     format!("{node}\n{}", started.unwrap_or(0))
 }
 
-/// A part with this body.
-pub(crate) fn part<T: Serialize>(kind: u8, body: &T) -> Option<Part> {
+/// Encodes a part of this kind, or returns `None` if it cannot be encoded.
+pub(crate) fn encode_part<T: Serialize>(kind: u8, body: &T) -> Option<Part> {
     postcard::to_allocvec(body)
         .ok()
         .map(|body| Part { kind, body })
 }
 
-/// Parts of one kind.
-pub(crate) fn of(envelope: &Envelope, kind: u8) -> impl Iterator<Item = &[u8]> {
+/// Returns the bodies of the parts of one kind.
+pub(crate) fn bodies_of_kind(envelope: &Envelope, kind: u8) -> impl Iterator<Item = &[u8]> {
     envelope
         .parts
         .iter()
--- a/gossip/src/records/tests.rs
+++ b/gossip/src/records/tests.rs
@@ -31,61 +31,67 @@
 }
 
 #[test]
-fn records_end_by_their_age_wherever_they_were_in_between() {
-    // Danger: each router that passes a record on would make it young again, and it would never end.
+fn records_expire_by_age_across_routers() {
+    // If the age were not passed on, each router would make a record young again, and it would never expire.
     let (mut a, mut b) = (store(), store());
-    assert!(a.put(100 * S, record("n1", 1, 1, 4_000), 0));
-    let sent = a.hot(105 * S, 1_000).expect("it is hot");
-    let came = RecordStore::unpack(&sent.body).expect("records");
-    assert_eq!(came[0].age_ms, 9_000);
-    // Another machine, with another clock, by way of a slow link.
-    assert!(b.put(1_007 * S, came[0].clone(), 2 * S));
-    b.fade(1_011 * S);
+    assert!(a.insert(100 * S, record("n1", 1, 1, 4_000), 0));
+    let sent = a
+        .next_part(105 * S, 1_000)
+        .expect("there is a record to send");
+    let received = RecordStore::unpack(&sent.body).expect("records");
+    assert_eq!(received[0].age_ms, 9_000);
+    // The receiver has another clock, and the link is slow.
+    assert!(b.insert(1_007 * S, received[0].clone(), 2 * S));
+    b.remove_expired(1_011 * S);
     assert_eq!(b.len(), 1);
-    b.fade(1_012 * S);
+    b.remove_expired(1_012 * S);
     assert_eq!(b.len(), 0);
     assert!(
-        !b.put(1_012 * S, record("n1", 1, 2, 16_000), 0),
-        "it is over on arrival"
+        !b.insert(1_012 * S, record("n1", 1, 2, 16_000), 0),
+        "the record expired before it arrived"
     );
 }
 
 #[test]
-fn a_restart_ends_what_the_old_life_said_and_nothing_of_it_comes_back() {
+fn restart_voids_records_of_the_earlier_incarnation() {
     let mut store = store();
-    assert!(store.put(S, record("n1", 1, 9, 0), 0) && store.put(S, record("n2", 1, 9, 0), 0));
-    store.started("n1", 2);
+    assert!(store.insert(S, record("n1", 1, 9, 0), 0) && store.insert(S, record("n2", 1, 9, 0), 0));
+    store.note_start("n1", 2);
     assert_eq!(store.len(), 1);
     assert!(
-        !store.put(S, record("n1", 1, 10, 0), 0),
-        "a late datagram of the old life"
+        !store.insert(S, record("n1", 1, 10, 0), 0),
+        "a late datagram of the earlier incarnation"
     );
-    assert!(store.put(S, record("n1", 2, 1, 0), 0));
+    assert!(store.insert(S, record("n1", 2, 1, 0), 0));
 }
 
 #[test]
-fn the_same_or_an_older_record_is_no_news() {
+fn same_or_older_record_is_not_stored() {
     let mut store = store();
-    let of = |seq: u64, said: u16| Record {
+    let version = |seq: u64, answers: u16| Record {
         subject: "s".into(),
-        body: body(said),
+        body: body(answers),
         ..record("n1", 1, seq, 0)
     };
-    assert!(store.put(S, of(2, 7), 0));
-    assert!(!store.put(S, of(2, 8), 0) && !store.put(S, of(1, 8), 0) && store.put(S, of(3, 9), 0));
+    assert!(store.insert(S, version(2, 7), 0));
+    assert!(
+        !store.insert(S, version(2, 8), 0)
+            && !store.insert(S, version(1, 8), 0)
+            && store.insert(S, version(3, 9), 0)
+    );
     assert_eq!(store.len(), 1);
 }
 
 #[test]
-fn comparing_finds_what_either_lacks_however_much_it_is() {
+fn comparing_digests_finds_all_missing_records() {
     let (mut a, mut b) = (store(), store());
     for n in 0..300 {
-        let told = record(&format!("n{}", n / 4), 1, n, 0);
+        let record = record(&format!("n{}", n / 4), 1, n, 0);
         if n % 3 != 0 {
-            a.put(S, told.clone(), 0);
+            a.insert(S, record.clone(), 0);
         }
         if n % 3 != 1 {
-            b.put(S, told, 0);
+            b.insert(S, record, 0);
         }
     }
     let mut rounds = 0;
@@ -93,37 +99,37 @@
         rounds += 1;
         assert!(rounds < 60, "{} and {}", a.len(), b.len());
         let digest = a.digest();
-        assert!(part(kind::DIGEST, &digest).is_some_and(|p| p.body.len() < 1_000));
-        let (lacking, wanted) = b.compare(S, &digest, 1_000);
-        for r in lacking
+        assert!(encode_part(part_kind::DIGEST, &digest).is_some_and(|p| p.body.len() < 1_000));
+        let (part, wanted) = b.compare_digest(S, &digest, 1_000);
+        for record in part
             .iter()
             .flat_map(|p| RecordStore::unpack(&p.body).expect("records"))
         {
-            a.put(S, r, 0);
+            a.insert(S, record, 0);
         }
-        for r in a
-            .wanted(S, &wanted, 1_000)
+        for record in a
+            .part_with(S, &wanted, 1_000)
             .iter()
             .flat_map(|p| RecordStore::unpack(&p.body).expect("records"))
         {
-            b.put(S, r, 0);
+            b.insert(S, record, 0);
         }
     }
 }
 
 #[test]
-fn what_is_held_is_bounded_for_each_origin_and_for_all() {
+fn store_is_bounded_per_origin_and_in_total() {
     let mut store = store();
     for n in 0..1_000 {
-        store.put(S + n, record("loud", 1, n, 0), 0);
+        store.insert(S + n, record("loud", 1, n, 0), 0);
     }
-    assert_eq!(store.len(), MOST.1);
+    assert_eq!(store.len(), MAX_RECORDS_PER_ORIGIN);
     for n in 0..6_000 {
-        store.put(S, record(&format!("n{n}"), 1, 1, 0), 0);
+        store.insert(S, record(&format!("n{n}"), 1, 1, 0), 0);
     }
-    assert_eq!(store.len(), MOST.0);
+    assert_eq!(store.len(), MAX_RECORDS);
     assert!(
-        !store.put(
+        !store.insert(
             S,
             Record {
                 body: vec![0; 500],
@@ -131,6 +137,6 @@
             },
             0
         ),
-        "a body has an end"
+        "the length of a body is bounded"
     );
 }
--- a/gossip/src/replay.rs
+++ b/gossip/src/replay.rs
@@ -1,4 +1,4 @@
-//! Who sent what already: a datagram counts once, and none of an ended life counts.
+//! Replay protection: each datagram counts once, and datagrams of an earlier incarnation of a sender do not count.
 
 use crate::datagram::{DatagramFault, Envelope};
 use crate::incarnation::Incarnation;
@@ -6,40 +6,43 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// Senders that are remembered. The one heard least lately goes first.
-const SENDERS: usize = 2_048;
-/// Datagrams that may come out of order.
+/// Maximum number of senders that are remembered. The one that was received from least recently is removed first.
+const MAX_SENDERS: usize = 2_048;
+/// Number of the latest datagrams of a sender among which the order may vary.
 const WINDOW: u64 = 128;
-/// What was a datagram's usual way is forgotten by so much a second (us): clocks drift by less than this.
-const DRIFT: f64 = 200.0;
+/// Rate (us per second) at which the least offset of a sender's clock rises with time. Clocks drift by less than this.
+const MAX_DRIFT_US_PER_S: f64 = 200.0;
 
 struct Sender {
-    /// Start of its process, and its turn.
+    /// Start of the sender's process, and its number of renewals.
     incarnation: (u64, u32),
-    top: u64,
-    /// Which of the last datagrams came, the newest at the lowest bit.
-    seen: u128,
-    heard: Time,
-    /// The least of the receiver's clock less the sender's clock_ms so far, and when that was (us).
-    least: (i64, Time),
+    /// Highest sequence number received.
+    highest_seq: u64,
+    /// Bit set of the latest datagrams that were received; the lowest bit stands for `highest_seq`.
+    received: u128,
+    received_at: Time,
+    /// Least difference so far between the receiver's clock and the sender's clock (us).
+    least_offset: i64,
+    /// Time at which the least difference was measured.
+    least_offset_at: Time,
 }
 
-/// The senders that this router heard.
+/// Replay state of all senders from which this router received datagrams.
 #[derive(Default)]
 pub struct ReplayGuard(HashMap<SocketAddr, Sender>);
 
 impl ReplayGuard {
-    /// Takes a datagram; tells how much longer it was under way than the fastest from its sender.
+    /// Checks a datagram, and returns its delay compared with the fastest one of its sender.
     ///
-    /// Two clocks are never compared: only how the difference between them changes.
+    /// The clocks of two machines are never compared, only the change of the difference between them.
     ///
     /// # Errors
-    /// It was here before, or its sender's life has ended.
-    pub fn take(
+    /// Returns a fault if the datagram was received before, or if it is from an earlier incarnation of its sender.
+    pub fn check(
         &mut self,
         now: Time,
         envelope: &Envelope,
-        check: bool,
+        is_enabled: bool,
     ) -> Result<Micros, DatagramFault> {
         let Envelope {
             from:
@@ -54,38 +57,41 @@
             ..
         } = envelope;
         let incarnation = (*boot, *renewals);
-        // Danger: a clock_ms is whatever a peer sends.
-        let clock_ms = i64::try_from(*clock_ms)
+        // The value comes from another router and may be anything, so the arithmetic must not overflow.
+        let sender_clock_us = i64::try_from(*clock_ms)
             .unwrap_or(i64::MAX)
             .saturating_mul(1_000);
-        let offset = (now as i64).saturating_sub(clock_ms);
+        let offset = (now as i64).saturating_sub(sender_clock_us);
         if let Some(known) = self
             .0
             .get_mut(address)
             .filter(|k| k.incarnation == incarnation)
         {
-            if check {
-                if *seq > known.top {
-                    known.seen = known
-                        .seen
-                        .checked_shl((seq - known.top).min(128) as u32)
+            if is_enabled {
+                if *seq > known.highest_seq {
+                    known.received = known
+                        .received
+                        .checked_shl((seq - known.highest_seq).min(128) as u32)
                         .unwrap_or(0);
-                    known.top = *seq;
-                } else if known.top - seq >= WINDOW || known.seen & (1 << (known.top - seq)) != 0 {
+                    known.highest_seq = *seq;
+                } else if known.highest_seq - seq >= WINDOW
+                    || known.received & (1 << (known.highest_seq - seq)) != 0
+                {
                     return Err(DatagramFault::Replayed);
                 }
-                known.seen |= 1 << (known.top - seq);
+                known.received |= 1 << (known.highest_seq - seq);
             }
-            known.heard = now;
-            let drift = (now.saturating_sub(known.least.1) as f64 / 1e6 * DRIFT) as i64;
-            let faded = known.least.0.saturating_add(drift);
-            if offset <= faded {
-                known.least = (offset, now);
+            known.received_at = now;
+            let drift = (now.saturating_sub(known.least_offset_at) as f64 / 1e6
+                * MAX_DRIFT_US_PER_S) as i64;
+            let risen_offset = known.least_offset.saturating_add(drift);
+            if offset <= risen_offset {
+                (known.least_offset, known.least_offset_at) = (offset, now);
                 return Ok(0);
             }
-            return Ok(offset.saturating_sub(faded) as Micros);
+            return Ok(offset.saturating_sub(risen_offset) as Micros);
         }
-        if check
+        if is_enabled
             && self
                 .0
                 .get(address)
@@ -93,22 +99,23 @@
         {
             return Err(DatagramFault::OldLife);
         }
-        if self.0.len() >= SENDERS && !self.0.contains_key(address) {
-            let least = self
+        if self.0.len() >= MAX_SENDERS && !self.0.contains_key(address) {
+            let oldest = self
                 .0
                 .iter()
-                .min_by_key(|(at, s)| (s.heard, **at))
-                .map(|(at, _)| *at);
-            least.map(|at| self.0.remove(&at));
+                .min_by_key(|(address, sender)| (sender.received_at, **address))
+                .map(|(address, _)| *address);
+            oldest.map(|address| self.0.remove(&address));
         }
         self.0.insert(
             *address,
             Sender {
                 incarnation,
-                top: *seq,
-                seen: 1,
-                heard: now,
-                least: (offset, now),
+                highest_seq: *seq,
+                received: 1,
+                received_at: now,
+                least_offset: offset,
+                least_offset_at: now,
             },
         );
         Ok(0)
--- a/gossip/src/replay/tests.rs
+++ b/gossip/src/replay/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-fn told(port: u16, boot: u64, seq: u64, clock_ms: u64) -> Envelope {
+fn envelope(port: u16, boot: u64, seq: u64, clock_ms: u64) -> Envelope {
     let from = Incarnation {
         boot,
         ..Incarnation::unknown(SocketAddr::from(([127, 0, 0, 1], port)))
@@ -16,18 +16,20 @@
 }
 
 #[test]
-fn each_datagram_counts_once_in_whatever_order_it_comes() {
-    let mut replays = ReplayGuard::default();
+fn each_datagram_counts_once_in_any_order() {
+    let mut guard = ReplayGuard::default();
     for seq in [5, 3, 9, 4, 200, 130] {
         assert_eq!(
-            replays.take(1_000_000, &told(1, 7, seq, 0), true).map(drop),
+            guard
+                .check(1_000_000, &envelope(1, 7, seq, 0), true)
+                .map(drop),
             Ok(()),
             "{seq}"
         );
     }
     for seq in [5, 3, 9, 4, 200, 130, 72, 0] {
         assert_eq!(
-            replays.take(1_000_000, &told(1, 7, seq, 0), true),
+            guard.check(1_000_000, &envelope(1, 7, seq, 0), true),
             Err(DatagramFault::Replayed),
             "{seq}"
         );
@@ -35,38 +37,38 @@
 }
 
 #[test]
-fn a_restart_begins_anew_and_its_old_life_is_over() {
-    let mut replays = ReplayGuard::default();
-    assert!(replays.take(0, &told(1, 7, 90, 0), true).is_ok());
-    assert!(replays.take(0, &told(1, 8, 1, 0), true).is_ok());
+fn restart_resets_the_state_and_voids_the_earlier_incarnation() {
+    let mut guard = ReplayGuard::default();
+    assert!(guard.check(0, &envelope(1, 7, 90, 0), true).is_ok());
+    assert!(guard.check(0, &envelope(1, 8, 1, 0), true).is_ok());
     assert_eq!(
-        replays.take(0, &told(1, 7, 91, 0), true),
+        guard.check(0, &envelope(1, 7, 91, 0), true),
         Err(DatagramFault::OldLife)
     );
 }
 
 #[test]
-fn what_was_long_under_way_is_told_apart_from_a_clock_that_differs() {
-    let mut replays = ReplayGuard::default();
-    // The sender's clock is 1,000 s behind; its datagrams take 1 to 3 ms.
+fn delay_is_distinguished_from_a_clock_offset() {
+    let mut guard = ReplayGuard::default();
+    // The sender's clock is 1,000 s behind, and its datagrams take 1 to 3 ms.
     let at = |ms: u64| 1_000_000_000 + ms * 1_000;
-    assert_eq!(replays.take(at(3), &told(1, 7, 1, 0), true), Ok(0));
-    assert_eq!(replays.take(at(101), &told(1, 7, 2, 100), true), Ok(0));
-    let late = replays
-        .take(at(5_203), &told(1, 7, 3, 200), true)
-        .expect("new");
-    assert!((5_000_000..=5_002_000).contains(&late), "{late}");
+    assert_eq!(guard.check(at(3), &envelope(1, 7, 1, 0), true), Ok(0));
+    assert_eq!(guard.check(at(101), &envelope(1, 7, 2, 100), true), Ok(0));
+    let delay = guard
+        .check(at(5_203), &envelope(1, 7, 3, 200), true)
+        .expect("the datagram is new");
+    assert!((5_000_000..=5_002_000).contains(&delay), "{delay}");
 }
 
 #[test]
-fn senders_are_bounded() {
-    let mut replays = ReplayGuard::default();
-    for port in 1..=SENDERS as u16 + 100 {
+fn number_of_senders_is_bounded() {
+    let mut guard = ReplayGuard::default();
+    for port in 1..=MAX_SENDERS as u16 + 100 {
         assert!(
-            replays
-                .take(u64::from(port), &told(port, 1, 1, 0), true)
+            guard
+                .check(u64::from(port), &envelope(port, 1, 1, 0), true)
                 .is_ok()
         );
     }
-    assert_eq!(replays.0.len(), SENDERS);
+    assert_eq!(guard.0.len(), MAX_SENDERS);
 }
--- a/gossip/src/rules.rs
+++ b/gossip/src/rules.rs
@@ -1,46 +1,46 @@
-//! What operators set of peers, but for files and addresses that only the router itself opens.
+//! Settings of gossip, except for files and addresses, which the router itself opens.
 
 use crate::error::{Error, MOST_SEEDS};
 use plovercove::Micros;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// A guard that tests can switch off, to see that the check against it catches that.
+/// Protection against one kind of failure. Tests switch single guards off and verify that a check then fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Guard {
-    /// A datagram's tag is checked.
+    /// The tag of each datagram is verified.
     Tag,
-    /// A datagram counts once.
+    /// A datagram that is received twice counts once.
     Replay,
-    /// A datagram that was long under way ages what it brings.
+    /// The delay of a late datagram adds to the age of its records.
     Transit,
-    /// Evidence ends by its age.
+    /// Records expire by age.
     Age,
-    /// What an old life said ends with it.
+    /// Records of an earlier incarnation of a router are dropped.
     OldLife,
-    /// One observer takes nobody out.
+    /// A single observer cannot eject a node.
     Observers,
-    /// Observers in one zone speak for their link.
+    /// Observers that are all in one zone cannot eject a node, since the link of their zone may be at fault.
     OneZone,
-    /// Who sees many nodes fail blames itself.
+    /// The observations of a router that sees many nodes fail do not count.
     Blame,
-    /// Never more than a third of a group.
+    /// At most a third of a group is ejected.
     Third,
-    /// A primary is never out by slowness.
+    /// A primary is never ejected because it is slow.
     Primary,
-    /// Who was stopped doubts itself.
+    /// A router that was stalled does not count failures from the stall.
     Stopped,
-    /// Lost records are fetched.
+    /// Records that were lost on the way are fetched.
     Repair,
-    /// Forgotten members are tried again.
+    /// Members that went down are contacted again.
     Forgotten,
-    /// A flapping node has to prove more.
+    /// A node that flaps stays at reduced weight for longer.
     Flap,
 }
 
 impl Guard {
-    /// The guard of this name, as scripts write it.
+    /// Returns the guard with this kebab-case name, or `None` if there is none.
     pub fn from_name(name: &str) -> Option<Guard> {
         use serde::de::IntoDeserializer;
         let name: serde::de::value::StrDeserializer<'_, serde::de::value::Error> =
@@ -49,48 +49,50 @@
     }
 }
 
-/// The settings of peers.
+/// Settings of gossip between routers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Rules {
-    /// Routers of other installations are strangers, though they have the same key.
+    /// Name of the installation. Datagrams of routers of other installations are dropped, even if they use the same key.
     pub installation: String,
-    /// How many routers there should be, from the platform's settings. What is divided among routers is divided by this.
+    /// Expected number of routers, from the platform's settings. Limits that routers share are divided by this number.
     #[serde(skip)]
     pub routers: u32,
-    /// Addresses that a router asks for members until it knows as many as there should be.
+    /// Addresses that a router contacts until it knows as many members as expected.
     pub seeds: Vec<SocketAddr>,
-    /// Each router probes one other in this time (ms).
+    /// Interval at which each router probes one other member (ms).
     pub probe_ms: u64,
-    /// An answer that takes longer is asked for by way of others (ms).
+    /// Time after which a probe without an answer is repeated by way of other members (ms).
     pub answer_ms: u64,
-    /// Who is suspected and says nothing for so long is gone (ms).
+    /// Time after which a suspected member that does not refute the suspicion is down (ms).
     pub suspect_ms: u64,
-    /// Between two rounds of gossip (ms).
+    /// Mean time between two rounds of gossip (ms).
     pub gossip_ms: u64,
-    /// Members that each round goes to.
+    /// Number of members to which each round of gossip goes.
     pub fanout: usize,
-    /// Between two comparisons of records with another (ms).
+    /// Mean time between two comparisons of records with another member (ms).
     pub repair_ms: u64,
-    /// Evidence counts for so long (s).
+    /// Lifetime of an observation (s).
     pub evidence_s: f64,
-    /// A datagram that was under way for so much longer than others ages what it brings (ms).
+    /// Delay beyond the fastest datagrams of a sender from which on a datagram is late and its delay adds to the age of its
+    /// records (ms).
     pub late_ms: u64,
-    /// Failures that take a node out, over all observers; one observer counts for half of them at the most. Fewer are the
-    /// errors and time-outs of a node that is merely busy, met by chance by several routers at once.
+    /// Number of failures, over all observers, that eject a node. One observer counts for at most half of them. With a
+    /// lower number, a node that is only busy would be ejected when several routers by chance get errors or time-outs from
+    /// it at once.
     pub failures: u32,
-    /// Datagrams a second that a router sends at the most.
+    /// Maximum number of datagrams that a router sends per second.
     pub datagrams_per_s: u32,
-    /// Bytes a second that a router sends at the most.
+    /// Maximum number of bytes that a router sends per second.
     pub bytes_per_s: u32,
-    /// Tests only: the guard that is off.
+    /// The guard that is switched off, for tests only.
     #[cfg(feature = "mutations")]
     #[serde(skip)]
     pub disabled_guard: Option<Guard>,
 }
 
 impl Default for Rules {
-    /// A network with answers well under 100 ms.
+    /// Returns settings for a network with round trips well below 100 ms.
     fn default() -> Self {
         Rules {
             installation: String::new(),
@@ -114,78 +116,86 @@
 }
 
 impl Rules {
-    /// Whether a guard is on. It is, but in tests that take it away.
+    /// Returns whether a guard is enabled. Only tests disable one.
     #[cfg(feature = "mutations")]
-    pub(crate) fn on(&self, guard: Guard) -> bool {
+    pub(crate) fn is_enabled(&self, guard: Guard) -> bool {
         self.disabled_guard != Some(guard)
     }
 
-    /// Whether a guard is on. It is, but in tests that take it away.
+    /// Returns whether a guard is enabled. Only tests disable one.
     #[cfg(not(feature = "mutations"))]
-    pub(crate) fn on(&self, _: Guard) -> bool {
+    pub(crate) fn is_enabled(&self, _: Guard) -> bool {
         true
     }
 
-    /// Evidence counts for so long.
+    /// Returns the lifetime of an observation.
     pub fn evidence_lifetime(&self) -> Micros {
         (self.evidence_s * 1e6) as Micros
     }
 
-    /// One observer counts for no more failures than this, however many it reports: two are needed at the least.
-    pub(crate) fn each(&self) -> f64 {
+    /// Returns the maximum number of failures that count for one observer, so that at least two observers are needed.
+    pub(crate) fn max_failures_per_observer(&self) -> f64 {
         f64::from(self.failures) / 2.0
     }
 
-    /// That a node serves is believed for so long: those who say it say it again while it does.
-    pub(crate) fn fresh(&self) -> Micros {
+    /// Returns for how long an observation counts that a node serves. Observers repeat it while the node serves.
+    pub(crate) fn support_lifetime(&self) -> Micros {
         self.evidence_lifetime() * 2 / 5
     }
 
-    /// A record is sent so often, a little more than its way to all of them takes.
-    pub(crate) fn sends(&self) -> u8 {
+    /// Returns how often each router sends a record: a few times more than the rounds in which it reaches all routers.
+    pub(crate) fn record_transmissions(&self) -> u8 {
         let members = f64::from(self.routers.max(2));
         (3.0 * (members + 1.0).log(self.fanout as f64 + 1.0))
             .ceil()
             .clamp(4.0, 40.0) as u8
     }
 
-    /// Rounds of gossip until all have heard, where a fifth of the datagrams is lost.
-    fn rounds(&self) -> u64 {
+    /// Returns the number of rounds in which gossip reaches all routers if a fifth of the datagrams is lost.
+    fn rounds_to_reach_all(&self) -> u64 {
         f64::from(self.routers.max(2))
             .log(1.0 + 0.8 * self.fanout as f64)
             .ceil() as u64
             + 2
     }
 
-    /// An accusation is this old before it counts: it went out, and what others saw came back.
-    pub(crate) fn settle(&self) -> Micros {
-        crate::ms(self.rounds() * self.gossip_ms)
+    /// Returns the age from which on an accusation counts. By then it has reached the other routers, and their observations
+    /// have come back.
+    pub(crate) fn settle_time(&self) -> Micros {
+        crate::ms_to_us(self.rounds_to_reach_all() * self.gossip_ms)
     }
 
-    /// How long until all who can hear each other act on a verdict, from when the evidence for it is complete (us): what an
-    /// observer holds back, the rounds that gossip needs where a fifth of the datagrams is lost, two comparisons for whom
-    /// it still missed, and the time between two reviews.
+    /// Returns the maximum time (us) from when the evidence for a verdict is complete until all routers that can reach each
+    /// other act on it.
+    ///
+    /// It consists of the interval between two reports of an observer, the rounds of gossip if a fifth of the datagrams is
+    /// lost, two comparisons of records for routers that the gossip still missed, and the review interval.
     pub fn max_reaction_delay(&self) -> Micros {
-        self.settle()
-            + crate::ms(self.rounds() * self.gossip_ms * 3 / 2 + 3 * self.repair_ms)
-            + REVIEW
-            + HOLD
+        self.settle_time()
+            + crate::ms_to_us(
+                self.rounds_to_reach_all() * self.gossip_ms * 3 / 2 + 3 * self.repair_ms,
+            )
+            + REVIEW_INTERVAL_US
+            + REPORT_INTERVAL_US
     }
 
-    /// The greatest age of evidence that is acted on (us): its life, and what a datagram may be late unnoticed.
+    /// Returns the maximum age (us) of the evidence behind a verdict: its lifetime, and the delay of a datagram that does
+    /// not yet count as late.
     pub fn max_evidence_age(&self) -> Micros {
-        self.evidence_lifetime() + crate::ms(self.late_ms) + REVIEW
+        self.evidence_lifetime() + crate::ms_to_us(self.late_ms) + REVIEW_INTERVAL_US
     }
 
-    /// How long after a cut is healed until all who can hear each other agree on who is there and on what they saw (us).
+    /// Returns the maximum time (us) after the end of a network partition until all routers that can reach each other agree
+    /// on the members and on the observations.
     pub fn max_convergence_delay(&self) -> Micros {
-        crate::ms(SEEK.1 + 2 * self.probe_ms + self.suspect_ms) + self.max_reaction_delay()
+        crate::ms_to_us(MAX_SEEK_BACKOFF_MS + 2 * self.probe_ms + self.suspect_ms)
+            + self.max_reaction_delay()
     }
 
-    /// Checks what cannot be meant.
+    /// Checks that the settings are within their bounds.
     ///
     /// # Errors
-    /// Names the key at fault.
+    /// Returns the first key at fault.
     pub fn check(&self) -> Result<(), Error> {
         let within = |key: &'static str, value: u64, least: u64, most: u64| {
             if (least..=most).contains(&value) {
@@ -213,7 +223,7 @@
         within(
             "datagrams_per_s",
             u64::from(self.datagrams_per_s),
-            self.least_datagrams(),
+            self.min_datagrams_per_s(),
             100_000,
         )?;
         within(
@@ -231,15 +241,18 @@
         Ok(())
     }
 
-    /// What probing alone may need: a probe, its answer, and those by way of others, for itself and for those that ask it.
-    fn least_datagrams(&self) -> u64 {
+    /// Returns the number of datagrams per second that probing alone may need: probes, their answers, and indirect probes
+    /// for this router and for those that request them from it.
+    fn min_datagrams_per_s(&self) -> u64 {
         (16_000 / self.probe_ms.max(1)).max(4)
     }
 }
 
-/// Between two reviews of the verdicts.
-pub(crate) const REVIEW: Micros = 100_000;
-/// An observer tells a change of one node at most so often.
-pub(crate) const HOLD: Micros = 500_000;
-/// Pauses between two calls of a seed or of a forgotten member: the first and the longest (ms).
-pub(crate) const SEEK: (u64, u64) = (500, 8_000);
+/// Time between two reviews of the verdicts.
+pub(crate) const REVIEW_INTERVAL_US: Micros = 100_000;
+/// Minimum time between two reports of an observer about the same node.
+pub(crate) const REPORT_INTERVAL_US: Micros = 500_000;
+/// First backoff between two announcements to a seed or to a former member (ms).
+pub(crate) const MIN_SEEK_BACKOFF_MS: u64 = 500;
+/// Longest backoff between two announcements to a seed or to a former member (ms).
+pub(crate) const MAX_SEEK_BACKOFF_MS: u64 = 8_000;
