--- a/gossip/tests/common/mod.rs
+++ b/gossip/tests/common/mod.rs
@@ -1,5 +1,9 @@
-//! Routers among their peers in virtual time, with whatever weather a test makes between them.
-#![allow(dead_code, missing_docs, reason = "each test uses a part of it")]
+//! Simulated routers in virtual time. The test decides how links deliver datagrams and how attempts end.
+#![allow(
+    dead_code,
+    missing_docs,
+    reason = "each test uses only a part of this module"
+)]
 
 use plovercove::{
     AttemptEnd, Endpoint, EndpointUpdate, LocalityPolicy, Micros, NodeId, RoutingQuery, Settings,
@@ -14,61 +18,63 @@
 
 pub const S: Micros = 1_000_000;
 pub const BEGIN: Time = 1_000_000 * S;
-/// Between two requests of one router.
-const EVERY: Micros = S / 10;
+/// Time between two requests of one router.
+const REQUEST_INTERVAL: Micros = S / 10;
 pub const KEY: &[u8] = b"a key that only tests know of";
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Turn(usize),
-    Came {
+    DatagramArrived {
         to: usize,
         incarnation: u32,
         bytes: Vec<u8>,
     },
-    RoutingQuery(usize),
+    Request(usize),
 }
 
 pub struct Router {
     pub peers: Gossip,
     pub observer: Observer,
     pub up: bool,
-    pub stopped: bool,
+    pub stalled: bool,
     incarnation: u32,
-    /// What came while it stood still.
-    held: Vec<Vec<u8>>,
-    /// What it said, and when.
-    pub news: Vec<(Time, GossipEvent)>,
+    /// Datagrams that arrived during a stall.
+    buffered: Vec<Vec<u8>>,
+    /// Events of the router, each with its time.
+    pub events: Vec<(Time, GossipEvent)>,
 }
 
-/// What the network does to a datagram: none where it is lost, else how often it comes and after how long.
-pub type Weather = Box<dyn FnMut(Time, usize, usize, &mut Pcg64Mcg) -> Vec<Micros>>;
-/// What comes of a request of a router at a node.
-pub type Fate = Box<dyn FnMut(Time, usize, &NodeId, &mut Pcg64Mcg) -> (AttemptEnd, Micros)>;
+/// Delivery of a datagram over the network: the delay of each copy that arrives, or none if the datagram is lost.
+pub type Link = Box<dyn FnMut(Time, usize, usize, &mut Pcg64Mcg) -> Vec<Micros>>;
+/// End of an attempt of a router at a node, and its duration.
+pub type AttemptResult =
+    Box<dyn FnMut(Time, usize, &NodeId, &mut Pcg64Mcg) -> (AttemptEnd, Micros)>;
 
-/// What comes beside each datagram, made of it: where it goes, and its bytes.
-pub type Spoils = Box<dyn FnMut(&[u8], &mut Pcg64Mcg) -> Vec<u8>>;
+/// Makes a corrupted copy of a datagram, which is delivered in addition to it.
+pub type Corruption = Box<dyn FnMut(&[u8], &mut Pcg64Mcg) -> Vec<u8>>;
 
 pub struct Net {
-    pub spoils: Option<Spoils>,
-    /// How many of those there were.
-    pub spoilt: u64,
+    pub corruption: Option<Corruption>,
+    /// Number of corrupted copies.
+    pub corrupted: u64,
     pub now: Time,
     pub routers: Vec<Router>,
     pub rules: Rules,
     pub nodes: Vec<Endpoint>,
-    pub weather: Weather,
-    pub fate: Fate,
-    pub dice: Pcg64Mcg,
-    /// Attempts that a bad end came of, by node.
-    pub lost: HashMap<NodeId, u64>,
-    heap: BinaryHeap<Reverse<(Time, u64, Event)>>,
-    order: u64,
+    pub link: Link,
+    pub attempt_result: AttemptResult,
+    pub rng: Pcg64Mcg,
+    /// Number of attempts that did not succeed, by node.
+    pub failed_attempts: HashMap<NodeId, u64>,
+    queue: BinaryHeap<Reverse<(Time, u64, Event)>>,
+    /// Sequence number of the last event, which orders events of the same time.
+    event_seq: u64,
     zone: fn(usize) -> &'static str,
-    /// Whether what comes to a router that stands still is lost: its buffers are full.
-    pub full: bool,
-    /// Whether routers are asked anything.
-    pub asks: bool,
+    /// Whether datagrams to a stalled router are lost because its buffers are full.
+    pub drops_while_stalled: bool,
+    /// Whether routers get requests.
+    pub sends_requests: bool,
 }
 
 pub fn address(n: usize) -> SocketAddr {
@@ -83,27 +89,27 @@
     Keys::new("test", key, None).expect("long enough")
 }
 
-pub fn calm() -> Weather {
-    Box::new(|_, _, _, dice| vec![500 + dice.random_range(0..1_500)])
+pub fn fast_link() -> Link {
+    Box::new(|_, _, _, rng| vec![500 + rng.random_range(0..1_500)])
 }
 
-/// Each datagram is lost with this chance.
-pub fn lossy(loss: f64) -> Weather {
-    Box::new(move |_, _, _, dice| {
-        if dice.random::<f64>() < loss {
+/// Returns a link that loses each datagram with this probability.
+pub fn lossy_link(loss: f64) -> Link {
+    Box::new(move |_, _, _, rng| {
+        if rng.random::<f64>() < loss {
             Vec::new()
         } else {
-            vec![500 + dice.random_range(0..1_500)]
+            vec![500 + rng.random_range(0..1_500)]
         }
     })
 }
 
-pub fn good() -> Fate {
+pub fn all_succeed() -> AttemptResult {
     Box::new(|_, _, _, _| (AttemptEnd::Success, 5_000))
 }
 
-/// Nodes of this name never answer from then on.
-pub fn dies(name: &'static str, from: Time) -> Fate {
+/// Returns results by which attempts at this node time out from this time on, and all others succeed.
+pub fn node_fails(name: &'static str, from: Time) -> AttemptResult {
     Box::new(move |now, _, node, _| {
         if **node == *name && now >= from {
             (AttemptEnd::TimedOut, 200_000)
@@ -115,11 +121,11 @@
 
 impl Net {
     pub fn new(routers: usize, groups: usize, seed: u64, rules: Rules) -> Self {
-        Self::within(zone, routers, groups, seed, rules)
+        Self::with_zones(zone, routers, groups, seed, rules)
     }
 
-    /// Routers that stand in these zones.
-    pub fn within(
+    /// Creates a network in which `zone` determines the zone of each router.
+    pub fn with_zones(
         zone: fn(usize) -> &'static str,
         routers: usize,
         groups: usize,
@@ -131,7 +137,7 @@
         if rules.seeds.is_empty() {
             rules.seeds = (0..3.min(routers)).map(address).collect();
         }
-        let entry = |n: usize| Endpoint {
+        let endpoint = |n: usize| Endpoint {
             node: format!("s{n}").into(),
             group: (n / 3) as u64 + 1,
             listed_as_primary: n.is_multiple_of(3),
@@ -139,27 +145,27 @@
             ..Endpoint::default()
         };
         let mut net = Net {
-            spoils: None,
-            spoilt: 0,
+            corruption: None,
+            corrupted: 0,
             now: BEGIN,
             routers: Vec::new(),
-            nodes: (0..groups * 3).map(entry).collect(),
-            weather: calm(),
-            fate: good(),
-            dice: Pcg64Mcg::seed_from_u64(seed),
-            lost: HashMap::new(),
-            heap: BinaryHeap::new(),
-            order: 0,
-            asks: true,
-            full: false,
+            nodes: (0..groups * 3).map(endpoint).collect(),
+            link: fast_link(),
+            attempt_result: all_succeed(),
+            rng: Pcg64Mcg::seed_from_u64(seed),
+            failed_attempts: HashMap::new(),
+            queue: BinaryHeap::new(),
+            event_seq: 0,
+            sends_requests: true,
+            drops_while_stalled: false,
             zone,
             rules,
         };
         for n in 0..routers {
             let router = net.boot(n, 0, seed);
             net.routers.push(router);
-            net.at(BEGIN + n as u64, Event::Turn(n));
-            net.at(BEGIN + n as u64 * 331, Event::RoutingQuery(n));
+            net.schedule(BEGIN + n as u64, Event::Turn(n));
+            net.schedule(BEGIN + n as u64 * 331, Event::Request(n));
         }
         net
     }
@@ -202,16 +208,16 @@
             peers,
             observer,
             up: true,
-            stopped: false,
+            stalled: false,
             incarnation,
-            held: Vec::new(),
-            news: Vec::new(),
+            buffered: Vec::new(),
+            events: Vec::new(),
         }
     }
 
-    fn at(&mut self, at: Time, event: Event) {
-        self.order += 1;
-        self.heap.push(Reverse((at, self.order, event)));
+    fn schedule(&mut self, time: Time, event: Event) {
+        self.event_seq += 1;
+        self.queue.push(Reverse((time, self.event_seq, event)));
     }
 
     pub fn kill(&mut self, n: usize) {
@@ -219,75 +225,75 @@
     }
 
     pub fn start(&mut self, n: usize) {
-        let (incarnation, news) = (
+        let (incarnation, events) = (
             self.routers[n].incarnation + 1,
-            std::mem::take(&mut self.routers[n].news),
+            std::mem::take(&mut self.routers[n].events),
         );
         let fresh = self.boot(n, incarnation, 77);
-        self.routers[n] = Router { news, ..fresh };
-        self.at(self.now, Event::Turn(n));
+        self.routers[n] = Router { events, ..fresh };
+        self.schedule(self.now, Event::Turn(n));
     }
 
-    pub fn stop(&mut self, n: usize) {
-        self.routers[n].stopped = true;
+    pub fn stall(&mut self, n: usize) {
+        self.routers[n].stalled = true;
     }
 
-    /// It goes on: what came meanwhile is read first, as the loop does.
-    pub fn go_on(&mut self, n: usize) {
-        self.routers[n].stopped = false;
-        for bytes in std::mem::take(&mut self.routers[n].held) {
+    /// Ends the stall of a router. The datagrams that arrived meanwhile are read first, as in the event loop.
+    pub fn resume(&mut self, n: usize) {
+        self.routers[n].stalled = false;
+        for bytes in std::mem::take(&mut self.routers[n].buffered) {
             self.routers[n].peers.receive(self.now, &bytes);
         }
         self.turn(n);
     }
 
-    /// Hands a datagram to a router as it is.
+    /// Delivers a datagram to a router directly.
     pub fn inject(&mut self, n: usize, bytes: &[u8]) {
         self.routers[n].peers.receive(self.now, bytes);
     }
 
-    pub fn run(&mut self, span: Micros) {
-        let until = self.now + span;
-        while let Some(Reverse((at, _, _))) = self.heap.peek()
-            && *at <= until
+    pub fn run(&mut self, duration: Micros) {
+        let end = self.now + duration;
+        while let Some(Reverse((at, _, _))) = self.queue.peek()
+            && *at <= end
         {
-            let Some(Reverse((at, _, event))) = self.heap.pop() else {
+            let Some(Reverse((at, _, event))) = self.queue.pop() else {
                 break;
             };
             self.now = self.now.max(at);
             match event {
                 Event::Turn(n) => {
                     if self.routers[n].up
-                        && !self.routers[n].stopped
+                        && !self.routers[n].stalled
                         && self.routers[n].peers.next_deadline() <= self.now
                     {
                         self.turn(n);
                     }
                 }
-                Event::Came {
+                Event::DatagramArrived {
                     to,
                     incarnation,
                     bytes,
                 } => {
                     let router = &mut self.routers[to];
-                    if router.up && router.incarnation == incarnation && router.stopped {
-                        if !self.full {
-                            router.held.push(bytes);
+                    if router.up && router.incarnation == incarnation && router.stalled {
+                        if !self.drops_while_stalled {
+                            router.buffered.push(bytes);
                         }
                     } else if router.up && router.incarnation == incarnation {
                         router.peers.receive(self.now, &bytes);
                         self.send(to);
                     }
                 }
-                Event::RoutingQuery(n) => {
-                    if self.asks {
-                        self.ask(n);
+                Event::Request(n) => {
+                    if self.sends_requests {
+                        self.send_request(n);
                     }
-                    self.at(self.now + EVERY, Event::RoutingQuery(n));
+                    self.schedule(self.now + REQUEST_INTERVAL, Event::Request(n));
                 }
             }
         }
-        self.now = until;
+        self.now = end;
     }
 
     fn turn(&mut self, n: usize) {
@@ -299,31 +305,31 @@
 
     fn send(&mut self, n: usize) {
         let out = self.routers[n].peers.take_outgoing();
-        while let Some(news) = self.routers[n].peers.next_event() {
-            self.routers[n].news.push((self.now, news));
+        while let Some(event) = self.routers[n].peers.next_event() {
+            self.routers[n].events.push((self.now, event));
         }
         for (to, bytes) in out {
             let Some(to) = (0..self.routers.len()).find(|n| address(*n) == to) else {
                 continue;
             };
-            if let Some(spoils) = &mut self.spoils {
+            if let Some(corrupt) = &mut self.corruption {
                 let (incarnation, bytes) =
-                    (self.routers[to].incarnation, spoils(&bytes, &mut self.dice));
-                self.spoilt += 1;
-                self.at(
+                    (self.routers[to].incarnation, corrupt(&bytes, &mut self.rng));
+                self.corrupted += 1;
+                self.schedule(
                     self.now + 400,
-                    Event::Came {
+                    Event::DatagramArrived {
                         to,
                         incarnation,
                         bytes,
                     },
                 );
             }
-            for after in (self.weather)(self.now, n, to, &mut self.dice) {
+            for delay in (self.link)(self.now, n, to, &mut self.rng) {
                 let incarnation = self.routers[to].incarnation;
-                self.at(
-                    self.now + after,
-                    Event::Came {
+                self.schedule(
+                    self.now + delay,
+                    Event::DatagramArrived {
                         to,
                         incarnation,
                         bytes: bytes.clone(),
@@ -333,51 +339,52 @@
         }
         let next = self.routers[n].peers.next_deadline();
         if next < Time::MAX {
-            self.at(next.max(self.now + 1), Event::Turn(n));
+            self.schedule(next.max(self.now + 1), Event::Turn(n));
         }
     }
 
-    /// A request to one of the nodes that count for it, drawn at random.
-    fn ask(&mut self, n: usize) {
+    /// Sends a request of a router to a node that is drawn from those that its policy allows.
+    fn send_request(&mut self, n: usize) {
         let router = &mut self.routers[n];
-        if !router.up || router.stopped || self.nodes.is_empty() {
+        if !router.up || router.stalled || self.nodes.is_empty() {
             return;
         }
-        let ask = RoutingQuery {
+        let query = RoutingQuery {
             request: 1,
             class: 0,
             is_write: false,
         };
         let now = self.now;
-        let group = self.dice.random_range(0..self.nodes.len()) / 3 + 1;
-        let able: Vec<NodeId> = self
+        let group = self.rng.random_range(0..self.nodes.len()) / 3 + 1;
+        let allowed: Vec<NodeId> = self
             .nodes
             .iter()
             .filter(|e| e.group == group as u64)
-            .filter(|e| router.observer.weight_share(now, &ask, &e.node).is_some())
+            .filter(|e| router.observer.weight_share(now, &query, &e.node).is_some())
             .map(|e| e.node.clone())
             .collect();
-        if able.is_empty() {
+        if allowed.is_empty() {
             return;
         }
-        let node = able[self.dice.random_range(0..able.len())].clone();
-        router.observer.attempt_sent(now, &ask, &node);
-        let (ending, elapsed) = (self.fate)(now, n, &node, &mut self.dice);
+        let node = allowed[self.rng.random_range(0..allowed.len())].clone();
+        router.observer.attempt_sent(now, &query, &node);
+        let (ending, elapsed) = (self.attempt_result)(now, n, &node, &mut self.rng);
         if ending != AttemptEnd::Success {
-            *self.lost.entry(node.clone()).or_default() += 1;
+            *self.failed_attempts.entry(node.clone()).or_default() += 1;
         }
         self.routers[n]
             .observer
-            .attempt_ended(now, &ask, &node, ending, elapsed);
+            .attempt_ended(now, &query, &node, ending, elapsed);
     }
 
-    pub fn list(&mut self, update: &EndpointUpdate) {
+    pub fn update_endpoints(&mut self, update: &EndpointUpdate) {
         for router in &mut self.routers {
             router.observer.endpoints_changed(self.now, update);
         }
     }
 
-    pub fn seen(&self) -> Vec<usize> {
+    /// Returns the number of members that each router that is up sees.
+    pub fn member_counts(&self) -> Vec<usize> {
         self.routers
             .iter()
             .filter(|r| r.up)
@@ -385,7 +392,7 @@
             .collect()
     }
 
-    /// The level of a node at every router that is up.
+    /// Returns the level of a node at each router that is up.
     pub fn levels(&self, node: &str) -> Vec<Level> {
         self.routers
             .iter()
@@ -394,8 +401,12 @@
             .collect()
     }
 
-    /// Runs until a condition holds; how long that took.
-    pub fn until(&mut self, within: Micros, mut holds: impl FnMut(&Net) -> bool) -> Option<Micros> {
+    /// Runs until a condition holds, and returns how long that took, or `None` if it does not hold in time.
+    pub fn run_until(
+        &mut self,
+        within: Micros,
+        mut holds: impl FnMut(&Net) -> bool,
+    ) -> Option<Micros> {
         let from = self.now;
         while self.now < from + within {
             if holds(self) {
@@ -406,26 +417,35 @@
         holds(self).then(|| self.now - from)
     }
 
-    /// Runs until all that are up see each other.
-    pub fn joined(&mut self) -> Micros {
-        let took = self.until(60 * S, |net| {
-            let seen = net.seen();
+    /// Runs until all routers that are up see each other, and returns how long that took.
+    pub fn run_until_joined(&mut self) -> Micros {
+        let took = self.run_until(60 * S, |net| {
+            let seen = net.member_counts();
             seen.iter().all(|n| *n == seen.len())
         });
-        took.unwrap_or_else(|| panic!("they do not find each other: {:?}", self.seen()))
+        took.unwrap_or_else(|| {
+            panic!(
+                "the routers do not find each other: {:?}",
+                self.member_counts()
+            )
+        })
     }
 
-    /// Every verdict that took a node out: when, at which router, on which node.
-    pub fn outs(&self) -> Vec<(Time, usize, String)> {
-        let of = |(n, r): (usize, &Router)| {
-            let told = r.news.iter().filter_map(move |(at, news)| match news {
+    /// Returns every ejection: its time, the router and the node.
+    pub fn ejections(&self) -> Vec<(Time, usize, String)> {
+        let ejections_at = |(n, r): (usize, &Router)| {
+            let ejections = r.events.iter().filter_map(move |(at, event)| match event {
                 GossipEvent::Verdict { node, verdict, .. } if verdict.level == Level::Ejected => {
                     Some((*at, n, node.to_string()))
                 }
                 _ => None,
             });
-            told.collect::<Vec<_>>()
+            ejections.collect::<Vec<_>>()
         };
-        self.routers.iter().enumerate().flat_map(of).collect()
+        self.routers
+            .iter()
+            .enumerate()
+            .flat_map(ejections_at)
+            .collect()
     }
 }
--- a/gossip/tests/decoder.rs
+++ b/gossip/tests/decoder.rs
@@ -1,4 +1,4 @@
-//! Whatever a datagram holds, signed or not: nothing panics, nothing grows without bound, each is counted.
+//! Arbitrary datagrams, with and without a valid tag: they cause no panic, and each is counted.
 
 mod common;
 
@@ -21,17 +21,17 @@
     #![proptest_config(ProptestConfig::with_cases(400))]
 
     #[test]
-    fn whatever_holders_of_the_key_send_is_taken_or_counted(
+    fn datagrams_with_a_valid_tag_are_accepted_or_counted_as_dropped(
         datagrams in prop::collection::vec(
             (20usize..26, 0u64..3, any::<u64>(), any::<u64>(),
              prop::collection::vec((0u8..7, prop::collection::vec(any::<u8>(), 0..200)), 0..5)), 1..20)
     ) {
-        let ours = keys(common::KEY);
+        let valid_keys = keys(common::KEY);
         let mut net = Net::new(1, 1, 1, Rules::default());
         let mut sent = 0;
         for (port, boot, seq, clock_ms, parts) in datagrams {
             let parts = parts.into_iter().map(|(kind, body)| Part { kind, body }).collect();
-            let Some(sealed) = ours.seal(&Envelope { from: incarnation(port, boot), seq, clock_ms, parts }) else { continue };
+            let Some(sealed) = valid_keys.seal(&Envelope { from: incarnation(port, boot), seq, clock_ms, parts }) else { continue };
             sent += 1;
             net.inject(0, &sealed);
             net.run(S / 100);
@@ -42,29 +42,29 @@
 }
 
 #[test]
-fn changed_datagrams_of_a_real_fleet_are_dropped_and_the_fleet_goes_on() {
-    // A corpus that is real: every datagram of a fleet, some of them with bytes changed, cut off or doubled on their way.
+fn corrupted_datagrams_are_dropped_and_the_fleet_continues() {
+    // The datagrams are those of a running fleet. Each is sent a second time with a changed bit, cut off or repeated.
     let mut net = Net::new(6, 2, 11, Rules::default());
-    net.joined();
+    net.run_until_joined();
     let before: u64 = net
         .routers
         .iter()
         .map(|r| r.peers.counts().dropped.values().sum::<u64>())
         .sum();
-    net.spoils = Some(Box::new(|bytes, dice| {
-        let mut spoilt = bytes.to_vec();
-        match dice.random_range(0..4) {
-            0 => spoilt.truncate(dice.random_range(0..bytes.len())),
-            1 => spoilt.extend_from_slice(bytes),
+    net.corruption = Some(Box::new(|bytes, rng| {
+        let mut corrupted = bytes.to_vec();
+        match rng.random_range(0..4) {
+            0 => corrupted.truncate(rng.random_range(0..bytes.len())),
+            1 => corrupted.extend_from_slice(bytes),
             _ => {
-                let at = dice.random_range(0..bytes.len());
-                spoilt[at] ^= 1 << dice.random_range(0..8);
+                let position = rng.random_range(0..bytes.len());
+                corrupted[position] ^= 1 << rng.random_range(0..8);
             }
         }
-        spoilt
+        corrupted
     }));
     net.run(20 * S);
-    net.spoils = None;
+    net.corruption = None;
     net.run(S);
     let after: u64 = net
         .routers
@@ -72,27 +72,31 @@
         .map(|r| r.peers.counts().dropped.values().sum::<u64>())
         .sum();
     assert!(
-        net.spoilt > 100 && after - before == net.spoilt,
-        "{} changed, {} dropped",
-        net.spoilt,
+        net.corrupted > 100 && after - before == net.corrupted,
+        "{} corrupted, {} dropped",
+        net.corrupted,
         after - before
     );
-    assert!(net.seen().iter().all(|n| *n == 6), "{:?}", net.seen());
+    assert!(
+        net.member_counts().iter().all(|n| *n == 6),
+        "{:?}",
+        net.member_counts()
+    );
 }
 
 #[test]
-fn what_a_newer_version_adds_is_skipped_and_the_rest_is_taken() {
-    // Danger: in a rolling upgrade the first router of the new version would make all the old ones drop what it says.
-    let ours = keys(common::KEY);
+fn unknown_kinds_of_a_newer_version_are_skipped() {
+    // Otherwise all old routers would drop the datagrams of the first router of a new version during a rolling upgrade.
+    let valid_keys = keys(common::KEY);
     let mut net = Net::new(1, 1, 1, Rules::default());
-    let seen = Observation {
+    let observation = Observation {
         no_reply: 30,
         nodes_seen: 9,
         nodes_failing: 1,
         ..Observation::default()
     };
-    let record =
-        Record::from_observation(&incarnation(20, 1), 1, &"s1".into(), None, &seen).expect("small");
+    let record = Record::from_observation(&incarnation(20, 1), 1, &"s1".into(), None, &observation)
+        .expect("small");
     let newer = Record {
         kind: 99,
         subject: "something else".into(),
@@ -101,7 +105,7 @@
     };
     let parts = [newer, record]
         .iter()
-        .filter_map(Record::part)
+        .filter_map(Record::to_part)
         .collect::<Vec<_>>();
     let body = parts.iter().flat_map(|p| p.body.clone()).collect();
     let parts = vec![
@@ -114,7 +118,7 @@
             body,
         },
     ];
-    let sealed = ours
+    let sealed = valid_keys
         .seal(&Envelope {
             from: incarnation(20, 1),
             seq: 1,
@@ -131,5 +135,5 @@
         ),
         (1, 1)
     );
-    assert_eq!(router.peers.counts().received.0, 1, "it is no fault");
+    assert_eq!(router.peers.counts().received.0, 1, "the datagram is valid");
 }
--- a/gossip/tests/stored_formats.rs
+++ b/gossip/tests/stored_formats.rs
@@ -1,5 +1,5 @@
-//! Datagrams keep their bytes: routers of two versions talk to each other. The fixture was recorded with the version before
-//! the renaming of types.
+//! Datagrams keep their encoding, so that routers of two versions understand each other. The fixture was recorded with the
+//! version before types were renamed.
 
 use plovercove::{Access, AttemptEnd, DedupScope, Idempotency};
 use plovercove::{Class, Endpoint, EndpointUpdate, LocalityPolicy, RoutingQuery, Settings, Time};
@@ -88,7 +88,7 @@
     digits.map(byte).collect()
 }
 
-/// What three routers say to each other in ten seconds, while one of two nodes fails: a line for each datagram.
+/// Returns one line for each datagram that three routers send within ten seconds while one of two nodes fails.
 fn record() -> String {
     let mut routers: Vec<Router> = (0..ROUTERS).map(router).collect();
     let mut lines = Vec::new();
@@ -118,23 +118,23 @@
 }
 
 #[test]
-fn datagrams_are_those_that_the_version_before_wrote() {
+fn datagrams_equal_those_of_the_previous_version() {
     let recorded = include_str!("fixtures/datagrams.txt");
     let written = record();
-    for (line, (now, then)) in written.lines().zip(recorded.lines()).enumerate() {
-        assert_eq!(now, then, "line {}", line + 1);
+    for (line, (written_line, recorded_line)) in written.lines().zip(recorded.lines()).enumerate() {
+        assert_eq!(written_line, recorded_line, "line {}", line + 1);
     }
     assert_eq!(written.lines().count(), recorded.lines().count());
 }
 
 #[test]
-fn datagrams_of_the_version_before_are_understood() {
+fn datagrams_of_the_previous_version_are_accepted() {
     let recorded = include_str!("fixtures/datagrams.txt");
     let mut listener = router(0);
     for (step, line) in recorded.lines().enumerate() {
         let mut words = line.split(' ');
-        let (from, to) = (words.next().unwrap(), words.next().unwrap());
-        if to == "0" && from != "0" {
+        let (sender, receiver) = (words.next().unwrap(), words.next().unwrap());
+        if receiver == "0" && sender != "0" {
             let now = BEGIN + step as Time * 1_000;
             listener.peers.receive(now, &unhex(words.next().unwrap()));
         }
