--- a/gossip/src/datagram.rs
+++ b/gossip/src/datagram.rs
@@ -1,6 +1,6 @@
 //! Format of a datagram: a version, the installation, a body, and a tag that only a holder of the key can create.
 
-use crate::error::{Error, LEAST_KEY};
+use crate::error::{Error, MIN_KEY_BYTES};
 use crate::incarnation::Incarnation;
 use serde::{Deserialize, Serialize};
 
@@ -155,7 +155,7 @@
         additional: Option<&[u8]>,
     ) -> Result<Self, Error> {
         let derive = |bytes: &[u8]| {
-            if bytes.len() < LEAST_KEY {
+            if bytes.len() < MIN_KEY_BYTES {
                 return Err(Error::ShortKey);
             }
             let context = format!("plovercove 2026-12 peers of {installation}");
--- a/gossip/src/error.rs
+++ b/gossip/src/error.rs
@@ -1,15 +1,15 @@
 //! Faults in the settings and keys of gossip.
 
 /// Minimum length of a key (bytes). A shorter one could be guessed.
-pub(crate) const LEAST_KEY: usize = 16;
+pub(crate) const MIN_KEY_BYTES: usize = 16;
 /// Maximum number of seeds. The other members become known through them.
-pub(crate) const MOST_SEEDS: usize = 64;
+pub(crate) const MAX_SEEDS: usize = 64;
 
 /// Fault in the settings or keys of gossip.
 #[derive(Clone, Debug, PartialEq, thiserror::Error, strum::IntoStaticStr, strum::VariantNames)]
 pub enum Error {
     /// A key is too short.
-    #[error("expected a key of {LEAST_KEY} bytes or more")]
+    #[error("expected a key of {MIN_KEY_BYTES} bytes or more")]
     ShortKey,
     /// An integer is out of its bounds.
     #[error("{key}: expected {least} to {most}, got {got}")]
@@ -30,7 +30,7 @@
     #[error("installation: expected a name of 1 to 64 bytes")]
     Name,
     /// There are too many seeds.
-    #[error("seeds: expected {MOST_SEEDS} at the most")]
+    #[error("seeds: expected {MAX_SEEDS} at the most")]
     Seeds,
 }
 
--- a/gossip/src/gossip.rs
+++ b/gossip/src/gossip.rs
@@ -76,7 +76,7 @@
         let members = Members::new(me.clone(), &rules, max_parts_bytes, rng.random());
         let mut store = RecordStore::new(
             rules.evidence_lifetime(),
-            rules.record_transmissions(),
+            rules.max_transmissions(),
             rules.is_enabled(Guard::Age),
             rules.is_enabled(Guard::OldLife),
         );
@@ -157,11 +157,11 @@
 
     /// Sends a part of another crate. Returns whether it was sent, which depends on its size and on the budget.
     pub fn send_part(&mut self, now: Time, to: SocketAddr, kind: u8, body: Vec<u8>) -> bool {
-        let before = self.seq;
+        let last_seq = self.seq;
         if !self.has_left && payload_kind::RANGE.contains(&kind) {
             self.send(now, to, vec![Part { kind, body }]);
         }
-        self.seq > before
+        self.seq > last_seq
     }
 
     /// Returns the maximum length of the body of a part that is sent alone.
@@ -180,7 +180,7 @@
     }
 
     /// Returns the number of members that are up, including this router.
-    pub fn seen_count(&self) -> usize {
+    pub fn member_count(&self) -> usize {
         self.members.active().len() + 1
     }
 
@@ -201,7 +201,7 @@
         };
         Snapshot {
             me: format!("{:?}", self.members.identity()),
-            seen: self.seen_count(),
+            seen: self.member_count(),
             expected: self.rules.routers,
             members: self
                 .members
@@ -463,7 +463,9 @@
                         .values()
                         .chain([self.members.identity()]);
                     let same_name = known
-                        .filter(|l| l.name == incarnation.name && l.address != incarnation.address)
+                        .filter(|member| {
+                            member.name == incarnation.name && member.address != incarnation.address
+                        })
                         .min();
                     if let Some(same_name) = same_name.cloned() {
                         self.push_event(GossipEvent::DuplicateName(incarnation.clone(), same_name));
@@ -478,7 +480,7 @@
                 Change::AddressTaken => self.push_event(GossipEvent::AddressTaken),
             }
         }
-        let seen = self.seen_count();
+        let seen = self.member_count();
         if self.reported_member_count != Some(seen) {
             self.reported_member_count = Some(seen);
             self.push_event(GossipEvent::MemberCount {
--- a/gossip/src/members.rs
+++ b/gossip/src/members.rs
@@ -60,11 +60,14 @@
     /// Former members, and when each went down.
     former: BTreeMap<SocketAddr, Time>,
     seeds: Vec<SocketAddr>,
+    /// Expected number of routers.
     expected: usize,
     seek_backoff: Backoff,
     seek_at: Time,
     rng: Pcg64Mcg,
+    /// Whether former members are contacted as well as seeds.
     contacts_former: bool,
+    /// Whether timers are postponed by stalls.
     excludes_stalls: bool,
     pub(crate) changes: VecDeque<Change>,
     /// Number of invalid messages.
@@ -82,7 +85,7 @@
         probe_period: ms(rules.probe_ms),
         probe_rtt: ms(rules.answer_ms),
         num_indirect_probes: non_zero(INDIRECT_PROBES),
-        max_transmissions: NonZeroU8::new(rules.record_transmissions()).unwrap_or(NonZeroU8::MIN),
+        max_transmissions: NonZeroU8::new(rules.max_transmissions()).unwrap_or(NonZeroU8::MIN),
         suspect_to_down_after: ms(rules.suspect_ms),
         remove_down_after: Some(Duration::from_secs(DOWN_MEMORY_S)),
         max_packet_size: non_zero(max_bytes),
@@ -127,7 +130,7 @@
                 .seeds
                 .iter()
                 .copied()
-                .filter(|s| *s != incarnation.address)
+                .filter(|seed| *seed != incarnation.address)
                 .collect(),
             expected: rules.routers as usize,
             seek_backoff,
@@ -150,10 +153,12 @@
         &self.active
     }
 
+    /// Returns whether a member that is up has this address.
     pub(crate) fn is_member(&self, address: &SocketAddr) -> bool {
         self.active.contains_key(address)
     }
 
+    /// Returns whether there are too many members to add another one.
     pub(crate) fn is_full(&self) -> bool {
         self.active.len() >= MAX_MEMBERS
     }
--- a/gossip/src/outlier_vote.rs
+++ b/gossip/src/outlier_vote.rs
@@ -3,7 +3,7 @@
 //! Routers with the same records and the same endpoint list reach the same verdicts, so no leader is needed.
 
 use crate::observations::Observation;
-use crate::reach::blames_itself;
+use crate::reach::suspects_own_links;
 use crate::rules::{Guard, Rules};
 use plovercove::{GroupId, Micros, NodeId};
 use std::collections::{BTreeMap, BTreeSet};
@@ -230,7 +230,7 @@
     cases: &[(Subject, Vec<Opinion>)],
     zones: usize,
 ) -> BTreeMap<NodeId, Verdict> {
-    // Finds the observers that see many nodes fail. Their greatest reported numbers count: the first reports are too early to
+    // Finds the observers that see many nodes fail, whose own links may be at fault. Their greatest reported numbers count: the first reports are too early to
     // include all failures, and the last ones come when the router has stopped trying. The number of nodes that an observer
     // accuses counts as well, since it may not have seen all of them fail at the same time.
     let mut nodes_by_observer: BTreeMap<u32, (u16, u16, u16)> = BTreeMap::new();
@@ -245,7 +245,7 @@
         *accused += u16::from(opinion.observation.fails());
     }
     let sees_many_fail = |(failing, nodes, accused): (u16, u16, u16)| {
-        blames_itself(usize::from(failing.max(accused)), usize::from(nodes))
+        suspects_own_links(usize::from(failing.max(accused)), usize::from(nodes))
     };
     let distrusted: BTreeSet<u32> = nodes_by_observer
         .into_iter()
@@ -267,7 +267,10 @@
         }
     }
     for (group, mut nodes) in ejected {
-        let members = cases.iter().filter(|(s, _)| s.group == group).count();
+        let members = cases
+            .iter()
+            .filter(|(subject, _)| subject.group == group)
+            .count();
         let allowed = if rules.is_enabled(Guard::Third) {
             members / MEMBERS_PER_EJECTION
         } else {
@@ -276,9 +279,9 @@
         // The worst come first. The name decides between equal ones, so that all routers decide alike.
         nodes.sort_by(|a, b| b.0.cmp(&a.0).then_with(|| a.1.cmp(&b.1)));
         for (_, node) in nodes.into_iter().skip(allowed) {
-            verdicts
-                .entry(node)
-                .and_modify(|v| (v.level, v.why) = (Level::ReducedWeight, "no more of its group"));
+            verdicts.entry(node).and_modify(|verdict| {
+                (verdict.level, verdict.why) = (Level::ReducedWeight, "no more of its group")
+            });
         }
     }
     verdicts
--- a/gossip/src/reach.rs
+++ b/gossip/src/reach.rs
@@ -8,13 +8,13 @@
 
 /// A router that sees at least this many nodes fail, and more than a third of all nodes that it sees, assumes a fault of its
 /// own links.
-const MIN_BLAMED_FAILURES: usize = 3;
+const MIN_FAILURES_TO_SUSPECT_LINKS: usize = 3;
 /// Number of other nodes that have to answer for each node that fails, before a router accuses one.
 const ANSWERING_PER_FAILING: usize = 2;
 
 /// Returns whether a router that sees `failing` of `nodes` nodes fail assumes a fault of its own links.
-pub(crate) fn blames_itself(failing: usize, nodes: usize) -> bool {
-    failing >= MIN_BLAMED_FAILURES && 3 * failing > nodes
+pub(crate) fn suspects_own_links(failing: usize, nodes: usize) -> bool {
+    failing >= MIN_FAILURES_TO_SUSPECT_LINKS && 3 * failing > nodes
 }
 
 /// State of all nodes as one router sees them at one moment.
@@ -39,17 +39,17 @@
     /// It is open if the router would have to assume a fault of its own links once the suspected nodes fail as well, and,
     /// if too few nodes have answered since then, also those that have not answered.
     pub(crate) fn is_uncertain_since(&self, since: Time) -> bool {
-        if blames_itself(self.failing, self.nodes()) {
+        if suspects_own_links(self.failing, self.nodes()) {
             return false;
         }
         let may_fail = self.failing + self.suspected;
         let answering = self.last_answers.iter().filter(|at| **at > since).count();
-        let silent = if answering < ANSWERING_PER_FAILING * may_fail {
+        let unanswered = if answering < ANSWERING_PER_FAILING * may_fail {
             self.last_answers.len() - answering
         } else {
             0
         };
-        blames_itself(may_fail + silent, self.nodes())
+        suspects_own_links(may_fail + unanswered, self.nodes())
     }
 }
 
--- a/gossip/src/records.rs
+++ b/gossip/src/records.rs
@@ -229,7 +229,7 @@
             if self
                 .records
                 .get(&name)
-                .is_some_and(|h| h.record.boot < boot)
+                .is_some_and(|stored| stored.record.boot < boot)
             {
                 self.remove(name);
             }
@@ -289,8 +289,8 @@
             // Some of the names are not used any more, so all names in use are numbered anew.
             self.numbered_names.0.clear();
             for stored in self.records.values_mut() {
-                let r = &stored.record;
-                stored.numbers = [&r.origin, &r.zone, &r.subject]
+                let record = &stored.record;
+                stored.numbers = [&record.origin, &record.zone, &record.subject]
                     .map(|name| self.numbered_names.number_of(name));
             }
         }
@@ -455,7 +455,7 @@
             .records
             .range(from..)
             .take(MAX_DIGEST_ENTRIES + 1)
-            .map(|(n, h)| (*n, h.record.version()));
+            .map(|(name, stored)| (*name, stored.record.version()));
         let mut entries: Vec<(u64, u64)> = entries.collect();
         let more = (entries.len() > MAX_DIGEST_ENTRIES)
             .then(|| entries.pop())
--- a/gossip/src/review.rs
+++ b/gossip/src/review.rs
@@ -1,7 +1,7 @@
 //! Review: publishes this router's observations, decides the verdicts by the records of all routers, and applies them.
 //!
-//! The common verdicts prevent that each router detects a failed node for itself, at the cost of many failed attempts. The
-//! probation prevents flapping: a node that goes in and out of service because verdicts follow each other too quickly.
+//! Without common verdicts, each router would detect a failed node for itself, at the cost of many failed attempts. The
+//! probation prevents flapping, in which a node goes in and out of service because verdicts follow each other too quickly.
 
 use crate::event::GossipEvent;
 use crate::gossip::Gossip;
@@ -68,7 +68,7 @@
         let is_ejected = |node: &NodeId| {
             verdicts
                 .get(node)
-                .is_some_and(|v| v.level == Level::Ejected)
+                .is_some_and(|verdict| verdict.level == Level::Ejected)
         };
         let (ejected, rest): (Vec<NodeId>, Vec<NodeId>) = known.into_iter().partition(is_ejected);
         for node in rest.into_iter().chain(ejected) {
@@ -78,15 +78,15 @@
         self.verdicts = verdicts;
         self.flaps
             .retain(|node, flaps| observer.is_listed(node) && !flaps.is_forgotten(now));
-        self.release_unjudged(now, observer);
+        self.release_nodes_without_verdict(now, observer);
     }
 
     /// Restores nodes whose probation has ended, and nodes without any opinion.
-    fn release_unjudged(&mut self, now: Time, observer: &mut Observer) {
+    fn release_nodes_without_verdict(&mut self, now: Time, observer: &mut Observer) {
         let levels = observer.levels().keys();
-        let unjudged = levels.filter(|node| !self.verdicts.contains_key(*node));
-        let unjudged: Vec<NodeId> = unjudged.cloned().collect();
-        for node in unjudged {
+        let without_verdict = levels.filter(|node| !self.verdicts.contains_key(*node));
+        let without_verdict: Vec<NodeId> = without_verdict.cloned().collect();
+        for node in without_verdict {
             self.apply_verdict(now, observer, &node, Verdict::default());
         }
     }
@@ -122,13 +122,13 @@
 
     /// Publishes this router's observations that are due to be reported.
     fn publish_observations(&mut self, now: Time, observer: &mut Observer, cases: &[Case]) {
-        let me = self.store.number(&self.me.name);
+        let own_number = self.store.number(&self.me.name);
         let rules = &self.rules;
         let name = self.me.name.as_bytes();
         let evidence = |node: &NodeId| {
             let case = cases.iter().find(|(subject, _)| subject.node == *node);
             let opinions = case.map_or(&[][..], |(_, opinions)| opinions);
-            let of_others = opinions.iter().filter(|o| Some(o.observer) != me);
+            let of_others = opinions.iter().filter(|o| Some(o.observer) != own_number);
             let random_draw = crate::shared_draw(&[node.as_bytes(), name]) as f64 / u64::MAX as f64;
             peer_evidence(rules, of_others, random_draw)
         };
--- a/gossip/src/rules.rs
+++ b/gossip/src/rules.rs
@@ -1,6 +1,6 @@
 //! Settings of gossip, except for files and addresses, which the router itself opens.
 
-use crate::error::{Error, MOST_SEEDS};
+use crate::error::{Error, MAX_SEEDS};
 use plovercove::Micros;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -143,8 +143,9 @@
         self.evidence_lifetime() * 2 / 5
     }
 
-    /// Returns how often each router sends a record: a few times more than the rounds in which it reaches all routers.
-    pub(crate) fn record_transmissions(&self) -> u8 {
+    /// Returns how often each router sends a record or a change of the membership, which is slightly more often than it takes
+    /// to reach all routers.
+    pub(crate) fn max_transmissions(&self) -> u8 {
         let members = f64::from(self.routers.max(2));
         (3.0 * (members + 1.0).log(self.fanout as f64 + 1.0))
             .ceil()
@@ -235,7 +236,7 @@
         if !(1.0..=600.0).contains(&self.evidence_s) {
             return Err(Error::Evidence(self.evidence_s));
         }
-        if self.seeds.len() > MOST_SEEDS {
+        if self.seeds.len() > MAX_SEEDS {
             return Err(Error::Seeds);
         }
         Ok(())
--- a/gossip/tests/common/mod.rs
+++ b/gossip/tests/common/mod.rs
@@ -34,7 +34,7 @@
 }
 
 pub struct Router {
-    pub peers: Gossip,
+    pub gossip: Gossip,
     pub observer: Observer,
     pub up: bool,
     pub stalled: bool,
@@ -179,7 +179,7 @@
             name: format!("n{n}"),
             zone: (self.zone)(n).into(),
         };
-        let peers = Gossip::new(
+        let gossip = Gossip::new(
             rules.clone(),
             keys(KEY),
             me,
@@ -205,7 +205,7 @@
         let mut observer = Observer::new(rules, &settings, None);
         observer.endpoints_changed(self.now, &EndpointUpdate::Full(self.nodes.clone()));
         Router {
-            peers,
+            gossip,
             observer,
             up: true,
             stalled: false,
@@ -242,14 +242,14 @@
     pub fn resume(&mut self, n: usize) {
         self.routers[n].stalled = false;
         for bytes in std::mem::take(&mut self.routers[n].buffered) {
-            self.routers[n].peers.receive(self.now, &bytes);
+            self.routers[n].gossip.receive(self.now, &bytes);
         }
         self.turn(n);
     }
 
     /// Delivers a datagram to a router directly.
     pub fn inject(&mut self, n: usize, bytes: &[u8]) {
-        self.routers[n].peers.receive(self.now, bytes);
+        self.routers[n].gossip.receive(self.now, bytes);
     }
 
     pub fn run(&mut self, duration: Micros) {
@@ -265,7 +265,7 @@
                 Event::Turn(n) => {
                     if self.routers[n].up
                         && !self.routers[n].stalled
-                        && self.routers[n].peers.next_deadline() <= self.now
+                        && self.routers[n].gossip.next_deadline() <= self.now
                     {
                         self.turn(n);
                     }
@@ -281,7 +281,7 @@
                             router.buffered.push(bytes);
                         }
                     } else if router.up && router.incarnation == incarnation {
-                        router.peers.receive(self.now, &bytes);
+                        router.gossip.receive(self.now, &bytes);
                         self.send(to);
                     }
                 }
@@ -299,13 +299,13 @@
     fn turn(&mut self, n: usize) {
         let now = self.now;
         let router = &mut self.routers[n];
-        router.peers.turn(now, &mut router.observer);
+        router.gossip.turn(now, &mut router.observer);
         self.send(n);
     }
 
     fn send(&mut self, n: usize) {
-        let out = self.routers[n].peers.take_outgoing();
-        while let Some(event) = self.routers[n].peers.next_event() {
+        let out = self.routers[n].gossip.take_outgoing();
+        while let Some(event) = self.routers[n].gossip.next_event() {
             self.routers[n].events.push((self.now, event));
         }
         for (to, bytes) in out {
@@ -337,7 +337,7 @@
                 );
             }
         }
-        let next = self.routers[n].peers.next_deadline();
+        let next = self.routers[n].gossip.next_deadline();
         if next < Time::MAX {
             self.schedule(next.max(self.now + 1), Event::Turn(n));
         }
@@ -387,8 +387,8 @@
     pub fn member_counts(&self) -> Vec<usize> {
         self.routers
             .iter()
-            .filter(|r| r.up)
-            .map(|r| r.peers.seen_count())
+            .filter(|router| router.up)
+            .map(|router| router.gossip.member_count())
             .collect()
     }
 
@@ -396,8 +396,8 @@
     pub fn levels(&self, node: &str) -> Vec<Level> {
         self.routers
             .iter()
-            .filter(|r| r.up)
-            .map(|r| r.observer.level(&node.into()))
+            .filter(|router| router.up)
+            .map(|router| router.observer.level(&node.into()))
             .collect()
     }
 
--- a/gossip/tests/decoder.rs
+++ b/gossip/tests/decoder.rs
@@ -36,7 +36,7 @@
             net.inject(0, &sealed);
             net.run(S / 100);
         }
-        let counts = net.routers[0].peers.counts();
+        let counts = net.routers[0].gossip.counts();
         prop_assert_eq!(counts.received.0 + counts.dropped.values().sum::<u64>(), sent);
     }
 }
@@ -49,7 +49,7 @@
     let before: u64 = net
         .routers
         .iter()
-        .map(|r| r.peers.counts().dropped.values().sum::<u64>())
+        .map(|router| router.gossip.counts().dropped.values().sum::<u64>())
         .sum();
     net.corruption = Some(Box::new(|bytes, rng| {
         let mut corrupted = bytes.to_vec();
@@ -69,7 +69,7 @@
     let after: u64 = net
         .routers
         .iter()
-        .map(|r| r.peers.counts().dropped.values().sum::<u64>())
+        .map(|router| router.gossip.counts().dropped.values().sum::<u64>())
         .sum();
     assert!(
         net.corrupted > 100 && after - before == net.corrupted,
@@ -130,10 +130,14 @@
     let router = &net.routers[0];
     assert_eq!(
         (
-            router.peers.counts().unknown_records,
-            router.peers.snapshot(&router.observer).records
+            router.gossip.counts().unknown_records,
+            router.gossip.snapshot(&router.observer).records
         ),
         (1, 1)
     );
-    assert_eq!(router.peers.counts().received.0, 1, "the datagram is valid");
+    assert_eq!(
+        router.gossip.counts().received.0,
+        1,
+        "the datagram is valid"
+    );
 }
--- a/gossip/tests/fleet.rs
+++ b/gossip/tests/fleet.rs
@@ -54,8 +54,8 @@
     let mut net = nine_routers(2);
     net.run_until_joined();
     let now = net.now;
-    net.routers[4].peers.leave(now);
-    for (to, bytes) in net.routers[4].peers.take_outgoing() {
+    net.routers[4].gossip.leave(now);
+    for (to, bytes) in net.routers[4].gossip.take_outgoing() {
         let to = (0..9).find(|n| address(*n) == to).expect("a router");
         net.inject(to, &bytes);
     }
@@ -562,7 +562,7 @@
         net.member_counts()
     );
     net.run(10 * S);
-    let counts = net.routers[0].peers.counts();
+    let counts = net.routers[0].gossip.counts();
     assert!(
         counts.late > 0 && counts.dropped.get("replayed").is_some_and(|n| *n > 0),
         "{counts:?}"
@@ -619,7 +619,7 @@
         .count();
     (
         events,
-        net.routers[0].peers.counts().dropped.values().sum(),
+        net.routers[0].gossip.counts().dropped.values().sum(),
         net.ejections().len(),
     )
 }
@@ -694,10 +694,18 @@
         net.attempt_result = Box::new(|_, _, _, _| (AttemptEnd::Success, 5_000));
         net.run_until_joined();
         net.run(5 * S);
-        let before: Vec<_> = net.routers.iter().map(|r| r.peers.counts().sent).collect();
+        let before: Vec<_> = net
+            .routers
+            .iter()
+            .map(|router| router.gossip.counts().sent)
+            .collect();
         net.attempt_result = node_fails("s4", net.now);
         net.run(10 * S);
-        let after: Vec<_> = net.routers.iter().map(|r| r.peers.counts().sent).collect();
+        let after: Vec<_> = net
+            .routers
+            .iter()
+            .map(|router| router.gossip.counts().sent)
+            .collect();
         let rates_of_routers = before
             .iter()
             .zip(&after)
@@ -729,17 +737,17 @@
     let now = net.now;
     let send = |net: &mut Net, kind, body: Vec<u8>| {
         assert!(
-            net.routers[0].peers.send_part(now, address(1), kind, body)
+            net.routers[0].gossip.send_part(now, address(1), kind, body)
                 == payload_kind::RANGE.contains(&kind)
         );
-        for (to, bytes) in net.routers[0].peers.take_outgoing() {
+        for (to, bytes) in net.routers[0].gossip.take_outgoing() {
             let to = (0..9).find(|n| address(*n) == to).expect("a router");
             net.inject(to, &bytes);
         }
     };
     send(&mut net, payload_kind::LEASE, vec![1, 2, 3]);
     let received = net.routers[1]
-        .peers
+        .gossip
         .next_received_part()
         .expect("the part arrives");
     assert_eq!(
@@ -753,11 +761,11 @@
     );
     // A kind that gossip itself uses cannot be sent this way.
     send(&mut net, 2, vec![1]);
-    assert_eq!(net.routers[1].peers.next_received_part(), None);
+    assert_eq!(net.routers[1].gossip.next_received_part(), None);
     // If the parts are not taken, only a bounded number waits.
     for n in 0..2_000u32 {
         let envelope = Envelope {
-            from: net.routers[0].peers.identity().clone(),
+            from: net.routers[0].gossip.identity().clone(),
             seq: 1_000_000 + u64::from(n),
             clock_ms: 1,
             parts: vec![Part {
@@ -769,7 +777,7 @@
         net.inject(1, &bytes);
     }
     let waiting: Vec<_> =
-        std::iter::from_fn(|| net.routers[1].peers.next_received_part()).collect();
+        std::iter::from_fn(|| net.routers[1].gossip.next_received_part()).collect();
     assert_eq!(
         (waiting.len(), waiting.last().map(|part| part.body.clone())),
         (512, Some(1_999u32.to_le_bytes().to_vec()))
--- a/gossip/tests/stored_formats.rs
+++ b/gossip/tests/stored_formats.rs
@@ -53,7 +53,7 @@
 }
 
 struct Router {
-    peers: Gossip,
+    gossip: Gossip,
     observer: Observer,
 }
 
@@ -73,7 +73,7 @@
     let nodes = vec![node("good"), node("bad")];
     observer.endpoints_changed(BEGIN, &EndpointUpdate::Full(nodes));
     Router {
-        peers: Gossip::new(rules(), keys(), incarnation(n), BEGIN, 7 + n as u64),
+        gossip: Gossip::new(rules(), keys(), incarnation(n), BEGIN, 7 + n as u64),
         observer,
     }
 }
@@ -105,12 +105,12 @@
                 observer.attempt_sent(now, &query, &node.into());
                 observer.attempt_ended(now, &query, &node.into(), end, 20_000);
             }
-            let Router { peers, observer } = &mut routers[n];
-            peers.turn(now, observer);
-            for (to, bytes) in peers.take_outgoing() {
+            let Router { gossip, observer } = &mut routers[n];
+            gossip.turn(now, observer);
+            for (to, bytes) in gossip.take_outgoing() {
                 let to = usize::from(to.port() - 7_000);
                 lines.push(format!("{n} {to} {}", hex(&bytes)));
-                routers[to].peers.receive(now, &bytes);
+                routers[to].gossip.receive(now, &bytes);
             }
         }
     }
@@ -136,10 +136,10 @@
         let (sender, receiver) = (words.next().unwrap(), words.next().unwrap());
         if receiver == "0" && sender != "0" {
             let now = BEGIN + step as Time * 1_000;
-            listener.peers.receive(now, &unhex(words.next().unwrap()));
+            listener.gossip.receive(now, &unhex(words.next().unwrap()));
         }
     }
-    let counts = listener.peers.counts();
+    let counts = listener.gossip.counts();
     assert!(counts.received.0 > 10, "{counts:?}");
     assert!(counts.dropped.is_empty(), "{:?}", counts.dropped);
 }
--- a/locality/src/zone_failover.rs
+++ b/locality/src/zone_failover.rs
@@ -489,11 +489,7 @@
                 state.ramp.start(now, start);
                 state.cold_pace = 1.0;
             }
-            self.push_log_event(
-                zone,
-                "way back",
-                &format!("answers again ({condition:?}), recovery ramp started"),
-            );
+            self.push_log_event(zone, "way back", &format!("no longer lost ({condition:?})"));
         }
         if was_suppressed != suppressed {
             match suppressed {
