--- a/fanout/src/track.rs
+++ b/fanout/src/sequence_tracker.rs
@@ -3,7 +3,7 @@
 use crate::wire::{Mark, Told};
 use crate::{Guard, Rules, Topic};
 use plovercove::{Micros, Time};
-use plovercove_fencing::{Duty, Token};
+use plovercove_fencing::{LeaseName, Token};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -14,7 +14,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) enum Comes {
     Item {
-        duty: Duty,
+        duty: LeaseName,
         token: Token,
         number: u64,
         made: Time,
@@ -22,7 +22,7 @@
     },
     /// Up to this number it was missed.
     Missed {
-        duty: Duty,
+        duty: LeaseName,
         token: Token,
         through: u64,
     },
@@ -34,7 +34,7 @@
     pub last: Option<(Token, u64)>,
     /// The last that came out before its receiver left the topic: nothing up to there comes out again.
     heard_before: Option<(Token, u64)>,
-    duty: Option<Duty>,
+    duty: Option<LeaseName>,
     ahead: BTreeMap<u64, (Time, Arc<[u8]>)>,
     /// The newest number that is known to exist.
     known: u64,
@@ -69,7 +69,7 @@
     }
 
     /// Begins with another token's numbers, or with the first.
-    fn turn_to(&mut self, rules: &Rules, topic: &Topic, duty: &Duty, token: Token, at: u64) {
+    fn turn_to(&mut self, rules: &Rules, topic: &Topic, duty: &LeaseName, token: Token, at: u64) {
         let at = match self.heard_before {
             Some((heard, number)) if heard == token => at.max(number),
             _ => at,
@@ -81,7 +81,7 @@
         self.collapses = topic.collapses();
         self.last = Some((token, at));
         // Nobody can say how far the other numbers went, so what led here is to be asked for elsewhere.
-        if !topic.collapses() && rules.on(Guard::Gap) {
+        if !topic.collapses() && rules.is_enabled(Guard::Gap) {
             self.out.push(Comes::Missed {
                 duty: duty.clone(),
                 token,
@@ -93,7 +93,7 @@
     /// Whether this token's numbers count: not an older one's.
     fn follows(&self, rules: &Rules, token: Token) -> bool {
         self.last_heard()
-            .is_none_or(|(last, _)| token >= last || !rules.on(Guard::Fence))
+            .is_none_or(|(last, _)| token >= last || !rules.is_enabled(Guard::Fence))
     }
 
     pub fn item(&mut self, rules: &Rules, now: Time, told: &Told, late: Micros) {
@@ -113,7 +113,7 @@
         if told.number <= self.number() {
             return;
         }
-        let whole = told.topic.collapses() || !rules.on(Guard::Gap);
+        let whole = told.topic.collapses() || !rules.is_enabled(Guard::Gap);
         if whole || told.number == self.number() + 1 {
             self.emit(told.number, made, told.body.clone());
             self.drain();
@@ -143,7 +143,7 @@
 
     /// The sender is at this number.
     pub fn head(&mut self, rules: &Rules, now: Time, mark: &Mark) {
-        if !self.follows(rules, mark.token) || !rules.on(Guard::Gap) {
+        if !self.follows(rules, mark.token) || !rules.is_enabled(Guard::Gap) {
             return;
         }
         if self.last.is_none_or(|(last, _)| last != mark.token) {
@@ -175,7 +175,7 @@
     }
 
     /// When it has to be looked at next.
-    pub fn next(&self) -> Time {
+    pub fn next_turn(&self) -> Time {
         self.hole.map_or(Time::MAX, |(_, next)| next)
     }
 
--- a/leases/tests/stored_formats.rs
+++ b/leases/tests/stored_formats.rs
@@ -1,9 +1,11 @@
-//! Datagrams and files keep their bytes: routers of two versions talk to each other, and a file outlives the version that
-//! wrote it. The fixtures were recorded with the version before the renaming of types.
+//! The encoding of messages and files does not change: routers of two versions exchange messages, and a file outlives the
+//! version that wrote it. The fixtures were recorded with the version before types were renamed.
 
 use plovercove::Time;
-use plovercove_fencing::{Duty, Token};
-use plovercove_leases::{Decider, Deciders, Duties, Kept, Member, Rules, Wanted};
+use plovercove_fencing::{LeaseName, Token};
+use plovercove_leases::{
+    LeaseManager, Member, PersistedState, Rules, VoterConfig, VoterSet, WantedLease,
+};
 use std::net::SocketAddr;
 
 const BEGIN: Time = 1_000_000_000;
@@ -19,43 +21,43 @@
         name: format!("n{n}"),
         zone: "a".into(),
         address: address(n),
-        boot: BEGIN + n as u64,
+        incarnation: BEGIN + n as u64,
     }
 }
 
 fn rules() -> Rules {
-    let decider = |n: usize| Decider {
+    let voter = |n: usize| VoterConfig {
         name: format!("n{n}"),
         address: address(n),
     };
     Rules {
         installation: "test".into(),
-        deciders: Deciders {
+        voters: VoterSet {
             generation: 1,
-            members: (0..ROUTERS).map(decider).collect(),
-            before: Vec::new(),
+            members: (0..ROUTERS).map(voter).collect(),
+            previous: Vec::new(),
         },
         lease_ms: 3_000,
-        ask_ms: 200,
+        retry_ms: 200,
         ..Rules::default()
     }
 }
 
-fn wanted() -> Vec<Wanted> {
+fn wanted() -> Vec<WantedLease> {
     let names = ["positions/1", "positions/2", "gateway/a"];
-    let duty = |name: &&str| Duty::new(name).expect("a good name");
+    let lease = |name: &&str| LeaseName::new(name).expect("a good name");
     let zone = |name: &str| name.starts_with("gateway").then(|| "a".to_string());
     names
         .iter()
-        .map(|name| Wanted {
-            duty: duty(name),
+        .map(|name| WantedLease {
+            lease: lease(name),
             zone: zone(name),
         })
         .collect()
 }
 
-fn router(n: usize) -> Duties {
-    let mut duties = Duties::new(
+fn router(n: usize) -> LeaseManager {
+    let mut manager = LeaseManager::new(
         rules(),
         member(n),
         ROUTERS as u32,
@@ -63,9 +65,9 @@
         7 + n as u64,
         None,
     );
-    duties.want(BEGIN, wanted());
-    duties.members(BEGIN, (0..ROUTERS).map(member).collect());
-    duties
+    manager.set_wanted(BEGIN, wanted());
+    manager.set_members(BEGIN, (0..ROUTERS).map(member).collect());
+    manager
 }
 
 fn hex(bytes: &[u8]) -> String {
@@ -78,23 +80,23 @@
     digits.map(byte).collect()
 }
 
-/// What three routers say to each other in eight seconds, one of which hands over at the end: a line for each body, from, to
-/// and bytes; and a line for each file that is to be kept.
+/// Returns the messages of three routers within eight seconds, one of which hands its leases over at the end. A line
+/// `body` has the sender, the receiver and the bytes; a line `file` has the voter and the content of its file.
 fn record() -> String {
-    let mut routers: Vec<Duties> = (0..ROUTERS).map(router).collect();
+    let mut routers: Vec<LeaseManager> = (0..ROUTERS).map(router).collect();
     let mut lines = Vec::new();
     for step in 0..160 {
         let now = BEGIN + step * STEP;
         for n in 0..ROUTERS {
             if step == 140 && n == 1 {
-                routers[n].hand_over(now);
+                routers[n].hand_over_all(now);
             }
             routers[n].turn(now);
-            if let Some(file) = routers[n].to_keep() {
+            if let Some(file) = routers[n].take_pending_write() {
                 lines.push(format!("file {n} {}", hex(&file)));
-                routers[n].kept(now);
+                routers[n].complete_write(now);
             }
-            for (to, body) in routers[n].out() {
+            for (to, body) in routers[n].take_outbox() {
                 let to = usize::from(to.port() - 7_000);
                 lines.push(format!("body {n} {to} {}", hex(&body)));
                 routers[to].receive(now, &member(n), &body, 0);
@@ -105,50 +107,51 @@
 }
 
 #[test]
-fn bodies_and_files_are_those_that_the_version_before_wrote() {
+fn messages_and_files_equal_those_of_the_previous_version() {
     let recorded = include_str!("fixtures/exchange.txt");
     let written = record();
-    for (line, (now, then)) in written.lines().zip(recorded.lines()).enumerate() {
-        assert_eq!(now, then, "line {}", line + 1);
+    for (line, (actual, expected)) in written.lines().zip(recorded.lines()).enumerate() {
+        assert_eq!(actual, expected, "line {}", line + 1);
     }
     assert_eq!(written.lines().count(), recorded.lines().count());
 }
 
 #[test]
-fn a_file_of_the_version_before_is_read() {
+fn a_file_of_the_previous_version_is_decoded() {
     let recorded = include_str!("fixtures/exchange.txt");
     let file = recorded
         .lines()
         .find_map(|line| line.strip_prefix("file 0 "));
-    let kept = Kept::read(&unhex(file.expect("a file")), &rules(), "n0").expect("it is read");
+    let state = PersistedState::decode(&unhex(file.expect("a file")), &rules(), "n0")
+        .expect("a valid file");
     assert_eq!(
-        (kept.installation.as_str(), kept.name.as_str()),
+        (state.installation.as_str(), state.name.as_str()),
         ("test", "n0")
     );
     assert_eq!(
-        (kept.generation, kept.longest_ms, kept.sealed),
+        (state.generation, state.max_lease_ms, state.sealed_below),
         (1, 3_000, 1)
     );
-    assert_eq!(kept.ceiling, Token(0));
+    assert_eq!(state.token_ceiling, Token(0));
 }
 
 #[test]
-fn bodies_of_the_version_before_are_understood() {
+fn messages_of_the_previous_version_are_decoded() {
     let recorded = include_str!("fixtures/exchange.txt");
-    let mut listener = router(0);
+    let mut receiver = router(0);
     let bodies = recorded
         .lines()
         .filter_map(|line| line.strip_prefix("body "));
     let mut count = 0;
     for body in bodies {
-        let mut words = body.split(' ');
-        let from: usize = words.next().unwrap().parse().unwrap();
-        let to = words.next().unwrap();
+        let mut fields = body.split(' ');
+        let from: usize = fields.next().unwrap().parse().unwrap();
+        let to = fields.next().unwrap();
         if to == "0" {
-            listener.receive(BEGIN, &member(from), &unhex(words.next().unwrap()), 0);
+            receiver.receive(BEGIN, &member(from), &unhex(fields.next().unwrap()), 0);
             count += 1;
         }
     }
-    assert!(count > 10, "{count} bodies were recorded for it");
-    assert_eq!(listener.counts().malformed, 0);
+    assert!(count > 10, "{count} messages to router 0 were recorded");
+    assert_eq!(receiver.counts().malformed, 0);
 }
--- a/router/src/lease_tasks/config.rs
+++ b/router/src/lease_tasks/config.rs
@@ -133,12 +133,12 @@
             let unknown = || TermsFault::NoGuard(guard.clone());
             match guard.split_once('/') {
                 Some(("duties", name)) => {
-                    rules.without =
+                    rules.disabled_guard =
                         Some(plovercove_leases::Guard::named(name).ok_or_else(unknown)?);
                 }
                 Some(("fanout", name)) => {
-                    fanout.without =
-                        Some(plovercove_fanout::Guard::named(name).ok_or_else(unknown)?);
+                    fanout.disabled_guard =
+                        Some(plovercove_fanout::Guard::from_name(name).ok_or_else(unknown)?);
                 }
                 _ => {}
             }
@@ -164,7 +164,7 @@
                 });
             }
         }
-        let deciders = rules.deciders.members.iter().chain(&rules.deciders.before);
+        let deciders = rules.voters.members.iter().chain(&rules.voters.previous);
         if self.file.is_none() && deciders.map(|d| d.address).any(|d| d == address) {
             return Err(TermsFault::NoFile { address });
         }
--- a/router/src/lease_tasks/file.rs
+++ b/router/src/lease_tasks/file.rs
@@ -1,7 +1,7 @@
 //! The file with a voter's persisted state: read at the start, and replaced as a whole when a vote depends on a new state.
 
 use plovercove::{Micros, Time};
-use plovercove_leases::{Kept, KeptFault, Rules};
+use plovercove_leases::{PersistedState, PersistedStateFault, Rules};
 use std::fs::{self, File};
 use std::io::{self, ErrorKind, Write};
 use std::path::{Path, PathBuf};
@@ -27,7 +27,7 @@
         /// The path.
         path: PathBuf,
         /// The cause.
-        source: KeptFault,
+        source: PersistedStateFault,
     },
     /// The system refused to write it.
     #[error("{}: the decider's file cannot be written: {source}", path.display())]
@@ -59,7 +59,7 @@
         !matches!(
             self,
             FileFault::Kept {
-                source: KeptFault::Torn { .. } | KeptFault::Damaged,
+                source: PersistedStateFault::Torn { .. } | PersistedStateFault::Damaged,
                 ..
             }
         )
@@ -90,17 +90,19 @@
 impl StateFile {
     /// Reads the file. If it is torn or damaged, the voter continues as if the file were lost: it learns the other voters'
     /// tokens first, and the file is overwritten. A file of another router is left as it is.
-    pub fn read(path: &Path, rules: &Rules, name: &str) -> (Self, Result<Option<Kept>, FileFault>) {
+    pub fn read(
+        path: &Path,
+        rules: &Rules,
+        name: &str,
+    ) -> (Self, Result<Option<PersistedState>, FileFault>) {
         let path = path.to_path_buf();
         let kept = match fs::read(&path) {
-            Ok(bytes) => {
-                Kept::read(&bytes, rules, name)
-                    .map(Some)
-                    .map_err(|source| FileFault::Kept {
-                        path: path.clone(),
-                        source,
-                    })
-            }
+            Ok(bytes) => PersistedState::decode(&bytes, rules, name)
+                .map(Some)
+                .map_err(|source| FileFault::Kept {
+                    path: path.clone(),
+                    source,
+                }),
             Err(e) if e.kind() == ErrorKind::NotFound => Ok(None),
             Err(source) => Err(FileFault::Read {
                 path: path.clone(),
--- a/router/src/lease_tasks/log.rs
+++ b/router/src/lease_tasks/log.rs
@@ -2,8 +2,8 @@
 
 use super::{Counts, FileFault, WriteCounts};
 use plovercove_fanout::{self as fanout, ClientCounts, Fault, GatewayCounts};
-use plovercove_fencing::{Duty, Refused, Token};
-use plovercove_leases::{Counts as LeaseCounts, News, Stage};
+use plovercove_fencing::{FenceError, LeaseName, Token};
+use plovercove_leases::{Counts as LeaseCounts, LeaseEvent, VoterStage};
 use tracing::{info, warn};
 
 /// Logs a fault of the voter's state file.
@@ -35,49 +35,53 @@
 }
 
 /// Logs a rejected message of a former lease holder.
-pub fn rejected(why: &Refused) {
+pub fn rejected(why: &FenceError) {
     warn!(reason = "refused", help = why.help(), "{why}");
 }
 
 /// Logs an event of the leases.
-pub fn lease_event(news: &News) {
-    let (reason, help) = (news.word(), news.help());
-    match news {
-        News::Won {
-            duty,
+pub fn lease_event(event: &LeaseEvent) {
+    let (reason, help) = (event.label(), event.help());
+    match event {
+        LeaseEvent::Acquired {
+            lease,
             token,
-            begins,
+            resumes_from,
         } => {
-            let begins = begins.map(|t| t.0);
-            info!(reason, help, %duty, token = token.0, begins, "this router holds the lease {duty}");
+            let begins = resumes_from.map(|token| token.0);
+            info!(reason, help, duty = %lease, token = token.0, begins, "this router holds the lease {lease}");
         }
-        News::Lost { duty, token, why } => {
-            let why = why.word();
-            info!(reason, help, %duty, token = token.0, why, "this router no longer holds the lease {duty}");
+        LeaseEvent::Lost {
+            lease,
+            token,
+            reason: cause,
+        } => {
+            let why = cause.label();
+            info!(reason, help, duty = %lease, token = token.0, why, "this router no longer holds the lease {lease}");
         }
-        News::HandedOver { duty, token, to } => {
-            info!(reason, help, %duty, token = token.0, to = to.name, "the lease {duty} was handed over to {}", to.name);
+        LeaseEvent::HandedOver { lease, token, to } => {
+            info!(reason, help, duty = %lease, token = token.0, to = to.name, "the lease {lease} was handed over to {}", to.name);
         }
-        News::GivenBack { duty, token } => {
-            info!(reason, help, %duty, token = token.0, "the lease {duty} was released: no router accepted it");
+        LeaseEvent::Released { lease, token } => {
+            info!(reason, help, duty = %lease, token = token.0, "the lease {lease} was released: no router accepted it");
         }
-        News::SetAside { duty, span } => {
-            warn!(reason, help, %duty, ms = span / 1_000, "the lease {duty} lost one holder after the other and is suspended");
+        LeaseEvent::Suspended { lease, duration } => {
+            warn!(reason, help, duty = %lease, ms = duration / 1_000, "the lease {lease} lost one holder after the other and is suspended");
         }
-        News::NoMajority => warn!(
+        LeaseEvent::MajorityLost => warn!(
             reason,
             help, "no majority of the voters answers: each router does the lease tasks itself"
         ),
-        News::Majority => info!(reason, help, "a majority of the voters answers"),
-        News::Stood { span } => {
+        LeaseEvent::MajorityReached => info!(reason, help, "a majority of the voters answers"),
+        LeaseEvent::Stalled { duration } => {
             warn!(
                 reason,
                 help,
-                ms = span / 1_000,
+                ms = duration / 1_000,
                 "this process stalled and holds no leases"
             )
         }
-        News::Decider { stage, above } => {
+        LeaseEvent::VoterStageChanged { stage, above } => {
             info!(
                 reason,
                 help,
@@ -86,18 +90,18 @@
                 "stage of this router as a voter: {stage:?}"
             );
         }
-        News::Stale => warn!(reason, help, "the voter's state file is an old copy"),
-        News::Full { duty } => {
-            warn!(reason, help, %duty, "the lease {duty} is ignored: the table of leases is full")
+        LeaseEvent::StaleFile => warn!(reason, help, "the voter's state file is an old copy"),
+        LeaseEvent::VoterFull { lease } => {
+            warn!(reason, help, duty = %lease, "this voter does not track the lease {lease}: its table of leases is full")
         }
     }
 }
 
 /// Logs an event of the subscriptions.
-pub fn fanout_event(news: &fanout::News) {
-    match news {
-        fanout::News::Item { .. } => {}
-        fanout::News::Missed {
+pub fn fanout_event(event: &fanout::SubscriptionEvent) {
+    match event {
+        fanout::SubscriptionEvent::Item { .. } => {}
+        fanout::SubscriptionEvent::Missed {
             topic,
             token,
             through,
@@ -109,20 +113,20 @@
             through,
             "items of {topic} were missed"
         ),
-        fanout::News::Refused { why } => rejected(why),
-        fanout::News::Silent { since } => warn!(
+        fanout::SubscriptionEvent::SenderRejected { error } => rejected(error),
+        fanout::SubscriptionEvent::GatewaySilent { since } => warn!(
             reason = "gateway silent",
             help = "nothing where it comes back within the gap after a kill; else look at the gateway of this zone",
             since,
             "the gateway does not answer: this router queries nodes itself"
         ),
-        fanout::News::Replaced { boot } => warn!(
+        fanout::SubscriptionEvent::Replaced { boot } => warn!(
             reason = "replaced",
             help = "give each router its own name; this one is not told any more",
             boot,
             "a later incarnation under this router's name has subscribed"
         ),
-        fanout::News::Full => warn!(
+        fanout::SubscriptionEvent::SubscriptionsFull => warn!(
             reason = "full",
             help = "raise `duties.fanout.subscriptions`",
             "the gateway accepts no more subscriptions"
@@ -133,11 +137,11 @@
 /// The state that is logged on SIGUSR1.
 pub struct State<'a> {
     /// Leases that this router holds.
-    pub held: &'a [(Duty, Token)],
+    pub held: &'a [(LeaseName, Token)],
     /// Leases with the holders that this router knows of.
-    pub holders: &'a [(Duty, String, Token)],
+    pub holders: &'a [(LeaseName, String, Token)],
     /// The stage of this router as a voter, if it is one.
-    pub stage: Option<Stage>,
+    pub stage: Option<VoterStage>,
     /// Whether no majority of the voters answers.
     pub alone: bool,
     /// Number of subscribed topics.
@@ -165,14 +169,14 @@
             state
                 .held
                 .iter()
-                .map(|(duty, token)| format!("{duty}{token}"))
+                .map(|(lease, token)| format!("{lease}{token}"))
                 .collect()
         ),
         owners = join(
             state
                 .holders
                 .iter()
-                .map(|(duty, holder, token)| format!("{duty}={holder}{token}"))
+                .map(|(lease, holder, token)| format!("{lease}={holder}{token}"))
                 .collect()
         ),
         stage = state.stage.map(|stage| format!("{stage:?}")),
@@ -184,7 +188,7 @@
         told = state.counts.published,
         learned = state.counts.applied,
         other_life = state.counts.other_incarnation,
-        unread = state.counts.unread,
+        unread = state.counts.undecodable,
         unsent = state.counts.unsent,
         written = state.writes.count,
         longest_write_us = state.writes.longest_us,
--- a/router/src/lease_tasks/mod.rs
+++ b/router/src/lease_tasks/mod.rs
@@ -21,9 +21,9 @@
 use plovercove::{GroupId, Micros, Time};
 use plovercove_engine::Engine;
 use plovercove_fanout::{self as fanout, Client, Fault, Gateway, Publisher, Subscriber, Topic};
-use plovercove_fencing::{Duty, Refused, Token};
+use plovercove_fencing::{FenceError, LeaseName, Token};
 use plovercove_gossip::{Incarnation, ReceivedPart, payload_kind};
-use plovercove_leases::{Duties, Member, Wanted};
+use plovercove_leases::{LeaseManager, Member, WantedLease};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -44,7 +44,7 @@
     published: u64,
     applied: u64,
     other_incarnation: u64,
-    unread: u64,
+    undecodable: u64,
     unsent: u64,
 }
 
@@ -53,22 +53,22 @@
     clock: Clock,
     config: LeaseTasksConfig,
     me: Member,
-    duties: Rc<RefCell<Duties>>,
+    leases: Rc<RefCell<LeaseManager>>,
     file: Option<StateFile>,
     client: Client,
     publisher: Publisher,
     /// The gateway of this router's zone and the name of its lease. `None` if the zone's name is not valid in a lease name.
-    gateway: Option<(Duty, Gateway)>,
+    gateway: Option<(LeaseName, Gateway)>,
     watches: Watches,
-    watching: BTreeSet<GroupId>,
+    watched_groups: BTreeSet<GroupId>,
     nodes: Nodes,
     members: Vec<Member>,
-    zones: Vec<(String, Duty)>,
+    zones: Vec<(String, LeaseName)>,
     gateways: Vec<SocketAddr>,
     queries: Vec<NodeQuery>,
     outbox: Vec<(SocketAddr, u8, Vec<u8>)>,
     local_messages: VecDeque<(u8, Vec<u8>)>,
-    logged_rejections: BTreeMap<Duty, Token>,
+    logged_rejections: BTreeMap<LeaseName, Token>,
     counts: Counts,
 }
 
@@ -81,7 +81,7 @@
         name: incarnation.name.clone(),
         zone: incarnation.zone.clone(),
         address: incarnation.address,
-        boot: incarnation.boot,
+        incarnation: incarnation.boot,
     }
 }
 
@@ -89,69 +89,71 @@
     /// Creates the tasks of a router that holds no lease yet. Reads the state file if the router is a voter.
     pub fn new(
         config: LeaseTasksConfig,
-        me: &Incarnation,
+        incarnation: &Incarnation,
         routers: u32,
         clock: Clock,
         seed: u64,
     ) -> Self {
         let now = clock.now();
-        let me = member(me);
-        let is_this_router = |d: &plovercove_leases::Decider| d.address == me.address;
-        let deciders = &config.rules.deciders;
-        let (mut file, mut kept) = (None, None);
-        if deciders
+        let me = member(incarnation);
+        let is_this_router = |d: &plovercove_leases::VoterConfig| d.address == me.address;
+        let voters = &config.rules.voters;
+        let (mut file, mut persisted_state) = (None, None);
+        if voters
             .members
             .iter()
-            .chain(&deciders.before)
+            .chain(&voters.previous)
             .any(is_this_router)
         {
             match &config.file {
                 Some(path) => {
-                    let (found, read) = StateFile::read(path, &config.rules, &me.name);
-                    kept = read.unwrap_or_else(|fault| {
+                    let (state_file, persisted) =
+                        StateFile::persisted(path, &config.rules, &me.name);
+                    persisted_state = persisted.unwrap_or_else(|fault| {
                         log::state_file_fault(&fault);
                         None
                     });
-                    file = Some(found);
+                    file = Some(state_file);
                 }
                 // A vote that is not on disk is lost at the next start, and the router may vote a second time. Without a
                 // file, no vote is sent.
                 None => log::no_state_file(),
             }
         }
-        let gateway = Duty::new(&format!("gateway/{}", me.zone))
+        let gateway = LeaseName::new(&format!("gateway/{}", me.zone))
             .ok()
-            .and_then(|duty| {
-                let made = Gateway::new(config.fanout.clone(), &me.zone, me.address, now, seed ^ 1)
-                    .ok()?;
-                Some((duty, made))
+            .and_then(|lease| {
+                let gateway =
+                    Gateway::new(config.fanout.clone(), &me.zone, me.address, now, seed ^ 1)
+                        .ok()?;
+                Some((lease, gateway))
             });
         if gateway.is_none() {
             log::zone_without_gateway(&me.zone);
         }
         let subscriber = Subscriber {
             name: me.name.as_str().into(),
-            boot: me.boot,
+            boot: me.incarnation,
             address: me.address,
             zone: me.zone.as_str().into(),
         };
-        let duties = Duties::new(
+        let leases = LeaseManager::new(
             config.rules.clone(),
             me.clone(),
             routers,
             now,
             seed ^ 2,
-            kept,
+            persisted_state,
         );
         LeaseTasks {
             clock,
-            duties: Rc::new(RefCell::new(duties)),
+            leases: Rc::new(RefCell::new(leases)),
             file,
             client: Client::new(config.fanout.clone(), subscriber, now, seed ^ 3),
             publisher: Publisher::new(config.fanout.clone(), now, seed ^ 4),
             gateway,
             watches: Watches::new(config.watch_interval),
-            watching: BTreeSet::new(),
+            watched_groups: BTreeSet::new(),
             nodes: Nodes::default(),
             members: vec![me.clone()],
             zones: Vec::new(),
@@ -184,7 +186,9 @@
         others: impl Iterator<Item = &'a Incarnation>,
     ) {
         self.members = others.map(member).chain([self.me.clone()]).collect();
-        self.duties.borrow_mut().members(now, self.members.clone());
+        self.leases
+            .borrow_mut()
+            .set_members(now, self.members.clone());
         self.update_wanted(now);
     }
 
@@ -194,7 +198,9 @@
         let mut wanted = Vec::new();
         let groups = self.nodes.groups();
         for group in &groups {
-            wanted.extend(Duty::new(&watch_name(*group)).map(|duty| Wanted { duty, zone: None }));
+            wanted.extend(
+                LeaseName::new(&watch_name(*group)).map(|lease| WantedLease { lease, zone: None }),
+            );
         }
         let zones: BTreeSet<&String> = self
             .members
@@ -206,22 +212,22 @@
         let gateway_lease = |zone: &&String| {
             Some((
                 zone.to_string(),
-                Duty::new(&format!("gateway/{zone}")).ok()?,
+                LeaseName::new(&format!("gateway/{zone}")).ok()?,
             ))
         };
         self.zones = zones.iter().filter_map(gateway_lease).collect();
-        wanted.extend(self.zones.iter().map(|(zone, duty)| Wanted {
-            duty: duty.clone(),
+        wanted.extend(self.zones.iter().map(|(zone, lease)| WantedLease {
+            lease: lease.clone(),
             zone: Some(zone.clone()),
         }));
-        self.duties.borrow_mut().want(now, wanted);
-        if groups != self.watching {
-            for group in self.watching.difference(&groups) {
+        self.leases.borrow_mut().set_wanted(now, wanted);
+        if groups != self.watched_groups {
+            for group in self.watched_groups.difference(&groups) {
                 Topic::new(&watch_name(*group))
                     .iter()
                     .for_each(|topic| self.client.unsubscribe(topic));
             }
-            for group in groups.difference(&self.watching) {
+            for group in groups.difference(&self.watched_groups) {
                 let Ok(topic) = Topic::new(&watch_name(*group)) else {
                     continue;
                 };
@@ -230,20 +236,20 @@
                     break;
                 }
             }
-            self.watching = groups;
+            self.watched_groups = groups;
         }
     }
 
     /// Handles a process stall.
     pub fn process_stalled(&mut self, now: Time, duration: Micros) {
-        self.duties.borrow_mut().stood(now, duration);
+        self.leases.borrow_mut().handle_stall(now, duration);
     }
 
     /// Handles a message from another router.
     pub fn receive_part(&mut self, now: Time, part: ReceivedPart) {
         match part.kind {
             payload_kind::LEASE => {
-                self.duties
+                self.leases
                     .borrow_mut()
                     .receive(now, &member(&part.from), &part.body, part.late);
             }
@@ -266,7 +272,7 @@
         let _ = self.client.receive(now, from, body, late);
         match gateway {
             Err(Fault::Refused(why)) => self.log_rejection(&why),
-            Err(Fault::Unread { .. }) => self.counts.unread += 1,
+            Err(Fault::Unread { .. }) => self.counts.undecodable += 1,
             _ => {}
         }
         if let Err(Fault::Refused(why)) = publisher {
@@ -275,14 +281,14 @@
     }
 
     /// Logs a rejected message. A former lease holder, which may continue to send for long, is logged once for each token.
-    fn log_rejection(&mut self, why: &Refused) {
-        let Refused::Older { duty, told, .. } = why else {
+    fn log_rejection(&mut self, why: &FenceError) {
+        let FenceError::Older { lease, token, .. } = why else {
             return log::rejected(why);
         };
         if self.logged_rejections.len() >= MAX_LOGGED_REJECTIONS {
             self.logged_rejections.clear();
         }
-        if self.logged_rejections.insert(duty.clone(), *told) != Some(*told) {
+        if self.logged_rejections.insert(lease.clone(), *token) != Some(*token) {
             log::rejected(why);
         }
     }
@@ -299,13 +305,13 @@
 
     /// Runs what is due, and delivers the messages from this router to itself.
     pub fn run_due(&mut self, now: Time, engine: &mut Engine) {
-        self.duties.borrow_mut().turn(now);
+        self.leases.borrow_mut().turn(now);
         self.apply_leases(now);
         self.query_nodes(now);
         self.publish(now);
         self.publisher.turn(now);
         self.client.turn(now);
-        if let Some((_, gateway)) = self.gateway.as_mut().filter(|(_, g)| g.owns()) {
+        if let Some((_, gateway)) = self.gateway.as_mut().filter(|(_, g)| g.holds_lease()) {
             gateway.turn(now);
         }
         for _ in 0..MAX_LOCAL_ROUNDS {
@@ -317,15 +323,15 @@
             for (kind, body) in std::mem::take(&mut self.local_messages) {
                 match kind {
                     payload_kind::FANOUT => self.receive_fanout(now, self.me.address, &body, 0),
-                    _ => self.duties.borrow_mut().receive(now, &self.me, &body, 0),
+                    _ => self.leases.borrow_mut().receive(now, &self.me, &body, 0),
                 }
             }
         }
         self.apply_published(engine);
-        while let Some(news) = self.duties.borrow_mut().news() {
-            log::lease_event(&news);
+        while let Some(event) = self.leases.borrow_mut().take_event() {
+            log::lease_event(&event);
         }
-        while let Some(why) = self.publisher.refused() {
+        while let Some(why) = self.publisher.take_rejection() {
             self.log_rejection(&why);
         }
     }
@@ -333,36 +339,36 @@
     /// Applies the current lease holders: the watches that this router holds, and the gateways that it publishes to and
     /// subscribes at.
     fn apply_leases(&mut self, now: Time) {
-        let duties = self.duties.borrow();
-        let mut owned = BTreeMap::new();
-        for group in &self.watching {
-            if let Ok(duty) = Duty::new(&watch_name(*group))
-                && let Some(token) = duties.may_act(now, &duty)
+        let leases = self.leases.borrow();
+        let mut held_watches = BTreeMap::new();
+        for group in &self.watched_groups {
+            if let Ok(lease) = LeaseName::new(&watch_name(*group))
+                && let Some(token) = leases.may_act(now, &lease)
             {
-                owned.insert(*group, token);
+                held_watches.insert(*group, token);
             }
         }
-        for group in self.watches.set_held(now, &owned) {
-            Duty::new(&watch_name(group))
+        for group in self.watches.set_held(now, &held_watches) {
+            LeaseName::new(&watch_name(group))
                 .iter()
-                .for_each(|duty| self.publisher.ended(duty));
+                .for_each(|lease| self.publisher.drop_lease(lease));
         }
         // A gateway whose holder is in another zone is left out: its own zone has no router, and thus no subscriber.
-        let gateway_address = |(zone, duty): &(String, Duty)| {
-            duties
-                .owner(duty)
-                .filter(|(owner, _)| owner.zone == *zone)
-                .map(|(owner, _)| owner.address)
+        let gateway_address = |(zone, lease): &(String, LeaseName)| {
+            leases
+                .holder(lease)
+                .filter(|(holder, _)| holder.zone == *zone)
+                .map(|(holder, _)| holder.address)
         };
         let gateways: Vec<SocketAddr> = self.zones.iter().filter_map(gateway_address).collect();
         if gateways != self.gateways {
-            self.publisher.gateways(now, &gateways);
+            self.publisher.set_gateways(now, &gateways);
             self.gateways = gateways;
         }
-        if let Some((duty, gateway)) = &mut self.gateway {
-            gateway.token(now, duties.may_act(now, duty));
-            if let Some((owner, _)) = duties.owner(duty) {
-                self.client.gateway(now, owner.address);
+        if let Some((lease, gateway)) = &mut self.gateway {
+            gateway.set_token(now, leases.may_act(now, lease));
+            if let Some((holder, _)) = leases.holder(lease) {
+                self.client.set_gateway(now, holder.address);
             }
         }
     }
@@ -370,14 +376,14 @@
     /// Queries the nodes of the groups whose next query is due.
     fn query_nodes(&mut self, now: Time) {
         for (group, token) in self.watches.take_due(now) {
-            let Ok(duty) = Duty::new(&watch_name(group)) else {
+            let Ok(lease) = LeaseName::new(&watch_name(group)) else {
                 continue;
             };
             // The lease may expire before the query is sent, if the process stalls in this turn or if the query waits for
             // a connection. A node cannot check tokens, so the lease is checked with a fresh clock when the query is sent.
-            let (duties, clock) = (self.duties.clone(), self.clock);
+            let (leases, clock) = (self.leases.clone(), self.clock);
             let lease_check: LeaseCheck =
-                Rc::new(move || duties.borrow().may_act(clock.now(), &duty) == Some(token));
+                Rc::new(move || leases.borrow().may_act(clock.now(), &lease) == Some(token));
             for node in self.nodes.serving(group) {
                 if self.watches.begin_query(now, group, node) {
                     self.counts.queried += 1;
@@ -394,10 +400,10 @@
     fn publish(&mut self, now: Time) {
         for (group, token, item) in self.watches.take_items(now) {
             let name = watch_name(group);
-            let (Ok(duty), Ok(topic)) = (Duty::new(&name), Topic::new(&name)) else {
+            let (Ok(lease), Ok(topic)) = (LeaseName::new(&name), Topic::new(&name)) else {
                 continue;
             };
-            match self.publisher.publish(now, &topic, &duty, token, &item) {
+            match self.publisher.publish(now, &topic, &lease, token, &item) {
                 Ok(_) => self.counts.published += 1,
                 Err(Fault::Refused(why)) => self.log_rejection(&why),
                 Err(fault) => log::fanout_fault(&fault),
@@ -408,9 +414,9 @@
     /// Writes the state file if votes depend on it.
     fn persist(&mut self, now: Time) {
         let Some(file) = &mut self.file else { return };
-        let fresh = self.duties.borrow_mut().to_keep();
-        match file.persist(now, fresh) {
-            Ok(true) => self.duties.borrow_mut().kept(now),
+        let new_state = self.leases.borrow_mut().take_pending_write();
+        match file.persist(now, new_state) {
+            Ok(true) => self.leases.borrow_mut().complete_write(now),
             Ok(false) => {}
             Err(fault) => log::state_file_fault(&fault),
         }
@@ -418,45 +424,47 @@
 
     /// Collects the outgoing messages of all parts. Those to this router itself do not go through the network.
     fn collect_outgoing(&mut self) {
-        let duties = self
-            .duties
+        let leases = self
+            .leases
             .borrow_mut()
-            .out()
+            .take_outbox()
             .into_iter()
-            .map(|(to, body)| (to, payload_kind::LEASE, body));
-        let mut all: Vec<_> = duties.collect();
+            .map(|(receiver, body)| (receiver, payload_kind::LEASE, body));
+        let mut all: Vec<_> = leases.collect();
         let fanout = [
-            self.publisher.out(),
-            self.client.out(),
+            self.publisher.take_outbox(),
+            self.client.take_outbox(),
             self.gateway
                 .as_mut()
-                .map(|(_, g)| g.out())
+                .map(|(_, g)| g.take_outbox())
                 .unwrap_or_default(),
         ];
         all.extend(
             fanout
                 .into_iter()
                 .flatten()
-                .map(|(to, body)| (to, payload_kind::FANOUT, body)),
+                .map(|(receiver, body)| (receiver, payload_kind::FANOUT, body)),
         );
-        for (to, kind, body) in all {
-            if to == self.me.address {
+        for (receiver, kind, body) in all {
+            if receiver == self.me.address {
                 self.local_messages.push_back((kind, body));
             } else {
-                self.outbox.push((to, kind, body));
+                self.outbox.push((receiver, kind, body));
             }
         }
     }
 
     /// Passes the published status of nodes to the engine as evidence of its age.
     fn apply_published(&mut self, engine: &mut Engine) {
-        while let Some(news) = self.client.news() {
-            let fanout::News::Item {
+        while let Some(event) = self.client.take_event() {
+            let fanout::SubscriptionEvent::Item {
                 topic, age, body, ..
-            } = news
+            } = event
             else {
-                match &news {
-                    fanout::News::Refused { why } => self.log_rejection(why),
+                match &event {
+                    fanout::SubscriptionEvent::SenderRejected { error } => {
+                        self.log_rejection(error)
+                    }
                     other => log::fanout_event(other),
                 }
                 continue;
@@ -469,7 +477,7 @@
                 continue;
             };
             let Some(statuses) = decode_item(&body) else {
-                self.counts.unread += 1;
+                self.counts.undecodable += 1;
                 continue;
             };
             for status in statuses {
@@ -506,8 +514,8 @@
         let gateway = self
             .gateway
             .as_ref()
-            .filter(|(_, g)| g.owns())
-            .map_or(Time::MAX, |(_, g)| g.next());
+            .filter(|(_, g)| g.holds_lease())
+            .map_or(Time::MAX, |(_, g)| g.next_turn());
         let file = self
             .file
             .as_ref()
@@ -518,9 +526,9 @@
             0
         };
         [
-            self.duties.borrow().next(),
-            self.client.next(),
-            self.publisher.next(),
+            self.leases.borrow().next_turn(),
+            self.client.next_turn(),
+            self.publisher.next_turn(),
             self.watches.next_deadline(),
             gateway,
             file,
@@ -533,34 +541,34 @@
     /// Starts the shutdown: unsubscribes and hands the leases over.
     pub fn hand_over(&mut self, now: Time) {
         self.client.leave(now);
-        self.duties.borrow_mut().hand_over(now);
+        self.leases.borrow_mut().hand_over_all(now);
     }
 
     /// Returns whether a handover is in progress.
     pub fn is_handing_over(&self) -> bool {
-        self.duties.borrow().handing()
+        self.leases.borrow().is_handing_over()
     }
 
     /// Logs the leases that this router holds, the holders that it knows of, and the counts.
     pub fn log_state(&self, now: Time) {
-        let duties = self.duties.borrow();
+        let leases = self.leases.borrow();
         let mut holders = Vec::new();
-        for duty in self
-            .watching
+        for lease in self
+            .watched_groups
             .iter()
-            .filter_map(|g| Duty::new(&watch_name(*g)).ok())
+            .filter_map(|g| LeaseName::new(&watch_name(*g)).ok())
         {
             holders.extend(
-                duties
-                    .owner(&duty)
-                    .map(|(holder, token)| (duty, holder.name, token)),
+                leases
+                    .holder(&lease)
+                    .map(|(holder, token)| (lease, holder.name, token)),
             );
         }
-        for (_, duty) in &self.zones {
+        for (_, lease) in &self.zones {
             holders.extend(
-                duties
-                    .owner(duty)
-                    .map(|(holder, token)| (duty.clone(), holder.name, token)),
+                leases
+                    .holder(lease)
+                    .map(|(holder, token)| (lease.clone(), holder.name, token)),
             );
         }
         let gateway = self
@@ -569,16 +577,16 @@
             .map(|(_, g)| g.counts())
             .unwrap_or_default();
         log::log_state(&log::State {
-            held: &duties
-                .owned(now)
-                .map(|(duty, token)| (duty.clone(), token))
+            held: &leases
+                .held_leases(now)
+                .map(|(lease, token)| (lease.clone(), token))
                 .collect::<Vec<_>>(),
             holders: &holders,
-            stage: duties.stage(),
-            alone: duties.alone(now),
+            stage: leases.stage(),
+            alone: leases.is_without_majority(now),
             topics: self.client.topics().count(),
-            settled: self.client.settled(),
-            leases: duties.counts(),
+            settled: self.client.is_confirmed(),
+            leases: leases.counts(),
             client: self.client.counts(),
             gateway,
             counts: self.counts,
--- a/router/src/main.rs
+++ b/router/src/main.rs
@@ -54,7 +54,7 @@
         parts.push(format!(
             "{} zones, a spillover of at most {}",
             rules.zones.len(),
-            rules.spill
+            rules.max_spill_share
         ));
     }
     if !operators.fronts.is_empty() {
@@ -75,7 +75,7 @@
     if let Some(duties) = operators.duties {
         parts.push(format!(
             "{} routers vote on leases",
-            duties.rules.deciders.members.len()
+            duties.rules.voters.members.len()
         ));
     }
     Ok(if parts.is_empty() {
