--- a/router/src/lease_tasks/mod.rs
+++ b/router/src/lease_tasks/mod.rs
@@ -107,8 +107,7 @@
         {
             match &config.file {
                 Some(path) => {
-                    let (state_file, persisted) =
-                        StateFile::persisted(path, &config.rules, &me.name);
+                    let (state_file, persisted) = StateFile::read(path, &config.rules, &me.name);
                     persisted_state = persisted.unwrap_or_else(|fault| {
                         log::state_file_fault(&fault);
                         None
