--- a/router/tests/arrival/mod.rs
+++ b/router/tests/arrival/mod.rs
@@ -1,39 +1,42 @@
-//! Whether what a socket sent lies on the other side, by the system's own table of connections.
+//! Waits until the peer's system has received what a socket sent, according to the system's table of TCP connections.
 
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-/// Ends a test that would hang; no test waits for it.
-const HANGS: Duration = Duration::from_secs(40);
+/// Timeout that ends a hanging test. No passing test waits for it.
+const TEST_TIMEOUT: Duration = Duration::from_secs(40);
 
-/// The local port of a connection, by which it is found also once its owner has closed it.
-pub fn port(stream: &TcpStream) -> u16 {
+/// Returns the local port of a connection. It identifies the connection even after its socket has been closed.
+pub fn local_port(stream: &TcpStream) -> u16 {
     stream.local_addr().expect("connected").port()
 }
 
-/// Waits until the other side's system has acknowledged all that was sent from this port, the end with it.
-pub fn acknowledged(port: u16) {
-    let hangs = Instant::now() + HANGS;
-    while !is_acknowledged(port) {
+/// Waits until the peer's system has acknowledged all bytes that were sent from this port, and the close of the connection
+/// if it was closed.
+pub fn wait_for_acknowledgement(local_port: u16) {
+    let deadline = Instant::now() + TEST_TIMEOUT;
+    while !is_acknowledged(local_port) {
         assert!(
-            Instant::now() < hangs,
-            "the other side's system takes nothing in"
+            Instant::now() < deadline,
+            "the peer's system does not receive anything"
         );
         std::thread::yield_now();
     }
 }
 
-fn is_acknowledged(port: u16) -> bool {
+fn is_acknowledged(local_port: u16) -> bool {
     const FIN_WAIT1: &str = "04";
     let table = std::fs::read_to_string("/proc/net/tcp").expect("the table of connections");
     let lines = table
         .lines()
         .skip(1)
         .map(|line| line.split_whitespace().collect::<Vec<_>>());
-    let local = format!(":{port:04X}");
-    let own = lines
-        .into_iter()
-        .find(|fields| fields.get(1).is_some_and(|at| at.ends_with(&local)));
-    // One that was reset is in the table no more.
-    own.is_none_or(|fields| fields[3] != FIN_WAIT1 && fields[4].starts_with("00000000:"))
+    let port_suffix = format!(":{local_port:04X}");
+    let own_line = lines.into_iter().find(|fields| {
+        fields
+            .get(1)
+            .is_some_and(|address| address.ends_with(&port_suffix))
+    });
+    // A connection that was reset is no longer in the table.
+    own_line.is_none_or(|fields| fields[3] != FIN_WAIT1 && fields[4].starts_with("00000000:"))
 }
--- a/router/tests/standing_clients.rs
+++ b/router/tests/standing_clients.rs
@@ -1,4 +1,4 @@
-//! Clients that leave or cancel, held against the operators' sentence on those that have gone: what waits is never sent on.
+//! Clients that disconnect or cancel: operators are promised that a waiting request of such a client is never sent to a node.
 
 mod arrival;
 #[allow(dead_code, reason = "each test of the standing test uses a part of it")]
@@ -12,68 +12,68 @@
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// Queries of one connection that the router begins at a time.
-const PIPELINE: usize = 16;
+/// Maximum number of queries of one connection that the router begins at a time.
+const MAX_PIPELINED_QUERIES: usize = 16;
 
-/// A client that writes and reads the protocol itself.
-struct Raw {
+/// A client that writes and reads the protocol itself, on a blocking socket.
+struct RawClient {
     stream: TcpStream,
-    /// What a cancel must show: number and secret.
-    key: Vec<u8>,
+    /// The cancel key: id and secret, as in BackendKeyData.
+    cancel_key: Vec<u8>,
 }
 
-impl Raw {
-    /// Greeted, and given its key.
+impl RawClient {
+    /// Connects, logs in and stores the cancel key.
     fn connect(to: SocketAddr) -> Self {
-        let mut client = Raw::dial(to);
-        client.write(b"\0\0\0\x11\0\x03\0\0user\0me\0\0");
+        let mut client = RawClient::connect_without_login(to);
+        client.send(b"\0\0\0\x11\0\x03\0\0user\0me\0\0");
         loop {
-            match client.message() {
-                (b'K', body) => client.key = body,
+            match client.read_message() {
+                (b'K', body) => client.cancel_key = body,
                 (b'Z', _) => return client,
-                (b'E', body) => panic!("not let in: {}", body.escape_ascii()),
+                (b'E', body) => panic!("login rejected: {}", body.escape_ascii()),
                 _ => {}
             }
         }
     }
 
-    fn dial(to: SocketAddr) -> Self {
+    fn connect_without_login(to: SocketAddr) -> Self {
         let stream = TcpStream::connect(to).expect("it listens");
         stream.set_read_timeout(Some(HANGS)).expect("a time-out");
         stream.set_nodelay(true).expect("no delay");
-        Raw {
+        RawClient {
             stream,
-            key: Vec::new(),
+            cancel_key: Vec::new(),
         }
     }
 
-    fn write(&mut self, bytes: &[u8]) {
+    fn send(&mut self, bytes: &[u8]) {
         self.stream.write_all(bytes).expect("it reads");
     }
 
-    fn query(&mut self, text: &str) {
-        self.write(&query(text));
+    fn send_query(&mut self, text: &str) {
+        self.send(&query(text));
     }
 
-    fn message(&mut self) -> (u8, Vec<u8>) {
-        let mut head = [0; 5];
-        self.stream.read_exact(&mut head).expect("a message");
+    fn read_message(&mut self) -> (u8, Vec<u8>) {
+        let mut header = [0; 5];
+        self.stream.read_exact(&mut header).expect("a message");
         let mut body =
-            vec![0; u32::from_be_bytes([head[1], head[2], head[3], head[4]]) as usize - 4];
+            vec![0; u32::from_be_bytes([header[1], header[2], header[3], header[4]]) as usize - 4];
         self.stream.read_exact(&mut body).expect("a body");
-        (head[0], body)
+        (header[0], body)
     }
 
-    /// The answer up to `ReadyForQuery`: the code of its error, `row`, or nothing for an empty query.
-    fn answer(&mut self) -> String {
-        let mut said = String::new();
+    /// Reads an answer up to ReadyForQuery. Returns the SQLSTATE of its error, `row`, or an empty text for an empty query.
+    fn read_answer(&mut self) -> String {
+        let mut received = String::new();
         loop {
-            match self.message() {
-                (b'Z', _) => return said,
-                (b'D', _) => said = "row".into(),
+            match self.read_message() {
+                (b'Z', _) => return received,
+                (b'D', _) => received = "row".into(),
                 (b'E', body) => {
                     let code = body.split(|b| *b == 0).find_map(|f| f.strip_prefix(b"C"));
-                    said = String::from_utf8_lossy(code.unwrap_or_default()).into_owned();
+                    received = String::from_utf8_lossy(code.unwrap_or_default()).into_owned();
                 }
                 _ => {}
             }
@@ -91,34 +91,38 @@
     .concat()
 }
 
-fn wish(key: &[u8]) -> Vec<u8> {
-    [&[0, 0, 0, 16, 4, 0xd2, 0x16, 0x2e][..], key].concat()
+fn cancel_request(cancel_key: &[u8]) -> Vec<u8> {
+    [&[0, 0, 0, 16, 4, 0xd2, 0x16, 0x2e][..], cancel_key].concat()
 }
 
-/// Asks for a cancel, and waits until the router has taken the wish and ended the connection.
-fn cancel(to: SocketAddr, key: &[u8]) {
-    let mut wishes = Raw::dial(to);
-    wishes.write(&wish(key));
-    let mut said = Vec::new();
-    match wishes.stream.read_to_end(&mut said) {
+/// Sends a cancel request, and waits until the router has read it and closed the connection.
+fn cancel(to: SocketAddr, cancel_key: &[u8]) {
+    let mut canceller = RawClient::connect_without_login(to);
+    canceller.send(&cancel_request(cancel_key));
+    let mut received = Vec::new();
+    match canceller.stream.read_to_end(&mut received) {
         Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
-            panic!("stays open")
+            panic!("the connection stays open")
         }
         _ => assert!(
-            said.is_empty(),
+            received.is_empty(),
             "no answer to a cancel: {}",
-            said.escape_ascii()
+            received.escape_ascii()
         ),
     }
 }
 
-/// A router that serves on a list that its agent has told, and what must outlive it.
-fn served(name: &str, manners: [Manner; 3], sockets: u32) -> (Process, Vec<Node>, impl Sized) {
-    served_with(name, manners, sockets, "info")
+/// Starts a router with a list from its agent. Returns the router, its nodes, and what must outlive the router.
+fn start_router(
+    name: &str,
+    manners: [Manner; 3],
+    sockets: u32,
+) -> (Process, Vec<Node>, impl Sized) {
+    start_router_with_log_level(name, manners, sockets, "info")
 }
 
-/// The same, logging so much.
-fn served_with(
+/// Does the same with a log level.
+fn start_router_with_log_level(
     name: &str,
     manners: [Manner; 3],
     sockets: u32,
@@ -135,169 +139,178 @@
     (router, nodes, (agent, folder))
 }
 
-fn ran(nodes: &[Node], id: &str) -> bool {
+fn has_run(nodes: &[Node], id: &str) -> bool {
     nodes.iter().any(|node| node.ran().contains_key(id))
 }
 
-fn wait_until(what: &str, mut done: impl FnMut() -> bool) {
-    let until = Instant::now() + HANGS;
-    while !done() {
-        assert!(Instant::now() < until, "{what}");
+fn wait_until(condition: &str, mut is_done: impl FnMut() -> bool) {
+    let deadline = Instant::now() + HANGS;
+    while !is_done() {
+        assert!(Instant::now() < deadline, "{condition}");
         std::thread::sleep(Duration::from_millis(2));
     }
 }
 
-/// Something else is served from now on, so that whatever the router was to do of what came before has been done.
-fn serves_others(to: SocketAddr, id: &str) {
-    let mut other = Raw::connect(to);
-    other.query(&statement(id, "look"));
-    assert_eq!(other.answer(), "row");
+/// Serves a request of another client. Once it is answered, the router has processed everything that arrived before it.
+fn serve_another_client(to: SocketAddr, id: &str) {
+    let mut other = RawClient::connect(to);
+    other.send_query(&statement(id, "look"));
+    assert_eq!(other.read_answer(), "row");
 }
 
 #[test]
-fn a_cancelled_request_is_answered_and_what_waits_behind_it_goes_on() {
-    // Danger: a client that cancels has gone; its request would be sent on, and held, until its time is over.
-    let (router, nodes, _kept) = served(
+fn a_cancelled_request_is_answered_and_the_queries_behind_it_continue() {
+    // Without cancelling, the request would be sent on to nodes and occupy the router until its deadline, although its client
+    // no longer wants it.
+    let (router, nodes, _guard) = start_router(
         "clients-cancel",
         [Manner::Slow, Manner::Slow, Manner::Slow],
         512,
     );
     let listen = router.listen();
-    let mut client = Raw::connect(listen);
-    assert_eq!(client.key.len(), 8, "a number and four secret bytes");
-    client.write(
+    let mut client = RawClient::connect(listen);
+    assert_eq!(client.cancel_key.len(), 8, "an id and four secret bytes");
+    client.send(
         &[
             query(&statement("a1", "look")),
             query(&statement("a2", "look")),
         ]
         .concat(),
     );
-    wait_until("it runs", || ran(&nodes, "a1"));
-    let mut wrong = client.key.clone();
+    wait_until("the request runs", || has_run(&nodes, "a1"));
+    let mut wrong = client.cancel_key.clone();
     wrong[7] ^= 1;
     cancel(listen, &wrong);
-    cancel(listen, &client.key);
+    cancel(listen, &client.cancel_key);
     assert_eq!(
-        (client.answer().as_str(), client.answer().as_str()),
+        (client.read_answer().as_str(), client.read_answer().as_str()),
         ("57014", "row")
     );
-    // After the answer it hits nothing, and nothing that comes once its sender was told its end.
+    // A cancel request after the answer has no effect, nor has it one on queries that are sent after its connection has been
+    // closed.
     for n in 3..9 {
-        cancel(listen, &client.key);
-        client.query(&statement(&format!("a{n}"), "look"));
-        assert_eq!(client.answer(), "row");
+        cancel(listen, &client.cancel_key);
+        client.send_query(&statement(&format!("a{n}"), "look"));
+        assert_eq!(client.read_answer(), "row");
     }
 }
 
 #[test]
-fn what_is_cancelled_before_its_attempt_is_written_is_never_sent_on() {
-    // No connection to these nodes ever comes up: the request waits with an attempt that has not been written.
-    let (router, nodes, _kept) = served("clients-cancel-early", [Manner::Silent; 3], 512);
+fn a_request_that_is_cancelled_before_its_attempt_is_written_is_never_sent_on() {
+    // Connections to these nodes are never established, so that the attempt of the request is never written.
+    let (router, nodes, _guard) = start_router("clients-cancel-early", [Manner::Silent; 3], 512);
     let listen = router.listen();
-    let mut client = Raw::connect(listen);
-    client.query(&statement("b1", "look"));
-    let asked = Instant::now();
-    cancel(listen, &client.key);
-    assert_eq!(client.answer(), "57014");
+    let mut client = RawClient::connect(listen);
+    client.send_query(&statement("b1", "look"));
+    let sent_at = Instant::now();
+    cancel(listen, &client.cancel_key);
+    assert_eq!(client.read_answer(), "57014");
     assert!(
-        asked.elapsed() < Duration::from_millis(800),
-        "it was not waited for: {:?}",
-        asked.elapsed()
+        sent_at.elapsed() < Duration::from_millis(800),
+        "the answer took {:?}",
+        sent_at.elapsed()
     );
-    assert!(!ran(&nodes, "b1"));
+    assert!(!has_run(&nodes, "b1"));
 }
 
 #[test]
-fn a_wish_that_is_read_before_its_query_ends_it_and_its_sender_need_not_wait() {
-    // Danger: both lie in the router's buffers, and which is read first is chance. The router stands still meanwhile.
-    let (mut router, nodes, _kept) = served("clients-cancel-crossed", [Manner::Good; 3], 512);
+fn a_cancel_request_that_is_read_before_its_query_cancels_it() {
+    // The cancel request and the query arrive while the router is stopped, so that it may read either one first.
+    let (mut router, nodes, _guard) =
+        start_router("clients-cancel-crossed", [Manner::Good; 3], 512);
     let listen = router.listen();
     for waits in [true, false] {
-        let mut client = Raw::connect(listen);
-        // A connection that is taken in before the stop is read at once after it.
-        let mut wishes = Raw::dial(listen);
-        serves_others(listen, &format!("c0{}", u8::from(waits)));
+        let mut client = RawClient::connect(listen);
+        // The connection is accepted before the stop, so that it is read at once after it.
+        let mut canceller = RawClient::connect_without_login(listen);
+        serve_another_client(listen, &format!("c0{}", u8::from(waits)));
         router.strike(Blow::Stop);
-        wishes.write(&wish(&client.key));
+        canceller.send(&cancel_request(&client.cancel_key));
         if !waits {
-            wishes.stream.shutdown(Shutdown::Both).expect("it is up");
+            canceller.stream.shutdown(Shutdown::Both).expect("it is up");
         }
         let id = format!("c1{}", u8::from(waits));
-        client.query(&statement(&id, "look"));
+        client.send_query(&statement(&id, "look"));
         router.strike(Blow::Continue);
-        assert_eq!(client.answer(), "57014", "its sender waits: {waits}");
-        serves_others(listen, &format!("c2{}", u8::from(waits)));
-        assert!(!ran(&nodes, &id));
+        assert_eq!(
+            client.read_answer(),
+            "57014",
+            "the sender waits for the close: {waits}"
+        );
+        serve_another_client(listen, &format!("c2{}", u8::from(waits)));
+        assert!(!has_run(&nodes, &id));
     }
 }
 
 #[test]
-fn a_cancel_is_heard_though_all_places_are_out_and_though_the_router_finishes() {
-    let (mut router, _nodes, _kept) = served("clients-cancel-full", [Manner::Silent; 3], 64);
+fn cancel_requests_are_processed_without_free_slots_and_during_the_shutdown() {
+    let (mut router, _nodes, _guard) = start_router("clients-cancel-full", [Manner::Silent; 3], 64);
     let listen = router.listen();
-    // All 20 places are held by requests.
-    let mut held: Vec<Raw> = (0..20).map(|_| Raw::connect(listen)).collect();
-    for (n, client) in held.iter_mut().enumerate() {
-        client.query(&statement(&format!("d{n:x}"), "look"));
+    // Requests occupy all 20 slots.
+    let mut busy: Vec<RawClient> = (0..20).map(|_| RawClient::connect(listen)).collect();
+    for (n, client) in busy.iter_mut().enumerate() {
+        client.send_query(&statement(&format!("d{n:x}"), "look"));
     }
-    cancel(listen, &held[3].key);
-    assert_eq!(held[3].answer(), "57014");
+    cancel(listen, &busy[3].cancel_key);
+    assert_eq!(busy[3].read_answer(), "57014");
     router.strike(Blow::Term);
     assert!(router.says("SIGTERM", HANGS).is_some());
-    cancel(listen, &held[4].key);
-    assert_eq!(held[4].answer(), "57014");
+    cancel(listen, &busy[4].cancel_key);
+    assert_eq!(busy[4].read_answer(), "57014");
 }
 
 #[test]
-fn who_sends_much_and_goes_has_nothing_begun_any_more() {
-    // Danger: the end lies behind what there is no room to begin, and all of it would be sent on, one after the other. The
-    // primary holds all that it is sent, so that no answer makes room, and none fails to be passed on, before the end.
-    for ends in ["close", "reset", "half"] {
-        let name = format!("clients-much-{ends}");
+fn no_query_of_a_client_that_has_closed_is_begun_however_many_wait() {
+    // The client's close is behind queries that the router cannot begin yet. If it were not detected, all of them would be
+    // sent on, one after the other. The primary does not answer, so that no answer makes room before the close.
+    for close_kind in ["close", "reset", "half"] {
+        let name = format!("clients-much-{close_kind}");
         let manners = [Manner::HoldsWork, Manner::Good, Manner::Good];
-        let (mut router, nodes, _kept) = served_with(&name, manners, 512, "debug");
+        let (mut router, nodes, _guard) = start_router_with_log_level(&name, manners, 512, "debug");
         let listen = router.listen();
-        let mut client = Raw::connect(listen);
+        let mut client = RawClient::connect(listen);
         let ids: Vec<String> = (0..400).map(|n| format!("a{n:04x}")).collect();
-        let mut all: Vec<u8> = ids
+        let mut queries: Vec<u8> = ids
             .iter()
             .flat_map(|id| query(&statement(id, "book")))
             .collect();
-        if ends == "half" {
-            all.truncate(all.len() - 9);
+        if close_kind == "half" {
+            queries.truncate(queries.len() - 9);
         }
-        client.write(&all);
-        wait_until("some run", || ran(&nodes, &ids[0]));
-        if ends == "reset" {
+        client.send(&queries);
+        wait_until("some queries run", || has_run(&nodes, &ids[0]));
+        if close_kind == "reset" {
             let now = Some(Duration::ZERO);
             socket2::SockRef::from(&client.stream)
                 .set_linger(now)
                 .expect("a linger");
         }
         drop(client);
-        // The one client so far: what the log says after its end was decided after it.
-        assert!(router.says("closed client=", HANGS).is_some(), "{ends}");
-        // A read that is begun later, and all that the router does up to its own end, which comes once nothing is left to
-        // do.
-        let mut other = Raw::connect(listen);
-        other.query(&statement("b1", "look"));
-        other.answer();
+        // It is the only client so far: what the log reports after this line was decided after the client's close.
+        assert!(
+            router.says("closed client=", HANGS).is_some(),
+            "{close_kind}"
+        );
+        // The log covers a later read and the shutdown, at the end of which nothing is left to do.
+        let mut other = RawClient::connect(listen);
+        other.send_query(&statement("b1", "look"));
+        other.read_answer();
         router.strike(Blow::Term);
         assert!(router.ended(HANGS).is_some_and(|status| status.success()));
         assert!(
             router.says("all is answered", HANGS).is_some(),
-            "the log is read to its end"
+            "the log is read to the end"
         );
         let lines = router.lines();
         let closed = lines
             .iter()
             .position(|line| line.contains("closed client="))
-            .expect("said above");
+            .expect("the line was found above");
         let writes =
             |line: &&String| line.contains("sent request=") && line.contains("class=\"book\"");
-        let late: Vec<&String> = lines[closed..].iter().filter(writes).collect();
-        assert!(late.is_empty(), "{ends}: {late:?}");
-        // One whose connection does not come up in time is sent anew: requests are counted, not attempts.
+        let late_writes: Vec<&String> = lines[closed..].iter().filter(writes).collect();
+        assert!(late_writes.is_empty(), "{close_kind}: {late_writes:?}");
+        // An attempt whose connection is not established in time is repeated, so requests are counted and not attempts.
         let number = |line: &String| {
             line.split("request=")
                 .nth(1)?
@@ -311,23 +324,24 @@
             .filter_map(number)
             .collect();
         let begun = begun.len();
-        let ran = ids.iter().filter(|id| ran(&nodes, id)).count();
+        let run_count = ids.iter().filter(|id| has_run(&nodes, id)).count();
         assert!(
-            0 < ran && ran <= begun && begun <= PIPELINE,
-            "{ends}: {ran} of {begun} ran"
+            0 < run_count && run_count <= begun && begun <= MAX_PIPELINED_QUERIES,
+            "{close_kind}: {run_count} of {begun} ran"
         );
     }
 }
 
 #[test]
-fn a_request_whose_client_has_gone_before_it_is_read_is_never_sent_on() {
-    // Danger: a loop that was busy would read the request and begin it, and see the end only in its next turn.
-    let (mut router, nodes, _kept) = served("clients-gone-unread", [Manner::Good; 3], 512);
+fn a_request_that_is_read_after_its_client_has_closed_is_never_sent_on() {
+    // If the event loop was busy, it could read the request and begin it, and detect the client's close only in its next
+    // turn.
+    let (mut router, nodes, _guard) = start_router("clients-gone-unread", [Manner::Good; 3], 512);
     let listen = router.listen();
-    let mut clients: Vec<Raw> = (0..8).map(|_| Raw::connect(listen)).collect();
-    // One that is greeted by nobody yet: startup, request and end come in one.
-    clients.push(Raw::dial(listen));
-    serves_others(listen, "f0");
+    let mut clients: Vec<RawClient> = (0..8).map(|_| RawClient::connect(listen)).collect();
+    // For this client, startup packet, request and close arrive together.
+    clients.push(RawClient::connect_without_login(listen));
+    serve_another_client(listen, "f0");
     router.strike(Blow::Stop);
     for (n, mut client) in clients.into_iter().enumerate() {
         let startup = if n == 8 {
@@ -335,80 +349,82 @@
         } else {
             b""
         };
-        client.write(&[startup, &query(&statement(&format!("f1{n:x}"), "look"))].concat());
-        let port = arrival::port(&client.stream);
+        client.send(&[startup, &query(&statement(&format!("f1{n:x}"), "look"))].concat());
+        let port = arrival::local_port(&client.stream);
         drop(client);
-        arrival::acknowledged(port);
+        arrival::wait_for_acknowledgement(port);
     }
     router.strike(Blow::Continue);
-    serves_others(listen, "f2");
-    // What it was to begin it has begun by its own end.
+    serve_another_client(listen, "f2");
+    // All requests that the router begins have been begun when it exits.
     router.strike(Blow::Term);
     assert!(router.ended(HANGS).is_some_and(|status| status.success()));
     let begun: Vec<_> = (0..9)
         .map(|n| format!("f1{n:x}"))
-        .filter(|id| ran(&nodes, id))
+        .filter(|id| has_run(&nodes, id))
         .collect();
     assert!(
         begun.is_empty(),
-        "sent on though the client had gone: {begun:?}"
+        "sent on although the client was gone: {begun:?}"
     );
 }
 
 #[test]
-fn what_crosses_the_close_of_a_resting_client_resets_nothing_and_is_not_sent_on() {
-    // Danger: closed at once, the connection is reset by what crosses, and an answer on its way is lost with it; read
-    // after the end was told and sent on, the request is lost.
-    let (router, nodes, _kept) = served("clients-close-crossed", [Manner::Good; 3], 64);
+fn bytes_that_cross_the_close_of_an_idle_client_reset_nothing_and_are_not_sent_on() {
+    // If the router closed the connection at once, bytes that cross the close would reset it and destroy an answer on its
+    // way. If the router sent a request on that it read after the close, its answer would be lost.
+    let (router, nodes, _guard) = start_router("clients-close-crossed", [Manner::Good; 3], 64);
     let listen = router.listen();
-    // Of 20 places 6 may be held without a request: the seventh ends the first.
-    let mut resting: Vec<Raw> = Vec::new();
+    // Idle clients may occupy 6 of the 20 slots, so the seventh idle client evicts the first.
+    let mut idle_clients: Vec<RawClient> = Vec::new();
     for n in 0..7 {
-        let mut client = Raw::connect(listen);
-        client.query(&statement(&format!("a7{n:x}"), "look"));
-        assert_eq!(client.answer(), "row");
-        resting.push(client);
+        let mut client = RawClient::connect(listen);
+        client.send_query(&statement(&format!("a7{n:x}"), "look"));
+        assert_eq!(client.read_answer(), "row");
+        idle_clients.push(client);
     }
-    let first = &mut resting[0];
+    let first = &mut idle_clients[0];
     assert_eq!(
         first.stream.read(&mut [0]).expect("an end in good order"),
         0
     );
-    first.query(&statement("a8", "look"));
-    let last = &mut resting[6];
-    last.query(&statement("a9", "look"));
-    assert_eq!(last.answer(), "row");
-    let first = &resting[0];
-    let broken = first.stream.take_error().expect("asked");
+    first.send_query(&statement("a8", "look"));
+    let last = &mut idle_clients[6];
+    last.send_query(&statement("a9", "look"));
+    assert_eq!(last.read_answer(), "row");
+    let first = &idle_clients[0];
+    let error = first.stream.take_error().expect("asked");
     assert!(
-        broken.is_none(),
-        "what crossed the close broke the connection: {broken:?}"
+        error.is_none(),
+        "bytes that crossed the close reset the connection: {error:?}"
     );
     assert!(
-        !ran(&nodes, "a8"),
-        "read after the end was told, and sent on"
+        !has_run(&nodes, "a8"),
+        "a request was sent on after the close"
     );
 }
 
 #[test]
-fn clients_that_rest_until_the_router_ends_them_hold_up_no_end() {
-    let (mut router, _nodes, _kept) = served("clients-rest", [Manner::Good; 3], 512);
-    let mut resting: Vec<Raw> = (0..4).map(|_| Raw::connect(router.listen())).collect();
-    for (n, client) in resting.iter_mut().enumerate() {
-        client.query(&statement(&format!("b9{n:x}"), "look"));
-        assert_eq!(client.answer(), "row");
+fn idle_clients_do_not_delay_the_shutdown() {
+    let (mut router, _nodes, _guard) = start_router("clients-rest", [Manner::Good; 3], 512);
+    let mut idle_clients: Vec<RawClient> = (0..4)
+        .map(|_| RawClient::connect(router.listen()))
+        .collect();
+    for (n, client) in idle_clients.iter_mut().enumerate() {
+        client.send_query(&statement(&format!("b9{n:x}"), "look"));
+        assert_eq!(client.read_answer(), "row");
     }
-    let term = Instant::now();
+    let signalled_at = Instant::now();
     router.strike(Blow::Term);
-    // Told once more, it does as it was told.
+    // A second SIGTERM changes nothing.
     router.strike(Blow::Term);
     assert!(router.ended(HANGS).is_some_and(|status| status.success()));
     assert!(
-        term.elapsed() < Duration::from_millis(1_500),
-        "it ended after {:?}",
-        term.elapsed()
+        signalled_at.elapsed() < Duration::from_millis(1_500),
+        "the router exited after {:?}",
+        signalled_at.elapsed()
     );
-    for client in &mut resting {
+    for client in &mut idle_clients {
         assert_eq!(
             client.stream.read(&mut [0]).expect("an end in good order"),
             0
@@ -417,37 +433,40 @@
 }
 
 #[test]
-fn who_has_spoken_keeps_its_place_though_many_come_in_the_same_turn() {
-    // Danger: each newcomer has those who came first looked at; the second look finds nothing new and closes them with
-    // their requests unread. The router stands still until all have spoken, so that it takes them in at once.
-    let (mut router, _nodes, _kept) = served("clients-crowd", [Manner::Good; 3], 64);
+fn clients_that_have_sent_requests_keep_their_slots_when_many_connect_in_one_turn() {
+    // Each new client makes the router examine the first clients for eviction. The second examination finds no new bytes; if
+    // it ignored those that were read before, it would close clients with unread requests. The router is stopped until all
+    // clients have sent their requests, so that it accepts all of them in one turn.
+    let (mut router, _nodes, _guard) = start_router("clients-crowd", [Manner::Good; 3], 64);
     let listen = router.listen();
     router.strike(Blow::Stop);
-    let mut crowd: Vec<Raw> = (0..26).map(|_| Raw::dial(listen)).collect();
+    let mut crowd: Vec<RawClient> = (0..26)
+        .map(|_| RawClient::connect_without_login(listen))
+        .collect();
     for (n, client) in crowd.iter_mut().enumerate() {
-        let asks = query(&statement(&format!("ca{n:x}"), "look"));
-        client.write(&[&b"\0\0\0\x11\0\x03\0\0user\0me\0\0"[..], &asks].concat());
+        let request = query(&statement(&format!("ca{n:x}"), "look"));
+        client.send(&[&b"\0\0\0\x11\0\x03\0\0user\0me\0\0"[..], &request].concat());
     }
     router.strike(Blow::Continue);
-    // There are 20 places, and up to 8 more are told so.
+    // There are 20 slots, and up to 8 more clients receive an error.
     for (n, client) in crowd.iter_mut().enumerate() {
-        let mut greeted = false;
-        while let (kind, body) = client.message()
+        let mut is_logged_in = false;
+        while let (kind, body) = client.read_message()
             && kind != b'Z'
         {
             if kind == b'E' {
                 assert!(
                     n >= 20,
-                    "{n} came before the places were out: {}",
+                    "client {n} was rejected although a slot was free: {}",
                     body.escape_ascii()
                 );
                 break;
             }
-            greeted |= kind == b'R';
+            is_logged_in |= kind == b'R';
         }
-        assert!(greeted == (n < 20), "{n}");
-        if greeted {
-            assert_eq!(client.answer(), "row", "{n}");
+        assert!(is_logged_in == (n < 20), "{n}");
+        if is_logged_in {
+            assert_eq!(client.read_answer(), "row", "{n}");
         }
     }
 }
--- a/router/tests/standing_crossings.rs
+++ b/router/tests/standing_crossings.rs
@@ -1,618 +1,710 @@
-//! What comes to a client's connection in the very moment in which the front shuts it, closes it or takes another's place
-//! away: each test puts the byte, the end or the second signal between two steps of a turn.
+//! Bytes, closes and signals that cross with a decision of the front: to shut down, to close a connection, or to evict a
+//! client. Each test places the event between two steps of a turn.
 
 mod arrival;
 #[allow(dead_code, reason = "each test file uses a part of it")]
-mod front_desk;
+mod front_harness;
 
-use front_desk::{Client, Desk, Said, query, startup, wish};
+use front_harness::{Client, ClientEvent, Harness, cancel_request, query, startup_packet};
 
-/// A cancel, or the end of a connection, is to be known so soon (us).
-const GONE: u64 = 100_000;
-/// Who rests and is ended is heard out for so long (us); so is half a message, and who has not asked, once it finishes.
-const HEARD_OUT: u64 = 300_000;
-/// Connections that there may be beyond the places.
-const BEYOND: usize = 8;
+/// Maximum time in microseconds until a cancel request takes effect.
+const MAX_CANCEL_DELAY_US: u64 = 100_000;
+/// Linger time in microseconds of a client that is closed between requests. During the shutdown it is also the timeout of an
+/// incomplete message and of the first request.
+const LINGER_US: u64 = 300_000;
+/// Maximum number of connections beyond the slots.
+const MAX_CLIENTS_BEYOND_LIMIT: usize = 8;
 
 #[test]
-fn told_twice_to_end_it_hears_out_whom_it_hears_out() {
-    // Danger: the second SIGTERM falls due while the connections that the first one ended are heard out.
-    let mut desk = Desk::new(8);
-    let mut client = desk.resting("a1");
-    desk.front.drain(desk.now, &mut desk.engine);
-    assert_eq!(desk.hear(&mut client), Said::End);
-    desk.now += HEARD_OUT / 3;
-    client.write(&query("a2"));
-    desk.front.drain(desk.now, &mut desk.engine);
-    assert_eq!(desk.front.client_count(), 1, "closed at once");
-    desk.turn();
+fn a_second_shutdown_signal_does_not_close_lingering_clients() {
+    // A second SIGTERM arrives while clients linger after the first one. If it closed them, their unread bytes would reset
+    // the connections.
+    let mut harness = Harness::new(8);
+    let mut client = harness.idle_client("a1");
+    harness.front.drain(harness.now, &mut harness.engine);
+    assert_eq!(harness.next_event(&mut client), ClientEvent::Closed);
+    harness.now += LINGER_US / 3;
+    client.send(&query("a2"));
+    harness.front.drain(harness.now, &mut harness.engine);
+    assert_eq!(harness.front.client_count(), 1, "closed at once");
+    harness.run_turn();
     assert!(!client.is_reset(), "closed over unread bytes");
-    desk.pass_by(HEARD_OUT);
-    assert!(desk.front.is_drained() && desk.sent.is_empty());
+    harness.advance_by(LINGER_US);
+    assert!(harness.front.is_drained() && harness.begun_attempts.is_empty());
 }
 
 #[test]
-fn what_comes_with_the_end_of_the_time_to_hear_out_resets_nothing() {
-    // Danger: an answer that the client has not read yet goes with the reset.
-    let mut desk = Desk::new(8);
-    let mut client = desk.resting("a1");
-    desk.front.drain(desk.now, &mut desk.engine);
-    assert_eq!(desk.hear(&mut client), Said::End);
-    client.write(&query("a2"));
-    desk.now += HEARD_OUT;
-    desk.turn();
-    assert!(desk.front.is_drained() && desk.sent.is_empty());
+fn bytes_that_arrive_at_the_end_of_the_linger_time_reset_nothing() {
+    // If the connection were closed over unread bytes, it would be reset, and an answer that the client has not read yet
+    // would be lost.
+    let mut harness = Harness::new(8);
+    let mut client = harness.idle_client("a1");
+    harness.front.drain(harness.now, &mut harness.engine);
+    assert_eq!(harness.next_event(&mut client), ClientEvent::Closed);
+    client.send(&query("a2"));
+    harness.now += LINGER_US;
+    harness.run_turn();
+    assert!(harness.front.is_drained() && harness.begun_attempts.is_empty());
     assert!(!client.is_reset(), "closed over unread bytes");
 }
 
 #[test]
-fn who_gives_its_place_to_a_newcomer_is_heard_out() {
-    // Danger: closed at once, the connection is reset by a request that crosses the close.
-    let mut desk = Desk::new(6);
-    let mut resting = desk.resting("a1");
-    desk.now += 1;
-    let mut later = desk.resting("a2");
-    let mut busy: Vec<Client> = (0..4).map(|_| desk.greeted()).collect();
+fn an_evicted_client_lingers() {
+    // If an evicted client were closed at once, a request that crosses the close would reset the connection.
+    let mut harness = Harness::new(6);
+    let mut idle_client = harness.idle_client("a1");
+    harness.now += 1;
+    let mut later = harness.idle_client("a2");
+    let mut busy: Vec<Client> = (0..4).map(|_| harness.connected_client()).collect();
     for (n, client) in busy.iter_mut().enumerate() {
-        client.write(&query(&format!("b{n}")));
-        desk.turn();
+        client.send(&query(&format!("b{n}")));
+        harness.run_turn();
     }
-    let mut newcomer = desk.greeted();
-    assert_eq!(desk.hear(&mut resting), Said::End, "its place was wanted");
-    let begun = desk.engine.pending_requests();
-    resting.write(&query("a3"));
-    desk.turn();
+    let mut newcomer = harness.connected_client();
+    assert_eq!(
+        harness.next_event(&mut idle_client),
+        ClientEvent::Closed,
+        "it is evicted"
+    );
+    let begun = harness.engine.pending_requests();
+    idle_client.send(&query("a3"));
+    harness.run_turn();
     assert!(
-        !resting.is_reset(),
-        "what crossed the close broke the connection"
+        !idle_client.is_reset(),
+        "bytes that crossed the close reset the connection"
     );
     assert_eq!(
-        desk.engine.pending_requests(),
+        harness.engine.pending_requests(),
         begun,
-        "read after the end was told, and begun"
+        "a request was begun after the close"
+    );
+    // The first client's slot counts as free, and the next newcomer takes that of the second client.
+    newcomer.send(&query("c1"));
+    let mut next = harness.connected_client();
+    assert_eq!(
+        (harness.next_event(&mut later), next.poll_event()),
+        (ClientEvent::Closed, None)
     );
-    // The place counts as free, and the next newcomer gets that of the second.
-    newcomer.write(&query("c1"));
-    let mut next = desk.greeted();
-    assert_eq!((desk.hear(&mut later), next.hears()), (Said::End, None));
     assert_eq!(
-        desk.engine.pending_requests(),
+        harness.engine.pending_requests(),
         begun + 1,
-        "the newcomer's request is taken on"
+        "the newcomer's request is accepted"
     );
 }
 
 #[test]
-fn those_heard_out_are_never_more_than_there_is_room_for() {
-    // Danger: descriptors. Clients that rest and never close are ended one by one, each for a newcomer.
-    let mut desk = Desk::new(6);
+fn lingering_clients_never_exceed_the_limit_on_connections() {
+    // Idle clients that never close are evicted one by one, each for a newcomer. The lingering connections must not use up
+    // the file descriptors.
+    let mut harness = Harness::new(6);
     let mut ended = Vec::new();
     for n in 0..40 {
-        ended.push(desk.resting(&format!("a{n:x}")));
+        ended.push(harness.idle_client(&format!("a{n:x}")));
         assert!(
-            desk.front.client_count() <= 6 + BEYOND,
+            harness.front.client_count() <= 6 + MAX_CLIENTS_BEYOND_LIMIT,
             "{} after {n}",
-            desk.front.client_count()
+            harness.front.client_count()
         );
-        desk.now += 1;
+        harness.now += 1;
     }
-    // Nobody was reset by it, as nothing crossed.
+    // No connection was reset, since no bytes crossed a close.
     assert!(ended.iter().all(|client| !client.is_reset()));
 }
 
 #[test]
-fn a_request_that_lies_unread_keeps_its_client_its_place() {
-    // Danger: closed with its request in the system's buffer, the client has no answer.
-    let mut desk = Desk::new(2);
-    let mut client = desk.greeted();
-    let mut other = desk.greeted();
-    client.write(&query("a1"));
-    // The newcomer is taken in by a turn whose events were taken before the request came.
-    let mut newcomer = Client::dial(desk.to);
-    newcomer.write(startup());
-    desk.front.accept(
+fn a_client_with_an_unread_request_is_not_evicted() {
+    // If a client were evicted while its request is unread in the system's socket buffer, it would receive no answer.
+    let mut harness = Harness::new(2);
+    let mut client = harness.connected_client();
+    let mut other = harness.connected_client();
+    client.send(&query("a1"));
+    // The newcomer is accepted in a turn whose events were polled before the request arrived.
+    let mut newcomer = Client::connect(harness.address);
+    newcomer.send(startup_packet());
+    harness.front.accept(
         plovercove_engine::Key::from_number(0),
-        desk.now,
-        &mut desk.engine,
+        harness.now,
+        &mut harness.engine,
     );
-    desk.finish_turn();
+    harness.finish_turn();
     assert_eq!(
-        desk.hear(&mut other),
-        Said::Error("53300".into()),
-        "the next one goes"
+        harness.next_event(&mut other),
+        ClientEvent::Error("53300".into()),
+        "the next client is evicted"
     );
-    assert_eq!(desk.hear(&mut newcomer), Said::Ready);
-    assert_eq!(desk.sent.len(), 1, "it is begun");
-    desk.serve();
-    assert_eq!(desk.hear(&mut client), Said::Ready);
+    assert_eq!(harness.next_event(&mut newcomer), ClientEvent::Ready);
+    assert_eq!(harness.begun_attempts.len(), 1, "the request is begun");
+    harness.answer_last_attempt();
+    assert_eq!(harness.next_event(&mut client), ClientEvent::Ready);
 }
 
 #[test]
-fn a_request_and_the_end_of_its_client_behind_it_are_seen_by_the_last_look() {
-    // Danger: a look that stops at the request takes its client for there, and begins it for nobody.
-    let mut desk = Desk::new(8);
-    let mut client = desk.resting("a1");
-    client.write(&query("a2"));
-    client.finish();
-    desk.front.drain(desk.now, &mut desk.engine);
-    desk.finish_turn();
-    assert!(desk.sent.is_empty(), "begun, though its client had gone");
-    desk.turn();
-    assert!(desk.front.is_drained());
+fn the_check_before_an_eviction_detects_a_close_behind_a_request() {
+    // If the check before an eviction stopped at the request, it would not detect the client's close behind it, and the
+    // request would be begun although its client is gone.
+    let mut harness = Harness::new(8);
+    let mut client = harness.idle_client("a1");
+    client.send(&query("a2"));
+    client.shut_down_write();
+    harness.front.drain(harness.now, &mut harness.engine);
+    harness.finish_turn();
+    assert!(
+        harness.begun_attempts.is_empty(),
+        "begun although its client is gone"
+    );
+    harness.run_turn();
+    assert!(harness.front.is_drained());
 }
 
 #[test]
-fn a_cancel_that_is_found_by_the_last_look_counts() {
-    // Danger: its sender has closed and gives up its place in the same turn; the wish goes with it.
-    let mut desk = Desk::new(2);
-    let mut client = desk.greeted();
-    desk.ask(&mut client, "a1");
-    let mut wishes = Client::dial(desk.to);
-    desk.until("it is taken in", |desk| desk.front.client_count() == 2);
-    wishes.write(&wish(&client.key));
-    wishes.finish();
-    let _newcomer = Client::dial(desk.to);
-    desk.front.accept(
+fn a_cancel_request_found_by_the_check_before_an_eviction_is_processed() {
+    // The sender of the cancel request has closed its connection and is evicted in the same turn. The cancel request must
+    // not be lost with the connection.
+    let mut harness = Harness::new(2);
+    let mut client = harness.connected_client();
+    harness.begin_request(&mut client, "a1");
+    let mut canceller = Client::connect(harness.address);
+    harness.run_turns_until("the connection is accepted", |harness| {
+        harness.front.client_count() == 2
+    });
+    canceller.send(&cancel_request(&client.key));
+    canceller.shut_down_write();
+    let _newcomer = Client::connect(harness.address);
+    harness.front.accept(
         plovercove_engine::Key::from_number(0),
-        desk.now,
-        &mut desk.engine,
+        harness.now,
+        &mut harness.engine,
+    );
+    harness.finish_turn();
+    assert_eq!(
+        client.poll_event(),
+        Some(ClientEvent::Error("57014".into()))
     );
-    desk.finish_turn();
-    assert_eq!(client.hears(), Some(Said::Error("57014".into())));
 }
 
 #[test]
-fn a_cancel_that_crosses_the_words_that_end_its_connection_counts() {
-    // Danger: its connection has given up its place and is only heard out; the request would run on for nobody.
+fn a_cancel_request_that_crosses_the_eviction_of_its_connection_is_processed() {
+    // The connection of the cancel request has been evicted and lingers. If its bytes were dropped, the request would
+    // continue although its client no longer wants it.
     for cut in [0, 7, 16] {
-        let mut desk = Desk::new(2);
-        let mut client = desk.greeted();
-        desk.ask(&mut client, "a1");
-        let mut wishes = Client::dial(desk.to);
-        desk.until("it is taken in", |desk| desk.front.client_count() == 2);
-        let _newcomer = Client::dial(desk.to);
-        desk.front.accept(
+        let mut harness = Harness::new(2);
+        let mut client = harness.connected_client();
+        harness.begin_request(&mut client, "a1");
+        let mut canceller = Client::connect(harness.address);
+        harness.run_turns_until("the connection is accepted", |harness| {
+            harness.front.client_count() == 2
+        });
+        let _newcomer = Client::connect(harness.address);
+        harness.front.accept(
             plovercove_engine::Key::from_number(0),
-            desk.now,
-            &mut desk.engine,
+            harness.now,
+            &mut harness.engine,
         );
-        desk.finish_turn();
+        harness.finish_turn();
         assert_eq!(
-            desk.hear(&mut wishes),
-            Said::Error("53300".into()),
-            "its place was wanted"
+            harness.next_event(&mut canceller),
+            ClientEvent::Error("53300".into()),
+            "it is evicted"
         );
-        let wish = wish(&client.key);
-        for piece in [&wish[..cut], &wish[cut..]]
+        let cancel_request = cancel_request(&client.key);
+        for piece in [&cancel_request[..cut], &cancel_request[cut..]]
             .into_iter()
             .filter(|piece| !piece.is_empty())
         {
-            wishes.write(piece);
-            desk.turn();
+            canceller.send(piece);
+            harness.run_turn();
         }
         assert_eq!(
-            client.hears(),
-            Some(Said::Error("57014".into())),
+            client.poll_event(),
+            Some(ClientEvent::Error("57014".into())),
             "in pieces of {cut} bytes and the rest"
         );
     }
 }
 
 #[test]
-fn a_cancel_that_lies_unread_as_its_connection_is_closed_counts() {
-    // Danger: the time to hear its sender out is over in a turn whose events were taken before the wish came.
-    let mut desk = Desk::new(2);
-    let mut client = desk.greeted();
-    desk.ask(&mut client, "a1");
-    let mut wishes = Client::dial(desk.to);
-    desk.until("it is taken in", |desk| desk.front.client_count() == 2);
-    let _newcomer = Client::dial(desk.to);
-    desk.front.accept(
+fn a_cancel_request_that_is_unread_when_its_connection_is_closed_is_processed() {
+    // The linger time of the sender ends in a turn whose events were polled before the cancel request arrived.
+    let mut harness = Harness::new(2);
+    let mut client = harness.connected_client();
+    harness.begin_request(&mut client, "a1");
+    let mut canceller = Client::connect(harness.address);
+    harness.run_turns_until("the connection is accepted", |harness| {
+        harness.front.client_count() == 2
+    });
+    let _newcomer = Client::connect(harness.address);
+    harness.front.accept(
         plovercove_engine::Key::from_number(0),
-        desk.now,
-        &mut desk.engine,
+        harness.now,
+        &mut harness.engine,
     );
-    desk.finish_turn();
+    harness.finish_turn();
     assert_eq!(
-        desk.hear(&mut wishes),
-        Said::Error("53300".into()),
-        "its place was wanted"
+        harness.next_event(&mut canceller),
+        ClientEvent::Error("53300".into()),
+        "it is evicted"
     );
-    wishes.write(&wish(&client.key));
-    desk.now += HEARD_OUT;
-    while let Some(due) = desk.engine.deadlines.pop(desk.now) {
+    canceller.send(&cancel_request(&client.key));
+    harness.now += LINGER_US;
+    while let Some(due) = harness.engine.deadlines.pop(harness.now) {
         if let plovercove_engine::Deadline::Client(key) = due {
-            desk.front.check_client(key, desk.now, &mut desk.engine);
+            harness
+                .front
+                .check_client(key, harness.now, &mut harness.engine);
         }
     }
-    desk.finish_turn();
-    assert_eq!(client.hears(), Some(Said::Error("57014".into())));
+    harness.finish_turn();
+    assert_eq!(
+        client.poll_event(),
+        Some(ClientEvent::Error("57014".into()))
+    );
 }
 
-/// All places held by requests, and as many beyond them as there may be.
-fn full(desk: &mut Desk, places: usize, say: &[u8]) -> (Vec<Client>, Vec<Client>) {
-    let mut busy: Vec<Client> = (0..places).map(|_| desk.greeted()).collect();
+/// Occupies all slots with pending requests, and opens the maximum number of connections beyond them, which send
+/// `first_bytes`. Returns the clients of both groups.
+fn fill_slots(
+    harness: &mut Harness,
+    slots: usize,
+    first_bytes: &[u8],
+) -> (Vec<Client>, Vec<Client>) {
+    let mut busy: Vec<Client> = (0..slots).map(|_| harness.connected_client()).collect();
     for (n, client) in busy.iter_mut().enumerate() {
-        client.write(&query(&format!("b{n}")));
+        client.send(&query(&format!("b{n}")));
     }
-    desk.until("all are taken on", |desk| {
-        desk.engine.pending_requests() == places
+    harness.run_turns_until("all requests are accepted", |harness| {
+        harness.engine.pending_requests() == slots
     });
-    let mut beyond: Vec<Client> = (0..BEYOND).map(|_| Client::dial(desk.to)).collect();
-    beyond.iter_mut().for_each(|client| client.write(say));
-    desk.until("all are taken in", |desk| {
-        desk.front.client_count() == places + BEYOND
+    let mut beyond: Vec<Client> = (0..MAX_CLIENTS_BEYOND_LIMIT)
+        .map(|_| Client::connect(harness.address))
+        .collect();
+    beyond
+        .iter_mut()
+        .for_each(|client| client.send(first_bytes));
+    harness.run_turns_until("all connections are accepted", |harness| {
+        harness.front.client_count() == slots + MAX_CLIENTS_BEYOND_LIMIT
     });
     (busy, beyond)
 }
 
 #[test]
-fn a_cancel_behind_those_beyond_the_limit_is_heard_in_time() {
-    // Danger: those who say nothing, or were told and stay, keep the door shut for longer than a request may run on
-    // after its cancel. Up to twice as many as there is room for may come before it.
-    for (say, more) in [
+fn a_cancel_request_behind_connections_beyond_the_limit_is_processed_in_time() {
+    // Connections beyond the limit that are silent, or stay open after they were rejected, must not delay accepting a cancel
+    // request for longer than the request may continue after it. Up to twice their maximum number may precede the cancel
+    // request.
+    for (first_bytes, extra_connections) in [
         (&b""[..], 0),
-        (&b""[..], BEYOND),
-        (startup(), 0),
-        (startup(), BEYOND),
+        (&b""[..], MAX_CLIENTS_BEYOND_LIMIT),
+        (startup_packet(), 0),
+        (startup_packet(), MAX_CLIENTS_BEYOND_LIMIT),
     ] {
-        let mut desk = Desk::new(4);
-        let (mut busy, _beyond) = full(&mut desk, 4, say);
-        let mut ahead: Vec<Client> = (0..more).map(|_| Client::dial(desk.to)).collect();
-        ahead.iter_mut().for_each(|client| client.write(say));
-        let mut wishes = Client::dial(desk.to);
-        wishes.write(&wish(&busy[2].key));
-        wishes.finish();
-        let came = desk.now;
-        desk.turn();
-        let told = loop {
-            if let Some(said) = busy[2].hears() {
-                break said;
+        let mut harness = Harness::new(4);
+        let (mut busy, _beyond) = fill_slots(&mut harness, 4, first_bytes);
+        let mut ahead: Vec<Client> = (0..extra_connections)
+            .map(|_| Client::connect(harness.address))
+            .collect();
+        ahead.iter_mut().for_each(|client| client.send(first_bytes));
+        let mut canceller = Client::connect(harness.address);
+        canceller.send(&cancel_request(&busy[2].key));
+        canceller.shut_down_write();
+        let sent_at = harness.now;
+        harness.run_turn();
+        let answered = loop {
+            if let Some(event) = busy[2].poll_event() {
+                break event;
             }
-            desk.pass();
+            harness.advance_to_next_deadline();
         };
-        assert_eq!(told, Said::Error("57014".into()));
-        let took = desk.now - came;
+        assert_eq!(answered, ClientEvent::Error("57014".into()));
+        let elapsed_us = harness.now - sent_at;
         assert!(
-            took <= GONE,
-            "{more} ahead, all said {}: heard after {took} us",
-            say.escape_ascii()
+            elapsed_us <= MAX_CANCEL_DELAY_US,
+            "{extra_connections} more ahead, each sent {}: cancelled after {elapsed_us} us",
+            first_bytes.escape_ascii()
         );
     }
 }
 
 #[test]
-fn one_beyond_the_limit_that_gives_up_its_descriptor_is_told() {
-    let mut desk = Desk::new(4);
-    let (_busy, mut mute) = full(&mut desk, 4, b"");
-    let mut late: Vec<Client> = (0..BEYOND).map(|_| Client::dial(desk.to)).collect();
+fn a_connection_beyond_the_limit_that_is_closed_receives_an_error() {
+    let mut harness = Harness::new(4);
+    let (_busy, mut silent) = fill_slots(&mut harness, 4, b"");
+    let mut late: Vec<Client> = (0..MAX_CLIENTS_BEYOND_LIMIT)
+        .map(|_| Client::connect(harness.address))
+        .collect();
     for _ in 0..2 {
-        late.iter_mut().for_each(|client| client.write(b""));
+        late.iter_mut().for_each(|client| client.send(b""));
     }
-    late.iter_mut().for_each(|client| client.write(startup()));
-    for client in late.iter_mut().chain(&mut mute) {
-        let mut said = None;
-        while said.is_none() {
-            desk.pass();
-            said = client.hears();
+    late.iter_mut()
+        .for_each(|client| client.send(startup_packet()));
+    for client in late.iter_mut().chain(&mut silent) {
+        let mut event = None;
+        while event.is_none() {
+            harness.advance_to_next_deadline();
+            event = client.poll_event();
         }
-        assert_eq!(said, Some(Said::Error("53300".into())));
+        assert_eq!(event, Some(ClientEvent::Error("53300".into())));
     }
 }
 
 #[test]
-fn all_who_wait_at_the_door_when_it_is_shut_are_answered() {
-    // Danger: the system resets those whom a closed listener leaves waiting. More have come than one turn takes in.
-    for places in [512, 20] {
-        let mut desk = Desk::new(places);
-        let mut crowd: Vec<Client> = (0..200).map(|_| Client::dial(desk.to)).collect();
+fn all_connections_that_wait_when_a_listener_closes_are_answered() {
+    // The system resets connections that still wait when a listener is closed. More connections wait here than one turn
+    // accepts.
+    for slots in [512, 20] {
+        let mut harness = Harness::new(slots);
+        let mut crowd: Vec<Client> = (0..200).map(|_| Client::connect(harness.address)).collect();
         for (n, client) in crowd.iter_mut().enumerate() {
-            client.write(&[startup(), &query(&format!("a{n:x}"))].concat());
+            client.send(&[startup_packet(), &query(&format!("a{n:x}"))].concat());
         }
-        desk.front.drain(desk.now, &mut desk.engine);
-        desk.finish_turn();
-        let mut told = 0;
+        harness.front.drain(harness.now, &mut harness.engine);
+        harness.finish_turn();
+        let mut answered = 0;
         for (n, client) in crowd.iter_mut().enumerate() {
-            let mut said = client.hears();
-            while said.is_none() {
-                desk.pass();
-                said = client.hears();
+            let mut event = client.poll_event();
+            while event.is_none() {
+                harness.advance_to_next_deadline();
+                event = client.poll_event();
             }
-            match said {
-                Some(Said::Ready) => told += 1,
-                said => assert_eq!(
-                    said,
-                    Some(Said::Error("53300".into())),
-                    "{n} of {places} places"
+            match event {
+                Some(ClientEvent::Ready) => answered += 1,
+                event => assert_eq!(
+                    event,
+                    Some(ClientEvent::Error("53300".into())),
+                    "client {n} with {slots} slots"
                 ),
             }
         }
-        assert!(told >= places.min(200), "{told} were let in");
+        assert!(
+            answered >= slots.min(200),
+            "{answered} clients were answered"
+        );
     }
 }
 
 #[test]
-fn those_who_wait_at_a_shut_door_behind_mute_ones_are_answered() {
-    // Danger: where no descriptor is left at that moment, closing the listener resets them.
-    let mut desk = Desk::new(4);
-    let (_busy, _mute) = full(&mut desk, 4, b"");
-    let mut late: Vec<Client> = (0..4).map(|_| Client::dial(desk.to)).collect();
-    late.iter_mut().for_each(|client| client.write(startup()));
-    desk.front.drain(desk.now, &mut desk.engine);
-    desk.finish_turn();
+fn connections_that_wait_behind_silent_ones_during_the_shutdown_are_answered() {
+    // If the listener were closed while no descriptor is free, the connections that wait at it would be reset.
+    let mut harness = Harness::new(4);
+    let (_busy, _silent) = fill_slots(&mut harness, 4, b"");
+    let mut late: Vec<Client> = (0..4).map(|_| Client::connect(harness.address)).collect();
+    late.iter_mut()
+        .for_each(|client| client.send(startup_packet()));
+    harness.front.drain(harness.now, &mut harness.engine);
+    harness.finish_turn();
     for client in &mut late {
-        let mut said = client.hears();
-        while said.is_none() {
-            desk.pass();
-            said = client.hears();
+        let mut event = client.poll_event();
+        while event.is_none() {
+            harness.advance_to_next_deadline();
+            event = client.poll_event();
         }
-        assert_eq!(said, Some(Said::Error("53300".into())));
+        assert_eq!(event, Some(ClientEvent::Error("53300".into())));
     }
-    while !desk.front.is_drained() {
-        desk.pass();
+    while !harness.front.is_drained() {
+        harness.advance_to_next_deadline();
     }
 }
 
 #[test]
-fn the_rest_of_a_message_that_comes_with_the_end_of_its_time_is_a_request() {
-    // Danger: it has been read in the same turn and not looked at; its client is closed without an answer.
-    let mut desk = Desk::new(8);
-    let mut client = desk.resting("a1");
-    let asks = query("a2");
-    client.write(&asks[..9]);
-    desk.turn();
-    desk.front.drain(desk.now, &mut desk.engine);
-    desk.now += HEARD_OUT;
-    client.write(&asks[9..]);
-    desk.turn();
-    assert_eq!(desk.sent.len(), 1, "begun: {:?}", client.hears());
-    desk.serve();
-    assert_eq!(desk.hear(&mut client), Said::Ready);
-    assert_eq!(desk.hear(&mut client), Said::End);
+fn a_message_that_completes_as_its_timeout_ends_is_a_request() {
+    // The rest of the message is read in the turn in which the timeout of the message ends. If it were not processed, the
+    // client would be closed without an answer.
+    let mut harness = Harness::new(8);
+    let mut client = harness.idle_client("a1");
+    let request = query("a2");
+    client.send(&request[..9]);
+    harness.run_turn();
+    harness.front.drain(harness.now, &mut harness.engine);
+    harness.now += LINGER_US;
+    client.send(&request[9..]);
+    harness.run_turn();
+    assert_eq!(
+        harness.begun_attempts.len(),
+        1,
+        "begun: {:?}",
+        client.poll_event()
+    );
+    harness.answer_last_attempt();
+    assert_eq!(harness.next_event(&mut client), ClientEvent::Ready);
+    assert_eq!(harness.next_event(&mut client), ClientEvent::Closed);
 }
 
 #[test]
-fn half_a_message_is_heard_out_and_its_rest_resets_nothing() {
-    // Danger: what crosses the close takes an answer, or the words to one that has not asked, with it.
-    for asked in [true, false] {
-        let mut desk = Desk::new(8);
-        let mut client = if asked {
-            desk.resting("a1")
+fn the_rest_of_an_incomplete_message_after_its_timeout_resets_nothing() {
+    // If bytes that cross the close reset the connection, they would destroy an answer, or the error to a client that has
+    // not sent a request.
+    for has_requested in [true, false] {
+        let mut harness = Harness::new(8);
+        let mut client = if has_requested {
+            harness.idle_client("a1")
         } else {
-            desk.greeted()
+            harness.connected_client()
         };
-        let asks = query("a2");
-        client.write(&asks[..9]);
-        desk.turn();
-        desk.front.drain(desk.now, &mut desk.engine);
-        desk.pass_by(HEARD_OUT);
-        client.write(&asks[9..]);
-        desk.turn();
-        if !asked {
-            assert_eq!(client.hears(), Some(Said::Error("53300".into())));
+        let request = query("a2");
+        client.send(&request[..9]);
+        harness.run_turn();
+        harness.front.drain(harness.now, &mut harness.engine);
+        harness.advance_by(LINGER_US);
+        client.send(&request[9..]);
+        harness.run_turn();
+        if !has_requested {
+            assert_eq!(
+                client.poll_event(),
+                Some(ClientEvent::Error("53300".into()))
+            );
         }
-        assert_eq!(client.hears(), Some(Said::End), "asked before: {asked}");
-        assert!(!client.is_reset(), "asked before: {asked}");
+        assert_eq!(
+            client.poll_event(),
+            Some(ClientEvent::Closed),
+            "a request before: {has_requested}"
+        );
+        assert!(!client.is_reset(), "a request before: {has_requested}");
         assert!(
-            desk.sent.is_empty(),
-            "read after the end was told, and begun"
+            harness.begun_attempts.is_empty(),
+            "a request was begun after the close"
         );
-        desk.pass_by(HEARD_OUT);
-        assert!(desk.front.is_drained());
+        harness.advance_by(LINGER_US);
+        assert!(harness.front.is_drained());
     }
 }
 
 #[test]
-fn a_request_that_comes_in_the_turn_of_the_shutdown_is_answered() {
-    // Danger: it has been read and not begun when all that rest are ended.
-    let mut desk = Desk::new(8);
-    let mut client = desk.resting("a1");
-    client.write(&query("a2"));
-    desk.engine
+fn a_request_that_arrives_in_the_turn_of_the_shutdown_is_answered() {
+    // The request has been read and not begun when the shutdown closes all idle clients.
+    let mut harness = Harness::new(8);
+    let mut client = harness.idle_client("a1");
+    client.send(&query("a2"));
+    harness
+        .engine
         .deadlines
-        .add(desk.now, plovercove_engine::Deadline::Shutdown);
-    desk.turn();
-    desk.serve();
+        .add(harness.now, plovercove_engine::Deadline::Shutdown);
+    harness.run_turn();
+    harness.answer_last_attempt();
     assert_eq!(
-        (desk.hear(&mut client), desk.hear(&mut client)),
-        (Said::Ready, Said::End)
+        (
+            harness.next_event(&mut client),
+            harness.next_event(&mut client)
+        ),
+        (ClientEvent::Ready, ClientEvent::Closed)
     );
 }
 
 #[test]
-fn a_request_that_comes_between_the_turns_last_look_and_the_shutdown_is_answered() {
-    // Danger: it lies unread in the system's buffer when all that rest are ended.
-    let mut desk = Desk::new(8);
-    let mut client = desk.resting("a1");
-    client.write(&query("a2"));
-    desk.front.drain(desk.now, &mut desk.engine);
-    desk.finish_turn();
-    assert_eq!(desk.sent.len(), 1, "begun: {:?}", client.hears());
-    desk.serve();
+fn a_request_that_is_unread_when_the_shutdown_starts_is_answered() {
+    // The request is unread in the system's socket buffer when the shutdown closes all idle clients.
+    let mut harness = Harness::new(8);
+    let mut client = harness.idle_client("a1");
+    client.send(&query("a2"));
+    harness.front.drain(harness.now, &mut harness.engine);
+    harness.finish_turn();
+    assert_eq!(
+        harness.begun_attempts.len(),
+        1,
+        "begun: {:?}",
+        client.poll_event()
+    );
+    harness.answer_last_attempt();
     assert_eq!(
-        (desk.hear(&mut client), desk.hear(&mut client)),
-        (Said::Ready, Said::End)
+        (
+            harness.next_event(&mut client),
+            harness.next_event(&mut client)
+        ),
+        (ClientEvent::Ready, ClientEvent::Closed)
     );
 }
 
 #[test]
-fn a_pipelined_tail_is_answered_to_its_end_though_it_finishes() {
-    // Danger: more queries than are begun at a time, with half a one behind them; all came before the shutdown.
-    let mut desk = Desk::new(8);
-    let mut client = desk.resting("a1");
+fn pipelined_queries_are_all_answered_during_the_shutdown() {
+    // Before the shutdown, more queries arrive than may be pending at a time, and an incomplete one behind them.
+    let mut harness = Harness::new(8);
+    let mut client = harness.idle_client("a1");
     let mut all: Vec<u8> = (0..40).flat_map(|n| query(&format!("b{n:x}"))).collect();
     all.truncate(all.len() - 9);
-    client.write(&all);
-    desk.turn();
-    desk.front.drain(desk.now, &mut desk.engine);
-    desk.finish_turn();
+    client.send(&all);
+    harness.run_turn();
+    harness.front.drain(harness.now, &mut harness.engine);
+    harness.finish_turn();
     for n in 0..39 {
-        if desk.sent.is_empty() {
-            desk.until("it is begun", |desk| !desk.sent.is_empty());
+        if harness.begun_attempts.is_empty() {
+            harness.run_turns_until("it is begun", |harness| !harness.begun_attempts.is_empty());
         }
-        desk.serve();
-        assert!(desk.front.client_count() == 1, "closed after {n}");
+        harness.answer_last_attempt();
+        assert!(harness.front.client_count() == 1, "closed after {n}");
     }
     for _ in 0..39 {
-        assert_eq!(desk.hear(&mut client), Said::Ready);
+        assert_eq!(harness.next_event(&mut client), ClientEvent::Ready);
     }
-    desk.pass_by(HEARD_OUT);
-    assert_eq!(desk.hear(&mut client), Said::End);
-    desk.pass_by(HEARD_OUT);
-    assert!(desk.front.is_drained());
+    harness.advance_by(LINGER_US);
+    assert_eq!(harness.next_event(&mut client), ClientEvent::Closed);
+    harness.advance_by(LINGER_US);
+    assert!(harness.front.is_drained());
 }
 
-/// A request whose attempts were turned away until the next one is put off.
-fn backing_off(desk: &mut Desk) -> Client {
-    let mut client = desk.resting("a1");
-    desk.ask(&mut client, "a2");
-    let mut tries = 0;
-    while !desk.sent.is_empty() {
-        tries += 1;
-        assert!(tries < 10, "it is never put off");
-        desk.turn_away();
-        desk.turn();
+/// Returns a client whose request waits in backoff, because all its attempts so far were rejected.
+fn client_in_backoff(harness: &mut Harness) -> Client {
+    let mut client = harness.idle_client("a1");
+    harness.begin_request(&mut client, "a2");
+    let mut attempts = 0;
+    while !harness.begun_attempts.is_empty() {
+        attempts += 1;
+        assert!(attempts < 10, "the request never backs off");
+        harness.reject_last_attempt();
+        harness.run_turn();
     }
     assert!(
-        client.hears().is_none() && desk.engine.pending_requests() == 1,
-        "it waits after {tries} tries"
+        client.poll_event().is_none() && harness.engine.pending_requests() == 1,
+        "it waits after {attempts} attempts"
     );
     client
 }
 
 #[test]
-fn a_request_in_back_off_when_it_finishes_has_its_next_attempt_and_its_answer() {
-    // Danger: with no attempt out its connection looks like one that rests.
-    let mut desk = Desk::new(8);
-    let mut client = backing_off(&mut desk);
-    desk.front.drain(desk.now, &mut desk.engine);
-    desk.turn();
-    while desk.sent.is_empty() {
-        assert_eq!(client.hears(), None);
-        desk.pass();
+fn a_request_in_backoff_is_retried_and_answered_during_the_shutdown() {
+    // Without an attempt in flight, the connection must not be taken for an idle one.
+    let mut harness = Harness::new(8);
+    let mut client = client_in_backoff(&mut harness);
+    harness.front.drain(harness.now, &mut harness.engine);
+    harness.run_turn();
+    while harness.begun_attempts.is_empty() {
+        assert_eq!(client.poll_event(), None);
+        harness.advance_to_next_deadline();
     }
-    desk.serve();
+    harness.answer_last_attempt();
     assert_eq!(
-        (desk.hear(&mut client), desk.hear(&mut client)),
-        (Said::Ready, Said::End)
+        (
+            harness.next_event(&mut client),
+            harness.next_event(&mut client)
+        ),
+        (ClientEvent::Ready, ClientEvent::Closed)
     );
 }
 
 #[test]
-fn a_request_between_two_attempts_when_it_finishes_is_answered() {
-    // The drain falls due in the very turn in which the first attempt ended.
-    let mut desk = Desk::new(8);
-    let mut client = desk.resting("a1");
-    desk.ask(&mut client, "a2");
-    desk.turn_away();
-    desk.front.drain(desk.now, &mut desk.engine);
-    desk.turn();
-    while desk.sent.is_empty() {
-        assert_eq!(client.hears(), None);
-        desk.pass();
+fn a_request_between_two_attempts_is_answered_during_the_shutdown() {
+    // The shutdown starts in the turn in which the first attempt ended.
+    let mut harness = Harness::new(8);
+    let mut client = harness.idle_client("a1");
+    harness.begin_request(&mut client, "a2");
+    harness.reject_last_attempt();
+    harness.front.drain(harness.now, &mut harness.engine);
+    harness.run_turn();
+    while harness.begun_attempts.is_empty() {
+        assert_eq!(client.poll_event(), None);
+        harness.advance_to_next_deadline();
     }
-    desk.serve();
+    harness.answer_last_attempt();
     assert_eq!(
-        (desk.hear(&mut client), desk.hear(&mut client)),
-        (Said::Ready, Said::End)
+        (
+            harness.next_event(&mut client),
+            harness.next_event(&mut client)
+        ),
+        (ClientEvent::Ready, ClientEvent::Closed)
     );
 }
 
 #[test]
-fn a_request_whose_client_goes_between_two_attempts_or_in_back_off_is_begun_no_more() {
-    // Danger: the next attempt is the module's, put off to a moment after the end.
-    for in_back_off in [false, true] {
-        let mut desk = Desk::new(8);
-        let mut client = if in_back_off {
-            backing_off(&mut desk)
+fn a_request_whose_client_closes_between_two_attempts_or_in_backoff_is_not_retried() {
+    // The next attempt is scheduled for a time after the client's close, and must not be begun then.
+    for is_in_backoff in [false, true] {
+        let mut harness = Harness::new(8);
+        let mut client = if is_in_backoff {
+            client_in_backoff(&mut harness)
         } else {
-            let mut client = desk.resting("a1");
-            desk.ask(&mut client, "a2");
-            // The attempt's end and the client's are read in one turn.
-            desk.turn_away();
+            let mut client = harness.idle_client("a1");
+            harness.begin_request(&mut client, "a2");
+            // The end of the attempt and the client's close are read in the same turn.
+            harness.reject_last_attempt();
             client
         };
-        client.finish();
-        desk.turn();
+        client.shut_down_write();
+        harness.run_turn();
         assert_eq!(
-            (desk.front.client_count(), desk.engine.pending_requests()),
+            (
+                harness.front.client_count(),
+                harness.engine.pending_requests()
+            ),
             (0, 0),
-            "in back-off: {in_back_off}"
+            "in backoff: {is_in_backoff}"
+        );
+        harness.advance_by(2_000_000);
+        assert!(
+            harness.begun_attempts.is_empty(),
+            "in backoff: {is_in_backoff}"
         );
-        desk.pass_by(2_000_000);
-        assert!(desk.sent.is_empty(), "in back-off: {in_back_off}");
     }
 }
 
 #[test]
-fn who_trickles_loses_its_place_in_time_and_keeps_nobody_out() {
-    // Danger: many clients with one byte a second each hold all places for as long as they like.
-    let mut desk = Desk::new(20);
-    let asks = [startup(), &query("a1")[..]].concat();
-    let mut slow: Vec<Client> = (0..20).map(|_| Client::dial(desk.to)).collect();
-    let mut ends = [None; 20];
-    for (second, byte) in asks.iter().enumerate().take(4) {
-        for (client, end) in slow.iter_mut().zip(&mut ends) {
-            if end.is_none() {
-                client.write(&[*byte]);
+fn clients_that_trickle_bytes_are_closed_in_time_and_block_no_others() {
+    // Many clients that send one byte per second each would otherwise occupy all slots for as long as they like.
+    let mut harness = Harness::new(20);
+    let request = [startup_packet(), &query("a1")[..]].concat();
+    let mut slow: Vec<Client> = (0..20).map(|_| Client::connect(harness.address)).collect();
+    let mut ended_at = [None; 20];
+    for (second, byte) in request.iter().enumerate().take(4) {
+        for (client, ended) in slow.iter_mut().zip(&mut ended_at) {
+            if ended.is_none() {
+                client.send(&[*byte]);
             }
         }
-        // Taken in, and heard.
-        (0..2).for_each(|_| desk.turn());
-        // Newcomers are served all the while.
-        let mut newcomer = desk.greeted();
-        desk.ask(&mut newcomer, &format!("b{second}"));
-        desk.serve();
-        assert_eq!(desk.hear(&mut newcomer), Said::Ready);
-        assert!(desk.front.client_count() <= 20 + BEYOND);
+        // One turn accepts the connections, and one reads their bytes.
+        (0..2).for_each(|_| harness.run_turn());
+        // Meanwhile new clients are served.
+        let mut newcomer = harness.connected_client();
+        harness.begin_request(&mut newcomer, &format!("b{second}"));
+        harness.answer_last_attempt();
+        assert_eq!(harness.next_event(&mut newcomer), ClientEvent::Ready);
+        assert!(harness.front.client_count() <= 20 + MAX_CLIENTS_BEYOND_LIMIT);
         drop(newcomer);
-        desk.pass_by(1_000_000);
-        for (client, end) in slow.iter_mut().zip(&mut ends) {
-            if end.is_none() && client.hears().is_some() {
-                *end = Some(second);
+        harness.advance_by(1_000_000);
+        for (client, ended) in slow.iter_mut().zip(&mut ended_at) {
+            if ended.is_none() && client.poll_event().is_some() {
+                *ended = Some(second);
             }
         }
     }
     assert!(
-        ends.iter().all(|end| end.is_some_and(|second| second < 3)),
-        "{ends:?}"
+        ended_at
+            .iter()
+            .all(|ended| ended.is_some_and(|second| second < 3)),
+        "{ended_at:?}"
     );
-    desk.pass_by(HEARD_OUT);
-    assert_eq!(desk.front.client_count(), 0);
+    harness.advance_by(LINGER_US);
+    assert_eq!(harness.front.client_count(), 0);
 }
 
 #[test]
-fn one_client_that_floods_has_no_more_than_its_part_of_a_turn() {
-    // Danger: it holds the loop for as long as its input lasts, or begins all of it at once. Another's request lies behind
-    // what it has sent.
-    const BEGUN: usize = 16;
-    const READ: usize = 32;
-    let mut desk = Desk::new(8);
-    let (mut flood, mut other) = (desk.greeted(), desk.greeted());
-    flood.write(
+fn a_client_that_floods_gets_only_its_share_of_a_turn() {
+    // A client that floods the router must not occupy the event loop for as long as its input lasts, and must not begin all
+    // its requests at once. Another client's request has to be begun in the same turn.
+    const MAX_PIPELINED_QUERIES: usize = 16;
+    const MAX_MESSAGES_PER_TURN: usize = 32;
+    let mut harness = Harness::new(8);
+    let (mut flood, mut other) = (harness.connected_client(), harness.connected_client());
+    flood.send(
         &(0..400)
             .flat_map(|n| query(&format!("a{n:x}")))
             .collect::<Vec<u8>>(),
     );
-    other.write(&query("b1"));
-    desk.turn();
+    other.send(&query("b1"));
+    harness.run_turn();
     assert_eq!(
-        desk.engine.pending_requests(),
-        BEGUN + 1,
-        "of the one so many, and the other's"
+        harness.engine.pending_requests(),
+        MAX_PIPELINED_QUERIES + 1,
+        "the requests of a full pipeline, and that of the other client"
     );
-    // What is answered here makes room at once. Nothing is decided meanwhile, so that it is read once in the turn.
-    let mut desk = Desk::new(8);
-    let mut empty = desk.greeted();
-    empty.write(&b"Q\0\0\0\x05\0".repeat(4_000));
-    desk.turn();
-    let answers = std::iter::from_fn(|| empty.hears()).count();
+    // Answers of the router itself make room at once. The engine decides nothing meanwhile, so that the client is pumped only
+    // once in the turn.
+    let mut harness = Harness::new(8);
+    let mut sender = harness.connected_client();
+    sender.send(&b"Q\0\0\0\x05\0".repeat(4_000));
+    harness.run_turn();
+    let answers = std::iter::from_fn(|| sender.poll_event()).count();
     assert!(
-        (1..=READ).contains(&answers),
+        (1..=MAX_MESSAGES_PER_TURN).contains(&answers),
         "{answers} empty queries were answered in one turn"
     );
-    // All of it has its answer in the end.
+    // All queries are answered in the end.
     for n in answers..4_000 {
-        assert_eq!(desk.hear(&mut empty), Said::Ready, "{n}");
+        assert_eq!(harness.next_event(&mut sender), ClientEvent::Ready, "{n}");
     }
 }
--- a/router/tests/standing_full.rs
+++ b/router/tests/standing_full.rs
@@ -1,5 +1,6 @@
-//! A router whose descriptors are all taken by clients that rest, and one with a crowd at its door, while discovery is down.
-//! The system itself holds the program to its limit, so a descriptor more than it counts on shows as a failed call.
+//! A router whose file descriptors are all used by idle clients, and one to which many clients connect, while discovery is
+//! unavailable. The system enforces the descriptor limit, so that a descriptor more than the router has planned for causes a
+//! failed call.
 
 #[allow(dead_code, reason = "each test of the standing test uses a part of it")]
 mod standing_fleet;
@@ -15,15 +16,15 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
-/// The fewest descriptors that a router works with.
+/// Minimum number of descriptors that a router works with.
 const DESCRIPTORS: u32 = 64;
-/// Operators give a restarted router so long to be ready.
-const READY: Duration = Duration::from_secs(10);
-/// A change counts as told so long after discovery had it and could be reached.
-const TOLD: Duration = Duration::from_secs(6);
+/// Time that operators allow a restarted router until it is ready.
+const MAX_STARTUP_TIME: Duration = Duration::from_secs(10);
+/// Time after which a change must be known to routers, once discovery knows it and can be reached.
+const MAX_DISCOVERY_DELAY: Duration = Duration::from_secs(6);
 
-/// A router that the system gives so many descriptors and no more.
-fn limited(name: &str, agent: &Agent, entries: &[Value]) -> (Process, Folder) {
+/// Starts a router under a descriptor limit that the system enforces.
+fn start_limited_router(name: &str, agent: &Agent, entries: &[Value]) -> (Process, Folder) {
     let start = Start {
         sockets: DESCRIPTORS,
         ..Start::before(name, agent, entries)
@@ -40,46 +41,47 @@
     (router.expect("the router starts"), folder)
 }
 
-fn replicas() -> (Vec<Node>, Vec<Value>) {
+fn start_nodes() -> (Vec<Node>, Vec<Value>) {
     group([Manner::Good; 3])
 }
 
-/// Greeted, and an empty query answered; none where it is told that there is no place.
-fn ready(to: SocketAddr) -> bool {
+/// Logs in and sends an empty query. Returns false if the router rejects the connection.
+fn is_ready(to: SocketAddr) -> bool {
     let mut stream = TcpStream::connect(to).expect("it listens");
     stream.set_read_timeout(Some(HANGS)).expect("a time-out");
     stream
         .write_all(b"\0\0\0\x11\0\x03\0\0user\0me\0\0Q\0\0\0\x05\0")
         .expect("it reads");
-    let mut said = Vec::new();
-    let mut some = [0; 512];
-    // EmptyQueryResponse, or 53300.
+    let mut received = Vec::new();
+    let mut buffer = [0; 512];
+    // Either EmptyQueryResponse arrives, or an error and the close.
     loop {
-        match stream.read(&mut some) {
+        match stream.read(&mut buffer) {
             Ok(0) | Err(_) => return false,
-            Ok(count) => said.extend_from_slice(&some[..count]),
+            Ok(count) => received.extend_from_slice(&buffer[..count]),
         }
-        if said.windows(5).any(|bytes| bytes == b"I\0\0\0\x04") {
+        if received.windows(5).any(|bytes| bytes == b"I\0\0\0\x04") {
             return true;
         }
     }
 }
 
 #[test]
-fn clients_that_rest_take_no_descriptor_that_discovery_nodes_or_a_newcomer_need() {
-    // Danger: the list would stay as it was before discovery came back, and requests go to nodes that leave.
-    let (nodes, entries) = replicas();
+fn idle_clients_leave_descriptors_for_discovery_nodes_and_new_clients() {
+    // If discovery found no free descriptor after its return, the endpoint list would become outdated, and requests would be
+    // sent to nodes that are leaving.
+    let (nodes, entries) = start_nodes();
     let agent = Agent::start(vec![
         Says::Body(listing(42, &entries)),
         Says::Closes,
         Says::Closes,
     ])
     .expect("an agent");
-    let (router, _folder) = limited("full-resting", &agent, &entries);
+    let (router, _folder) = start_limited_router("full-resting", &agent, &entries);
     let listen = router.listen();
     assert!(agent.called(2, HANGS), "the list is followed");
-    // More than there are descriptors; each is served, and rests from then on.
-    let mut resting: Vec<Caller> = Vec::new();
+    // More clients than descriptors connect; each is served and then stays idle.
+    let mut idle_clients: Vec<Caller> = Vec::new();
     for n in 0..2 * DESCRIPTORS {
         let mut client = Caller::new(listen);
         assert_eq!(
@@ -88,30 +90,30 @@
             "client {n}: {:?}",
             router.lines()
         );
-        resting.push(client);
+        idle_clients.push(client);
     }
-    // Discovery is back, with a node that leaves.
+    // Discovery returns, and reports a node that is leaving.
     let calls = agent.calls().len();
     agent.then(Says::Body(listing(
         90,
         &with_status(&entries, 2, "leaving"),
     )));
-    let back = Instant::now();
-    let followed = |agent: &Agent| {
+    let returned_at = Instant::now();
+    let list_is_followed = |agent: &Agent| {
         agent.calls()[calls.saturating_sub(1)..]
             .iter()
             .any(|c| c.contains("after=90"))
     };
-    while !followed(&agent) {
+    while !list_is_followed(&agent) {
         assert!(
-            back.elapsed() < TOLD,
+            returned_at.elapsed() < MAX_DISCOVERY_DELAY,
             "{:?}: {:?}",
             agent.calls(),
             router.lines()
         );
         std::thread::sleep(Duration::from_millis(5));
     }
-    let before = nodes[2].ran().len();
+    let count_before = nodes[2].ran().len();
     for n in 0..8 {
         assert_eq!(
             ask(&mut Caller::new(listen), &format!("b{n:x}"), "look"),
@@ -119,22 +121,22 @@
             "newcomer {n}"
         );
     }
-    assert_eq!(nodes[2].ran().len(), before, "the list is followed");
-    assert_enough(&router);
+    assert_eq!(nodes[2].ran().len(), count_before, "the list is followed");
+    assert_no_descriptor_shortage(&router);
 }
 
-/// Nothing that the router did has failed for want of a descriptor.
-fn assert_enough(router: &Process) {
+/// Asserts that nothing failed for lack of a descriptor.
+fn assert_no_descriptor_shortage(router: &Process) {
     let failed = |line: &String| line.contains("cannot accept") || line.contains("can be begun");
     let failed: Vec<String> = router.lines().into_iter().filter(failed).collect();
     assert!(failed.is_empty(), "{failed:?}");
 }
 
 #[test]
-fn with_all_places_held_on_both_sides_discovery_and_those_turned_away_find_a_descriptor() {
-    // Danger: counted too narrowly, the agent's connection or an accept finds none left, and news is not heard. Writes
-    // are held by the primary for as long as they are waited for, so that each takes a descriptor on both sides; three
-    // times as many come as there are places, over and over.
+fn with_all_slots_in_use_descriptors_are_left_for_discovery_and_rejected_clients() {
+    // If the router planned with too few descriptors, none would be left for the connection to the agent or for accepting a
+    // client, and changes of the list would be missed. The primary does not answer writes before they time out, so that each
+    // uses a descriptor on both sides. Three times as many clients as there are slots connect again and again.
     let (_nodes, entries) = group([Manner::HoldsWork, Manner::Good, Manner::Good]);
     let agent = Agent::start(vec![
         Says::Body(listing(42, &entries)),
@@ -142,26 +144,30 @@
         Says::Closes,
     ])
     .expect("an agent");
-    let (router, _folder) = limited("full-held", &agent, &entries);
+    let (router, _folder) = start_limited_router("full-held", &agent, &entries);
     let listen = router.listen();
     assert!(agent.called(2, HANGS), "the list is followed");
-    let over = AtomicBool::new(false);
-    let refused = AtomicUsize::new(0);
+    let is_over = AtomicBool::new(false);
+    let rejected_count = AtomicUsize::new(0);
     std::thread::scope(|scope| {
         for n in 0..DESCRIPTORS {
-            let (over, refused) = (&over, &refused);
+            let (is_over, rejected_count) = (&is_over, &rejected_count);
             scope.spawn(move || {
-                for k in 0.. {
-                    if over.load(Ordering::Relaxed) {
+                for attempt in 0.. {
+                    if is_over.load(Ordering::Relaxed) {
                         return;
                     }
-                    let fate = ask(&mut Caller::new(listen), &format!("c{n:02x}{k:x}"), "book");
-                    refused.fetch_add(usize::from(fate == Fate::Refused), Ordering::Relaxed);
+                    let fate = ask(
+                        &mut Caller::new(listen),
+                        &format!("c{n:02x}{attempt:x}"),
+                        "book",
+                    );
+                    rejected_count.fetch_add(usize::from(fate == Fate::Refused), Ordering::Relaxed);
                 }
             });
         }
-        let until = Instant::now() + HANGS;
-        while refused.load(Ordering::Relaxed) == 0 && Instant::now() < until {
+        let deadline = Instant::now() + HANGS;
+        while rejected_count.load(Ordering::Relaxed) == 0 && Instant::now() < deadline {
             std::thread::sleep(Duration::from_millis(5));
         }
         let calls = agent.calls().len();
@@ -169,41 +175,52 @@
             90,
             &with_status(&entries, 2, "leaving"),
         )));
-        let back = Instant::now();
-        let followed = || {
+        let returned_at = Instant::now();
+        let list_is_followed = || {
             agent.calls()[calls - 1..]
                 .iter()
                 .any(|c| c.contains("after=90"))
         };
-        while !followed() && back.elapsed() < TOLD {
+        while !list_is_followed() && returned_at.elapsed() < MAX_DISCOVERY_DELAY {
             std::thread::sleep(Duration::from_millis(5));
         }
-        let heard = followed();
-        over.store(true, Ordering::Relaxed);
-        assert!(heard, "{:?}: {:?}", agent.calls(), router.lines());
+        let is_followed = list_is_followed();
+        is_over.store(true, Ordering::Relaxed);
+        assert!(is_followed, "{:?}: {:?}", agent.calls(), router.lines());
     });
-    assert!(refused.load(Ordering::Relaxed) > 0, "the places were out");
-    assert_enough(&router);
+    assert!(
+        rejected_count.load(Ordering::Relaxed) > 0,
+        "all slots were in use"
+    );
+    assert_no_descriptor_shortage(&router);
 }
 
 #[test]
-fn a_restarted_router_is_ready_though_discovery_is_down_and_a_crowd_is_at_its_door() {
-    // Danger: the front takes in only routers that have answered an empty query.
-    let (_nodes, entries) = replicas();
+fn a_restarted_router_becomes_ready_without_discovery_while_many_clients_connect() {
+    // The operators' load balancer uses only routers that have answered an empty query.
+    let (_nodes, entries) = start_nodes();
     let agent = Agent::start(vec![Says::Nothing; 8]).expect("an agent");
-    let (router, _folder) = limited("full-crowd", &agent, &entries);
-    let came = Instant::now();
-    let mute: Vec<TcpStream> = (0..200)
+    let (router, _folder) = start_limited_router("full-crowd", &agent, &entries);
+    let started_at = Instant::now();
+    let silent: Vec<TcpStream> = (0..200)
         .map(|_| TcpStream::connect(router.listen()).expect("it listens"))
         .collect();
-    // One that is told that there is no place comes again, as the operators' front does.
-    while !ready(router.listen()) {
-        assert!(came.elapsed() < READY, "{:?}", router.lines());
+    // A rejected client tries again, as the operators' load balancer does.
+    while !is_ready(router.listen()) {
+        assert!(
+            started_at.elapsed() < MAX_STARTUP_TIME,
+            "{:?}",
+            router.lines()
+        );
     }
-    assert!(came.elapsed() < READY, "ready after {:?}", came.elapsed());
+    assert!(
+        started_at.elapsed() < MAX_STARTUP_TIME,
+        "ready after {:?}",
+        started_at.elapsed()
+    );
     assert_eq!(
         ask(&mut Caller::new(router.listen()), "c1", "look"),
         Fate::Served
     );
-    drop(mute);
+    drop(silent);
 }
--- a/router/tests/standing_signals.rs
+++ b/router/tests/standing_signals.rs
@@ -238,7 +238,7 @@
         scene.folder.write("config.json", &config).expect("a file");
         blows.into_iter().for_each(|blow| scene.router.strike(blow));
         client.query(&statement("a2", "look"));
-        arrival::acknowledged(arrival::port(&client.0));
+        arrival::wait_for_acknowledgement(arrival::local_port(&client.0));
         scene.router.strike(Blow::Continue);
         assert_eq!(client.hear(), "row");
         assert!(
