--- a/router/tests/translator.rs
+++ b/router/tests/translator.rs
@@ -1,5 +1,5 @@
-//! Old clients, new servers: the router between a scripted client of versions 2.0 and 3.0 and a scripted server of 3.2.
-//! The whole catalogue is walked in both directions, and a message without a case fails the walk.
+//! The router between a scripted client of protocol versions 2.0 and 3.0 and a scripted server of version 3.2. The tests
+//! cover every message of the catalogue in both directions; a message without a test case fails the test.
 
 use plovercove_emulator::old::{Heard, Old, cancel};
 use plovercove_emulator::process::{Folder, Process};
@@ -14,24 +14,25 @@
 use std::time::{Duration, Instant};
 
 /// The password of `app` (MD5) and of `new` (SCRAM).
-const APP: &str = "old but true";
+const CLIENT_PASSWORD: &str = "old but true";
 
 struct Router {
     process: Process,
-    /// Its files lie there for as long as it runs.
+    /// The folder of its files, which is deleted with this struct.
     _folder: Folder,
+    /// Address of the listener for old clients.
     old: SocketAddr,
     new: SocketAddr,
 }
 
 impl Router {
-    /// A router with a front for old clients and one for drivers of today, before one server.
+    /// Starts a router with a listener for old clients and one for modern drivers, and a single server.
     fn start(name: &str, server: &Server) -> Self {
-        Self::between(name, server, server, "look")
+        Self::start_with_replica(name, server, server, "look")
     }
 
-    /// The same, with a primary and a replica, and the class of reads.
-    fn between(name: &str, server: &Server, replica: &Server, reads: &str) -> Self {
+    /// Starts such a router with a primary and a replica, and with this class for reads.
+    fn start_with_replica(name: &str, server: &Server, replica: &Server, reads: &str) -> Self {
         let folder = Folder::new(name).expect("a folder for temporary files");
         let write =
             |file: &str, text: &str| folder.write(file, text).expect("a place for the file");
@@ -65,7 +66,7 @@
                 .arg(operators)
                 .env("PROXY_LOG", "debug")
         });
-        let process = process.expect("it starts");
+        let process = process.expect("the router starts");
         let [old, new] = *process.fronts() else {
             panic!("two fronts: {:?}", process.lines())
         };
@@ -77,8 +78,10 @@
         }
     }
 
-    fn client(&self, two: bool) -> Old {
-        Old::connect(self.old, two, "app", APP).expect("let in").0
+    fn client(&self, is_v2: bool) -> Old {
+        Old::connect(self.old, is_v2, "app", CLIENT_PASSWORD)
+            .expect("logged in")
+            .0
     }
 
     fn log(&self) -> String {
@@ -91,7 +94,7 @@
     "new SCRAM-SHA-256$4096:c2FsdCBmb3IgdGVzdGluZw==$+zHUZ4gNud0nw13Q9bLetv7ZRwbNfxooLYqms3YMRVA=:/1pX1C1krOwl32SAcRT+3tMi6Sx15vjbP3ilrHfsmgQ=\n",
 );
 
-fn served(rows: &[&[u8]]) -> Vec<u8> {
+fn result_reply(rows: &[&[u8]]) -> Vec<u8> {
     let all = rows.iter().flat_map(|value| row(&[Some(value)]));
     [
         columns(&[("body", 25)]),
@@ -102,28 +105,28 @@
     .concat()
 }
 
-fn text_of(query: &str) -> &str {
+fn without_labels(query: &str) -> &str {
     query.split_once("*/ ").map_or(query, |(_, rest)| rest)
 }
 
-/// What a client hears at the end of a query that was not served: an error, and it can go on.
-fn is_error(heard: &[Heard], word: &str) -> bool {
-    matches!(heard, [.., Heard::Error(text), Heard::Ready] if text.contains(word))
-        && !heard
+/// Returns true if a client received an error that contains `word` and no result, and the session continues.
+fn is_error(received: &[Heard], word: &str) -> bool {
+    matches!(received, [.., Heard::Error(text), Heard::Ready] if text.contains(word))
+        && !received
             .iter()
             .any(|h| matches!(h, Heard::Complete(_) | Heard::Row(_)))
 }
 
-/// What one message of a server brings the client, amid an answer to a query.
+/// A reply with a message of a server, and what the client must receive for it.
 struct Case {
     name: &'static str,
-    /// What the server answers.
+    /// The reply of the server.
     bytes: Vec<u8>,
-    /// Whether a client hears what it must: version 2.0 or not, and what it heard.
-    hears: fn(bool, &[Heard]) -> bool,
+    /// Returns true if a client received what it must. The arguments are whether it uses version 2.0, and what it received.
+    is_expected: fn(bool, &[Heard]) -> bool,
 }
 
-fn cases() -> Vec<Case> {
+fn message_cases() -> Vec<Case> {
     let described = || columns(&[("body", 25)]);
     let rest = || {
         [
@@ -134,13 +137,13 @@
         ]
         .concat()
     };
-    fn fails(_: bool, heard: &[Heard]) -> bool {
-        is_error(heard, "08007") || is_error(heard, "outcome is unknown")
+    fn has_failed(_: bool, received: &[Heard]) -> bool {
+        is_error(received, "08007") || is_error(received, "outcome is unknown")
     }
-    let refused = |name, kind: u8, body: &[u8]| Case {
+    let failing_case = |name, kind: u8, body: &[u8]| Case {
         name,
         bytes: [message(kind, body), ready(b'I')].concat(),
-        hears: fails,
+        is_expected: has_failed,
     };
     let mut all = vec![
         Case {
@@ -151,8 +154,8 @@
                 ready(b'I'),
             ]
             .concat(),
-            hears: |_, heard| {
-                heard[0] == Heard::Columns(vec![("a".into(), 17), ("b".into(), 1114)])
+            is_expected: |_, received| {
+                received[0] == Heard::Columns(vec![("a".into(), 17), ("b".into(), 1114)])
             },
         },
         Case {
@@ -169,25 +172,27 @@
                 ready(b'I'),
             ]
             .concat(),
-            hears: |_, heard| {
-                let want = [
+            is_expected: |_, received| {
+                let expected = [
                     Some(&b"\\237A"[..]),
                     Some(b"01/12/2026 17:20:00"),
                     None,
                     Some(b""),
                 ];
-                heard[1] == Heard::Row(want.map(|v| v.map(<[u8]>::to_vec)).to_vec())
+                received[1] == Heard::Row(expected.map(|v| v.map(<[u8]>::to_vec)).to_vec())
             },
         },
         Case {
             name: "CommandComplete",
             bytes: [complete("INSERT 0 1"), ready(b'I')].concat(),
-            hears: |_, heard| *heard == [Heard::Complete("INSERT 0 1".into()), Heard::Ready],
+            is_expected: |_, received| {
+                *received == [Heard::Complete("INSERT 0 1".into()), Heard::Ready]
+            },
         },
         Case {
             name: "EmptyQueryResponse",
             bytes: [message(b'I', b""), ready(b'I')].concat(),
-            hears: |_, heard| *heard == [Heard::Empty, Heard::Ready],
+            is_expected: |_, received| *received == [Heard::Empty, Heard::Ready],
         },
         Case {
             name: "ErrorResponse",
@@ -208,15 +213,15 @@
                 ready(b'I'),
             ]
             .concat(),
-            // An error amid rows: it is the server's word on the statement, and comes in the client's own form.
-            hears: |two, heard| {
-                let want = if two {
+            // An error after rows is the server's answer to the statement, and is passed on in the client's format.
+            is_expected: |is_v2, received| {
+                let expected = if is_v2 {
                     "ERROR:  twice\n"
                 } else {
                     "23505 twice"
                 };
-                matches!(heard, [.., Heard::Error(text), Heard::Ready] if text == want)
-                    && !heard.iter().any(|h| matches!(h, Heard::Complete(_)))
+                matches!(received, [.., Heard::Error(text), Heard::Ready] if text == expected)
+                    && !received.iter().any(|h| matches!(h, Heard::Complete(_)))
             },
         },
         Case {
@@ -234,21 +239,21 @@
                 rest(),
             ]
             .concat(),
-            hears: |two, heard| {
-                let want = if two { "NOTICE:  hm\n" } else { "00000 hm" };
-                heard[0] == Heard::Notice(want.into())
-                    && heard.contains(&Heard::Row(vec![Some(b"v".to_vec())]))
+            is_expected: |is_v2, received| {
+                let expected = if is_v2 { "NOTICE:  hm\n" } else { "00000 hm" };
+                received[0] == Heard::Notice(expected.into())
+                    && received.contains(&Heard::Row(vec![Some(b"v".to_vec())]))
             },
         },
         Case {
             name: "ReadyForQuery",
             bytes: [complete("BEGIN"), ready(b'T')].concat(),
-            hears: fails,
+            is_expected: has_failed,
         },
         Case {
             name: "CopyInResponse",
             bytes: message(b'G', &[0, 0, 1, 0, 0]),
-            hears: fails,
+            is_expected: has_failed,
         },
         Case {
             name: "CopyOutResponse",
@@ -259,7 +264,7 @@
                 ready(b'I'),
             ]
             .concat(),
-            hears: |_, heard| heard[0] == Heard::Copied(Vec::new()),
+            is_expected: |_, received| received[0] == Heard::Copied(Vec::new()),
         },
         Case {
             name: "CopyDone",
@@ -270,7 +275,7 @@
                 ready(b'I'),
             ]
             .concat(),
-            hears: fails,
+            is_expected: has_failed,
         },
         Case {
             name: "CopyData",
@@ -283,34 +288,34 @@
                 ready(b'I'),
             ]
             .concat(),
-            hears: |_, heard| heard[0] == Heard::Copied(b"1\ta\n2\tb\n".to_vec()),
+            is_expected: |_, received| received[0] == Heard::Copied(b"1\ta\n2\tb\n".to_vec()),
         },
         Case {
             name: "NotificationResponse",
             bytes: [message(b'A', b"\0\0\0\x07seats\0x\0"), rest()].concat(),
-            hears: |_, heard| {
-                heard.len() == 4 && heard.contains(&Heard::Row(vec![Some(b"v".to_vec())]))
+            is_expected: |_, received| {
+                received.len() == 4 && received.contains(&Heard::Row(vec![Some(b"v".to_vec())]))
             },
         },
         Case {
             name: "ParameterStatus",
             bytes: [message(b'S', b"search_path\0seats\0"), rest()].concat(),
-            hears: |_, heard| {
-                heard.len() == 4 && heard.contains(&Heard::Row(vec![Some(b"v".to_vec())]))
+            is_expected: |_, received| {
+                received.len() == 4 && received.contains(&Heard::Row(vec![Some(b"v".to_vec())]))
             },
         },
-        refused("CopyBothResponse", b'W', &[0, 0, 0]),
-        refused("FunctionCallResponse", b'V', &[0, 0, 0, 1, b'v']),
-        refused("ParseComplete", b'1', b""),
-        refused("BindComplete", b'2', b""),
-        refused("CloseComplete", b'3', b""),
-        refused("NoData", b'n', b""),
-        refused("PortalSuspended", b's', b""),
-        refused("ParameterDescription", b't', &[0, 0]),
-        // What is no message at all, and what comes where it cannot.
-        refused("an unknown kind", b'~', b"?"),
-        refused("a key amid an answer", b'K', &[0; 8]),
-        refused("a login amid an answer", b'R', &[0; 4]),
+        failing_case("CopyBothResponse", b'W', &[0, 0, 0]),
+        failing_case("FunctionCallResponse", b'V', &[0, 0, 0, 1, b'v']),
+        failing_case("ParseComplete", b'1', b""),
+        failing_case("BindComplete", b'2', b""),
+        failing_case("CloseComplete", b'3', b""),
+        failing_case("NoData", b'n', b""),
+        failing_case("PortalSuspended", b's', b""),
+        failing_case("ParameterDescription", b't', &[0, 0]),
+        // Unknown messages, and messages that are not allowed here.
+        failing_case("an unknown kind", b'~', b"?"),
+        failing_case("a key amid an answer", b'K', &[0; 8]),
+        failing_case("a login amid an answer", b'R', &[0; 4]),
     ];
     all.push(Case {
         name: "several results",
@@ -320,9 +325,9 @@
             ready(b'I'),
         ]
         .concat(),
-        hears: |two, heard| {
-            let tag = if two { "SELECT" } else { "SELECT 1" };
-            let tags: Vec<_> = heard
+        is_expected: |is_v2, received| {
+            let tag = if is_v2 { "SELECT" } else { "SELECT 1" };
+            let tags: Vec<_> = received
                 .iter()
                 .filter(|h| matches!(h, Heard::Complete(_)))
                 .collect();
@@ -335,8 +340,8 @@
     all
 }
 
-/// Messages of a server's login; they are walked by [`every_login_of_a_server_is_met_or_named`].
-const LOGIN: [&str; 12] = [
+/// Messages of a server's login. They are covered by [`every_login_of_a_server_succeeds_or_is_logged`].
+const LOGIN_MESSAGES: [&str; 12] = [
     "AuthenticationOk",
     "AuthenticationKerberosV5",
     "AuthenticationCleartextPassword",
@@ -351,78 +356,80 @@
     "NegotiateProtocolVersion",
 ];
 
-fn unwalked(side: Side, walked: &[&str]) -> Vec<&'static str> {
-    let of: Vec<&Entry> = ENTRIES.iter().filter(|e| e.side == side).collect();
-    of.into_iter()
+fn untested_messages(side: Side, tested: &[&str]) -> Vec<&'static str> {
+    let on_side: Vec<&Entry> = ENTRIES.iter().filter(|e| e.side == side).collect();
+    on_side
+        .into_iter()
         .map(|e| e.name)
-        .filter(|name| !walked.contains(name))
+        .filter(|name| !tested.contains(name))
         .collect()
 }
 
 #[test]
-fn every_message_of_a_server_comes_as_the_catalogue_says() {
-    let cases = Arc::new(cases());
-    let mut walked: Vec<&str> = cases.iter().map(|c| c.name).collect();
-    walked.extend(LOGIN);
+fn every_server_message_is_handled_as_in_the_catalogue() {
+    let message_cases = Arc::new(message_cases());
+    let mut tested: Vec<&str> = message_cases.iter().map(|c| c.name).collect();
+    tested.extend(LOGIN_MESSAGES);
     assert_eq!(
-        unwalked(Side::Server, &walked),
+        untested_messages(Side::Server, &tested),
         Vec::<&str>::new(),
-        "messages without a case"
+        "messages without a test case"
     );
-    let mine = Arc::clone(&cases);
+    let script_cases = Arc::clone(&message_cases);
     let script = move |query: &str| {
-        let number: usize = text_of(query)
+        let number: usize = without_labels(query)
             .trim_start_matches("INSERT ")
             .parse()
             .expect("the number of a case");
-        Answer::of(mine[number].bytes.clone())
+        Answer::of(script_cases[number].bytes.clone())
     };
     let server = Server::start(Gate::Scram, 2, script).expect("a server");
     let router = Router::start("walk", &server);
-    for two in [true, false] {
-        for (number, case) in cases.iter().enumerate() {
-            // A client for each: an answer that is out of step must not be laid at the next one's door.
-            let mut client = router.client(two);
-            let heard = patiently(&mut client, &format!("INSERT {number}"));
+    for is_v2 in [true, false] {
+        for (number, case) in message_cases.iter().enumerate() {
+            // Each case has its own client, so that an answer out of order cannot be mistaken for that of the next case.
+            let mut client = router.client(is_v2);
+            let received = query_until_accepted(&mut client, &format!("INSERT {number}"));
             assert!(
-                (case.hears)(two, &heard),
-                "{}, 2.0: {two}: {heard:?}",
+                (case.is_expected)(is_v2, &received),
+                "{}, 2.0: {is_v2}: {received:?}",
                 case.name
             );
-            // The session goes on.
+            // The session continues.
             assert_eq!(
-                client.query("").expect("it goes on"),
+                client.query("").expect("the session continues"),
                 [Heard::Empty, Heard::Ready],
                 "{}",
                 case.name
             );
         }
     }
-    let copies = server.log().others;
+    let copy_failures = server.log().others;
     assert!(
-        copies.iter().all(|(kind, _)| *kind == b'f') && copies.len() == 2,
-        "{copies:?}"
+        copy_failures.iter().all(|(kind, _)| *kind == b'f') && copy_failures.len() == 2,
+        "{copy_failures:?}"
     );
 }
 
-/// Asks again as long as it is refused, as a client may.
-fn patiently(client: &mut Old, text: &str) -> Vec<Heard> {
-    let until = Instant::now() + Duration::from_secs(10);
+/// Sends a query and repeats it as long as it is rejected, as clients may do.
+fn query_until_accepted(client: &mut Old, text: &str) -> Vec<Heard> {
+    let deadline = Instant::now() + Duration::from_secs(10);
     loop {
-        let heard = client.query(text).unwrap_or_else(|e| panic!("{text}: {e}"));
-        let refused = heard.iter().any(
-            |h| matches!(h, Heard::Error(said) if said.contains("53300") || said.contains("57P03")),
+        let received = client.query(text).unwrap_or_else(|e| panic!("{text}: {e}"));
+        let is_rejected = received.iter().any(
+            |h| matches!(h, Heard::Error(error) if error.contains("53300") || error.contains("57P03")),
         );
-        if !refused || Instant::now() > until {
-            return heard;
+        if !is_rejected || Instant::now() > deadline {
+            return received;
         }
         std::thread::yield_now();
     }
 }
 
 #[test]
-fn every_login_of_a_server_is_met_or_named() {
-    let server = Server::start(Gate::Trust, 2, |_| Answer::of(served(&[b"v"]))).expect("a server");
+fn every_login_of_a_server_succeeds_or_is_logged() {
+    let server =
+        Server::start(Gate::Trust, 2, |_| Answer::of(result_reply(&[b"v"]))).expect("a server");
     for (gate, minor) in [
         (Gate::Trust, 0),
         (Gate::Clear, 2),
@@ -430,12 +437,13 @@
         (Gate::Scram, 2),
         (Gate::Scram, 0),
     ] {
-        let server = Server::start(gate, minor, |_| Answer::of(served(&[b"v"]))).expect("a server");
+        let server =
+            Server::start(gate, minor, |_| Answer::of(result_reply(&[b"v"]))).expect("a server");
         let router = Router::start(&format!("gate-{gate:?}-{minor}"), &server);
-        let heard = patiently(&mut router.client(true), "SELECT 1");
+        let received = query_until_accepted(&mut router.client(true), "SELECT 1");
         assert!(
-            heard.contains(&Heard::Row(vec![Some(b"v".to_vec())])),
-            "{gate:?} {minor}: {heard:?}"
+            received.contains(&Heard::Row(vec![Some(b"v".to_vec())])),
+            "{gate:?} {minor}: {received:?}"
         );
         assert!(!router.log().contains(PASSWORD), "a secret in the log");
     }
@@ -448,19 +456,19 @@
         (Gate::Refuses("28P01"), "28P01"),
     ] {
         server.set_gate(gate);
-        let begun = Instant::now();
-        let heard = router.client(false).query("INSERT 1").expect("an answer");
+        let started_at = Instant::now();
+        let received = router.client(false).query("INSERT 1").expect("an answer");
         assert!(
-            matches!(heard[..], [Heard::Error(_), Heard::Ready]),
-            "{gate:?}: {heard:?}"
+            matches!(received[..], [Heard::Error(_), Heard::Ready]),
+            "{gate:?}: {received:?}"
         );
-        // Its class waits for 5 s.
+        // The deadline of its class is 5 s.
         assert!(
-            begun.elapsed() < Duration::from_secs(7),
+            started_at.elapsed() < Duration::from_secs(7),
             "{gate:?}: no session hangs"
         );
-        let until = Instant::now() + Duration::from_secs(5);
-        while !router.log().contains(word) && Instant::now() < until {
+        let deadline = Instant::now() + Duration::from_secs(5);
+        while !router.log().contains(word) && Instant::now() < deadline {
             let _ = router.client(false).query("SELECT 2");
         }
         assert!(router.log().contains(word), "{gate:?}: {}", router.log());
@@ -468,38 +476,38 @@
 }
 
 #[test]
-fn every_message_of_a_client_is_taken_as_the_catalogue_says() {
-    let server = Server::start(Gate::Scram, 2, |query| match text_of(query) {
+fn every_client_message_is_handled_as_in_the_catalogue() {
+    let server = Server::start(Gate::Scram, 2, |query| match without_labels(query) {
         "SELECT 'slow'" => Answer {
             bytes: Vec::new(),
             then: Then::Works(20_000),
         },
-        _ => Answer::of(served(&[b"v"])),
+        _ => Answer::of(result_reply(&[b"v"])),
     })
     .expect("a server");
     let router = Router::start("client", &server);
-    let mut walked = vec![
+    let mut tested = vec![
         "StartupMessage",
         "StartupPacket",
         "PasswordMessage",
         "PasswordPacket",
         "Query",
     ];
-    let unsupported = |heard: Vec<Heard>, name: &str| {
+    let unsupported = |received: Vec<Heard>, name: &str| {
         assert!(
-            matches!(&heard[..], [Heard::Error(text), Heard::Ready] if text.contains("0A000")),
-            "{name}: {heard:?}"
+            matches!(&received[..], [Heard::Error(text), Heard::Ready] if text.contains("0A000")),
+            "{name}: {received:?}"
         );
     };
-    for two in [true, false] {
-        let mut client = router.client(two);
+    for is_v2 in [true, false] {
+        let mut client = router.client(is_v2);
         assert!(
             client
                 .query("SELECT 1")
                 .expect("served")
                 .contains(&Heard::Row(vec![Some(b"v".to_vec())]))
         );
-        let call: &[u8] = if two {
+        let call: &[u8] = if is_v2 {
             b"F\0\0\0\0\x07\0\0\0\x01\0\0\0\x02ab"
         } else {
             b"F\0\0\0\x0e\0\0\0\x07\0\0\0\0\0\0"
@@ -511,8 +519,8 @@
             "the session stays"
         );
     }
-    walked.push("FunctionCall");
-    // Extended queries: one error, then silence up to Sync.
+    tested.push("FunctionCall");
+    // Extended query protocol: one error, and then all messages are skipped until Sync.
     for (name, kind) in [
         ("Parse", b'P'),
         ("Bind", b'B'),
@@ -522,15 +530,15 @@
         ("Flush", b'H'),
     ] {
         let mut client = router.client(false);
-        let both = [
+        let messages = [
             message(kind, b"\0\0\0\0"),
             message(b'D', b"S\0"),
             message(b'S', b""),
         ]
         .concat();
-        client.send(&both).expect("sent");
+        client.send(&messages).expect("sent");
         unsupported(client.hear().expect("an answer"), name);
-        walked.push(name);
+        tested.push(name);
     }
     let mut client = router.client(false);
     client.send(&message(b'S', b"")).expect("sent");
@@ -546,18 +554,18 @@
         )
         .expect("sent");
     assert_eq!(
-        client.query("").expect("they were skipped"),
+        client.query("").expect("the copy messages were skipped"),
         [Heard::Empty, Heard::Ready]
     );
-    walked.extend(["Sync", "CopyData", "CopyDone", "CopyFail"]);
-    for two in [true, false] {
-        let mut client = router.client(two);
+    tested.extend(["Sync", "CopyData", "CopyDone", "CopyFail"]);
+    for is_v2 in [true, false] {
+        let mut client = router.client(is_v2);
         client
-            .send(if two { b"X" } else { b"X\0\0\0\x04" })
+            .send(if is_v2 { b"X" } else { b"X\0\0\0\x04" })
             .expect("sent");
         assert!(client.ends());
     }
-    walked.push("Terminate");
+    tested.push("Terminate");
     for (name, packet) in [
         ("SSLRequest", b"\0\0\0\x08\x04\xd2\x16\x2f"),
         ("GSSENCRequest", b"\0\0\0\x08\x04\xd2\x16\x30"),
@@ -566,53 +574,53 @@
         client.send(packet).expect("sent");
         client.send(b"\0\0\0\x08\0\x09\0\0").expect("sent");
         assert_eq!(client.byte().expect("an answer"), b'N', "{name}");
-        let heard = client.hear().expect("an error, and the end");
+        let received = client.hear().expect("an error, and the end");
         assert!(
-            matches!(&heard[..], [Heard::Error(text)] if text.contains("version 9.0")),
-            "{name}: {heard:?}"
+            matches!(&received[..], [Heard::Error(text)] if text.contains("version 9.0")),
+            "{name}: {received:?}"
         );
-        walked.push(name);
+        tested.push(name);
     }
-    // A cancel ends what is under way, and the server is asked to stop.
-    for two in [true, false] {
-        let mut client = router.client(two);
+    // A cancel request ends the request in progress, and the server receives a cancel request too.
+    for is_v2 in [true, false] {
+        let mut client = router.client(is_v2);
         let before = server.log().queries.len();
         client.ask("SELECT 'slow'").expect("asked");
-        let until = Instant::now() + Duration::from_secs(5);
-        while server.log().queries.len() == before && Instant::now() < until {
+        let deadline = Instant::now() + Duration::from_secs(5);
+        while server.log().queries.len() == before && Instant::now() < deadline {
             std::thread::yield_now();
         }
         let wrong = (client.key.0, vec![0, 0, 0, 0]);
         assert!(
-            cancel(router.old, &wrong).expect("heard out"),
-            "a wrong key brings nothing"
+            cancel(router.old, &wrong).expect("closed"),
+            "a wrong key has no effect"
         );
-        let begun = Instant::now();
-        assert!(cancel(router.old, &client.key).expect("heard out"));
+        let started_at = Instant::now();
+        assert!(cancel(router.old, &client.key).expect("closed"));
         assert!(is_error(&client.hear().expect("an answer"), "57014"));
-        // Far less than the server would have worked.
-        assert!(begun.elapsed() < Duration::from_secs(10));
+        // This is much less than the server would have taken.
+        assert!(started_at.elapsed() < Duration::from_secs(10));
         assert!(
             client.query("SELECT 1").expect("served").len() == 4,
             "the session stays"
         );
     }
-    let until = Instant::now() + Duration::from_secs(5);
-    while server.log().cancels < 2 && Instant::now() < until {
+    let deadline = Instant::now() + Duration::from_secs(5);
+    while server.log().cancels < 2 && Instant::now() < deadline {
         std::thread::yield_now();
     }
     assert_eq!(
         server.log().cancels,
         2,
-        "one for each that was wanted, and none for the wrong keys"
+        "one for each valid cancel request, and none for the wrong keys"
     );
-    walked.push("CancelRequest");
-    // SCRAM, by a driver of today; and a GSS answer, which is no answer to any question.
+    tested.push("CancelRequest");
+    // SCRAM with a modern driver, and a GSSResponse, which the router never requests.
     let mut driver = postgres::Config::new()
         .host("127.0.0.1")
         .port(router.new.port())
         .user("new")
-        .password(APP)
+        .password(CLIENT_PASSWORD)
         .dbname("trips")
         .connect(postgres::NoTls)
         .expect("let in by SCRAM");
@@ -631,9 +639,9 @@
         .password("wrong")
         .connect(postgres::NoTls)
         .err()
-        .expect("not let in");
+        .expect("login rejected");
     assert_eq!(wrong.code().map(|c| c.code()), Some("28P01"));
-    walked.extend(["SASLInitialResponse", "SASLResponse"]);
+    tested.extend(["SASLInitialResponse", "SASLResponse"]);
     let mut client = Old::dial(router.new, false).expect("it listens");
     client
         .send(b"\0\0\0\x12\0\x03\0\0user\0new\0\0")
@@ -641,51 +649,51 @@
     client
         .send(&message(b'p', b"a token of GSSAPI"))
         .expect("sent");
-    let heard = client.hear().map_err(|e| e.to_string());
+    let received = client.hear().map_err(|e| e.to_string());
     assert!(
-        heard.as_ref().is_err_and(|e| e.contains("'R'")),
-        "it was asked for SCRAM first: {heard:?}"
+        received.as_ref().is_err_and(|e| e.contains("'R'")),
+        "SCRAM was requested first: {received:?}"
     );
-    walked.push("GSSResponse");
+    tested.push("GSSResponse");
     assert_eq!(
-        unwalked(Side::Client, &walked),
+        untested_messages(Side::Client, &tested),
         Vec::<&str>::new(),
-        "messages without a case"
+        "messages without a test case"
     );
     assert!(
         ENTRIES
             .iter()
             .any(|e| e.treatment == Treatment::Reject && e.name == "GSSResponse")
     );
-    for secret in [APP, PASSWORD, "md5b", "STORED"] {
+    for secret in [CLIENT_PASSWORD, PASSWORD, "md5b", "STORED"] {
         assert!(!router.log().contains(secret), "{secret:?} in the log");
     }
 }
 
 #[test]
-fn a_booking_that_fails_never_looks_made_wherever_the_server_fails() {
-    // Danger: a rider with a seat that nobody booked.
-    let whole = [
+fn a_write_never_looks_successful_if_the_server_fails_at_any_point() {
+    // If a failed write looked successful, a rider would rely on a seat that is not booked.
+    let complete_reply = [
         columns(&[("id", 23)]),
         row(&[Some(b"17")]),
         complete("INSERT 0 1"),
     ]
     .concat();
-    let parts = [
+    let message_ends = [
         columns(&[("id", 23)]).len(),
-        whole.len() - complete("INSERT 0 1").len(),
-        whole.len(),
+        complete_reply.len() - complete("INSERT 0 1").len(),
+        complete_reply.len(),
     ];
-    let length = whole.len();
+    let length = complete_reply.len();
     let script = move |query: &str| {
-        let text = text_of(query);
+        let text = without_labels(query);
         let cut: usize = text
             .rsplit(' ')
             .next()
             .and_then(|n| n.parse().ok())
             .expect("where it fails");
-        let mut bytes = whole[..cut].to_vec();
-        let (more, then) = match text.split(' ').nth(1) {
+        let mut bytes = complete_reply[..cut].to_vec();
+        let (rest, then) = match text.split(' ').nth(1) {
             Some("close") => (Vec::new(), Then::Closes),
             Some("error") => (
                 [
@@ -698,58 +706,60 @@
             Some("ready") => (ready(b'I'), Then::Stays),
             _ => (b"\xff\xff\xff\xff\xff\xff\xff\xff".to_vec(), Then::Closes),
         };
-        bytes.extend(more);
+        bytes.extend(rest);
         Answer { bytes, then }
     };
     let server = Server::start(Gate::Scram, 2, script).expect("a server");
     let router = Router::start("booking", &server);
-    let mut made = 0;
-    for two in [true, false] {
-        let mut client = router.client(two);
-        for how in ["close", "error", "ready", "noise"] {
-            for cut in (0..=length)
-                .filter(|cut| matches!(how, "close" | "noise") || *cut == 0 || parts.contains(cut))
-            {
-                let text = format!("INSERT {how} {two} {cut}");
-                let heard = patiently(&mut client, &text);
-                let looks_made = heard.iter().any(|h| matches!(h, Heard::Complete(_)));
-                made += usize::from(looks_made);
-                // Only what the server completed may look so: whole to its last byte, with nothing else after it.
+    let mut success_count = 0;
+    for is_v2 in [true, false] {
+        let mut client = router.client(is_v2);
+        for failure in ["close", "error", "ready", "noise"] {
+            for cut in (0..=length).filter(|cut| {
+                matches!(failure, "close" | "noise") || *cut == 0 || message_ends.contains(cut)
+            }) {
+                let text = format!("INSERT {failure} {is_v2} {cut}");
+                let received = query_until_accepted(&mut client, &text);
+                let looks_successful = received.iter().any(|h| matches!(h, Heard::Complete(_)));
+                success_count += usize::from(looks_successful);
+                // Only a write that the server completed may look successful: its reply must be complete to the last byte,
+                // with nothing else after it.
                 assert!(
-                    !looks_made || (cut == length && how != "error" && how != "noise"),
-                    "{text}: {heard:?}"
+                    !looks_successful
+                        || (cut == length && failure != "error" && failure != "noise"),
+                    "{text}: {received:?}"
                 );
                 let ran = server
                     .log()
                     .queries
                     .iter()
-                    .filter(|q| text_of(q) == text)
+                    .filter(|q| without_labels(q) == text)
                     .count();
                 assert!(ran <= 1, "{text} was sent {ran} times");
-                let refused = heard
+                let is_rejected = received
                     .iter()
                     .any(|h| matches!(h, Heard::Error(e) if e.contains("53300")));
                 assert!(
-                    !refused || ran == 0,
-                    "{text} may have run and was called harmless: {heard:?}"
+                    !is_rejected || ran == 0,
+                    "{text} may have run and was reported as rejected: {received:?}"
                 );
-                assert!(refused || ran == 1, "{text}: {heard:?}");
+                assert!(is_rejected || ran == 1, "{text}: {received:?}");
                 assert_eq!(
-                    heard.last(),
+                    received.last(),
                     Some(&Heard::Ready),
-                    "{text}: the session goes on"
+                    "{text}: the session continues"
                 );
             }
         }
     }
     assert_eq!(
-        made, 4,
-        "closed after the whole of it, and ready after it, in both versions"
+        success_count, 4,
+        "closed after the complete reply, and ReadyForQuery after it, in both versions"
     );
 }
 
 #[test]
-fn sessions_keep_what_can_be_kept_and_hear_what_cannot() {
+fn sessions_keep_supported_settings_and_reject_other_session_state() {
     let server = Server::start(Gate::Trust, 0, |_| {
         let rows = row(&[Some(b"2026-12-01")]);
         Answer::of(
@@ -764,10 +774,11 @@
     })
     .expect("a server");
     let router = Router::start("session", &server);
-    let (mut client, told) = Old::connect(router.old, false, "app", APP).expect("let in");
+    let (mut client, parameters) =
+        Old::connect(router.old, false, "app", CLIENT_PASSWORD).expect("logged in");
     assert!(
-        told.contains(&Heard::Status("server_version".into(), "8.4.22".into())),
-        "{told:?}"
+        parameters.contains(&Heard::Status("server_version".into(), "8.4.22".into())),
+        "{parameters:?}"
     );
     let mut other = router.client(false);
     let day = |client: &mut Old| client.query("SELECT day FROM trips").expect("served")[1].clone();
@@ -775,10 +786,10 @@
         day(&mut client),
         Heard::Row(vec![Some(b"01/12/2026".to_vec())])
     );
-    let heard = client.query("SET DateStyle TO 'German'").expect("kept");
+    let received = client.query("SET DateStyle TO 'German'").expect("kept");
     assert!(
-        heard.contains(&Heard::Status("DateStyle".into(), "German, DMY".into())),
-        "{heard:?}"
+        received.contains(&Heard::Status("DateStyle".into(), "German, DMY".into())),
+        "{received:?}"
     );
     assert_eq!(
         day(&mut client),
@@ -787,7 +798,7 @@
     assert_eq!(
         day(&mut other),
         Heard::Row(vec![Some(b"01/12/2026".to_vec())]),
-        "no session's state leaks"
+        "no session sees the settings of another"
     );
     for text in [
         "BEGIN",
@@ -806,8 +817,8 @@
             .log()
             .queries
             .iter()
-            .all(|q| text_of(q) == "SELECT day FROM trips"),
-        "nothing else went to it"
+            .all(|q| without_labels(q) == "SELECT day FROM trips"),
+        "nothing else was sent to the server"
     );
     assert!(
         server
@@ -819,40 +830,44 @@
 }
 
 #[test]
-fn guesses_of_passwords_cost_only_those_who_guess() {
-    let server = Server::start(Gate::Trust, 0, |_| Answer::of(served(&[b"v"]))).expect("a server");
+fn failed_logins_delay_only_the_user_that_failed() {
+    let server =
+        Server::start(Gate::Trust, 0, |_| Answer::of(result_reply(&[b"v"]))).expect("a server");
     let router = Router::start("guesses", &server);
-    let fails = |user: &str| {
+    let login_error = |user: &str| {
         Old::connect(router.old, true, user, "guess")
             .err()
-            .expect("not let in")
+            .expect("login rejected")
             .to_string()
     };
     let mut client = router.client(true);
-    let mut said = Vec::new();
+    let mut errors = Vec::new();
     for _ in 0..12 {
-        said.push(fails("nobody"));
+        errors.push(login_error("nobody"));
     }
-    assert!(said[..10].iter().all(|s| s.contains("28P01")), "{said:?}");
     assert!(
-        said[10..]
+        errors[..10].iter().all(|s| s.contains("28P01")),
+        "{errors:?}"
+    );
+    assert!(
+        errors[10..]
             .iter()
             .all(|s| s.contains("53300") && s.contains("too many logins failed")),
-        "{said:?}"
+        "{errors:?}"
     );
     assert_eq!(
         client.query("SELECT 1").expect("served").len(),
         4,
-        "who is in is served"
+        "a client that is logged in is served"
     );
     router.client(false);
-    // One who does not exist hears the same as one whose password is wrong.
-    let known = fails("app");
-    assert_eq!(known, said[0]);
+    // An unknown user receives the same error as a user with a wrong password.
+    let wrong_password = login_error("app");
+    assert_eq!(wrong_password, errors[0]);
 }
 
 #[test]
-fn the_operators_page_has_the_catalogue_as_the_code_has_it() {
+fn the_operators_page_contains_the_current_catalogue() {
     let page = concat!(
         env!("CARGO_MANIFEST_DIR"),
         "/../docs/operators-translator.md"
@@ -870,54 +885,65 @@
 }
 
 #[test]
-fn a_login_that_stops_anywhere_ends_within_its_deadline() {
-    // Danger: clients that say half of it would hold places for as long as they like.
-    let server = Server::start(Gate::Trust, 0, |_| Answer::of(served(&[b"v"]))).expect("a server");
+fn an_incomplete_login_is_closed_within_its_deadline() {
+    // Without a deadline, clients that do not complete their login would occupy slots for as long as they like.
+    let server =
+        Server::start(Gate::Trust, 0, |_| Answer::of(result_reply(&[b"v"]))).expect("a server");
     let router = Router::start("stops", &server);
-    let start = b"\0\0\0\x21\0\x03\0\0user\0app\0database\0trips\0\0".to_vec();
-    let mut old = vec![0u8; 296];
-    old[..8].copy_from_slice(b"\0\0\x01\x28\0\x02\0\0");
-    old[72..75].copy_from_slice(b"app");
-    let begun = Instant::now();
-    let mut stopped = Vec::new();
-    for whole in [start, old] {
-        for cut in [0, 1, 4, 8, 20, whole.len() - 1, whole.len()] {
+    let v3_startup = b"\0\0\0\x21\0\x03\0\0user\0app\0database\0trips\0\0".to_vec();
+    let mut v2_startup = vec![0u8; 296];
+    v2_startup[..8].copy_from_slice(b"\0\0\x01\x28\0\x02\0\0");
+    v2_startup[72..75].copy_from_slice(b"app");
+    let started_at = Instant::now();
+    let mut incomplete = Vec::new();
+    for packet in [v3_startup, v2_startup] {
+        for cut in [0, 1, 4, 8, 20, packet.len() - 1, packet.len()] {
             let mut client = Old::dial(router.old, false).expect("it listens");
-            client.send(&whole[..cut]).expect("sent");
-            stopped.push(client);
+            client.send(&packet[..cut]).expect("sent");
+            incomplete.push(client);
         }
     }
-    for mut client in stopped {
-        // A demand for a password may come before the end; nothing after it.
+    for mut client in incomplete {
+        // A password request may arrive before the close, and nothing after it.
         while client.byte().is_ok() {}
-        assert!(begun.elapsed() < Duration::from_secs(8), "a session hangs");
+        assert!(
+            started_at.elapsed() < Duration::from_secs(8),
+            "a session hangs"
+        );
     }
     assert!(
-        begun.elapsed() >= Duration::from_secs(1),
-        "they were given time"
+        started_at.elapsed() >= Duration::from_secs(1),
+        "closed too early"
     );
 }
 
 #[test]
-fn a_session_without_labels_sees_its_own_write_and_no_other_session_is_held_to_it() {
-    // Danger: a rider books, asks for the booking, and a replica that is behind says that there is none.
+fn a_session_without_labels_reads_its_own_writes_and_other_sessions_are_not_delayed() {
+    // A rider books and then reads the booking; a replica that lags must not answer that there is none.
     let primary =
-        Server::start(Gate::Trust, 0, |_| Answer::of(served(&[b"new"]))).expect("a server");
-    let behind = |_: &str| {
-        let told = [
+        Server::start(Gate::Trust, 0, |_| Answer::of(result_reply(&[b"new"]))).expect("a server");
+    let lagging = |_: &str| {
+        let parameters = [
             &b"replication_role\0standby\0"[..],
             b"log_position\x001767225600123\0",
         ];
-        let told = told.map(|body| message(b'S', body)).concat();
-        let whole = served(&[b"old"]);
-        Answer::of([&whole[..whole.len() - 6], &told, &ready(b'I')].concat())
+        let parameters = parameters.map(|body| message(b'S', body)).concat();
+        let complete_reply = result_reply(&[b"old"]);
+        Answer::of(
+            [
+                &complete_reply[..complete_reply.len() - 6],
+                &parameters,
+                &ready(b'I'),
+            ]
+            .concat(),
+        )
     };
-    let replica = Server::start(Gate::Trust, 0, behind).expect("a server");
-    let router = Router::between("own-write", &primary, &replica, "mine");
+    let replica = Server::start(Gate::Trust, 0, lagging).expect("a server");
+    let router = Router::start_with_replica("own-write", &primary, &replica, "mine");
     let (mut rider, mut other) = (router.client(true), router.client(false));
     let read = |client: &mut Old| {
-        let heard = patiently(client, "SELECT body FROM seats");
-        let row = heard.into_iter().find_map(|h| {
+        let received = query_until_accepted(client, "SELECT body FROM seats");
+        let row = received.into_iter().find_map(|h| {
             if let Heard::Row(row) = h {
                 row[0].clone()
             } else {
@@ -929,10 +955,14 @@
     assert_eq!(
         read(&mut other),
         "old",
-        "nothing was written: any replica will do"
+        "without a write, any replica may answer"
     );
     assert_eq!(read(&mut rider), "old");
-    patiently(&mut rider, "INSERT INTO seats VALUES (17)");
-    assert_eq!(read(&mut rider), "new", "its own booking");
-    assert_eq!(read(&mut other), "old", "another session is not held to it");
+    query_until_accepted(&mut rider, "INSERT INTO seats VALUES (17)");
+    assert_eq!(read(&mut rider), "new", "its own write is visible");
+    assert_eq!(
+        read(&mut other),
+        "old",
+        "other sessions need not see the write"
+    );
 }
