--- a/pgwire/src/startup.rs
+++ b/pgwire/src/startup.rs
@@ -1,7 +1,7 @@
 //! Startup and login of a client: its first packet, the choice of the protocol version, and the authentication.
 //!
 //! [`Startup`] does no I/O: the front passes it the received bytes, sends its replies, and keeps the deadlines. Between
-//! [`Step::UserNamed`] and [`Startup::identify`] the front looks up the user and checks the login rate limit.
+//! [`Step::UserNamed`] and [`Startup::begin_authentication`] the front looks up the user and checks the login rate limit.
 
 use crate::cancel::CancelKey;
 use crate::messages::{self, CANCEL_REQUEST, Fields, Malformed, auth, code, put};
@@ -90,7 +90,7 @@
     Continue,
     /// The client requests that the query of another session is cancelled. It sends nothing more on this connection.
     Cancel(CancelKey),
-    /// The client has named its user; the front has to call [`Startup::identify`] next.
+    /// The client has named its user; the front has to call [`Startup::begin_authentication`] next.
     UserNamed,
     /// The client is logged in.
     LoggedIn,
@@ -327,7 +327,7 @@
     ///
     /// # Errors
     /// Returns an error if no user is named or no method is possible; the text then names the methods of both sides.
-    pub fn identify(
+    pub fn begin_authentication(
         &mut self,
         rules: &Rules,
         verifier: Option<&Verifier>,
--- a/pgwire/tests/fuzz.rs
+++ b/pgwire/tests/fuzz.rs
@@ -45,7 +45,7 @@
             Step::UserNamed => {
                 let verifier = VERIFIERS.get(bytes.len() % 3);
                 if startup
-                    .identify(&rules, verifier, &[1; 32], [1; 4], &mut out)
+                    .begin_authentication(&rules, verifier, &[1; 32], [1; 4], &mut out)
                     .is_err()
                 {
                     break;
--- a/pgwire/tests/logins.rs
+++ b/pgwire/tests/logins.rs
@@ -49,9 +49,13 @@
                 Ok(Some((length, step))) => {
                     to_server.drain(..length);
                     match step {
-                        Step::UserNamed => {
-                            startup.identify(&rules, verifier, &SECRET, SALT, &mut to_client)
-                        }
+                        Step::UserNamed => startup.begin_authentication(
+                            &rules,
+                            verifier,
+                            &SECRET,
+                            SALT,
+                            &mut to_client,
+                        ),
                         step => Ok(step),
                     }
                 }
@@ -343,7 +347,7 @@
         .read_message(&all, &newer, NONCE, &mut out)
         .expect("understood");
     startup
-        .identify(&all, None, &SECRET, SALT, &mut out)
+        .begin_authentication(&all, None, &SECRET, SALT, &mut out)
         .expect("asked");
     assert_eq!(&out[..24], b"v\0\0\0\x17\0\0\0\x02\0\0\0\x01_pq_.magic\0");
 }
@@ -427,7 +431,7 @@
         while let Ok(Some((length, step))) = startup.read_message(&all, rest, NONCE, &mut out) {
             prop_assert!(length <= rest.len());
             rest = &rest[length..];
-            if step == Step::UserNamed && startup.identify(&all, None, &SECRET, SALT, &mut out).is_err() {
+            if step == Step::UserNamed && startup.begin_authentication(&all, None, &SECRET, SALT, &mut out).is_err() {
                 break;
             }
             if matches!(step, Step::LoggedIn | Step::Cancel(_)) {
@@ -474,7 +478,7 @@
                 while let Some((length, step)) = startup.read_message(&all, &unread, NONCE, &mut out).expect("a good login") {
                     unread.drain(..length);
                     if step == Step::UserNamed {
-                        startup.identify(&all, Some(&verifier), &SECRET, SALT, &mut out).expect("asked");
+                        startup.begin_authentication(&all, Some(&verifier), &SECRET, SALT, &mut out).expect("asked");
                     }
                     is_logged_in |= step == Step::LoggedIn;
                     if is_logged_in {
--- a/router/src/front/accept.rs
+++ b/router/src/front/accept.rs
@@ -85,6 +85,7 @@
         }
     }
 
+    /// Accepts connections from all listeners. Returns the backlog of the listener with the most work left.
     pub(super) fn accept_from_all(&mut self, now: Time, engine: &mut Engine) -> Backlog {
         (0..self.context.listeners.len())
             .map(|listener| self.accept_from(listener, now, engine))
@@ -92,6 +93,7 @@
             .unwrap_or(Backlog::Empty)
     }
 
+    /// Accepts connections from one listener, up to the limit for one turn.
     fn accept_from(&mut self, number: usize, now: Time, engine: &mut Engine) -> Backlog {
         for _ in 0..MAX_ACCEPTS_PER_TURN {
             let is_full = self.clients.len() >= self.max_clients + MAX_CLIENTS_BEYOND_LIMIT;
--- a/router/src/front/exchange.rs
+++ b/router/src/front/exchange.rs
@@ -252,7 +252,7 @@
         engine: &mut Engine,
     ) {
         match String::from_utf8(text) {
-            Ok(text) => self.query(context, key, &text, now, engine),
+            Ok(text) => self.handle_query(context, key, &text, now, engine),
             Err(_) => {
                 let text = "the query is not UTF-8";
                 self.reply_protocol_error(&context.budget, code::PROTOCOL_VIOLATION, text);
--- a/router/src/front/listener.rs
+++ b/router/src/front/listener.rs
@@ -42,7 +42,13 @@
 impl DefaultLabels {
     /// Returns a statement with these labels in front. `id` is the id of the request; `timeout_ms` is the client's statement
     /// timeout, if it has set one.
-    pub fn label(&self, text: &str, is_read: bool, id: &str, timeout_ms: Option<u64>) -> String {
+    pub fn prepend_labels(
+        &self,
+        text: &str,
+        is_read: bool,
+        id: &str,
+        timeout_ms: Option<u64>,
+    ) -> String {
         let class = if is_read { &self.reads } else { &self.writes };
         let name = &class.name;
         let default_timeout_ms = class.timeout_ms;
--- a/router/src/front/login.rs
+++ b/router/src/front/login.rs
@@ -27,7 +27,9 @@
                 self.startup = Some(startup);
                 return false;
             }
-            Ok(Some(Step::UserNamed)) => self.identify(context, &mut startup, now, &mut reply),
+            Ok(Some(Step::UserNamed)) => {
+                self.begin_authentication(context, &mut startup, now, &mut reply)
+            }
             Ok(Some(step)) => Ok(step),
             Err(error) => Err(error),
         };
@@ -72,7 +74,7 @@
     }
 
     /// Starts the authentication of a client that has named its user, unless no slot is free or too many logins have failed.
-    fn identify(
+    fn begin_authentication(
         &self,
         context: &Context,
         startup: &mut Startup,
@@ -99,7 +101,7 @@
         } else {
             [0; 4]
         };
-        startup.identify(rules, verifier.as_ref(), &context.secret, salt, reply)
+        startup.begin_authentication(rules, verifier.as_ref(), &context.secret, salt, reply)
     }
 
     /// Starts the session of a client that is logged in: applies the settings of its startup packet and sends the greeting.
--- a/router/src/front/mod.rs
+++ b/router/src/front/mod.rs
@@ -182,6 +182,7 @@
         self.process_cancel_requests(now, engine);
     }
 
+    /// Processes messages and writes answers of one client, and closes or evicts it if nothing is left to do.
     fn pump_client(&mut self, key: Key, now: Time, engine: &mut Engine) {
         let Some(client) = self.clients.get_mut(key) else {
             return;
@@ -220,6 +221,7 @@
         }
     }
 
+    /// Marks a client to be pumped.
     fn mark(&mut self, key: Key) {
         if let Some(client) = self.clients.get_mut(key).filter(|c| !c.is_marked) {
             client.is_marked = true;
--- a/router/src/front/query.rs
+++ b/router/src/front/query.rs
@@ -34,7 +34,7 @@
 
 impl Client {
     /// Processes a query: answers it, or hands it to the engine.
-    pub(super) fn query(
+    pub(super) fn handle_query(
         &mut self,
         context: &mut Context,
         key: Key,
@@ -101,12 +101,13 @@
                 let listener = &context.listeners[self.listener];
                 let labels = listener.config.default_labels.as_ref()?;
                 let is_read = kind == Kind::Read;
-                return Some(labels.label(text, is_read, &id, self.session.timeout_ms));
+                return Some(labels.prepend_labels(text, is_read, &id, self.session.timeout_ms));
             }
         }
         None
     }
 
+    /// Hands a query with labels to the engine, or replies with an error.
     fn forward_or_reply_error(
         &mut self,
         context: &mut Context,
--- a/router/src/front/shutdown.rs
+++ b/router/src/front/shutdown.rs
@@ -58,6 +58,7 @@
         }
     }
 
+    /// Shortens the timeouts of a client for the shutdown, or evicts it if it is idle.
     fn drain_client(&mut self, key: Key, now: Time, engine: &mut Engine) {
         // A lingering client is left alone: a second eviction would close it with unread bytes.
         let client = self.clients.get_mut(key).filter(|c| !c.is_lingering());
