--- a/router/src/discovery.rs
+++ b/router/src/discovery.rs
@@ -1,7 +1,8 @@
-//! Discovery: the list of db nodes, watched over HTTP at the agent on this machine.
+//! Discovery: watches the list of db nodes over HTTP at the agent on this machine.
 //!
-//! A watch goes on as long as each call follows the last answer within 200 ms, so the next call is written in the turn in
-//! which an answer was read; `WatchSchedule` says when else to call. An agent that is silent or refuses leaves the list as it is.
+//! The agent keeps a watch alive if each call follows the last answer within 200 ms, so the next call is sent in the turn in
+//! which an answer was read. `WatchSchedule` decides the time of all other calls. If the agent is silent or rejects calls,
+//! the list stays as it is.
 
 use crate::clock;
 use crate::net::budget::Budget;
@@ -17,41 +18,41 @@
 use std::net::SocketAddr;
 use tracing::{debug, info, warn};
 
-/// The longest answer.
-const LONGEST: usize = 8 * 1024 * 1024;
+/// Maximum size of an answer.
+const MAX_ANSWER_BYTES: usize = 8 * 1024 * 1024;
 
-/// The statuses of an entry.
+/// The known statuses of an entry.
 const STATES: [(&str, EndpointState); 3] = [
     ("active", EndpointState::Serving),
     ("leaving", EndpointState::Draining),
     ("left", EndpointState::Removed),
 ];
 
-/// A list, or the changes to one.
+/// An endpoint list, or the changes to one.
 #[derive(Clone, Debug, Default)]
 pub struct Listing {
-    /// Its version.
+    /// The version of the list.
     pub index: u64,
-    /// Whether it is the whole list.
+    /// Whether this is the complete list, as opposed to changes.
     pub is_complete: bool,
-    /// Its entries, with the addresses they are reached at.
+    /// The entries, with the addresses of the nodes.
     pub entries: Vec<(Endpoint, Option<SocketAddr>)>,
-    /// A status that this router does not know, and where it stands; its entry counts as draining.
+    /// The fault of an unknown status, if there is one. Its entry counts as draining.
     pub unknown_status: Option<String>,
 }
 
-/// Reads a list; complaints name its keys from this path on.
+/// Reads a list. Faults name the keys, prefixed with `path`.
 pub fn read_listing(value: &Value, path: &str) -> ReadResult<Listing> {
     let top = Section::new(value, path);
     let (mut entries, mut unknown_status) = (Vec::new(), None);
-    for (place, value) in top.required("endpoints", list)?.iter().enumerate() {
-        let part = Section::new(value, format!("{path}endpoints[{place}]."));
-        part.required("status", text)?;
-        let state = part.one_of("status", &STATES).unwrap_or_else(|fault| {
+    for (index, value) in top.required("endpoints", list)?.iter().enumerate() {
+        let section = Section::new(value, format!("{path}endpoints[{index}]."));
+        section.required("status", text)?;
+        let state = section.one_of("status", &STATES).unwrap_or_else(|fault| {
             unknown_status = Some(fault.to_string());
             EndpointState::Draining
         });
-        entries.push(entry(&part, state)?);
+        entries.push(read_entry(&section, state)?);
     }
     Ok(Listing {
         index: top.required("index", unsigned)?,
@@ -61,12 +62,15 @@
     })
 }
 
-fn entry(part: &Section<'_>, state: EndpointState) -> ReadResult<(Endpoint, Option<SocketAddr>)> {
-    let address = part.optional("address", |value, what| {
-        let given = text(value, what)?;
-        given.parse().map_err(|_| {
+fn read_entry(
+    section: &Section<'_>,
+    state: EndpointState,
+) -> ReadResult<(Endpoint, Option<SocketAddr>)> {
+    let address = section.optional("address", |value, what| {
+        let address_text = text(value, what)?;
+        address_text.parse().map_err(|_| {
             Fault::new(format!(
-                "{what}: expected an address and port, got {given:?}"
+                "{what}: expected an address and port, got {address_text:?}"
             ))
         })
     });
@@ -75,126 +79,129 @@
     } else {
         address?
     };
-    let started = part
+    let started_at = section
         .optional("since_ms", unsigned)?
         .filter(|ms| *ms > 0)
         .map(clock::from_ms);
     let entry = Endpoint {
-        node: part.required("name", text)?.into(),
-        zone: part.optional("zone", text)?.unwrap_or("").to_string(),
-        machine_kind: part.optional("type", text)?.unwrap_or("").to_string(),
-        listed_as_primary: part.optional("replication", text)? == Some("primary"),
-        group: part.optional("group", unsigned)?.unwrap_or(0),
+        node: section.required("name", text)?.into(),
+        zone: section.optional("zone", text)?.unwrap_or("").to_string(),
+        machine_kind: section.optional("type", text)?.unwrap_or("").to_string(),
+        listed_as_primary: section.optional("replication", text)? == Some("primary"),
+        group: section.optional("group", unsigned)?.unwrap_or(0),
         state,
-        weight: part.optional("weight", number)?.unwrap_or(1.0),
-        started_at: started,
+        weight: section.optional("weight", number)?.unwrap_or(1.0),
+        started_at,
     };
     Ok((entry, address))
 }
 
-/// Why a call of discovery failed.
+/// The cause of a failed call of discovery.
 #[derive(Debug, thiserror::Error)]
-pub enum Trouble {
-    /// No connection could be begun.
+pub enum CallFault {
+    /// A connection attempt could not be started.
     #[error("no connection to the agent can be begun: {0}")]
     Connect(#[source] io::Error),
-    /// The connection was refused, or broke.
+    /// The connection was refused, or it broke.
     #[error("the agent refuses the connection")]
     Unreachable,
-    /// No answer came in time.
+    /// The connection or the answer timed out.
     #[error("no answer")]
     Silent,
-    /// The agent closed the connection in the middle.
+    /// The agent closed the connection before its answer was complete.
     #[error("the agent closed the connection")]
     Closed,
-    /// It answered that it cannot.
+    /// The agent answered with a status other than 200.
     #[error("the agent answered with status {0}")]
     Status(u16),
-    /// Its answer is no HTTP.
+    /// The answer is not HTTP.
     #[error("not HTTP: {0}")]
     NotHttp(#[source] httparse::Error),
-    /// A length that cannot be.
+    /// The content length is malformed or too large.
     #[error("the agent tells a length of {0:?}")]
     Length(String),
-    /// A chunk that has no size.
+    /// A chunk has no valid size.
     #[error("a chunk without a size")]
     Chunk,
-    /// More than a list can be.
+    /// A chunk is too large.
     #[error("a chunk that is too long")]
     TooLong,
-    /// What came is no list.
+    /// The answer is not a list.
     #[error("{0}")]
     List(Fault),
-    /// The whole list is empty, though nodes are known.
+    /// The complete list is empty, although an earlier list named nodes.
     #[error("the list names nobody")]
     Nobody,
-    /// Changes of a version that is past.
+    /// The changes belong to an older version than the current list.
     #[error("changes of version {0}, which is older than the list's")]
     Older(u64),
-    /// A status that this version does not know.
+    /// An entry has an unknown status.
     #[error("{0}")]
     Odd(String),
 }
 
-impl Trouble {
-    /// What an operator can do.
+impl CallFault {
+    /// Returns advice for the operator.
     pub fn help(&self) -> &'static str {
         match self {
-            Trouble::Connect(_) => {
+            CallFault::Connect(_) => {
                 "check the address of discovery, and the router's limit on descriptors"
             }
-            Trouble::Unreachable | Trouble::Closed => {
+            CallFault::Unreachable | CallFault::Closed => {
                 "see whether the agent runs on this machine and listens at the address of discovery; the router asks again by itself"
             }
-            Trouble::Silent => {
+            CallFault::Silent => {
                 "see whether discovery is up and how many calls wait there; the router begins the watch anew by itself"
             }
-            Trouble::Status(_) => {
+            CallFault::Status(_) => {
                 "look at discovery's own log: 503 means more calls than it answers; the router asks less often by itself"
             }
-            Trouble::NotHttp(_) | Trouble::Length(_) | Trouble::Chunk | Trouble::TooLong => {
+            CallFault::NotHttp(_)
+            | CallFault::Length(_)
+            | CallFault::Chunk
+            | CallFault::TooLong => {
                 "something else listens at the address of discovery, or a proxy in between spoils answers: correct the address"
             }
-            Trouble::List(_) | Trouble::Odd(_) => {
+            CallFault::List(_) | CallFault::Odd(_) => {
                 "the agent and the router are of different versions, or an entry was made by hand: correct the key that is named"
             }
-            Trouble::Nobody | Trouble::Older(_) => {
+            CallFault::Nobody | CallFault::Older(_) => {
                 "discovery has lost what it knew, or an old copy answers: the router keeps its list until a newer one comes"
             }
         }
     }
 }
 
-/// How far the watch is.
+/// The phase of the watch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    /// The next call is made at the deadline.
-    Resting,
-    /// A connection is begun for it.
+    /// The next call is sent at the deadline.
+    Pausing,
+    /// A connection attempt for the next call is in progress.
     Connecting,
-    /// It is made, and not answered yet.
+    /// A call is sent and not answered yet.
     Calling,
 }
 
-/// The watch on the agent.
+/// The watch of the endpoint list at the agent.
 pub struct Discovery {
     poll: Poll,
     agent: SocketAddr,
     stream: Option<Stream>,
     phase: Phase,
-    /// The version that the next call asks for news of; none: it asks for the whole list.
+    /// The version after which the next call requests changes. If `None`, it requests the complete list.
     index: Option<u64>,
     deadline: Option<Time>,
-    failing: bool,
-    /// Some list has named a node.
-    named: bool,
-    /// The status that was not known the last time.
-    odd: Option<String>,
+    is_failing: bool,
+    /// Whether any list so far has named a node.
+    has_listed_nodes: bool,
+    /// The fault of an unknown status in the last list.
+    last_unknown_status: Option<String>,
     schedule: WatchSchedule,
 }
 
 impl Discovery {
-    /// A watch that has not begun, from this version of the list on, if one is known.
+    /// Creates a watch that has not started. `index` is the version of a remembered list, if there is one.
     pub fn new(
         poll: &Poll,
         agent: SocketAddr,
@@ -205,31 +212,31 @@
             poll: poll.clone(),
             agent,
             stream: None,
-            phase: Phase::Resting,
+            phase: Phase::Pausing,
             index,
             deadline: None,
-            failing: false,
-            named: index.is_some(),
-            odd: None,
+            is_failing: false,
+            has_listed_nodes: index.is_some(),
+            last_unknown_status: None,
             schedule,
         }
     }
 
-    /// Makes the first call.
+    /// Sends the first call.
     pub fn start(&mut self, now: Time, engine: &mut Engine) {
         self.call(now, engine);
     }
 
-    /// Goes on at the agent that a new configuration names, and calls it soon: what it has counts as told soon, also where
-    /// it is the same one and a pause or a call that has fallen silent would be sat out first. The list stays until another
-    /// agent has told its own, whole: its versions may be counted differently.
+    /// Continues at the agent that a reloaded configuration names. The agent is called soon even if its address is unchanged,
+    /// because a pause or an unanswered call would otherwise delay news. The current list stays until a new agent has sent
+    /// its complete list, since that agent may count versions differently.
     pub fn move_to(&mut self, agent: SocketAddr, now: Time, engine: &mut Engine) {
         if agent != self.agent {
-            (self.agent, self.index, self.failing) = (agent, None, false);
+            (self.agent, self.index, self.is_failing) = (agent, None, false);
         }
         self.stream = None;
         match self.schedule.record_service_change(now) {
-            at if at > now => self.wait(Phase::Resting, at, engine),
+            at if at > now => self.wait(Phase::Pausing, at, engine),
             _ => self.call(now, engine),
         }
     }
@@ -237,14 +244,14 @@
     fn connect(&self) -> io::Result<Stream> {
         let socket = begin_connect(self.agent)?;
         let key = poll_key(EventSource::Discovery, None);
-        // Whatever clients hold, the list must come through.
+        // The list has its own budget, so that clients cannot use up the memory that it needs.
         Stream::new(
             &self.poll,
-            &Budget::new(LONGEST),
+            &Budget::new(MAX_ANSWER_BYTES),
             socket,
             key,
             Interest::Write,
-            LONGEST,
+            MAX_ANSWER_BYTES,
         )
     }
 
@@ -265,11 +272,11 @@
                 self.stream = Some(stream);
                 self.wait(Phase::Connecting, until, engine);
             }
-            Err(e) => self.failed(&Trouble::Connect(e), now, engine),
+            Err(e) => self.call_failed(&CallFault::Connect(e), now, engine),
         }
     }
 
-    /// Writes the call to the connection, which is up.
+    /// Sends a call on the established connection.
     fn request(&mut self, now: Time, engine: &mut Engine) {
         let (wait, until) = self.schedule.begin_call(now, self.index.is_some());
         let path = match self.index {
@@ -285,143 +292,145 @@
             return;
         };
         stream.queue_output(|out| out.extend_from_slice(request.as_bytes()));
-        // What can't be written yet goes once there is room; that it broke is told by the next event.
+        // The rest is written when the socket becomes writable. A broken connection is reported by the next event.
         let _ = stream.flush();
         stream.set_read_interest(true);
     }
 
-    /// The call failed: the list stays, and the next call asks for news of it, which costs less than the whole.
-    fn failed(&mut self, trouble: &Trouble, now: Time, engine: &mut Engine) {
-        if !std::mem::replace(&mut self.failing, true) {
+    /// Handles a failed call. The list and its version stay, so that the next call requests only the changes.
+    fn call_failed(&mut self, cause: &CallFault, now: Time, engine: &mut Engine) {
+        if !std::mem::replace(&mut self.is_failing, true) {
             warn!(
                 reason = "discovery",
-                help = trouble.help(),
-                "discovery: {trouble}; the list stays as it is"
+                help = cause.help(),
+                "discovery: {cause}; the list stays as it is"
             );
         }
         self.stream = None;
-        let at = match trouble {
-            Trouble::Silent if self.phase == Phase::Calling => self.schedule.record_silence(now),
-            Trouble::Silent
-            | Trouble::Connect(_)
-            | Trouble::Unreachable
-            | Trouble::Closed
-            | Trouble::Status(_) => self.schedule.record_failure(now),
-            // Something was answered, and may have held news.
-            Trouble::NotHttp(_)
-            | Trouble::Length(_)
-            | Trouble::Chunk
-            | Trouble::TooLong
-            | Trouble::List(_)
-            | Trouble::Nobody
-            | Trouble::Older(_)
-            | Trouble::Odd(_) => self.schedule.record_invalid_answer(now),
+        let at = match cause {
+            CallFault::Silent if self.phase == Phase::Calling => self.schedule.record_silence(now),
+            CallFault::Silent
+            | CallFault::Connect(_)
+            | CallFault::Unreachable
+            | CallFault::Closed
+            | CallFault::Status(_) => self.schedule.record_failure(now),
+            // The agent answered, and the answer may have contained changes.
+            CallFault::NotHttp(_)
+            | CallFault::Length(_)
+            | CallFault::Chunk
+            | CallFault::TooLong
+            | CallFault::List(_)
+            | CallFault::Nobody
+            | CallFault::Older(_)
+            | CallFault::Odd(_) => self.schedule.record_invalid_answer(now),
         };
-        debug!(%trouble, pause = at - now, "a call of discovery failed");
-        self.wait(Phase::Resting, at, engine);
+        debug!(trouble = %cause, pause = at - now, "a call of discovery failed");
+        self.wait(Phase::Pausing, at, engine);
     }
 
-    /// Its deadline is over: a pause, a connection that has not come up, or an answer that has not come.
-    pub fn due(&mut self, now: Time, engine: &mut Engine) {
+    /// Handles the deadline: the end of a pause, or the timeout of a connection attempt or an answer.
+    pub fn deadline_expired(&mut self, now: Time, engine: &mut Engine) {
         self.deadline = None;
         match self.phase {
-            Phase::Resting => self.call(now, engine),
-            Phase::Connecting | Phase::Calling => self.failed(&Trouble::Silent, now, engine),
+            Phase::Pausing => self.call(now, engine),
+            Phase::Connecting | Phase::Calling => self.call_failed(&CallFault::Silent, now, engine),
         }
     }
 
-    /// Why a list that can be read is not to be followed, if it is not. Danger: an agent that has lost what it knew would
-    /// close every db node with one answer.
-    fn doubt(&mut self, listing: &Listing) -> Option<Trouble> {
-        if listing.is_complete && listing.entries.is_empty() && self.named {
-            return Some(Trouble::Nobody);
+    /// Returns why a well-formed list must not be applied, if so. An agent that has lost its state could otherwise remove all
+    /// db nodes with one answer.
+    fn reject_listing(&mut self, listing: &Listing) -> Option<CallFault> {
+        if listing.is_complete && listing.entries.is_empty() && self.has_listed_nodes {
+            return Some(CallFault::Nobody);
         }
         if !listing.is_complete && self.index.is_some_and(|known| listing.index < known) {
             self.index = None;
-            return Some(Trouble::Older(listing.index));
+            return Some(CallFault::Older(listing.index));
         }
-        // A spoilt answer differs the next time; a word that comes again is one that this version does not know.
-        let odd = listing
+        // The first list with an unknown status is rejected, because the answer may have been corrupted. If the same status
+        // comes again, it is one that this version does not know, and the list is applied.
+        let status_fault = listing
             .unknown_status
             .clone()
-            .filter(|odd| self.odd.as_ref() != Some(odd))?;
+            .filter(|fault| self.last_unknown_status.as_ref() != Some(fault))?;
         self.index = None;
-        self.odd = Some(odd.clone());
-        Some(Trouble::Odd(odd))
+        self.last_unknown_status = Some(status_fault.clone());
+        Some(CallFault::Odd(status_fault))
     }
 
-    fn follow(&mut self, listing: &Listing, now: Time, engine: &mut Engine) {
-        if std::mem::take(&mut self.failing) {
+    fn accept_listing(&mut self, listing: &Listing, now: Time, engine: &mut Engine) {
+        if std::mem::take(&mut self.is_failing) {
             info!("discovery answers again");
-            // It was doubted just now, so this is told once, and not with every list that has it.
+            // The status was rejected just before, so this line is logged once and not with every list.
             listing
                 .unknown_status
                 .iter()
-                .for_each(|odd| warn!("discovery: {odd}; its node counts as draining"));
+                .for_each(|fault| warn!("discovery: {fault}; its node counts as draining"));
         }
-        self.odd.clone_from(&listing.unknown_status);
+        self.last_unknown_status.clone_from(&listing.unknown_status);
         debug!(
             index = listing.index,
             entries = listing.entries.len(),
             "list"
         );
-        let news = self.index != Some(listing.index);
-        self.named |= !listing.entries.is_empty();
+        let has_changes = self.index != Some(listing.index);
+        self.has_listed_nodes |= !listing.entries.is_empty();
         self.index = Some(listing.index);
-        match self.schedule.record_answer(now, news) {
-            at if at > now => self.wait(Phase::Resting, at, engine),
-            // In the same turn: the watch goes on.
+        match self.schedule.record_answer(now, has_changes) {
+            at if at > now => self.wait(Phase::Pausing, at, engine),
+            // The next call must follow in the same turn for the agent to keep the watch alive.
             _ => self.call(now, engine),
         }
     }
 
-    /// The poller has something to say of the connection. Returns the answer that has come.
-    pub fn event(&mut self, now: Time, engine: &mut Engine) -> Option<Listing> {
+    /// Handles a poller event of the connection. Returns a list that was received.
+    pub fn handle_event(&mut self, now: Time, engine: &mut Engine) -> Option<Listing> {
         let stream = self.stream.as_mut()?;
         if self.phase == Phase::Connecting {
             match stream.is_connected() {
                 true => self.request(now, engine),
-                false => self.failed(&Trouble::Unreachable, now, engine),
+                false => self.call_failed(&CallFault::Unreachable, now, engine),
             }
             return None;
         }
-        // What was said before a connection broke is read all the same; that it broke is asked once only, since asking
-        // takes it away and the next read would find an end.
-        let broke = stream.flush().is_err();
+        // Bytes that arrived before the connection broke are read all the same. The write error is kept here, because the
+        // system reports a reset only once, and the read after it sees a regular end of the stream.
+        let has_broken = stream.flush().is_err();
         stream.set_read_interest(true);
         let peer = match stream.fill() {
-            PeerState::Closed if broke => PeerState::Reset,
+            PeerState::Closed if has_broken => PeerState::Reset,
             peer => peer,
         };
         let length = stream.unread().len();
-        if self.phase == Phase::Resting {
+        if self.phase == Phase::Pausing {
             if peer != PeerState::Open || length > 0 {
                 self.stream = None;
             }
             return None;
         }
-        // A reset is no end: what has no length is whole only where the other side ended it.
-        let (body, end) = match answer(stream.unread(), peer == PeerState::Closed) {
-            Ok(Some(whole)) => whole,
+        // An answer without a length is complete only if the agent closed the connection regularly, not after a reset.
+        let (body, end) = match parse_answer(stream.unread(), peer == PeerState::Closed) {
+            Ok(Some(answer)) => answer,
             Ok(None) => {
                 match peer {
-                    PeerState::Open if length < LONGEST => {}
+                    PeerState::Open if length < MAX_ANSWER_BYTES => {}
                     PeerState::Open | PeerState::OverBudget => {
-                        self.failed(&Trouble::TooLong, now, engine)
+                        self.call_failed(&CallFault::TooLong, now, engine)
                     }
                     PeerState::Closed | PeerState::Reset => {
-                        self.failed(&Trouble::Closed, now, engine)
+                        self.call_failed(&CallFault::Closed, now, engine)
                     }
                 }
                 return None;
             }
             Err(cause) => {
-                self.failed(&cause, now, engine);
+                self.call_failed(&cause, now, engine);
                 return None;
             }
         };
-        // Danger: an answer that nobody asked for would be taken for the one to the next call, and each one from then on
-        // for the one after it. What it holds is asked for on a new connection.
+        // Bytes after the answer close the connection. Otherwise an unsolicited answer would count as the answer to the
+        // next call, and each later answer as the one to the call after its own. The next call, on a new connection,
+        // fetches the changes in those bytes.
         if peer != PeerState::Open || end < length {
             self.stream = None;
         } else {
@@ -430,32 +439,33 @@
         let listing = match parse(body).and_then(|value| read_listing(&value, "")) {
             Ok(listing) => listing,
             Err(fault) => {
-                // What could not be read may have held news: it is asked for whole.
+                // The malformed answer may have contained changes, so the next call requests the complete list.
                 self.index = None;
-                self.failed(&Trouble::List(fault), now, engine);
+                self.call_failed(&CallFault::List(fault), now, engine);
                 return None;
             }
         };
-        if let Some(cause) = self.doubt(&listing) {
-            self.failed(&cause, now, engine);
+        if let Some(cause) = self.reject_listing(&listing) {
+            self.call_failed(&cause, now, engine);
             return None;
         }
-        self.follow(&listing, now, engine);
+        self.accept_listing(&listing, now, engine);
         Some(listing)
     }
 }
 
-/// The body of the answer at the front of some bytes and the length of it all, if it is whole.
-fn answer(bytes: &[u8], ended: bool) -> Result<Option<(Vec<u8>, usize)>, Trouble> {
+/// Parses the HTTP answer at the front of the bytes. Returns its body and its total length, or `None` if it is incomplete.
+/// `has_ended` says whether the agent has closed the connection, which ends an answer without a length.
+fn parse_answer(bytes: &[u8], has_ended: bool) -> Result<Option<(Vec<u8>, usize)>, CallFault> {
     let mut headers = [httparse::EMPTY_HEADER; 64];
     let mut response = httparse::Response::new(&mut headers);
-    let head = match response.parse(bytes).map_err(Trouble::NotHttp)? {
+    let head_length = match response.parse(bytes).map_err(CallFault::NotHttp)? {
         httparse::Status::Complete(length) => length,
         httparse::Status::Partial => return Ok(None),
     };
     let status = response.code.unwrap_or(0);
     if status != 200 {
-        return Err(Trouble::Status(status));
+        return Err(CallFault::Status(status));
     }
     let header = |name: &str| {
         let found = response
@@ -467,41 +477,44 @@
             .map(str::trim)
     };
     if header("transfer-encoding").is_some_and(|how| how.eq_ignore_ascii_case("chunked")) {
-        return chunked(bytes, head);
+        return parse_chunked(bytes, head_length);
     }
     let end = match header("content-length") {
-        Some(told) => {
-            let length = told.parse::<usize>().ok().filter(|n| *n <= LONGEST);
-            head + length.ok_or_else(|| Trouble::Length(told.into()))?
+        Some(value) => {
+            let length = value
+                .parse::<usize>()
+                .ok()
+                .filter(|n| *n <= MAX_ANSWER_BYTES);
+            head_length + length.ok_or_else(|| CallFault::Length(value.into()))?
         }
-        None if ended => bytes.len(),
+        None if has_ended => bytes.len(),
         None => return Ok(None),
     };
-    Ok(bytes.get(head..end).map(|body| (body.to_vec(), end)))
+    Ok(bytes.get(head_length..end).map(|body| (body.to_vec(), end)))
 }
 
-fn chunked(bytes: &[u8], head: usize) -> Result<Option<(Vec<u8>, usize)>, Trouble> {
-    let (mut at, mut body) = (head, Vec::new());
+fn parse_chunked(bytes: &[u8], head_length: usize) -> Result<Option<(Vec<u8>, usize)>, CallFault> {
+    let (mut position, mut body) = (head_length, Vec::new());
     loop {
-        let rest = bytes.get(at..).unwrap_or(&[]);
-        let size = httparse::parse_chunk_size(rest).map_err(|_| Trouble::Chunk)?;
-        let httparse::Status::Complete((line, size)) = size else {
+        let rest = bytes.get(position..).unwrap_or(&[]);
+        let size = httparse::parse_chunk_size(rest).map_err(|_| CallFault::Chunk)?;
+        let httparse::Status::Complete((size_line, size)) = size else {
             return Ok(None);
         };
         let size = usize::try_from(size)
             .ok()
-            .filter(|n| *n <= LONGEST)
-            .ok_or(Trouble::TooLong)?;
-        let Some(chunk) = rest.get(line..line + size) else {
+            .filter(|n| *n <= MAX_ANSWER_BYTES)
+            .ok_or(CallFault::TooLong)?;
+        let Some(chunk) = rest.get(size_line..size_line + size) else {
             return Ok(None);
         };
-        if rest.len() < line + size + 2 {
+        if rest.len() < size_line + size + 2 {
             return Ok(None);
         }
         body.extend_from_slice(chunk);
-        at += line + size + 2;
+        position += size_line + size + 2;
         if size == 0 {
-            return Ok(Some((body, at)));
+            return Ok(Some((body, position)));
         }
     }
 }
--- a/router/src/serve.rs
+++ b/router/src/serve.rs
@@ -1,7 +1,8 @@
-//! The one loop: it waits on the poller, hands what has come to the parts, lets the decisions be made, and carries them out.
+//! The event loop: it waits on the poller, passes events to the router's parts, asks the engine for decisions and executes
+//! them.
 //!
-//! The phases of a turn are those of `Router::turn`, in this order: discovery, signals, gossip, nodes, answers on their way to
-//! clients, questions of the fleet, clients, new clients, deadlines, and the decisions on all of it.
+//! `Router::turn` runs the phases of a turn in this order: discovery, signals, gossip, nodes, replies to clients, queries of
+//! the lease tasks, clients, new clients, deadlines, queries again, and the decisions.
 
 use crate::Error;
 use crate::clock::Clock;
@@ -26,12 +27,13 @@
 use std::time::Duration;
 use tracing::{debug, info, warn};
 
-/// After SIGTERM new connections are taken in for so long.
-const STILL_ACCEPTING: Time = 500_000;
-/// Rounds of decisions in one turn: what a connection tells at once may bring on the next decision.
-const ROUNDS: u32 = 16;
+/// Time after SIGTERM during which new connections are still accepted (us).
+const ACCEPT_AFTER_SIGTERM_US: Time = 500_000;
+/// Maximum number of decision rounds in one turn. A round may cause another, if executing a decision has an immediate
+/// result.
+const MAX_DECISION_ROUNDS: u32 = 16;
 
-fn bind(address: SocketAddr, what: &'static str) -> Result<TcpListener, Error> {
+fn bind_listener(address: SocketAddr, what: &'static str) -> Result<TcpListener, Error> {
     TcpListener::bind(address).map_err(|source| Error::Listen {
         address,
         what,
@@ -39,14 +41,14 @@
     })
 }
 
-/// What the poller says of one socket.
+/// A poller event of one socket.
 struct ReadyEvent {
     key: Key,
-    /// The other side has gone, or the connection broke.
+    /// The peer has closed the connection, or it broke.
     hung_up: bool,
 }
 
-/// What the poller says in one turn, by whom it is for.
+/// The poller events of one turn.
 struct Ready<'a> {
     events: &'a Events,
 }
@@ -56,7 +58,8 @@
         Ready { events }
     }
 
-    fn of(&self, wanted: EventSource) -> impl Iterator<Item = ReadyEvent> {
+    /// Returns the events of one kind of socket.
+    fn from_source(&self, wanted: EventSource) -> impl Iterator<Item = ReadyEvent> {
         self.events.iter().filter_map(move |event| {
             let (source, key) = split_poll_key(event.key);
             let hung_up = event.is_interrupt() || event.is_err() == Some(true);
@@ -65,7 +68,7 @@
     }
 }
 
-/// The router: its parts and the loop round them.
+/// The router: its parts and the event loop.
 pub struct Router {
     clock: Clock,
     poll: Poll,
@@ -74,67 +77,81 @@
     front: Front,
     upstream: Upstream,
     discovery: Discovery,
-    operators: Option<operators::OperatorsFile>,
-    peers: Option<GossipSocket>,
-    /// SIGTERM has come.
-    stopping: bool,
+    operators_file: Option<operators::OperatorsFile>,
+    gossip: Option<GossipSocket>,
+    /// SIGTERM has been received.
+    is_terminating: bool,
 }
 
 impl Router {
-    /// A router that listens, and knows the list that it was given.
+    /// Creates a router that listens and uses the remembered endpoint list.
     ///
-    /// `told` is what operators say; `operators` is the file that it comes from, read again on SIGHUP.
+    /// `operator_settings` come from `operators_file`, which is read again on SIGHUP.
     pub fn new(
         config: Config,
-        told: operators::OperatorSettings,
-        operators: Option<operators::OperatorsFile>,
+        operator_settings: operators::OperatorSettings,
+        operators_file: Option<operators::OperatorsFile>,
         mut signals: Signals,
     ) -> Result<Self, Error> {
         let operators::OperatorSettings {
-            zone_failover: tiers,
-            listeners: fronts,
+            zone_failover,
+            listeners,
             connect_options,
-            gossip: peers,
-        } = told;
+            gossip: gossip_config,
+        } = operator_settings;
         let poll = Poll::new()?;
-        if peers.is_some() {
+        if gossip_config.is_some() {
             signals.catch_dump_state()?;
         }
         let signals = signals.register(&poll)?;
-        let listener = bind(config.listen, "clients")?;
+        let listener = bind_listener(config.listen, "clients")?;
         let listen = listener.local_addr()?;
         let (settings, budget) = (config.settings, Budget::new(config.max_buffered_bytes));
-        let longest = settings
+        let longest_deadline = settings
             .classes
             .iter()
             .map(|class| class.deadline)
             .max()
             .unwrap_or(0);
         let names = Names::new(&settings);
-        // What is known is of some version: only what came after it is asked for, a few lines instead of all of them.
+        // With a remembered list, discovery is asked only for the changes since its version, not for the complete list.
         let index = Some(config.remembered_list.index)
             .filter(|_| !config.remembered_list.entries.is_empty());
-        let lists = match settings.subscribe {
+        let list_source = match settings.subscribe {
             true => ListSource::Polled,
             false => ListSource::Pushed {
                 drain_grace: settings.drain_grace,
             },
         };
         let clock = Clock::default();
-        let zoning = tiers.map(|tiers| Box::new(tiers) as Box<dyn LocalityPolicy>);
-        let zoning =
-            match &peers {
-                Some(terms) => Some(Box::new(Observer::new(&terms.rules, &settings, zoning))
-                    as Box<dyn LocalityPolicy>),
-                None => zoning,
-            };
-        let talk =
-            |terms| GossipSocket::open(&poll, terms, &config.name, &settings, clock, config.seed);
+        let policy = zone_failover.map(|policy| Box::new(policy) as Box<dyn LocalityPolicy>);
+        let policy = match &gossip_config {
+            Some(config) => Some(Box::new(Observer::new(&config.rules, &settings, policy))
+                as Box<dyn LocalityPolicy>),
+            None => policy,
+        };
+        let open_gossip = |gossip_config| {
+            GossipSocket::open(
+                &poll,
+                gossip_config,
+                &config.name,
+                &settings,
+                clock,
+                config.seed,
+            )
+        };
         let mut router = Router {
-            peers: peers.map(talk).transpose()?,
+            gossip: gossip_config.map(open_gossip).transpose()?,
             clock,
             signals,
-            front: Front::new(&poll, &budget, listener, config.max_clients, names, longest)?,
+            front: Front::new(
+                &poll,
+                &budget,
+                listener,
+                config.max_clients,
+                names,
+                longest_deadline,
+            )?,
             upstream: Upstream::new(
                 &poll,
                 &budget,
@@ -147,36 +164,36 @@
                 &poll,
                 config.discovery,
                 index,
-                WatchSchedule::new(lists, config.seed),
+                WatchSchedule::new(list_source, config.seed),
             ),
-            engine: match zoning {
-                Some(zoning) => Engine::new(settings, config.seed).with_locality_policy(zoning),
+            engine: match policy {
+                Some(policy) => Engine::new(settings, config.seed).with_locality_policy(policy),
                 None => Engine::new(settings, config.seed),
             },
-            operators,
+            operators_file,
             poll,
-            stopping: false,
+            is_terminating: false,
         };
-        for (address, terms) in fronts {
-            let listener = bind(address, "clients of a further front")?;
-            info!(front = terms.name, address = %listener.local_addr()?, "a further front");
-            router.front.add_listener(listener, terms)?;
+        for (address, listener_config) in listeners {
+            let listener = bind_listener(address, "clients of a further front")?;
+            info!(front = listener_config.name, address = %listener.local_addr()?, "listening on an additional address");
+            router.front.add_listener(listener, listener_config)?;
         }
         let now = router.clock.now();
-        router.list(config.remembered_list, true, now);
+        router.apply_listing(config.remembered_list, true, now);
         info!(name = config.name, %listen, "serving");
         Ok(router)
     }
 
-    /// Runs until the way out after SIGTERM has been gone to its end.
+    /// Runs until the shutdown after SIGTERM is complete.
     pub fn run(mut self) -> Result<(), Error> {
         let mut events = Events::new();
         let now = self.clock.now();
         self.discovery.start(now, &mut self.engine);
-        if let Some(peers) = &mut self.peers {
-            peers.start(now, &mut self.engine);
+        if let Some(gossip) = &mut self.gossip {
+            gossip.start(now, &mut self.engine);
         }
-        let mut at_once = self.decide(now);
+        let mut has_work_left = self.decide(now);
         while !self.front.is_drained() {
             let now = self.clock.now();
             let next = self
@@ -184,53 +201,57 @@
                 .deadlines
                 .next()
                 .map(|at| Duration::from_micros(at.saturating_sub(now)));
-            let timeout = if at_once { Some(Duration::ZERO) } else { next };
+            let timeout = if has_work_left {
+                Some(Duration::ZERO)
+            } else {
+                next
+            };
             match self.poll.wait(&mut events, timeout) {
                 Err(e) if e.kind() != ErrorKind::Interrupted => return Err(e.into()),
                 _ => {}
             }
-            at_once = self.turn(&events);
+            has_work_left = self.turn(&events);
         }
         info!("all is answered");
         Ok(())
     }
 
-    /// One turn of the loop, phase by phase; true where something is left to decide at once.
+    /// Runs one turn of the loop. Returns true if the next turn must follow without waiting.
     fn turn(&mut self, events: &Events) -> bool {
         let now = self.clock.now();
         let ready = Ready::new(events);
-        // The endpoint list goes first: whatever else is read in this turn is decided by the new one.
+        // The endpoint list is read first, so that all decisions of this turn use the new list.
         self.read_discovery(&ready, now);
         self.take_signals(&ready, now);
         self.read_gossip(&ready, now);
         self.read_nodes(&ready, now);
-        self.pass_on_answers(now);
-        self.exchange_fleet_queries(now);
+        self.pass_on_replies(now);
+        self.exchange_lease_task_queries(now);
         self.read_clients(&ready, now);
         self.accept_clients(&ready, now);
-        self.meet_deadlines(now);
-        self.exchange_fleet_queries(now);
+        self.run_due_deadlines(now);
+        self.exchange_lease_task_queries(now);
         self.front.pump(now, &mut self.engine);
         self.decide(now)
     }
 
     fn read_discovery(&mut self, ready: &Ready<'_>, now: Time) {
-        for _ in ready.of(EventSource::Discovery) {
-            if let Some(listing) = self.discovery.event(now, &mut self.engine) {
-                self.list(listing, false, now);
+        for _ in ready.from_source(EventSource::Discovery) {
+            if let Some(listing) = self.discovery.handle_event(now, &mut self.engine) {
+                self.apply_listing(listing, false, now);
             }
         }
     }
 
     fn take_signals(&mut self, ready: &Ready<'_>, now: Time) {
-        for _ in ready.of(EventSource::Signal) {
+        for _ in ready.from_source(EventSource::Signal) {
             for signal in self.signals.take() {
                 match signal {
                     Signal::Reload => self.reload(now),
                     Signal::Stop => self.terminate(now),
                     Signal::DumpState => {
-                        if let Some(peers) = &self.peers {
-                            peers.log_state(now, &mut self.engine);
+                        if let Some(gossip) = &self.gossip {
+                            gossip.log_state(now, &mut self.engine);
                         }
                     }
                 }
@@ -239,77 +260,77 @@
     }
 
     fn read_gossip(&mut self, ready: &Ready<'_>, now: Time) {
-        for _ in ready.of(EventSource::Gossip) {
-            if let Some(peers) = &mut self.peers {
-                peers.read_datagrams(now, &mut self.engine);
+        for _ in ready.from_source(EventSource::Gossip) {
+            if let Some(gossip) = &mut self.gossip {
+                gossip.read_datagrams(now, &mut self.engine);
             }
         }
     }
 
     fn read_nodes(&mut self, ready: &Ready<'_>, now: Time) {
-        for event in ready.of(EventSource::Node) {
+        for event in ready.from_source(EventSource::Node) {
             self.upstream.event(event.key, now, &mut self.engine);
         }
     }
 
     fn read_clients(&mut self, ready: &Ready<'_>, now: Time) {
-        for event in ready.of(EventSource::Client) {
+        for event in ready.from_source(EventSource::Client) {
             self.front
                 .handle_event(event.key, event.hung_up, now, &mut self.engine);
         }
     }
 
     fn accept_clients(&mut self, ready: &Ready<'_>, now: Time) {
-        for event in ready.of(EventSource::Listener) {
+        for event in ready.from_source(EventSource::Listener) {
             self.front.accept(event.key, now, &mut self.engine);
         }
     }
 
-    fn meet_deadlines(&mut self, now: Time) {
+    fn run_due_deadlines(&mut self, now: Time) {
         while let Some(deadline) = self.engine.deadlines.pop(now) {
-            self.due(deadline, now);
+            self.run_deadline(deadline, now);
         }
     }
 
-    fn due(&mut self, due: Deadline, now: Time) {
-        match due {
+    fn run_deadline(&mut self, deadline: Deadline, now: Time) {
+        match deadline {
             Deadline::Wake => self.engine.wake(),
             Deadline::Attempt(id) => self.engine.attempt_timed_out(id, now),
             Deadline::Backend(key) => self.upstream.connection_expired(key, now, &mut self.engine),
             Deadline::Client(key) => self.front.check_client(key, now, &mut self.engine),
-            Deadline::Discovery => self.discovery.due(now, &mut self.engine),
+            Deadline::Discovery => self.discovery.deadline_expired(now, &mut self.engine),
             Deadline::Gossip => self
-                .peers
+                .gossip
                 .iter_mut()
-                .for_each(|peers| peers.run_due(now, &mut self.engine)),
+                .for_each(|gossip| gossip.run_due(now, &mut self.engine)),
             Deadline::Accept => self.front.resume_accepting(now, &mut self.engine),
             Deadline::Shutdown => {
-                // Handing over does not keep clients waiting.
-                self.peers
+                // Clients do not wait until the handover of leases is complete.
+                self.gossip
                     .iter_mut()
-                    .for_each(|peers| peers.finish_leaving(now));
+                    .for_each(|gossip| gossip.finish_leaving(now));
                 self.front.drain(now, &mut self.engine);
             }
         }
     }
 
-    /// Decides and carries out, until nothing more comes of it; true where it has not come to an end.
+    /// Takes decisions from the engine and executes them until there are none. Returns true if some may be left.
     fn decide(&mut self, now: Time) -> bool {
-        for _ in 0..ROUNDS {
+        for _ in 0..MAX_DECISION_ROUNDS {
             let commands = self.engine.decide(now);
             if commands.is_empty() {
                 break;
             }
             for command in commands {
-                self.carry_out(command, now);
+                self.execute(command, now);
             }
-            self.pass_on_answers(now);
+            self.pass_on_replies(now);
             self.front.pump(now, &mut self.engine);
         }
         self.engine.has_pending_work() || self.front.has_marked_clients()
     }
 
-    fn carry_out(&mut self, command: Command, now: Time) {
+    fn execute(&mut self, command: Command, now: Time) {
         let engine = &mut self.engine;
         match command {
             Command::Send {
@@ -333,26 +354,29 @@
         }
     }
 
-    /// Asks nodes what the fleet wants to know of them, and takes what they answered.
-    fn exchange_fleet_queries(&mut self, now: Time) {
-        let Some(peers) = &mut self.peers else { return };
-        let heard = self.upstream.take_query_outcomes();
-        if !heard.is_empty() {
-            peers.queries_ended(now, heard, &mut self.engine);
+    /// Passes the outcomes of queries to the lease tasks, and sends their next queries.
+    fn exchange_lease_task_queries(&mut self, now: Time) {
+        let Some(gossip) = &mut self.gossip else {
+            return;
+        };
+        let outcomes = self.upstream.take_query_outcomes();
+        if !outcomes.is_empty() {
+            gossip.queries_ended(now, outcomes, &mut self.engine);
         }
-        for ask in peers.take_queries() {
-            self.upstream.query(ask, now, &mut self.engine);
+        for query in gossip.take_queries() {
+            self.upstream.query(query, now, &mut self.engine);
         }
     }
 
-    fn pass_on_answers(&mut self, now: Time) {
+    fn pass_on_replies(&mut self, now: Time) {
         for served in self.upstream.take_served() {
             self.front
                 .send_reply(served.origin, served.request, served.reply, now);
         }
     }
 
-    fn list(&mut self, listing: Listing, restored: bool, now: Time) {
+    /// Applies an endpoint list. `is_remembered` marks the list of the configuration, as opposed to one from the agent.
+    fn apply_listing(&mut self, listing: Listing, is_remembered: bool, now: Time) {
         for (entry, _) in &listing.entries {
             debug!(node = %entry.node, group = entry.group, state = ?entry.state, primary = entry.listed_as_primary, "listed");
         }
@@ -362,100 +386,100 @@
             .map(|(entry, _)| entry.clone())
             .collect();
         self.engine
-            .update_endpoints(match (restored, listing.is_complete) {
+            .update_endpoints(match (is_remembered, listing.is_complete) {
                 (true, _) => EndpointUpdate::Restored(entries),
                 (false, true) => EndpointUpdate::Full(entries),
                 (false, false) => EndpointUpdate::Changes(entries),
             });
         self.upstream
             .update_endpoints(&listing, now, &mut self.engine);
-        self.peers
+        self.gossip
             .iter_mut()
-            .for_each(|peers| peers.endpoints_changed(now, &self.engine));
+            .for_each(|gossip| gossip.endpoints_changed(now, &self.engine));
     }
 
-    /// Takes over what a running router can; a file that is no good leaves all as it was.
+    /// Applies what can change while the router runs. If a file is invalid, nothing changes.
     fn reload(&mut self, now: Time) {
-        // Both are read before either is taken over.
-        let told = self
-            .operators
+        // Both files are read before either is applied.
+        let operator_settings = self
+            .operators_file
             .as_ref()
             .map(operators::OperatorsFile::read)
             .transpose();
-        let (config, told) = match (config::reread(), told) {
-            (Ok(config), Ok(told)) => (config, told),
+        let (config, operator_settings) = match (config::reread(), operator_settings) {
+            (Ok(config), Ok(operator_settings)) => (config, operator_settings),
             (Err(fault), _) | (_, Err(fault)) => {
                 return warn!(
                     reason = "reload",
                     help = fault.help(),
-                    "SIGHUP: {fault}; all stays as it was"
+                    "SIGHUP: {fault}; nothing is changed"
                 );
             }
         };
-        info!(discovery = %config.discovery, "SIGHUP: the configuration was read again");
+        info!(discovery = %config.discovery, "SIGHUP: the configuration was reloaded");
         self.discovery
             .move_to(config.discovery, now, &mut self.engine);
-        if let Some(told) = told {
-            let zones = told
+        if let Some(settings) = operator_settings {
+            let zones = settings
                 .zone_failover
                 .as_ref()
-                .map_or(0, |t| t.zone_statuses().len());
-            self.rezone(told.zone_failover, now);
-            for (address, terms) in told.listeners {
-                // Those who are in stay in; what is asked of newcomers changes.
-                if !self.front.change_listener(&terms) {
-                    warn!(front = terms.name, %address, "SIGHUP: a further front needs a restart");
+                .map_or(0, |failover| failover.zone_statuses().len());
+            self.replace_zone_failover(settings.zone_failover, now);
+            for (address, listener_config) in settings.listeners {
+                // Connected clients stay; the changes apply to new ones.
+                if !self.front.change_listener(&listener_config) {
+                    warn!(front = listener_config.name, %address, "SIGHUP: this change of an additional listener needs a restart");
                 }
             }
-            self.upstream.change_options(told.connect_options);
-            match (&mut self.peers, told.gossip) {
-                (Some(peers), Some(terms)) => peers.reload(terms),
+            self.upstream.change_options(settings.connect_options);
+            match (&mut self.gossip, settings.gossip) {
+                (Some(gossip), Some(gossip_config)) => gossip.reload(gossip_config),
                 (None, None) => {}
                 _ => warn!(
                     reason = "peers",
-                    "SIGHUP: whether routers talk needs a restart"
+                    "SIGHUP: enabling or disabling gossip needs a restart"
                 ),
             }
-            info!(zones, "SIGHUP: the operators' file was taken over");
+            info!(zones, "SIGHUP: the operators' file was applied");
         }
     }
 
-    /// Puts other tiers in the place of those in use; they go on from what these have learned.
-    fn rezone(&mut self, mut tiers: Option<ZoneFailover>, now: Time) {
+    /// Replaces the zone failover. The new one inherits the observations of the old one.
+    fn replace_zone_failover(&mut self, mut zone_failover: Option<ZoneFailover>, now: Time) {
         let old = match gossip::observer(&mut self.engine) {
             Some(observer) => observer.locality_policy(),
             None => self.engine.locality_policy(),
         };
         let old = old
-            .map(|zoning| zoning as &mut dyn Any)
+            .map(|policy| policy as &mut dyn Any)
             .and_then(<dyn Any>::downcast_mut);
-        if let (Some(fresh), Some(old)) = (&mut tiers, old) {
-            fresh.inherit_state(old);
+        if let (Some(new), Some(old)) = (&mut zone_failover, old) {
+            new.inherit_state(old);
         }
-        let tiers = tiers.map(|tiers| Box::new(tiers) as Box<dyn LocalityPolicy>);
+        let policy = zone_failover.map(|policy| Box::new(policy) as Box<dyn LocalityPolicy>);
         match gossip::observer(&mut self.engine) {
             Some(observer) => {
-                let observer = observer.with_locality_policy(tiers);
+                let observer = observer.with_locality_policy(policy);
                 self.engine
                     .replace_locality_policy(now, Some(Box::new(observer)));
             }
-            None => self.engine.replace_locality_policy(now, tiers),
+            None => self.engine.replace_locality_policy(now, policy),
         }
     }
 
     fn terminate(&mut self, now: Time) {
-        if std::mem::replace(&mut self.stopping, true) {
-            return info!("SIGTERM: once more; it is finishing already");
+        if std::mem::replace(&mut self.is_terminating, true) {
+            return info!("SIGTERM: once more; the router is already shutting down");
         }
         info!(
             held = self.engine.pending_requests(),
-            "SIGTERM: finishing what has been taken on"
+            "SIGTERM: finishing pending requests"
         );
-        self.peers
+        self.gossip
             .iter_mut()
-            .for_each(|peers| peers.start_leaving(now, &mut self.engine));
+            .for_each(|gossip| gossip.start_leaving(now, &mut self.engine));
         self.engine
             .deadlines
-            .add(now + STILL_ACCEPTING, Deadline::Shutdown);
+            .add(now + ACCEPT_AFTER_SIGTERM_US, Deadline::Shutdown);
     }
 }
--- a/router/tests/peers.rs
+++ b/router/tests/peers.rs
@@ -364,7 +364,7 @@
                 process
                     .since(before)
                     .iter()
-                    .any(|l| l.contains("operators' file was taken over"))
+                    .any(|l| l.contains("operators' file was applied"))
             };
             let until = Instant::now() + HANGS;
             while !taken() {
