--- a/router/src/lease_tasks/watch.rs
+++ b/router/src/lease_tasks/watch.rs
@@ -167,7 +167,7 @@
         watch.answers.insert(
             node.clone(),
             Answer {
-                queried_at: answer.asked_at,
+                queried_at: answer.queried_at,
                 started,
                 report: answer.report,
                 published_at,
--- a/router/src/lease_tasks/watch/tests.rs
+++ b/router/src/lease_tasks/watch/tests.rs
@@ -22,9 +22,9 @@
     watches
 }
 
-fn answered_at(asked_at: Time, position: Time) -> Option<QueryAnswer> {
+fn answered_at(queried_at: Time, position: Time) -> Option<QueryAnswer> {
     let report = report_at(position);
-    Some(QueryAnswer { asked_at, report })
+    Some(QueryAnswer { queried_at, report })
 }
 
 #[test]
--- a/router/src/operators.rs
+++ b/router/src/operators.rs
@@ -382,7 +382,7 @@
         };
         Ok(ConnectOptions {
             credentials,
-            cancels: servers.cancel,
+            sends_cancels: servers.cancel,
         })
     }
 
--- a/router/src/serve.rs
+++ b/router/src/serve.rs
@@ -269,7 +269,7 @@
 
     fn read_nodes(&mut self, ready: &Ready<'_>, now: Time) {
         for event in ready.from_source(EventSource::Node) {
-            self.upstream.event(event.key, now, &mut self.engine);
+            self.upstream.handle_event(event.key, now, &mut self.engine);
         }
     }
 
--- a/router/src/statement_labels.rs
+++ b/router/src/statement_labels.rs
@@ -1,77 +1,77 @@
-//! Statements as the platform writes them, with their labels in a comment in front; and the framing of messages, which is
-//! the dialect's.
+//! Statements as the platform's clients send them, with labels in a leading comment. Also re-exports the message framing of
+//! `plovercove-pgwire`.
 
 pub use plovercove_pgwire::messages::*;
 use plovercove_pgwire::reply::Shape;
 use std::ops::Range;
 
-/// A query of a client, to be passed on as it is but for the patience it tells.
+/// A query of a client. It is forwarded unchanged, except for the timeout in its labels.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Statement {
     text: String,
-    /// Where the digits of `d` stand.
+    /// The position of the digits of the label `d`, the timeout.
     timeout_digits: Range<usize>,
-    /// What its answer may look like.
+    /// The expected shape of the reply.
     pub shape: Shape,
 }
 
-/// What the comment in front of a statement says, by name.
+/// The labels in the leading comment of a statement.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Labels<'a> {
-    /// The request's own name.
+    /// The request ID.
     pub id: &'a str,
     /// The class.
     pub class: &'a str,
-    /// The tenant, where told.
+    /// The tenant, if given.
     pub tenant: Option<&'a str>,
-    /// The client's patience in milliseconds.
+    /// The client's timeout in milliseconds.
     pub timeout_ms: u64,
-    /// Whether the client marked a repeat.
+    /// Whether the client marked the statement as a retry.
     pub is_retry: bool,
     /// The group.
     pub group: u64,
-    /// The position that the read must see, in Unix milliseconds.
+    /// The minimum log position of the node that serves the read, in Unix milliseconds.
     pub min_position_ms: Option<u64>,
-    /// The first quoted text of the statement.
+    /// The first single-quoted text of the statement.
     pub quoted_key: Option<&'a str>,
     timeout_digits: Range<usize>,
 }
 
-/// What is wrong with the comment in front of a statement. Clients are told the text; nothing is allocated for it.
+/// A fault in the leading comment of a statement. Its text is sent to the client. It borrows from the statement.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, thiserror::Error, strum::IntoStaticStr, strum::VariantNames,
 )]
 pub enum Mislabelled<'a> {
-    /// There is none.
+    /// There is no leading comment.
     #[error("the statement does not start with a comment")]
     NoComment,
-    /// It goes on to the end of the statement.
+    /// The comment is not closed.
     #[error("the comment does not end")]
     Endless,
-    /// A part of it is no label.
+    /// A part of the comment is not a label.
     #[error("{0:?} is not name=value")]
     NoPair(&'a str),
-    /// A label that counts does not.
+    /// A numeric label is not a whole number.
     #[error("{name}: {value:?} is not a whole number")]
     NoNumber {
         /// The label.
         name: &'a str,
-        /// What it says.
+        /// The value.
         value: &'a str,
     },
-    /// A label stands there twice.
+    /// A label is given twice.
     #[error("{0} is told twice")]
     Twice(&'a str),
-    /// The request's name is none.
+    /// The request ID is malformed.
     #[error("id: expected letters and digits")]
     Id,
-    /// A label that must be there is not.
+    /// A required label is missing.
     #[error("{0} is missing")]
     Missing(&'static str),
 }
 
 impl Mislabelled<'_> {
-    /// What an operator can do.
+    /// Returns advice for the operator.
     pub fn help(&self) -> &'static str {
         match self {
             Mislabelled::NoComment => {
@@ -95,19 +95,19 @@
     }
 }
 
-/// Reads the comment in front of a statement.
+/// Reads the labels in the leading comment of a statement.
 ///
 /// # Errors
-/// Says what is wrong with it.
+/// Returns the first fault in the comment.
 pub fn read_labels(text: &str) -> Result<Labels<'_>, Mislabelled<'_>> {
     let trimmed = text.trim_start();
     let start = text.len() - trimmed.len();
     let inner = trimmed.strip_prefix("/*").ok_or(Mislabelled::NoComment)?;
     let (comment, statement) = inner.split_once("*/").ok_or(Mislabelled::Endless)?;
-    let mut found = Labels::default();
-    let mut at = start + 2;
+    let mut labels = Labels::default();
+    let mut offset = start + 2;
     let (mut id, mut class, mut group, mut timeout_ms) = (None, None, None, None);
-    let mut seen: Vec<&str> = Vec::new();
+    let mut seen_names: Vec<&str> = Vec::new();
     for part in comment.split(',') {
         let (name, value) = part.split_once('=').ok_or(Mislabelled::NoPair(part))?;
         let name_length = name.len();
@@ -121,11 +121,11 @@
                     value: trimmed_value,
                 })
         };
-        // Danger: said twice, the db node may go by the other one than the router does.
-        if seen.contains(&name) {
+        // A duplicate label is rejected, because the db node could use the other value than the router.
+        if seen_names.contains(&name) {
             return Err(Mislabelled::Twice(name));
         }
-        seen.push(name);
+        seen_names.push(name);
         match name {
             "id" => {
                 let fits = (1..=64).contains(&trimmed_value.len())
@@ -135,30 +135,30 @@
                 id = Some(fits.then_some(trimmed_value).ok_or(Mislabelled::Id)?);
             }
             "c" => class = Some(trimmed_value),
-            "t" => found.tenant = Some(trimmed_value).filter(|t| !t.is_empty()),
+            "t" => labels.tenant = Some(trimmed_value).filter(|t| !t.is_empty()),
             "d" => {
-                let lead = value.len() - value.trim_start().len();
-                let begin = at + name_length + 1 + lead;
+                let leading_spaces = value.len() - value.trim_start().len();
+                let digits_start = offset + name_length + 1 + leading_spaces;
                 timeout_ms = Some(number()?);
-                found.timeout_digits = begin..begin + trimmed_value.len();
+                labels.timeout_digits = digits_start..digits_start + trimmed_value.len();
             }
-            "r" => found.is_retry = trimmed_value == "1",
+            "r" => labels.is_retry = trimmed_value == "1",
             "cluster" => group = Some(number()?),
-            "after" => found.min_position_ms = Some(number()?),
+            "after" => labels.min_position_ms = Some(number()?),
             _ => {}
         }
-        at += part.len() + 1;
+        offset += part.len() + 1;
     }
-    found.class = class.ok_or(Mislabelled::Missing("c, the class,"))?;
-    found.group = group.ok_or(Mislabelled::Missing("cluster, the group,"))?;
-    found.id = id.ok_or(Mislabelled::Missing("id"))?;
-    found.timeout_ms = timeout_ms.ok_or(Mislabelled::Missing("d, the patience,"))?;
-    found.quoted_key = statement.split('\'').nth(1);
-    Ok(found)
+    labels.class = class.ok_or(Mislabelled::Missing("c, the class,"))?;
+    labels.group = group.ok_or(Mislabelled::Missing("cluster, the group,"))?;
+    labels.id = id.ok_or(Mislabelled::Missing("id"))?;
+    labels.timeout_ms = timeout_ms.ok_or(Mislabelled::Missing("d, the patience,"))?;
+    labels.quoted_key = statement.split('\'').nth(1);
+    Ok(labels)
 }
 
 impl Statement {
-    /// A statement whose comment has been read.
+    /// Creates a statement from its text and its labels.
     pub fn new(text: &str, labels: &Labels<'_>, shape: Shape) -> Self {
         Statement {
             text: text.to_string(),
@@ -167,7 +167,7 @@
         }
     }
 
-    /// Appends it as a query that tells this patience in milliseconds.
+    /// Appends the statement as a query message with this timeout in milliseconds.
     pub fn append_query(&self, out: &mut Vec<u8>, timeout_ms: u64) {
         let (before, after) = (
             &self.text[..self.timeout_digits.start],
--- a/router/src/statement_labels/tests.rs
+++ b/router/src/statement_labels/tests.rs
@@ -5,25 +5,25 @@
 const READ: &str = "/* id=9b,c=basket,t=acme,d=480,cluster=2,after=17 */ SELECT body FROM objects WHERE oid = '7f3a'";
 
 #[test]
-fn only_the_patience_of_a_statement_changes() {
-    let found = read_labels(READ).expect("well formed");
+fn only_the_timeout_of_a_statement_changes() {
+    let labels = read_labels(READ).expect("well formed");
     assert_eq!(
-        (found.class, found.tenant, found.group),
+        (labels.class, labels.tenant, labels.group),
         ("basket", Some("acme"), 2)
     );
     assert_eq!(
-        (found.timeout_ms, found.min_position_ms, found.quoted_key),
+        (labels.timeout_ms, labels.min_position_ms, labels.quoted_key),
         (480, Some(17), Some("7f3a"))
     );
     let mut out = Vec::new();
-    Statement::new(READ, &found, Shape::OneValue).append_query(&mut out, 33);
+    Statement::new(READ, &labels, Shape::OneValue).append_query(&mut out, 33);
     let mut want = Vec::new();
     put_query(&mut want, &READ.replace("d=480", "d=33"));
     assert_eq!(out, want);
 }
 
 #[test]
-fn odd_comments_are_named_and_nothing_panics() {
+fn faults_in_comments_are_named_and_nothing_panics() {
     for (text, complaint) in [
         ("SELECT 1", "comment"),
         ("/* id=1", "does not end"),
@@ -38,13 +38,13 @@
         ("/* id=1,c=a,cluster=1 */", "d, the patience"),
         ("/* id=1,c=a,cluster=1,d=-5 */", "d: \"-5\""),
     ] {
-        let said = read_labels(text).expect_err(text).to_string();
-        assert!(said.contains(complaint), "{text}: {said}");
+        let fault = read_labels(text).expect_err(text).to_string();
+        assert!(fault.contains(complaint), "{text}: {fault}");
     }
 }
 
 #[test]
-fn lengths_out_of_bounds_are_malformed_and_parts_are_waited_for() {
+fn lengths_out_of_bounds_are_malformed_and_incomplete_messages_are_not() {
     assert_eq!(parse_message(b"Q\0\0\0\x03", 100), Err(Malformed));
     assert_eq!(parse_message(b"Q\xff\xff\xff\xff", 100), Err(Malformed));
     for part in [&b""[..], b"Q", b"Q\0\0\0", b"Q\0\0\0\x06a"] {
--- a/router/src/upstream/connection.rs
+++ b/router/src/upstream/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a node: what it carries, and what it may be used for next.
+//! The connections to nodes, their states and their jobs.
 
 use super::reply::Reply;
 use super::watch::LeaseCheck;
@@ -11,34 +11,34 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// What a connection is wanted for.
+/// The work that needs a connection.
 pub(super) enum Job {
     /// An attempt of a request.
     Attempt {
         id: AttemptId,
         statement: Rc<Statement>,
     },
-    /// A question of this router's own.
-    HealthCheck { asked_at: Time },
-    /// The same for the fleet, by the owner of the group's watch, who looks once more before it leaves.
+    /// A health check of this router.
+    HealthCheck { queried_at: Time },
+    /// A query under the lease of a group's watch. The lease is checked once more before the query is sent.
     Watch {
-        asked_at: Time,
+        queried_at: Time,
         lease_check: LeaseCheck,
     },
 }
 
 impl Job {
-    /// Whether it may begin at this node now, when its first byte is about to leave.
+    /// Returns whether the job may start at this node. Called just before its first byte is sent.
     pub(super) fn may_begin(&self, node: &NodeId, now: Time, engine: &Engine) -> bool {
         match self {
             Job::Attempt { id, .. } => engine.may_send(Some(*id), node, now),
             Job::HealthCheck { .. } => engine.may_send(None, node, now),
-            // Its router may have lost the watch since it asked for a connection.
+            // The router may have lost the lease while the job waited for a connection.
             Job::Watch { lease_check, .. } => engine.may_send(None, node, now) && lease_check(),
         }
     }
 
-    /// Whether its answer is a node's report.
+    /// Returns whether the reply is a node report.
     pub(super) fn wants_report(&self) -> bool {
         !matches!(self, Job::Attempt { .. })
     }
@@ -48,25 +48,25 @@
 pub(super) struct RunningJob {
     pub(super) job: Job,
     pub(super) reply: Reply,
-    /// Its last byte has been written.
+    /// Whether the last byte has been written to the socket.
     pub(super) is_written: bool,
 }
 
-/// What a connection does.
+/// The state of a connection.
 pub(super) enum State {
-    /// It is coming up.
+    /// The connection attempt is in progress.
     Connecting,
-    /// Connected; the node has not said that it is ready.
+    /// The login is in progress.
     LoggingIn(Box<Login>),
-    /// It carries nothing but the wish that another connection's work be stopped.
+    /// The connection only carries a cancel request for a job on another connection.
     Cancelling(Vec<u8>),
-    /// It is ready for a job.
+    /// The connection is ready for a job.
     Idle,
-    /// It carries a job.
+    /// The connection carries a job.
     Busy(RunningJob),
 }
 
-/// What a cancel must show.
+/// The key that a cancel request must contain.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct BackendKey {
     pub(super) process: u32,
@@ -77,7 +77,7 @@
 pub(super) struct Connection {
     pub(super) stream: Stream,
     pub(super) node: NodeId,
-    /// Where the node was when it was dialled.
+    /// The address of the node when the connection was opened.
     pub(super) address: SocketAddr,
     pub(super) state: State,
     pub(super) deadline: Option<Time>,
@@ -86,28 +86,28 @@
 }
 
 impl Connection {
-    /// It is not ready yet.
-    pub(super) fn is_coming_up(&self) -> bool {
+    /// Returns whether the connection attempt or the login is in progress.
+    pub(super) fn is_connecting(&self) -> bool {
         matches!(self.state, State::Connecting | State::LoggingIn(_))
     }
 
-    /// Its job may have begun at the node.
+    /// Returns whether the job may have started at the node.
     pub(super) fn has_written_job(&self) -> bool {
         matches!(&self.state, State::Busy(running) if running.is_written)
     }
 }
 
-/// Who the router is to its nodes, and whether it asks them to stop what nobody waits for.
+/// The router's login to its nodes, and whether it sends cancel requests.
 #[derive(Clone, Debug)]
 pub struct ConnectOptions {
     /// The login.
     pub credentials: Credentials,
-    /// Whether they are asked to stop.
-    pub cancels: bool,
+    /// Whether cancel requests are sent.
+    pub sends_cancels: bool,
 }
 
 impl ConnectOptions {
-    /// The platform's: one user, who is welcome without a password, and no cancels.
+    /// Returns the options for the platform's nodes: a fixed user without a password, and no cancel requests.
     pub fn platform() -> Self {
         let credentials = Credentials {
             user: "worker".into(),
@@ -119,7 +119,7 @@
         };
         ConnectOptions {
             credentials,
-            cancels: false,
+            sends_cancels: false,
         }
     }
 }
--- a/router/src/upstream/exchange.rs
+++ b/router/src/upstream/exchange.rs
@@ -1,6 +1,6 @@
-//! What happens on one connection: login, the request's bytes, its reply, and the ways in which it can end.
+//! Login, request and reply on a connection, and the ways in which it can end.
 //!
-//! Until its last byte is written a request never ran; after that it may have, whatever becomes of the connection.
+//! A request cannot have run before its last byte is written. After that it may have run, however the connection ends.
 
 use super::connection::{BackendKey, Job, RunningJob, State};
 use super::reply::{self, Reply};
@@ -14,33 +14,33 @@
 use plovercove_pgwire::reply::InvalidReply;
 use tracing::{debug, warn};
 
-/// The most bytes that are read ahead on a connection.
+/// Maximum number of bytes buffered from a node on a connection.
 pub(super) const MAX_READ_BYTES: usize = reply::MAX_ROW_BYTES + 64 * 1024;
-/// Why a copy into a table is broken off.
+/// The reason in CopyFail, with which the router ends a COPY into a table.
 const COPY_UNSUPPORTED: &[u8] = b"COPY FROM STDIN is not supported by the router";
-/// So many bytes of a message that cannot be followed are logged.
+/// Maximum number of logged bytes of an invalid message.
 const MAX_LOGGED_BYTES: usize = 48;
 
-/// What one message of a node comes to.
+/// The progress of a connection after a message.
 enum Progress {
-    /// More is to come.
-    GoesOn,
+    /// More messages are expected.
+    Continue,
     /// The connection is ready for its next job.
     Ready { is_reusable: bool },
-    /// The node does not let this router in.
+    /// The node rejected the login.
     LoginRefused(LoginError),
 }
 
 impl State {
-    /// Takes a message; what is to be said at once goes to `answer`.
-    fn take(
+    /// Handles a message. A direct answer to it is appended to `answer`.
+    fn read_message(
         &mut self,
         message: &Message<'_>,
         credentials: &Credentials,
         answer: &mut Vec<u8>,
     ) -> Result<Progress, InvalidReply> {
         match self {
-            State::Busy(running) => running.take(message, answer),
+            State::Busy(running) => running.read_message(message, answer),
             State::LoggingIn(login) => take_login(login, message, credentials, answer),
             State::Connecting | State::Cancelling(_) | State::Idle => Err(InvalidReply),
         }
@@ -48,22 +48,22 @@
 }
 
 impl RunningJob {
-    fn take(
+    fn read_message(
         &mut self,
         message: &Message<'_>,
         answer: &mut Vec<u8>,
     ) -> Result<Progress, InvalidReply> {
         if message.kind == b'Z' {
-            let is_reusable = self.reply.ready(message.body)?;
+            let is_reusable = self.reply.read_ready(message.body)?;
             return Ok(Progress::Ready { is_reusable });
         }
-        let waits_for_data = self.reply.take(message, self.job.wants_report())?;
+        let waits_for_data = self.reply.read_message(message, self.job.wants_report())?;
         if waits_for_data {
             messages::put(answer, b'f', |out| {
                 messages::put_text(out, COPY_UNSUPPORTED)
             });
         }
-        Ok(Progress::GoesOn)
+        Ok(Progress::Continue)
     }
 }
 
@@ -75,15 +75,15 @@
 ) -> Result<Progress, InvalidReply> {
     match login.read_message(credentials, message, answer) {
         Ok(true) => Ok(Progress::Ready { is_reusable: true }),
-        Ok(false) => Ok(Progress::GoesOn),
+        Ok(false) => Ok(Progress::Continue),
         Err(LoginError::Malformed) => Err(InvalidReply),
         Err(why) => Ok(Progress::LoginRefused(why)),
     }
 }
 
 impl Upstream {
-    /// The poller has something to say of a connection.
-    pub fn event(&mut self, key: Key, now: Time, engine: &mut Engine) {
+    /// Handles a poller event of a connection.
+    pub fn handle_event(&mut self, key: Key, now: Time, engine: &mut Engine) {
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
@@ -110,7 +110,8 @@
         self.read(key, now, engine);
     }
 
-    /// A connection has been coming up, asked or idle for long enough.
+    /// Handles the deadline of a connection: a timeout of the connection attempt, the login or a health check, or the end of
+    /// the idle time.
     pub fn connection_expired(&mut self, key: Key, now: Time, engine: &mut Engine) {
         let Some(connection) = self.connections.get_mut(key) else {
             return;
@@ -148,16 +149,16 @@
         connection.stream.set_read_interest(true);
     }
 
-    /// Reads what has come. What came before the end still counts.
+    /// Reads received bytes. Messages that arrived before the end of the connection are still handled.
     fn read(&mut self, key: Key, now: Time, engine: &mut Engine) {
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
         let peer = connection.stream.fill();
-        let has_spoken = peer != PeerState::Open || !connection.stream.unread().is_empty();
-        // Bytes on a connection that nothing waits for belong to no request, and the next one would get them.
-        if matches!(connection.state, State::Idle) && has_spoken {
-            debug!(node = %connection.node, "an idle connection ends");
+        let has_input_or_ended = peer != PeerState::Open || !connection.stream.unread().is_empty();
+        // Bytes on an idle connection belong to no request, and the next request would get them.
+        if matches!(connection.state, State::Idle) && has_input_or_ended {
+            debug!(node = %connection.node, "closing an idle connection that received bytes or ended");
             self.drop_connection(key, engine);
             return;
         }
@@ -165,11 +166,11 @@
         match peer {
             PeerState::Open => {}
             PeerState::Closed | PeerState::Reset => self.connection_broke(key, now, engine),
-            PeerState::OverBudget => self.spoilt(key, now, engine),
+            PeerState::OverBudget => self.invalid_message(key, now, engine),
         }
     }
 
-    /// Takes one message in; false where none is whole, or the connection has ended.
+    /// Handles one message. Returns false if none is complete or the connection has ended.
     fn read_message(&mut self, key: Key, now: Time, engine: &mut Engine) -> bool {
         let Some(connection) = self.connections.get_mut(key) else {
             return false;
@@ -178,21 +179,23 @@
         let Some(kind) = unread.first() else {
             return false;
         };
-        let most = reply::max_message_bytes(*kind);
-        let message = match most.map(|most| messages::parse_message(unread, most)) {
+        let max_bytes = reply::max_message_bytes(*kind);
+        let message = match max_bytes.map(|max_bytes| messages::parse_message(unread, max_bytes)) {
             Some(Ok(Some(message))) => message,
             Some(Ok(None)) => return false,
             Some(Err(messages::Malformed)) | None => {
-                self.spoilt(key, now, engine);
+                self.invalid_message(key, now, engine);
                 return false;
             }
         };
         let length = message.raw.len();
         let mut answer = Vec::new();
         let credentials = &self.options.credentials;
-        let taken = connection.state.take(&message, credentials, &mut answer);
-        let Ok(progress) = taken else {
-            self.spoilt(key, now, engine);
+        let progress = connection
+            .state
+            .read_message(&message, credentials, &mut answer);
+        let Ok(progress) = progress else {
+            self.invalid_message(key, now, engine);
             return false;
         };
         connection.stream.consume(length);
@@ -228,14 +231,14 @@
         self.connection_failed(&node, end, now, engine);
     }
 
-    /// A connection is ready: it has come up, or its reply is whole.
+    /// Handles a connection that is ready for its next job, after the login or a complete reply.
     fn connection_ready(&mut self, key: Key, is_reusable: bool, now: Time, engine: &mut Engine) {
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
-        // What answers before the request has left whole answers something else, a copy of the last answer say.
+        // A reply before the request is completely written belongs to something else, such as a copy of the last reply.
         if matches!(&connection.state, State::Busy(running) if !running.is_written) {
-            return self.spoilt(key, now, engine);
+            return self.invalid_message(key, now, engine);
         }
         let id = connection.node.clone();
         match std::mem::replace(&mut connection.state, State::Idle) {
@@ -245,16 +248,17 @@
                     .cloned()
                     .map(|(process, secret)| BackendKey { process, secret });
                 if let Some(pool) = self.pools.get_mut(&id) {
-                    pool.coming_up -= 1;
+                    pool.connecting -= 1;
                 }
             }
             State::Busy(running) => {
-                // One that says more than belongs to its answer would give it to the next request.
-                let says_more = !connection.stream.unread().is_empty();
-                let may_stay = is_reusable && !says_more && self.is_in_place(key);
+                // Bytes after the end of the reply would go to the next request.
+                let has_extra_bytes = !connection.stream.unread().is_empty();
+                let may_reuse =
+                    is_reusable && !has_extra_bytes && self.leads_to_current_address(key);
                 self.finish(running.job, running.reply, &id, now, engine);
-                if !may_stay {
-                    debug!(node = %id, "a connection that says too much ends");
+                if !may_reuse {
+                    debug!(node = %id, "closing a connection that cannot be reused");
                     self.drop_connection(key, engine);
                     return;
                 }
@@ -264,16 +268,16 @@
         self.next_job(key, &id, now, engine);
     }
 
-    /// A connection ended from the other side, or was waited for long enough.
+    /// Handles a connection that the node closed, that broke or that timed out.
     fn connection_broke(&mut self, key: Key, now: Time, engine: &mut Engine) {
-        // Unless the node said what became of the request before it closed, nobody knows.
-        let end = |reply: &Reply| (!reply.tells()).then_some(AttemptEnd::Reset);
+        // The outcome is unknown unless the node reported it before the connection ended.
+        let end = |reply: &Reply| (!reply.has_outcome()).then_some(AttemptEnd::Reset);
         self.end_connection(key, end, now, engine);
     }
 
-    /// What came on a connection is not to be followed. The node is there and answers, so it is not at fault as one that
-    /// breaks connections is; the request may have run, and whatever came with the answer tells nothing.
-    fn spoilt(&mut self, key: Key, now: Time, engine: &mut Engine) {
+    /// Closes a connection with an invalid message. The attempt ends as a failure and not as a reset, since the node is up and
+    /// answers. The request may have run, and the reports in its reply are ignored.
+    fn invalid_message(&mut self, key: Key, now: Time, engine: &mut Engine) {
         if let Some(connection) = self.connections.get(key) {
             let unread = connection.stream.unread();
             let head = unread[..unread.len().min(MAX_LOGGED_BYTES)].escape_ascii();
@@ -282,7 +286,7 @@
         self.end_connection(key, |_| Some(AttemptEnd::Failure), now, engine);
     }
 
-    /// Ends a connection and what was under way on it. `end` says how a job that was written ended; none where its reply tells.
+    /// Closes a connection and ends its job. `end` returns how a written job ended, or `None` if its reply has the outcome.
     fn end_connection(
         &mut self,
         key: Key,
@@ -294,9 +298,9 @@
             return;
         };
         let node = connection.node.clone();
-        let was_coming_up = connection.is_coming_up();
+        let was_connecting = connection.is_connecting();
         let running = self.drop_connection(key, engine);
-        if was_coming_up {
+        if was_connecting {
             return self.connection_failed(&node, AttemptEnd::Unreachable, now, engine);
         }
         let Some(running) = running else {
@@ -311,7 +315,7 @@
         }
     }
 
-    /// A job ended without an answer.
+    /// Ends a job without an answer.
     pub(super) fn fail(
         &mut self,
         job: Job,
@@ -320,10 +324,10 @@
         now: Time,
         engine: &mut Engine,
     ) {
-        let nothing = NodeReport::default();
+        let no_report = NodeReport::default();
         match job {
             Job::Attempt { id, .. } => {
-                engine.attempt_ended(now, id, end, nothing, nothing);
+                engine.attempt_ended(now, id, end, no_report, no_report);
             }
             Job::HealthCheck { .. } => engine.health_check_ended(node.clone(), None),
             Job::Watch { .. } => self.query_outcomes.push(QueryOutcome {
@@ -333,9 +337,9 @@
         }
     }
 
-    /// A job ended with an answer.
+    /// Ends a job with an answer.
     fn finish(&mut self, job: Job, reply: Reply, node: &NodeId, now: Time, engine: &mut Engine) {
-        let end = reply.end();
+        let end = reply.attempt_end();
         let report = (end == AttemptEnd::Success).then_some(reply.load_report);
         match job {
             Job::Attempt { id, .. } => {
@@ -350,18 +354,18 @@
                     });
                 }
             }
-            Job::HealthCheck { asked_at } => {
-                let took = now.saturating_sub(asked_at);
-                debug!(%node, took, ?reply.load_report, "health check answered");
+            Job::HealthCheck { queried_at } => {
+                let duration = now.saturating_sub(queried_at);
+                debug!(%node, took = duration, ?reply.load_report, "health check answered");
                 engine.health_check_ended(node.clone(), report);
             }
-            Job::Watch { asked_at, .. } => {
+            Job::Watch { queried_at, .. } => {
                 if report.is_some() {
                     engine.health_check_ended(node.clone(), report);
                 }
                 self.query_outcomes.push(QueryOutcome {
                     node: node.clone(),
-                    answer: report.map(|report| QueryAnswer { asked_at, report }),
+                    answer: report.map(|report| QueryAnswer { queried_at, report }),
                 });
             }
         }
--- a/router/src/upstream/locations.rs
+++ b/router/src/upstream/locations.rs
@@ -1,4 +1,4 @@
-//! Where nodes are, by the endpoint list: pools follow when one moves, drains or leaves.
+//! Applies the endpoint list to the pools: addresses of nodes, and nodes that drain or are removed.
 
 use super::Upstream;
 use super::pool::Pool;
@@ -8,11 +8,11 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// Removed nodes whose address is kept, at the most: many times a fleet's.
+/// Maximum number of removed nodes whose pool is retained. A fleet has far fewer nodes.
 pub(super) const MAX_REMOVED_POOLS: usize = 4_096;
 
 impl Upstream {
-    /// Discovery has told a list, which the engine knows by now.
+    /// Applies an endpoint list, after the engine has.
     pub fn update_endpoints(&mut self, listing: &Listing, now: Time, engine: &mut Engine) {
         if listing.is_complete {
             let listed = listing.entries.iter();
@@ -21,22 +21,22 @@
         }
         for (endpoint, address) in &listing.entries {
             if let Some(address) = address {
-                self.locate(&endpoint.node, *address, engine);
-                self.redial(&endpoint.node, now, engine);
+                self.set_address(&endpoint.node, *address, engine);
+                self.open_missing(&endpoint.node, now, engine);
             }
             if endpoint.state != EndpointState::Serving {
                 let is_removed = endpoint.state == EndpointState::Removed;
-                self.retire(&endpoint.node, is_removed, engine);
+                self.close_retired(&endpoint.node, is_removed, engine);
             }
         }
         self.release_reused_addresses(now, engine);
         self.release_waiting_jobs(now, engine);
-        self.forget_removed(now, engine);
+        self.drop_removed(now, engine);
     }
 
-    /// Discovery says where a node is now; connections to where it was are no good, since what is there now may be another
-    /// node. Those at work are closed after it; those coming up end, and what waits for them is dialled anew.
-    pub fn locate(&mut self, node: &NodeId, address: SocketAddr, engine: &mut Engine) {
+    /// Sets the address of a node. Connections to its old address must not be used any more, since another node may be there
+    /// now: idle ones and those that are connecting are closed, busy ones are closed after their job.
+    pub fn set_address(&mut self, node: &NodeId, address: SocketAddr, engine: &mut Engine) {
         let pool = self.pools.entry(node.clone()).or_default();
         pool.is_removed = false;
         let old = pool.address.replace(address);
@@ -45,8 +45,8 @@
         }
     }
 
-    /// A node is to get nothing new; one that is removed is forgotten in time.
-    fn retire(&mut self, node: &NodeId, is_removed: bool, engine: &mut Engine) {
+    /// Closes the idle connections to a node that drains or is removed.
+    fn close_retired(&mut self, node: &NodeId, is_removed: bool, engine: &mut Engine) {
         self.close_idle(node, engine);
         if let Some(pool) = self.pools.get_mut(node) {
             pool.is_removed = is_removed;
@@ -57,34 +57,34 @@
         let known = self.pools.keys();
         let unlisted: Vec<NodeId> = known.filter(|id| !listed.contains(id)).cloned().collect();
         for node in unlisted {
-            self.retire(&node, true, engine);
+            self.close_retired(&node, true, engine);
         }
     }
 
-    /// An address is no longer that of a removed node once it belongs to another: where removed nodes stay open, what is
-    /// meant for the one would go to the other.
+    /// Clears the address of a removed node if another node has the same address now. Removed nodes may stay open, and jobs
+    /// for the removed node would go to the other one.
     fn release_reused_addresses(&mut self, now: Time, engine: &mut Engine) {
         let pools = self.pools.values().filter(|pool| !pool.is_removed);
         let in_use: BTreeSet<SocketAddr> = pools.filter_map(|pool| pool.address).collect();
-        let has_lost_its = |pool: &Pool| {
+        let has_reused_address = |pool: &Pool| {
             pool.is_removed
                 && pool
                     .address
                     .is_some_and(|address| in_use.contains(&address))
         };
-        for id in self.pools_where(|_, pool| has_lost_its(pool)) {
+        for id in self.pools_where(|_, pool| has_reused_address(pool)) {
             if let Some(pool) = self.pools.get_mut(&id) {
                 pool.address = None;
             }
             self.disconnect(&id, engine);
-            self.redial(&id, now, engine);
+            self.open_missing(&id, now, engine);
         }
     }
 
-    /// Ends what waits or is coming up at nodes where nothing may begin any more: it would wait for a connection that must
-    /// carry nothing, and its time be gone before another node is tried.
+    /// Fails the waiting jobs and closes the connecting connections at nodes where no job may start any more. Otherwise the
+    /// jobs would wait for connections that they may not use, and their time would run out before another node is tried.
     fn release_waiting_jobs(&mut self, now: Time, engine: &mut Engine) {
-        let has_jobs = |pool: &Pool| pool.coming_up > 0 || !pool.waiting.is_empty();
+        let has_jobs = |pool: &Pool| pool.connecting > 0 || !pool.waiting.is_empty();
         let is_closed = |id: &NodeId| !engine.may_send(None, id, now);
         for id in self.pools_where(|id, pool| has_jobs(pool) && is_closed(id)) {
             self.disconnect(&id, engine);
@@ -96,24 +96,24 @@
         }
     }
 
-    /// Loses the pools of removed nodes, once nothing is in flight there and nothing may begin there. Over days of
-    /// replacements the table would grow without end.
-    fn forget_removed(&mut self, now: Time, engine: &Engine) {
+    /// Drops the pools of removed nodes that have no jobs and may not get any. Otherwise the table would grow without limit
+    /// over days of replaced nodes.
+    fn drop_removed(&mut self, now: Time, engine: &Engine) {
         let connections = self.connections.iter();
         let connected: BTreeSet<&NodeId> = connections.map(|(_, c)| &c.node).collect();
-        let mut kept = 0;
+        let mut retained = 0;
         self.pools.retain(|id, pool| {
             if !pool.is_removed || !pool.waiting.is_empty() || connected.contains(id) {
                 return true;
             }
             let is_open = pool.address.is_some() && engine.may_send(None, id, now);
-            kept += usize::from(is_open);
-            is_open && kept <= MAX_REMOVED_POOLS
+            retained += usize::from(is_open);
+            is_open && retained <= MAX_REMOVED_POOLS
         });
     }
 
-    fn pools_where(&self, wanted: impl Fn(&NodeId, &Pool) -> bool) -> Vec<NodeId> {
-        let found = self.pools.iter().filter(|(id, pool)| wanted(id, pool));
+    fn pools_where(&self, is_wanted: impl Fn(&NodeId, &Pool) -> bool) -> Vec<NodeId> {
+        let found = self.pools.iter().filter(|(id, pool)| is_wanted(id, pool));
         found.map(|(id, _)| id.clone()).collect()
     }
 }
--- a/router/src/upstream/mod.rs
+++ b/router/src/upstream/mod.rs
@@ -1,15 +1,15 @@
-//! The upstream: a pool of PostgreSQL connections to each node, one request at a time on every connection. It carries out
+//! The upstream: a pool of PostgreSQL connections to each node, with one request at a time on each connection. It executes
 //! attempts and reports how they end.
 //!
 //! | module | what it does |
 //! | --- | --- |
-//! | `pool` | which connection a job gets, when one more is dialled |
-//! | `connection` | one connection and the job that it carries |
-//! | `exchange` | login, request and reply on a connection, and how it ends |
-//! | `reply` | the check of a reply, and what a node says of itself |
-//! | `cancellation` | stopping attempts |
-//! | `locations` | where nodes are, by the endpoint list |
-//! | `watch` | questions on behalf of the fleet |
+//! | `pool` | assigns connections to jobs, opens and closes connections |
+//! | `connection` | the state of a connection and its job |
+//! | `exchange` | login, request, reply and the end of a connection |
+//! | `reply` | checks a reply and reads the node's report |
+//! | `cancellation` | cancels attempts |
+//! | `locations` | applies the endpoint list |
+//! | `watch` | queries of nodes under the lease of a group's watch |
 
 mod cancellation;
 mod connection;
@@ -32,46 +32,46 @@
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
 
-/// Idle connections are retired after this part of the time at which the node closes them: a request that crosses the
-/// node's close ends as a reset.
-const RETIRE_AFTER_DIVISOR: u64 = 2;
+/// Idle connections are closed after the node's idle timeout divided by this. A request that crosses with the node's close
+/// would end as a reset.
+const IDLE_TIMEOUT_DIVISOR: u64 = 2;
 
-/// A request with the reply that is its final answer.
+/// A completed request with its reply.
 pub struct ServedRequest {
     /// The client.
     pub origin: Key,
     /// The request.
     pub request: Key,
-    /// What to pass on.
+    /// The reply to forward.
     pub reply: Buffer,
 }
 
-/// The pools of all nodes.
+/// The connection pools of all nodes.
 pub struct Upstream {
     poll: Poll,
     budget: Budget,
     pools: BTreeMap<NodeId, Pool>,
     connections: Table<Connection>,
-    /// Where the attempts that have a connection run.
+    /// The connections of the attempts that have one.
     running_attempts: HashMap<AttemptId, Key>,
     max_connections: usize,
     connect_timeout: Micros,
     idle_timeout: Micros,
     options: ConnectOptions,
-    cancels_under_way: usize,
+    cancels_in_flight: usize,
     served: Vec<ServedRequest>,
     query_outcomes: Vec<QueryOutcome>,
 }
 
 impl Upstream {
-    /// Pools without connections, for so many at the most. `node_closes_after` is when nodes close idle connections (us).
+    /// Creates the pools without connections. `node_idle_timeout` is the time after which nodes close idle connections (us).
     pub fn new(
         poll: &Poll,
         budget: &Budget,
         options: ConnectOptions,
         max_connections: usize,
         connect_timeout: Micros,
-        node_closes_after: Micros,
+        node_idle_timeout: Micros,
     ) -> Self {
         Upstream {
             poll: poll.clone(),
@@ -81,25 +81,25 @@
             running_attempts: HashMap::new(),
             max_connections,
             connect_timeout,
-            idle_timeout: node_closes_after / RETIRE_AFTER_DIVISOR,
+            idle_timeout: node_idle_timeout / IDLE_TIMEOUT_DIVISOR,
             options,
-            cancels_under_way: 0,
+            cancels_in_flight: 0,
             served: Vec::new(),
             query_outcomes: Vec::new(),
         }
     }
 
-    /// From now on it logs in so.
+    /// Changes the login for new connections, and whether cancel requests are sent.
     pub fn change_options(&mut self, options: ConnectOptions) {
         self.options = options;
     }
 
-    /// The final answers that have come since the last call.
+    /// Takes the completed requests.
     pub fn take_served(&mut self) -> Vec<ServedRequest> {
         std::mem::take(&mut self.served)
     }
 
-    /// What became of the fleet's questions since the last call.
+    /// Takes the outcomes of queries.
     pub fn take_query_outcomes(&mut self) -> Vec<QueryOutcome> {
         std::mem::take(&mut self.query_outcomes)
     }
@@ -116,16 +116,16 @@
         self.start(Job::Attempt { id, statement }, node, now, engine);
     }
 
-    /// Asks a node for its report.
+    /// Starts a health check, which requests a node's report.
     pub fn check_health(&mut self, node: &NodeId, now: Time, engine: &mut Engine) {
-        self.start(Job::HealthCheck { asked_at: now }, node, now, engine);
+        self.start(Job::HealthCheck { queried_at: now }, node, now, engine);
     }
 
-    /// Asks a node for its report, for the fleet.
+    /// Starts a query for a node's report under the lease of a group's watch.
     pub fn query(&mut self, query: NodeQuery, now: Time, engine: &mut Engine) {
         let lease_check = query.lease_check;
         let job = Job::Watch {
-            asked_at: now,
+            queried_at: now,
             lease_check,
         };
         self.start(job, &query.node, now, engine);
--- a/router/src/upstream/pool.rs
+++ b/router/src/upstream/pool.rs
@@ -1,7 +1,7 @@
-//! The pools: which connection a job gets, when one more is dialled, and when one is given back.
+//! The connection pools: assign connections to jobs, open connections and close them.
 //!
-//! Each node has a pool. A job takes an idle connection, or waits for one that is dialled for it; where no connection may be
-//! opened any more, the one that has been idle for longest, at whatever node, gives way.
+//! Each node has a pool. A job takes an idle connection, or waits for one that is opened for it. At the limit on
+//! connections, the one that has been idle longest at any node is closed to make room.
 
 use super::Upstream;
 use super::connection::{Connection, Job, RunningJob, State};
@@ -19,76 +19,77 @@
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
 
-/// By this a node is asked for its report.
+/// The statement that requests a node's load report.
 pub(super) const REPORT_QUERY: &str = "SHOW pressure";
 
-/// The connections to one node, and the jobs that wait for one.
+/// The connections to one node, and its waiting jobs.
 #[derive(Default)]
 pub(super) struct Pool {
     pub(super) address: Option<SocketAddr>,
     pub(super) idle: Vec<Key>,
-    /// Jobs without a connection.
+    /// Jobs that wait for a connection.
     pub(super) waiting: VecDeque<Job>,
-    /// Connections that are coming up.
-    pub(super) coming_up: usize,
-    /// No list names the node any more.
+    /// Number of connections that are connecting or logging in.
+    pub(super) connecting: usize,
+    /// Whether the node has been removed from the endpoint list.
     pub(super) is_removed: bool,
 }
 
 impl Pool {
-    /// More jobs wait than connections are coming up for them.
+    /// Returns whether more jobs wait than connections are being opened.
     fn lacks_connections(&self) -> bool {
-        self.waiting.len() > self.coming_up
+        self.waiting.len() > self.connecting
     }
 }
 
 impl Upstream {
-    /// Gives a job a connection, or lets it wait for one.
-    pub(super) fn start(&mut self, job: Job, id: &NodeId, now: Time, engine: &mut Engine) {
-        while let Some(key) = self.pools.get_mut(id).and_then(|pool| pool.idle.pop()) {
+    /// Assigns an idle connection to a job, or queues the job and opens a connection.
+    pub(super) fn start(&mut self, job: Job, node: &NodeId, now: Time, engine: &mut Engine) {
+        while let Some(key) = self.pools.get_mut(node).and_then(|pool| pool.idle.pop()) {
             if !self.is_quiet(key) {
                 self.drop_connection(key, engine);
                 continue;
             }
-            if let Err(job) = self.occupy(key, job, now, engine) {
-                if let Some(pool) = self.pools.get_mut(id) {
+            if let Err(job) = self.assign(key, job, now, engine) {
+                if let Some(pool) = self.pools.get_mut(node) {
                     pool.idle.push(key);
                 }
-                self.fail(job, id, AttemptEnd::NeverSent, now, engine);
+                self.fail(job, node, AttemptEnd::NeverSent, now, engine);
             }
             return;
         }
-        // What ends unsent is held against nobody, and a node whose address nobody told would be chosen again.
-        let Some(pool) = self.pools.get_mut(id) else {
-            return self.fail(job, id, AttemptEnd::Unreachable, now, engine);
+        // A node without an address counts as unreachable. With `NeverSent`, which does not count against a node, the engine
+        // would choose it again and again.
+        let Some(pool) = self.pools.get_mut(node) else {
+            return self.fail(job, node, AttemptEnd::Unreachable, now, engine);
         };
         pool.waiting.push_back(job);
-        if pool.lacks_connections() && self.dial(id, now, engine).is_err() {
-            self.connection_failed(id, AttemptEnd::Unreachable, now, engine);
+        if pool.lacks_connections() && self.open(node, now, engine).is_err() {
+            self.connection_failed(node, AttemptEnd::Unreachable, now, engine);
         }
     }
 
-    /// Gives a connection that is free to the next job, or keeps it.
-    pub(super) fn next_job(&mut self, key: Key, id: &NodeId, now: Time, engine: &mut Engine) {
+    /// Assigns a free connection to the next waiting job, or returns it to the pool.
+    pub(super) fn next_job(&mut self, key: Key, node: &NodeId, now: Time, engine: &mut Engine) {
         while let Some(job) = self
             .pools
-            .get_mut(id)
+            .get_mut(node)
             .and_then(|pool| pool.waiting.pop_front())
         {
-            // A node may close after an answer, and what is written to it then ends as a reset.
+            // A node may close the connection after a reply. A request written to it then would end as a reset.
             if !self.is_quiet(key) {
-                if let Some(pool) = self.pools.get_mut(id) {
+                if let Some(pool) = self.pools.get_mut(node) {
                     pool.waiting.push_front(job);
                 }
                 self.drop_connection(key, engine);
-                return self.connection_failed(id, AttemptEnd::Unreachable, now, engine);
+                return self.connection_failed(node, AttemptEnd::Unreachable, now, engine);
             }
-            match self.occupy(key, job, now, engine) {
+            match self.assign(key, job, now, engine) {
                 Ok(()) => return,
-                Err(job) => self.fail(job, id, AttemptEnd::NeverSent, now, engine),
+                Err(job) => self.fail(job, node, AttemptEnd::NeverSent, now, engine),
             }
         }
-        let pool = self.pools.get_mut(id);
+        let pool = self.pools.get_mut(node);
         let connection = self.connections.get_mut(key);
         if let (Some(pool), Some(connection)) = (pool, connection) {
             pool.idle.push(key);
@@ -98,32 +99,33 @@
         }
     }
 
-    /// Dials for what waits at a node and has no connection coming up for it any more.
-    pub(super) fn redial(&mut self, node: &NodeId, now: Time, engine: &mut Engine) {
+    /// Opens connections for waiting jobs that have none being opened for them.
+    pub(super) fn open_missing(&mut self, node: &NodeId, now: Time, engine: &mut Engine) {
         while self.pools.get(node).is_some_and(Pool::lacks_connections) {
-            if self.dial(node, now, engine).is_err() {
+            if self.open(node, now, engine).is_err() {
                 self.connection_failed(node, AttemptEnd::Unreachable, now, engine);
             }
         }
     }
 
-    /// A connection did not come up: the job that waited longest fails, where no other is coming up for it.
+    /// Handles a connection that could not be opened: fails the job that has waited longest, unless enough other connections
+    /// are being opened.
     pub(super) fn connection_failed(
         &mut self,
-        id: &NodeId,
+        node: &NodeId,
         end: AttemptEnd,
         now: Time,
         engine: &mut Engine,
     ) {
         let Some(pool) = self
             .pools
-            .get_mut(id)
+            .get_mut(node)
             .filter(|pool| pool.lacks_connections())
         else {
             return;
         };
         if let Some(job) = pool.waiting.pop_front() {
-            self.fail(job, id, end, now, engine);
+            self.fail(job, node, end, now, engine);
         }
     }
 
@@ -136,25 +138,25 @@
         }
     }
 
-    /// Ends what is idle or coming up at a node, which is not where it was.
+    /// Closes the idle and the connecting connections to a node whose address is no longer valid.
     pub(super) fn disconnect(&mut self, node: &NodeId, engine: &mut Engine) {
         self.close_idle(node, engine);
         let connections = self.connections.iter();
-        let coming_up = connections.filter(|(_, c)| c.node == *node && c.is_coming_up());
-        let coming_up: Vec<Key> = coming_up.map(|(key, _)| key).collect();
-        for key in coming_up {
+        let connecting = connections.filter(|(_, c)| c.node == *node && c.is_connecting());
+        let connecting: Vec<Key> = connecting.map(|(key, _)| key).collect();
+        for key in connecting {
             self.drop_connection(key, engine);
         }
     }
 
-    /// The one place where a connection to a node is given back. Returns the job that it carried.
+    /// Closes a connection. Every close of a connection to a node goes through here. Returns the job that it carried.
     pub(super) fn drop_connection(&mut self, key: Key, engine: &mut Engine) -> Option<RunningJob> {
         let mut connection = self.connections.remove(key)?;
         set_deadline(&mut connection, key, None, engine);
         let pool = self.pools.get_mut(&connection.node);
         match connection.state {
-            State::Cancelling(_) => self.cancels_under_way -= 1,
-            State::Connecting | State::LoggingIn(_) => pool?.coming_up -= 1,
+            State::Cancelling(_) => self.cancels_in_flight -= 1,
+            State::Connecting | State::LoggingIn(_) => pool?.connecting -= 1,
             State::Idle => pool?.idle.retain(|idle| *idle != key),
             State::Busy(running) => {
                 if let Job::Attempt { id, .. } = &running.job {
@@ -166,10 +168,10 @@
         None
     }
 
-    /// Opens a connection in this state, where there is room for it or an idle one gives way.
+    /// Opens a connection in this state. At the limit on connections, closes the one that has been idle longest.
     pub(super) fn connect(
         &mut self,
-        id: &NodeId,
+        node: &NodeId,
         state: State,
         now: Time,
         engine: &mut Engine,
@@ -178,7 +180,7 @@
             let longest_idle = self.longest_idle().ok_or(ErrorKind::QuotaExceeded)?;
             self.drop_connection(longest_idle, engine);
         }
-        let pool = self.pools.get(id);
+        let pool = self.pools.get(node);
         let address = pool.and_then(|pool| pool.address);
         let address = address.ok_or(ErrorKind::NotFound)?;
         let socket = begin_connect(address)?;
@@ -188,7 +190,7 @@
             let stream = Stream::new(poll, budget, socket, key, Interest::Write, MAX_READ_BYTES)?;
             Ok::<_, io::Error>(Connection {
                 stream,
-                node: id.clone(),
+                node: node.clone(),
                 address,
                 state,
                 deadline: None,
@@ -203,8 +205,8 @@
         Ok(())
     }
 
-    /// Puts a job on a connection that is ready; gives it back where it may not begin.
-    fn occupy(&mut self, key: Key, job: Job, now: Time, engine: &mut Engine) -> Result<(), Job> {
+    /// Starts a job on a ready connection. Returns the job if it may not start.
+    fn assign(&mut self, key: Key, job: Job, now: Time, engine: &mut Engine) -> Result<(), Job> {
         let Some(connection) = self.connections.get_mut(key) else {
             return Err(job);
         };
@@ -215,14 +217,14 @@
             Job::Attempt { id, statement } => {
                 self.running_attempts.insert(*id, key);
                 let time_left = engine.attempt_time_left(*id, now);
-                let patience_ms = clock::to_ms(time_left).max(1);
+                let timeout_ms = clock::to_ms(time_left).max(1);
                 connection
                     .stream
-                    .queue_output(|out| statement.append_query(out, patience_ms));
+                    .queue_output(|out| statement.append_query(out, timeout_ms));
                 (statement.shape, None)
             }
             Job::HealthCheck { .. } | Job::Watch { .. } => {
-                // So short a question leaves at once on a connection that is free.
+                // The query is short enough to be written at once on a free connection.
                 let stream = &mut connection.stream;
                 stream.queue_output(|out| messages::put_query(out, REPORT_QUERY));
                 (Shape::OneValue, Some(now + self.connect_timeout))
@@ -238,36 +240,36 @@
         Ok(())
     }
 
-    fn dial(&mut self, id: &NodeId, now: Time, engine: &mut Engine) -> io::Result<()> {
-        self.connect(id, State::Connecting, now, engine)?;
-        let pool = self.pools.get_mut(id).ok_or(ErrorKind::NotFound)?;
-        pool.coming_up += 1;
+    fn open(&mut self, node: &NodeId, now: Time, engine: &mut Engine) -> io::Result<()> {
+        self.connect(node, State::Connecting, now, engine)?;
+        let pool = self.pools.get_mut(node).ok_or(ErrorKind::NotFound)?;
+        pool.connecting += 1;
         Ok(())
     }
 
     fn longest_idle(&self) -> Option<Key> {
         let connections = self.connections.iter();
         let idle = connections.filter(|(_, c)| matches!(c.state, State::Idle));
-        let longest = idle.min_by_key(|(_, connection)| connection.idle_since);
-        longest.map(|(key, _)| key)
+        let oldest = idle.min_by_key(|(_, connection)| connection.idle_since);
+        oldest.map(|(key, _)| key)
     }
 
-    /// Whether nothing has come on a connection that is free, not even its end.
+    /// Returns whether a free connection has received nothing, not even its end.
     fn is_quiet(&self, key: Key) -> bool {
         let connection = self.connections.get(key);
         connection.is_some_and(|connection| connection.stream.is_quiet())
     }
 }
 
-/// Sets or takes off the deadline of a connection.
+/// Sets or clears the deadline of a connection.
 fn set_deadline(
     connection: &mut Connection,
     key: Key,
     deadline: Option<Time>,
     engine: &mut Engine,
 ) {
-    let present = &mut connection.deadline;
+    let current = &mut connection.deadline;
     engine
         .deadlines
-        .set(present, Deadline::Backend(key), deadline);
+        .set(current, Deadline::Backend(key), deadline);
 }
--- a/router/src/upstream/reply.rs
+++ b/router/src/upstream/reply.rs
@@ -1,5 +1,5 @@
-//! A db node's reply to one query as it comes: the dialect checks each message, and here its bytes are kept, and what the db
-//! node says of itself.
+//! A db node's reply to one query. `plovercove-pgwire` checks each message; this module collects the bytes for the client
+//! and reads what the node reports about itself.
 
 use crate::clock;
 use crate::net::budget::{Budget, Buffer};
@@ -7,24 +7,24 @@
 use plovercove_pgwire::messages::{self, Message};
 use plovercove_pgwire::reply::{self, InvalidReply, MessageAction, Outcome, Shape};
 
-/// The longest row. Values have 64 KiB by the protocol, but db nodes have been seen to give 400 KB; the budget of bytes
-/// is what protects the memory.
+/// Maximum size of a row. The platform's protocol limits values to 64 KiB, but db nodes have sent 400 KB. The byte budget
+/// protects the memory.
 pub const MAX_ROW_BYTES: usize = 2 * 1024 * 1024;
-/// The longest of all other messages.
+/// Maximum size of all other messages.
 const MAX_OTHER_BYTES: usize = 4 * 1024;
 
-/// What has come of a reply.
+/// The received part of a reply.
 pub struct Reply {
-    /// What its client gets, as it came.
+    /// The bytes to forward to the client, unchanged.
     pub body: Buffer,
-    order: reply::Reply,
-    /// What the answer says of the node: as new as the answer.
+    protocol_state: reply::Reply,
+    /// The report in the parameters of the reply, as recent as the reply.
     pub answer_report: NodeReport,
-    /// What the report carried along says of it: maybe older.
+    /// The load report in the reply, which may be older.
     pub load_report: NodeReport,
 }
 
-/// The longest that a message of this kind may be; none is of an unknown kind.
+/// Returns the maximum size of a message of this kind, or `None` if the kind is unknown.
 pub fn max_message_bytes(kind: u8) -> Option<usize> {
     match kind {
         b'D' => Some(MAX_ROW_BYTES),
@@ -36,28 +36,33 @@
 }
 
 impl Reply {
-    /// A reply of which nothing has come.
+    /// Creates an empty reply.
     pub fn new(budget: &Budget, shape: Shape) -> Self {
         Reply {
             body: budget.buffer(),
-            order: reply::Reply::new(shape),
+            protocol_state: reply::Reply::new(shape),
             answer_report: NodeReport::default(),
             load_report: NodeReport::default(),
         }
     }
 
-    /// Takes in what follows: any message but ReadyForQuery. True where the db node waits for data and must be told that
-    /// there are none.
-    pub fn take(&mut self, message: &Message<'_>, is_report: bool) -> Result<bool, InvalidReply> {
-        match self.order.read_message(message)? {
-            MessageAction::ParameterStatus(name, value) => self.tell(name, value),
+    /// Handles the next message, other than ReadyForQuery. Returns true if the node waits for copy data, which must be
+    /// answered with CopyFail. `is_report` says whether the query was one for a load report.
+    pub fn read_message(
+        &mut self,
+        message: &Message<'_>,
+        is_report: bool,
+    ) -> Result<bool, InvalidReply> {
+        match self.protocol_state.read_message(message)? {
+            MessageAction::ParameterStatus(name, value) => self.read_parameter(name, value),
             MessageAction::Skip => {}
             MessageAction::FailCopy => return Ok(true),
             MessageAction::Keep => {
-                // A client's value may read like a report; it is none.
+                // In a reply to a client's statement, a value may look like a load report but is not one.
                 if is_report && message.kind == b'D' {
-                    self.load_report =
-                        report(messages::parse_single_value(message.body).ok_or(InvalidReply)?);
+                    self.load_report = parse_load_report(
+                        messages::parse_single_value(message.body).ok_or(InvalidReply)?,
+                    );
                 }
                 self.body.write(|body| body.extend_from_slice(message.raw));
             }
@@ -65,12 +70,12 @@
         Ok(false)
     }
 
-    /// ReadyForQuery has come; true where the connection can be used again.
-    pub fn ready(&mut self, state: &[u8]) -> Result<bool, InvalidReply> {
-        self.order.read_ready(state)
+    /// Handles ReadyForQuery. Returns true if the connection can be reused.
+    pub fn read_ready(&mut self, state: &[u8]) -> Result<bool, InvalidReply> {
+        self.protocol_state.read_ready(state)
     }
 
-    fn tell(&mut self, name: &str, value: &str) {
+    fn read_parameter(&mut self, name: &str, value: &str) {
         match name {
             "replication_role" => {
                 self.answer_report.role = match value {
@@ -80,19 +85,19 @@
                 };
             }
             "log_position" => self.answer_report.position = value.parse().ok().map(clock::from_ms),
-            "pressure" => self.load_report = report(value.as_bytes()),
+            "pressure" => self.load_report = parse_load_report(value.as_bytes()),
             _ => {}
         }
     }
 
-    /// Whether it says what became of the request, though no more may come.
-    pub fn tells(&self) -> bool {
-        self.order.has_outcome()
+    /// Returns whether the outcome of the request is known, even if the rest of the reply is missing.
+    pub fn has_outcome(&self) -> bool {
+        self.protocol_state.has_outcome()
     }
 
-    /// What became of the request. An error that blames the statement is its answer, as a row would be.
-    pub fn end(&self) -> AttemptEnd {
-        match self.order.outcome() {
+    /// Returns how the attempt ended. An error of the statement itself is a successful answer, as a row is.
+    pub fn attempt_end(&self) -> AttemptEnd {
+        match self.protocol_state.outcome() {
             Outcome::Served | Outcome::StatementError => AttemptEnd::Success,
             Outcome::Misdirected => AttemptEnd::Misdirected,
             Outcome::Overloaded => AttemptEnd::Overloaded,
@@ -101,37 +106,37 @@
     }
 }
 
-/// A load report, `name=value` with commas between. One that can't be read to its end tells nothing at all: half a
-/// report may name a position or a role that no db node has.
-fn report(text: &[u8]) -> NodeReport {
+/// Parses a load report: `name=value` pairs separated by commas. A report with any malformed part is ignored as a whole,
+/// because a truncated report may contain a wrong position or role.
+fn parse_load_report(text: &[u8]) -> NodeReport {
     let fields = std::str::from_utf8(text)
         .unwrap_or("")
         .split(',')
         .map(|field| {
             let (name, value) = field.split_once('=')?;
-            let figure = value
+            let number = value
                 .parse::<f64>()
                 .ok()
-                .filter(|figure| figure.is_finite() && *figure >= 0.0)?;
-            Some((name, figure))
+                .filter(|number| number.is_finite() && *number >= 0.0)?;
+            Some((name, number))
         });
-    let mut told = NodeReport::default();
-    for (name, figure) in fields.collect::<Option<Vec<_>>>().unwrap_or_default() {
+    let mut report = NodeReport::default();
+    for (name, number) in fields.collect::<Option<Vec<_>>>().unwrap_or_default() {
         match name {
-            "x0" => told.position = clock::from_seconds(figure),
+            "x0" => report.position = clock::from_seconds(number),
             "x1" => {
-                told.role = Some(if figure == 1.0 {
+                report.role = Some(if number == 1.0 {
                     Role::Primary
                 } else {
                     Role::Replica
                 })
             }
-            "outstanding" | "inflight" => told.in_flight = Some(figure.round() as u32),
-            "utilization" | "util" => told.utilization_permille = Some((figure * 1e3) as u32),
+            "outstanding" | "inflight" => report.in_flight = Some(number.round() as u32),
+            "utilization" | "util" => report.utilization_permille = Some((number * 1e3) as u32),
             _ => {}
         }
     }
-    told
+    report
 }
 
 #[cfg(test)]
--- a/router/src/upstream/tests.rs
+++ b/router/src/upstream/tests.rs
@@ -263,7 +263,7 @@
     /// Takes in what has come, as one turn of the loop does.
     fn turn(&mut self) {
         for key in self.comes() {
-            self.upstream.event(key, self.now, &mut self.engine);
+            self.upstream.handle_event(key, self.now, &mut self.engine);
         }
         self.settle();
     }
@@ -426,7 +426,7 @@
         let mut link = pools.up(&node);
         pools.hears("p", EndpointState::Draining);
         link.greet("primary").expect("the pools are there");
-        pools.until(|pools| pools.upstream.pools["p"].coming_up == 0);
+        pools.until(|pools| pools.upstream.pools["p"].connecting == 0);
         assert_eq!(pools.open(), (1, 0), "{asks:?}");
         assert_eq!(link.has_come().expect("a socket"), None, "{asks:?}");
         let heard = pools.upstream.take_query_outcomes();
@@ -517,7 +517,9 @@
                 .next()
                 .expect("its connection")
                 .0;
-            pools.upstream.event(key, pools.now, &mut pools.engine);
+            pools
+                .upstream
+                .handle_event(key, pools.now, &mut pools.engine);
             let (still, _) = pools.held_back().expect("it is on the connection");
             self.left += unsent - still;
         }
@@ -660,7 +662,7 @@
             let node = deaf.opens().expect("it listens");
             let mut link = pools.up(&node);
             link.greet("primary").expect("the pools are there");
-            pools.until(|pools| pools.upstream.pools["p"].coming_up == 0);
+            pools.until(|pools| pools.upstream.pools["p"].connecting == 0);
             assert_eq!(pools.open(), (1, 0));
             assert_eq!(link.has_come().expect("a socket"), None);
         }
@@ -1252,8 +1254,11 @@
         let keys = pools.comes();
         let id = AttemptId { request, number: 0 };
         let answer = |pools: &mut Pools| {
-            keys.iter()
-                .for_each(|key| pools.upstream.event(*key, pools.now, &mut pools.engine));
+            keys.iter().for_each(|key| {
+                pools
+                    .upstream
+                    .handle_event(*key, pools.now, &mut pools.engine)
+            });
         };
         match first {
             First::FinalAnswer => {
@@ -1368,8 +1373,11 @@
     link.greet("primary").expect("the pools are there");
     let keys = pools.comes();
     pools.later(DIAL);
-    keys.iter()
-        .for_each(|key| pools.upstream.event(*key, pools.now, &mut pools.engine));
+    keys.iter().for_each(|key| {
+        pools
+            .upstream
+            .handle_event(*key, pools.now, &mut pools.engine)
+    });
     pools.settle();
     assert_eq!(
         (pools.fate(request), pools.open()),
@@ -1467,8 +1475,11 @@
         }
         pools.settle();
         assert_eq!(pools.open(), (0, 0), "{why:?}");
-        keys.iter()
-            .for_each(|key| pools.upstream.event(*key, pools.now, &mut pools.engine));
+        keys.iter().for_each(|key| {
+            pools
+                .upstream
+                .handle_event(*key, pools.now, &mut pools.engine)
+        });
         let next = pools.asks("a2", WRITE, 0);
         serves(&mut pools, &node, "a2", next);
         assert_eq!(given_up.and_then(|request| pools.fate(request)), None);
--- a/router/src/upstream/watch.rs
+++ b/router/src/upstream/watch.rs
@@ -1,32 +1,32 @@
-//! Questions that this router asks nodes on behalf of the fleet, as the owner of a group's watch.
+//! Queries of nodes for the lease tasks, under the lease of a group's watch.
 
 use plovercove::{NodeId, NodeReport, Time};
 use std::rc::Rc;
 
-/// The last look at the clock and the lease before a question leaves.
+/// Returns whether this router still holds the lease. Called with a fresh clock just before a query is sent.
 pub type LeaseCheck = Rc<dyn Fn() -> bool>;
 
-/// A question to a node.
+/// A query to a node.
 pub struct NodeQuery {
     /// The node.
     pub node: NodeId,
-    /// Whether it may leave now.
+    /// Checks whether the query may still be sent.
     pub lease_check: LeaseCheck,
 }
 
-/// What became of a question.
+/// The outcome of a query.
 pub struct QueryOutcome {
     /// The node.
     pub node: NodeId,
-    /// What it said; none where it did not answer.
+    /// The answer, or `None` if the node did not answer.
     pub answer: Option<QueryAnswer>,
 }
 
-/// A node's answer to a question.
+/// A node's answer to a query.
 #[derive(Clone, Copy, Debug)]
 pub struct QueryAnswer {
-    /// When it was asked.
-    pub asked_at: Time,
-    /// What it said of itself.
+    /// The time of the query.
+    pub queried_at: Time,
+    /// The node's report.
     pub report: NodeReport,
 }
--- a/router/tests/duties.rs
+++ b/router/tests/duties.rs
@@ -479,7 +479,7 @@
     );
     let mut engine = Engine::new(Settings::default(), 1);
     let id: NodeId = "s0".into();
-    upstream.locate(&id, node.address(), &mut engine);
+    upstream.set_address(&id, node.address(), &mut engine);
     // What no list names is asked nothing.
     engine.update_endpoints(EndpointUpdate::Full(vec![Endpoint {
         node: id.clone(),
@@ -506,13 +506,13 @@
                 .expect("it waits");
             for event in events.iter() {
                 if let (Some(EventSource::Node), key) = split_poll_key(event.key) {
-                    upstream.event(key, 2, &mut engine);
+                    upstream.handle_event(key, 2, &mut engine);
                 }
             }
         };
         assert_eq!((heard.answer.is_some(), node.probes()), (may, asked));
         assert!(
-            heard.answer.is_none_or(|answer| answer.asked_at == 1),
+            heard.answer.is_none_or(|answer| answer.queried_at == 1),
             "its age counts from when it was asked"
         );
     }
