--- a/leases/src/event.rs
+++ b/leases/src/event.rs
@@ -122,39 +122,39 @@
         match self {
             LeaseEvent::Acquired { .. }
             | LeaseEvent::HandedOver { .. }
-            | LeaseEvent::MajorityReached => "nothing: this is as it should be",
+            | LeaseEvent::MajorityReached => "nothing: this is normal operation",
             LeaseEvent::Lost { .. } => {
-                "nothing where it is rare; else look at the links to the deciders and at the machine's load"
+                "nothing if it is rare; otherwise check the links to the voters and the load of this machine"
             }
             LeaseEvent::Released { .. } => {
-                "nothing where this was the last router; else see why no peer was ready"
+                "nothing if this was the last router; otherwise check why no other member was ready"
             }
             LeaseEvent::Suspended { .. } => {
-                "look at what the duty's last owners logged before they ended; send that in"
+                "read what the last holders of the lease logged before they ended, and report it"
             }
             LeaseEvent::MajorityLost => {
-                "start the deciders that are down, or mend the links to them; until then each router does all by itself"
+                "start the voters that are down, or repair the links to them; until then each router does the work of all leases by itself"
             }
             LeaseEvent::Stalled { .. } => {
-                "look at the machine: it was stopped, starved or its clock was set"
+                "check this machine: the process was stopped or starved, or the clock was set"
             }
             LeaseEvent::VoterStageChanged { stage, .. } => match stage {
                 VoterStage::Voting | VoterStage::Waiting => {
-                    "nothing: it votes when the longest lease is over"
+                    "nothing: it votes after the longest lease has ended"
                 }
                 VoterStage::Blank => {
-                    "nothing where a majority of the other deciders runs; else start them: it reads their tokens first"
+                    "nothing if a majority of the other voters is running; otherwise start them, since this voter reads their tokens first"
                 }
                 VoterStage::Joining => {
-                    "give a majority of the former deciders the new settings too"
+                    "give a majority of the previous voters the new settings too"
                 }
-                VoterStage::Former => "nothing: keep it running until the new deciders vote",
+                VoterStage::Former => "nothing: keep it running until the new voters vote",
             },
             LeaseEvent::StaleFile => {
-                "do not restore a decider's file from a copy; it goes on as if the file were lost"
+                "do not restore a voter's file from a copy; the voter continues as if the file were lost"
             }
             LeaseEvent::VoterFull { .. } => {
-                "lower the number of duties, or look for a router that makes names up"
+                "lower the number of leases, or look for a router that invents names"
             }
         }
     }
--- a/leases/src/local_lease.rs
+++ b/leases/src/local_lease.rs
@@ -32,6 +32,7 @@
     requested_at: Time,
     /// When the answer arrived.
     received_at: Time,
+    /// The highest token that the voter may have voted for.
     highest: Token,
     status: LeaseStatus,
 }
@@ -74,6 +75,7 @@
 /// The hand-over of a lease to a successor.
 #[derive(Clone, Debug)]
 pub(crate) struct Handover {
+    /// The successor.
     pub to: Member,
     /// Number of successors that were offered the lease before this one.
     pub attempts: usize,
@@ -97,7 +99,7 @@
     pub next_send: Time,
     /// When the router may claim the lease, after a majority has answered that it is free.
     claim_at: Option<Time>,
-    /// When the first poll found the lease free, if each poll since then has.
+    /// Time since which every poll has found the lease free.
     free_since: Option<Time>,
     /// The latest answer of each voter.
     replies: Vec<Option<VoterReply>>,
@@ -385,7 +387,7 @@
             }
             return;
         }
-        // So many voters know of a running lease, or have not answered, that no majority is left to vote.
+        // Too many voters know of a running lease, or have not answered, for a majority to grant the token.
         (self.claim_at, self.free_since) = (None, None);
     }
 
@@ -396,9 +398,12 @@
             .iter()
             .flatten()
             .filter_map(|reply| match reply.status {
-                LeaseStatus::Held { by, remaining_ms } => Some((
+                LeaseStatus::Held {
+                    holder,
+                    remaining_ms,
+                } => Some((
                     reply.highest,
-                    by,
+                    holder,
                     reply
                         .received_at
                         .saturating_add(ms(u64::from(remaining_ms))),
@@ -407,7 +412,7 @@
             });
         newest
             .max_by_key(|(token, _, until)| (*token, *until))
-            .map(|(token, by, until)| (by, token, until))
+            .map(|(token, holder, until)| (holder, token, until))
     }
 
     /// Schedules a poll for the end of the lease, because its holder is no longer a member.
--- a/leases/src/placement.rs
+++ b/leases/src/placement.rs
@@ -53,6 +53,8 @@
 }
 
 /// Hashes words to an evenly distributed number, the same at all routers, so that names chosen by people spread well.
+///
+/// The hashed words, such as `duty`, must not change: routers of different versions have to compute the same placement.
 fn digest(words: &[&str]) -> u64 {
     let mut hasher = blake3::Hasher::new();
     for word in words {
--- a/leases/src/voter.rs
+++ b/leases/src/voter.rs
@@ -166,8 +166,8 @@
 
     /// Delays voting until leases of up to `max_lease_ms` that the voter may have granted have ended.
     fn extend_waiting(&mut self, rules: &Rules, now: Time, max_lease_ms: u64) {
-        // A restarted voter has forgotten which leases are running. If it voted at once, it could grant a
-        // lease to a second holder while the first still acts.
+        // A restarted voter has forgotten which leases are running. If it voted at once, it could grant a lease to a second
+        // holder while the first still acts.
         if rules.is_enabled(Guard::WaitAfterStart) {
             self.votes_from = self
                 .votes_from
@@ -347,7 +347,7 @@
                     return self.enter_waiting(rules, now, token_ceiling, max_lease_ms, outbox);
                 }
                 // This is the first start, or most of the set is new. Then all other voters must answer: of those that
-                // granted a lease together with this one, at most a minority can have lost its files, so at least one
+                // granted a lease together with this one, at most a minority can have lost their files, so at least one
                 // answer still covers the votes.
                 let others = set.members.iter().filter(|d| d.address != self.me.address);
                 let answered = others
@@ -716,8 +716,8 @@
         }
         let status = match (outcome, record.ballot.holder) {
             (VoteOutcome::Granted, _) => LeaseStatus::Granted,
-            (VoteOutcome::HeldByOther, Some(by)) => LeaseStatus::Held {
-                by,
+            (VoteOutcome::HeldByOther, Some(holder)) => LeaseStatus::Held {
+                holder,
                 remaining_ms: remaining_ms(record.ballot.until),
             },
             _ => LeaseStatus::Free,
--- a/leases/src/wire.rs
+++ b/leases/src/wire.rs
@@ -54,7 +54,7 @@
     /// No lease is running.
     Free,
     /// The lease of this holder is running, and ends after this time at the voter.
-    Held { by: Holder, remaining_ms: u32 },
+    Held { holder: Holder, remaining_ms: u32 },
     /// The lease is suspended for this time.
     Suspended { remaining_ms: u32 },
     /// The voter already keeps the maximum number of leases.
