--- a/gossip/tests/stored_formats.rs
+++ b/gossip/tests/stored_formats.rs
@@ -1,5 +1,5 @@
-//! Datagrams keep their bytes: routers of two versions talk to each other. The fixture was recorded with the version before
-//! the renaming of types.
+//! Datagrams keep their encoding, so that routers of two versions understand each other. The fixture was recorded with the
+//! version before types were renamed.
 
 use plovercove::{Access, AttemptEnd, DedupScope, Idempotency};
 use plovercove::{Class, Endpoint, EndpointUpdate, LocalityPolicy, RoutingQuery, Settings, Time};
@@ -53,7 +53,7 @@
 }
 
 struct Router {
-    peers: Gossip,
+    gossip: Gossip,
     observer: Observer,
 }
 
@@ -73,7 +73,7 @@
     let nodes = vec![node("good"), node("bad")];
     observer.endpoints_changed(BEGIN, &EndpointUpdate::Full(nodes));
     Router {
-        peers: Gossip::new(rules(), keys(), incarnation(n), BEGIN, 7 + n as u64),
+        gossip: Gossip::new(rules(), keys(), incarnation(n), BEGIN, 7 + n as u64),
         observer,
     }
 }
@@ -88,7 +88,7 @@
     digits.map(byte).collect()
 }
 
-/// What three routers say to each other in ten seconds, while one of two nodes fails: a line for each datagram.
+/// Returns one line for each datagram that three routers send within ten seconds while one of two nodes fails.
 fn record() -> String {
     let mut routers: Vec<Router> = (0..ROUTERS).map(router).collect();
     let mut lines = Vec::new();
@@ -105,12 +105,12 @@
                 observer.attempt_sent(now, &query, &node.into());
                 observer.attempt_ended(now, &query, &node.into(), end, 20_000);
             }
-            let Router { peers, observer } = &mut routers[n];
-            peers.turn(now, observer);
-            for (to, bytes) in peers.take_outgoing() {
+            let Router { gossip, observer } = &mut routers[n];
+            gossip.turn(now, observer);
+            for (to, bytes) in gossip.take_outgoing() {
                 let to = usize::from(to.port() - 7_000);
                 lines.push(format!("{n} {to} {}", hex(&bytes)));
-                routers[to].peers.receive(now, &bytes);
+                routers[to].gossip.receive(now, &bytes);
             }
         }
     }
@@ -118,28 +118,28 @@
 }
 
 #[test]
-fn datagrams_are_those_that_the_version_before_wrote() {
+fn datagrams_equal_those_of_the_previous_version() {
     let recorded = include_str!("fixtures/datagrams.txt");
     let written = record();
-    for (line, (now, then)) in written.lines().zip(recorded.lines()).enumerate() {
-        assert_eq!(now, then, "line {}", line + 1);
+    for (line, (written_line, recorded_line)) in written.lines().zip(recorded.lines()).enumerate() {
+        assert_eq!(written_line, recorded_line, "line {}", line + 1);
     }
     assert_eq!(written.lines().count(), recorded.lines().count());
 }
 
 #[test]
-fn datagrams_of_the_version_before_are_understood() {
+fn datagrams_of_the_previous_version_are_accepted() {
     let recorded = include_str!("fixtures/datagrams.txt");
     let mut listener = router(0);
     for (step, line) in recorded.lines().enumerate() {
         let mut words = line.split(' ');
-        let (from, to) = (words.next().unwrap(), words.next().unwrap());
-        if to == "0" && from != "0" {
+        let (sender, receiver) = (words.next().unwrap(), words.next().unwrap());
+        if receiver == "0" && sender != "0" {
             let now = BEGIN + step as Time * 1_000;
-            listener.peers.receive(now, &unhex(words.next().unwrap()));
+            listener.gossip.receive(now, &unhex(words.next().unwrap()));
         }
     }
-    let counts = listener.peers.counts();
+    let counts = listener.gossip.counts();
     assert!(counts.received.0 > 10, "{counts:?}");
     assert!(counts.dropped.is_empty(), "{:?}", counts.dropped);
 }
