--- a/poller/src/lib.rs
+++ b/poller/src/lib.rs
@@ -1,7 +1,7 @@
-//! Sockets registered with the `polling` crate for exactly as long as they live.
+//! A safe wrapper of the `polling` crate: sockets are registered for exactly as long as they live.
 //!
-//! Registering a socket is unsafe in `polling`, since the poller would go on using a descriptor that has been closed.
-//! Here a registered socket owns both, and takes itself off the poller before it closes: nothing else can go wrong.
+//! Registering a socket is unsafe in `polling`, because the poller would keep using a descriptor that has been closed. Here
+//! a registered socket owns the socket and a handle of the poller, and removes itself from the poller before it closes.
 
 pub use polling::Events;
 use polling::{AsSource, Event, PollMode, Poller};
@@ -13,14 +13,14 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The request for the bytes of a connection that have not been sent, `SIOCOUTQNSD` of Linux' `linux/sockios.h`.
+/// The ioctl request for the number of unsent bytes of a connection: `SIOCOUTQNSD` in Linux's `linux/sockios.h`.
 const SIOCOUTQNSD: libc::Ioctl = 0x894B;
 
 mod sealed {
     pub trait Sealed {}
 }
 
-/// A socket that keeps one descriptor from its making to its drop: what `Registered` rests on.
+/// A socket that keeps the same descriptor from its creation to its drop. The safety of `Registered` depends on this.
 pub trait Socket: AsSource + AsRawFd + sealed::Sealed {}
 
 macro_rules! sockets {
@@ -28,16 +28,16 @@
 }
 sockets!(TcpListener, TcpStream, UdpSocket, UnixStream);
 
-/// What a socket waits for.
+/// The kinds of readiness that a socket waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Interest {
-    /// Nothing but errors.
+    /// Only errors.
     Nothing,
-    /// Bytes to read.
+    /// Readable.
     Read,
-    /// Room to write.
+    /// Writable.
     Write,
-    /// Both.
+    /// Readable or writable.
     Both,
 }
 
@@ -52,32 +52,32 @@
     }
 }
 
-/// The poller that all sockets of the program hang on.
+/// A handle of the poller that all sockets of the program are registered with.
 #[derive(Clone)]
 pub struct Poll(Arc<Poller>);
 
 impl Poll {
-    /// A poller without sockets.
+    /// Creates a poller without sockets.
     pub fn new() -> io::Result<Self> {
         Ok(Poll(Arc::new(Poller::new()?)))
     }
 
-    /// Waits for events, for so long at the most.
+    /// Waits for events until the timeout, if there is one.
     pub fn wait(&self, events: &mut Events, timeout: Option<Duration>) -> io::Result<()> {
         events.clear();
         self.0.wait(events, timeout).map(drop)
     }
 
-    /// Takes a socket over. Its events carry the key.
+    /// Registers a socket. Its events carry the key.
     pub fn register<S: Socket>(
         &self,
         socket: S,
         key: usize,
         interest: Interest,
     ) -> io::Result<Registered<S>> {
-        // SAFETY: the socket is owned by the value made next, which deletes it from the poller when it is dropped,
-        // before its own fields are. Nothing hands the socket out but by shared reference, and `Socket` is sealed to
-        // types that keep their descriptor, so the descriptor stays open for as long as it is registered.
+        // SAFETY: the socket is owned by the `Registered` value created below, which deletes it from the poller when it is
+        // dropped, before its own fields are dropped. The socket is only accessible by shared reference, and `Socket` is
+        // sealed to types that keep their descriptor, so the descriptor stays open as long as it is registered.
         unsafe {
             self.0
                 .add_with_mode(&socket, interest.event(key), PollMode::Level)?
@@ -91,7 +91,7 @@
     }
 }
 
-/// A socket on the poller. Dropping it takes it off and closes it.
+/// A registered socket. Dropping it removes it from the poller and closes it.
 pub struct Registered<S: Socket> {
     socket: S,
     key: usize,
@@ -100,7 +100,7 @@
 }
 
 impl<S: Socket> Registered<S> {
-    /// Changes what it waits for; costs nothing where that is the same.
+    /// Sets the interest. Makes no system call if it is unchanged.
     pub fn set_interest(&mut self, interest: Interest) -> io::Result<()> {
         if self.interest != interest {
             self.poller.modify_with_mode(
@@ -115,15 +115,15 @@
 }
 
 impl Registered<TcpStream> {
-    /// Bytes that were written and that the system has not sent yet, since the other side has no room for them; the end of the
-    /// stream counts as one.
+    /// Returns the number of written bytes that the system has not sent yet, because the receiver has no room for them. The
+    /// end of the stream counts as one byte.
     ///
     /// # Errors
     ///
-    /// Where the system does not tell.
+    /// The system does not report the number.
     pub fn unsent_bytes(&self) -> io::Result<usize> {
         let mut bytes: libc::c_int = 0;
-        // SAFETY: the descriptor is open for as long as `self` lives, and the request writes one integer, which outlives it.
+        // SAFETY: the descriptor is open as long as `self` lives, and the request writes one integer, which outlives the call.
         let result = unsafe { libc::ioctl(self.socket.as_raw_fd(), SIOCOUTQNSD, &mut bytes) };
         if result < 0 {
             return Err(io::Error::last_os_error());
@@ -134,7 +134,7 @@
 
 impl<S: Socket> Drop for Registered<S> {
     fn drop(&mut self) {
-        // It can only fail for a socket that the poller does not hold any more, which is what is wanted.
+        // This can only fail if the poller does not have the socket any more, which is the intended state.
         let _ = self.poller.delete(&self.socket);
     }
 }
--- a/settings/benches/reader.rs
+++ b/settings/benches/reader.rs
@@ -1,6 +1,6 @@
-//! Reading a settings file of the usual size: this crate's reader against `serde` with `serde_path_to_error` on
-//! simd-json. The types here are the platform's form and nothing more; turning them into the module's `Settings` is left
-//! out, so what is measured favours `serde`.
+//! Compares reading a settings file of the usual size with this crate and with `serde` and `serde_path_to_error` on
+//! simd-json. The types here mirror the platform's format only. The conversion into the module's `Settings` is left out for
+//! `serde`, so the comparison favours `serde`.
 
 use plovercove_settings as reader;
 use serde::Deserialize;
@@ -15,7 +15,7 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 #[allow(dead_code)]
-struct Told {
+struct SettingsFile {
     balancers: u32,
     slot_no: u32,
     tick: u64,
@@ -97,13 +97,14 @@
     grace_to_answer: Option<u64>,
 }
 
-/// Settings with this many classes and tenants.
-fn file(classes: usize, tenants: usize) -> Vec<u8> {
-    let each =
-        |n: usize, text: &dyn Fn(usize) -> String| (0..n).map(text).collect::<Vec<_>>().join(",");
-    let profile = |n: usize| {
+/// Returns a settings file with this many classes and tenants.
+fn settings_file(classes: usize, tenants: usize) -> Vec<u8> {
+    let join = |index: usize, text: &dyn Fn(usize) -> String| {
+        (0..index).map(text).collect::<Vec<_>>().join(",")
+    };
+    let profile = |index: usize| {
         format!(
-            r#"{{"Name":"class-{n}","Aim":400000,"Deadline":1000000,"Gain":1.5,"LateWorth":0.5,"Effect":"idempotent"}}"#
+            r#"{{"Name":"class-{index}","Aim":400000,"Deadline":1000000,"Gain":1.5,"LateWorth":0.5,"Effect":"idempotent"}}"#
         )
     };
     format!(
@@ -113,56 +114,56 @@
         "RetryAfter":true,"SecondCopies":true}},"Profiles":[{}],"Customers":[{}],"Report":{{"How":"pull",
         "Names":["x0","x1","inflight","util"]}},"Rules":{{"Cold":10000000,"ColdShare":0.2,"DrainGrace":1000000,
         "OverloadFactor":4,"OverloadFor":2000000,"GraceToAnswer":20000}}}}"#,
-        each(classes, &|_| r#""recent""#.into()),
-        each(classes, &|_| "3000000".into()),
-        each(classes, &profile),
-        each(tenants, &|n| format!(r#"{{"Name":"tenant-{n}","AllowancePerS":12.5}}"#)),
+        join(classes, &|_| r#""recent""#.into()),
+        join(classes, &|_| "3000000".into()),
+        join(classes, &profile),
+        join(tenants, &|index| format!(r#"{{"Name":"tenant-{index}","AllowancePerS":12.5}}"#)),
     )
     .into_bytes()
 }
 
-fn by_hand(json: &[u8]) {
+fn read_with_this_crate(json: &[u8]) {
     let value = reader::parse(json.to_vec()).unwrap_or_else(|e| panic!("{e}"));
     black_box(reader::read_settings(&value, "settings.").unwrap_or_else(|e| panic!("{e}")));
 }
 
-fn by_serde(json: &[u8]) {
+fn read_with_serde(json: &[u8]) {
     let mut bytes = json.to_vec();
-    let mut from =
+    let mut deserializer =
         simd_json::Deserializer::from_slice(&mut bytes).unwrap_or_else(|e| panic!("{e}"));
-    let told: Result<Told, _> = serde_path_to_error::deserialize(&mut from);
-    black_box(told.unwrap_or_else(|e| panic!("{e}")));
+    let settings: Result<SettingsFile, _> = serde_path_to_error::deserialize(&mut deserializer);
+    black_box(settings.unwrap_or_else(|e| panic!("{e}")));
 }
 
-/// The median of many reads (us), and allocations and bytes of one.
+/// Prints the median and the minimum duration of many reads (us), and the allocations of one.
 fn measure(name: &str, json: &[u8], read: fn(&[u8])) {
     read(json);
     let region = Region::new(MEMORY);
     read(json);
-    let used = region.change();
-    let mut took: Vec<f64> = (0..4_001)
+    let allocations = region.change();
+    let mut durations: Vec<f64> = (0..4_001)
         .map(|_| {
-            let begun = Instant::now();
+            let started = Instant::now();
             read(json);
-            begun.elapsed().as_secs_f64() * 1e6
+            started.elapsed().as_secs_f64() * 1e6
         })
         .collect();
-    took.sort_by(f64::total_cmp);
-    let (least, median) = (took[0], took[took.len() / 2]);
+    durations.sort_by(f64::total_cmp);
+    let (minimum, median) = (durations[0], durations[durations.len() / 2]);
     println!(
-        "{name}, {} bytes: median {median:.1} us, least {least:.1} us, {} allocations of {} bytes in all",
+        "{name}, {} bytes: median {median:.1} us, least {minimum:.1} us, {} allocations of {} bytes in all",
         json.len(),
-        used.allocations + used.reallocations,
-        used.bytes_allocated
+        allocations.allocations + allocations.reallocations,
+        allocations.bytes_allocated
     );
 }
 
 fn main() {
     for (classes, tenants) in [(6, 12), (12, 60)] {
-        let json = file(classes, tenants);
+        let json = settings_file(classes, tenants);
         for _ in 0..2 {
-            measure("this crate", &json, by_hand);
-            measure("serde", &json, by_serde);
+            measure("this crate", &json, read_with_this_crate);
+            measure("serde", &json, read_with_serde);
         }
     }
 }
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -1,70 +1,70 @@
-//! The one reader of settings: it checks them, holds every default, names the key that is at fault and fills the
-//! module's own `Settings`. The adapter and the router both read through it.
+//! Reads the settings that the platform writes as JSON: checks them, fills in the defaults, names the key of a fault, and
+//! builds the decision module's `Settings`. The simulator adapter and the router both use it.
 
 use plovercove::*;
 use simd_json::StaticNode;
 use simd_json::prelude::*;
 use std::collections::BTreeMap;
 
-/// A JSON value of the input.
+/// A JSON value.
 pub use simd_json::OwnedValue as Value;
 
-/// What is wrong with the input, and where.
+/// A fault of the input, with its location.
 #[derive(Debug, thiserror::Error, strum::IntoStaticStr, strum::VariantNames)]
 pub enum Fault {
-    /// The input is no JSON.
+    /// The input is not JSON.
     #[error("not JSON: {0}")]
     NotJson(#[source] simd_json::Error),
-    /// A value of the wrong kind.
+    /// A value has the wrong kind.
     #[error("{key}: expected {want}, got {got}")]
     Kind {
         /// The path of its key.
         key: String,
-        /// What it should be.
+        /// The expected kind.
         want: String,
-        /// The value, cut short where it is long.
+        /// The value, shortened if it is long.
         got: String,
     },
-    /// A key that must be there is not.
+    /// A required key is missing.
     #[error("{0} is missing")]
     Missing(String),
-    /// A word that is none of those that may stand there.
+    /// A value is none of the allowed names.
     #[error("{key}: {got:?} is unknown")]
     Unknown {
         /// The path of its key.
         key: String,
-        /// The word.
+        /// The value.
         got: String,
     },
-    /// What else is wrong, in the words of whoever reads the input.
+    /// Another fault, with its text.
     #[error("{0}")]
     Meaning(String),
-    /// A fault and where it belongs.
-    #[error("{place}: {fault}")]
+    /// A fault with the location that it belongs to.
+    #[error("{location}: {fault}")]
     Within {
-        /// The place.
-        place: String,
-        /// The fault there.
+        /// The location.
+        location: String,
+        /// The fault.
         #[source]
         fault: Box<Fault>,
     },
 }
 
 impl Fault {
-    /// A complaint in these words.
+    /// Creates a fault with this text.
     pub fn new(text: impl Into<String>) -> Self {
         Fault::Meaning(text.into())
     }
 
-    /// The same complaint, with the place it belongs to in front.
-    pub fn within(self, place: &str) -> Self {
+    /// Adds the location that the fault belongs to.
+    pub fn within(self, location: &str) -> Self {
         Fault::Within {
-            place: place.to_string(),
+            location: location.to_string(),
             fault: Box::new(self),
         }
     }
 
-    /// What an operator can do.
+    /// Returns advice for the operator.
     pub fn help(&self) -> &'static str {
         match self {
             Fault::NotJson(_) => {
@@ -85,27 +85,27 @@
     }
 }
 
-/// What was read, or what is wrong with it.
+/// The value that was read, or a fault.
 pub type ReadResult<T> = Result<T, Fault>;
 
-/// Settings for the module, and what only the translation needs.
+/// The module's settings, and values that only the simulator adapter needs.
 pub struct ParsedSettings {
-    /// The module's own settings.
+    /// The settings of the decision module.
     pub settings: Settings,
-    /// The moment from which the simulator counts positions.
+    /// The time from which the simulator counts positions.
     pub position_epoch: u64,
-    /// The columns of a report.
+    /// The names of the columns of a load report.
     pub report_columns: Vec<String>,
 }
 
-/// The numbers that the settings give to the names of classes and tenants.
+/// The indexes of classes and tenants by their names.
 pub struct Names {
     classes: BTreeMap<String, usize>,
     tenants: BTreeMap<String, usize>,
 }
 
 impl Names {
-    /// The names in these settings.
+    /// Collects the names in these settings.
     pub fn new(settings: &Settings) -> Self {
         let classes = settings.classes.iter().map(|c| c.name.clone());
         let tenants = settings.tenants.iter().map(|t| t.name.clone());
@@ -115,37 +115,37 @@
         }
     }
 
-    /// A class by its name.
+    /// Returns the index of a class.
     pub fn class(&self, name: &str) -> Option<usize> {
         self.classes.get(name).copied()
     }
 
-    /// A tenant by its name.
+    /// Returns the index of a tenant.
     pub fn tenant(&self, name: &str) -> Option<usize> {
         self.tenants.get(name).copied()
     }
 }
 
-/// Reads one JSON value.
+/// Parses a JSON value.
 pub fn parse(mut json: Vec<u8>) -> ReadResult<Value> {
     simd_json::to_owned_value(&mut json).map_err(Fault::NotJson)
 }
 
-/// The complaint about a value of the wrong kind.
-pub fn wrong_kind(what: &str, want: &str, got: &Value) -> Fault {
-    let mut shown: String = got.encode();
-    if shown.chars().count() > 60 {
-        shown = shown.chars().take(60).collect::<String>() + "...";
+/// Returns the fault of a value of the wrong kind. `key` is the path of the key.
+pub fn wrong_kind(key: &str, want: &str, got: &Value) -> Fault {
+    let mut text: String = got.encode();
+    if text.chars().count() > 60 {
+        text = text.chars().take(60).collect::<String>() + "...";
     }
     Fault::Kind {
-        key: what.to_string(),
+        key: key.to_string(),
         want: want.to_string(),
-        got: shown,
+        got: text,
     }
 }
 
-/// A whole number that is not negative.
-pub fn unsigned(value: &Value, what: &str) -> ReadResult<u64> {
+/// Reads an unsigned integer.
+pub fn unsigned(value: &Value, key: &str) -> ReadResult<u64> {
     let as_float = || {
         value
             .as_f64()
@@ -155,51 +155,49 @@
     value
         .as_u64()
         .or_else(as_float)
-        .ok_or_else(|| wrong_kind(what, "a whole number", value))
+        .ok_or_else(|| wrong_kind(key, "a whole number", value))
 }
 
-/// A whole number of 32 bits.
-pub fn unsigned_32(value: &Value, what: &str) -> ReadResult<u32> {
-    u32::try_from(unsigned(value, what)?)
-        .map_err(|_| wrong_kind(what, "a whole number under 2^32", value))
+/// Reads an unsigned integer of 32 bits.
+pub fn unsigned_32(value: &Value, key: &str) -> ReadResult<u32> {
+    u32::try_from(unsigned(value, key)?)
+        .map_err(|_| wrong_kind(key, "a whole number under 2^32", value))
 }
 
-/// Any number.
-pub fn number(value: &Value, what: &str) -> ReadResult<f64> {
+/// Reads a number.
+pub fn number(value: &Value, key: &str) -> ReadResult<f64> {
     value
         .cast_f64()
-        .ok_or_else(|| wrong_kind(what, "a number", value))
+        .ok_or_else(|| wrong_kind(key, "a number", value))
 }
 
-/// A text.
-pub fn text<'a>(value: &'a Value, what: &str) -> ReadResult<&'a str> {
-    value
-        .as_str()
-        .ok_or_else(|| wrong_kind(what, "text", value))
+/// Reads a string.
+pub fn text<'a>(value: &'a Value, key: &str) -> ReadResult<&'a str> {
+    value.as_str().ok_or_else(|| wrong_kind(key, "text", value))
 }
 
-/// True or false.
-pub fn boolean(value: &Value, what: &str) -> ReadResult<bool> {
+/// Reads a boolean.
+pub fn boolean(value: &Value, key: &str) -> ReadResult<bool> {
     value
         .as_bool()
-        .ok_or_else(|| wrong_kind(what, "true or false", value))
+        .ok_or_else(|| wrong_kind(key, "true or false", value))
 }
 
-/// A list.
-pub fn list<'a>(value: &'a Value, what: &str) -> ReadResult<&'a Vec<Value>> {
+/// Reads a list.
+pub fn list<'a>(value: &'a Value, key: &str) -> ReadResult<&'a Vec<Value>> {
     value
         .as_array()
-        .ok_or_else(|| wrong_kind(what, "a list", value))
+        .ok_or_else(|| wrong_kind(key, "a list", value))
 }
 
-/// A part of the settings, with the path to it for complaints.
+/// An object in the settings, with its path for faults.
 pub struct Section<'a> {
     value: &'a Value,
     path: String,
 }
 
 impl<'a> Section<'a> {
-    /// A value whose path starts so.
+    /// Creates a section from a value. `path` is the prefix of the paths of its keys.
     pub fn new(value: &'a Value, path: impl Into<String>) -> Self {
         Section {
             value,
@@ -207,7 +205,7 @@
         }
     }
 
-    /// A part of this part, which must be an object.
+    /// Returns a required section in this section.
     pub fn section(&self, key: &str) -> ReadResult<Section<'a>> {
         let path = format!("{}{key}", self.path);
         match self.value.get(key) {
@@ -220,7 +218,7 @@
         }
     }
 
-    /// A part of this part that may be null or left out, but is an object where it is there.
+    /// Returns an optional section in this section. Null counts as missing.
     pub fn optional_section(&self, key: &str) -> ReadResult<Option<Section<'a>>> {
         match self.value.get(key) {
             None | Some(Value::Static(StaticNode::Null)) => Ok(None),
@@ -228,37 +226,37 @@
         }
     }
 
-    /// A value that must be there.
+    /// Reads a required value.
     pub fn required<T>(
         &self,
         key: &str,
-        as_kind: impl Fn(&'a Value, &str) -> ReadResult<T>,
+        read_kind: impl Fn(&'a Value, &str) -> ReadResult<T>,
     ) -> ReadResult<T> {
         let path = format!("{}{key}", self.path);
         match self.value.get(key) {
-            Some(value) => as_kind(value, &path),
+            Some(value) => read_kind(value, &path),
             None => Err(Fault::Missing(path)),
         }
     }
 
-    /// A value that may be null or left out.
+    /// Reads an optional value. Null counts as missing.
     pub fn optional<T>(
         &self,
         key: &str,
-        as_kind: impl Fn(&'a Value, &str) -> ReadResult<T>,
+        read_kind: impl Fn(&'a Value, &str) -> ReadResult<T>,
     ) -> ReadResult<Option<T>> {
         match self.value.get(key) {
             None | Some(Value::Static(StaticNode::Null)) => Ok(None),
-            Some(value) => as_kind(value, &format!("{}{key}", self.path)).map(Some),
+            Some(value) => read_kind(value, &format!("{}{key}", self.path)).map(Some),
         }
     }
 
-    /// One of some words.
-    pub fn one_of<T: Clone>(&self, key: &str, words: &[(&str, T)]) -> ReadResult<T> {
+    /// Reads a required name and returns the value that `names` assigns to it.
+    pub fn one_of<T: Clone>(&self, key: &str, names: &[(&str, T)]) -> ReadResult<T> {
         let got = self.required(key, text)?;
-        let found = words
+        let found = names
             .iter()
-            .find(|(word, _)| *word == got)
+            .find(|(name, _)| *name == got)
             .map(|(_, meaning)| meaning.clone());
         found.ok_or_else(|| Fault::Unknown {
             key: format!("{}{key}", self.path),
@@ -267,10 +265,10 @@
     }
 }
 
-/// Reads the settings, whose keys are named from this path on.
-pub fn read_settings(facts: &Value, path: &str) -> ReadResult<ParsedSettings> {
-    let top = Section::new(facts, path);
-    let (info, limits, rules) = (
+/// Reads the settings. `path` is the prefix of the paths of their keys.
+pub fn read_settings(value: &Value, path: &str) -> ReadResult<ParsedSettings> {
+    let top = Section::new(value, path);
+    let (family_info, limits, rules) = (
         top.section("FamilyInfo")?,
         top.section("Limits")?,
         top.section("Rules")?,
@@ -285,64 +283,64 @@
             .flatten()
             .unwrap_or(0.0))
     };
-    let yes = |part: &Section<'_>, key: &str| -> ReadResult<bool> {
-        Ok(part.optional(key, boolean)?.unwrap_or(false))
+    let optional_flag = |section: &Section<'_>, key: &str| -> ReadResult<bool> {
+        Ok(section.optional(key, boolean)?.unwrap_or(false))
     };
-    let holds = info.optional("HoldsFor", unsigned)?.unwrap_or(0);
-    let reads = info.required("ClassRead", list)?;
-    let bounds = info.optional("MaxAge", list)?;
+    let hold_time = family_info.optional("HoldsFor", unsigned)?.unwrap_or(0);
+    let class_access = family_info.required("ClassRead", list)?;
+    let staleness_bounds = family_info.optional("MaxAge", list)?;
     let classes = top
         .required("Profiles", list)?
         .iter()
         .enumerate()
-        .map(|(place, value)| {
-            let part = Section::new(value, format!("{path}Profiles[{place}]."));
-            let bound = bounds
-                .and_then(|b| b.get(place))
-                .map(|v| unsigned(v, &format!("{path}FamilyInfo.MaxAge[{place}]")))
+        .map(|(index, value)| {
+            let section = Section::new(value, format!("{path}Profiles[{index}]."));
+            let staleness_bound = staleness_bounds
+                .and_then(|b| b.get(index))
+                .map(|v| unsigned(v, &format!("{path}FamilyInfo.MaxAge[{index}]")))
                 .transpose()?;
-            let read = reads
-                .get(place)
-                .ok_or_else(|| Fault::Missing(format!("{path}FamilyInfo.ClassRead[{place}]")))?;
-            let access = match text(read, &format!("{path}FamilyInfo.ClassRead[{place}]"))? {
+            let read = class_access
+                .get(index)
+                .ok_or_else(|| Fault::Missing(format!("{path}FamilyInfo.ClassRead[{index}]")))?;
+            let access = match text(read, &format!("{path}FamilyInfo.ClassRead[{index}]"))? {
                 "update" => Access::Write,
                 "latest" => Access::Latest,
                 "own_writes" => Access::OwnWrites,
-                "recent" => Access::Bounded(bound.unwrap_or(0)),
+                "recent" => Access::Bounded(staleness_bound.unwrap_or(0)),
                 "loose" => Access::Any,
                 other => {
                     return Err(Fault::Unknown {
-                        key: format!("{path}FamilyInfo.ClassRead[{place}]"),
+                        key: format!("{path}FamilyInfo.ClassRead[{index}]"),
                         got: other.to_string(),
                     });
                 }
             };
-            let effects = [
+            let idempotencies = [
                 ("idempotent", Idempotency::Idempotent),
                 ("deduplicated", Idempotency::Deduplicated),
                 ("at_most_once", Idempotency::AtMostOnce),
             ];
-            let scopes = [
+            let dedup_scopes = [
                 ("all", DedupScope::All),
                 ("zone", DedupScope::Zone),
                 ("cell", DedupScope::Group),
             ];
             Ok(Class {
-                name: part.required("Name", text)?.to_string(),
+                name: section.required("Name", text)?.to_string(),
                 access,
-                latency_objective: part.required("Aim", unsigned)?,
-                objective_per_cost: part.optional("AimStretch", number)?.unwrap_or(0.0),
-                deadline: part.required("Deadline", unsigned)?,
-                priority_weight: part.optional("Gain", number)?.unwrap_or(1.0),
-                late_weight_share: part.optional("LateWorth", number)?.unwrap_or(0.0),
-                idempotency: part.one_of("Effect", &effects)?,
-                dedup_scope: if part.value.get("Group").is_some() {
-                    part.one_of("Group", &scopes)?
+                latency_objective: section.required("Aim", unsigned)?,
+                objective_per_cost: section.optional("AimStretch", number)?.unwrap_or(0.0),
+                deadline: section.required("Deadline", unsigned)?,
+                priority_weight: section.optional("Gain", number)?.unwrap_or(1.0),
+                late_weight_share: section.optional("LateWorth", number)?.unwrap_or(0.0),
+                idempotency: section.one_of("Effect", &idempotencies)?,
+                dedup_scope: if section.value.get("Group").is_some() {
+                    section.one_of("Group", &dedup_scopes)?
                 } else {
                     DedupScope::Group
                 },
-                dedup_window: part.optional("Window", unsigned)?.unwrap_or(0),
-                stream: yes(&part, "Stream")?,
+                dedup_window: section.optional("Window", unsigned)?.unwrap_or(0),
+                stream: optional_flag(&section, "Stream")?,
             })
         });
     let tenants = top
@@ -350,43 +348,43 @@
         .into_iter()
         .flatten()
         .enumerate()
-        .map(|(place, value)| {
-            let part = Section::new(value, format!("{path}Customers[{place}]."));
+        .map(|(index, value)| {
+            let section = Section::new(value, format!("{path}Customers[{index}]."));
             Ok(Tenant {
-                name: part.required("Name", text)?.to_string(),
-                quota_per_s: part
+                name: section.required("Name", text)?.to_string(),
+                quota_per_s: section
                     .optional("AllowancePerS", number)?
                     .unwrap_or(f64::INFINITY),
             })
         });
-    let checks = [
+    let replica_checks = [
         ("silent", ReplicaCheck::None),
         ("reject", ReplicaCheck::Reject),
-        ("hold", ReplicaCheck::Wait(holds)),
+        ("hold", ReplicaCheck::Wait(hold_time)),
     ];
-    let roles = [
+    let role_sources = [
         ("delayed", RoleSource::Late),
         ("initial", RoleSource::Initial),
         ("silent", RoleSource::None),
     ];
-    let sources = [
+    let report_sources = [
         ("piggyback", ReportSource::Answers),
         ("pull", ReportSource::HealthChecks),
         ("silent", ReportSource::None),
     ];
-    let weights = [
+    let weight_meanings = [
         ("silent", WeightMeaning::None),
         ("nominal", WeightMeaning::Size),
         ("rough", WeightMeaning::Size),
         ("live", WeightMeaning::Live),
     ];
-    let names = report.optional("Names", list)?;
-    let columns = names
+    let column_names = report.optional("Names", list)?;
+    let columns = column_names
         .into_iter()
         .flatten()
         .map(|v| text(v, "Report.Names").map(str::to_string));
     Ok(ParsedSettings {
-        position_epoch: info.optional("BaseTime", unsigned)?.unwrap_or(0),
+        position_epoch: family_info.optional("BaseTime", unsigned)?.unwrap_or(0),
         report_columns: columns.collect::<ReadResult<_>>()?,
         settings: Settings {
             router_index: top.required("SlotNo", unsigned_32)?,
@@ -396,29 +394,29 @@
             tenants: tenants.collect::<ReadResult<_>>()?,
             over_quota_weight: top.optional("OverShareWorth", number)?.unwrap_or(1.0),
             weight_per_work: top.optional("CountedBy", text)? == Some("work"),
-            replica_check: info.one_of("ServerChecks", &checks)?,
-            role_source: info.one_of("ShowsRole", &roles)?,
-            reports: report.one_of("How", &sources)?,
-            clients_carry_tokens: info
+            replica_check: family_info.one_of("ServerChecks", &replica_checks)?,
+            role_source: family_info.one_of("ShowsRole", &role_sources)?,
+            reports: report.one_of("How", &report_sources)?,
+            clients_carry_tokens: family_info
                 .one_of("SessionMarks", &[("client", true), ("router", false)])?,
-            weight_meaning: if facts.get("Weights").is_some() {
-                top.one_of("Weights", &weights)?
+            weight_meaning: if value.get("Weights").is_some() {
+                top.one_of("Weights", &weight_meanings)?
             } else {
                 WeightMeaning::None
             },
             subscribe: top.one_of("Discovery", &[("automatic", false), ("subscribe", true)])?,
             poll_interval: rules.optional("AskEvery", unsigned)?.unwrap_or(0),
-            health_checks_allowed: yes(&limits, "Probing")?,
-            cancel_allowed: yes(&limits, "Cancel")?,
-            hedging_allowed: yes(&limits, "SecondCopies")?,
-            retry_after_allowed: yes(&limits, "RetryAfter")?,
+            health_checks_allowed: optional_flag(&limits, "Probing")?,
+            cancel_allowed: optional_flag(&limits, "Cancel")?,
+            hedging_allowed: optional_flag(&limits, "SecondCopies")?,
+            retry_after_allowed: optional_flag(&limits, "RetryAfter")?,
             max_retry_after: limits.optional("MaxRetryAfter", unsigned)?.unwrap_or(0),
             max_attempts: limits.required("MaxAttempts", unsigned_32)?,
             connect_timeout: limits.optional("DialTimeout", unsigned)?.unwrap_or(250_000),
             connection_idle: limits.optional("ConnIdle", unsigned)?.unwrap_or(60_000_000),
             tick: top.required("Tick", unsigned)?,
             drain_grace: rules.required("DrainGrace", unsigned)?,
-            removed_nodes_stay_open: yes(&rules, "DroppedStayOpen")?,
+            removed_nodes_stay_open: optional_flag(&rules, "DroppedStayOpen")?,
             answer_grace: rules.optional("GraceToAnswer", unsigned)?.unwrap_or(0),
             slow_start_min_share: rules.required("ColdShare", number)?,
             slow_start_duration: rules.required("Cold", unsigned)?,
--- a/settings/tests/quotas.rs
+++ b/settings/tests/quotas.rs
@@ -1,4 +1,4 @@
-//! Which shares tenants have agreed on: what the settings name, and what it means where they name none.
+//! Tests of tenant quotas: the values in the settings, and the defaults if the settings name none.
 
 use plovercove::Settings;
 use plovercove_settings::{parse, read_settings};
@@ -22,19 +22,19 @@
 }
 
 #[test]
-fn a_tenant_without_an_allowance_has_no_share_to_be_over() {
-    let told = read(
+fn a_tenant_without_an_allowance_has_an_unlimited_quota() {
+    let settings = read(
         r#", "Customers": [{"Name": "a", "AllowancePerS": 12.5}, {"Name": "b"}, {"Name": "c", "AllowancePerS": 0}]"#,
         r#", "OverShareWorth": 0.3"#,
     );
-    let quotas: Vec<f64> = told.tenants.iter().map(|t| t.quota_per_s).collect();
+    let quotas: Vec<f64> = settings.tenants.iter().map(|t| t.quota_per_s).collect();
     assert_eq!(quotas, [12.5, f64::INFINITY, 0.0]);
-    assert_eq!(told.over_quota_weight, 0.3);
+    assert_eq!(settings.over_quota_weight, 0.3);
 }
 
 #[test]
-fn without_a_word_on_shares_all_is_worth_the_same() {
-    let told = read("", "");
-    assert!(told.tenants.is_empty());
-    assert_eq!(told.over_quota_weight, 1.0);
+fn without_quotas_over_quota_requests_keep_their_full_weight() {
+    let settings = read("", "");
+    assert!(settings.tenants.is_empty());
+    assert_eq!(settings.over_quota_weight, 1.0);
 }
