--- a/gossip/src/observations.rs
+++ b/gossip/src/observations.rs
@@ -131,7 +131,7 @@
     failed_at: Time,
     /// Number of failures since the last answer.
     failures_in_a_row: u32,
-    /// Time since which so many others accuse the node that this router's observation matters.
+    /// Time since which enough other routers accuse the node for this router's observation to matter.
     contested_since: Option<Time>,
     /// Time since which the node fails or is slow.
     bad_since: Option<Time>,
--- a/gossip/src/records/tests.rs
+++ b/gossip/src/records/tests.rs
@@ -32,7 +32,7 @@
 
 #[test]
 fn records_expire_by_age_across_routers() {
-    // If the age were not passed on, each router would make a record young again, and it would never expire.
+    // If a record were sent without its age, each router would restart its lifetime, and it would never expire.
     let (mut a, mut b) = (store(), store());
     assert!(a.insert(100 * S, record("n1", 1, 1, 4_000), 0));
     let sent = a
--- a/gossip/tests/fleet.rs
+++ b/gossip/tests/fleet.rs
@@ -327,7 +327,7 @@
     );
 }
 
-/// Returns the number of ejections if router 0 alone reports that nodes fail, and does so many times.
+/// Returns the number of ejections if router 0 alone reports that nodes fail, again and again.
 fn ejections_by_one_wrong_router(mut net: Net) -> usize {
     net.run_until_joined();
     net.attempt_result = Box::new(|_, router, node, _| {
