--- a/emulator/src/agent.rs
+++ b/emulator/src/agent.rs
@@ -77,7 +77,7 @@
     }
 
     /// From now on it takes calls and does not answer, or answers again.
-    pub fn hush(&self, on: bool) {
+    pub fn set_silent(&self, on: bool) {
         self.board
             .told
             .lock()
@@ -87,7 +87,7 @@
     }
 
     /// From now on this is the list.
-    pub fn tell(&self, nodes: impl Iterator<Item = Entry>) {
+    pub fn set_list(&self, nodes: impl Iterator<Item = Entry>) {
         let entry = |e: Entry| {
             json!({
                 "name": e.name, "address": e.address.to_string(), "zone": e.zone, "type": "std", "group": e.group,
--- a/emulator/src/client.rs
+++ b/emulator/src/client.rs
@@ -13,7 +13,7 @@
 
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum RequestOutcome {
     /// With its value.
     Served,
     /// Refused: trying again is harmless.
@@ -38,7 +38,7 @@
     /// Its zone, by place in the spec.
     pub zone: usize,
     /// How it ended.
-    pub fate: Fate,
+    pub fate: RequestOutcome,
 }
 
 /// Clients that ask until they are stopped.
@@ -73,7 +73,7 @@
                     let mut client = Client {
                         spec,
                         zone,
-                        caller: Caller::new(address),
+                        caller: RequestClient::new(address),
                         name,
                         dice,
                         asked: 0,
@@ -109,33 +109,38 @@
 }
 
 /// One client's connection to a router: a request at a time, on a connection that is kept where it can be.
-pub struct Caller {
+pub struct RequestClient {
     address: SocketAddr,
     stream: Option<TcpStream>,
 }
 
-impl Caller {
+impl RequestClient {
     /// A client of this router, not yet connected.
     pub fn new(address: SocketAddr) -> Self {
-        Caller {
+        RequestClient {
             address,
             stream: None,
         }
     }
 
     /// Asks one thing and waits for its final answer; its value must end with the id.
-    pub fn ask(&mut self, statement: &str, id: &str, patience: Duration) -> Fate {
+    pub fn ask(&mut self, statement: &str, id: &str, patience: Duration) -> RequestOutcome {
         self.exchange(&format!("{statement}\0"), id.as_bytes(), patience + GRACE)
             .unwrap_or_else(|e| {
                 self.stream = None;
                 match e.kind() {
-                    ErrorKind::WouldBlock | ErrorKind::TimedOut => Fate::Unanswered,
-                    _ => Fate::Failed,
+                    ErrorKind::WouldBlock | ErrorKind::TimedOut => RequestOutcome::Unanswered,
+                    _ => RequestOutcome::Failed,
                 }
             })
     }
 
-    fn exchange(&mut self, statement: &str, id: &[u8], patience: Duration) -> io::Result<Fate> {
+    fn exchange(
+        &mut self,
+        statement: &str,
+        id: &[u8],
+        patience: Duration,
+    ) -> io::Result<RequestOutcome> {
         // Between requests the router may have closed; then a new connection is opened.
         let fresh = self.stream.as_ref().is_none_or(|s| {
             s.set_nonblocking(true).is_err()
@@ -156,21 +161,25 @@
         let mut out = Vec::new();
         wire::put(&mut out, b'Q', statement.as_bytes());
         stream.write_all(&out)?;
-        let mut fate = Fate::Failed;
+        let mut fate = RequestOutcome::Failed;
         loop {
             let (kind, body) = wire::message(stream)?;
             match kind {
                 b'D' => {
                     fate = if body.ends_with(id) {
-                        Fate::Served
+                        RequestOutcome::Served
                     } else {
-                        Fate::Foreign
+                        RequestOutcome::Foreign
                     }
                 }
                 b'E' => {
                     let text = String::from_utf8_lossy(&body);
                     let refused = text.contains("C53300\0") || text.contains("C57P03\0");
-                    fate = if refused { Fate::Refused } else { Fate::Failed };
+                    fate = if refused {
+                        RequestOutcome::Refused
+                    } else {
+                        RequestOutcome::Failed
+                    };
                 }
                 b'Z' => return Ok(fate),
                 _ => {}
@@ -182,7 +191,7 @@
 struct Client {
     spec: Spec,
     zone: usize,
-    caller: Caller,
+    caller: RequestClient,
     name: u64,
     dice: plovercove_simulation::Dice,
     asked: u64,
@@ -224,7 +233,7 @@
         found.unwrap_or(0)
     }
 
-    fn ask(&mut self, class: usize) -> Fate {
+    fn ask(&mut self, class: usize) -> RequestOutcome {
         self.asked += 1;
         let id = format!("{:x}{:08x}", self.name + 16, self.asked);
         let group = self.dice.random_range(0..self.spec.groups()) + 1;
--- a/emulator/src/trial.rs
+++ b/emulator/src/counting_node.rs
@@ -50,7 +50,7 @@
 }
 
 /// One db node.
-pub struct Trial {
+pub struct CountingNode {
     address: SocketAddr,
     inside: Arc<Mutex<Inside>>,
 }
@@ -59,7 +59,7 @@
     inside.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-impl Trial {
+impl CountingNode {
     /// A node that serves, as primary or as replica.
     ///
     /// # Errors
@@ -70,7 +70,7 @@
             primary,
             ..Inside::default()
         }));
-        let node = Trial {
+        let node = CountingNode {
             address: listener.local_addr()?,
             inside: inside.clone(),
         };
@@ -140,7 +140,7 @@
     }
 }
 
-impl Drop for Trial {
+impl Drop for CountingNode {
     fn drop(&mut self) {
         self.behave(Conduct {
             down: true,
--- a/emulator/src/rough.rs
+++ b/emulator/src/faulty_peers.rs
@@ -11,27 +11,27 @@
 
 /// What an agent does with a call.
 #[derive(Clone, Debug)]
-pub enum Says {
+pub enum AgentReply {
     /// Answers with this body.
     Body(String),
     /// Answers with this status and no body.
     Status(u16),
     /// Says nothing and keeps the connection open.
-    Nothing,
+    Silence,
     /// Sends the first half of this body and then nothing.
-    Half(String),
+    FirstHalf(String),
     /// Sends so many bytes of the answer with this body, head and all, and then nothing.
-    Part(String, usize),
+    FirstBytes(String, usize),
     /// Closes the connection.
-    Closes,
+    Close,
     /// Answers with this body and no length, and ends the connection.
-    Ends(String),
+    BodyThenClose(String),
     /// Answers with this body and no length, and resets the connection.
-    Resets(String),
+    BodyThenReset(String),
     /// Answers twice, in one write.
-    Twice(String, String),
+    TwoBodies(String, String),
     /// Resets the connection and says nothing.
-    Breaks,
+    Reset,
 }
 
 /// A call that waits for its part of the script looks so often whether the router still waits for it.
@@ -60,7 +60,7 @@
 /// answered with nothing new when its wait is over, and one for the whole list waits for what the script says next.
 pub struct Agent {
     address: SocketAddr,
-    script: Arc<(Mutex<Vec<Says>>, Condvar)>,
+    script: Arc<(Mutex<Vec<AgentReply>>, Condvar)>,
     calls: Arc<Mutex<Vec<Call>>>,
     down: Arc<AtomicBool>,
 }
@@ -79,7 +79,7 @@
     ///
     /// # Errors
     /// No port could be had.
-    pub fn start(mut script: Vec<Says>) -> io::Result<Self> {
+    pub fn start(mut script: Vec<AgentReply>) -> io::Result<Self> {
         script.reverse();
         let listener = TcpListener::bind(("127.0.0.1", 0))?;
         let agent = Agent {
@@ -103,12 +103,12 @@
     }
 
     /// From now on it resets its connections, and every new one at once.
-    pub fn goes_down(&self) {
+    pub fn go_down(&self) {
         self.down.store(true, Ordering::SeqCst);
     }
 
     /// It takes connections in again.
-    pub fn returns(&self) {
+    pub fn come_back(&self) {
         self.down.store(false, Ordering::SeqCst);
     }
 
@@ -118,7 +118,7 @@
     }
 
     /// Adds to the end of its script.
-    pub fn then(&self, says: Says) {
+    pub fn push_reply(&self, says: AgentReply) {
         self.script
             .0
             .lock()
@@ -140,7 +140,7 @@
     }
 
     /// Waits until it has been called so often.
-    pub fn called(&self, times: usize, within: Duration) -> bool {
+    pub fn wait_for_calls(&self, times: usize, within: Duration) -> bool {
         let until = Instant::now() + within;
         while self.calls().len() < times && Instant::now() < until {
             std::thread::sleep(Duration::from_millis(5));
@@ -150,7 +150,7 @@
 
     fn serve(
         connection: TcpStream,
-        script: &(Mutex<Vec<Says>>, Condvar),
+        script: &(Mutex<Vec<AgentReply>>, Condvar),
         calls: &Mutex<Vec<Call>>,
         down: &AtomicBool,
     ) -> io::Result<()> {
@@ -194,7 +194,7 @@
                 if until.is_some_and(|until| until <= Instant::now()) {
                     let nothing =
                         serde_json::json!({"index": version, "snapshot": false, "endpoints": []});
-                    break Says::Body(nothing.to_string());
+                    break AgentReply::Body(nothing.to_string());
                 }
                 let over = until.map_or(LOOKS, |until| {
                     until.saturating_duration_since(Instant::now())
@@ -206,41 +206,41 @@
             let head =
                 |length: usize| format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n");
             match says {
-                Says::Body(body) => write!(writer, "{}{body}", head(body.len()))?,
-                Says::Status(status) => {
+                AgentReply::Body(body) => write!(writer, "{}{body}", head(body.len()))?,
+                AgentReply::Status(status) => {
                     write!(writer, "HTTP/1.1 {status} No\r\nContent-Length: 0\r\n\r\n")?;
                 }
-                Says::Half(body) => {
+                AgentReply::FirstHalf(body) => {
                     write!(writer, "{}{}", head(body.len()), &body[..body.len() / 2])?
                 }
-                Says::Part(body, count) => {
+                AgentReply::FirstBytes(body, count) => {
                     let whole = head(body.len()) + &body;
                     writer.write_all(&whole.as_bytes()[..count.min(whole.len())])?;
                 }
-                Says::Closes => {
+                AgentReply::Close => {
                     said();
                     return writer.shutdown(Shutdown::Both);
                 }
-                Says::Ends(body) => {
+                AgentReply::BodyThenClose(body) => {
                     write!(writer, "HTTP/1.1 200 OK\r\n\r\n{body}")?;
                     said();
                     return writer.shutdown(Shutdown::Both);
                 }
-                Says::Resets(body) => {
+                AgentReply::BodyThenReset(body) => {
                     write!(writer, "HTTP/1.1 200 OK\r\n\r\n{body}")?;
                     said();
                     // Closed with nothing lingering: a reset, once the last owner goes.
                     return socket2::SockRef::from(&writer).set_linger(Some(Duration::ZERO));
                 }
-                Says::Breaks => {
+                AgentReply::Reset => {
                     said();
                     return socket2::SockRef::from(&writer).set_linger(Some(Duration::ZERO));
                 }
-                Says::Twice(one, two) => {
+                AgentReply::TwoBodies(one, two) => {
                     let both = [head(one.len()), one, head(two.len()), two].concat();
                     writer.write_all(both.as_bytes())?;
                 }
-                Says::Nothing => {
+                AgentReply::Silence => {
                     said();
                     // Until the router gives the connection up.
                     reader.read_to_end(&mut Vec::new())?;
@@ -257,25 +257,25 @@
 
 /// How a db node behaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Manner {
+pub enum NodeBehavior {
     /// Serves, and tells its position and load when asked.
-    Good,
+    Healthy,
     /// Nothing listens there.
-    Refuses,
+    RefuseConnection,
     /// Takes a connection in and closes it at once.
-    Closes,
+    CloseOnConnect,
     /// Takes a connection in and says nothing, ever.
     Silent,
     /// Greets, and closes when a statement comes.
-    ClosesOnWork,
+    CloseOnStatement,
     /// Greets, and says nothing more once a statement comes: what it has been sent waits until its router gives it up.
-    HoldsWork,
+    HangOnStatement,
     /// Serves, and takes its time over each statement.
     Slow,
     /// Serves, but its reports lack all fields but one.
     ShortReport,
     /// Serves, but its reports are no reports.
-    SpoiltReport,
+    MalformedReport,
 }
 
 #[derive(Default)]
@@ -297,9 +297,9 @@
     ///
     /// # Errors
     /// No port could be had.
-    pub fn start(manner: Manner, primary: bool) -> io::Result<Self> {
+    pub fn start(manner: NodeBehavior, primary: bool) -> io::Result<Self> {
         let counts = Arc::<Counts>::default();
-        if manner == Manner::Refuses {
+        if manner == NodeBehavior::RefuseConnection {
             let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None)?;
             socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())?;
             let address = socket
@@ -350,14 +350,14 @@
 
     fn talk(
         mut stream: TcpStream,
-        manner: Manner,
+        manner: NodeBehavior,
         primary: bool,
         counts: &Counts,
     ) -> io::Result<()> {
         stream.set_nodelay(true)?;
         match manner {
-            Manner::Closes => return stream.shutdown(Shutdown::Both),
-            Manner::Silent => return stream.read_to_end(&mut Vec::new()).map(drop),
+            NodeBehavior::CloseOnConnect => return stream.shutdown(Shutdown::Both),
+            NodeBehavior::Silent => return stream.read_to_end(&mut Vec::new()).map(drop),
             _ => {}
         }
         let role = if primary { "primary" } else { "standby" };
@@ -371,8 +371,10 @@
             if statement == "SHOW pressure" {
                 let position = crate::now() as f64 / 1e6;
                 let report = match manner {
-                    Manner::ShortReport => "util=0.2".to_string(),
-                    Manner::SpoiltReport => "x0=never,x1=,,inflight=-7=8,\u{fffd}".to_string(),
+                    NodeBehavior::ShortReport => "util=0.2".to_string(),
+                    NodeBehavior::MalformedReport => {
+                        "x0=never,x1=,,inflight=-7=8,\u{fffd}".to_string()
+                    }
                     _ => format!(
                         "x0={position:.6},x1={},inflight=0,util=0.10",
                         u8::from(primary)
@@ -386,12 +388,14 @@
                     .unwrap_or_else(PoisonError::into_inner)
                     .entry(id.into())
                     .or_default() += 1;
-                if manner == Manner::Slow {
+                if manner == NodeBehavior::Slow {
                     std::thread::sleep(SLOW);
                 }
                 match manner {
-                    Manner::ClosesOnWork => return stream.shutdown(Shutdown::Both),
-                    Manner::HoldsWork => return stream.read_to_end(&mut Vec::new()).map(drop),
+                    NodeBehavior::CloseOnStatement => return stream.shutdown(Shutdown::Both),
+                    NodeBehavior::HangOnStatement => {
+                        return stream.read_to_end(&mut Vec::new()).map(drop);
+                    }
                     _ => {}
                 }
                 wire::put_status(&mut out, "replication_role", role);
--- a/emulator/src/fleet.rs
+++ b/emulator/src/fleet.rs
@@ -87,7 +87,7 @@
                 draining: false,
             })
         });
-        self.agent.tell(entries);
+        self.agent.set_list(entries);
     }
 
     /// The processes of a zone's nodes die. The list and the groups follow in time; this returns when they have.
--- a/emulator/src/old.rs
+++ b/emulator/src/legacy_client.rs
@@ -8,7 +8,7 @@
 
 /// What it hears, in either version.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Heard {
+pub enum ServerMessage {
     /// The columns of a result: name and type.
     Columns(Vec<(String, u32)>),
     /// A row.
@@ -33,7 +33,7 @@
 const HANGS: Duration = Duration::from_secs(15);
 
 /// An old client.
-pub struct Old {
+pub struct LegacyClient {
     stream: TcpStream,
     two: bool,
     columns: usize,
@@ -55,13 +55,13 @@
     hex(&hash.finalize())
 }
 
-impl Old {
+impl LegacyClient {
     /// Connects and says nothing.
-    pub fn dial(address: SocketAddr, two: bool) -> io::Result<Self> {
+    pub fn open(address: SocketAddr, two: bool) -> io::Result<Self> {
         let stream = TcpStream::connect(address)?;
         stream.set_read_timeout(Some(HANGS))?;
         stream.set_nodelay(true)?;
-        Ok(Old {
+        Ok(LegacyClient {
             stream,
             two,
             columns: 0,
@@ -75,8 +75,8 @@
         two: bool,
         user: &str,
         password: &str,
-    ) -> io::Result<(Self, Vec<Heard>)> {
-        let mut old = Old::dial(address, two)?;
+    ) -> io::Result<(Self, Vec<ServerMessage>)> {
+        let mut old = LegacyClient::open(address, two)?;
         if two {
             let mut packet = vec![0u8; 296];
             packet[..8].copy_from_slice(b"\0\0\x01\x28\0\x02\0\0");
@@ -97,7 +97,7 @@
         Ok((old, heard))
     }
 
-    fn log_in(&mut self, user: &str, password: &str) -> io::Result<Vec<Heard>> {
+    fn log_in(&mut self, user: &str, password: &str) -> io::Result<Vec<ServerMessage>> {
         let mut heard = Vec::new();
         loop {
             let kind = self.byte()?;
@@ -132,7 +132,7 @@
                 }
                 kind => {
                     let said = self.rest(kind, length)?;
-                    if let Heard::Error(text) = said {
+                    if let ServerMessage::Error(text) = said {
                         return Err(bad(text));
                     }
                     heard.push(said);
@@ -154,25 +154,25 @@
     }
 
     /// Asks, without waiting for the answer.
-    pub fn ask(&mut self, text: &str) -> io::Result<()> {
+    pub fn send_query(&mut self, text: &str) -> io::Result<()> {
         let length = (text.len() as u32 + 5).to_be_bytes();
         let length: &[u8] = if self.two { b"" } else { &length };
         self.send(&[b"Q", length, text.as_bytes(), &[0]].concat())
     }
 
     /// Asks, and hears all up to where it is ready again, or to the error that ends the session.
-    pub fn query(&mut self, text: &str) -> io::Result<Vec<Heard>> {
-        self.ask(text)?;
-        self.hear()
+    pub fn query(&mut self, text: &str) -> io::Result<Vec<ServerMessage>> {
+        self.send_query(text)?;
+        self.receive_until_ready()
     }
 
     /// Hears all up to where it is ready again, or to the error that ends the session.
-    pub fn hear(&mut self) -> io::Result<Vec<Heard>> {
+    pub fn receive_until_ready(&mut self) -> io::Result<Vec<ServerMessage>> {
         let mut heard = Vec::new();
         loop {
             match self.one() {
                 Ok(said) => {
-                    let done = said == Heard::Ready;
+                    let done = said == ServerMessage::Ready;
                     heard.push(said);
                     if done {
                         return Ok(heard);
@@ -181,7 +181,7 @@
                 // The session was ended, and it was told why.
                 Err(e)
                     if e.kind() == io::ErrorKind::UnexpectedEof
-                        && matches!(heard.last(), Some(Heard::Error(_))) =>
+                        && matches!(heard.last(), Some(ServerMessage::Error(_))) =>
                 {
                     return Ok(heard);
                 }
@@ -191,11 +191,11 @@
     }
 
     /// Whether the other side closes the connection, with nothing more said.
-    pub fn ends(&mut self) -> bool {
+    pub fn is_closed_by_peer(&mut self) -> bool {
         matches!(self.stream.read(&mut [0]), Ok(0))
     }
 
-    fn one(&mut self) -> io::Result<Heard> {
+    fn one(&mut self) -> io::Result<ServerMessage> {
         let kind = self.byte()?;
         let length = if self.two { 0 } else { self.number()? as usize };
         if kind == b'P' && self.two {
@@ -207,7 +207,7 @@
         self.rest(kind, length)
     }
 
-    fn rest(&mut self, kind: u8, length: usize) -> io::Result<Heard> {
+    fn rest(&mut self, kind: u8, length: usize) -> io::Result<ServerMessage> {
         if self.two {
             self.rest_of_two(kind)
         } else {
@@ -215,7 +215,7 @@
         }
     }
 
-    fn rest_of_two(&mut self, kind: u8) -> io::Result<Heard> {
+    fn rest_of_two(&mut self, kind: u8) -> io::Result<ServerMessage> {
         Ok(match kind {
             b'T' => {
                 let mut columns = Vec::new();
@@ -226,7 +226,7 @@
                     columns.push((name, kind));
                 }
                 self.columns = columns.len();
-                Heard::Columns(columns)
+                ServerMessage::Columns(columns)
             }
             b'D' | b'B' => {
                 let bits = self.bytes(self.columns.div_ceil(8))?;
@@ -244,20 +244,20 @@
                         .ok_or_else(|| bad("a length under its own"))?;
                     values.push(Some(self.bytes(length as usize)?));
                 }
-                Heard::Row(values)
+                ServerMessage::Row(values)
             }
-            b'C' => Heard::Complete(self.text()?),
-            b'I' if self.text()?.is_empty() => Heard::Empty,
-            b'E' => Heard::Error(self.text()?),
-            b'N' => Heard::Notice(self.text()?),
-            b'Z' => Heard::Ready,
+            b'C' => ServerMessage::Complete(self.text()?),
+            b'I' if self.text()?.is_empty() => ServerMessage::Empty,
+            b'E' => ServerMessage::Error(self.text()?),
+            b'N' => ServerMessage::Notice(self.text()?),
+            b'Z' => ServerMessage::Ready,
             b'H' => {
                 let mut data = Vec::new();
                 while !data.ends_with(b"\\.\n") {
                     data.push(self.byte()?);
                 }
                 data.truncate(data.len() - 3);
-                Heard::Copied(data)
+                ServerMessage::Copied(data)
             }
             other => {
                 return Err(bad(format!(
@@ -268,7 +268,7 @@
         })
     }
 
-    fn rest_of_three(&mut self, kind: u8, length: usize) -> io::Result<Heard> {
+    fn rest_of_three(&mut self, kind: u8, length: usize) -> io::Result<ServerMessage> {
         let length = length
             .checked_sub(4)
             .ok_or_else(|| bad("an impossible length"))?;
@@ -308,7 +308,7 @@
                     ));
                     rest = &rest[end + 19..];
                 }
-                Heard::Columns(columns)
+                ServerMessage::Columns(columns)
             }
             b'D' => {
                 let (mut rest, mut values) = (&body[2..], Vec::new());
@@ -318,14 +318,14 @@
                     values.push((length >= 0).then(|| value.to_vec()));
                     rest = after;
                 }
-                Heard::Row(values)
+                ServerMessage::Row(values)
             }
-            b'C' => Heard::Complete(texts()[0].clone()),
-            b'I' => Heard::Empty,
-            b'E' => Heard::Error(told()?),
-            b'N' => Heard::Notice(told()?),
-            b'S' => Heard::Status(texts()[0].clone(), texts()[1].clone()),
-            b'Z' => Heard::Ready,
+            b'C' => ServerMessage::Complete(texts()[0].clone()),
+            b'I' => ServerMessage::Empty,
+            b'E' => ServerMessage::Error(told()?),
+            b'N' => ServerMessage::Notice(told()?),
+            b'S' => ServerMessage::Status(texts()[0].clone(), texts()[1].clone()),
+            b'Z' => ServerMessage::Ready,
             b'H' => {
                 let mut data = Vec::new();
                 loop {
@@ -334,7 +334,7 @@
                     let more = self.bytes(length - 4)?;
                     match kind {
                         b'd' => data.extend(more),
-                        b'c' => return Ok(Heard::Copied(data)),
+                        b'c' => return Ok(ServerMessage::Copied(data)),
                         other => return Err(bad(format!("{:?} amid a copy", other as char))),
                     }
                 }
@@ -385,7 +385,7 @@
 
 /// Asks that the session with this key be cancelled; true once the router has closed.
 pub fn cancel(address: SocketAddr, key: &(u32, Vec<u8>)) -> io::Result<bool> {
-    let mut old = Old::dial(address, false)?;
+    let mut old = LegacyClient::open(address, false)?;
     let length = (12 + key.1.len() as u32).to_be_bytes();
     old.send(
         &[
@@ -396,5 +396,5 @@
         ]
         .concat(),
     )?;
-    Ok(old.ends())
+    Ok(old.is_closed_by_peer())
 }
--- a/emulator/src/lib.rs
+++ b/emulator/src/lib.rs
@@ -4,23 +4,23 @@
 
 mod agent;
 mod client;
+pub mod counting_node;
+pub mod error_page;
+pub mod faulty_peers;
 mod fleet;
-pub mod held;
+pub mod legacy_client;
 pub mod links;
+pub mod manual_node;
 mod node;
-pub mod old;
-mod orphans;
-pub mod page;
+mod orphan_reaper;
 pub mod process;
-pub mod rough;
 pub mod server;
 mod shared;
-pub mod trial;
+pub mod tcp_relay;
 mod wire;
-pub mod wires;
 
 pub use agent::{Agent, Entry};
-pub use client::{Caller, Clients, Fate, Sample};
+pub use client::{Clients, RequestClient, RequestOutcome, Sample};
 pub use fleet::{Fleet, Tally};
 
 use plovercove::Time;
--- a/emulator/src/held.rs
+++ b/emulator/src/manual_node.rs
@@ -44,7 +44,7 @@
 }
 
 /// A db node that no connection comes up to: its queue is full.
-pub struct Deaf {
+pub struct FullQueueNode {
     node: Node,
     queue: Vec<TcpStream>,
 }
@@ -52,7 +52,7 @@
 /// So long a connection is waited for, to tell that the queue is full.
 const UP: Duration = Duration::from_millis(200);
 
-impl Deaf {
+impl FullQueueNode {
     /// A node that listens and is deaf; see `Node::start`.
     ///
     /// # Errors
@@ -67,7 +67,7 @@
         while let Ok(stream) = TcpStream::connect_timeout(&at, UP) {
             queue.push(stream);
         }
-        Ok(Deaf { node, queue })
+        Ok(FullQueueNode { node, queue })
     }
 
     /// Where it listens.
@@ -82,7 +82,7 @@
     ///
     /// # Errors
     /// What stood in the queue has gone.
-    pub fn opens(self) -> io::Result<Node> {
+    pub fn accept_connections(self) -> io::Result<Node> {
         for _ in &self.queue {
             self.node.0.accept()?;
         }
@@ -153,7 +153,7 @@
     ///
     /// # Errors
     /// The router has gone.
-    pub fn end(&self) -> io::Result<()> {
+    pub fn close_write(&self) -> io::Result<()> {
         self.0.shutdown(Shutdown::Write)
     }
 
@@ -169,7 +169,7 @@
     ///
     /// # Errors
     /// The router has gone, or takes nothing in.
-    pub fn say(&mut self, bytes: &[u8]) -> io::Result<()> {
+    pub fn send(&mut self, bytes: &[u8]) -> io::Result<()> {
         io::Write::write_all(&mut self.0, bytes)
     }
 
@@ -178,14 +178,14 @@
     /// # Errors
     /// The router has gone.
     pub fn answer(&mut self, id: &str) -> io::Result<()> {
-        self.answers(&[id])
+        self.answer_all(&[id])
     }
 
     /// Says these answers in one write, whatever came.
     ///
     /// # Errors
     /// The router has gone.
-    pub fn answers(&mut self, ids: &[&str]) -> io::Result<()> {
+    pub fn answer_all(&mut self, ids: &[&str]) -> io::Result<()> {
         let mut out = Vec::new();
         for id in ids {
             wire::put_row(&mut out, id.as_bytes());
--- a/emulator/src/process.rs
+++ b/emulator/src/process.rs
@@ -1,7 +1,7 @@
 //! A router's process: started, watched by its log, signalled by its id, and ended. The one owner of all three for the
 //! lab, the rig and the tests.
 
-use crate::orphans;
+use crate::orphan_reaper;
 use rustix::process::{Pid, Signal, kill_process};
 use std::fs;
 use std::io::{self, BufRead, BufReader};
@@ -19,7 +19,7 @@
 
 /// What is done to a process from outside.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Blow {
+pub enum ProcessSignal {
     /// SIGTERM: it finishes what it has taken and ends.
     Term,
     /// SIGKILL: it is gone at once.
@@ -31,7 +31,7 @@
     /// SIGHUP: it reads its files again.
     Reload,
     /// SIGUSR1: it tells its log what it believes, where it talks with other routers.
-    Tell,
+    LogState,
 }
 
 #[derive(Default)]
@@ -144,7 +144,7 @@
         let mut child = more(&mut command)
             .spawn()
             .map_err(|e| format!("{}: {e}", program.display()))?;
-        if let Err(e) = orphans::started(child.id()) {
+        if let Err(e) = orphan_reaper::started(child.id()) {
             let _ = child.kill();
             let _ = child.wait();
             return Err(format!(
@@ -218,25 +218,25 @@
     }
 
     /// Waits for a line of its log that holds these words.
-    pub fn says(&self, words: &str, within: Duration) -> Option<String> {
+    pub fn wait_for_line(&self, words: &str, within: Duration) -> Option<String> {
         self.log.find(within, |lines| {
             lines.iter().find(|line| line.contains(words)).cloned()
         })
     }
 
     /// Does this to it. It may have ended already, which is no fault.
-    pub fn strike(&mut self, blow: Blow) {
+    pub fn send_signal(&mut self, blow: ProcessSignal) {
         // Danger: the number of a process that has been waited for may be another's by now.
         if self.status().is_some() {
             return;
         }
         let signal = match blow {
-            Blow::Term => Signal::TERM,
-            Blow::Kill => Signal::KILL,
-            Blow::Stop => Signal::STOP,
-            Blow::Continue => Signal::CONT,
-            Blow::Reload => Signal::HUP,
-            Blow::Tell => Signal::USR1,
+            ProcessSignal::Term => Signal::TERM,
+            ProcessSignal::Kill => Signal::KILL,
+            ProcessSignal::Stop => Signal::STOP,
+            ProcessSignal::Continue => Signal::CONT,
+            ProcessSignal::Reload => Signal::HUP,
+            ProcessSignal::LogState => Signal::USR1,
         };
         if let Some(id) = i32::try_from(self.child.id()).ok().and_then(Pid::from_raw) {
             let _ = kill_process(id, signal);
@@ -246,12 +246,12 @@
     /// How it ended, if it has.
     fn status(&mut self) -> Option<ExitStatus> {
         let status = self.child.try_wait().ok().flatten()?;
-        orphans::ended(self.child.id());
+        orphan_reaper::ended(self.child.id());
         Some(status)
     }
 
     /// Waits for its end.
-    pub fn ended(&mut self, within: Duration) -> Option<ExitStatus> {
+    pub fn wait_for_exit(&mut self, within: Duration) -> Option<ExitStatus> {
         let until = Instant::now() + within;
         loop {
             if let Some(status) = self.status() {
@@ -270,7 +270,7 @@
         // Its own child, stopped or not: whoever wants it to end in peace has told it so before.
         let _ = self.child.kill();
         let _ = self.child.wait();
-        orphans::ended(self.child.id());
+        orphan_reaper::ended(self.child.id());
     }
 }
 
--- a/emulator/src/process/tests.rs
+++ b/emulator/src/process/tests.rs
@@ -39,19 +39,21 @@
         c.args(["-c", script]).stdin(Stdio::piped())
     })
     .expect("it says where it listens");
-    process.strike(Blow::Stop);
+    process.send_signal(ProcessSignal::Stop);
     drop(process.child.stdin.take());
     assert_eq!(
-        process.ended(Duration::from_millis(50)),
+        process.wait_for_exit(Duration::from_millis(50)),
         None,
         "it stands still"
     );
-    process.strike(Blow::Continue);
-    let status = process.ended(STARTS).expect("it goes on to its end");
+    process.send_signal(ProcessSignal::Continue);
+    let status = process
+        .wait_for_exit(STARTS)
+        .expect("it goes on to its end");
     assert_eq!(status.code(), Some(3));
-    process.strike(Blow::Kill);
+    process.send_signal(ProcessSignal::Kill);
     assert!(
-        process.says("never said", STARTS).is_none(),
+        process.wait_for_line("never said", STARTS).is_none(),
         "its log is over, so nobody waits"
     );
 }
--- a/emulator/src/server.rs
+++ b/emulator/src/server.rs
@@ -14,11 +14,11 @@
 
 /// How it lets clients in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Gate {
+pub enum LoginMethod {
     /// Everyone is welcome.
     Trust,
     /// The password in clear text.
-    Clear,
+    ClearText,
     /// MD5.
     Md5,
     /// SCRAM-SHA-256, beside one that the client cannot know.
@@ -26,18 +26,18 @@
     /// A method of that number, which no client here can meet.
     Other(u32),
     /// An error of that code instead of a login.
-    Refuses(&'static str),
+    Reject(&'static str),
 }
 
 /// What it does after a reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Then {
+pub enum AfterReply {
     /// It waits for the next query.
-    Stays,
+    KeepOpen,
     /// It closes the connection.
-    Closes,
+    Close,
     /// It waits for so many milliseconds, or until it is cancelled, and then says 57014.
-    Works(u64),
+    Work(u64),
 }
 
 /// What it answers to a query.
@@ -46,7 +46,7 @@
     /// Bytes, ReadyForQuery among them where there is to be one.
     pub bytes: Vec<u8>,
     /// What then.
-    pub then: Then,
+    pub then: AfterReply,
 }
 
 impl Answer {
@@ -54,7 +54,7 @@
     pub fn of(bytes: Vec<u8>) -> Self {
         Answer {
             bytes,
-            then: Then::Stays,
+            then: AfterReply::KeepOpen,
         }
     }
 }
@@ -80,7 +80,7 @@
 type Script = Arc<dyn Fn(&str) -> Answer + Send + Sync>;
 
 struct Shared {
-    gate: Mutex<Gate>,
+    gate: Mutex<LoginMethod>,
     minor: u32,
     greeting: Vec<u8>,
     script: Script,
@@ -150,7 +150,7 @@
 impl Server {
     /// Starts one that speaks version 3 up to this minor version.
     pub fn start(
-        gate: Gate,
+        gate: LoginMethod,
         minor: u32,
         script: impl Fn(&str) -> Answer + Send + Sync + 'static,
     ) -> io::Result<Self> {
@@ -159,7 +159,7 @@
 
     /// The same, with further messages before it is ready for the first query.
     pub fn greeting(
-        gate: Gate,
+        gate: LoginMethod,
         minor: u32,
         greeting: Vec<u8>,
         script: impl Fn(&str) -> Answer + Send + Sync + 'static,
@@ -199,7 +199,7 @@
     }
 
     /// From now on it lets clients in so.
-    pub fn set_gate(&self, gate: Gate) {
+    pub fn set_gate(&self, gate: LoginMethod) {
         *self.shared.gate.lock().expect("no thread panics with it") = gate;
     }
 
@@ -230,16 +230,16 @@
 }
 
 /// Whether the client is let in.
-fn gate(stream: &mut TcpStream, gate: Gate) -> io::Result<bool> {
+fn gate(stream: &mut TcpStream, gate: LoginMethod) -> io::Result<bool> {
     let text = |said: &[u8]| said.strip_suffix(&[0]).unwrap_or(said).to_vec();
     Ok(match gate {
-        Gate::Trust => true,
-        Gate::Clear => text(&ask(stream, 3, &[])?) == PASSWORD.as_bytes(),
-        Gate::Md5 => {
+        LoginMethod::Trust => true,
+        LoginMethod::ClearText => text(&ask(stream, 3, &[])?) == PASSWORD.as_bytes(),
+        LoginMethod::Md5 => {
             let kept = Verifier::md5_from_password(USER, PASSWORD.as_bytes());
             kept.matches_md5_response([5, 6, 7, 8], &text(&ask(stream, 5, &[5, 6, 7, 8])?))
         }
-        Gate::Scram => {
+        LoginMethod::Scram => {
             let Verifier::Scram(kept) =
                 Verifier::scram_from_password(PASSWORD.as_bytes(), &[3; 16], 4_096)
             else {
@@ -264,11 +264,11 @@
             ))?;
             true
         }
-        Gate::Other(number) => {
+        LoginMethod::Other(number) => {
             ask(stream, number, &[])?;
             false
         }
-        Gate::Refuses(code) => {
+        LoginMethod::Reject(code) => {
             stream.write_all(&fields(
                 b'E',
                 &[(b'S', "FATAL"), (b'C', code), (b'M', "no")],
@@ -374,9 +374,9 @@
         };
         stream.write_all(&answer.bytes)?;
         match answer.then {
-            Then::Stays => {}
-            Then::Closes => return Ok(()),
-            Then::Works(ms) => {
+            AfterReply::KeepOpen => {}
+            AfterReply::Close => return Ok(()),
+            AfterReply::Work(ms) => {
                 for _ in 0..ms {
                     if shared.cancelled.swap(false, Ordering::SeqCst) {
                         break;
--- a/emulator/src/wires.rs
+++ b/emulator/src/tcp_relay.rs
@@ -21,19 +21,19 @@
 }
 
 /// One wire.
-pub struct Wire {
+pub struct TcpRelay {
     address: SocketAddr,
     state: Arc<State>,
 }
 
-impl Wire {
+impl TcpRelay {
     /// A wire to this address.
     ///
     /// # Errors
     /// No port could be had.
     pub fn start(to: SocketAddr) -> io::Result<Self> {
         let listener = TcpListener::bind(("127.0.0.1", 0))?;
-        let wire = Wire {
+        let wire = TcpRelay {
             address: listener.local_addr()?,
             state: Arc::default(),
         };
@@ -75,7 +75,7 @@
     }
 }
 
-impl Drop for Wire {
+impl Drop for TcpRelay {
     fn drop(&mut self) {
         self.state.over.store(true, Ordering::Relaxed);
         // Wakes the thread that accepts, so that it ends.
--- a/experiments/src/cost.rs
+++ b/experiments/src/cost.rs
@@ -2,10 +2,10 @@
 //! before one scripted server, with the router's own CPU time beside it.
 
 use crate::error::Error;
-use plovercove_emulator::old::{Heard, Old};
+use plovercove_emulator::legacy_client::{LegacyClient, ServerMessage};
 use plovercove_emulator::process::{Folder, Process};
 use plovercove_emulator::server::{
-    Answer, Gate, PASSWORD, Server, USER, columns, complete, ready, row,
+    Answer, LoginMethod, PASSWORD, Server, USER, columns, complete, ready, row,
 };
 use serde_json::json;
 use std::net::SocketAddr;
@@ -107,36 +107,37 @@
 fn load(way: &Way, clients: usize, span: Duration) -> Result<u64, Error> {
     static NUMBER: AtomicU64 = AtomicU64::new(0);
     let until = Instant::now() + span;
-    let each = || -> Result<u64, Error> {
-        let (mut client, _) =
-            Old::connect(way.address, way.two, "app", APP.0).map_err(|source| Error::Client {
-                way: way.name,
-                source,
-            })?;
-        let mut answered = 0;
-        while Instant::now() < until {
-            let text = "SELECT body FROM trips WHERE id = '7f'";
-            let number = NUMBER.fetch_add(1, Ordering::Relaxed);
-            let heard = match way.labelled {
-                true => client.query(&format!(
-                    "/* id={number},c=look,t=acme,d=4000,cluster=2 */ {text}"
-                )),
-                false => client.query(text),
-            };
-            let heard = heard.map_err(|source| Error::Client {
-                way: way.name,
-                source,
-            })?;
-            if !heard.iter().any(|h| matches!(h, Heard::Row(_))) {
-                return Err(Error::Answer {
+    let each =
+        || -> Result<u64, Error> {
+            let (mut client, _) = LegacyClient::connect(way.address, way.two, "app", APP.0)
+                .map_err(|source| Error::Client {
                     way: way.name,
-                    heard: format!("{heard:?}"),
-                });
+                    source,
+                })?;
+            let mut answered = 0;
+            while Instant::now() < until {
+                let text = "SELECT body FROM trips WHERE id = '7f'";
+                let number = NUMBER.fetch_add(1, Ordering::Relaxed);
+                let heard = match way.labelled {
+                    true => client.query(&format!(
+                        "/* id={number},c=look,t=acme,d=4000,cluster=2 */ {text}"
+                    )),
+                    false => client.query(text),
+                };
+                let heard = heard.map_err(|source| Error::Client {
+                    way: way.name,
+                    source,
+                })?;
+                if !heard.iter().any(|h| matches!(h, ServerMessage::Row(_))) {
+                    return Err(Error::Answer {
+                        way: way.name,
+                        heard: format!("{heard:?}"),
+                    });
+                }
+                answered += 1;
             }
-            answered += 1;
-        }
-        Ok(answered)
-    };
+            Ok(answered)
+        };
     std::thread::scope(|scope| {
         let running: Vec<_> = (0..clients).map(|_| scope.spawn(each)).collect();
         running
@@ -161,7 +162,7 @@
         ready(b'I'),
     ]
     .concat();
-    let server = Server::start(Gate::Md5, 0, move |_| Answer::of(answer.clone()))?;
+    let server = Server::start(LoginMethod::Md5, 0, move |_| Answer::of(answer.clone()))?;
     let (router, _folder) = start(program, server.address())?;
     let [plain, forms] = *router.fronts() else {
         return Err(Error::Untold("further front"));
--- a/experiments/src/error/tests.rs
+++ b/experiments/src/error/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::experiment::Experiment;
 use crate::sockets;
-use plovercove_emulator::page;
+use plovercove_emulator::error_page;
 use plovercove_simulation::Spec;
 use std::collections::BTreeSet;
 use std::path::Path;
@@ -77,14 +77,14 @@
         },
         Error::Panicked,
     ];
-    let page = page::read();
+    let page = error_page::read();
     let mut names = BTreeSet::new();
     for fault in &all {
         let name: &'static str = fault.into();
         let (text, help) = (fault.to_string(), fault.help());
         // These two pass on a fault of the script.
         let passed_on = matches!(fault, Error::Script(_) | Error::Case { .. });
-        let mine = |row: &&page::Row| passed_on || row.variant == format!("lab::{name}");
+        let mine = |row: &&error_page::Row| passed_on || row.variant == format!("lab::{name}");
         assert!(
             page.iter().filter(mine).any(|row| row.says(&text, help)),
             "{name}: {text} (help: {help})"
--- a/experiments/src/faults/check.rs
+++ b/experiments/src/faults/check.rs
@@ -2,7 +2,7 @@
 
 use super::play::{Asked, End, Life, Record, rules};
 use super::{Trial, What};
-use plovercove_emulator::Fate;
+use plovercove_emulator::RequestOutcome;
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -125,7 +125,7 @@
         served: record
             .asked
             .iter()
-            .filter(|a| a.fate == Fate::Served)
+            .filter(|a| a.fate == RequestOutcome::Served)
             .count(),
         joined: record.joined,
         agreed: record.agreed.map_or(f64::NAN, |at| at - record.last),
@@ -171,13 +171,13 @@
             // Who asks a process that is killed, stopped or on its way out may be left without an answer.
             let excused = self.struck(*router, *at, at + took + RECOVERS);
             match fate {
-                Fate::Foreign => self.add(
+                RequestOutcome::Foreign => self.add(
                     "answers",
                     *at,
                     format!("n{router}"),
                     format!("{id}: another's value"),
                 ),
-                Fate::Unanswered if !excused => {
+                RequestOutcome::Unanswered if !excused => {
                     self.add(
                         "answers",
                         *at,
@@ -203,8 +203,8 @@
             let ran = self.record.wrote.get(id).copied().unwrap_or(0);
             let wrong = match fate {
                 _ if ran > 1 => true,
-                Fate::Served => ran != 1,
-                Fate::Refused => ran != 0,
+                RequestOutcome::Served => ran != 1,
+                RequestOutcome::Refused => ran != 0,
                 _ => false,
             };
             if wrong {
--- a/experiments/src/faults/play.rs
+++ b/experiments/src/faults/play.rs
@@ -2,11 +2,11 @@
 
 use super::{Trial, What, Zone};
 use crate::sockets;
+use plovercove_emulator::counting_node::{Conduct, CountingNode as Node};
 use plovercove_emulator::links::{Links, Passed, Weather};
-use plovercove_emulator::process::{Blow, Folder, Process};
-use plovercove_emulator::trial::{Conduct, Trial as Node};
-use plovercove_emulator::wires::Wire;
-use plovercove_emulator::{Agent, Caller, Entry, Fate};
+use plovercove_emulator::process::{Folder, Process, ProcessSignal};
+use plovercove_emulator::tcp_relay::TcpRelay;
+use plovercove_emulator::{Agent, Entry, RequestClient, RequestOutcome};
 use plovercove_gossip::{Envelope, Incarnation, Keys, Observation, Record as GossipRecord};
 use plovercove_simulation::{ClassSpec, Reads, Spec, ZoneSpec};
 use serde_json::{Map, Value, json};
@@ -83,7 +83,7 @@
     /// Whether it is a write.
     pub write: bool,
     /// How it ended.
-    pub fate: Fate,
+    pub fate: RequestOutcome,
 }
 
 /// A statement that came to a node.
@@ -197,7 +197,7 @@
     zone: usize,
     agent: Agent,
     /// To the agent, then to each node.
-    wires: Vec<Wire>,
+    wires: Vec<TcpRelay>,
     process: Option<(Process, f64)>,
     /// Lines of its log that were read already, and what they came to.
     read: usize,
@@ -278,7 +278,7 @@
         let agent = place
             .wires
             .first()
-            .map_or(place.agent.address(), Wire::address);
+            .map_or(place.agent.address(), TcpRelay::address);
         let config = sockets::config(&self.spec, n, &self.trial.zones[place.zone].name, agent);
         let name = if twin {
             format!("n{n}-twin")
@@ -338,15 +338,15 @@
         let used = cpu(process.id());
         let end = match told {
             Some(true) => {
-                let status = process.ended(ENDS);
+                let status = process.wait_for_exit(ENDS);
                 End::Terminated(status.and_then(|s| s.code()))
             }
             Some(false) => {
-                process.strike(Blow::Kill);
-                let _ = process.ended(ENDS);
+                process.send_signal(ProcessSignal::Kill);
+                let _ = process.wait_for_exit(ENDS);
                 End::Killed
             }
-            None => End::Itself(process.ended(Duration::ZERO).and_then(|s| s.code())),
+            None => End::Itself(process.wait_for_exit(Duration::ZERO).and_then(|s| s.code())),
         };
         let until = self.now();
         let log = process
@@ -377,17 +377,17 @@
     fn end(&mut self, n: usize, told: bool) {
         if let Some((mut process, from)) = self.places[n].process.take() {
             if told {
-                process.strike(Blow::Continue);
-                process.strike(Blow::Term);
+                process.send_signal(ProcessSignal::Continue);
+                process.send_signal(ProcessSignal::Term);
             }
             *lock(&self.listens[n]) = None;
             self.bury(n, false, process, from, Some(told));
         }
     }
 
-    fn strike(&mut self, n: usize, blow: Blow) {
+    fn strike(&mut self, n: usize, blow: ProcessSignal) {
         if let Some((process, _)) = &mut self.places[n].process {
-            process.strike(blow);
+            process.send_signal(blow);
         }
     }
 
@@ -407,7 +407,10 @@
                 let listing = &self.listings[n];
                 Entry {
                     name: listing.name.clone(),
-                    address: place.wires.get(n + 1).map_or(node.address(), Wire::address),
+                    address: place
+                        .wires
+                        .get(n + 1)
+                        .map_or(node.address(), TcpRelay::address),
                     zone: self.trial.zones[zone].name.clone(),
                     group: group as u64 + 1,
                     head: n.is_multiple_of(self.trial.members),
@@ -415,7 +418,7 @@
                     draining: listing.draining,
                 }
             });
-            place.agent.tell(entries);
+            place.agent.set_list(entries);
         }
     }
 
@@ -528,14 +531,14 @@
                 .for_each(|n| self.end(n, false)),
             What::Term { routers } => {
                 for n in self.routers(routers) {
-                    self.strike(n, Blow::Term);
+                    self.send_signal(n, ProcessSignal::Term);
                     *lock(&self.listens[n]) = None;
                 }
             }
             What::Stop { routers } => {
                 self.routers(routers)
                     .into_iter()
-                    .for_each(|n| self.strike(n, Blow::Stop));
+                    .for_each(|n| self.send_signal(n, ProcessSignal::Stop));
             }
             // Their steps are in the plan.
             What::Duty { .. } | What::Rolling { .. } => {}
@@ -628,7 +631,7 @@
             What::AgentSilent { routers } => {
                 self.routers(routers)
                     .into_iter()
-                    .for_each(|n| self.places[n].agent.hush(true));
+                    .for_each(|n| self.places[n].agent.set_silent(true));
             }
             What::Drain { nodes } => {
                 for n in self.nodes(nodes) {
@@ -664,11 +667,11 @@
             What::Stop { routers } | What::Duty { routers, .. } => {
                 self.routers(routers)
                     .into_iter()
-                    .for_each(|n| self.strike(n, Blow::Continue));
+                    .for_each(|n| self.send_signal(n, ProcessSignal::Continue));
             }
             What::Twin { .. } => {
                 for (n, mut process, from) in std::mem::take(&mut self.twins) {
-                    process.strike(Blow::Term);
+                    process.send_signal(ProcessSignal::Term);
                     self.bury(n, true, process, from, Some(true));
                 }
             }
@@ -697,7 +700,7 @@
             What::AgentSilent { routers } => {
                 self.routers(routers)
                     .into_iter()
-                    .for_each(|n| self.places[n].agent.hush(false));
+                    .for_each(|n| self.places[n].agent.set_silent(false));
             }
             What::Drain { nodes } => {
                 for n in self.nodes(nodes) {
@@ -824,7 +827,7 @@
         stop,
     } = client;
     let mut asked = Vec::new();
-    let mut caller: Option<(SocketAddr, Caller)> = None;
+    let mut caller: Option<(SocketAddr, RequestClient)> = None;
     let begun = Instant::now();
     let mut count = 0_u64;
     while !stop.load(Ordering::Relaxed) {
@@ -837,7 +840,7 @@
             continue;
         };
         if caller.as_ref().is_none_or(|(at, _)| *at != listen) {
-            caller = Some((listen, Caller::new(listen)));
+            caller = Some((listen, RequestClient::new(listen)));
         }
         let Some((_, talk)) = &mut caller else {
             continue;
@@ -892,7 +895,7 @@
         let ends = std::iter::once(agent.address()).chain(nodes.iter().map(Node::address));
         let ends = ends.filter(|_| trial.wires);
         let wires = ends
-            .map(Wire::start)
+            .map(TcpRelay::start)
             .collect::<Result<Vec<_>, _>>()
             .map_err(told)?;
         let levels = BTreeMap::new();
@@ -1005,8 +1008,8 @@
                 rig.bury(n, false, process, from, None);
             }
         } else {
-            rig.strike(n, Blow::Continue);
-            rig.strike(n, Blow::Term);
+            rig.send_signal(n, ProcessSignal::Continue);
+            rig.send_signal(n, ProcessSignal::Term);
         }
     }
     for n in 0..rig.zoned.len() {
@@ -1049,7 +1052,7 @@
 enum Step {
     Begin(usize),
     Finish(usize),
-    Strike(usize, Blow),
+    Strike(usize, ProcessSignal),
     Restart(usize),
 }
 
@@ -1070,8 +1073,8 @@
                 for n in rig.routers(routers) {
                     let mut at = fault.at;
                     while at + off < fault.until {
-                        plan.push((at, Step::Strike(n, Blow::Stop)));
-                        plan.push((at + off, Step::Strike(n, Blow::Continue)));
+                        plan.push((at, Step::Strike(n, ProcessSignal::Stop)));
+                        plan.push((at + off, Step::Strike(n, ProcessSignal::Continue)));
                         at += (on + off).max(0.02);
                     }
                 }
@@ -1094,7 +1097,7 @@
         match step {
             Step::Begin(key) => rig.begin(key, &trial.faults[key].what)?,
             Step::Finish(key) => rig.finish(key, &trial.faults[key].what)?,
-            Step::Strike(n, blow) => rig.strike(n, blow),
+            Step::Strike(n, blow) => rig.send_signal(n, blow),
             Step::Restart(n) => {
                 rig.end(n, true);
                 rig.again(n)?;
--- a/experiments/src/faults/tests.rs
+++ b/experiments/src/faults/tests.rs
@@ -3,7 +3,7 @@
 use super::check::{Broken, check};
 use super::play::{Asked, Done, End, Life, Met, Record};
 use super::{Trial, told};
-use plovercove_emulator::Fate;
+use plovercove_emulator::RequestOutcome;
 
 fn broken(check: &'static str, at: f64) -> Broken {
     Broken {
@@ -84,7 +84,7 @@
             took: 0.9,
             id: id.clone(),
             write: false,
-            fate: Fate::Refused,
+            fate: RequestOutcome::Refused,
         });
         let met = Met { at: 1.2, id };
         record.unserved[4].extend(std::iter::repeat_n(met, *count));
--- a/experiments/src/sockets.rs
+++ b/experiments/src/sockets.rs
@@ -1,8 +1,8 @@
 //! A small experiment on loopback sockets: stand-ins, and real router processes with tiers.
 
 use crate::error::Error;
-use plovercove_emulator::process::{Blow, Folder, Process};
-use plovercove_emulator::{Clients, Fate, Fleet, Sample, Tally};
+use plovercove_emulator::process::{Folder, Process, ProcessSignal};
+use plovercove_emulator::{Clients, Fleet, RequestOutcome, Sample, Tally};
 use plovercove_simulation::{Reads, Spec, Trouble, Variant};
 use serde::Serialize;
 use serde_json::json;
@@ -57,8 +57,8 @@
 impl Drop for Router {
     fn drop(&mut self) {
         // It finishes what it has taken, as in service; what does not end by then is killed.
-        self.process.strike(Blow::Term);
-        let _ = self.process.ended(ENDS);
+        self.process.send_signal(ProcessSignal::Term);
+        let _ = self.process.wait_for_exit(ENDS);
     }
 }
 
@@ -224,7 +224,7 @@
 }
 
 fn count(spec: &Spec, samples: &[Sample], tally: &Tally) -> Outcome {
-    let of = |fate: Fate| samples.iter().filter(|s| s.fate == fate).count();
+    let of = |fate: RequestOutcome| samples.iter().filter(|s| s.fate == fate).count();
     let mut worth = vec![(0.0, 0.0); spec.seconds.ceil() as usize];
     for s in samples {
         let class = &spec.classes[s.class];
@@ -232,7 +232,7 @@
             continue;
         };
         second.0 += class.worth;
-        if s.fate == Fate::Served {
+        if s.fate == RequestOutcome::Served {
             let in_time = s.took <= Duration::from_millis(class.aim_ms);
             second.1 += class.worth * if in_time { 1.0 } else { class.late };
         }
@@ -244,11 +244,11 @@
         .flat_map(|s| s.iter().enumerate().map(|(z, work)| work / capacity(z)));
     Outcome {
         requests: samples.len(),
-        served: of(Fate::Served),
-        refused: of(Fate::Refused),
-        failed: of(Fate::Failed),
-        unanswered: of(Fate::Unanswered),
-        foreign: of(Fate::Foreign),
+        served: of(RequestOutcome::Served),
+        refused: of(RequestOutcome::Refused),
+        failed: of(RequestOutcome::Failed),
+        unanswered: of(RequestOutcome::Unanswered),
+        foreign: of(RequestOutcome::Foreign),
         twice: tally.twice,
         fallen: tally.fallen,
         in_time: worth
--- a/router/src/upstream/tests.rs
+++ b/router/src/upstream/tests.rs
@@ -12,7 +12,7 @@
     Access, Class, DedupScope, Endpoint, EndpointState, EndpointUpdate, Idempotency, RequestInfo,
     Settings,
 };
-use plovercove_emulator::held::{Deaf, Link, Node};
+use plovercove_emulator::manual_node::{FullQueueNode, Link, Node};
 use plovercove_engine::{Command, Deadline, FinalAnswer};
 use plovercove_pgwire::messages;
 use plovercove_pgwire::reply::Shape;
@@ -74,7 +74,7 @@
 
 /// How a request ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-enum Fate {
+enum RequestOutcome {
     Served(String),
     Refused,
     Failed,
@@ -87,7 +87,7 @@
     upstream: Upstream,
     now: Time,
     statements: BTreeMap<u64, Rc<Statement>>,
-    ended: Vec<(Key, Fate)>,
+    ended: Vec<(Key, RequestOutcome)>,
     /// Nodes that attempts were sent to, in order.
     sent: Vec<NodeId>,
     version: u64,
@@ -204,7 +204,8 @@
                     .and_then(|at| served.reply.get(at + 6..at + 8))
                     .unwrap_or_default();
                 let value = String::from_utf8_lossy(value).into_owned();
-                self.ended.push((served.request, Fate::Served(value)));
+                self.ended
+                    .push((served.request, RequestOutcome::Served(value)));
             }
             let commands = self.engine.decide(self.now);
             if commands.is_empty() {
@@ -234,9 +235,9 @@
                 request, answer, ..
             } => {
                 let fate = if answer == FinalAnswer::Failed {
-                    Fate::Failed
+                    RequestOutcome::Failed
                 } else {
-                    Fate::Refused
+                    RequestOutcome::Refused
                 };
                 self.ended.push((request, fate));
             }
@@ -354,8 +355,8 @@
     }
 
     /// How this request ended; it has one end at the most.
-    fn fate(&self, request: Key) -> Option<Fate> {
-        let ends: Vec<&Fate> = self
+    fn fate(&self, request: Key) -> Option<RequestOutcome> {
+        let ends: Vec<&RequestOutcome> = self
             .ended
             .iter()
             .filter(|(key, _)| *key == request)
@@ -366,14 +367,14 @@
     }
 
     /// Takes in what comes until this request has ended.
-    fn end_of(&mut self, request: Key) -> Fate {
+    fn end_of(&mut self, request: Key) -> RequestOutcome {
         self.until(|pools| pools.fate(request).is_some());
         self.fate(request).expect("just seen")
     }
 }
 
-fn served(value: &str) -> Fate {
-    Fate::Served(value.into())
+fn served(value: &str) -> RequestOutcome {
+    RequestOutcome::Served(value.into())
 }
 
 fn at(node: &Node) -> SocketAddr {
@@ -428,7 +429,11 @@
         link.greet("primary").expect("the pools are there");
         pools.until(|pools| pools.upstream.pools["p"].connecting == 0);
         assert_eq!(pools.open(), (1, 0), "{asks:?}");
-        assert_eq!(link.has_come().expect("a socket"), None, "{asks:?}");
+        assert_eq!(
+            link.pending_statement().expect("a socket"),
+            None,
+            "{asks:?}"
+        );
         let heard = pools.upstream.take_query_outcomes();
         assert_eq!(
             heard.len(),
@@ -449,7 +454,11 @@
         pools.hears("p", EndpointState::Draining);
         question(&mut pools, asks);
         assert_eq!(pools.open(), (1, 0), "{asks:?}: nothing is put on it");
-        assert_eq!(link.has_come().expect("a socket"), None, "{asks:?}");
+        assert_eq!(
+            link.pending_statement().expect("a socket"),
+            None,
+            "{asks:?}"
+        );
         pools.told(false, &[("p", EndpointState::Draining, Some(at(&node)))]);
         closed(&mut link);
     }
@@ -627,7 +636,10 @@
             "not a byte of it came"
         );
         assert!(
-            request.is_none_or(|request| !matches!(pools.fate(request), Some(Fate::Served(_))))
+            request.is_none_or(|request| !matches!(
+                pools.fate(request),
+                Some(RequestOutcome::Served(_))
+            ))
         );
     }
 }
@@ -636,7 +648,7 @@
 fn what_waits_for_a_slow_connection_does_not_begin_once_its_node_leaves() {
     // The list has been told to the core, and the pools have not been told yet, or they have, too.
     for told in [false, true] {
-        let deaf = Deaf::start(HANGS).expect("a node");
+        let deaf = FullQueueNode::start(HANGS).expect("a node");
         let mut pools = Pools::new(settings());
         pools.told(
             true,
@@ -659,17 +671,17 @@
             assert_eq!(pools.open(), (0, 0), "it is not waited for");
         } else {
             pools.hears("p", EndpointState::Draining);
-            let node = deaf.opens().expect("it listens");
+            let node = deaf.accept_connections().expect("it listens");
             let mut link = pools.up(&node);
             link.greet("primary").expect("the pools are there");
             pools.until(|pools| pools.upstream.pools["p"].connecting == 0);
             assert_eq!(pools.open(), (1, 0));
-            assert_eq!(link.has_come().expect("a socket"), None);
+            assert_eq!(link.pending_statement().expect("a socket"), None);
         }
         pools.later(PATIENCE);
         assert_eq!(
             pools.fate(request),
-            Some(Fate::Refused),
+            Some(RequestOutcome::Refused),
             "it never ran; told: {told}"
         );
         assert_eq!(pools.sent, ["p".into()], "told: {told}");
@@ -785,7 +797,7 @@
     pools.later(PATIENCE);
     assert_eq!(
         (pools.fate(request), pools.fate(next)),
-        (Some(Fate::Refused), Some(Fate::Refused))
+        (Some(RequestOutcome::Refused), Some(RequestOutcome::Refused))
     );
 }
 
@@ -854,8 +866,8 @@
     assert_eq!(pools.open(), (2, 0));
     assert_eq!(
         (
-            one.has_come().expect("a socket"),
-            two.has_come().expect("a socket")
+            one.pending_statement().expect("a socket"),
+            two.pending_statement().expect("a socket")
         ),
         (None, None)
     );
@@ -972,7 +984,7 @@
         Ends::Resets => link.reset().expect("a socket"),
         Ends::SaysMore => {
             let mut link = link;
-            link.say(&ERROR[..9]).expect("the pools are there");
+            link.send(&ERROR[..9]).expect("the pools are there");
             return Some(link);
         }
     }
@@ -1028,7 +1040,7 @@
         Some("a1")
     );
     link.answer("a1").expect("the pools are there");
-    link.end().expect("the pools are there");
+    link.close_write().expect("the pools are there");
     assert_eq!(pools.end_of(first), served("a1"));
     serves(&mut pools, &node, "a2", second);
     assert_eq!(pools.sent, ["p".into(), "p".into()], "one attempt each");
@@ -1037,7 +1049,7 @@
 #[test]
 fn what_waits_behind_a_connection_begun_for_another_goes_elsewhere_with_it() {
     // The first request's client has gone; the second takes over its connection, which does not come up in its time.
-    let (deaf, p, r2) = (Deaf::start(HANGS).expect("a node"), node(), node());
+    let (deaf, p, r2) = (FullQueueNode::start(HANGS).expect("a node"), node(), node());
     let nowhere = deaf.address().expect("bound");
     let mut pools = Pools::new(settings());
     let serving = |at| (EndpointState::Serving, Some(at));
@@ -1110,7 +1122,7 @@
             } else {
                 assert_eq!(
                     pools.fate(request),
-                    Some(Fate::Failed),
+                    Some(RequestOutcome::Failed),
                     "nothing is promised"
                 );
             }
@@ -1123,8 +1135,8 @@
     // A second is left to the client, and the window for repeats is over: only what may always be repeated goes again.
     for (class, again, told) in [
         (READ, true, None),
-        (WRITE, false, Some(Fate::Failed)),
-        (KEYED, false, Some(Fate::Refused)),
+        (WRITE, false, Some(RequestOutcome::Failed)),
+        (KEYED, false, Some(RequestOutcome::Refused)),
     ] {
         let node = node();
         let mut pools = Pools::before(&[("p", &node)]);
@@ -1172,7 +1184,7 @@
     );
     assert_eq!(pools.fate(request), None);
     pools.later(PATIENCE);
-    assert_eq!(pools.fate(request), Some(Fate::Refused));
+    assert_eq!(pools.fate(request), Some(RequestOutcome::Refused));
 }
 
 #[test]
@@ -1188,7 +1200,7 @@
     let node = node();
     let mut pools = Pools::before(&[("p", &node)]);
     let (link, request) = half_written(&mut pools, &node);
-    link.end().expect("the pools are there");
+    link.close_write().expect("the pools are there");
     never_ran(&mut pools, request);
 }
 
@@ -1201,7 +1213,7 @@
         let mut pools = Pools::before(&[("p", &node)]);
         let (mut link, request) = half_written(&mut pools, &node);
         match error {
-            true => link.say(&[ERROR, ready].concat()),
+            true => link.send(&[ERROR, ready].concat()),
             false => link.answer("zz"),
         }
         .expect("the pools are there");
@@ -1287,7 +1299,7 @@
         pools.later(PATIENCE);
         let want = match first {
             First::FinalAnswer | First::AnswerInOneTurn => Some(served("a1")),
-            First::TimeOut | First::TimeOutInOneTurn => Some(Fate::Failed),
+            First::TimeOut | First::TimeOutInOneTurn => Some(RequestOutcome::Failed),
             First::GoneInOneTurn => None,
         };
         assert_eq!(
@@ -1323,13 +1335,13 @@
         if pools.fate(request).is_some() {
             break;
         }
-        link.say(&[*byte]).expect("the pools are there");
+        link.send(&[*byte]).expect("the pools are there");
         pools.turn();
         pools.later(SECOND);
     }
     assert_eq!(
         (pools.fate(request), pools.open()),
-        (Some(Fate::Failed), (0, 0))
+        (Some(RequestOutcome::Failed), (0, 0))
     );
     assert!(pools.now <= NOW + PATIENCE, "{}", pools.now - NOW);
     closed(&mut link);
@@ -1348,11 +1360,14 @@
         }
         pools.later(waits);
         pools.later(SECOND);
-        assert_eq!(pools.fate(request), (!gone).then_some(Fate::Refused));
+        assert_eq!(
+            pools.fate(request),
+            (!gone).then_some(RequestOutcome::Refused)
+        );
         // 1.5 s after it was begun.
         link.greet("primary").expect("the pools are there");
         pools.until(|pools| pools.upstream.pools["p"].idle.len() == 1);
-        assert_eq!(link.has_come().expect("a socket"), None);
+        assert_eq!(link.pending_statement().expect("a socket"), None);
         let next = pools.asks("a2", WRITE, 0);
         assert_eq!(
             link.statement().expect("a statement").as_deref(),
@@ -1381,7 +1396,7 @@
     pools.settle();
     assert_eq!(
         (pools.fate(request), pools.open()),
-        (Some(Fate::Refused), (0, 0))
+        (Some(RequestOutcome::Refused), (0, 0))
     );
     closed(&mut link);
 }
@@ -1399,17 +1414,20 @@
             link.statement().expect("a statement").as_deref(),
             Some("a1")
         );
-        link.say(said).expect("the pools are there");
+        link.send(said).expect("the pools are there");
         pools.turn();
         assert_eq!(
             (pools.fate(request), pools.open()),
             (None, (1, 1)),
             "it may say more"
         );
-        link.end().expect("the pools are there");
+        link.close_write().expect("the pools are there");
         pools.until(|pools| pools.open().1 == 0);
         assert_eq!(further(&mut pools, request, 1), again);
-        assert_eq!(pools.fate(request), (!again).then_some(Fate::Failed));
+        assert_eq!(
+            pools.fate(request),
+            (!again).then_some(RequestOutcome::Failed)
+        );
         closed(&mut link);
     }
 }
@@ -1427,7 +1445,7 @@
             Some("a1")
         );
         if at_once {
-            link.answers(&["a1", "b1"]).expect("the pools are there");
+            link.answer_all(&["a1", "b1"]).expect("the pools are there");
             assert_eq!(pools.end_of(request), served("a1"));
         } else {
             link.answer("a1").expect("the pools are there");
@@ -1460,7 +1478,7 @@
         let mut pools = Pools::before(&[("p", &node)]);
         let mut link = pools.idle("p", &node);
         let given_up = matches!(why, Why::GivenUp).then(|| pools.asks("a1", WRITE, 0));
-        link.say(&ERROR[..9]).expect("the pools are there");
+        link.send(&ERROR[..9]).expect("the pools are there");
         let keys = pools.comes();
         match why {
             Why::Wanted => pools.upstream.close_idle(&"p".into(), &mut pools.engine),
--- a/router/tests/bad_input.rs
+++ b/router/tests/bad_input.rs
@@ -1,9 +1,9 @@
 //! Bad input at the size of a large fleet: one of 300 routers before 120 db nodes, of which most misbehave, and an agent
 //! that says whatever a test words. Nothing sleeps for a fixed time; every wait has a condition and an end.
 
+use plovercove_emulator::faulty_peers::{Agent, AgentReply, Node, NodeBehavior};
 use plovercove_emulator::process::{Folder, Process};
-use plovercove_emulator::rough::{Agent, Manner, Node, Says};
-use plovercove_emulator::{Caller, Fate};
+use plovercove_emulator::{RequestClient, RequestOutcome};
 use serde_json::{Value, json};
 use std::collections::HashMap;
 use std::path::Path;
@@ -58,7 +58,7 @@
     (process.expect("the router starts"), folder)
 }
 
-fn ask(client: &mut Caller, id: &str, class: &str, group: usize) -> Fate {
+fn ask(client: &mut RequestClient, id: &str, class: &str, group: usize) -> RequestOutcome {
     let statement = format!(
         "/* id={id},c={class},t=acme,d={PATIENCE},cluster={group} */ SELECT body FROM objects WHERE oid = '7f'"
     );
@@ -115,23 +115,23 @@
 fn every_request_has_its_one_answer_whatever_most_nodes_do() {
     // Danger: at this size a router meets every kind of bad node at once, again and again.
     let manners = [
-        Manner::Good,
-        Manner::Refuses,
-        Manner::Closes,
-        Manner::Silent,
-        Manner::ClosesOnWork,
-        Manner::ShortReport,
-        Manner::SpoiltReport,
+        NodeBehavior::Healthy,
+        NodeBehavior::RefuseConnection,
+        NodeBehavior::CloseOnConnect,
+        NodeBehavior::Silent,
+        NodeBehavior::CloseOnStatement,
+        NodeBehavior::ShortReport,
+        NodeBehavior::MalformedReport,
     ];
     let nodes: Vec<Node> = (0..GROUPS * MEMBERS)
         .map(|n| {
             let (group, member) = (n / MEMBERS, n % MEMBERS);
             // Primaries are good but for three groups; replicas take turns with all the rest.
             let manner = match (group, member) {
-                (0, 0) => Manner::Refuses,
-                (1, 0) => Manner::Silent,
-                (2, 0) => Manner::ClosesOnWork,
-                (_, 0) => Manner::Good,
+                (0, 0) => NodeBehavior::RefuseConnection,
+                (1, 0) => NodeBehavior::Silent,
+                (2, 0) => NodeBehavior::CloseOnStatement,
+                (_, 0) => NodeBehavior::Healthy,
                 _ => manners[(group + member) % manners.len()],
             };
             Node::start(manner, member == 0).expect("a node")
@@ -142,12 +142,13 @@
         .enumerate()
         .map(|(n, node)| entry(n, node, n % MEMBERS == 0, "active"))
         .collect();
-    let agent = Agent::start(vec![Says::Body(listing(42, true, &entries))]).expect("an agent");
+    let agent =
+        Agent::start(vec![AgentReply::Body(listing(42, true, &entries))]).expect("an agent");
     let (router, _folder) = start("rough-nodes", &agent, &entries);
     let (listen, begun) = (router.listen(), Instant::now());
     let client = |n: usize| {
         std::thread::spawn(move || {
-            let mut client = Caller::new(listen);
+            let mut client = RequestClient::new(listen);
             let classes = ["search", "look", "book"];
             (0..EACH)
                 .map(|k| {
@@ -166,9 +167,12 @@
         .into_iter()
         .flat_map(|c| c.join().expect("a client"))
         .collect();
-    let count = |fate: Fate| answers.iter().filter(|(_, _, f)| *f == fate).count();
+    let count = |fate: RequestOutcome| answers.iter().filter(|(_, _, f)| *f == fate).count();
     assert_eq!(
-        (count(Fate::Unanswered), count(Fate::Foreign)),
+        (
+            count(RequestOutcome::Unanswered),
+            count(RequestOutcome::Foreign)
+        ),
         (0, 0),
         "of {}",
         answers.len()
@@ -177,16 +181,16 @@
         .iter()
         .filter(|(class, group, _)| *class == "book" && *group > 3);
     let (all, good) = writes.fold((0, 0), |n, w| {
-        (n.0 + 1, n.1 + usize::from(w.2 == Fate::Served))
+        (n.0 + 1, n.1 + usize::from(w.2 == RequestOutcome::Served))
     });
     assert!(
         good * 4 >= all * 3,
         "{good} of {all} writes to good primaries were served"
     );
     assert!(
-        count(Fate::Served) * 2 > answers.len(),
+        count(RequestOutcome::Served) * 2 > answers.len(),
         "{} served of {}",
-        count(Fate::Served),
+        count(RequestOutcome::Served),
         answers.len()
     );
     // A write runs once at the most, over all nodes.
@@ -225,7 +229,7 @@
     // Danger: what one agent says goes for all that a router knows. A list without nodes closed them all, changes of an
     // older version opened what drains, and one unknown word kept all later news out.
     let nodes: Vec<Node> = (0..MEMBERS)
-        .map(|n| Node::start(Manner::Good, n == 0).expect("a node"))
+        .map(|n| Node::start(NodeBehavior::Healthy, n == 0).expect("a node"))
         .collect();
     let entries = |status: &str| -> Vec<Value> {
         let state = |n| if n == 3 { status } else { "active" };
@@ -235,24 +239,24 @@
             .map(|(n, node)| entry(n, node, n == 0, state(n)))
             .collect()
     };
-    let good = |index| Says::Body(listing(index, true, &entries("active")));
+    let good = |index| AgentReply::Body(listing(index, true, &entries("active")));
     let agent = Agent::start(vec![good(42)]).expect("an agent");
     let (router, _folder) = start("rough-lists", &agent, &entries("active"));
-    let mut client = Caller::new(router.listen());
+    let mut client = RequestClient::new(router.listen());
     let mut asked = 0;
     let mut serves = |when: &str| {
         for class in ["search", "look", "book"] {
             asked += 1;
             assert_eq!(
                 ask(&mut client, &format!("{asked:x}"), class, 1),
-                Fate::Served,
+                RequestOutcome::Served,
                 "{class} {when}"
             );
         }
     };
     serves("at the start");
     let stays = |cause: &str| {
-        let line = router.says(&format!("discovery: {cause}"), HANGS);
+        let line = router.wait_for_line(&format!("discovery: {cause}"), HANGS);
         assert!(
             line.is_some_and(|l| l.contains("the list stays as it is")),
             "{cause}: {:?}",
@@ -260,31 +264,41 @@
         );
     };
     let bad = [
-        (Says::Body(listing(43, true, &[])), "the list names nobody"),
         (
-            Says::Body(listing(7, false, &entries("left"))),
+            AgentReply::Body(listing(43, true, &[])),
+            "the list names nobody",
+        ),
+        (
+            AgentReply::Body(listing(7, false, &entries("left"))),
             "changes of version 7, which is older",
         ),
-        (Says::Status(503), "the agent answered with status 503"),
-        (Says::Closes, "the agent closed the connection"),
-        (Says::Body("{\"index\":".into()), ""),
         (
-            Says::Body("{\"index\":44,\"snapshot\":true}".into()),
+            AgentReply::Status(503),
+            "the agent answered with status 503",
+        ),
+        (AgentReply::Close, "the agent closed the connection"),
+        (AgentReply::Body("{\"index\":".into()), ""),
+        (
+            AgentReply::Body("{\"index\":44,\"snapshot\":true}".into()),
             "endpoints",
         ),
         (
-            Says::Body(listing(60, false, &entries("resting"))),
+            AgentReply::Body(listing(60, false, &entries("resting"))),
             "endpoints[3].status: \"resting\" is unknown",
         ),
     ];
     let calls = bad.len();
     for (n, (says, cause)) in bad.into_iter().enumerate() {
-        agent.then(says);
+        agent.push_reply(says);
         stays(cause);
         serves(cause);
         // The next call is answered well, so that pauses stay short, and the one after it waits.
-        agent.then(good(50 + n as u64));
-        assert!(agent.called(3 + 2 * n, HANGS), "{:?}", agent.calls());
+        agent.push_reply(good(50 + n as u64));
+        assert!(
+            agent.wait_for_calls(3 + 2 * n, HANGS),
+            "{:?}",
+            agent.calls()
+        );
     }
     let whole = |call: &String| call.starts_with("GET /api/targets HTTP");
     assert!(
@@ -292,9 +306,9 @@
         "what was doubted is asked for whole"
     );
     // A word that comes again is no accident: its node drains, and the news beside it goes through.
-    agent.then(Says::Body(listing(70, true, &entries("resting"))));
-    agent.then(Says::Body(listing(70, true, &entries("resting"))));
-    let said = router.says("its node counts as draining", HANGS);
+    agent.push_reply(AgentReply::Body(listing(70, true, &entries("resting"))));
+    agent.push_reply(AgentReply::Body(listing(70, true, &entries("resting"))));
+    let said = router.wait_for_line("its node counts as draining", HANGS);
     assert!(
         said.is_some_and(|line| line.contains("\"resting\" is unknown")),
         "{:?}",
--- a/router/tests/duties.rs
+++ b/router/tests/duties.rs
@@ -2,9 +2,9 @@
 //! owners and deciders fail.
 
 use plovercove::{Endpoint, EndpointUpdate, NodeId, Settings};
-use plovercove_emulator::process::{Blow, Folder, Process};
-use plovercove_emulator::trial::Trial;
-use plovercove_emulator::{Agent, Caller, Entry, Fate};
+use plovercove_emulator::counting_node::CountingNode;
+use plovercove_emulator::process::{Folder, Process, ProcessSignal};
+use plovercove_emulator::{Agent, Entry, RequestClient, RequestOutcome};
 use plovercove_engine::Engine;
 use plovercove_poller::{Events, Poll};
 use plovercove_router::net::budget::Budget;
@@ -45,7 +45,7 @@
 struct Fleet {
     folder: Folder,
     agent: Agent,
-    nodes: Vec<Trial>,
+    nodes: Vec<CountingNode>,
     places: Vec<SocketAddr>,
     processes: BTreeMap<usize, Process>,
     duties: bool,
@@ -66,11 +66,11 @@
         folder
             .write("key", "a key of enough bytes\n")
             .expect("a file");
-        let nodes: Vec<Trial> = (0..4)
-            .map(|n| Trial::start(n % 2 == 0).expect("a node"))
+        let nodes: Vec<CountingNode> = (0..4)
+            .map(|n| CountingNode::start(n % 2 == 0).expect("a node"))
             .collect();
         let agent = Agent::start().expect("an agent");
-        agent.tell(nodes.iter().enumerate().map(|(n, node)| Entry {
+        agent.set_list(nodes.iter().enumerate().map(|(n, node)| Entry {
             name: format!("s{n}"),
             address: node.address(),
             zone: "z".into(),
@@ -159,7 +159,7 @@
     fn tells(&mut self, n: usize) -> Value {
         let process = self.processes.get_mut(&n).expect("it runs");
         let before = process.lines().len();
-        process.strike(Blow::Tell);
+        process.send_signal(ProcessSignal::LogState);
         let until = Instant::now() + HANGS;
         loop {
             let said = process.since(before);
@@ -226,7 +226,7 @@
     }
 
     fn probes(&self) -> u64 {
-        self.nodes.iter().map(Trial::probes).sum()
+        self.nodes.iter().map(CountingNode::probes).sum()
     }
 
     /// Reports that nodes were asked for within a time, while each router has a client.
@@ -270,7 +270,7 @@
             let (listen, n) = (process.listen(), *n);
             let (stop, served, all) = (load.stop.clone(), load.served.clone(), load.all.clone());
             load.threads.push(std::thread::spawn(move || {
-                let mut caller = Caller::new(listen);
+                let mut caller = RequestClient::new(listen);
                 let mut count = 0_u64;
                 while !stop.load(Ordering::Relaxed) {
                     count += 1;
@@ -280,7 +280,7 @@
                         format!("/* id={id},c=look,d=1000,cluster={group} */ SELECT 'k'");
                     let fate = caller.ask(&statement, &id, Duration::from_millis(1_000));
                     all.fetch_add(1, Ordering::Relaxed);
-                    served.fetch_add(u64::from(fate == Fate::Served), Ordering::Relaxed);
+                    served.fetch_add(u64::from(fate == RequestOutcome::Served), Ordering::Relaxed);
                     std::thread::sleep(Duration::from_millis(10));
                 }
             }));
@@ -349,7 +349,7 @@
         .processes
         .get_mut(&old)
         .expect("it runs")
-        .strike(Blow::Stop);
+        .send_signal(ProcessSignal::Stop);
     let stopped = fleet.processes.remove(&old).expect("it runs");
     let (next, newer) = fleet.settled()[duty];
     assert!(newer > token && next != old, "the token rises");
@@ -358,7 +358,7 @@
         .processes
         .get_mut(&old)
         .expect("it runs")
-        .strike(Blow::Continue);
+        .send_signal(ProcessSignal::Continue);
     wait("it does not notice that it stood still", &fleet, || {
         fleet.line(old, "reason", "stood still").is_some()
     });
@@ -380,7 +380,7 @@
         .processes
         .get_mut(&owner)
         .expect("it runs")
-        .strike(Blow::Kill);
+        .send_signal(ProcessSignal::Kill);
     fleet.processes.remove(&owner);
     let (next, newer) = fleet.settled()[duty];
     let gap = killed.elapsed();
@@ -396,13 +396,17 @@
     // Told to end: it hands over first, and clients are not kept waiting for that.
     let load = Load::start(&fleet);
     let mut ending = fleet.processes.remove(&next).expect("it runs");
-    ending.strike(Blow::Term);
-    let line = ending.says("\"handed over\"", HANGS);
+    ending.send_signal(ProcessSignal::Term);
+    let line = ending.wait_for_line("\"handed over\"", HANGS);
     assert!(line.is_some(), "{:?}", ending.lines());
     let after = fleet.settled();
     assert!(after[duty].1 > newer, "{after:?}");
     load.end();
-    assert!(ending.ended(HANGS).is_some_and(|status| status.success()));
+    assert!(
+        ending
+            .wait_for_exit(HANGS)
+            .is_some_and(|status| status.success())
+    );
 }
 
 #[test]
@@ -414,7 +418,7 @@
         .processes
         .get_mut(&1)
         .expect("it runs")
-        .strike(Blow::Kill);
+        .send_signal(ProcessSignal::Kill);
     fleet.processes.remove(&1);
     let path = fleet.folder.path().join("n1.kept");
     let whole = std::fs::read(&path).expect("it was kept");
@@ -443,7 +447,7 @@
             .processes
             .get_mut(&n)
             .expect("it runs")
-            .strike(Blow::Kill);
+            .send_signal(ProcessSignal::Kill);
         fleet.processes.remove(&n);
     }
     wait("no majority is not told", &fleet, || {
@@ -467,7 +471,7 @@
 fn a_question_whose_lease_is_over_does_not_leave() {
     // Danger: a question that waited for its connection while the process was stopped would leave after its lease, beside
     // those of the new owner; a node cannot tell them apart.
-    let node = Trial::start(true).expect("a node");
+    let node = CountingNode::start(true).expect("a node");
     let (poll, budget) = (Poll::new().expect("a poller"), Budget::new(1 << 24));
     let mut upstream = Upstream::new(
         &poll,
--- a/router/tests/errors.rs
+++ b/router/tests/errors.rs
@@ -2,7 +2,7 @@
 //! the page with its text and its help; and the page has no other.
 
 use plovercove::Settings;
-use plovercove_emulator::page::{self, Row};
+use plovercove_emulator::error_page::{self, Row};
 use plovercove_gossip::{Keys, Rules as PeerRules};
 use plovercove_locality::{Rules as TierRules, ZoneFailover};
 use plovercove_pgwire::login::LoginError;
@@ -395,7 +395,7 @@
     of_labels(&mut all);
     of_router(&mut all, &files);
     of_operators(&mut all, &files);
-    let page = page::read();
+    let page = error_page::read();
     for Seen(variant, text, help) in &all {
         let passed_on = PASSED_ON.contains(&variant.as_str());
         let mine = |row: &&Row| passed_on || row.variant == *variant;
--- a/router/tests/peers.rs
+++ b/router/tests/peers.rs
@@ -1,8 +1,8 @@
 //! Talk between routers, from the outside: off it is not there; on, operators are told what is wrong, keys are changed in
 //! service, and a router says what it believes when asked.
 
-use plovercove_emulator::process::{Blow, Folder, Process};
-use plovercove_emulator::rough::{Agent, Says};
+use plovercove_emulator::faulty_peers::{Agent, AgentReply};
+use plovercove_emulator::process::{Folder, Process, ProcessSignal};
 use serde_json::json;
 use std::path::Path;
 use std::process::Command;
@@ -30,7 +30,7 @@
 
 fn agent() -> Agent {
     let list = json!({"index": 1, "snapshot": true, "endpoints": []}).to_string();
-    Agent::start(vec![Says::Body(list)]).expect("an agent")
+    Agent::start(vec![AgentReply::Body(list)]).expect("an agent")
 }
 
 fn start(folder: &Folder, agent: &Agent, name: &str, operators: Option<&str>) -> Process {
@@ -95,9 +95,12 @@
     let empty = start(&folder, &agent, "empty", Some("tiers = None\n"));
     let on = start(&folder, &agent, "on", Some(&block(&folder, KEY, "")));
     for process in [&off, &empty, &on] {
-        assert!(process.says("serving", HANGS).is_some());
+        assert!(process.wait_for_line("serving", HANGS).is_some());
     }
-    assert!(agent.called(3, HANGS), "all have called their agent");
+    assert!(
+        agent.wait_for_calls(3, HANGS),
+        "all have called their agent"
+    );
     let count = |p: &Process| descriptors(p.id()).len();
     assert_eq!(
         (
@@ -126,7 +129,7 @@
         "with",
         Some(&(block(&folder, KEY, "") + &duties(&["127.0.0.1:9"; 3]))),
     );
-    assert!(with.says("serving", HANGS).is_some());
+    assert!(with.wait_for_line("serving", HANGS).is_some());
     // Its call to the agent may still be on its way.
     let until = Instant::now() + HANGS;
     while (datagram_sockets(with.id()), count(&with)) != (1, count(&on)) {
@@ -135,8 +138,8 @@
     }
     let mut on = on;
     for process in [&mut on, &mut with] {
-        process.strike(Blow::Tell);
-        assert!(process.says("gossip state", HANGS).is_some());
+        process.send_signal(ProcessSignal::LogState);
+        assert!(process.wait_for_line("gossip state", HANGS).is_some());
     }
     let said = |p: &Process| {
         p.lines()
@@ -318,7 +321,7 @@
 fn a_key_is_changed_in_service_and_two_routers_never_lose_each_other() {
     // Danger: where all must change at once, all are strangers to each other for as long as that takes.
     let (folder, agent) = (Folder::new("peers-keys").expect("a folder"), agent());
-    agent.then(Says::Nothing);
+    agent.push_reply(AgentReply::Silence);
     let fast = ", \"probe_ms\": 200, \"answer_ms\": 60, \"suspect_ms\": 600, \"gossip_ms\": 60, \"repair_ms\": 200, \"datagrams_per_s\": 200";
     let one = start(&folder, &agent, "one", Some(&block(&folder, KEY, fast)));
     let line = one
@@ -339,7 +342,7 @@
     let mut one = one;
     for process in [&one, &two] {
         assert!(
-            process.says("seen=2", HANGS).is_some(),
+            process.wait_for_line("seen=2", HANGS).is_some(),
             "{:?}",
             process.lines()
         );
@@ -359,7 +362,7 @@
                 .write(&format!("{name}.star"), &text)
                 .expect("a file");
             let before = process.lines().len();
-            process.strike(Blow::Reload);
+            process.send_signal(ProcessSignal::Reload);
             let taken = || {
                 process
                     .since(before)
@@ -377,7 +380,7 @@
         let before = (sent(&one), sent(&two));
         for process in [&mut one, &mut two] {
             let lines = process.lines().len();
-            process.strike(Blow::Tell);
+            process.send_signal(ProcessSignal::LogState);
             let until = Instant::now() + HANGS;
             let told = |p: &Process| {
                 p.since(lines)
@@ -399,8 +402,11 @@
             one.lines()
         );
     }
-    two.strike(Blow::Term);
-    assert!(two.ended(HANGS).is_some_and(|status| status.success()));
+    two.send_signal(ProcessSignal::Term);
+    assert!(
+        two.wait_for_exit(HANGS)
+            .is_some_and(|status| status.success())
+    );
     // Who leaves is missed at once.
-    assert!(one.says("a router is down", HANGS).is_some());
+    assert!(one.wait_for_line("a router is down", HANGS).is_some());
 }
--- a/router/tests/standing.rs
+++ b/router/tests/standing.rs
@@ -4,9 +4,9 @@
 #[allow(dead_code, reason = "each test of the standing test uses a part of it")]
 mod standing_fleet;
 
-use plovercove_emulator::process::{Blow, Process};
-use plovercove_emulator::rough::{Agent, Manner, Node, Says};
-use plovercove_emulator::{Caller, Fate};
+use plovercove_emulator::faulty_peers::{Agent, AgentReply, Node, NodeBehavior};
+use plovercove_emulator::process::{Process, ProcessSignal};
+use plovercove_emulator::{RequestClient, RequestOutcome};
 use standing_fleet::{DEADLINE, HANGS, Start, ask, group, listing, statement, with_status};
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -136,24 +136,25 @@
 /// A router that serves on a list that its agent has told, and what must outlive it.
 fn served(
     name: &str,
-    manners: [Manner; 3],
+    manners: [NodeBehavior; 3],
     sockets: u32,
 ) -> (Process, Vec<Node>, Agent, impl Sized) {
     let (nodes, entries) = group(manners);
-    let agent = Agent::start(vec![Says::Body(listing(42, &entries))]).expect("an agent");
+    let agent = Agent::start(vec![AgentReply::Body(listing(42, &entries))]).expect("an agent");
     let (router, folder) = Start {
         sockets,
         ..Start::before(name, &agent, &entries)
     }
     .run();
-    assert!(agent.called(2, HANGS), "the list is followed");
+    assert!(agent.wait_for_calls(2, HANGS), "the list is followed");
     (router, nodes, agent, folder)
 }
 
 #[test]
 fn a_planned_restart_loses_nothing_that_was_taken_while_clients_send_on() {
     // Danger: clients send on every connection that stays open up to SIGKILL, and what was taken must be answered.
-    let (mut router, nodes, _agent, _folder) = served("standing-restart", [Manner::Slow; 3], 512);
+    let (mut router, nodes, _agent, _folder) =
+        served("standing-restart", [NodeBehavior::Slow; 3], 512);
     let listen = router.listen();
     // Half ask once at a time, the others always have a further request on the way.
     let clients: Vec<_> = (0..12)
@@ -165,22 +166,22 @@
         std::thread::sleep(Duration::from_millis(5));
     }
     let term = Instant::now();
-    router.strike(Blow::Term);
+    router.send_signal(ProcessSignal::Term);
     let mut newcomers = 0;
     while term.elapsed() < NEWCOMERS {
         newcomers += 1;
         let id = format!("f{newcomers:06x}");
         assert_eq!(
-            ask(&mut Caller::new(listen), &id, "look"),
-            Fate::Served,
+            ask(&mut RequestClient::new(listen), &id, "look"),
+            RequestOutcome::Served,
             "at {:?}",
             term.elapsed()
         );
     }
     assert!(newcomers >= 2, "{newcomers} came");
     let kill = term + DEADLINE + KILL_AFTER;
-    router.ended(kill.saturating_duration_since(Instant::now()));
-    router.strike(Blow::Kill);
+    router.wait_for_exit(kill.saturating_duration_since(Instant::now()));
+    router.send_signal(ProcessSignal::Kill);
     let seen: Vec<Seen> = clients
         .into_iter()
         .map(|c| c.join().expect("a client"))
@@ -214,7 +215,7 @@
 fn who_came_just_before_the_listener_closed_is_answered() {
     // Danger: taken in and closed with its request on the way, it would be a connection closed without an answer.
     let (mut router, _nodes, _agent, _folder) =
-        served("standing-late-comer", [Manner::Good; 3], 512);
+        served("standing-late-comer", [NodeBehavior::Healthy; 3], 512);
     let listen = router.listen();
     let (mut silent, mut greeted) = (
         Raw::connect(listen).expect("up"),
@@ -222,7 +223,7 @@
     );
     greeted.greet().expect("it reads");
     assert_eq!(greeted.hear(), Heard::Ready);
-    router.strike(Blow::Term);
+    router.send_signal(ProcessSignal::Term);
     let until = Instant::now() + HANGS;
     // The connections that it leaves waiting are not taken in any more once this is refused.
     while TcpStream::connect(listen).is_ok() {
@@ -236,12 +237,17 @@
     greeted.query(&statement("a2", "look")).expect("it reads");
     assert_eq!((silent.hear(), silent.hear()), (Heard::Ready, Heard::Row));
     assert_eq!(greeted.hear(), Heard::Row);
-    assert!(router.ended(HANGS).is_some_and(|status| status.success()));
+    assert!(
+        router
+            .wait_for_exit(HANGS)
+            .is_some_and(|status| status.success())
+    );
 }
 
 #[test]
 fn who_never_asks_is_told_before_it_is_closed_and_holds_up_no_end() {
-    let (mut router, _nodes, _agent, _folder) = served("standing-mute", [Manner::Good; 3], 512);
+    let (mut router, _nodes, _agent, _folder) =
+        served("standing-mute", [NodeBehavior::Healthy; 3], 512);
     let mut mute = Raw::connect(router.listen()).expect("up");
     // One that has asked before, and has begun a message that it never ends.
     let mut half = Raw::connect(router.listen()).expect("up");
@@ -255,9 +261,13 @@
         "the mute one has been taken in before"
     );
     let term = Instant::now();
-    router.strike(Blow::Term);
+    router.send_signal(ProcessSignal::Term);
     assert_eq!(mute.hear(), Heard::Error("53300".into()));
-    assert!(router.ended(HANGS).is_some_and(|status| status.success()));
+    assert!(
+        router
+            .wait_for_exit(HANGS)
+            .is_some_and(|status| status.success())
+    );
     assert!(
         term.elapsed() < DEADLINE + KILL_AFTER,
         "it ended after {:?}",
@@ -271,7 +281,8 @@
     // limit are told at a time. All places are held by requests on slow nodes, and mute ones come first. The requests are
     // writes that have been sent: others use their attempts up within the 300 ms that the mute ones have, and free the
     // places again.
-    let (router, _nodes, _agent, _folder) = served("standing-places", [Manner::HoldsWork; 3], 64);
+    let (router, _nodes, _agent, _folder) =
+        served("standing-places", [NodeBehavior::HangOnStatement; 3], 64);
     let listen = router.listen();
     let mut held = Vec::new();
     // All places are taken, however many there are, once one that comes is told so.
@@ -314,7 +325,8 @@
 #[test]
 fn a_crowd_that_comes_at_once_is_answered_one_by_one() {
     // Danger: those who have come and not spoken yet give way to the next, and would be closed without a word.
-    let (router, _nodes, _agent, _folder) = served("standing-crowd", [Manner::Good; 3], 64);
+    let (router, _nodes, _agent, _folder) =
+        served("standing-crowd", [NodeBehavior::Healthy; 3], 64);
     let listen = router.listen();
     let mut crowd: Vec<Raw> = (0..80).map(|_| Raw::connect(listen).expect("up")).collect();
     for (n, client) in crowd.iter_mut().enumerate() {
@@ -336,18 +348,22 @@
 #[test]
 fn what_was_never_sent_on_is_refused_not_failed() {
     // Danger: a failure says that the outcome is unknown, and a client must not come again with a write.
-    for (n, primary) in [Manner::Refuses, Manner::Closes, Manner::Silent]
-        .into_iter()
-        .enumerate()
+    for (n, primary) in [
+        NodeBehavior::RefuseConnection,
+        NodeBehavior::CloseOnConnect,
+        NodeBehavior::Silent,
+    ]
+    .into_iter()
+    .enumerate()
     {
         let name = format!("standing-unsent-{n}");
         let (router, nodes, _agent, _folder) = served(&name, [primary; 3], 512);
-        let mut client = Caller::new(router.listen());
+        let mut client = RequestClient::new(router.listen());
         for k in 0..4 {
             let fate = ask(&mut client, &format!("e{k}"), "book");
             assert_eq!(
                 fate,
-                Fate::Refused,
+                RequestOutcome::Refused,
                 "a write to nodes that are all {primary:?}"
             );
         }
@@ -362,23 +378,23 @@
 
 #[test]
 fn it_is_ready_whatever_discovery_does_at_the_start() {
-    let (_nodes, entries) = group([Manner::Good; 3]);
+    let (_nodes, entries) = group([NodeBehavior::Healthy; 3]);
     let whole = listing(42, &entries);
     let starts = [
-        ("nothing", Some(Says::Nothing)),
-        ("closes", Some(Says::Closes)),
+        ("nothing", Some(AgentReply::Silence)),
+        ("closes", Some(AgentReply::Close)),
         ("refused", None),
-        ("503", Some(Says::Status(503))),
+        ("503", Some(AgentReply::Status(503))),
         (
             "garbage",
-            Some(Says::Body("\u{0}\u{1}]]{\"index\":".into())),
+            Some(AgentReply::Body("\u{0}\u{1}]]{\"index\":".into())),
         ),
-        ("other", Some(Says::Body("[1, 2, 3]".into()))),
-        ("nobody", Some(Says::Body(listing(42, &[])))),
-        ("half", Some(Says::Half(whole.clone()))),
-        ("head", Some(Says::Part(whole, 17))),
+        ("other", Some(AgentReply::Body("[1, 2, 3]".into()))),
+        ("nobody", Some(AgentReply::Body(listing(42, &[])))),
+        ("half", Some(AgentReply::FirstHalf(whole.clone()))),
+        ("head", Some(AgentReply::FirstBytes(whole, 17))),
     ];
-    let one = |(name, says): (&str, Option<Says>)| {
+    let one = |(name, says): (&str, Option<AgentReply>)| {
         for known in [&entries[..], &[]] {
             let agent = Agent::start(says.iter().cloned().collect()).expect("an agent");
             let free = TcpListener::bind("127.0.0.1:0")
@@ -394,10 +410,10 @@
             let (router, _folder) = start.run();
             assert!(ready(router.listen()), "{name}");
             if !known.is_empty() {
-                let fate = ask(&mut Caller::new(router.listen()), "a7", "look");
+                let fate = ask(&mut RequestClient::new(router.listen()), "a7", "look");
                 assert_eq!(
                     fate,
-                    Fate::Served,
+                    RequestOutcome::Served,
                     "{name}: what it remembers is enough to serve"
                 );
             }
@@ -427,32 +443,36 @@
 
 #[test]
 fn lists_may_come_indented() {
-    let (nodes, entries) = group([Manner::Good; 3]);
+    let (nodes, entries) = group([NodeBehavior::Healthy; 3]);
     let changes = |index, entries: &[serde_json::Value]| {
         indented(&listing(index, entries)).replace("true", "false")
     };
-    let agent = Agent::start(vec![Says::Body(indented(&listing(42, &entries)))]).expect("an agent");
+    let agent =
+        Agent::start(vec![AgentReply::Body(indented(&listing(42, &entries)))]).expect("an agent");
     let (router, _folder) = Start::before("standing-indented", &agent, &[]).run();
-    assert!(agent.called(2, HANGS), "{:?}", router.lines());
-    let mut client = Caller::new(router.listen());
+    assert!(agent.wait_for_calls(2, HANGS), "{:?}", router.lines());
+    let mut client = RequestClient::new(router.listen());
     assert_eq!(
         ask(&mut client, "a1", "look"),
-        Fate::Served,
+        RequestOutcome::Served,
         "{:?}",
         router.lines()
     );
-    agent.then(Says::Body(changes(
+    agent.push_reply(AgentReply::Body(changes(
         43,
         &with_status(&entries, 1, "left")[1..2],
     )));
     assert!(
-        agent.called(3, HANGS) && agent.calls()[2].contains("after=43"),
+        agent.wait_for_calls(3, HANGS) && agent.calls()[2].contains("after=43"),
         "{:?}",
         router.lines()
     );
     let before = nodes[1].ran().len();
     for n in 0..20 {
-        assert_eq!(ask(&mut client, &format!("b{n:x}"), "look"), Fate::Served);
+        assert_eq!(
+            ask(&mut client, &format!("b{n:x}"), "look"),
+            RequestOutcome::Served
+        );
     }
     assert_eq!(
         nodes[1].ran().len(),
@@ -468,10 +488,13 @@
 
 /// Asks often enough that a node in use would get some: this one, whose going the router has followed, gets nothing.
 fn spares(router: &Process, node: &Node) {
-    let mut client = Caller::new(router.listen());
+    let mut client = RequestClient::new(router.listen());
     let before = node.ran().len();
     for n in 0..40 {
-        assert_eq!(ask(&mut client, &format!("f{n:04x}"), "look"), Fate::Served);
+        assert_eq!(
+            ask(&mut client, &format!("f{n:04x}"), "look"),
+            RequestOutcome::Served
+        );
     }
     assert_eq!(
         node.ran().len(),
@@ -483,9 +506,9 @@
 #[test]
 fn a_new_process_asks_before_it_serves_and_follows_at_once() {
     // Danger: what the agent has counts as told from the first moment, whatever the process remembers.
-    let (nodes, entries) = group([Manner::Good; 3]);
+    let (nodes, entries) = group([NodeBehavior::Healthy; 3]);
     for pushed in [false, true] {
-        let agent = Agent::start(vec![Says::Body(listing(
+        let agent = Agent::start(vec![AgentReply::Body(listing(
             42,
             &with_status(&entries, 2, "left"),
         ))])
@@ -497,7 +520,7 @@
             ..Start::before(&name, &agent, &entries)
         }
         .run();
-        assert!(agent.called(2, HANGS), "{:?}", router.lines());
+        assert!(agent.wait_for_calls(2, HANGS), "{:?}", router.lines());
         let asked = agent.times()[0].0 - begun;
         assert!(
             asked < Duration::from_secs(2),
@@ -510,11 +533,14 @@
 #[test]
 fn what_changed_while_no_watch_was_open_is_asked_for_at_once() {
     // Danger: with pushed lists it counts as told though no watch is open.
-    let (nodes, entries) = group([Manner::Good; 3]);
+    let (nodes, entries) = group([NodeBehavior::Healthy; 3]);
     for pushed in [false, true] {
-        let agent =
-            Agent::start(vec![Says::Body(listing(42, &entries)), Says::Closes]).expect("an agent");
-        agent.then(Says::Body(listing(
+        let agent = Agent::start(vec![
+            AgentReply::Body(listing(42, &entries)),
+            AgentReply::Close,
+        ])
+        .expect("an agent");
+        agent.push_reply(AgentReply::Body(listing(
             43,
             &with_status(&entries, 2, "leaving"),
         )));
@@ -524,7 +550,7 @@
             ..Start::before(&name, &agent, &entries)
         }
         .run();
-        assert!(agent.called(4, HANGS), "{:?}", router.lines());
+        assert!(agent.wait_for_calls(4, HANGS), "{:?}", router.lines());
         let times = agent.times();
         let pause = times[2].0 - times[1].1.expect("it closed");
         assert!(
@@ -537,23 +563,23 @@
 
 #[test]
 fn a_moved_discovery_is_followed_within_four_seconds() {
-    let (nodes, entries) = group([Manner::Good; 3]);
-    let agent = Agent::start(vec![Says::Body(listing(42, &entries))]).expect("an agent");
+    let (nodes, entries) = group([NodeBehavior::Healthy; 3]);
+    let agent = Agent::start(vec![AgentReply::Body(listing(42, &entries))]).expect("an agent");
     // Its versions are counted anew, from below.
-    let next = Agent::start(vec![Says::Body(listing(
+    let next = Agent::start(vec![AgentReply::Body(listing(
         3,
         &with_status(&entries, 2, "leaving"),
     ))])
     .expect("an agent");
     let start = Start::before("standing-moved", &agent, &entries);
     let (mut router, folder) = start.run();
-    assert!(agent.called(2, HANGS), "{:?}", router.lines());
+    assert!(agent.wait_for_calls(2, HANGS), "{:?}", router.lines());
     folder
         .write("config.json", &start.config(&next.address().to_string()))
         .expect("a file");
     let struck = Instant::now();
-    router.strike(Blow::Reload);
-    assert!(next.called(2, HANGS), "{:?}", router.lines());
+    router.send_signal(ProcessSignal::Reload);
+    assert!(next.wait_for_calls(2, HANGS), "{:?}", router.lines());
     let followed = next.times()[1].0;
     assert!(
         followed - struck < Duration::from_secs(4),
--- a/router/tests/standing_clients.rs
+++ b/router/tests/standing_clients.rs
@@ -4,8 +4,8 @@
 #[allow(dead_code, reason = "each test of the standing test uses a part of it")]
 mod standing_fleet;
 
-use plovercove_emulator::process::{Blow, Process};
-use plovercove_emulator::rough::{Agent, Manner, Node, Says};
+use plovercove_emulator::faulty_peers::{Agent, AgentReply, Node, NodeBehavior};
+use plovercove_emulator::process::{Process, ProcessSignal};
 use standing_fleet::{HANGS, Start, group, listing, statement};
 use std::collections::HashSet;
 use std::io::{ErrorKind, Read, Write};
@@ -115,7 +115,7 @@
 /// Starts a router with a list from its agent. Returns the router, its nodes, and what must outlive the router.
 fn start_router(
     name: &str,
-    manners: [Manner; 3],
+    manners: [NodeBehavior; 3],
     sockets: u32,
 ) -> (Process, Vec<Node>, impl Sized) {
     start_router_with_log_level(name, manners, sockets, "info")
@@ -124,18 +124,18 @@
 /// Does the same with a log level.
 fn start_router_with_log_level(
     name: &str,
-    manners: [Manner; 3],
+    manners: [NodeBehavior; 3],
     sockets: u32,
     log: &str,
 ) -> (Process, Vec<Node>, impl Sized + use<>) {
     let (nodes, entries) = group(manners);
-    let agent = Agent::start(vec![Says::Body(listing(42, &entries))]).expect("an agent");
+    let agent = Agent::start(vec![AgentReply::Body(listing(42, &entries))]).expect("an agent");
     let (router, folder) = Start {
         sockets,
         ..Start::before(name, &agent, &entries)
     }
     .run_logging(log);
-    assert!(agent.called(2, HANGS), "the list is followed");
+    assert!(agent.wait_for_calls(2, HANGS), "the list is followed");
     (router, nodes, (agent, folder))
 }
 
@@ -164,7 +164,7 @@
     // no longer wants it.
     let (router, nodes, _guard) = start_router(
         "clients-cancel",
-        [Manner::Slow, Manner::Slow, Manner::Slow],
+        [NodeBehavior::Slow, NodeBehavior::Slow, NodeBehavior::Slow],
         512,
     );
     let listen = router.listen();
@@ -198,7 +198,8 @@
 #[test]
 fn a_request_that_is_cancelled_before_its_attempt_is_written_is_never_sent_on() {
     // Connections to these nodes are never established, so that the attempt of the request is never written.
-    let (router, nodes, _guard) = start_router("clients-cancel-early", [Manner::Silent; 3], 512);
+    let (router, nodes, _guard) =
+        start_router("clients-cancel-early", [NodeBehavior::Silent; 3], 512);
     let listen = router.listen();
     let mut client = RawClient::connect(listen);
     client.send_query(&statement("b1", "look"));
@@ -217,21 +218,21 @@
 fn a_cancel_request_that_is_read_before_its_query_cancels_it() {
     // The cancel request and the query arrive while the router is stopped, so that it may read either one first.
     let (mut router, nodes, _guard) =
-        start_router("clients-cancel-crossed", [Manner::Good; 3], 512);
+        start_router("clients-cancel-crossed", [NodeBehavior::Healthy; 3], 512);
     let listen = router.listen();
     for waits in [true, false] {
         let mut client = RawClient::connect(listen);
         // The connection is accepted before the stop, so that it is read at once after it.
         let mut canceller = RawClient::connect_without_login(listen);
         serve_another_client(listen, &format!("c0{}", u8::from(waits)));
-        router.strike(Blow::Stop);
+        router.send_signal(ProcessSignal::Stop);
         canceller.send(&cancel_request(&client.cancel_key));
         if !waits {
             canceller.stream.shutdown(Shutdown::Both).expect("it is up");
         }
         let id = format!("c1{}", u8::from(waits));
         client.send_query(&statement(&id, "look"));
-        router.strike(Blow::Continue);
+        router.send_signal(ProcessSignal::Continue);
         assert_eq!(
             client.read_answer(),
             "57014",
@@ -244,7 +245,8 @@
 
 #[test]
 fn cancel_requests_are_processed_without_free_slots_and_during_the_shutdown() {
-    let (mut router, _nodes, _guard) = start_router("clients-cancel-full", [Manner::Silent; 3], 64);
+    let (mut router, _nodes, _guard) =
+        start_router("clients-cancel-full", [NodeBehavior::Silent; 3], 64);
     let listen = router.listen();
     // Requests occupy all 20 slots.
     let mut busy: Vec<RawClient> = (0..20).map(|_| RawClient::connect(listen)).collect();
@@ -253,8 +255,8 @@
     }
     cancel(listen, &busy[3].cancel_key);
     assert_eq!(busy[3].read_answer(), "57014");
-    router.strike(Blow::Term);
-    assert!(router.says("SIGTERM", HANGS).is_some());
+    router.send_signal(ProcessSignal::Term);
+    assert!(router.wait_for_line("SIGTERM", HANGS).is_some());
     cancel(listen, &busy[4].cancel_key);
     assert_eq!(busy[4].read_answer(), "57014");
 }
@@ -265,7 +267,11 @@
     // sent on, one after the other. The primary does not answer, so that no answer makes room before the close.
     for close_kind in ["close", "reset", "half"] {
         let name = format!("clients-much-{close_kind}");
-        let manners = [Manner::HoldsWork, Manner::Good, Manner::Good];
+        let manners = [
+            NodeBehavior::HangOnStatement,
+            NodeBehavior::Healthy,
+            NodeBehavior::Healthy,
+        ];
         let (mut router, nodes, _guard) = start_router_with_log_level(&name, manners, 512, "debug");
         let listen = router.listen();
         let mut client = RawClient::connect(listen);
@@ -288,17 +294,21 @@
         drop(client);
         // It is the only client so far: what the log reports after this line was decided after the client's close.
         assert!(
-            router.says("closed client=", HANGS).is_some(),
+            router.wait_for_line("closed client=", HANGS).is_some(),
             "{close_kind}"
         );
         // The log covers a later read and the shutdown, at the end of which nothing is left to do.
         let mut other = RawClient::connect(listen);
         other.send_query(&statement("b1", "look"));
         other.read_answer();
-        router.strike(Blow::Term);
-        assert!(router.ended(HANGS).is_some_and(|status| status.success()));
+        router.send_signal(ProcessSignal::Term);
         assert!(
-            router.says("all is answered", HANGS).is_some(),
+            router
+                .wait_for_exit(HANGS)
+                .is_some_and(|status| status.success())
+        );
+        assert!(
+            router.wait_for_line("all is answered", HANGS).is_some(),
             "the log is read to the end"
         );
         let lines = router.lines();
@@ -336,13 +346,14 @@
 fn a_request_that_is_read_after_its_client_has_closed_is_never_sent_on() {
     // If the event loop was busy, it could read the request and begin it, and detect the client's close only in its next
     // turn.
-    let (mut router, nodes, _guard) = start_router("clients-gone-unread", [Manner::Good; 3], 512);
+    let (mut router, nodes, _guard) =
+        start_router("clients-gone-unread", [NodeBehavior::Healthy; 3], 512);
     let listen = router.listen();
     let mut clients: Vec<RawClient> = (0..8).map(|_| RawClient::connect(listen)).collect();
     // For this client, startup packet, request and close arrive together.
     clients.push(RawClient::connect_without_login(listen));
     serve_another_client(listen, "f0");
-    router.strike(Blow::Stop);
+    router.send_signal(ProcessSignal::Stop);
     for (n, mut client) in clients.into_iter().enumerate() {
         let startup = if n == 8 {
             &b"\0\0\0\x11\0\x03\0\0user\0me\0\0"[..]
@@ -354,11 +365,15 @@
         drop(client);
         arrival::wait_for_acknowledgement(port);
     }
-    router.strike(Blow::Continue);
+    router.send_signal(ProcessSignal::Continue);
     serve_another_client(listen, "f2");
     // All requests that the router begins have been begun when it exits.
-    router.strike(Blow::Term);
-    assert!(router.ended(HANGS).is_some_and(|status| status.success()));
+    router.send_signal(ProcessSignal::Term);
+    assert!(
+        router
+            .wait_for_exit(HANGS)
+            .is_some_and(|status| status.success())
+    );
     let begun: Vec<_> = (0..9)
         .map(|n| format!("f1{n:x}"))
         .filter(|id| has_run(&nodes, id))
@@ -373,7 +388,8 @@
 fn bytes_that_cross_the_close_of_an_idle_client_reset_nothing_and_are_not_sent_on() {
     // If the router closed the connection at once, bytes that cross the close would reset it and destroy an answer on its
     // way. If the router sent a request on that it read after the close, its answer would be lost.
-    let (router, nodes, _guard) = start_router("clients-close-crossed", [Manner::Good; 3], 64);
+    let (router, nodes, _guard) =
+        start_router("clients-close-crossed", [NodeBehavior::Healthy; 3], 64);
     let listen = router.listen();
     // Idle clients may occupy 6 of the 20 slots, so the seventh idle client evicts the first.
     let mut idle_clients: Vec<RawClient> = Vec::new();
@@ -406,7 +422,8 @@
 
 #[test]
 fn idle_clients_do_not_delay_the_shutdown() {
-    let (mut router, _nodes, _guard) = start_router("clients-rest", [Manner::Good; 3], 512);
+    let (mut router, _nodes, _guard) =
+        start_router("clients-rest", [NodeBehavior::Healthy; 3], 512);
     let mut idle_clients: Vec<RawClient> = (0..4)
         .map(|_| RawClient::connect(router.listen()))
         .collect();
@@ -415,10 +432,14 @@
         assert_eq!(client.read_answer(), "row");
     }
     let signalled_at = Instant::now();
-    router.strike(Blow::Term);
+    router.send_signal(ProcessSignal::Term);
     // A second SIGTERM changes nothing.
-    router.strike(Blow::Term);
-    assert!(router.ended(HANGS).is_some_and(|status| status.success()));
+    router.send_signal(ProcessSignal::Term);
+    assert!(
+        router
+            .wait_for_exit(HANGS)
+            .is_some_and(|status| status.success())
+    );
     assert!(
         signalled_at.elapsed() < Duration::from_millis(1_500),
         "the router exited after {:?}",
@@ -437,9 +458,10 @@
     // Each new client makes the router examine the first clients for eviction. The second examination finds no new bytes; if
     // it ignored those that were read before, it would close clients with unread requests. The router is stopped until all
     // clients have sent their requests, so that it accepts all of them in one turn.
-    let (mut router, _nodes, _guard) = start_router("clients-crowd", [Manner::Good; 3], 64);
+    let (mut router, _nodes, _guard) =
+        start_router("clients-crowd", [NodeBehavior::Healthy; 3], 64);
     let listen = router.listen();
-    router.strike(Blow::Stop);
+    router.send_signal(ProcessSignal::Stop);
     let mut crowd: Vec<RawClient> = (0..26)
         .map(|_| RawClient::connect_without_login(listen))
         .collect();
@@ -447,7 +469,7 @@
         let request = query(&statement(&format!("ca{n:x}"), "look"));
         client.send(&[&b"\0\0\0\x11\0\x03\0\0user\0me\0\0"[..], &request].concat());
     }
-    router.strike(Blow::Continue);
+    router.send_signal(ProcessSignal::Continue);
     // There are 20 slots, and up to 8 more clients receive an error.
     for (n, client) in crowd.iter_mut().enumerate() {
         let mut is_logged_in = false;
--- a/router/tests/standing_fleet/mod.rs
+++ b/router/tests/standing_fleet/mod.rs
@@ -1,9 +1,9 @@
 //! What the tests of the standing test's sentences share: one router before one group, and an agent that says what a test
 //! words.
 
+use plovercove_emulator::faulty_peers::{Agent, Node, NodeBehavior};
 use plovercove_emulator::process::{Folder, Process};
-use plovercove_emulator::rough::{Agent, Manner, Node};
-use plovercove_emulator::{Caller, Fate};
+use plovercove_emulator::{RequestClient, RequestOutcome};
 use serde_json::{Value, json};
 use std::path::Path;
 use std::time::Duration;
@@ -24,7 +24,7 @@
 }
 
 /// A primary and two replicas that behave so, with their entries, all serving.
-pub fn group(manners: [Manner; 3]) -> (Vec<Node>, Vec<Value>) {
+pub fn group(manners: [NodeBehavior; 3]) -> (Vec<Node>, Vec<Value>) {
     let start = |(n, manner)| Node::start(manner, n == 0).expect("a node");
     let nodes: Vec<Node> = manners.into_iter().enumerate().map(start).collect();
     let entries = nodes
@@ -119,6 +119,6 @@
 }
 
 /// Asks one thing.
-pub fn ask(client: &mut Caller, id: &str, class: &str) -> Fate {
+pub fn ask(client: &mut RequestClient, id: &str, class: &str) -> RequestOutcome {
     client.ask(&statement(id, class), id, Duration::from_millis(PATIENCE))
 }
--- a/router/tests/standing_floods.rs
+++ b/router/tests/standing_floods.rs
@@ -4,9 +4,9 @@
 #[allow(dead_code, reason = "each test of the standing test uses a part of it")]
 mod standing_fleet;
 
-use plovercove_emulator::process::{Blow, Process};
-use plovercove_emulator::rough::{Agent, Manner, Node, Says};
-use plovercove_emulator::{Caller, Fate};
+use plovercove_emulator::faulty_peers::{Agent, AgentReply, Node, NodeBehavior};
+use plovercove_emulator::process::{Process, ProcessSignal};
+use plovercove_emulator::{RequestClient, RequestOutcome};
 use standing_fleet::{HANGS, Start, ask, group, listing, statement};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -18,14 +18,14 @@
 const MAX_MESSAGE_BYTES: usize = 4 * 1024 * 1024;
 
 fn start_router(name: &str, sockets: u32) -> (Process, Vec<Node>, impl Sized + use<>) {
-    let (nodes, entries) = group([Manner::Good; 3]);
-    let agent = Agent::start(vec![Says::Body(listing(42, &entries))]).expect("an agent");
+    let (nodes, entries) = group([NodeBehavior::Healthy; 3]);
+    let agent = Agent::start(vec![AgentReply::Body(listing(42, &entries))]).expect("an agent");
     let (router, folder) = Start {
         sockets,
         ..Start::before(name, &agent, &entries)
     }
     .run();
-    assert!(agent.called(2, HANGS), "the list is followed");
+    assert!(agent.wait_for_calls(2, HANGS), "the list is followed");
     (router, nodes, (agent, folder))
 }
 
@@ -95,12 +95,17 @@
                 (0..QUERY_COUNT).flat_map(|n| query(&statement(&format!("f{n:06x}"), "look")));
             flood.write_all(&STARTUP.iter().copied().chain(queries).collect::<Vec<u8>>())
         });
-        let mut others: Vec<Caller> = (0..4).map(|_| Caller::new(listen)).collect();
+        let mut others: Vec<RequestClient> = (0..4).map(|_| RequestClient::new(listen)).collect();
         let mut requests_sent = 0;
         while requests_sent < 20 || !answer_count.is_finished() {
             for (n, other) in others.iter_mut().enumerate() {
                 let fate = ask(other, &format!("e{n}{requests_sent:05x}"), "look");
-                assert_eq!(fate, Fate::Served, "{requests_sent}: {:?}", router.lines());
+                assert_eq!(
+                    fate,
+                    RequestOutcome::Served,
+                    "{requests_sent}: {:?}",
+                    router.lines()
+                );
             }
             requests_sent += 1;
         }
@@ -127,8 +132,8 @@
     // length; the other half send many queries and read no answers.
     let (router, _nodes, _guard) = start_router("floods-values", 512);
     let listen = router.listen();
-    let mut idle = Caller::new(listen);
-    assert_eq!(ask(&mut idle, "a1", "look"), Fate::Served);
+    let mut idle = RequestClient::new(listen);
+    assert_eq!(ask(&mut idle, "a1", "look"), RequestOutcome::Served);
     std::thread::scope(|scope| {
         let hoarders: Vec<_> = (0..40)
             .map(|n| {
@@ -161,11 +166,16 @@
             .collect();
         let mut requests_sent = 0;
         while requests_sent < 20 || hoarders.iter().any(|hoarder| !hoarder.is_finished()) {
-            let mut newcomer = Caller::new(listen);
+            let mut newcomer = RequestClient::new(listen);
             for client in [&mut idle, &mut newcomer] {
                 requests_sent += 1;
                 let fate = ask(client, &format!("e{requests_sent:06x}"), "look");
-                assert_eq!(fate, Fate::Served, "{requests_sent}: {:?}", router.lines());
+                assert_eq!(
+                    fate,
+                    RequestOutcome::Served,
+                    "{requests_sent}: {:?}",
+                    router.lines()
+                );
             }
         }
     });
@@ -197,9 +207,16 @@
             descriptors(&router)
         );
     }
-    assert_eq!(ask(&mut Caller::new(listen), "b1", "look"), Fate::Served);
-    router.strike(Blow::Term);
-    assert!(router.ended(HANGS).is_some_and(|status| status.success()));
+    assert_eq!(
+        ask(&mut RequestClient::new(listen), "b1", "look"),
+        RequestOutcome::Served
+    );
+    router.send_signal(ProcessSignal::Term);
+    assert!(
+        router
+            .wait_for_exit(HANGS)
+            .is_some_and(|status| status.success())
+    );
     let failed = |line: &String| line.contains("cannot accept") || line.contains("can be begun");
     assert!(!router.lines().iter().any(failed), "{:?}", router.lines());
     // The connections of idle clients were closed in good order.
--- a/router/tests/standing_full.rs
+++ b/router/tests/standing_full.rs
@@ -5,9 +5,9 @@
 #[allow(dead_code, reason = "each test of the standing test uses a part of it")]
 mod standing_fleet;
 
+use plovercove_emulator::faulty_peers::{Agent, AgentReply, Node, NodeBehavior};
 use plovercove_emulator::process::{Folder, Process};
-use plovercove_emulator::rough::{Agent, Manner, Node, Says};
-use plovercove_emulator::{Caller, Fate};
+use plovercove_emulator::{RequestClient, RequestOutcome};
 use serde_json::Value;
 use standing_fleet::{HANGS, Start, ask, group, listing, with_status};
 use std::io::{Read, Write};
@@ -42,7 +42,7 @@
 }
 
 fn start_nodes() -> (Vec<Node>, Vec<Value>) {
-    group([Manner::Good; 3])
+    group([NodeBehavior::Healthy; 3])
 }
 
 /// Logs in and sends an empty query. Returns false if the router rejects the connection.
@@ -72,21 +72,21 @@
     // sent to nodes that are leaving.
     let (nodes, entries) = start_nodes();
     let agent = Agent::start(vec![
-        Says::Body(listing(42, &entries)),
-        Says::Closes,
-        Says::Closes,
+        AgentReply::Body(listing(42, &entries)),
+        AgentReply::Close,
+        AgentReply::Close,
     ])
     .expect("an agent");
     let (router, _folder) = start_limited_router("full-resting", &agent, &entries);
     let listen = router.listen();
-    assert!(agent.called(2, HANGS), "the list is followed");
+    assert!(agent.wait_for_calls(2, HANGS), "the list is followed");
     // More clients than descriptors connect; each is served and then stays idle.
-    let mut idle_clients: Vec<Caller> = Vec::new();
+    let mut idle_clients: Vec<RequestClient> = Vec::new();
     for n in 0..2 * DESCRIPTORS {
-        let mut client = Caller::new(listen);
+        let mut client = RequestClient::new(listen);
         assert_eq!(
             ask(&mut client, &format!("a{n:x}"), "look"),
-            Fate::Served,
+            RequestOutcome::Served,
             "client {n}: {:?}",
             router.lines()
         );
@@ -94,7 +94,7 @@
     }
     // Discovery returns, and reports a node that is leaving.
     let calls = agent.calls().len();
-    agent.then(Says::Body(listing(
+    agent.push_reply(AgentReply::Body(listing(
         90,
         &with_status(&entries, 2, "leaving"),
     )));
@@ -116,8 +116,8 @@
     let count_before = nodes[2].ran().len();
     for n in 0..8 {
         assert_eq!(
-            ask(&mut Caller::new(listen), &format!("b{n:x}"), "look"),
-            Fate::Served,
+            ask(&mut RequestClient::new(listen), &format!("b{n:x}"), "look"),
+            RequestOutcome::Served,
             "newcomer {n}"
         );
     }
@@ -137,16 +137,20 @@
     // If the router planned with too few descriptors, none would be left for the connection to the agent or for accepting a
     // client, and changes of the list would be missed. The primary does not answer writes before they time out, so that each
     // uses a descriptor on both sides. Three times as many clients as there are slots connect again and again.
-    let (_nodes, entries) = group([Manner::HoldsWork, Manner::Good, Manner::Good]);
+    let (_nodes, entries) = group([
+        NodeBehavior::HangOnStatement,
+        NodeBehavior::Healthy,
+        NodeBehavior::Healthy,
+    ]);
     let agent = Agent::start(vec![
-        Says::Body(listing(42, &entries)),
-        Says::Closes,
-        Says::Closes,
+        AgentReply::Body(listing(42, &entries)),
+        AgentReply::Close,
+        AgentReply::Close,
     ])
     .expect("an agent");
     let (router, _folder) = start_limited_router("full-held", &agent, &entries);
     let listen = router.listen();
-    assert!(agent.called(2, HANGS), "the list is followed");
+    assert!(agent.wait_for_calls(2, HANGS), "the list is followed");
     let is_over = AtomicBool::new(false);
     let rejected_count = AtomicUsize::new(0);
     std::thread::scope(|scope| {
@@ -158,11 +162,14 @@
                         return;
                     }
                     let fate = ask(
-                        &mut Caller::new(listen),
+                        &mut RequestClient::new(listen),
                         &format!("c{n:02x}{attempt:x}"),
                         "book",
                     );
-                    rejected_count.fetch_add(usize::from(fate == Fate::Refused), Ordering::Relaxed);
+                    rejected_count.fetch_add(
+                        usize::from(fate == RequestOutcome::Refused),
+                        Ordering::Relaxed,
+                    );
                 }
             });
         }
@@ -171,7 +178,7 @@
             std::thread::sleep(Duration::from_millis(5));
         }
         let calls = agent.calls().len();
-        agent.then(Says::Body(listing(
+        agent.push_reply(AgentReply::Body(listing(
             90,
             &with_status(&entries, 2, "leaving"),
         )));
@@ -199,7 +206,7 @@
 fn a_restarted_router_becomes_ready_without_discovery_while_many_clients_connect() {
     // The operators' load balancer uses only routers that have answered an empty query.
     let (_nodes, entries) = start_nodes();
-    let agent = Agent::start(vec![Says::Nothing; 8]).expect("an agent");
+    let agent = Agent::start(vec![AgentReply::Silence; 8]).expect("an agent");
     let (router, _folder) = start_limited_router("full-crowd", &agent, &entries);
     let started_at = Instant::now();
     let silent: Vec<TcpStream> = (0..200)
@@ -219,8 +226,8 @@
         started_at.elapsed()
     );
     assert_eq!(
-        ask(&mut Caller::new(router.listen()), "c1", "look"),
-        Fate::Served
+        ask(&mut RequestClient::new(router.listen()), "c1", "look"),
+        RequestOutcome::Served
     );
     drop(silent);
 }
--- a/router/tests/standing_nodes.rs
+++ b/router/tests/standing_nodes.rs
@@ -4,9 +4,9 @@
 #[allow(dead_code, reason = "each test of the standing test uses a part of it")]
 mod standing_fleet;
 
-use plovercove_emulator::process::{Blow, Folder, Process};
-use plovercove_emulator::rough::{Agent, Manner, Node, Says};
-use plovercove_emulator::{Caller, Fate, held};
+use plovercove_emulator::faulty_peers::{Agent, AgentReply, Node, NodeBehavior};
+use plovercove_emulator::process::{Folder, Process, ProcessSignal};
+use plovercove_emulator::{RequestClient, RequestOutcome, manual_node};
 use serde_json::Value;
 use standing_fleet::{HANGS, Start, ask, group, listing, with_status};
 use std::io::Write;
@@ -22,7 +22,7 @@
 struct Scene {
     router: Process,
     agent: Agent,
-    primary: held::Node,
+    primary: manual_node::Node,
     entries: Vec<Value>,
     others: Vec<Node>,
     _folder: Folder,
@@ -41,8 +41,8 @@
 
     /// The same, but this node is the one that waits to be told, and the configuration says something else, too.
     fn holding(name: &str, held: usize, other: impl Fn(String) -> String) -> Self {
-        let (others, entries) = group([Manner::Good; 3]);
-        let primary = held::Node::start(HANGS).expect("a node");
+        let (others, entries) = group([NodeBehavior::Healthy; 3]);
+        let primary = manual_node::Node::start(HANGS).expect("a node");
         let entries = at(&entries, held, primary.address().expect("bound"));
         // Where a replica is held there is no other.
         let entries = if held == 0 {
@@ -50,7 +50,7 @@
         } else {
             entries[..2].to_vec()
         };
-        let agent = Agent::start(vec![Says::Body(listing(42, &entries))]).expect("an agent");
+        let agent = Agent::start(vec![AgentReply::Body(listing(42, &entries))]).expect("an agent");
         let start = Start::before(name, &agent, &entries);
         // A connection that is held back here is no slow one.
         let config = start
@@ -62,7 +62,7 @@
         let program = Path::new(env!("CARGO_BIN_EXE_plovercove"));
         let router = Process::start(program, &file, |command| command.env("PROXY_LOG", "debug"))
             .expect("the router starts");
-        assert!(agent.called(2, HANGS), "the list is followed");
+        assert!(agent.wait_for_calls(2, HANGS), "the list is followed");
         Scene {
             router,
             agent,
@@ -74,7 +74,7 @@
     }
 
     /// A client that asks for one write; its connection to the primary is up, and has not been greeted.
-    fn writing(&self, id: &str) -> (JoinHandle<Fate>, held::Link) {
+    fn writing(&self, id: &str) -> (JoinHandle<RequestOutcome>, manual_node::Link) {
         let client = self.asks(id);
         (
             client,
@@ -82,17 +82,18 @@
         )
     }
 
-    fn asks(&self, id: &str) -> JoinHandle<Fate> {
+    fn asks(&self, id: &str) -> JoinHandle<RequestOutcome> {
         let (listen, id) = (self.router.listen(), id.to_string());
-        std::thread::spawn(move || ask(&mut Caller::new(listen), &id, "book"))
+        std::thread::spawn(move || ask(&mut RequestClient::new(listen), &id, "book"))
     }
 
     /// The agent tells this list, and the router has taken it in.
     fn told(&self, index: u64, entries: &[Value]) {
         let calls = self.agent.calls().len();
-        self.agent.then(Says::Body(listing(index, entries)));
+        self.agent
+            .push_reply(AgentReply::Body(listing(index, entries)));
         assert!(
-            self.agent.called(calls + 1, HANGS),
+            self.agent.wait_for_calls(calls + 1, HANGS),
             "{:?}",
             self.router.lines()
         );
@@ -102,7 +103,7 @@
     /// ready then, and read the list in the next one.
     fn stop(&mut self) {
         self.comes_to('S');
-        self.router.strike(Blow::Stop);
+        self.router.send_signal(ProcessSignal::Stop);
         self.comes_to('T');
     }
 
@@ -111,7 +112,7 @@
         self.stop();
         let call = self.agent.calls().len() - 1;
         // Whole, in one write: the system would hold back what follows the head of two.
-        self.agent.then(Says::Part(
+        self.agent.push_reply(AgentReply::FirstBytes(
             listing(43, &with_status(&self.entries, node, "leaving")),
             usize::MAX,
         ));
@@ -146,10 +147,10 @@
     let (client, mut link) = scene.writing("a1");
     scene.crosses(0);
     link.greet("primary").expect("the router is there");
-    scene.router.strike(Blow::Continue);
+    scene.router.send_signal(ProcessSignal::Continue);
     client.join().expect("a client");
     assert_eq!(
-        link.has_come().expect("a socket"),
+        link.pending_statement().expect("a socket"),
         None,
         "it was told of the leaving before the first byte: {:#?}",
         scene.router.lines()
@@ -166,17 +167,21 @@
     };
     let mut scene = Scene::holding("nodes-probe", 1, bounded);
     let listen = scene.router.listen();
-    let asks =
-        |id: &'static str| std::thread::spawn(move || ask(&mut Caller::new(listen), id, "look"));
+    let asks = |id: &'static str| {
+        std::thread::spawn(move || ask(&mut RequestClient::new(listen), id, "look"))
+    };
     let client = asks("a1");
     let mut link = scene.primary.accept(HANGS).expect("the probe's connection");
     scene.crosses(1);
     link.greet("standby").expect("the router is there");
-    scene.router.strike(Blow::Continue);
-    assert_eq!(client.join().expect("a client"), Fate::Served);
-    assert_eq!(ask(&mut Caller::new(listen), "a2", "look"), Fate::Served);
+    scene.router.send_signal(ProcessSignal::Continue);
+    assert_eq!(client.join().expect("a client"), RequestOutcome::Served);
+    assert_eq!(
+        ask(&mut RequestClient::new(listen), "a2", "look"),
+        RequestOutcome::Served
+    );
     assert_eq!(
-        link.has_come().expect("a socket"),
+        link.pending_statement().expect("a socket"),
         None,
         "{:#?}",
         scene.router.lines()
@@ -201,8 +206,8 @@
     drop(client);
     // What is asked after it has gone is taken on after it has.
     assert_eq!(
-        ask(&mut Caller::new(scene.router.listen()), "a2", "look"),
-        Fate::Served
+        ask(&mut RequestClient::new(scene.router.listen()), "a2", "look"),
+        RequestOutcome::Served
     );
     link.greet("primary").expect("the router is there");
     let next = scene.asks("a3");
@@ -211,7 +216,7 @@
         Some("a3")
     );
     link.answer("a3").expect("the router is there");
-    assert_eq!(next.join().expect("a client"), Fate::Served);
+    assert_eq!(next.join().expect("a client"), RequestOutcome::Served);
 }
 
 #[test]
@@ -219,7 +224,7 @@
     // Danger: by then another node may have the address.
     let scene = Scene::new("nodes-moved-coming");
     let (client, mut link) = scene.writing("a1");
-    let moved = held::Node::start(HANGS).expect("a node");
+    let moved = manual_node::Node::start(HANGS).expect("a node");
     scene.told(43, &at(&scene.entries, 0, moved.address().expect("bound")));
     // The router may have closed it by now.
     let _ = link.greet("primary");
@@ -230,7 +235,7 @@
         Some("a1")
     );
     there.answer("a1").expect("the router is there");
-    assert_eq!(client.join().expect("a client"), Fate::Served);
+    assert_eq!(client.join().expect("a client"), RequestOutcome::Served);
     assert_eq!(link.statement().expect("closed"), None);
 }
 
@@ -243,10 +248,10 @@
         link.statement().expect("a statement").as_deref(),
         Some("a1")
     );
-    let moved = held::Node::start(HANGS).expect("a node");
+    let moved = manual_node::Node::start(HANGS).expect("a node");
     scene.told(43, &at(&scene.entries, 0, moved.address().expect("bound")));
     link.answer("a1").expect("the router is there");
-    assert_eq!(client.join().expect("a client"), Fate::Served);
+    assert_eq!(client.join().expect("a client"), RequestOutcome::Served);
     let next = scene.asks("a2");
     assert_eq!(
         link.statement().expect("closed"),
@@ -260,12 +265,12 @@
         Some("a2")
     );
     there.answer("a2").expect("the router is there");
-    assert_eq!(next.join().expect("a client"), Fate::Served);
+    assert_eq!(next.join().expect("a client"), RequestOutcome::Served);
 }
 
 /// The primary answers a write so; its client is told in time that nothing is promised, the connection ends, and the next
 /// write is served on another.
-fn odd(name: &str, answer: impl FnOnce(held::Link) -> Option<held::Link>) {
+fn odd(name: &str, answer: impl FnOnce(manual_node::Link) -> Option<manual_node::Link>) {
     let scene = Scene::new(name);
     let (client, mut link) = scene.writing("a1");
     link.greet("primary").expect("the router is there");
@@ -274,7 +279,7 @@
         Some("a1")
     );
     let link = answer(link);
-    assert_eq!(client.join().expect("a client"), Fate::Failed);
+    assert_eq!(client.join().expect("a client"), RequestOutcome::Failed);
     let next = scene.asks("a2");
     let mut other = scene
         .primary
@@ -293,7 +298,7 @@
         Some("a2")
     );
     other.answer("a2").expect("the router is there");
-    assert_eq!(next.join().expect("a client"), Fate::Served);
+    assert_eq!(next.join().expect("a client"), RequestOutcome::Served);
 }
 
 /// An error that blames the node.
@@ -302,8 +307,8 @@
 const NOTICE: &[u8] = b"N\0\0\0\x09Mno\0\0";
 
 /// Says this and then nothing.
-fn says(mut link: held::Link, bytes: &[u8]) -> Option<held::Link> {
-    link.say(bytes).expect("the router is there");
+fn says(mut link: manual_node::Link, bytes: &[u8]) -> Option<manual_node::Link> {
+    link.send(bytes).expect("the router is there");
     Some(link)
 }
 
@@ -321,7 +326,7 @@
 fn an_answer_that_never_ends_is_read_no_longer_than_its_attempt() {
     // Danger: each message is a sign of life, and none of them an answer.
     odd("nodes-endless", |mut link| {
-        while link.say(NOTICE).is_ok() {}
+        while link.send(NOTICE).is_ok() {}
         Some(link)
     });
 }
@@ -337,10 +342,10 @@
 #[test]
 fn a_class_or_a_tenant_that_the_settings_lack_and_an_id_used_again_go_nowhere() {
     let scene = Scene::new("nodes-unknown");
-    let mut client = Caller::new(scene.router.listen());
+    let mut client = RequestClient::new(scene.router.listen());
     let patience = Duration::from_millis(standing_fleet::PATIENCE);
     let known = standing_fleet::statement;
-    assert_eq!(ask(&mut client, "a1", "look"), Fate::Served);
+    assert_eq!(ask(&mut client, "a1", "look"), RequestOutcome::Served);
     let reads = || scene.others.iter().flat_map(|node| node.ran()).count();
     let before = reads();
     for (id, statement) in [
@@ -353,7 +358,7 @@
     ] {
         assert_eq!(
             client.ask(&statement, id, patience),
-            Fate::Failed,
+            RequestOutcome::Failed,
             "{statement}"
         );
     }
@@ -367,5 +372,5 @@
         "the first that came"
     );
     link.answer("a2").expect("the router is there");
-    assert_eq!(write.join().expect("a client"), Fate::Served);
+    assert_eq!(write.join().expect("a client"), RequestOutcome::Served);
 }
--- a/router/tests/standing_sequences.rs
+++ b/router/tests/standing_sequences.rs
@@ -5,9 +5,9 @@
 #[allow(dead_code, reason = "each test of the standing test uses a part of it")]
 mod standing_fleet;
 
-use plovercove_emulator::process::{Blow, Folder, Process};
-use plovercove_emulator::rough::{Agent, Manner, Node, Says};
-use plovercove_emulator::{Caller, Fate};
+use plovercove_emulator::faulty_peers::{Agent, AgentReply, Node, NodeBehavior};
+use plovercove_emulator::process::{Folder, Process, ProcessSignal};
+use plovercove_emulator::{RequestClient, RequestOutcome};
 use serde_json::Value;
 use standing_fleet::{GRACE, HANGS, Start, ask, group, listing, with_status};
 use std::path::Path;
@@ -28,7 +28,7 @@
 /// A client that asks all the time.
 struct Asking {
     stop: Arc<AtomicBool>,
-    thread: JoinHandle<Vec<(String, Instant, Fate)>>,
+    thread: JoinHandle<Vec<(String, Instant, RequestOutcome)>>,
 }
 
 impl Asking {
@@ -36,7 +36,7 @@
         let (stop, listen) = (Arc::new(AtomicBool::new(false)), router.listen());
         let over = Arc::clone(&stop);
         let thread = std::thread::spawn(move || {
-            let (mut client, mut asked, mut left) = (Caller::new(listen), Vec::new(), AFTER);
+            let (mut client, mut asked, mut left) = (RequestClient::new(listen), Vec::new(), AFTER);
             while left > 0 {
                 left -= usize::from(over.load(Ordering::SeqCst));
                 let (id, at) = (format!("a{:06x}", asked.len()), Instant::now());
@@ -60,7 +60,7 @@
             .count();
         let served = asked
             .iter()
-            .filter(|(_, _, fate)| *fate == Fate::Served)
+            .filter(|(_, _, fate)| *fate == RequestOutcome::Served)
             .count();
         let after = asked.iter().filter(|(_, at, _)| *at > followed).count();
         println!(
@@ -93,8 +93,8 @@
 
 impl Scene {
     fn new(name: &str, pushed: bool) -> Self {
-        let (nodes, entries) = group([Manner::Good; 3]);
-        let agent = Agent::start(vec![Says::Body(listing(42, &entries))]).expect("an agent");
+        let (nodes, entries) = group([NodeBehavior::Healthy; 3]);
+        let agent = Agent::start(vec![AgentReply::Body(listing(42, &entries))]).expect("an agent");
         let start = Start {
             pushed,
             ..Start::before(name, &agent, &entries)
@@ -125,7 +125,7 @@
     }
 
     fn called(&self, times: usize) {
-        let called = self.agent.called(times, HANGS);
+        let called = self.agent.wait_for_calls(times, HANGS);
         assert!(
             called,
             "{:?}: {:?}",
@@ -178,12 +178,12 @@
 /// The open watch falls silent, and right after db nodes begin to drain.
 fn silent(name: &str, pushed: bool) {
     let scene = Scene::new(name, pushed);
-    scene.agent.then(Says::Nothing);
+    scene.agent.push_reply(AgentReply::Silence);
     until("the watch falls silent", || {
         scene.agent.times()[1].1.is_some()
     });
     let had = Instant::now();
-    scene.agent.then(Says::Body(scene.leaving(90)));
+    scene.agent.push_reply(AgentReply::Body(scene.leaving(90)));
     scene.follows(had);
 }
 
@@ -200,17 +200,19 @@
 /// The open watch is reset; the next one is answered without a length and reset on the way, and the news comes then.
 fn reset(name: &str, pushed: bool) {
     let scene = Scene::new(name, pushed);
-    scene.agent.then(Says::Breaks);
+    scene.agent.push_reply(AgentReply::Reset);
     scene.called(3);
     let had = Instant::now();
-    scene.agent.then(Says::Resets(scene.leaving(60)));
+    scene
+        .agent
+        .push_reply(AgentReply::BodyThenReset(scene.leaving(60)));
     scene.called(4);
     assert!(
         !scene.agent.calls()[3].contains("after=60"),
         "a reset is no end: {:?}",
         scene.agent.calls()
     );
-    scene.agent.then(Says::Body(scene.leaving(90)));
+    scene.agent.push_reply(AgentReply::Body(scene.leaving(90)));
     scene.follows(had);
 }
 
@@ -228,7 +230,7 @@
 /// list of the agent that a new configuration names.
 fn down(name: &str, pushed: bool) {
     let mut scene = Scene::new(name, pushed);
-    scene.agent.goes_down();
+    scene.agent.go_down();
     let failed = |router: &Process| {
         router
             .lines()
@@ -237,8 +239,8 @@
             .count()
     };
     until("calls fail", || failed(&scene.router) >= 4);
-    scene.agent.then(Says::Body(scene.leaving(90)));
-    scene.agent.returns();
+    scene.agent.push_reply(AgentReply::Body(scene.leaving(90)));
+    scene.agent.come_back();
     let had = Instant::now();
     let followed = scene.followed(&scene.agent, 90);
     let within = if pushed {
@@ -261,7 +263,7 @@
         7,
         &with_status(&with_status(&scene.entries, 2, "left"), 1, "leaving"),
     );
-    let next = Agent::start(vec![Says::Body(further)]).expect("an agent");
+    let next = Agent::start(vec![AgentReply::Body(further)]).expect("an agent");
     let start = Start {
         pushed,
         ..Start::before(name, &scene.agent, &scene.entries)
@@ -271,7 +273,7 @@
         .write("config.json", &start.config(&next.address().to_string()))
         .expect("a file");
     let struck = Instant::now();
-    scene.router.strike(Blow::Reload);
+    scene.router.send_signal(ProcessSignal::Reload);
     let moved = scene.followed(&next, 7);
     println!("moved after {:?} of {MOVED:?}", moved - struck);
     assert!(moved - struck < MOVED, "{:?}", next.calls());
--- a/router/tests/standing_signals.rs
+++ b/router/tests/standing_signals.rs
@@ -5,9 +5,9 @@
 #[allow(dead_code, reason = "each test of the standing test uses a part of it")]
 mod standing_fleet;
 
-use plovercove_emulator::held;
-use plovercove_emulator::process::{Blow, Folder, Process};
-use plovercove_emulator::rough::{Agent, Manner, Node, Says};
+use plovercove_emulator::faulty_peers::{Agent, AgentReply, Node, NodeBehavior};
+use plovercove_emulator::manual_node;
+use plovercove_emulator::process::{Folder, Process, ProcessSignal};
 use serde_json::Value;
 use standing_fleet::{HANGS, Start, group, listing, statement, with_status};
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
@@ -77,7 +77,7 @@
 struct Scene {
     router: Process,
     agent: Agent,
-    primary: held::Node,
+    primary: manual_node::Node,
     entries: Vec<Value>,
     nodes: Vec<Node>,
     folder: Folder,
@@ -90,11 +90,11 @@
 
     /// The same, with its primary elsewhere.
     fn with_primary(name: &str, address: Option<SocketAddr>) -> Self {
-        let (nodes, mut entries) = group([Manner::Good; 3]);
-        let primary = held::Node::start(HANGS).expect("a node");
+        let (nodes, mut entries) = group([NodeBehavior::Healthy; 3]);
+        let primary = manual_node::Node::start(HANGS).expect("a node");
         let address = address.unwrap_or_else(|| primary.address().expect("bound"));
         entries[0]["address"] = address.to_string().into();
-        let agent = Agent::start(vec![Says::Body(listing(42, &entries))]).expect("an agent");
+        let agent = Agent::start(vec![AgentReply::Body(listing(42, &entries))]).expect("an agent");
         let folder = Folder::new(name).expect("a folder");
         let file = folder
             .write(
@@ -105,7 +105,7 @@
         let program = Path::new(env!("CARGO_BIN_EXE_plovercove"));
         let router = Process::start(program, &file, |command| command.env("PROXY_LOG", "debug"))
             .expect("the router starts");
-        assert!(agent.called(2, HANGS), "the list is followed");
+        assert!(agent.wait_for_calls(2, HANGS), "the list is followed");
         Scene {
             router,
             agent,
@@ -133,7 +133,7 @@
     /// Stops the router while it waits, and returns once it stands still.
     fn stop(&mut self) {
         self.comes_to('S');
-        self.router.strike(Blow::Stop);
+        self.router.send_signal(ProcessSignal::Stop);
         self.comes_to('T');
     }
 
@@ -158,14 +158,14 @@
 
     fn says(&self, words: &str) {
         assert!(
-            self.router.says(words, HANGS).is_some(),
+            self.router.wait_for_line(words, HANGS).is_some(),
             "{words}: {:#?}",
             self.router.lines()
         );
     }
 
     fn ends(&mut self) {
-        let ended = self.router.ended(HANGS);
+        let ended = self.router.wait_for_exit(HANGS);
         assert!(
             ended.is_some_and(|status| status.success()),
             "{ended:?}: {:#?}",
@@ -195,8 +195,8 @@
         .expect("the first attempt's connection");
     scene.stop();
     drop(first);
-    scene.router.strike(Blow::Term);
-    scene.router.strike(Blow::Continue);
+    scene.router.send_signal(ProcessSignal::Term);
+    scene.router.send_signal(ProcessSignal::Continue);
     scene.says("SIGTERM: finishing");
     let mut second = scene
         .primary
@@ -220,12 +220,15 @@
 #[test]
 fn sigterm_and_sighup_in_one_turn_with_a_request_are_all_obeyed() {
     // Danger: which comes first is chance; each must find its work done. Both before and after: the order of the blows.
-    for (n, blows) in [[Blow::Term, Blow::Reload], [Blow::Reload, Blow::Term]]
-        .into_iter()
-        .enumerate()
+    for (n, blows) in [
+        [ProcessSignal::Term, ProcessSignal::Reload],
+        [ProcessSignal::Reload, ProcessSignal::Term],
+    ]
+    .into_iter()
+    .enumerate()
     {
         let mut scene = Scene::new(&format!("signals-turn-{n}"));
-        let next = Agent::start(vec![Says::Body(listing(
+        let next = Agent::start(vec![AgentReply::Body(listing(
             3,
             &with_status(&scene.entries, 2, "leaving"),
         ))])
@@ -236,13 +239,15 @@
         assert_eq!(client.hear(), "row");
         scene.stop();
         scene.folder.write("config.json", &config).expect("a file");
-        blows.into_iter().for_each(|blow| scene.router.strike(blow));
+        blows
+            .into_iter()
+            .for_each(|blow| scene.router.send_signal(blow));
         client.query(&statement("a2", "look"));
         arrival::wait_for_acknowledgement(arrival::local_port(&client.0));
-        scene.router.strike(Blow::Continue);
+        scene.router.send_signal(ProcessSignal::Continue);
         assert_eq!(client.hear(), "row");
         assert!(
-            next.called(2, HANGS),
+            next.wait_for_calls(2, HANGS),
             "the new agent is followed: {:#?}",
             scene.router.lines()
         );
@@ -259,22 +264,22 @@
     let mut client = Raw::connect(scene.router.listen());
     client.query(&statement("a1", "book"));
     let mut link = scene.primary.accept(HANGS).expect("its connection");
-    scene.router.strike(Blow::Term);
+    scene.router.send_signal(ProcessSignal::Term);
     scene.finishes();
     let config = Scene::config(&next.address().to_string(), &scene.entries);
     scene.folder.write("config.json", &config).expect("a file");
-    scene.router.strike(Blow::Reload);
+    scene.router.send_signal(ProcessSignal::Reload);
     assert!(
-        next.called(1, HANGS),
+        next.wait_for_calls(1, HANGS),
         "the new agent is asked: {:#?}",
         scene.router.lines()
     );
-    next.then(Says::Body(listing(
+    next.push_reply(AgentReply::Body(listing(
         3,
         &with_status(&scene.entries, 0, "leaving"),
     )));
     assert!(
-        next.called(2, HANGS),
+        next.wait_for_calls(2, HANGS),
         "the new agent is followed: {:#?}",
         scene.router.lines()
     );
@@ -285,7 +290,7 @@
         "there is no primary any more, and it was sent nowhere"
     );
     assert_eq!(
-        link.has_come().expect("a socket"),
+        link.pending_statement().expect("a socket"),
         None,
         "{:#?}",
         scene.router.lines()
@@ -307,12 +312,12 @@
     let mut client = Raw::connect(scene.router.listen());
     client.query(&statement("a1", "book"));
     let mut link = scene.primary.accept(HANGS).expect("its connection");
-    scene.router.strike(Blow::Term);
+    scene.router.send_signal(ProcessSignal::Term);
     scene.says("SIGTERM: finishing");
-    scene.router.strike(Blow::Term);
+    scene.router.send_signal(ProcessSignal::Term);
     scene.says("SIGTERM: once more");
     scene.finishes();
-    scene.router.strike(Blow::Term);
+    scene.router.send_signal(ProcessSignal::Term);
     link.greet("primary").expect("the router is there");
     assert_eq!(
         link.statement().expect("it is written").as_deref(),
@@ -351,9 +356,9 @@
     // configuration is held back: it is read after the signals are caught and before anything else.
     for hup in [false, true] {
         let name = format!("signals-early-{hup}");
-        let (_nodes, entries) = group([Manner::Good; 3]);
+        let (_nodes, entries) = group([NodeBehavior::Healthy; 3]);
         // Discovery never answers: not even the first list has come.
-        let agent = Agent::start(vec![Says::Nothing; 8]).expect("an agent");
+        let agent = Agent::start(vec![AgentReply::Silence; 8]).expect("an agent");
         let folder = Folder::new(&name).expect("a folder");
         let pipe = folder.path().join("config.json");
         assert!(
@@ -468,7 +473,10 @@
         );
         link.answer(&other).expect("the router is there");
         assert_eq!(next.hear(), "row");
-        assert!(link.has_come().expect("a socket").is_none(), "{ends}");
+        assert!(
+            link.pending_statement().expect("a socket").is_none(),
+            "{ends}"
+        );
     }
 }
 
--- a/router/tests/standing_watch.rs
+++ b/router/tests/standing_watch.rs
@@ -5,9 +5,9 @@
 #[allow(dead_code, reason = "each test of the standing test uses a part of it")]
 mod standing_fleet;
 
-use plovercove_emulator::process::Blow;
-use plovercove_emulator::rough::{Agent, Manner, Node, Says};
-use plovercove_emulator::{Caller, Fate};
+use plovercove_emulator::faulty_peers::{Agent, AgentReply, Node, NodeBehavior};
+use plovercove_emulator::process::ProcessSignal;
+use plovercove_emulator::{RequestClient, RequestOutcome};
 use serde_json::{Value, json};
 use standing_fleet::{GRACE, HANGS, Start, ask, entry, group, listing, with_status};
 use std::net::{SocketAddr, TcpStream};
@@ -42,13 +42,13 @@
 
 /// The agent plays this script, whose last part is silence, and then has news: every call comes in time, and the news is
 /// followed.
-fn silence(name: &str, script: fn(&[Value]) -> Vec<Says>, pushed: bool) {
-    let (_nodes, entries) = group([Manner::Good; 3]);
+fn silence(name: &str, script: fn(&[Value]) -> Vec<AgentReply>, pushed: bool) {
+    let (_nodes, entries) = group([NodeBehavior::Healthy; 3]);
     let script = script(&entries);
     let silent = script.len() - 1;
     let closed: Vec<bool> = script
         .iter()
-        .map(|says| matches!(says, Says::Closes | Says::Status(_)))
+        .map(|says| matches!(says, AgentReply::Close | AgentReply::Status(_)))
         .collect();
     let agent = Agent::start(script).expect("an agent");
     let (router, _folder) = Start {
@@ -58,14 +58,14 @@
     .run();
     let called = |times| {
         assert!(
-            agent.called(times, HANGS),
+            agent.wait_for_calls(times, HANGS),
             "{:?}: {:?}",
             agent.calls(),
             router.lines()
         )
     };
     called(silent + 1);
-    agent.then(Says::Body(listing(
+    agent.push_reply(AgentReply::Body(listing(
         90,
         &with_status(&entries, 2, "leaving"),
     )));
@@ -89,8 +89,8 @@
     );
 }
 
-fn list(entries: &[Value]) -> Says {
-    Says::Body(listing(42, entries))
+fn list(entries: &[Value]) -> AgentReply {
+    AgentReply::Body(listing(42, entries))
 }
 
 macro_rules! silences {
@@ -115,54 +115,54 @@
 
 silences! {
     #[doc = "One silence."]
-    before_the_first_answer: |_| vec![Says::Nothing],
+    before_the_first_answer: |_| vec![AgentReply::Silence],
     #[doc = "One silence."]
-    between_two_calls: |all| vec![list(all), Says::Nothing],
+    between_two_calls: |all| vec![list(all), AgentReply::Silence],
     #[doc = "One silence."]
-    in_the_head: |all| vec![list(all), Says::Part(listing(43, all), 20)],
+    in_the_head: |all| vec![list(all), AgentReply::FirstBytes(listing(43, all), 20)],
     #[doc = "One silence."]
-    after_the_head: |all| vec![list(all), Says::Part(listing(43, all), 41)],
+    after_the_head: |all| vec![list(all), AgentReply::FirstBytes(listing(43, all), 41)],
     #[doc = "One silence."]
-    in_the_middle_of_a_body: |all| vec![list(all), Says::Half(listing(43, all))],
+    in_the_middle_of_a_body: |all| vec![list(all), AgentReply::FirstHalf(listing(43, all))],
     #[doc = "One silence."]
-    after_a_failure: |all| vec![list(all), Says::Closes, Says::Nothing],
+    after_a_failure: |all| vec![list(all), AgentReply::Close, AgentReply::Silence],
     #[doc = "Failures or silences in a row."]
-    after_a_failed_start: |_| vec![Says::Status(503), Says::Nothing],
+    after_a_failed_start: |_| vec![AgentReply::Status(503), AgentReply::Silence],
     #[doc = "Failures or silences in a row."]
     while_failures_go_on: |all| {
-        vec![list(all), Says::Closes, Says::Status(503), Says::Closes, Says::Status(503), Says::Nothing]
+        vec![list(all), AgentReply::Close, AgentReply::Status(503), AgentReply::Close, AgentReply::Status(503), AgentReply::Silence]
     },
     #[doc = "Failures or silences in a row."]
-    again_and_again: |all| vec![list(all), Says::Nothing, Says::Half(listing(43, all)), Says::Nothing],
+    again_and_again: |all| vec![list(all), AgentReply::Silence, AgentReply::FirstHalf(listing(43, all)), AgentReply::Silence],
 }
 
 /// Danger: the new agent's list counts as told 4 s after SIGHUP, also where its first call is lost.
-fn moved(name: &str, at_first: Says) {
-    let (_nodes, entries) = group([Manner::Good; 3]);
+fn moved(name: &str, at_first: AgentReply) {
+    let (_nodes, entries) = group([NodeBehavior::Healthy; 3]);
     let agent = Agent::start(vec![list(&entries)]).expect("an agent");
     let next = Agent::start(vec![at_first]).expect("an agent");
     let start = Start::before(name, &agent, &entries);
     let (mut router, folder) = start.run();
-    assert!(agent.called(2, HANGS), "it watches");
+    assert!(agent.wait_for_calls(2, HANGS), "it watches");
     folder
         .write("config.json", &start.config(&next.address().to_string()))
         .expect("a file");
     let struck = Instant::now();
-    router.strike(Blow::Reload);
-    next.then(list(&entries));
-    assert!(next.called(2, HANGS), "{:?}", router.lines());
+    router.send_signal(ProcessSignal::Reload);
+    next.push_reply(list(&entries));
+    assert!(next.wait_for_calls(2, HANGS), "{:?}", router.lines());
     let took = next.times()[1].0 - struck;
     assert!(took < MOVED - MARGIN, "the second call came after {took:?}");
 }
 
 #[test]
 fn a_first_call_that_is_not_answered_after_sighup_is_made_again_in_time() {
-    moved("watch-moved-silent", Says::Nothing);
+    moved("watch-moved-silent", AgentReply::Silence);
 }
 
 #[test]
 fn a_first_call_that_is_refused_after_sighup_is_made_again_in_time() {
-    moved("watch-moved-closed", Says::Closes);
+    moved("watch-moved-closed", AgentReply::Close);
 }
 
 /// Where lists are pushed, what the agent has counts as told at once: from then on a router has the grace.
@@ -170,12 +170,12 @@
 
 /// The agent plays this, and then has news: so long after it had said its last word the next call comes, and it is asked
 /// for what came after this version, or for all.
-fn followed(name: &str, script: fn(&[Value]) -> Vec<Says>, within: Duration) -> Vec<String> {
-    let (_nodes, entries) = group([Manner::Good; 3]);
+fn followed(name: &str, script: fn(&[Value]) -> Vec<AgentReply>, within: Duration) -> Vec<String> {
+    let (_nodes, entries) = group([NodeBehavior::Healthy; 3]);
     let script = script(&entries);
     let last = script.len() - 1;
     let agent = Agent::start(script).expect("an agent");
-    agent.then(Says::Body(listing(
+    agent.push_reply(AgentReply::Body(listing(
         90,
         &with_status(&entries, 2, "leaving"),
     )));
@@ -185,7 +185,7 @@
     }
     .run();
     assert!(
-        agent.called(last + 3, HANGS),
+        agent.wait_for_calls(last + 3, HANGS),
         "{:?}: {:?}",
         agent.calls(),
         router.lines()
@@ -204,11 +204,11 @@
 fn after_failures_in_a_row_a_pushed_list_is_asked_for_within_a_part_of_the_grace() {
     let script = |all: &[Value]| {
         let failures = [
-            Says::Closes,
-            Says::Status(503),
-            Says::Closes,
-            Says::Status(503),
-            Says::Closes,
+            AgentReply::Close,
+            AgentReply::Status(503),
+            AgentReply::Close,
+            AgentReply::Status(503),
+            AgentReply::Close,
         ];
         std::iter::once(list(all)).chain(failures).collect()
     };
@@ -219,7 +219,7 @@
 fn a_silent_agent_of_pushed_lists_is_called_again_before_the_grace_is_over() {
     followed(
         "watch-silent-soon",
-        |all| vec![list(all), Says::Nothing],
+        |all| vec![list(all), AgentReply::Silence],
         AT_ONCE,
     );
 }
@@ -237,14 +237,14 @@
         }),
         ("cut", |all| listing(43, all)[..90].to_string()),
     ] {
-        let (_nodes, entries) = group([Manner::Good; 3]);
-        let agent =
-            Agent::start(vec![list(&entries), Says::Body(spoilt(&entries))]).expect("an agent");
-        agent.then(Says::Body(listing(90, &entries)));
+        let (_nodes, entries) = group([NodeBehavior::Healthy; 3]);
+        let agent = Agent::start(vec![list(&entries), AgentReply::Body(spoilt(&entries))])
+            .expect("an agent");
+        agent.push_reply(AgentReply::Body(listing(90, &entries)));
         let name = format!("watch-spoilt-{name}");
         let (router, _folder) = Start::before(&name, &agent, &entries).run();
         assert!(
-            agent.called(4, HANGS),
+            agent.wait_for_calls(4, HANGS),
             "{:?}: {:?}",
             agent.calls(),
             router.lines()
@@ -262,8 +262,8 @@
 
 #[test]
 fn an_agent_that_only_spoils_its_lists_does_not_make_the_loop_spin() {
-    let (_nodes, entries) = group([Manner::Good; 3]);
-    let spoilt = (0..12).map(|_| Says::Body("{".into()));
+    let (_nodes, entries) = group([NodeBehavior::Healthy; 3]);
+    let spoilt = (0..12).map(|_| AgentReply::Body("{".into()));
     let agent = Agent::start(spoilt.collect()).expect("an agent");
     let (router, _folder) = Start {
         pushed: true,
@@ -271,7 +271,7 @@
     }
     .run();
     assert!(
-        agent.called(12, HANGS),
+        agent.wait_for_calls(12, HANGS),
         "{:?}: {:?}",
         agent.calls(),
         router.lines()
@@ -283,23 +283,23 @@
 
 #[test]
 fn after_sighup_the_same_agent_is_called_at_once_also_in_a_pause() {
-    let (_nodes, entries) = group([Manner::Good; 3]);
-    let refusals = (0..4).map(|_| Says::Status(503));
+    let (_nodes, entries) = group([NodeBehavior::Healthy; 3]);
+    let refusals = (0..4).map(|_| AgentReply::Status(503));
     let agent =
         Agent::start(std::iter::once(list(&entries)).chain(refusals).collect()).expect("an agent");
     let start = Start::before("watch-moved-same", &agent, &entries);
     let (mut router, _folder) = start.run();
     // After four refusals in a row the pause is 2 s at the least.
     assert!(
-        agent.called(5, HANGS),
+        agent.wait_for_calls(5, HANGS),
         "{:?}: {:?}",
         agent.calls(),
         router.lines()
     );
     let refused = agent.times()[4].1;
-    router.strike(Blow::Reload);
+    router.send_signal(ProcessSignal::Reload);
     let struck = Instant::now();
-    assert!(agent.called(6, HANGS), "{:?}", router.lines());
+    assert!(agent.wait_for_calls(6, HANGS), "{:?}", router.lines());
     let took = agent.times()[5].0.saturating_duration_since(struck);
     assert!(
         took < Duration::from_millis(800),
@@ -309,12 +309,12 @@
 
 #[test]
 fn a_reset_is_no_end_of_a_list_without_a_length() {
-    let (_nodes, entries) = group([Manner::Good; 3]);
+    let (_nodes, entries) = group([NodeBehavior::Healthy; 3]);
     let script = vec![
         list(&entries),
-        Says::Ends(listing(50, &entries)),
-        Says::Resets(listing(60, &entries)),
-        Says::Body(listing(70, &entries)),
+        AgentReply::BodyThenClose(listing(50, &entries)),
+        AgentReply::BodyThenReset(listing(60, &entries)),
+        AgentReply::Body(listing(70, &entries)),
     ];
     let agent = Agent::start(script).expect("an agent");
     let (router, _folder) = Start {
@@ -323,7 +323,7 @@
     }
     .run();
     assert!(
-        agent.called(5, HANGS),
+        agent.wait_for_calls(5, HANGS),
         "{:?}: {:?}",
         agent.calls(),
         router.lines()
@@ -336,16 +336,16 @@
 
 #[test]
 fn of_two_answers_in_one_read_the_second_answers_no_later_call() {
-    let (_nodes, entries) = group([Manner::Good; 3]);
-    let agent = Agent::start(vec![Says::Twice(
+    let (_nodes, entries) = group([NodeBehavior::Healthy; 3]);
+    let agent = Agent::start(vec![AgentReply::TwoBodies(
         listing(50, &entries),
         listing(60, &entries),
     )])
     .expect("an agent");
-    agent.then(Says::Body(listing(70, &entries)));
+    agent.push_reply(AgentReply::Body(listing(70, &entries)));
     let (router, _folder) = Start::before("watch-twice", &agent, &entries).run();
     assert!(
-        agent.called(3, HANGS),
+        agent.wait_for_calls(3, HANGS),
         "{:?}: {:?}",
         agent.calls(),
         router.lines()
@@ -359,23 +359,26 @@
 
 #[test]
 fn a_node_that_a_whole_list_lacks_is_gone() {
-    let (nodes, entries) = group([Manner::Good; 3]);
-    let extra = Node::start(Manner::Good, false).expect("a node");
+    let (nodes, entries) = group([NodeBehavior::Healthy; 3]);
+    let extra = Node::start(NodeBehavior::Healthy, false).expect("a node");
     let mut more = entries.clone();
     more.push(entry(3, &extra, false, "active"));
     let agent =
-        Agent::start(vec![list(&more), Says::Body(listing(43, &entries))]).expect("an agent");
+        Agent::start(vec![list(&more), AgentReply::Body(listing(43, &entries))]).expect("an agent");
     let (router, _folder) = Start::before("watch-lacks", &agent, &more).run();
     assert!(
-        agent.called(3, HANGS),
+        agent.wait_for_calls(3, HANGS),
         "{:?}: {:?}",
         agent.calls(),
         router.lines()
     );
     let before = extra.ran().len();
-    let mut client = Caller::new(router.listen());
+    let mut client = RequestClient::new(router.listen());
     for n in 0..40 {
-        assert_eq!(ask(&mut client, &format!("a{n:04x}"), "look"), Fate::Served);
+        assert_eq!(
+            ask(&mut client, &format!("a{n:04x}"), "look"),
+            RequestOutcome::Served
+        );
     }
     assert_eq!(extra.ran().len(), before, "it is sent nothing");
     assert!(nodes.iter().any(|node| !node.ran().is_empty()));
@@ -403,7 +406,7 @@
 
 #[test]
 fn a_connection_that_never_comes_up_is_given_up_before_an_answer_would_be() {
-    let (_nodes, entries) = group([Manner::Good; 3]);
+    let (_nodes, entries) = group([NodeBehavior::Healthy; 3]);
     let (socket, _held) = deaf();
     let agent = socket
         .local_addr()
@@ -424,7 +427,9 @@
         let (router, _folder) = start.run();
         let ready = Instant::now();
         assert!(
-            router.says("discovery: no answer", HANGS).is_some(),
+            router
+                .wait_for_line("discovery: no answer", HANGS)
+                .is_some(),
             "{:?}",
             router.lines()
         );
--- a/router/tests/translator.rs
+++ b/router/tests/translator.rs
@@ -1,10 +1,11 @@
 //! The router between a scripted client of protocol versions 2.0 and 3.0 and a scripted server of version 3.2. The tests
 //! cover every message of the catalogue in both directions; a message without a test case fails the test.
 
-use plovercove_emulator::old::{Heard, Old, cancel};
+use plovercove_emulator::legacy_client::{LegacyClient, ServerMessage, cancel};
 use plovercove_emulator::process::{Folder, Process};
 use plovercove_emulator::server::{
-    Answer, Gate, PASSWORD, Server, Then, USER, columns, complete, fields, message, ready, row,
+    AfterReply, Answer, LoginMethod, PASSWORD, Server, USER, columns, complete, fields, message,
+    ready, row,
 };
 use plovercove_pgwire::catalogue::{ENTRIES, Entry, Side, Treatment};
 use std::net::SocketAddr;
@@ -78,8 +79,8 @@
         }
     }
 
-    fn client(&self, is_v2: bool) -> Old {
-        Old::connect(self.old, is_v2, "app", CLIENT_PASSWORD)
+    fn client(&self, is_v2: bool) -> LegacyClient {
+        LegacyClient::connect(self.old, is_v2, "app", CLIENT_PASSWORD)
             .expect("logged in")
             .0
     }
@@ -110,11 +111,11 @@
 }
 
 /// Returns true if a client received an error that contains `word` and no result, and the session continues.
-fn is_error(received: &[Heard], word: &str) -> bool {
-    matches!(received, [.., Heard::Error(text), Heard::Ready] if text.contains(word))
+fn is_error(received: &[ServerMessage], word: &str) -> bool {
+    matches!(received, [.., ServerMessage::Error(text), ServerMessage::Ready] if text.contains(word))
         && !received
             .iter()
-            .any(|h| matches!(h, Heard::Complete(_) | Heard::Row(_)))
+            .any(|h| matches!(h, ServerMessage::Complete(_) | ServerMessage::Row(_)))
 }
 
 /// A reply with a message of a server, and what the client must receive for it.
@@ -123,7 +124,7 @@
     /// The reply of the server.
     bytes: Vec<u8>,
     /// Returns true if a client received what it must. The arguments are whether it uses version 2.0, and what it received.
-    is_expected: fn(bool, &[Heard]) -> bool,
+    is_expected: fn(bool, &[ServerMessage]) -> bool,
 }
 
 fn message_cases() -> Vec<Case> {
@@ -137,7 +138,7 @@
         ]
         .concat()
     };
-    fn has_failed(_: bool, received: &[Heard]) -> bool {
+    fn has_failed(_: bool, received: &[ServerMessage]) -> bool {
         is_error(received, "08007") || is_error(received, "outcome is unknown")
     }
     let failing_case = |name, kind: u8, body: &[u8]| Case {
@@ -155,7 +156,7 @@
             ]
             .concat(),
             is_expected: |_, received| {
-                received[0] == Heard::Columns(vec![("a".into(), 17), ("b".into(), 1114)])
+                received[0] == ServerMessage::Columns(vec![("a".into(), 17), ("b".into(), 1114)])
             },
         },
         Case {
@@ -179,20 +180,24 @@
                     None,
                     Some(b""),
                 ];
-                received[1] == Heard::Row(expected.map(|v| v.map(<[u8]>::to_vec)).to_vec())
+                received[1] == ServerMessage::Row(expected.map(|v| v.map(<[u8]>::to_vec)).to_vec())
             },
         },
         Case {
             name: "CommandComplete",
             bytes: [complete("INSERT 0 1"), ready(b'I')].concat(),
             is_expected: |_, received| {
-                *received == [Heard::Complete("INSERT 0 1".into()), Heard::Ready]
+                *received
+                    == [
+                        ServerMessage::Complete("INSERT 0 1".into()),
+                        ServerMessage::Ready,
+                    ]
             },
         },
         Case {
             name: "EmptyQueryResponse",
             bytes: [message(b'I', b""), ready(b'I')].concat(),
-            is_expected: |_, received| *received == [Heard::Empty, Heard::Ready],
+            is_expected: |_, received| *received == [ServerMessage::Empty, ServerMessage::Ready],
         },
         Case {
             name: "ErrorResponse",
@@ -220,8 +225,10 @@
                 } else {
                     "23505 twice"
                 };
-                matches!(received, [.., Heard::Error(text), Heard::Ready] if text == expected)
-                    && !received.iter().any(|h| matches!(h, Heard::Complete(_)))
+                matches!(received, [.., ServerMessage::Error(text), ServerMessage::Ready] if text == expected)
+                    && !received
+                        .iter()
+                        .any(|h| matches!(h, ServerMessage::Complete(_)))
             },
         },
         Case {
@@ -241,8 +248,8 @@
             .concat(),
             is_expected: |is_v2, received| {
                 let expected = if is_v2 { "NOTICE:  hm\n" } else { "00000 hm" };
-                received[0] == Heard::Notice(expected.into())
-                    && received.contains(&Heard::Row(vec![Some(b"v".to_vec())]))
+                received[0] == ServerMessage::Notice(expected.into())
+                    && received.contains(&ServerMessage::Row(vec![Some(b"v".to_vec())]))
             },
         },
         Case {
@@ -264,7 +271,7 @@
                 ready(b'I'),
             ]
             .concat(),
-            is_expected: |_, received| received[0] == Heard::Copied(Vec::new()),
+            is_expected: |_, received| received[0] == ServerMessage::Copied(Vec::new()),
         },
         Case {
             name: "CopyDone",
@@ -288,20 +295,24 @@
                 ready(b'I'),
             ]
             .concat(),
-            is_expected: |_, received| received[0] == Heard::Copied(b"1\ta\n2\tb\n".to_vec()),
+            is_expected: |_, received| {
+                received[0] == ServerMessage::Copied(b"1\ta\n2\tb\n".to_vec())
+            },
         },
         Case {
             name: "NotificationResponse",
             bytes: [message(b'A', b"\0\0\0\x07seats\0x\0"), rest()].concat(),
             is_expected: |_, received| {
-                received.len() == 4 && received.contains(&Heard::Row(vec![Some(b"v".to_vec())]))
+                received.len() == 4
+                    && received.contains(&ServerMessage::Row(vec![Some(b"v".to_vec())]))
             },
         },
         Case {
             name: "ParameterStatus",
             bytes: [message(b'S', b"search_path\0seats\0"), rest()].concat(),
             is_expected: |_, received| {
-                received.len() == 4 && received.contains(&Heard::Row(vec![Some(b"v".to_vec())]))
+                received.len() == 4
+                    && received.contains(&ServerMessage::Row(vec![Some(b"v".to_vec())]))
             },
         },
         failing_case("CopyBothResponse", b'W', &[0, 0, 0]),
@@ -329,11 +340,11 @@
             let tag = if is_v2 { "SELECT" } else { "SELECT 1" };
             let tags: Vec<_> = received
                 .iter()
-                .filter(|h| matches!(h, Heard::Complete(_)))
+                .filter(|h| matches!(h, ServerMessage::Complete(_)))
                 .collect();
             tags == [
-                &Heard::Complete(tag.into()),
-                &Heard::Complete("INSERT 0 2".into()),
+                &ServerMessage::Complete(tag.into()),
+                &ServerMessage::Complete("INSERT 0 2".into()),
             ]
         },
     });
@@ -383,7 +394,7 @@
             .expect("the number of a case");
         Answer::of(script_cases[number].bytes.clone())
     };
-    let server = Server::start(Gate::Scram, 2, script).expect("a server");
+    let server = Server::start(LoginMethod::Scram, 2, script).expect("a server");
     let router = Router::start("walk", &server);
     for is_v2 in [true, false] {
         for (number, case) in message_cases.iter().enumerate() {
@@ -398,7 +409,7 @@
             // The session continues.
             assert_eq!(
                 client.query("").expect("the session continues"),
-                [Heard::Empty, Heard::Ready],
+                [ServerMessage::Empty, ServerMessage::Ready],
                 "{}",
                 case.name
             );
@@ -412,12 +423,12 @@
 }
 
 /// Sends a query and repeats it as long as it is rejected, as clients may do.
-fn query_until_accepted(client: &mut Old, text: &str) -> Vec<Heard> {
+fn query_until_accepted(client: &mut LegacyClient, text: &str) -> Vec<ServerMessage> {
     let deadline = Instant::now() + Duration::from_secs(10);
     loop {
         let received = client.query(text).unwrap_or_else(|e| panic!("{text}: {e}"));
         let is_rejected = received.iter().any(
-            |h| matches!(h, Heard::Error(error) if error.contains("53300") || error.contains("57P03")),
+            |h| matches!(h, ServerMessage::Error(error) if error.contains("53300") || error.contains("57P03")),
         );
         if !is_rejected || Instant::now() > deadline {
             return received;
@@ -428,38 +439,41 @@
 
 #[test]
 fn every_login_of_a_server_succeeds_or_is_logged() {
-    let server =
-        Server::start(Gate::Trust, 2, |_| Answer::of(result_reply(&[b"v"]))).expect("a server");
+    let server = Server::start(LoginMethod::Trust, 2, |_| Answer::of(result_reply(&[b"v"])))
+        .expect("a server");
     for (gate, minor) in [
-        (Gate::Trust, 0),
-        (Gate::Clear, 2),
-        (Gate::Md5, 2),
-        (Gate::Scram, 2),
-        (Gate::Scram, 0),
+        (LoginMethod::Trust, 0),
+        (LoginMethod::ClearText, 2),
+        (LoginMethod::Md5, 2),
+        (LoginMethod::Scram, 2),
+        (LoginMethod::Scram, 0),
     ] {
         let server =
             Server::start(gate, minor, |_| Answer::of(result_reply(&[b"v"]))).expect("a server");
         let router = Router::start(&format!("gate-{gate:?}-{minor}"), &server);
         let received = query_until_accepted(&mut router.client(true), "SELECT 1");
         assert!(
-            received.contains(&Heard::Row(vec![Some(b"v".to_vec())])),
+            received.contains(&ServerMessage::Row(vec![Some(b"v".to_vec())])),
             "{gate:?} {minor}: {received:?}"
         );
         assert!(!router.log().contains(PASSWORD), "a secret in the log");
     }
     let router = Router::start("gate-none", &server);
     for (gate, word) in [
-        (Gate::Other(2), "Kerberos"),
-        (Gate::Other(7), "GSSAPI"),
-        (Gate::Other(9), "SSPI"),
-        (Gate::Other(8), "a message that cannot be followed"),
-        (Gate::Refuses("28P01"), "28P01"),
+        (LoginMethod::Other(2), "Kerberos"),
+        (LoginMethod::Other(7), "GSSAPI"),
+        (LoginMethod::Other(9), "SSPI"),
+        (LoginMethod::Other(8), "a message that cannot be followed"),
+        (LoginMethod::Reject("28P01"), "28P01"),
     ] {
         server.set_gate(gate);
         let started_at = Instant::now();
         let received = router.client(false).query("INSERT 1").expect("an answer");
         assert!(
-            matches!(received[..], [Heard::Error(_), Heard::Ready]),
+            matches!(
+                received[..],
+                [ServerMessage::Error(_), ServerMessage::Ready]
+            ),
             "{gate:?}: {received:?}"
         );
         // The deadline of its class is 5 s.
@@ -477,10 +491,10 @@
 
 #[test]
 fn every_client_message_is_handled_as_in_the_catalogue() {
-    let server = Server::start(Gate::Scram, 2, |query| match without_labels(query) {
+    let server = Server::start(LoginMethod::Scram, 2, |query| match without_labels(query) {
         "SELECT 'slow'" => Answer {
             bytes: Vec::new(),
-            then: Then::Works(20_000),
+            then: AfterReply::Work(20_000),
         },
         _ => Answer::of(result_reply(&[b"v"])),
     })
@@ -493,9 +507,9 @@
         "PasswordPacket",
         "Query",
     ];
-    let unsupported = |received: Vec<Heard>, name: &str| {
+    let unsupported = |received: Vec<ServerMessage>, name: &str| {
         assert!(
-            matches!(&received[..], [Heard::Error(text), Heard::Ready] if text.contains("0A000")),
+            matches!(&received[..], [ServerMessage::Error(text), ServerMessage::Ready] if text.contains("0A000")),
             "{name}: {received:?}"
         );
     };
@@ -505,7 +519,7 @@
             client
                 .query("SELECT 1")
                 .expect("served")
-                .contains(&Heard::Row(vec![Some(b"v".to_vec())]))
+                .contains(&ServerMessage::Row(vec![Some(b"v".to_vec())]))
         );
         let call: &[u8] = if is_v2 {
             b"F\0\0\0\0\x07\0\0\0\x01\0\0\0\x02ab"
@@ -513,7 +527,10 @@
             b"F\0\0\0\x0e\0\0\0\x07\0\0\0\0\0\0"
         };
         client.send(call).expect("sent");
-        unsupported(client.hear().expect("an answer"), "FunctionCall");
+        unsupported(
+            client.receive_until_ready().expect("an answer"),
+            "FunctionCall",
+        );
         assert!(
             client.query("SELECT 1").expect("served").len() == 4,
             "the session stays"
@@ -537,12 +554,15 @@
         ]
         .concat();
         client.send(&messages).expect("sent");
-        unsupported(client.hear().expect("an answer"), name);
+        unsupported(client.receive_until_ready().expect("an answer"), name);
         tested.push(name);
     }
     let mut client = router.client(false);
     client.send(&message(b'S', b"")).expect("sent");
-    assert_eq!(client.hear().expect("an answer"), [Heard::Ready]);
+    assert_eq!(
+        client.receive_until_ready().expect("an answer"),
+        [ServerMessage::Ready]
+    );
     client
         .send(
             &[
@@ -555,7 +575,7 @@
         .expect("sent");
     assert_eq!(
         client.query("").expect("the copy messages were skipped"),
-        [Heard::Empty, Heard::Ready]
+        [ServerMessage::Empty, ServerMessage::Ready]
     );
     tested.extend(["Sync", "CopyData", "CopyDone", "CopyFail"]);
     for is_v2 in [true, false] {
@@ -563,20 +583,20 @@
         client
             .send(if is_v2 { b"X" } else { b"X\0\0\0\x04" })
             .expect("sent");
-        assert!(client.ends());
+        assert!(client.is_closed_by_peer());
     }
     tested.push("Terminate");
     for (name, packet) in [
         ("SSLRequest", b"\0\0\0\x08\x04\xd2\x16\x2f"),
         ("GSSENCRequest", b"\0\0\0\x08\x04\xd2\x16\x30"),
     ] {
-        let mut client = Old::dial(router.old, false).expect("it listens");
+        let mut client = LegacyClient::open(router.old, false).expect("it listens");
         client.send(packet).expect("sent");
         client.send(b"\0\0\0\x08\0\x09\0\0").expect("sent");
         assert_eq!(client.byte().expect("an answer"), b'N', "{name}");
-        let received = client.hear().expect("an error, and the end");
+        let received = client.receive_until_ready().expect("an error, and the end");
         assert!(
-            matches!(&received[..], [Heard::Error(text)] if text.contains("version 9.0")),
+            matches!(&received[..], [ServerMessage::Error(text)] if text.contains("version 9.0")),
             "{name}: {received:?}"
         );
         tested.push(name);
@@ -585,7 +605,7 @@
     for is_v2 in [true, false] {
         let mut client = router.client(is_v2);
         let before = server.log().queries.len();
-        client.ask("SELECT 'slow'").expect("asked");
+        client.send_query("SELECT 'slow'").expect("asked");
         let deadline = Instant::now() + Duration::from_secs(5);
         while server.log().queries.len() == before && Instant::now() < deadline {
             std::thread::yield_now();
@@ -597,7 +617,10 @@
         );
         let started_at = Instant::now();
         assert!(cancel(router.old, &client.key).expect("closed"));
-        assert!(is_error(&client.hear().expect("an answer"), "57014"));
+        assert!(is_error(
+            &client.receive_until_ready().expect("an answer"),
+            "57014"
+        ));
         // This is much less than the server would have taken.
         assert!(started_at.elapsed() < Duration::from_secs(10));
         assert!(
@@ -642,14 +665,14 @@
         .expect("login rejected");
     assert_eq!(wrong.code().map(|c| c.code()), Some("28P01"));
     tested.extend(["SASLInitialResponse", "SASLResponse"]);
-    let mut client = Old::dial(router.new, false).expect("it listens");
+    let mut client = LegacyClient::open(router.new, false).expect("it listens");
     client
         .send(b"\0\0\0\x12\0\x03\0\0user\0new\0\0")
         .expect("sent");
     client
         .send(&message(b'p', b"a token of GSSAPI"))
         .expect("sent");
-    let received = client.hear().map_err(|e| e.to_string());
+    let received = client.receive_until_ready().map_err(|e| e.to_string());
     assert!(
         received.as_ref().is_err_and(|e| e.contains("'R'")),
         "SCRAM was requested first: {received:?}"
@@ -694,22 +717,25 @@
             .expect("where it fails");
         let mut bytes = complete_reply[..cut].to_vec();
         let (rest, then) = match text.split(' ').nth(1) {
-            Some("close") => (Vec::new(), Then::Closes),
+            Some("close") => (Vec::new(), AfterReply::Close),
             Some("error") => (
                 [
                     fields(b'E', &[(b'S', "ERROR"), (b'C', "XX000"), (b'M', "no")]),
                     ready(b'I'),
                 ]
                 .concat(),
-                Then::Stays,
+                AfterReply::KeepOpen,
+            ),
+            Some("ready") => (ready(b'I'), AfterReply::KeepOpen),
+            _ => (
+                b"\xff\xff\xff\xff\xff\xff\xff\xff".to_vec(),
+                AfterReply::Close,
             ),
-            Some("ready") => (ready(b'I'), Then::Stays),
-            _ => (b"\xff\xff\xff\xff\xff\xff\xff\xff".to_vec(), Then::Closes),
         };
         bytes.extend(rest);
         Answer { bytes, then }
     };
-    let server = Server::start(Gate::Scram, 2, script).expect("a server");
+    let server = Server::start(LoginMethod::Scram, 2, script).expect("a server");
     let router = Router::start("booking", &server);
     let mut success_count = 0;
     for is_v2 in [true, false] {
@@ -720,7 +746,9 @@
             }) {
                 let text = format!("INSERT {failure} {is_v2} {cut}");
                 let received = query_until_accepted(&mut client, &text);
-                let looks_successful = received.iter().any(|h| matches!(h, Heard::Complete(_)));
+                let looks_successful = received
+                    .iter()
+                    .any(|h| matches!(h, ServerMessage::Complete(_)));
                 success_count += usize::from(looks_successful);
                 // Only a write that the server completed may look successful: its reply must be complete to the last byte,
                 // with nothing else after it.
@@ -738,7 +766,7 @@
                 assert!(ran <= 1, "{text} was sent {ran} times");
                 let is_rejected = received
                     .iter()
-                    .any(|h| matches!(h, Heard::Error(e) if e.contains("53300")));
+                    .any(|h| matches!(h, ServerMessage::Error(e) if e.contains("53300")));
                 assert!(
                     !is_rejected || ran == 0,
                     "{text} may have run and was reported as rejected: {received:?}"
@@ -746,7 +774,7 @@
                 assert!(is_rejected || ran == 1, "{text}: {received:?}");
                 assert_eq!(
                     received.last(),
-                    Some(&Heard::Ready),
+                    Some(&ServerMessage::Ready),
                     "{text}: the session continues"
                 );
             }
@@ -760,7 +788,7 @@
 
 #[test]
 fn sessions_keep_supported_settings_and_reject_other_session_state() {
-    let server = Server::start(Gate::Trust, 0, |_| {
+    let server = Server::start(LoginMethod::Trust, 0, |_| {
         let rows = row(&[Some(b"2026-12-01")]);
         Answer::of(
             [
@@ -775,29 +803,37 @@
     .expect("a server");
     let router = Router::start("session", &server);
     let (mut client, parameters) =
-        Old::connect(router.old, false, "app", CLIENT_PASSWORD).expect("logged in");
+        LegacyClient::connect(router.old, false, "app", CLIENT_PASSWORD).expect("logged in");
     assert!(
-        parameters.contains(&Heard::Status("server_version".into(), "8.4.22".into())),
+        parameters.contains(&ServerMessage::Status(
+            "server_version".into(),
+            "8.4.22".into()
+        )),
         "{parameters:?}"
     );
     let mut other = router.client(false);
-    let day = |client: &mut Old| client.query("SELECT day FROM trips").expect("served")[1].clone();
+    let day = |client: &mut LegacyClient| {
+        client.query("SELECT day FROM trips").expect("served")[1].clone()
+    };
     assert_eq!(
         day(&mut client),
-        Heard::Row(vec![Some(b"01/12/2026".to_vec())])
+        ServerMessage::Row(vec![Some(b"01/12/2026".to_vec())])
     );
     let received = client.query("SET DateStyle TO 'German'").expect("kept");
     assert!(
-        received.contains(&Heard::Status("DateStyle".into(), "German, DMY".into())),
+        received.contains(&ServerMessage::Status(
+            "DateStyle".into(),
+            "German, DMY".into()
+        )),
         "{received:?}"
     );
     assert_eq!(
         day(&mut client),
-        Heard::Row(vec![Some(b"01.12.2026".to_vec())])
+        ServerMessage::Row(vec![Some(b"01.12.2026".to_vec())])
     );
     assert_eq!(
         day(&mut other),
-        Heard::Row(vec![Some(b"01/12/2026".to_vec())]),
+        ServerMessage::Row(vec![Some(b"01/12/2026".to_vec())]),
         "no session sees the settings of another"
     );
     for text in [
@@ -831,11 +867,11 @@
 
 #[test]
 fn failed_logins_delay_only_the_user_that_failed() {
-    let server =
-        Server::start(Gate::Trust, 0, |_| Answer::of(result_reply(&[b"v"]))).expect("a server");
+    let server = Server::start(LoginMethod::Trust, 0, |_| Answer::of(result_reply(&[b"v"])))
+        .expect("a server");
     let router = Router::start("guesses", &server);
     let login_error = |user: &str| {
-        Old::connect(router.old, true, user, "guess")
+        LegacyClient::connect(router.old, true, user, "guess")
             .err()
             .expect("login rejected")
             .to_string()
@@ -887,8 +923,8 @@
 #[test]
 fn an_incomplete_login_is_closed_within_its_deadline() {
     // Without a deadline, clients that do not complete their login would occupy slots for as long as they like.
-    let server =
-        Server::start(Gate::Trust, 0, |_| Answer::of(result_reply(&[b"v"]))).expect("a server");
+    let server = Server::start(LoginMethod::Trust, 0, |_| Answer::of(result_reply(&[b"v"])))
+        .expect("a server");
     let router = Router::start("stops", &server);
     let v3_startup = b"\0\0\0\x21\0\x03\0\0user\0app\0database\0trips\0\0".to_vec();
     let mut v2_startup = vec![0u8; 296];
@@ -898,7 +934,7 @@
     let mut incomplete = Vec::new();
     for packet in [v3_startup, v2_startup] {
         for cut in [0, 1, 4, 8, 20, packet.len() - 1, packet.len()] {
-            let mut client = Old::dial(router.old, false).expect("it listens");
+            let mut client = LegacyClient::open(router.old, false).expect("it listens");
             client.send(&packet[..cut]).expect("sent");
             incomplete.push(client);
         }
@@ -920,8 +956,10 @@
 #[test]
 fn a_session_without_labels_reads_its_own_writes_and_other_sessions_are_not_delayed() {
     // A rider books and then reads the booking; a replica that lags must not answer that there is none.
-    let primary =
-        Server::start(Gate::Trust, 0, |_| Answer::of(result_reply(&[b"new"]))).expect("a server");
+    let primary = Server::start(LoginMethod::Trust, 0, |_| {
+        Answer::of(result_reply(&[b"new"]))
+    })
+    .expect("a server");
     let lagging = |_: &str| {
         let parameters = [
             &b"replication_role\0standby\0"[..],
@@ -938,13 +976,13 @@
             .concat(),
         )
     };
-    let replica = Server::start(Gate::Trust, 0, lagging).expect("a server");
+    let replica = Server::start(LoginMethod::Trust, 0, lagging).expect("a server");
     let router = Router::start_with_replica("own-write", &primary, &replica, "mine");
     let (mut rider, mut other) = (router.client(true), router.client(false));
-    let read = |client: &mut Old| {
+    let read = |client: &mut LegacyClient| {
         let received = query_until_accepted(client, "SELECT body FROM seats");
         let row = received.into_iter().find_map(|h| {
-            if let Heard::Row(row) = h {
+            if let ServerMessage::Row(row) = h {
                 row[0].clone()
             } else {
                 None
