--- a/leases/src/local_lease.rs
+++ b/leases/src/local_lease.rs
@@ -153,7 +153,10 @@
         // Once the successor is ready, it may already have its votes while the confirmation is still in flight. If this router
         // continued until the confirmation arrives, both would act.
         if rules.is_enabled(Guard::Transfer)
-            && claim.handover.as_ref().is_some_and(|p| p.ready.is_some())
+            && claim
+                .handover
+                .as_ref()
+                .is_some_and(|handover| handover.ready.is_some())
         {
             return None;
         }
@@ -171,7 +174,7 @@
         let Some(claim) = self
             .claim
             .as_ref()
-            .filter(|h| h.is_held && h.handover.is_none())
+            .filter(|claim| claim.is_held && claim.handover.is_none())
         else {
             return;
         };
@@ -254,11 +257,12 @@
 
     /// Returns whether a request or poll is due now, or within `ahead` so that it may share a datagram with others.
     pub fn is_due(&self, now: Time, ahead: Micros) -> bool {
-        if self
-            .claim
-            .as_ref()
-            .is_some_and(|h| h.handover.as_ref().is_some_and(|p| p.ready.is_some()))
-        {
+        if self.claim.as_ref().is_some_and(|claim| {
+            claim
+                .handover
+                .as_ref()
+                .is_some_and(|handover| handover.ready.is_some())
+        }) {
             return false;
         }
         // Renewals are brought forward by at most half of that time, which is enough for them to share datagrams.
@@ -480,7 +484,7 @@
             .is_held
             .then_some(claim.token)
             .or(self.previous_grant.map(|grant| grant.token));
-        // If the clock stood still during the stall, the router would take a lease for running that has ended in true time.
+        // If the clock stopped during the stall, the router would take a lease for running that has ended in true time.
         if rules.is_enabled(Guard::Stalled) {
             self.previous_grant = None;
             let (predecessor_checkpoint, checkpoint) =
@@ -570,11 +574,13 @@
                 now
             },
         );
-        if checkpoint.as_ref().map(|m| (m.token, m.count))
+        if checkpoint
+            .as_ref()
+            .map(|checkpoint| (checkpoint.token, checkpoint.count))
             > self
                 .predecessor_checkpoint
                 .as_ref()
-                .map(|m| (m.token, m.count))
+                .map(|checkpoint| (checkpoint.token, checkpoint.count))
         {
             self.predecessor_checkpoint = checkpoint;
         }
--- a/leases/src/manager.rs
+++ b/leases/src/manager.rs
@@ -380,14 +380,18 @@
     ///
     /// The voters receive it with the next renewal.
     pub fn record_checkpoint(&mut self, lease: &LeaseName, data: Vec<u8>) -> bool {
-        let claim = self.leases.get_mut(lease).and_then(|c| c.claim.as_mut());
-        let Some(claim) = claim.filter(|h| h.is_held && data.len() <= MAX_CHECKPOINT_BYTES) else {
+        let claim = self
+            .leases
+            .get_mut(lease)
+            .and_then(|state| state.claim.as_mut());
+        let Some(claim) = claim.filter(|claim| claim.is_held && data.len() <= MAX_CHECKPOINT_BYTES)
+        else {
             return false;
         };
         let count = claim
             .checkpoint
             .as_ref()
-            .map_or(0, |m| m.count)
+            .map_or(0, |checkpoint| checkpoint.count)
             .saturating_add(1);
         claim.checkpoint = Some(Checkpoint {
             token: claim.token,
@@ -404,7 +408,7 @@
             .get(lease)?
             .claim
             .as_ref()
-            .filter(|h| h.is_held)?
+            .filter(|claim| claim.is_held)?
             .predecessor_checkpoint
             .as_ref()?;
         Some(ResumePoint {
@@ -437,7 +441,7 @@
             let is_held = self
                 .leases
                 .get(&lease)
-                .is_some_and(|c| c.claim.as_ref().is_some_and(|h| h.is_held));
+                .is_some_and(|state| state.claim.as_ref().is_some_and(|claim| claim.is_held));
             if is_held {
                 self.offer_to_successor(now, &lease, 0);
             } else {
@@ -449,9 +453,12 @@
 
     /// Returns whether a hand-over is under way.
     pub fn is_handing_over(&self) -> bool {
-        self.leases
-            .values()
-            .any(|c| c.claim.as_ref().is_some_and(|h| h.handover.is_some()))
+        self.leases.values().any(|state| {
+            state
+                .claim
+                .as_ref()
+                .is_some_and(|claim| claim.handover.is_some())
+        })
     }
 
     /// Offers a lease to the member that should hold it next, after `attempts` others were offered it.
@@ -496,7 +503,11 @@
 
     /// Sends the message of the current step of a hand-over.
     fn send_handover(&mut self, lease: &LeaseName) {
-        let Some(claim) = self.leases.get(lease).and_then(|c| c.claim.as_ref()) else {
+        let Some(claim) = self
+            .leases
+            .get(lease)
+            .and_then(|state| state.claim.as_ref())
+        else {
             return;
         };
         let Some(handover) = &claim.handover else {
@@ -665,8 +676,12 @@
                 requested_at,
                 lease_ms,
             } if generation == own_generation => {
-                let claim = self.leases.get_mut(&lease).and_then(|c| c.claim.as_mut());
-                let Some(claim) = claim.filter(|h| h.is_held && h.token == token) else {
+                let claim = self
+                    .leases
+                    .get_mut(&lease)
+                    .and_then(|state| state.claim.as_mut());
+                let Some(claim) = claim.filter(|claim| claim.is_held && claim.token == token)
+                else {
                     return;
                 };
                 let Some(handover) = claim.handover.as_mut() else {
@@ -792,12 +807,19 @@
 
     /// Records that this router has acquired a lease, and confirms it to the previous holder if it was handed over.
     fn announce_acquired(&mut self, lease: &LeaseName) {
-        let Some(claim) = self.leases.get(lease).and_then(|c| c.claim.as_ref()) else {
+        let Some(claim) = self
+            .leases
+            .get(lease)
+            .and_then(|state| state.claim.as_ref())
+        else {
             return;
         };
         let (token, resumes_from) = (
             claim.token,
-            claim.predecessor_checkpoint.as_ref().map(|m| m.token),
+            claim
+                .predecessor_checkpoint
+                .as_ref()
+                .map(|checkpoint| checkpoint.token),
         );
         self.record_event(LeaseEvent::Acquired {
             lease: lease.clone(),
@@ -807,7 +829,7 @@
         if let Some((previous, previous_token)) = self
             .leases
             .get_mut(lease)
-            .and_then(|c| c.believed_holder.take())
+            .and_then(|state| state.believed_holder.take())
             && previous_token.next() == token
             && previous.holder() != self.me.holder()
         {
@@ -868,13 +890,17 @@
         let Some(state) = self.leases.get_mut(lease) else {
             return;
         };
-        let Some(claim) = state.claim.as_ref().filter(|h| h.token.next() == token) else {
+        let Some(claim) = state
+            .claim
+            .as_ref()
+            .filter(|claim| claim.token.next() == token)
+        else {
             return;
         };
         let Some(handover) = claim
             .handover
             .as_ref()
-            .filter(|p| p.to.holder() == from.holder())
+            .filter(|handover| handover.to.holder() == from.holder())
         else {
             return;
         };
@@ -952,16 +978,19 @@
                 let token = self
                     .leases
                     .get(&lease)
-                    .and_then(|c| c.claim.as_ref())
-                    .map(|h| h.token);
+                    .and_then(|state| state.claim.as_ref())
+                    .map(|claim| claim.token);
                 self.give_up(now, &lease, None);
                 if let Some(token) = token {
                     self.record_event(LeaseEvent::Released { lease, token });
                 }
                 continue;
             }
-            let claim = self.leases.get_mut(&lease).and_then(|c| c.claim.as_mut());
-            if let Some(handover) = claim.and_then(|h| h.handover.as_mut()) {
+            let claim = self
+                .leases
+                .get_mut(&lease)
+                .and_then(|state| state.claim.as_mut());
+            if let Some(handover) = claim.and_then(|claim| claim.handover.as_mut()) {
                 handover.last_sent = now;
             }
             self.send_handover(&lease);
@@ -980,13 +1009,13 @@
         let held_count = self
             .leases
             .values()
-            .filter(|c| c.claim.as_ref().is_some_and(|h| h.is_held))
+            .filter(|state| state.claim.as_ref().is_some_and(|claim| claim.is_held))
             .count();
         if held_count <= self.placement.rebalance_threshold() || self.is_handing_over() {
             return;
         }
         let misplaced = |(lease, state): (&LeaseName, &LocalLease)| {
-            let is_held = state.claim.as_ref().is_some_and(|h| h.is_held);
+            let is_held = state.claim.as_ref().is_some_and(|claim| claim.is_held);
             (is_held && self.placement.preferred_holder(lease) != Some(self.me.address))
                 .then(|| lease.clone())
         };
@@ -1002,14 +1031,13 @@
         let is_due = self
             .leases
             .values()
-            .any(|c| c.next_send <= now && c.is_due(now, 0));
+            .any(|state| state.next_send <= now && state.is_due(now, 0));
         if (!is_due && now < self.next_heartbeat) || (self.is_leaving && !self.is_handing_over()) {
             return;
         }
-        let renews_held = self
-            .leases
-            .values()
-            .any(|c| c.claim.as_ref().is_some_and(|h| h.is_held) && c.next_send <= now);
+        let renews_held = self.leases.values().any(|state| {
+            state.claim.as_ref().is_some_and(|claim| claim.is_held) && state.next_send <= now
+        });
         if !self
             .limiter
             .try_take(now, if renews_held { 0.0 } else { RENEWAL_RESERVE })
@@ -1018,8 +1046,8 @@
             let later = now + self.rules.retry_interval();
             self.leases
                 .values_mut()
-                .filter(|c| c.next_send <= now)
-                .for_each(|c| c.next_send = later);
+                .filter(|state| state.next_send <= now)
+                .for_each(|state| state.next_send = later);
             self.next_heartbeat = self.next_heartbeat.max(later);
             return;
         }
--- a/leases/src/rules.rs
+++ b/leases/src/rules.rs
@@ -194,12 +194,12 @@
         got: usize,
     },
     /// A voter is listed twice.
-    #[error("{key}: {who} is listed twice")]
+    #[error("{key}: {duplicate} is listed twice")]
     Twice {
         /// The settings key.
         key: &'static str,
         /// The repeated name or address.
-        who: String,
+        duplicate: String,
     },
     /// The name of a voter does not fit into files and datagrams.
     #[error("{key}: expected a name of 1 to 48 bytes")]
@@ -398,12 +398,12 @@
             .iter()
             .find(|d| d.name == voter.name || d.address == voter.address)
         {
-            let who = if other.name == voter.name {
+            let duplicate = if other.name == voter.name {
                 voter.name.clone()
             } else {
                 voter.address.to_string()
             };
-            return Err(RulesFault::Twice { key, who });
+            return Err(RulesFault::Twice { key, duplicate });
         }
     }
     Ok(())
--- a/leases/src/voter.rs
+++ b/leases/src/voter.rs
@@ -114,11 +114,11 @@
     ) -> Option<Self> {
         let set = &rules.voters;
         let is_member = set.position_of(&me.address).is_some();
-        let was_member = set.previous.iter().any(|d| d.address == me.address);
+        let was_member = set.previous.iter().any(|voter| voter.address == me.address);
         if !is_member && !was_member {
             return None;
         }
-        let file_generation = persisted.as_ref().map(|k| k.generation);
+        let file_generation = persisted.as_ref().map(|persisted| persisted.generation);
         let previous_generation = set.generation.checked_sub(1);
         let stage = match file_generation {
             _ if !is_member => VoterStage::Former,
@@ -127,17 +127,20 @@
             _ => VoterStage::Blank,
         };
         // A file older than the previous generation holds nothing that other voters could use.
-        let persisted = persisted.filter(|k| {
-            k.generation == set.generation || Some(k.generation) == previous_generation
+        let persisted = persisted.filter(|persisted| {
+            persisted.generation == set.generation
+                || Some(persisted.generation) == previous_generation
         });
         let max_lease_ms = persisted
             .as_ref()
-            .map_or(0, |k| k.max_lease_ms)
+            .map_or(0, |persisted| persisted.max_lease_ms)
             .max(rules.lease_ms);
         let mut voter = Voter {
             me: me.clone(),
             stage,
-            token_floor: persisted.as_ref().map_or(Token::NONE, |k| k.token_ceiling),
+            token_floor: persisted
+                .as_ref()
+                .map_or(Token::NONE, |persisted| persisted.token_ceiling),
             records: BTreeMap::new(),
             on_disk: persisted.clone(),
             to_write: None,
@@ -240,7 +243,7 @@
     fn has_current_generation(&self, rules: &Rules) -> bool {
         self.on_disk
             .as_ref()
-            .is_some_and(|k| k.generation == rules.voters.generation)
+            .is_some_and(|persisted| persisted.generation == rules.voters.generation)
     }
 
     /// Returns when [`Voter::turn`] is due.
@@ -286,17 +289,20 @@
     fn token_ceiling(&self) -> Token {
         self.on_disk
             .as_ref()
-            .map_or(Token::NONE, |k| k.token_ceiling)
+            .map_or(Token::NONE, |persisted| persisted.token_ceiling)
             .max(self.token_floor)
     }
 
     /// Returns the states of the other voters of this generation that know up to which token they may have voted.
     fn informed_voters(&self, rules: &Rules) -> impl Iterator<Item = &VoterState> {
         let set = &rules.voters;
-        let others = set.members.iter().filter(|d| d.address != self.me.address);
+        let others = set
+            .members
+            .iter()
+            .filter(|voter| voter.address != self.me.address);
         others
-            .filter_map(|d| self.known_states.get(&d.address))
-            .map(|t| &t.state)
+            .filter_map(|voter| self.known_states.get(&voter.address))
+            .map(|known| &known.state)
             .filter(|s| {
                 s.generation == set.generation
                     && matches!(s.stage, VoterStage::Voting | VoterStage::Waiting)
@@ -349,10 +355,13 @@
                 // This is the first start, or most of the set is new. Then all other voters must answer: of those that
                 // granted a lease together with this one, at most a minority can have lost their files, so at least one
                 // answer still covers the votes.
-                let others = set.members.iter().filter(|d| d.address != self.me.address);
+                let others = set
+                    .members
+                    .iter()
+                    .filter(|voter| voter.address != self.me.address);
                 let answered = others
-                    .filter_map(|d| self.known_states.get(&d.address))
-                    .filter(|t| t.state.generation == set.generation);
+                    .filter_map(|voter| self.known_states.get(&voter.address))
+                    .filter(|known| known.state.generation == set.generation);
                 if answered.count() + 1 == set.members.len() {
                     let previous_limits = if set.previous.is_empty() {
                         Some((Token::NONE, 0))
@@ -383,15 +392,15 @@
     /// itself.
     fn limits_of_previous_set(&self, rules: &Rules) -> Option<(Token, u64)> {
         let set = &rules.voters;
-        let sealed = set.previous.iter().filter_map(|d| {
-            if d.address == self.me.address {
+        let sealed = set.previous.iter().filter_map(|voter| {
+            if voter.address == self.me.address {
                 let on_disk = self
                     .on_disk
                     .as_ref()
-                    .filter(|k| k.sealed_below >= set.generation)?;
+                    .filter(|persisted| persisted.sealed_below >= set.generation)?;
                 return Some((on_disk.token_ceiling, on_disk.max_lease_ms));
             }
-            let state = &self.known_states.get(&d.address)?.state;
+            let state = &self.known_states.get(&voter.address)?.state;
             (state.sealed_below >= set.generation)
                 .then_some((state.token_ceiling, state.max_lease_ms))
         });
@@ -459,7 +468,7 @@
         let max_lease_ms = self
             .on_disk
             .as_ref()
-            .map_or(0, |k| k.max_lease_ms)
+            .map_or(0, |persisted| persisted.max_lease_ms)
             .max(rules.lease_ms);
         let latest_end = now.saturating_add(rules.lease_at_voter(max_lease_ms));
         let extended = |end: Time| {
@@ -494,7 +503,7 @@
         let known_ceiling = self
             .known_states
             .get(&from.address)
-            .map_or(Token::NONE, |t| t.state.token_ceiling);
+            .map_or(Token::NONE, |known| known.state.token_ceiling);
         // The answer is a promise that must survive a restart, so it contains what is on disk, not what will be written.
         let state = VoterState {
             generation: rules.voters.generation,
@@ -506,8 +515,14 @@
                 stage => stage,
             },
             token_ceiling: self.token_ceiling(),
-            max_lease_ms: self.on_disk.as_ref().map_or(0, |k| k.max_lease_ms),
-            sealed_below: self.on_disk.as_ref().map_or(0, |k| k.sealed_below),
+            max_lease_ms: self
+                .on_disk
+                .as_ref()
+                .map_or(0, |persisted| persisted.max_lease_ms),
+            sealed_below: self
+                .on_disk
+                .as_ref()
+                .map_or(0, |persisted| persisted.sealed_below),
             receiver_ceiling: known_ceiling,
         };
         outbox.send(from.address, &Message::State(state));
@@ -552,7 +567,7 @@
             .members
             .iter()
             .chain(&set.previous)
-            .any(|d| d.address == from.address);
+            .any(|voter| voter.address == from.address);
         if !is_voter
             || state.incarnation != self.me.incarnation
             || matches!(self.stage, VoterStage::Voting | VoterStage::Former)
--- a/leases/tests/replicated_log/mod.rs
+++ b/leases/tests/replicated_log/mod.rs
@@ -49,7 +49,6 @@
 }
 
 /// Routers whose leases a replicated log grants.
-
 pub struct ReplicatedLog {
     pub net: Net,
     pub sent: u64,
@@ -230,7 +229,7 @@
         }
     }
 
-    /// Sends the messages of a node of the log and applies its committed entries. The leader grants what they say.
+    /// Sends the messages of a node of the log and applies its committed entries. The leader notifies the routers whose leases were granted.
     fn apply_ready(&mut self, n: usize) {
         if !self.is_active(n) || !self.nodes[n].has_ready() {
             return;
