--- a/router/src/serve.rs
+++ b/router/src/serve.rs
@@ -412,7 +412,7 @@
                 return warn!(
                     reason = "reload",
                     help = fault.help(),
-                    "SIGHUP: {fault}; nothing is changed"
+                    "SIGHUP: {fault}; all stays as it was"
                 );
             }
         };
@@ -440,7 +440,7 @@
                     "SIGHUP: enabling or disabling gossip needs a restart"
                 ),
             }
-            info!(zones, "SIGHUP: the operators' file was applied");
+            info!(zones, "SIGHUP: the operators' file was taken over");
         }
     }
 
--- a/router/src/upstream/tests.rs
+++ b/router/src/upstream/tests.rs
@@ -1,5 +1,6 @@
-//! Crossings at db nodes, each forced: the pools before nodes on loopback sockets that do nothing by themselves, on a clock
-//! that only the test moves. Events are taken in when the test says so, so that what comes between two steps is its choice.
+//! Race conditions between the upstream and db nodes. The pools connect to loopback nodes that act only when the test says
+//! so, on a clock that only the test moves. The test also decides when poller events are handled, and thus which events fall
+//! between two steps.
 
 use super::connection::State;
 use super::locations::MAX_REMOVED_POOLS;
@@ -20,22 +21,23 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Ends a test that would hang; no test waits for it.
-const HANGS: Duration = Duration::from_secs(40);
+/// Time after which a hanging test fails.
+const TEST_TIMEOUT: Duration = Duration::from_secs(40);
 const NOW: Time = 1_000_000_000;
 const SECOND: Micros = 1_000_000;
-/// What a connection to a db node may take.
-const DIAL: Micros = 2 * SECOND;
-/// After this a db node closes what is idle.
-const IDLE: Micros = 60 * SECOND;
-/// The classes, by number.
+/// The connection timeout.
+const CONNECT_TIMEOUT: Micros = 2 * SECOND;
+/// Time after which a db node closes an idle connection.
+const NODE_IDLE_TIMEOUT: Micros = 60 * SECOND;
+/// The indexes of the classes.
 const READ: usize = 0;
 const WRITE: usize = 1;
 const KEYED: usize = 2;
-/// What a client waits for, and the window in which `KEYED` may be repeated.
-const PATIENCE: Micros = 5 * SECOND;
-const WINDOW: Micros = SECOND;
-/// An error that blames the db node; bytes of what it says.
+/// The timeout of a client.
+const CLIENT_TIMEOUT: Micros = 5 * SECOND;
+/// The window in which a request of class `KEYED` may be retried.
+const DEDUP_WINDOW: Micros = SECOND;
+/// The bytes of an error of the db node itself, as opposed to an error of the statement.
 const ERROR: &[u8] = b"E\0\0\0\x17SERROR\0CXX000\0Mno\0\0";
 
 fn class(name: &str, access: Access, effect: Idempotency) -> Class {
@@ -44,22 +46,22 @@
         access,
         latency_objective: SECOND,
         objective_per_cost: 0.0,
-        deadline: PATIENCE,
+        deadline: CLIENT_TIMEOUT,
         priority_weight: 1.0,
         late_weight_share: 1.0,
         idempotency: effect,
         dedup_scope: DedupScope::All,
-        dedup_window: WINDOW,
+        dedup_window: DEDUP_WINDOW,
         stream: false,
     }
 }
 
 fn settings() -> Settings {
-    named(["look", "book", "pay"])
+    settings_with_class_names(["look", "book", "pay"])
 }
 
-/// The same, with the classes under these names.
-fn named([read, write, keyed]: [&str; 3]) -> Settings {
+/// Returns the settings with these names of the classes.
+fn settings_with_class_names([read, write, keyed]: [&str; 3]) -> Settings {
     let classes = vec![
         class(read, Access::Any, Idempotency::Idempotent),
         class(write, Access::Write, Idempotency::AtMostOnce),
@@ -72,15 +74,15 @@
     }
 }
 
-/// How a request ended.
+/// The end of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Fate {
     Served(String),
-    Refused,
+    Rejected,
     Failed,
 }
 
-/// The pools with a core, driven step by step as the loop drives them.
+/// The upstream with an engine, driven step by step in the way of the event loop.
 struct Pools {
     poll: Poll,
     engine: Engine,
@@ -88,12 +90,12 @@
     now: Time,
     statements: BTreeMap<u64, Rc<Statement>>,
     ended: Vec<(Key, Fate)>,
-    /// Nodes that attempts were sent to, in order.
+    /// The nodes of the attempts, in order.
     sent: Vec<NodeId>,
     version: u64,
 }
 
-/// An entry of the list: the primary is called `p`.
+/// Returns an entry of the endpoint list. Nodes whose name starts with `p` are primaries.
 fn entry(node: &str, state: EndpointState) -> Endpoint {
     Endpoint {
         node: node.into(),
@@ -113,8 +115,8 @@
             &Budget::new(1 << 26),
             ConnectOptions::platform(),
             16,
-            DIAL,
-            IDLE,
+            CONNECT_TIMEOUT,
+            NODE_IDLE_TIMEOUT,
         );
         Pools {
             engine: Engine::new(settings, 1),
@@ -128,32 +130,36 @@
         }
     }
 
-    /// Pools that know these nodes, all serving.
-    fn before(nodes: &[(&str, &Node)]) -> Self {
+    /// Creates pools with these nodes, all serving.
+    fn with_nodes(nodes: &[(&str, &Node)]) -> Self {
         let mut pools = Pools::new(settings());
         let entries = nodes
             .iter()
-            .map(|(name, node)| (*name, EndpointState::Serving, Some(at(node))));
-        pools.told(true, &entries.collect::<Vec<_>>());
+            .map(|(name, node)| (*name, EndpointState::Serving, Some(address_of(node))));
+        pools.apply_list(true, &entries.collect::<Vec<_>>());
         pools
     }
 
-    /// Discovery tells a list, or changes to one.
-    fn told(&mut self, whole: bool, entries: &[(&str, EndpointState, Option<SocketAddr>)]) {
+    /// Applies an endpoint list, or changes to one, to the engine and the upstream.
+    fn apply_list(
+        &mut self,
+        is_complete: bool,
+        entries: &[(&str, EndpointState, Option<SocketAddr>)],
+    ) {
         self.version += 1;
         let entries: Vec<_> = entries
             .iter()
-            .map(|(node, state, at)| (entry(node, *state), *at))
+            .map(|(node, state, address)| (entry(node, *state), *address))
             .collect();
-        let known = entries.iter().map(|(entry, _)| entry.clone()).collect();
-        self.engine.update_endpoints(if whole {
-            EndpointUpdate::Full(known)
+        let endpoints = entries.iter().map(|(entry, _)| entry.clone()).collect();
+        self.engine.update_endpoints(if is_complete {
+            EndpointUpdate::Full(endpoints)
         } else {
-            EndpointUpdate::Changes(known)
+            EndpointUpdate::Changes(endpoints)
         });
         let listing = Listing {
             index: self.version,
-            is_complete: whole,
+            is_complete,
             entries,
             unknown_status: None,
         };
@@ -161,19 +167,25 @@
             .update_endpoints(&listing, self.now, &mut self.engine);
     }
 
-    /// The list says this of a node; nothing that hangs on it has been done yet.
-    fn hears(&mut self, node: &str, state: EndpointState) {
+    /// Changes the state of a node in the engine only; the upstream has not followed yet.
+    fn change_engine_state(&mut self, node: &str, state: EndpointState) {
         self.engine
             .update_endpoints(EndpointUpdate::Changes(vec![entry(node, state)]));
     }
 
-    /// A client asks, with so much text.
-    fn asks(&mut self, id: &str, class: usize, length: usize) -> Key {
-        self.asks_within(id, class, length, PATIENCE)
+    /// Begins a request whose statement has a text of this length.
+    fn begin_request(&mut self, id: &str, class: usize, length: usize) -> Key {
+        self.begin_request_within(id, class, length, CLIENT_TIMEOUT)
     }
 
-    /// A client asks that waits for so long.
-    fn asks_within(&mut self, id: &str, class: usize, length: usize, left: Micros) -> Key {
+    /// Begins a request with this timeout.
+    fn begin_request_within(
+        &mut self,
+        id: &str,
+        class: usize,
+        length: usize,
+        time_left: Micros,
+    ) -> Key {
         let text = format!(
             "/* id={id},c=x,d=5000,cluster=1 */ SELECT '{}'",
             "k".repeat(length)
@@ -183,7 +195,7 @@
         let info = RequestInfo {
             class,
             group: 1,
-            time_left: left,
+            time_left,
             ..RequestInfo::default()
         };
         let request = self.engine.begin_request(Key::from_number(7), info);
@@ -192,16 +204,16 @@
         request
     }
 
-    /// Carries out what is decided, until nothing more comes of it.
+    /// Executes the engine's decisions until there are none.
     fn settle(&mut self) {
         for _ in 0..64 {
             for served in self.upstream.take_served() {
                 let row = served
                     .reply
                     .windows(6)
-                    .position(|at| at == b"\0\x01\0\0\0\x02");
+                    .position(|bytes| bytes == b"\0\x01\0\0\0\x02");
                 let value = row
-                    .and_then(|at| served.reply.get(at + 6..at + 8))
+                    .and_then(|start| served.reply.get(start + 6..start + 8))
                     .unwrap_or_default();
                 let value = String::from_utf8_lossy(value).into_owned();
                 self.ended.push((served.request, Fate::Served(value)));
@@ -211,13 +223,13 @@
                 return;
             }
             for command in commands {
-                self.carry_out(command);
+                self.execute(command);
             }
         }
         panic!("it does not settle: {:?}", self.sent);
     }
 
-    fn carry_out(&mut self, command: Command) {
+    fn execute(&mut self, command: Command) {
         let (now, engine) = (self.now, &mut self.engine);
         match command {
             Command::Send { attempt, node, .. } => {
@@ -236,17 +248,19 @@
                 let fate = if answer == FinalAnswer::Failed {
                     Fate::Failed
                 } else {
-                    Fate::Refused
+                    Fate::Rejected
                 };
                 self.ended.push((request, fate));
             }
         }
     }
 
-    /// Waits until something has come, and does nothing about it yet.
-    fn comes(&self) -> Vec<Key> {
+    /// Waits for poller events without handling them. Returns the keys of their connections.
+    fn wait_for_events(&self) -> Vec<Key> {
         let mut events = Events::new();
-        self.poll.wait(&mut events, Some(HANGS)).expect("it waits");
+        self.poll
+            .wait(&mut events, Some(TEST_TIMEOUT))
+            .expect("it waits");
         let keys: Vec<Key> = events
             .iter()
             .map(|event| split_poll_key(event.key).1)
@@ -260,26 +274,26 @@
         keys
     }
 
-    /// Takes in what has come, as one turn of the loop does.
+    /// Waits for poller events and handles them, as one turn of the loop does.
     fn turn(&mut self) {
-        for key in self.comes() {
+        for key in self.wait_for_events() {
             self.upstream.handle_event(key, self.now, &mut self.engine);
         }
         self.settle();
     }
 
-    /// Takes in what comes until something holds.
-    fn until(&mut self, mut what: impl FnMut(&mut Self) -> bool) {
-        while !what(self) {
+    /// Runs turns until a condition holds.
+    fn run_until(&mut self, mut condition: impl FnMut(&mut Self) -> bool) {
+        while !condition(self) {
             self.turn();
         }
     }
 
-    /// Time passes, and what falls due is done.
-    fn later(&mut self, span: Micros) {
-        self.now += span;
-        while let Some(due) = self.engine.deadlines.pop(self.now) {
-            match due {
+    /// Advances the clock and runs the expired deadlines.
+    fn advance(&mut self, duration: Micros) {
+        self.now += duration;
+        while let Some(deadline) = self.engine.deadlines.pop(self.now) {
+            match deadline {
                 Deadline::Wake => self.engine.wake(),
                 Deadline::Attempt(id) => self.engine.attempt_timed_out(id, self.now),
                 Deadline::Backend(key) => {
@@ -292,23 +306,23 @@
         self.settle();
     }
 
-    /// A connection that has been begun comes up to this node; it has not been greeted.
-    fn up(&mut self, node: &Node) -> Link {
-        self.until(|pools| {
+    /// Accepts a connection at this node, before the login is answered.
+    fn accept(&mut self, node: &Node) -> Link {
+        self.run_until(|pools| {
             !pools
                 .upstream
                 .connections
                 .iter()
                 .any(|(_, b)| matches!(b.state, State::Connecting))
         });
-        node.accept(HANGS).expect("a connection")
+        node.accept(TEST_TIMEOUT).expect("a connection")
     }
 
-    /// The same, greeted; what waited for it has been put on it.
-    fn greeted(&mut self, node: &Node) -> Link {
-        let mut link = self.up(node);
+    /// Accepts a connection at this node and answers the login. A waiting job has been assigned to the connection then.
+    fn accept_login(&mut self, node: &Node) -> Link {
+        let mut link = self.accept(node);
         link.greet("primary").expect("the pools are there");
-        self.until(|pools| {
+        self.run_until(|pools| {
             !pools
                 .upstream
                 .connections
@@ -318,22 +332,22 @@
         link
     }
 
-    /// A connection to this node that is idle.
-    fn idle(&mut self, name: &str, node: &Node) -> Link {
+    /// Opens a connection to this node and makes it idle.
+    fn open_idle(&mut self, name: &str, node: &Node) -> Link {
         self.upstream
             .check_health(&name.into(), self.now, &mut self.engine);
-        let mut link = self.greeted(node);
+        let mut link = self.accept_login(node);
         assert_eq!(
             link.statement().expect("a question").as_deref(),
             Some(REPORT_QUERY)
         );
         link.answer("x0=1,x1=1").expect("the pools are there");
-        self.until(|pools| pools.upstream.pools[name].idle.len() == 1);
+        self.run_until(|pools| pools.upstream.pools[name].idle.len() == 1);
         link
     }
 
-    /// Connections to db nodes, and those among them that carry something.
-    fn open(&self) -> (usize, usize) {
+    /// Returns the numbers of all connections and of the busy ones.
+    fn connection_counts(&self) -> (usize, usize) {
         let busy = self
             .upstream
             .connections
@@ -342,8 +356,8 @@
         (self.upstream.connections.len(), busy.count())
     }
 
-    /// How many bytes of the one job that is at work are still to leave; whether none has left.
-    fn held_back(&self) -> Option<(usize, bool)> {
+    /// Returns the number of unsent bytes of the only running job, and whether none of its bytes has been sent.
+    fn unsent_of_job(&self) -> Option<(usize, bool)> {
         let mut busy = self
             .upstream
             .connections
@@ -353,7 +367,7 @@
             .map(|(_, b)| (b.stream.unsent(), b.stream.is_output_untouched()))
     }
 
-    /// How this request ended; it has one end at the most.
+    /// Returns the end of a request, if it has ended. Asserts that it has ended at most once.
     fn fate(&self, request: Key) -> Option<Fate> {
         let ends: Vec<&Fate> = self
             .ended
@@ -365,9 +379,9 @@
         ends.first().map(|fate| (*fate).clone())
     }
 
-    /// Takes in what comes until this request has ended.
-    fn end_of(&mut self, request: Key) -> Fate {
-        self.until(|pools| pools.fate(request).is_some());
+    /// Runs turns until a request has ended. Returns its end.
+    fn run_to_end(&mut self, request: Key) -> Fate {
+        self.run_until(|pools| pools.fate(request).is_some());
         self.fate(request).expect("just seen")
     }
 }
@@ -376,16 +390,16 @@
     Fate::Served(value.into())
 }
 
-fn at(node: &Node) -> SocketAddr {
+fn address_of(node: &Node) -> SocketAddr {
     node.address().expect("it is bound")
 }
 
-fn node() -> Node {
-    Node::start(HANGS).expect("a node")
+fn start_node() -> Node {
+    Node::start(TEST_TIMEOUT).expect("a node")
 }
 
-/// What the other side has sent is at its end, or reset: the pools have closed the connection.
-fn closed(link: &mut Link) {
+/// Asserts that the upstream has closed the connection without sending another statement.
+fn assert_closed(link: &mut Link) {
     assert_eq!(
         link.statement().expect("it ends"),
         None,
@@ -393,122 +407,131 @@
     );
 }
 
-// ---- the one check before the first byte
+// ---- the check just before the first byte of a job is sent
 
-/// Who asks a node for its report.
+/// The kind of a query for a node's report.
 #[derive(Clone, Copy, Debug)]
-enum Asks {
-    Router,
-    Fleet,
+enum QueryKind {
+    HealthCheck,
+    Watch,
 }
 
-fn question(pools: &mut Pools, asks: Asks) {
+fn start_query(pools: &mut Pools, kind: QueryKind) {
     let (node, now): (NodeId, Time) = ("p".into(), pools.now);
-    match asks {
-        Asks::Router => pools.upstream.check_health(&node, now, &mut pools.engine),
-        Asks::Fleet => {
-            let ask = NodeQuery {
+    match kind {
+        QueryKind::HealthCheck => pools.upstream.check_health(&node, now, &mut pools.engine),
+        QueryKind::Watch => {
+            let query = NodeQuery {
                 node,
                 lease_check: Rc::new(|| true),
             };
-            pools.upstream.query(ask, now, &mut pools.engine);
+            pools.upstream.query(query, now, &mut pools.engine);
         }
     }
 }
 
 #[test]
-fn a_question_whose_node_leaves_before_its_connection_comes_up_does_not_leave() {
-    // Danger: reports are asked for by the router and for the fleet, beside all that requests are checked for.
-    for asks in [Asks::Router, Asks::Fleet] {
-        let node = node();
-        let mut pools = Pools::before(&[("p", &node)]);
-        question(&mut pools, asks);
-        let mut link = pools.up(&node);
-        pools.hears("p", EndpointState::Draining);
+fn a_query_is_not_sent_if_its_node_drains_before_the_connection_is_ready() {
+    // Health checks and queries of a watch do not go through the checks of requests, so they need their own check that the
+    // node is still listed.
+    for kind in [QueryKind::HealthCheck, QueryKind::Watch] {
+        let node = start_node();
+        let mut pools = Pools::with_nodes(&[("p", &node)]);
+        start_query(&mut pools, kind);
+        let mut link = pools.accept(&node);
+        pools.change_engine_state("p", EndpointState::Draining);
         link.greet("primary").expect("the pools are there");
-        pools.until(|pools| pools.upstream.pools["p"].connecting == 0);
-        assert_eq!(pools.open(), (1, 0), "{asks:?}");
-        assert_eq!(link.has_come().expect("a socket"), None, "{asks:?}");
-        let heard = pools.upstream.take_query_outcomes();
+        pools.run_until(|pools| pools.upstream.pools["p"].connecting == 0);
+        assert_eq!(pools.connection_counts(), (1, 0), "{kind:?}");
+        assert_eq!(link.has_come().expect("a socket"), None, "{kind:?}");
+        let outcomes = pools.upstream.take_query_outcomes();
         assert_eq!(
-            heard.len(),
-            usize::from(matches!(asks, Asks::Fleet)),
-            "its owner is told that nothing came"
+            outcomes.len(),
+            usize::from(matches!(kind, QueryKind::Watch)),
+            "the outcome without an answer is reported"
         );
-        assert!(heard.iter().all(|heard| heard.answer.is_none()));
+        assert!(outcomes.iter().all(|outcome| outcome.answer.is_none()));
     }
 }
 
 #[test]
-fn a_question_for_an_idle_connection_of_a_node_that_leaves_does_not_leave() {
-    // Its list has been told, and the pools have not closed their idle connections yet.
-    for asks in [Asks::Router, Asks::Fleet] {
-        let node = node();
-        let mut pools = Pools::before(&[("p", &node)]);
-        let mut link = pools.idle("p", &node);
-        pools.hears("p", EndpointState::Draining);
-        question(&mut pools, asks);
-        assert_eq!(pools.open(), (1, 0), "{asks:?}: nothing is put on it");
-        assert_eq!(link.has_come().expect("a socket"), None, "{asks:?}");
-        pools.told(false, &[("p", EndpointState::Draining, Some(at(&node)))]);
-        closed(&mut link);
+fn a_query_is_not_sent_on_an_idle_connection_of_a_draining_node() {
+    // The engine has applied the list, and the upstream has not closed the idle connections yet.
+    for kind in [QueryKind::HealthCheck, QueryKind::Watch] {
+        let node = start_node();
+        let mut pools = Pools::with_nodes(&[("p", &node)]);
+        let mut link = pools.open_idle("p", &node);
+        pools.change_engine_state("p", EndpointState::Draining);
+        start_query(&mut pools, kind);
+        assert_eq!(
+            pools.connection_counts(),
+            (1, 0),
+            "{kind:?}: nothing is put on it"
+        );
+        assert_eq!(link.has_come().expect("a socket"), None, "{kind:?}");
+        pools.apply_list(
+            false,
+            &[("p", EndpointState::Draining, Some(address_of(&node)))],
+        );
+        assert_closed(&mut link);
     }
 }
 
-/// One connection whose buffers the test fills. The system takes bytes in blocks, and what straddles the end of the last
-/// one has begun. So statements are made to end where blocks do; how long one is shows where one that is too long stops.
-struct Filled {
+/// A connection whose socket buffers the test fills, so that a job is queued without any byte sent. The system accepts
+/// bytes in blocks, and a job that straddles the end of the last free block is partly sent. So the test pads statements to
+/// end at block boundaries. It learns the block size from where a statement that is too long stops.
+struct FilledConnection {
     link: Link,
-    /// Bytes that have left, and those that the node has read.
-    left: usize,
+    /// Bytes that the upstream has sent, and bytes that the node has read.
+    sent: usize,
     read: usize,
-    /// Where a block is known to end, and how long one is, once it has been seen.
-    end: Option<usize>,
-    block: Option<usize>,
+    /// A known block boundary, and the block size, once they have been seen.
+    boundary: Option<usize>,
+    block_size: Option<usize>,
 }
 
-/// A job that has begun, or has been held back whole.
+/// How much of a job has been sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Begun {
-    Whole,
-    Part,
+enum SentPart {
+    All,
+    Some,
     Nothing,
 }
 
-impl Filled {
+impl FilledConnection {
     fn new(pools: &mut Pools, node: &Node) -> Self {
-        let link = pools.idle("p", node);
-        Filled {
+        let link = pools.open_idle("p", node);
+        FilledConnection {
             link,
-            left: 0,
+            sent: 0,
             read: 0,
-            end: None,
-            block: None,
+            boundary: None,
+            block_size: None,
         }
     }
 
-    /// Takes note of what has left of a job of this length, which was put on the connection just now.
-    fn note(&mut self, pools: &Pools, length: usize) -> Begun {
-        let (unsent, untouched) = pools.held_back().expect("it is on the connection");
-        self.left += length - unsent;
+    /// Records how much was sent of a job of this length, which was just assigned to the connection.
+    fn record_job(&mut self, pools: &Pools, length: usize) -> SentPart {
+        let (unsent, is_untouched) = pools.unsent_of_job().expect("it is on the connection");
+        self.sent += length - unsent;
         if unsent == 0 {
-            return Begun::Whole;
+            return SentPart::All;
         }
         let block = self
-            .end
-            .map(|end| self.left - end)
+            .boundary
+            .map(|boundary| self.sent - boundary)
             .filter(|block| *block > 0);
-        (self.end, self.block) = (Some(self.left), block.or(self.block));
-        if untouched {
-            Begun::Nothing
+        (self.boundary, self.block_size) = (Some(self.sent), block.or(self.block_size));
+        if is_untouched {
+            SentPart::Nothing
         } else {
-            Begun::Part
+            SentPart::Some
         }
     }
 
-    /// The node reads as little as makes room for what is held back, and says that this is its answer.
-    fn served(&mut self, pools: &mut Pools, request: Option<Key>) {
-        while let Some((unsent, _)) = pools.held_back().filter(|(unsent, _)| *unsent > 0) {
+    /// Reads as few bytes as needed for the rest of the job to be sent, and answers it.
+    fn serve(&mut self, pools: &mut Pools, request: Option<Key>) {
+        while let Some((unsent, _)) = pools.unsent_of_job().filter(|(unsent, _)| *unsent > 0) {
             self.read += self.link.read(64 * 1024).expect("bytes that were sent");
             let key = pools
                 .upstream
@@ -520,17 +543,17 @@
             pools
                 .upstream
                 .handle_event(key, pools.now, &mut pools.engine);
-            let (still, _) = pools.held_back().expect("it is on the connection");
-            self.left += unsent - still;
+            let (still, _) = pools.unsent_of_job().expect("it is on the connection");
+            self.sent += unsent - still;
         }
         self.link.answer("ok").expect("the pools are there");
-        pools.until(|pools| pools.open() == (1, 0));
+        pools.run_until(|pools| pools.connection_counts() == (1, 0));
         if let Some(request) = request {
             assert_eq!(pools.fate(request), Some(served("ok")));
         }
     }
 
-    /// Sends statements until this job, of this length, is held back whole.
+    /// Sends statements until this job, of this length, is queued without any byte sent.
     fn fill(
         &mut self,
         pools: &mut Pools,
@@ -539,34 +562,37 @@
     ) -> Option<Key> {
         for number in 0..10_000 {
             let request = job(pools);
-            match self.note(pools, length) {
-                Begun::Nothing => return request,
-                Begun::Whole | Begun::Part => self.served(pools, request),
+            match self.record_job(pools, length) {
+                SentPart::Nothing => return request,
+                SentPart::All | SentPart::Some => self.serve(pools, request),
             }
-            // Up to the end of a block; of the next where there is no room for a statement.
+            // Pads the next statement to the end of the block, or of the next block if this one has no room for a statement.
             let ahead = self
-                .end
-                .zip(self.block)
-                .map(|(end, block)| block - (self.left - end) % block);
+                .boundary
+                .zip(self.block_size)
+                .map(|(boundary, block)| block - (self.sent - boundary) % block);
             let text = ahead.map_or(16 << 20, |ahead| {
                 if ahead < 200 {
-                    ahead + self.block.unwrap_or(0)
+                    ahead + self.block_size.unwrap_or(0)
                 } else {
                     ahead
                 }
             });
             let id = format!("f{number:06}");
-            // A write's patience is all that is left, and its digits are always as many.
-            let request = pools.asks(&id, WRITE, text - query(&id, 0));
-            self.note(pools, text);
-            self.served(pools, Some(request));
+            // The timeout in a write's label is the remaining time, which always has the same number of digits here.
+            let request = pools.begin_request(&id, WRITE, text - query_length(&id, 0));
+            self.record_job(pools, text);
+            self.serve(pools, Some(request));
         }
-        panic!("no job is held back whole: {:?} {:?}", self.end, self.block);
+        panic!(
+            "no job is queued without any byte sent: {:?} {:?}",
+            self.boundary, self.block_size
+        );
     }
 }
 
-/// The length of a query with this id and so much text.
-fn query(id: &str, text: usize) -> usize {
+/// Returns the length of a query message with this ID and a text of this length.
+fn query_length(id: &str, text: usize) -> usize {
     let text = format!(
         "/* id={id},c=x,d=5000,cluster=1 */ SELECT '{}'",
         "k".repeat(text)
@@ -577,38 +603,42 @@
     out.len()
 }
 
-/// The lengths of the two jobs that may be held back: a write, and a question.
-const JOB: &str = "a1";
+/// The ID of the write that is queued without any byte sent.
+const QUEUED_ID: &str = "a1";
 
 #[test]
-fn what_is_held_back_whole_does_not_begin_once_its_node_leaves() {
-    // Danger: the look at the list when a job was put on its connection is old by the time its first byte leaves.
+fn a_queued_job_is_not_sent_once_its_node_drains() {
+    // The check of the list when a job was assigned to its connection is outdated when its first byte is sent.
     type Job = fn(&mut Pools) -> Option<Key>;
-    let write: Job = |pools| Some(pools.asks(JOB, WRITE, 0));
+    let write: Job = |pools| Some(pools.begin_request(QUEUED_ID, WRITE, 0));
     let probe: Job = |pools| {
-        question(pools, Asks::Router);
+        start_query(pools, QueryKind::HealthCheck);
         None
     };
     let watch: Job = |pools| {
-        question(pools, Asks::Fleet);
+        start_query(pools, QueryKind::Watch);
         None
     };
-    let mut asked = Vec::new();
-    messages::put_query(&mut asked, REPORT_QUERY);
+    let mut report_query = Vec::new();
+    messages::put_query(&mut report_query, REPORT_QUERY);
     for (length, job) in [
-        (query(JOB, 0), write),
-        (asked.len(), probe),
-        (asked.len(), watch),
+        (query_length(QUEUED_ID, 0), write),
+        (report_query.len(), probe),
+        (report_query.len(), watch),
     ] {
-        let node = node();
-        let mut pools = Pools::before(&[("p", &node)]);
-        let mut filled = Filled::new(&mut pools, &node);
+        let node = start_node();
+        let mut pools = Pools::with_nodes(&[("p", &node)]);
+        let mut filled = FilledConnection::new(&mut pools, &node);
         let request = filled.fill(&mut pools, length, job);
-        assert_eq!(pools.held_back(), Some((length, true)), "it waits for room");
-        pools.hears("p", EndpointState::Draining);
-        let Filled {
+        assert_eq!(
+            pools.unsent_of_job(),
+            Some((length, true)),
+            "it waits for room"
+        );
+        pools.change_engine_state("p", EndpointState::Draining);
+        let FilledConnection {
             mut link,
-            left,
+            sent,
             read,
             ..
         } = filled;
@@ -619,12 +649,16 @@
             }
             all
         });
-        pools.until(|pools| pools.held_back().is_none_or(|(unsent, _)| unsent == 0));
-        assert_eq!(pools.open(), (0, 0), "it begins though its node leaves");
+        pools.run_until(|pools| pools.unsent_of_job().is_none_or(|(unsent, _)| unsent == 0));
+        assert_eq!(
+            pools.connection_counts(),
+            (0, 0),
+            "it is sent although its node drains"
+        );
         assert_eq!(
             reader.join().expect("it reads to the end"),
-            left,
-            "not a byte of it came"
+            sent,
+            "no byte of it was sent"
         );
         assert!(
             request.is_none_or(|request| !matches!(pools.fate(request), Some(Fate::Served(_))))
@@ -633,12 +667,12 @@
 }
 
 #[test]
-fn what_waits_for_a_slow_connection_does_not_begin_once_its_node_leaves() {
-    // The list has been told to the core, and the pools have not been told yet, or they have, too.
-    for told in [false, true] {
-        let deaf = Deaf::start(HANGS).expect("a node");
+fn a_request_that_waits_for_a_slow_connection_is_not_sent_once_its_node_drains() {
+    // Only the engine has applied the list, or the upstream has applied it, too.
+    for has_upstream_list in [false, true] {
+        let deaf = Deaf::start(TEST_TIMEOUT).expect("a node");
         let mut pools = Pools::new(settings());
-        pools.told(
+        pools.apply_list(
             true,
             &[(
                 "p",
@@ -646,9 +680,9 @@
                 Some(deaf.address().expect("bound")),
             )],
         );
-        let request = pools.asks("a1", WRITE, 0);
-        if told {
-            pools.told(
+        let request = pools.begin_request("a1", WRITE, 0);
+        if has_upstream_list {
+            pools.apply_list(
                 false,
                 &[(
                     "p",
@@ -656,202 +690,234 @@
                     Some(deaf.address().expect("bound")),
                 )],
             );
-            assert_eq!(pools.open(), (0, 0), "it is not waited for");
+            assert_eq!(pools.connection_counts(), (0, 0), "it is not waited for");
         } else {
-            pools.hears("p", EndpointState::Draining);
+            pools.change_engine_state("p", EndpointState::Draining);
             let node = deaf.opens().expect("it listens");
-            let mut link = pools.up(&node);
+            let mut link = pools.accept(&node);
             link.greet("primary").expect("the pools are there");
-            pools.until(|pools| pools.upstream.pools["p"].connecting == 0);
-            assert_eq!(pools.open(), (1, 0));
+            pools.run_until(|pools| pools.upstream.pools["p"].connecting == 0);
+            assert_eq!(pools.connection_counts(), (1, 0));
             assert_eq!(link.has_come().expect("a socket"), None);
         }
-        pools.later(PATIENCE);
+        pools.advance(CLIENT_TIMEOUT);
         assert_eq!(
             pools.fate(request),
-            Some(Fate::Refused),
-            "it never ran; told: {told}"
+            Some(Fate::Rejected),
+            "it never ran; applied by the upstream: {has_upstream_list}"
+        );
+        assert_eq!(
+            pools.sent,
+            ["p".into()],
+            "applied by the upstream: {has_upstream_list}"
         );
-        assert_eq!(pools.sent, ["p".into()], "told: {told}");
     }
 }
 
 // ---- names and addresses
 
 #[test]
-fn a_node_that_leaves_and_is_listed_again_is_dialled_anew() {
-    // Danger: under its old name and address a new process may listen.
-    let node = node();
-    let mut pools = Pools::before(&[("p", &node)]);
-    let mut link = pools.idle("p", &node);
-    pools.told(false, &[("p", EndpointState::Draining, Some(at(&node)))]);
-    pools.told(false, &[("p", EndpointState::Serving, Some(at(&node)))]);
-    closed(&mut link);
-    let request = pools.asks("a1", WRITE, 0);
-    let mut link = pools.greeted(&node);
+fn a_node_that_drains_and_serves_again_gets_a_new_connection() {
+    // Another process may listen under the old name and address.
+    let node = start_node();
+    let mut pools = Pools::with_nodes(&[("p", &node)]);
+    let mut link = pools.open_idle("p", &node);
+    pools.apply_list(
+        false,
+        &[("p", EndpointState::Draining, Some(address_of(&node)))],
+    );
+    pools.apply_list(
+        false,
+        &[("p", EndpointState::Serving, Some(address_of(&node)))],
+    );
+    assert_closed(&mut link);
+    let request = pools.begin_request("a1", WRITE, 0);
+    let mut link = pools.accept_login(&node);
     assert_eq!(
         link.statement().expect("a statement").as_deref(),
         Some("a1")
     );
     link.answer("a1").expect("the pools are there");
-    assert_eq!(pools.end_of(request), served("a1"));
+    assert_eq!(pools.run_to_end(request), served("a1"));
 }
 
 #[test]
-fn an_address_that_belongs_to_another_name_is_dialled_anew_under_it() {
+fn an_address_that_moves_to_another_name_gets_a_new_connection() {
     for stays in [true, false] {
-        let node = node();
+        let node = start_node();
         let mut pools = Pools::new(Settings {
             removed_nodes_stay_open: stays,
             ..settings()
         });
-        pools.told(true, &[("p", EndpointState::Serving, Some(at(&node)))]);
-        let mut link = pools.idle("p", &node);
+        pools.apply_list(
+            true,
+            &[("p", EndpointState::Serving, Some(address_of(&node)))],
+        );
+        let mut link = pools.open_idle("p", &node);
         for (old, new, id) in [("p", "p-new", "a1"), ("p-new", "p", "a2")] {
-            pools.told(
+            pools.apply_list(
                 false,
                 &[
-                    (new, EndpointState::Serving, Some(at(&node))),
+                    (new, EndpointState::Serving, Some(address_of(&node))),
                     (old, EndpointState::Removed, None),
                 ],
             );
-            closed(&mut link);
-            assert_eq!(pools.open(), (0, 0));
-            // A question names its node; where a write goes the module says.
+            assert_closed(&mut link);
+            assert_eq!(pools.connection_counts(), (0, 0));
+            // A health check goes to the named node, whereas the engine would choose the node of a write.
             pools
                 .upstream
                 .check_health(&new.into(), pools.now, &mut pools.engine);
-            link = pools.greeted(&node);
+            link = pools.accept_login(&node);
             assert_eq!(
                 link.statement().expect("a question").as_deref(),
                 Some(REPORT_QUERY),
                 "{id}"
             );
             link.answer("x0=1,x1=1").expect("the pools are there");
-            pools.until(|pools| pools.open() == (1, 0));
+            pools.run_until(|pools| pools.connection_counts() == (1, 0));
         }
     }
 }
 
 #[test]
-fn a_connection_at_work_of_a_name_whose_address_is_anothers_is_closed_after_it() {
+fn a_busy_connection_is_closed_after_its_job_if_its_address_belongs_to_another_node() {
     for stays in [true, false] {
-        let node = node();
+        let node = start_node();
         let mut pools = Pools::new(Settings {
             removed_nodes_stay_open: stays,
             ..settings()
         });
-        pools.told(true, &[("p", EndpointState::Serving, Some(at(&node)))]);
-        let request = pools.asks("a1", WRITE, 0);
-        let mut link = pools.greeted(&node);
-        pools.told(true, &[("r", EndpointState::Serving, Some(at(&node)))]);
+        pools.apply_list(
+            true,
+            &[("p", EndpointState::Serving, Some(address_of(&node)))],
+        );
+        let request = pools.begin_request("a1", WRITE, 0);
+        let mut link = pools.accept_login(&node);
+        pools.apply_list(
+            true,
+            &[("r", EndpointState::Serving, Some(address_of(&node)))],
+        );
         assert_eq!(
             link.statement().expect("a statement").as_deref(),
             Some("a1")
         );
         link.answer("a1").expect("the pools are there");
-        assert_eq!(pools.end_of(request), served("a1"));
+        assert_eq!(pools.run_to_end(request), served("a1"));
         assert_eq!(
-            pools.open(),
+            pools.connection_counts(),
             (0, 0),
-            "it leads to another node now; dropped nodes stay open: {stays}"
+            "it leads to another node now; removed nodes stay open: {stays}"
         );
-        closed(&mut link);
+        assert_closed(&mut link);
     }
 }
 
 #[test]
-fn what_waits_under_a_name_whose_address_is_anothers_does_not_go_there() {
-    // Danger: where dropped nodes stay open, an attempt at one goes to whoever has its address now.
-    let node = node();
+fn a_waiting_request_is_not_sent_to_another_node_at_the_same_address() {
+    // If removed nodes stay open, an attempt at one could go to the node that has its address now.
+    let node = start_node();
     let mut pools = Pools::new(Settings {
         removed_nodes_stay_open: true,
         ..settings()
     });
-    pools.told(true, &[("p", EndpointState::Serving, Some(at(&node)))]);
-    let request = pools.asks("a1", WRITE, 0);
-    let mut link = pools.up(&node);
-    pools.told(
+    pools.apply_list(
+        true,
+        &[("p", EndpointState::Serving, Some(address_of(&node)))],
+    );
+    let request = pools.begin_request("a1", WRITE, 0);
+    let mut link = pools.accept(&node);
+    pools.apply_list(
         false,
         &[
-            ("r", EndpointState::Serving, Some(at(&node))),
+            ("r", EndpointState::Serving, Some(address_of(&node))),
             ("p", EndpointState::Removed, None),
         ],
     );
     pools.settle();
-    closed(&mut link);
-    let next = pools.asks("a2", WRITE, 0);
-    assert_eq!(pools.open(), (0, 0), "nothing is dialled there for it");
-    pools.later(PATIENCE);
+    assert_closed(&mut link);
+    let next = pools.begin_request("a2", WRITE, 0);
+    assert_eq!(
+        pools.connection_counts(),
+        (0, 0),
+        "nothing is dialled there for it"
+    );
+    pools.advance(CLIENT_TIMEOUT);
     assert_eq!(
         (pools.fate(request), pools.fate(next)),
-        (Some(Fate::Refused), Some(Fate::Refused))
+        (Some(Fate::Rejected), Some(Fate::Rejected))
     );
 }
 
 #[test]
-fn what_waits_for_a_node_that_leaves_goes_elsewhere_at_once() {
-    // Danger: it would wait for a connection that must carry nothing any more, for as long as one may take to come up.
+fn a_request_that_waits_for_a_node_that_drains_is_retried_elsewhere_at_once() {
+    // Otherwise the request would wait for a connection that it may not use, up to the connection timeout.
     for state in [EndpointState::Draining, EndpointState::Removed] {
-        let (p, r1, r2) = (node(), node(), node());
-        let mut pools = Pools::before(&[("p", &p), ("r1", &r1), ("r2", &r2)]);
-        let request = pools.asks("a1", READ, 8);
+        let (p, r1, r2) = (start_node(), start_node(), start_node());
+        let mut pools = Pools::with_nodes(&[("p", &p), ("r1", &r1), ("r2", &r2)]);
+        let request = pools.begin_request("a1", READ, 8);
         let first = pools.sent[0].clone();
         let (leaves, stays) = if *first == *"r1" {
             (&r1, &r2)
         } else {
             (&r2, &r1)
         };
-        let mut coming = pools.up(leaves);
-        pools.told(false, &[(&first, state, Some(at(leaves)))]);
+        let mut coming = pools.accept(leaves);
+        pools.apply_list(false, &[(&first, state, Some(address_of(leaves)))]);
         pools.settle();
-        // No time has passed, and nothing has come.
+        // This happens without any time or event in between.
         assert_eq!(pools.sent.len(), 2, "{state:?}: {:?}", pools.sent);
         assert_ne!(pools.sent[1], first, "{state:?}");
-        closed(&mut coming);
-        let mut link = pools.greeted(stays);
+        assert_closed(&mut coming);
+        let mut link = pools.accept_login(stays);
         assert_eq!(
             link.statement().expect("a statement").as_deref(),
             Some("a1")
         );
         link.answer("a1").expect("the pools are there");
-        assert_eq!(pools.end_of(request), served("a1"), "{state:?}");
+        assert_eq!(pools.run_to_end(request), served("a1"), "{state:?}");
     }
 }
 
 #[test]
-fn a_question_that_waits_for_a_node_that_leaves_ends_at_once() {
-    for asks in [Asks::Router, Asks::Fleet] {
-        let node = node();
-        let mut pools = Pools::before(&[("p", &node)]);
-        question(&mut pools, asks);
-        let mut link = pools.up(&node);
-        pools.told(false, &[("p", EndpointState::Draining, Some(at(&node)))]);
-        assert_eq!(pools.open(), (0, 0), "{asks:?}");
-        closed(&mut link);
-        let heard = pools.upstream.take_query_outcomes();
+fn a_query_that_waits_for_a_node_that_drains_ends_at_once() {
+    for kind in [QueryKind::HealthCheck, QueryKind::Watch] {
+        let node = start_node();
+        let mut pools = Pools::with_nodes(&[("p", &node)]);
+        start_query(&mut pools, kind);
+        let mut link = pools.accept(&node);
+        pools.apply_list(
+            false,
+            &[("p", EndpointState::Draining, Some(address_of(&node)))],
+        );
+        assert_eq!(pools.connection_counts(), (0, 0), "{kind:?}");
+        assert_closed(&mut link);
+        let outcomes = pools.upstream.take_query_outcomes();
         assert_eq!(
-            heard.len(),
-            usize::from(matches!(asks, Asks::Fleet)),
-            "{asks:?}"
+            outcomes.len(),
+            usize::from(matches!(kind, QueryKind::Watch)),
+            "{kind:?}"
+        );
+        assert!(
+            outcomes.iter().all(|outcome| outcome.answer.is_none()),
+            "{kind:?}"
         );
-        assert!(heard.iter().all(|h| h.answer.is_none()), "{asks:?}");
     }
 }
 
 #[test]
-fn two_names_of_one_address_that_the_list_has_both_are_both_served() {
-    let node = node();
-    let mut pools = Pools::before(&[("p", &node), ("r", &node)]);
-    let (mut one, mut two) = (pools.idle("p", &node), pools.idle("r", &node));
-    pools.told(
+fn two_listed_names_with_one_address_are_both_used() {
+    let node = start_node();
+    let mut pools = Pools::with_nodes(&[("p", &node), ("r", &node)]);
+    let (mut one, mut two) = (pools.open_idle("p", &node), pools.open_idle("r", &node));
+    pools.apply_list(
         true,
         &[
-            ("p", EndpointState::Serving, Some(at(&node))),
-            ("r", EndpointState::Serving, Some(at(&node))),
+            ("p", EndpointState::Serving, Some(address_of(&node))),
+            ("r", EndpointState::Serving, Some(address_of(&node))),
         ],
     );
-    assert_eq!(pools.open(), (2, 0));
+    assert_eq!(pools.connection_counts(), (2, 0));
     assert_eq!(
         (
             one.has_come().expect("a socket"),
@@ -862,16 +928,16 @@
 }
 
 #[test]
-fn where_dropped_nodes_stay_open_one_without_a_connection_is_dialled() {
-    // Danger: the pools forgot it, and all attempts of a request ended there unsent.
-    for whole in [true, false] {
-        let (primary, replica) = (node(), node());
+fn a_removed_node_that_stays_open_gets_a_connection() {
+    // In an earlier fault, the pool was dropped with the node, and all attempts of a request ended there unsent.
+    for is_complete in [true, false] {
+        let (primary, replica) = (start_node(), start_node());
         let mut pools = Pools::new(Settings {
             removed_nodes_stay_open: true,
             ..settings()
         });
-        let (p, r) = (at(&primary), at(&replica));
-        pools.told(
+        let (p, r) = (address_of(&primary), address_of(&replica));
+        pools.apply_list(
             true,
             &[
                 ("p", EndpointState::Serving, Some(p)),
@@ -879,31 +945,31 @@
             ],
         );
         let rest = ("r", EndpointState::Serving, Some(r));
-        match whole {
-            true => pools.told(true, &[rest]),
-            false => pools.told(false, &[("p", EndpointState::Removed, None)]),
+        match is_complete {
+            true => pools.apply_list(true, &[rest]),
+            false => pools.apply_list(false, &[("p", EndpointState::Removed, None)]),
         }
-        pools.told(false, &[rest]);
-        let request = pools.asks("a1", WRITE, 0);
+        pools.apply_list(false, &[rest]);
+        let request = pools.begin_request("a1", WRITE, 0);
         assert_eq!(
-            (pools.fate(request), pools.open()),
+            (pools.fate(request), pools.connection_counts()),
             (None, (1, 0)),
             "{:?}",
             pools.sent
         );
-        let mut link = pools.greeted(&primary);
+        let mut link = pools.accept_login(&primary);
         assert_eq!(
             link.statement().expect("a statement").as_deref(),
             Some("a1")
         );
         link.answer("a1").expect("the pools are there");
-        assert_eq!(pools.end_of(request), served("a1"));
+        assert_eq!(pools.run_to_end(request), served("a1"));
     }
 }
 
 #[test]
-fn what_is_kept_of_dropped_nodes_is_bounded() {
-    // Danger: over days of replacements it would grow without end.
+fn the_number_of_retained_removed_nodes_is_bounded() {
+    // Otherwise the table would grow without limit over days of replaced nodes.
     let mut pools = Pools::new(Settings {
         removed_nodes_stay_open: true,
         ..settings()
@@ -920,57 +986,57 @@
                 Some(SocketAddr::from(([127, 0, 0, 1], *port))),
             )
         });
-        pools.told(true, &all.collect::<Vec<_>>());
+        pools.apply_list(true, &all.collect::<Vec<_>>());
     }
     assert_eq!(pools.upstream.pools.len(), 2 * MAX_REMOVED_POOLS);
 }
 
 #[test]
-fn a_node_whose_address_nobody_told_is_one_that_cannot_be_reached() {
-    // Danger: an attempt that ends unsent is held against nobody, and the next one goes to the same node.
-    let replica = node();
+fn a_node_without_an_address_counts_as_unreachable() {
+    // An attempt that ends unsent does not count against a node, so the next one would go to the same node.
+    let replica = start_node();
     let mut pools = Pools::new(settings());
-    pools.told(
+    pools.apply_list(
         true,
         &[
             ("r1", EndpointState::Serving, None),
-            ("r2", EndpointState::Serving, Some(at(&replica))),
+            ("r2", EndpointState::Serving, Some(address_of(&replica))),
         ],
     );
-    // While the other one is at work, the first looks idle.
+    // While the other node is busy, the one without an address looks idle.
     let mut links = Vec::new();
     for id in ["a1", "a2", "a3"] {
-        let request = pools.asks(id, READ, 0);
+        let request = pools.begin_request(id, READ, 0);
         assert_eq!(
-            (pools.fate(request), pools.open()),
+            (pools.fate(request), pools.connection_counts()),
             (None, (links.len() + 1, links.len())),
             "{:?}",
             pools.sent
         );
-        links.push((id, request, pools.greeted(&replica)));
+        links.push((id, request, pools.accept_login(&replica)));
     }
     for (id, request, link) in &mut links {
         assert_eq!(link.statement().expect("a statement").as_deref(), Some(*id));
         link.answer(id).expect("the pools are there");
-        assert_eq!(pools.end_of(*request), served(id));
+        assert_eq!(pools.run_to_end(*request), served(id));
     }
 }
 
 // ---- closes, answers and time
 
-/// Ways in which a db node ends a connection.
+/// Ways in which a db node ends an idle connection.
 #[derive(Clone, Copy, Debug)]
-enum Ends {
-    Closes,
-    Resets,
-    SaysMore,
+enum NodeEnd {
+    Close,
+    Reset,
+    ExtraBytes,
 }
 
-fn end(link: Link, ends: Ends) -> Option<Link> {
+fn end_connection(link: Link, ends: NodeEnd) -> Option<Link> {
     match ends {
-        Ends::Closes => drop(link),
-        Ends::Resets => link.reset().expect("a socket"),
-        Ends::SaysMore => {
+        NodeEnd::Close => drop(link),
+        NodeEnd::Reset => link.reset().expect("a socket"),
+        NodeEnd::ExtraBytes => {
             let mut link = link;
             link.say(&ERROR[..9]).expect("the pools are there");
             return Some(link);
@@ -979,134 +1045,151 @@
     None
 }
 
-/// What is asked next goes out on a connection of its own, and is answered.
-fn serves(pools: &mut Pools, node: &Node, id: &str, request: Key) {
-    let mut link = pools.greeted(node);
+/// Asserts that a request is sent on a new connection, and answers it.
+fn serve_on_new_connection(pools: &mut Pools, node: &Node, id: &str, request: Key) {
+    let mut link = pools.accept_login(node);
     assert_eq!(link.statement().expect("a statement").as_deref(), Some(id));
     link.answer(id).expect("the pools are there");
-    assert_eq!(pools.end_of(request), served(id));
+    assert_eq!(pools.run_to_end(request), served(id));
 }
 
 #[test]
-fn an_idle_connection_that_has_ended_carries_nothing() {
-    // Its end has come: read before the request, or still unread when it is put on a connection.
-    for ends in [Ends::Closes, Ends::Resets, Ends::SaysMore] {
+fn an_idle_connection_that_has_ended_is_not_used() {
+    // The end of the connection is handled before the request, or it is still unread when the request starts.
+    for ends in [NodeEnd::Close, NodeEnd::Reset, NodeEnd::ExtraBytes] {
         for read in [true, false] {
-            let node = node();
-            let mut pools = Pools::before(&[("p", &node)]);
-            let link = end(pools.idle("p", &node), ends);
-            pools.comes();
+            let node = start_node();
+            let mut pools = Pools::with_nodes(&[("p", &node)]);
+            let link = end_connection(pools.open_idle("p", &node), ends);
+            pools.wait_for_events();
             if read {
                 pools.turn();
             }
-            assert_eq!(pools.open(), (usize::from(!read), 0), "{ends:?}");
-            let request = pools.asks("a1", WRITE, 0);
             assert_eq!(
-                pools.open(),
+                pools.connection_counts(),
+                (usize::from(!read), 0),
+                "{ends:?}"
+            );
+            let request = pools.begin_request("a1", WRITE, 0);
+            assert_eq!(
+                pools.connection_counts(),
                 (1, 0),
-                "{ends:?}, read: {read}: it is dialled anew"
+                "{ends:?}, read: {read}: a new connection is opened"
             );
-            serves(&mut pools, &node, "a1", request);
+            serve_on_new_connection(&mut pools, &node, "a1", request);
             assert_eq!(pools.sent, ["p".into()], "one attempt");
-            link.into_iter().for_each(|mut link| closed(&mut link));
+            link.into_iter()
+                .for_each(|mut link| assert_closed(&mut link));
         }
     }
 }
 
 #[test]
-fn what_waits_at_a_node_that_closes_after_an_answer_has_a_connection_of_its_own() {
-    // The one that has answered is free, and its end has come behind the answer: the waiting one must not be put on it,
-    // and must not fail with it either.
-    let node = node();
-    let mut pools = Pools::before(&[("p", &node)]);
-    let mut link = pools.idle("p", &node);
-    let first = pools.asks("a1", WRITE, 0);
-    let second = pools.asks("a2", WRITE, 0);
-    assert_eq!(pools.open(), (2, 1), "one at work, one under way");
+fn a_waiting_request_gets_a_new_connection_if_its_node_closes_after_an_answer() {
+    // The end of the connection arrives right behind the answer. The waiting request must neither be sent on this connection
+    // nor fail with it.
+    let node = start_node();
+    let mut pools = Pools::with_nodes(&[("p", &node)]);
+    let mut link = pools.open_idle("p", &node);
+    let first = pools.begin_request("a1", WRITE, 0);
+    let second = pools.begin_request("a2", WRITE, 0);
+    assert_eq!(
+        pools.connection_counts(),
+        (2, 1),
+        "one at work, one under way"
+    );
     assert_eq!(
         link.statement().expect("a statement").as_deref(),
         Some("a1")
     );
     link.answer("a1").expect("the pools are there");
     link.end().expect("the pools are there");
-    assert_eq!(pools.end_of(first), served("a1"));
-    serves(&mut pools, &node, "a2", second);
+    assert_eq!(pools.run_to_end(first), served("a1"));
+    serve_on_new_connection(&mut pools, &node, "a2", second);
     assert_eq!(pools.sent, ["p".into(), "p".into()], "one attempt each");
 }
 
 #[test]
-fn what_waits_behind_a_connection_begun_for_another_goes_elsewhere_with_it() {
-    // The first request's client has gone; the second takes over its connection, which does not come up in its time.
-    let (deaf, p, r2) = (Deaf::start(HANGS).expect("a node"), node(), node());
+fn a_request_that_took_over_a_connecting_connection_is_retried_elsewhere_when_it_times_out() {
+    // The first request's client has disconnected. The second request takes over its connection, which times out.
+    let (deaf, p, r2) = (
+        Deaf::start(TEST_TIMEOUT).expect("a node"),
+        start_node(),
+        start_node(),
+    );
     let nowhere = deaf.address().expect("bound");
     let mut pools = Pools::new(settings());
-    let serving = |at| (EndpointState::Serving, Some(at));
-    let (up, away) = (serving(at(&p)), serving(nowhere));
-    pools.told(true, &[("p", up.0, up.1), ("r1", away.0, away.1)]);
-    let first = pools.asks("a1", READ, 0);
+    let serving = |address| (EndpointState::Serving, Some(address));
+    let (up, away) = (serving(address_of(&p)), serving(nowhere));
+    pools.apply_list(true, &[("p", up.0, up.1), ("r1", away.0, away.1)]);
+    let first = pools.begin_request("a1", READ, 0);
     assert_eq!(pools.sent, ["r1".into()]);
-    pools.later(DIAL / 2);
+    pools.advance(CONNECT_TIMEOUT / 2);
     pools.engine.client_gone(first);
     pools.settle();
-    let second = pools.asks("a2", READ, 0);
+    let second = pools.begin_request("a2", READ, 0);
     assert_eq!(
-        (pools.sent.len(), pools.open()),
+        (pools.sent.len(), pools.connection_counts()),
         (2, (1, 0)),
         "no second one is begun"
     );
-    let up = serving(at(&r2));
-    pools.told(false, &[("r2", up.0, up.1)]);
-    pools.later(DIAL / 2);
+    let up = serving(address_of(&r2));
+    pools.apply_list(false, &[("r2", up.0, up.1)]);
+    pools.advance(CONNECT_TIMEOUT / 2);
     assert_eq!(
         pools.sent[2..],
         ["r2".into()],
         "it never ran, and goes elsewhere at once"
     );
-    serves(&mut pools, &r2, "a2", second);
+    serve_on_new_connection(&mut pools, &r2, "a2", second);
 }
 
-/// Time passes in small steps until there is a further attempt, or the request has ended.
-fn further(pools: &mut Pools, request: Key, attempts: usize) -> bool {
+/// Advances the clock in small steps until there is another attempt or the request has ended. Returns whether there is
+/// another attempt.
+fn has_another_attempt(pools: &mut Pools, request: Key, attempts: usize) -> bool {
     for _ in 0..1_000 {
         if pools.sent.len() > attempts || pools.fate(request).is_some() {
             break;
         }
-        pools.later(10_000);
+        pools.advance(10_000);
     }
     pools.sent.len() > attempts
 }
 
 #[test]
-fn an_end_after_the_last_byte_is_an_outcome_that_nobody_knows() {
-    // The connection was idle, and its node ends it before it has read a byte of the request. What a class is called says
-    // nothing of its effect: one that may not be repeated goes by any name.
+fn an_end_after_the_last_byte_leaves_the_outcome_unknown() {
+    // The connection was idle, and its node ends it before it has read a byte of the request. The names of classes vary, to
+    // show that only the idempotency of a class decides on a retry.
     for (names, ends) in [
-        (["look", "book", "pay"], Ends::Closes),
-        (["look", "book", "pay"], Ends::Resets),
-        (["book", "pay", "look"], Ends::Closes),
-        (["pay", "look", "book"], Ends::Resets),
+        (["look", "book", "pay"], NodeEnd::Close),
+        (["look", "book", "pay"], NodeEnd::Reset),
+        (["book", "pay", "look"], NodeEnd::Close),
+        (["pay", "look", "book"], NodeEnd::Reset),
     ] {
-        for (class, again) in [(READ, true), (WRITE, false), (KEYED, true)] {
-            let node = node();
-            let mut pools = Pools::new(named(names));
-            pools.told(true, &[("p", EndpointState::Serving, Some(at(&node)))]);
-            let link = pools.idle("p", &node);
-            let request = pools.asks("a1", class, 0);
+        for (class, is_retried) in [(READ, true), (WRITE, false), (KEYED, true)] {
+            let node = start_node();
+            let mut pools = Pools::new(settings_with_class_names(names));
+            pools.apply_list(
+                true,
+                &[("p", EndpointState::Serving, Some(address_of(&node)))],
+            );
+            let link = pools.open_idle("p", &node);
+            let request = pools.begin_request("a1", class, 0);
             assert_eq!(
-                pools.held_back().expect("it is at work").0,
+                pools.unsent_of_job().expect("it is at work").0,
                 0,
                 "its last byte has left"
             );
-            end(link, ends);
-            pools.until(|pools| pools.open().1 == 0);
+            end_connection(link, ends);
+            pools.run_until(|pools| pools.connection_counts().1 == 0);
             assert_eq!(
-                further(&mut pools, request, 1),
-                again,
+                has_another_attempt(&mut pools, request, 1),
+                is_retried,
                 "{ends:?}, class {class}: {:?}",
                 pools.ended
             );
-            if again {
-                serves(&mut pools, &node, "a1", request);
+            if is_retried {
+                serve_on_new_connection(&mut pools, &node, "a1", request);
             } else {
                 assert_eq!(
                     pools.fate(request),
@@ -1119,114 +1202,117 @@
 }
 
 #[test]
-fn a_reset_long_after_the_request_has_begun_is_weighed_by_the_time_that_it_comes_at() {
-    // A second is left to the client, and the window for repeats is over: only what may always be repeated goes again.
-    for (class, again, told) in [
+fn a_late_reset_is_retried_only_if_the_class_still_allows_it() {
+    // The client waits for another second, and the deduplication window is over: only an idempotent request is retried.
+    for (class, is_retried, want) in [
         (READ, true, None),
         (WRITE, false, Some(Fate::Failed)),
-        (KEYED, false, Some(Fate::Refused)),
+        (KEYED, false, Some(Fate::Rejected)),
     ] {
-        let node = node();
-        let mut pools = Pools::before(&[("p", &node)]);
-        let request = pools.asks("a1", class, 0);
-        let mut link = pools.greeted(&node);
+        let node = start_node();
+        let mut pools = Pools::with_nodes(&[("p", &node)]);
+        let request = pools.begin_request("a1", class, 0);
+        let mut link = pools.accept_login(&node);
         assert_eq!(
             link.statement().expect("a statement").as_deref(),
             Some("a1")
         );
         for _ in 0..400 {
-            pools.later(10_000);
+            pools.advance(10_000);
         }
         assert_eq!((pools.fate(request), pools.sent.len()), (None, 1));
         link.reset().expect("a socket");
-        pools.until(|pools| pools.open().1 == 0);
+        pools.run_until(|pools| pools.connection_counts().1 == 0);
         assert_eq!(
-            further(&mut pools, request, 1),
-            again,
+            has_another_attempt(&mut pools, request, 1),
+            is_retried,
             "class {class}: {:?}",
             pools.ended
         );
-        assert_eq!(pools.fate(request), told, "class {class}");
+        assert_eq!(pools.fate(request), want, "class {class}");
     }
 }
 
-/// Longer than all buffers on its way.
-const LONG: usize = 16 << 20;
+/// The length of a statement that is longer than all socket buffers together.
+const LONG_STATEMENT: usize = 16 << 20;
 
-/// A write on a connection that was idle, a part of which has left.
-fn half_written(pools: &mut Pools, node: &Node) -> (Link, Key) {
-    let link = pools.idle("p", node);
-    let request = pools.asks("a1", WRITE, LONG);
-    let (unsent, untouched) = pools.held_back().expect("it is at work");
-    assert!(unsent > 0 && !untouched);
+/// Starts a write on an idle connection, of which only a part is sent.
+fn start_partly_sent_write(pools: &mut Pools, node: &Node) -> (Link, Key) {
+    let link = pools.open_idle("p", node);
+    let request = pools.begin_request("a1", WRITE, LONG_STATEMENT);
+    let (unsent, is_untouched) = pools.unsent_of_job().expect("it is at work");
+    assert!(unsent > 0 && !is_untouched);
     (link, request)
 }
 
-/// A write that never ran goes again, and its client is told no worse than that.
-fn never_ran(pools: &mut Pools, request: Key) {
-    pools.until(|pools| pools.open().1 == 0);
+/// Asserts that a write that never ran is retried, and that its final answer is a rejection and not a failure.
+fn assert_never_ran(pools: &mut Pools, request: Key) {
+    pools.run_until(|pools| pools.connection_counts().1 == 0);
     assert!(
-        further(pools, request, 1),
+        has_another_attempt(pools, request, 1),
         "it never ran: {:?}",
         pools.ended
     );
     assert_eq!(pools.fate(request), None);
-    pools.later(PATIENCE);
-    assert_eq!(pools.fate(request), Some(Fate::Refused));
+    pools.advance(CLIENT_TIMEOUT);
+    assert_eq!(pools.fate(request), Some(Fate::Rejected));
 }
 
 #[test]
-fn an_end_before_the_last_byte_is_no_reset() {
-    for ends in [Ends::Closes, Ends::Resets] {
-        let node = node();
-        let mut pools = Pools::before(&[("p", &node)]);
-        let (link, request) = half_written(&mut pools, &node);
-        end(link, ends);
-        never_ran(&mut pools, request);
+fn an_end_before_the_last_byte_means_that_the_request_never_ran() {
+    for ends in [NodeEnd::Close, NodeEnd::Reset] {
+        let node = start_node();
+        let mut pools = Pools::with_nodes(&[("p", &node)]);
+        let (link, request) = start_partly_sent_write(&mut pools, &node);
+        end_connection(link, ends);
+        assert_never_ran(&mut pools, request);
     }
-    // Said while the node still reads: half a close.
-    let node = node();
-    let mut pools = Pools::before(&[("p", &node)]);
-    let (link, request) = half_written(&mut pools, &node);
+    // A half-close: the node ends its direction and still reads.
+    let node = start_node();
+    let mut pools = Pools::with_nodes(&[("p", &node)]);
+    let (link, request) = start_partly_sent_write(&mut pools, &node);
     link.end().expect("the pools are there");
-    never_ran(&mut pools, request);
+    assert_never_ran(&mut pools, request);
 }
 
 #[test]
-fn an_answer_to_what_has_not_left_whole_is_no_answer() {
-    // Danger: a copy of the last answer, or one that belongs to nothing, would be the request's.
+fn a_reply_to_a_partly_sent_request_is_not_its_answer() {
+    // Otherwise a copy of the last reply, or an unsolicited one, would become the request's answer.
     let ready = b"Z\0\0\0\x05I";
     for error in [false, true] {
-        let node = node();
-        let mut pools = Pools::before(&[("p", &node)]);
-        let (mut link, request) = half_written(&mut pools, &node);
+        let node = start_node();
+        let mut pools = Pools::with_nodes(&[("p", &node)]);
+        let (mut link, request) = start_partly_sent_write(&mut pools, &node);
         match error {
             true => link.say(&[ERROR, ready].concat()),
             false => link.answer("zz"),
         }
         .expect("the pools are there");
-        never_ran(&mut pools, request);
+        assert_never_ran(&mut pools, request);
     }
 }
 
 #[test]
-fn a_request_that_is_over_when_a_part_of_it_has_left_is_cut_off() {
-    let node = node();
-    let mut pools = Pools::before(&[("p", &node)]);
-    let (mut link, request) = half_written(&mut pools, &node);
+fn a_partly_sent_request_is_cut_off_when_its_client_disconnects() {
+    let node = start_node();
+    let mut pools = Pools::with_nodes(&[("p", &node)]);
+    let (mut link, request) = start_partly_sent_write(&mut pools, &node);
     pools.engine.client_gone(request);
     pools.settle();
-    assert_eq!((pools.open(), pools.engine.pending_requests()), ((0, 0), 0));
+    assert_eq!(
+        (pools.connection_counts(), pools.engine.pending_requests()),
+        ((0, 0), 0)
+    );
     let mut all = 0;
     while let Ok(count @ 1..) = link.read(1 << 20) {
         all += count;
     }
-    assert!(all < LONG, "{all} bytes");
+    assert!(all < LONG_STATEMENT, "{all} bytes");
 }
 
 #[test]
-fn an_answer_and_the_end_of_patience_in_one_instant_are_one_answer() {
-    /// What is taken in first, and whether what follows of it is carried out before the other.
+fn an_answer_and_a_timeout_in_the_same_instant_give_one_answer() {
+    /// Which of the two is handled first, and whether its consequences are executed before the other.
     #[derive(Clone, Copy, Debug, PartialEq, Eq)]
     enum First {
         FinalAnswer,
@@ -1242,16 +1328,16 @@
         First::TimeOutInOneTurn,
         First::GoneInOneTurn,
     ] {
-        let node = node();
-        let mut pools = Pools::before(&[("p", &node)]);
-        let request = pools.asks("a1", WRITE, 0);
-        let mut link = pools.greeted(&node);
+        let node = start_node();
+        let mut pools = Pools::with_nodes(&[("p", &node)]);
+        let request = pools.begin_request("a1", WRITE, 0);
+        let mut link = pools.accept_login(&node);
         assert_eq!(
             link.statement().expect("a statement").as_deref(),
             Some("a1")
         );
         link.answer("a1").expect("the pools are there");
-        let keys = pools.comes();
+        let keys = pools.wait_for_events();
         let id = AttemptId { request, number: 0 };
         let answer = |pools: &mut Pools| {
             keys.iter().for_each(|key| {
@@ -1264,14 +1350,14 @@
             First::FinalAnswer => {
                 answer(&mut pools);
                 pools.settle();
-                pools.later(PATIENCE);
+                pools.advance(CLIENT_TIMEOUT);
             }
             First::AnswerInOneTurn => {
                 answer(&mut pools);
                 pools.engine.attempt_timed_out(id, pools.now);
             }
             First::TimeOut => {
-                pools.later(PATIENCE);
+                pools.advance(CLIENT_TIMEOUT);
                 answer(&mut pools);
             }
             First::TimeOutInOneTurn => {
@@ -1284,7 +1370,7 @@
             }
         }
         pools.settle();
-        pools.later(PATIENCE);
+        pools.advance(CLIENT_TIMEOUT);
         let want = match first {
             First::FinalAnswer | First::AnswerInOneTurn => Some(served("a1")),
             First::TimeOut | First::TimeOutInOneTurn => Some(Fate::Failed),
@@ -1304,17 +1390,17 @@
             "{first:?}"
         );
         if first == First::TimeOut {
-            closed(&mut link);
+            assert_closed(&mut link);
         }
     }
 }
 
 #[test]
-fn one_byte_a_second_is_waited_for_no_longer_than_its_attempt() {
-    let node = node();
-    let mut pools = Pools::before(&[("p", &node)]);
-    let request = pools.asks("a1", WRITE, 0);
-    let mut link = pools.greeted(&node);
+fn a_trickling_reply_does_not_extend_its_attempt() {
+    let node = start_node();
+    let mut pools = Pools::with_nodes(&[("p", &node)]);
+    let request = pools.begin_request("a1", WRITE, 0);
+    let mut link = pools.accept_login(&node);
     assert_eq!(
         link.statement().expect("a statement").as_deref(),
         Some("a1")
@@ -1325,54 +1411,55 @@
         }
         link.say(&[*byte]).expect("the pools are there");
         pools.turn();
-        pools.later(SECOND);
+        pools.advance(SECOND);
     }
     assert_eq!(
-        (pools.fate(request), pools.open()),
+        (pools.fate(request), pools.connection_counts()),
         (Some(Fate::Failed), (0, 0))
     );
-    assert!(pools.now <= NOW + PATIENCE, "{}", pools.now - NOW);
-    closed(&mut link);
+    assert!(pools.now <= NOW + CLIENT_TIMEOUT, "{}", pools.now - NOW);
+    assert_closed(&mut link);
 }
 
 #[test]
-fn a_connection_that_comes_up_after_its_attempt_was_given_up_carries_the_next() {
+fn a_connection_that_is_ready_after_its_attempt_ended_carries_the_next_request() {
     let waits = SECOND / 2;
     for gone in [true, false] {
-        let node = node();
-        let mut pools = Pools::before(&[("p", &node)]);
-        let request = pools.asks_within("a1", WRITE, 0, if gone { PATIENCE } else { waits });
-        let mut link = pools.up(&node);
+        let node = start_node();
+        let mut pools = Pools::with_nodes(&[("p", &node)]);
+        let request =
+            pools.begin_request_within("a1", WRITE, 0, if gone { CLIENT_TIMEOUT } else { waits });
+        let mut link = pools.accept(&node);
         if gone {
             pools.engine.client_gone(request);
         }
-        pools.later(waits);
-        pools.later(SECOND);
-        assert_eq!(pools.fate(request), (!gone).then_some(Fate::Refused));
-        // 1.5 s after it was begun.
+        pools.advance(waits);
+        pools.advance(SECOND);
+        assert_eq!(pools.fate(request), (!gone).then_some(Fate::Rejected));
+        // 1.5 s after the connection attempt.
         link.greet("primary").expect("the pools are there");
-        pools.until(|pools| pools.upstream.pools["p"].idle.len() == 1);
+        pools.run_until(|pools| pools.upstream.pools["p"].idle.len() == 1);
         assert_eq!(link.has_come().expect("a socket"), None);
-        let next = pools.asks("a2", WRITE, 0);
+        let next = pools.begin_request("a2", WRITE, 0);
         assert_eq!(
             link.statement().expect("a statement").as_deref(),
             Some("a2")
         );
         link.answer("a2").expect("the pools are there");
-        assert_eq!(pools.end_of(next), served("a2"));
+        assert_eq!(pools.run_to_end(next), served("a2"));
     }
 }
 
 #[test]
-fn a_connection_that_takes_too_long_is_closed_and_so_late_a_greeting_starts_nothing() {
-    let node = node();
-    let mut pools = Pools::before(&[("p", &node)]);
-    let request = pools.asks_within("a1", WRITE, 0, SECOND);
-    let mut link = pools.up(&node);
-    // Greeted in the instant in which it has been waited for long enough.
+fn a_connection_that_times_out_is_closed_and_a_late_login_starts_nothing() {
+    let node = start_node();
+    let mut pools = Pools::with_nodes(&[("p", &node)]);
+    let request = pools.begin_request_within("a1", WRITE, 0, SECOND);
+    let mut link = pools.accept(&node);
+    // The login is answered in the instant of the timeout.
     link.greet("primary").expect("the pools are there");
-    let keys = pools.comes();
-    pools.later(DIAL);
+    let keys = pools.wait_for_events();
+    pools.advance(CONNECT_TIMEOUT);
     keys.iter().for_each(|key| {
         pools
             .upstream
@@ -1380,21 +1467,21 @@
     });
     pools.settle();
     assert_eq!(
-        (pools.fate(request), pools.open()),
-        (Some(Fate::Refused), (0, 0))
+        (pools.fate(request), pools.connection_counts()),
+        (Some(Fate::Rejected), (0, 0))
     );
-    closed(&mut link);
+    assert_closed(&mut link);
 }
 
 #[test]
-fn an_error_counts_once_its_connection_ends_and_half_of_one_does_not() {
-    // A node that said that it is full and closed has not run it; half a line says nothing.
+fn an_error_before_the_end_of_a_connection_counts_and_half_an_error_does_not() {
+    // A node that reported that it is full and then closed has not run the request. A half error message tells nothing.
     let full = b"E\0\0\0\x17SERROR\0C53300\0Mno\0\0";
-    for (said, again) in [(&full[..], true), (&full[..9], false), (ERROR, false)] {
-        let node = node();
-        let mut pools = Pools::before(&[("p", &node)]);
-        let request = pools.asks("a1", WRITE, 0);
-        let mut link = pools.greeted(&node);
+    for (said, is_retried) in [(&full[..], true), (&full[..9], false), (ERROR, false)] {
+        let node = start_node();
+        let mut pools = Pools::with_nodes(&[("p", &node)]);
+        let request = pools.begin_request("a1", WRITE, 0);
+        let mut link = pools.accept_login(&node);
         assert_eq!(
             link.statement().expect("a statement").as_deref(),
             Some("a1")
@@ -1402,86 +1489,98 @@
         link.say(said).expect("the pools are there");
         pools.turn();
         assert_eq!(
-            (pools.fate(request), pools.open()),
+            (pools.fate(request), pools.connection_counts()),
             (None, (1, 1)),
             "it may say more"
         );
         link.end().expect("the pools are there");
-        pools.until(|pools| pools.open().1 == 0);
-        assert_eq!(further(&mut pools, request, 1), again);
-        assert_eq!(pools.fate(request), (!again).then_some(Fate::Failed));
-        closed(&mut link);
+        pools.run_until(|pools| pools.connection_counts().1 == 0);
+        assert_eq!(has_another_attempt(&mut pools, request, 1), is_retried);
+        assert_eq!(pools.fate(request), (!is_retried).then_some(Fate::Failed));
+        assert_closed(&mut link);
     }
 }
 
 #[test]
-fn what_comes_behind_an_answer_ends_its_connection() {
-    // In one read with it, after it and unread, after it and read: nobody else gets it.
+fn bytes_after_an_answer_end_the_connection() {
+    // The extra reply arrives in one read with the answer, or later and unread, or later and read.
     for (at_once, read) in [(true, true), (false, false), (false, true)] {
-        let node = node();
-        let mut pools = Pools::before(&[("p", &node)]);
-        let request = pools.asks("a1", WRITE, 0);
-        let mut link = pools.greeted(&node);
+        let node = start_node();
+        let mut pools = Pools::with_nodes(&[("p", &node)]);
+        let request = pools.begin_request("a1", WRITE, 0);
+        let mut link = pools.accept_login(&node);
         assert_eq!(
             link.statement().expect("a statement").as_deref(),
             Some("a1")
         );
         if at_once {
             link.answers(&["a1", "b1"]).expect("the pools are there");
-            assert_eq!(pools.end_of(request), served("a1"));
+            assert_eq!(pools.run_to_end(request), served("a1"));
         } else {
             link.answer("a1").expect("the pools are there");
-            assert_eq!(pools.end_of(request), served("a1"));
+            assert_eq!(pools.run_to_end(request), served("a1"));
             link.answer("b1").expect("the pools are there");
-            pools.comes();
+            pools.wait_for_events();
             if read {
                 pools.turn();
             }
         }
-        assert_eq!(pools.open(), (usize::from(!read), 0));
-        let next = pools.asks("a2", WRITE, 0);
-        serves(&mut pools, &node, "a2", next);
-        closed(&mut link);
+        assert_eq!(pools.connection_counts(), (usize::from(!read), 0));
+        let next = pools.begin_request("a2", WRITE, 0);
+        serve_on_new_connection(&mut pools, &node, "a2", next);
+        assert_closed(&mut link);
     }
 }
 
 #[test]
-fn half_a_line_in_the_moment_of_our_own_close_harms_nobody() {
-    /// Why it is closed.
+fn half_a_message_at_the_moment_of_a_close_has_no_effect() {
+    /// The reason of the close.
     #[derive(Clone, Copy, Debug)]
-    enum Why {
-        Wanted,
-        Leaving,
+    enum CloseReason {
+        Requested,
+        Draining,
         Idle,
-        GivenUp,
+        Cancelled,
     }
-    for why in [Why::Wanted, Why::Leaving, Why::Idle, Why::GivenUp] {
-        let node = node();
-        let mut pools = Pools::before(&[("p", &node)]);
-        let mut link = pools.idle("p", &node);
-        let given_up = matches!(why, Why::GivenUp).then(|| pools.asks("a1", WRITE, 0));
+    for reason in [
+        CloseReason::Requested,
+        CloseReason::Draining,
+        CloseReason::Idle,
+        CloseReason::Cancelled,
+    ] {
+        let node = start_node();
+        let mut pools = Pools::with_nodes(&[("p", &node)]);
+        let mut link = pools.open_idle("p", &node);
+        let cancelled =
+            matches!(reason, CloseReason::Cancelled).then(|| pools.begin_request("a1", WRITE, 0));
         link.say(&ERROR[..9]).expect("the pools are there");
-        let keys = pools.comes();
-        match why {
-            Why::Wanted => pools.upstream.close_idle(&"p".into(), &mut pools.engine),
-            Why::Leaving => {
-                pools.told(false, &[("p", EndpointState::Draining, Some(at(&node)))]);
-                pools.told(false, &[("p", EndpointState::Serving, Some(at(&node)))]);
+        let keys = pools.wait_for_events();
+        match reason {
+            CloseReason::Requested => pools.upstream.close_idle(&"p".into(), &mut pools.engine),
+            CloseReason::Draining => {
+                pools.apply_list(
+                    false,
+                    &[("p", EndpointState::Draining, Some(address_of(&node)))],
+                );
+                pools.apply_list(
+                    false,
+                    &[("p", EndpointState::Serving, Some(address_of(&node)))],
+                );
             }
-            Why::Idle => pools.later(IDLE),
-            Why::GivenUp => given_up
+            CloseReason::Idle => pools.advance(NODE_IDLE_TIMEOUT),
+            CloseReason::Cancelled => cancelled
                 .iter()
                 .for_each(|request| pools.engine.cancel_request(*request, pools.now)),
         }
         pools.settle();
-        assert_eq!(pools.open(), (0, 0), "{why:?}");
+        assert_eq!(pools.connection_counts(), (0, 0), "{reason:?}");
         keys.iter().for_each(|key| {
             pools
                 .upstream
                 .handle_event(*key, pools.now, &mut pools.engine)
         });
-        let next = pools.asks("a2", WRITE, 0);
-        serves(&mut pools, &node, "a2", next);
-        assert_eq!(given_up.and_then(|request| pools.fate(request)), None);
+        let next = pools.begin_request("a2", WRITE, 0);
+        serve_on_new_connection(&mut pools, &node, "a2", next);
+        assert_eq!(cancelled.and_then(|request| pools.fate(request)), None);
     }
 }
--- a/router/tests/bad_input.rs
+++ b/router/tests/bad_input.rs
@@ -1,5 +1,5 @@
-//! Bad input at the size of a large fleet: one of 300 routers before 120 db nodes, of which most misbehave, and an agent
-//! that says whatever a test words. Nothing sleeps for a fixed time; every wait has a condition and an end.
+//! Bad input at the size of a large fleet: one of 300 routers with 120 db nodes, most of which misbehave, and an agent with
+//! scripted answers. No test sleeps for a fixed time; every wait has a condition and a timeout.
 
 use plovercove_emulator::process::{Folder, Process};
 use plovercove_emulator::rough::{Agent, Manner, Node, Says};
@@ -9,33 +9,32 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// Ends a test that would hang.
-const HANGS: Duration = Duration::from_secs(30);
+/// Time after which a hanging test fails.
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 const GROUPS: usize = 20;
-const MEMBERS: usize = 6;
-/// Requests of each client.
-const EACH: usize = 20;
-/// What a client waits for (ms).
-const PATIENCE: u64 = 900;
+const NODES_PER_GROUP: usize = 6;
+const REQUESTS_PER_CLIENT: usize = 20;
+/// The timeout of a client (ms).
+const CLIENT_TIMEOUT_MS: u64 = 900;
 
-/// An entry of the list.
+/// Returns an entry of the endpoint list.
 fn entry(name: usize, node: &Node, primary: bool, status: &str) -> Value {
     json!({"name": format!("s-{name:04}"), "address": node.address().to_string(), "zone": "z", "type": "k",
-           "group": name / MEMBERS + 1, "status": status, "weight": 1.0, "since_ms": 0,
+           "group": name / NODES_PER_GROUP + 1, "status": status, "weight": 1.0, "since_ms": 0,
            "replication": if primary { "primary" } else { "standby" }})
 }
 
-fn listing(index: u64, whole: bool, entries: &[Value]) -> String {
-    json!({"index": index, "snapshot": whole, "endpoints": entries}).to_string()
+fn listing(index: u64, is_complete: bool, entries: &[Value]) -> String {
+    json!({"index": index, "snapshot": is_complete, "endpoints": entries}).to_string()
 }
 
-/// One of 300 routers, before this agent, with this list remembered.
-fn start(name: &str, agent: &Agent, known: &[Value]) -> (Process, Folder) {
+/// Starts a router that is one of 300, with this agent and this remembered list.
+fn start(name: &str, agent: &Agent, remembered: &[Value]) -> (Process, Folder) {
     let class = |name: &str, effect: &str| json!({"Name": name, "Aim": 400_000, "Deadline": 1_000_000, "Gain": 1.0, "LateWorth": 0.5, "Effect": effect});
     let config = json!({
         "name": "n1", "listen": "127.0.0.1:0", "discovery": agent.address().to_string(), "seed": "1",
         "limits": {"cores": 1.0, "memory_mb": 48, "sockets": 512},
-        "known": {"index": 41, "snapshot": true, "endpoints": known},
+        "known": {"index": 41, "snapshot": true, "endpoints": remembered},
         "settings": {"Balancers": 300, "SlotNo": 1, "Tick": 5000, "Discovery": "automatic", "Zone": "z",
             "FamilyInfo": {"ClassRead": ["recent", "loose", "update"], "MaxAge": [3_000_000, 0, 0],
                 "ServerChecks": "silent", "ShowsRole": "delayed", "SessionMarks": "client"},
@@ -60,26 +59,26 @@
 
 fn ask(client: &mut Caller, id: &str, class: &str, group: usize) -> Fate {
     let statement = format!(
-        "/* id={id},c={class},t=acme,d={PATIENCE},cluster={group} */ SELECT body FROM objects WHERE oid = '7f'"
+        "/* id={id},c={class},t=acme,d={CLIENT_TIMEOUT_MS},cluster={group} */ SELECT body FROM objects WHERE oid = '7f'"
     );
-    client.ask(&statement, id, Duration::from_millis(PATIENCE))
+    client.ask(&statement, id, Duration::from_millis(CLIENT_TIMEOUT_MS))
 }
 
-/// A figure of the process in /proc: the number after this word in its status (KB).
-fn memory(id: u32) -> u64 {
+/// Returns the resident memory of a process (KB).
+fn resident_kb(id: u32) -> u64 {
     let status = std::fs::read_to_string(format!("/proc/{id}/status")).expect("it runs");
     let line = status
         .lines()
         .find(|line| line.starts_with("VmRSS:"))
-        .expect("it is told");
+        .expect("a line of the resident memory");
     line.split_whitespace()
         .nth(1)
         .and_then(|kb| kb.parse().ok())
         .expect("a number")
 }
 
-/// CPU time of a process so far (s).
-fn cpu(id: u32) -> f64 {
+/// Returns the CPU time that a process has used so far (s).
+fn cpu_seconds(id: u32) -> f64 {
     let stat = std::fs::read_to_string(format!("/proc/{id}/stat")).expect("it runs");
     let fields = stat
         .rsplit_once(')')
@@ -94,26 +93,26 @@
         / 100.0
 }
 
-/// Lines of the log that are alike but for numbers and names, and how often each came.
-fn kinds(lines: &[String]) -> HashMap<String, usize> {
+/// Counts the log lines that differ only in numbers and names.
+fn count_similar_lines(lines: &[String]) -> HashMap<String, usize> {
     let mut found = HashMap::new();
     for line in lines {
         let said = line
             .split_once("Z ")
             .map_or(line.as_str(), |(_, said)| said);
-        let bare: String = said
+        let text: String = said
             .chars()
             .filter(|c| !c.is_ascii_hexdigit())
             .take(40)
             .collect();
-        *found.entry(bare).or_default() += 1;
+        *found.entry(text).or_default() += 1;
     }
     found
 }
 
 #[test]
-fn every_request_has_its_one_answer_whatever_most_nodes_do() {
-    // Danger: at this size a router meets every kind of bad node at once, again and again.
+fn every_request_has_one_answer_although_most_nodes_misbehave() {
+    // At this size, a router meets every kind of misbehaving node at the same time.
     let manners = [
         Manner::Good,
         Manner::Refuses,
@@ -123,10 +122,10 @@
         Manner::ShortReport,
         Manner::SpoiltReport,
     ];
-    let nodes: Vec<Node> = (0..GROUPS * MEMBERS)
+    let nodes: Vec<Node> = (0..GROUPS * NODES_PER_GROUP)
         .map(|n| {
-            let (group, member) = (n / MEMBERS, n % MEMBERS);
-            // Primaries are good but for three groups; replicas take turns with all the rest.
+            let (group, member) = (n / NODES_PER_GROUP, n % NODES_PER_GROUP);
+            // Primaries behave well except in three groups; replicas behave in all ways.
             let manner = match (group, member) {
                 (0, 0) => Manner::Refuses,
                 (1, 0) => Manner::Silent,
@@ -140,16 +139,16 @@
     let entries: Vec<Value> = nodes
         .iter()
         .enumerate()
-        .map(|(n, node)| entry(n, node, n % MEMBERS == 0, "active"))
+        .map(|(n, node)| entry(n, node, n % NODES_PER_GROUP == 0, "active"))
         .collect();
     let agent = Agent::start(vec![Says::Body(listing(42, true, &entries))]).expect("an agent");
     let (router, _folder) = start("rough-nodes", &agent, &entries);
-    let (listen, begun) = (router.listen(), Instant::now());
+    let (listen, started_at) = (router.listen(), Instant::now());
     let client = |n: usize| {
         std::thread::spawn(move || {
             let mut client = Caller::new(listen);
             let classes = ["search", "look", "book"];
-            (0..EACH)
+            (0..REQUESTS_PER_CLIENT)
                 .map(|k| {
                     let (class, group) = (classes[(n + k) % 3], (n * 7 + k) % GROUPS + 1);
                     (
@@ -189,29 +188,29 @@
         count(Fate::Served),
         answers.len()
     );
-    // A write runs once at the most, over all nodes.
+    // A write runs at most once over all nodes.
     let mut ran: HashMap<String, usize> = HashMap::new();
     for (id, times) in nodes.iter().flat_map(Node::ran) {
         *ran.entry(id).or_default() += times;
     }
     for (n, k) in (16..40)
-        .flat_map(|n| (0..EACH).map(move |k| (n, k)))
+        .flat_map(|n| (0..REQUESTS_PER_CLIENT).map(move |k| (n, k)))
         .filter(|(n, k)| (n + k) % 3 == 2)
     {
         let times = ran.get(&format!("{n:x}{k:04x}")).copied().unwrap_or(0);
         assert!(times <= 1, "a write ran {times} times");
     }
-    let (used, took) = (cpu(router.id()), begun.elapsed().as_secs_f64());
+    let (cpu_used, elapsed) = (cpu_seconds(router.id()), started_at.elapsed().as_secs_f64());
     assert!(
-        used < took / 2.0,
-        "{used} s of CPU in {took} s: the loop spins"
+        cpu_used < elapsed / 2.0,
+        "{cpu_used} s of CPU in {elapsed} s: the loop spins"
     );
     assert!(
-        memory(router.id()) < 32 * 1024,
+        resident_kb(router.id()) < 32 * 1024,
         "{} KB",
-        memory(router.id())
+        resident_kb(router.id())
     );
-    for (kind, times) in kinds(&router.lines()) {
+    for (kind, times) in count_similar_lines(&router.lines()) {
         assert!(times <= 5 * nodes.len(), "{times} lines like {kind:?}");
     }
     assert!(
@@ -221,10 +220,10 @@
 }
 
 #[test]
-fn no_list_however_bad_takes_the_nodes_away() {
-    // Danger: what one agent says goes for all that a router knows. A list without nodes closed them all, changes of an
-    // older version opened what drains, and one unknown word kept all later news out.
-    let nodes: Vec<Node> = (0..MEMBERS)
+fn bad_lists_do_not_remove_nodes() {
+    // A router depends on one agent for all its nodes. In earlier faults, a list without nodes removed them all, changes of
+    // an older version reopened draining nodes, and one unknown status blocked all later lists.
+    let nodes: Vec<Node> = (0..NODES_PER_GROUP)
         .map(|n| Node::start(Manner::Good, n == 0).expect("a node"))
         .collect();
     let entries = |status: &str| -> Vec<Value> {
@@ -239,27 +238,27 @@
     let agent = Agent::start(vec![good(42)]).expect("an agent");
     let (router, _folder) = start("rough-lists", &agent, &entries("active"));
     let mut client = Caller::new(router.listen());
-    let mut asked = 0;
-    let mut serves = |when: &str| {
+    let mut sent = 0;
+    let mut assert_serves = |when: &str| {
         for class in ["search", "look", "book"] {
-            asked += 1;
+            sent += 1;
             assert_eq!(
-                ask(&mut client, &format!("{asked:x}"), class, 1),
+                ask(&mut client, &format!("{sent:x}"), class, 1),
                 Fate::Served,
                 "{class} {when}"
             );
         }
     };
-    serves("at the start");
-    let stays = |cause: &str| {
-        let line = router.says(&format!("discovery: {cause}"), HANGS);
+    assert_serves("at the start");
+    let wait_for_warning = |cause: &str| {
+        let line = router.says(&format!("discovery: {cause}"), TEST_TIMEOUT);
         assert!(
             line.is_some_and(|l| l.contains("the list stays as it is")),
             "{cause}: {:?}",
             router.lines()
         );
     };
-    let bad = [
+    let bad_answers = [
         (Says::Body(listing(43, true, &[])), "the list names nobody"),
         (
             Says::Body(listing(7, false, &entries("left"))),
@@ -277,49 +276,54 @@
             "endpoints[3].status: \"resting\" is unknown",
         ),
     ];
-    let calls = bad.len();
-    for (n, (says, cause)) in bad.into_iter().enumerate() {
+    let calls = bad_answers.len();
+    for (n, (says, cause)) in bad_answers.into_iter().enumerate() {
         agent.then(says);
-        stays(cause);
-        serves(cause);
-        // The next call is answered well, so that pauses stay short, and the one after it waits.
+        wait_for_warning(cause);
+        assert_serves(cause);
+        // The next call gets a good answer, so that pauses stay short, and the call after it waits.
         agent.then(good(50 + n as u64));
-        assert!(agent.called(3 + 2 * n, HANGS), "{:?}", agent.calls());
+        assert!(agent.called(3 + 2 * n, TEST_TIMEOUT), "{:?}", agent.calls());
     }
-    let whole = |call: &String| call.starts_with("GET /api/targets HTTP");
+    let requests_complete_list = |call: &String| call.starts_with("GET /api/targets HTTP");
     assert!(
-        agent.calls().iter().filter(|c| whole(c)).count() >= 3,
-        "what was doubted is asked for whole"
+        agent
+            .calls()
+            .iter()
+            .filter(|c| requests_complete_list(c))
+            .count()
+            >= 3,
+        "after rejected lists, the complete list is requested"
     );
-    // A word that comes again is no accident: its node drains, and the news beside it goes through.
+    // An unknown status that comes again is accepted: its node counts as draining, and the rest of the list is applied.
     agent.then(Says::Body(listing(70, true, &entries("resting"))));
     agent.then(Says::Body(listing(70, true, &entries("resting"))));
-    let said = router.says("its node counts as draining", HANGS);
+    let line = router.says("its node counts as draining", TEST_TIMEOUT);
     assert!(
-        said.is_some_and(|line| line.contains("\"resting\" is unknown")),
+        line.is_some_and(|line| line.contains("\"resting\" is unknown")),
         "{:?}",
         router.lines()
     );
     let before = nodes[3].ran().len();
-    serves("with one node that rests");
+    assert_serves("with one node that rests");
     for _ in 0..10 {
-        serves("with one node that rests");
+        assert_serves("with one node that rests");
     }
     assert_eq!(
         nodes[3].ran().len(),
         before,
-        "a node of unknown status gets nothing new"
+        "a node of unknown status gets no new requests"
     );
-    // The agent says nothing any more: the list stays. One line for each cause, and none for what went well.
-    serves("while the agent is silent");
-    let stayed = router
+    // The agent falls silent: the list stays. Each cause is logged once, and successful calls are not logged.
+    assert_serves("while the agent is silent");
+    let warnings = router
         .lines()
         .iter()
         .filter(|l| l.contains("the list stays as it is"))
         .count();
     assert!(
-        stayed <= calls + 1,
-        "{stayed} lines for {} causes",
+        warnings <= calls + 1,
+        "{warnings} lines for {} causes",
         calls + 1
     );
 }
--- a/router/tests/duties.rs
+++ b/router/tests/duties.rs
@@ -1,5 +1,5 @@
-//! Duties of a fleet, with processes of the program: one owner for each, what nodes are spared, and what becomes of it when
-//! owners and deciders fail.
+//! Leases of a fleet of router processes: each lease has one holder, nodes get fewer queries, and leases move to other
+//! routers when holders or voters fail.
 
 use plovercove::{Endpoint, EndpointUpdate, NodeId, Settings};
 use plovercove_emulator::process::{Blow, Folder, Process};
@@ -20,23 +20,26 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-/// Ends a test that would hang.
-const HANGS: Duration = Duration::from_secs(12);
-/// The lease of the test's fleet (ms), a third of it, and after how long an ask is sent again.
-const LEASE: u64 = 1_500;
-const RENEW: u64 = LEASE / 3;
-const ASK: u64 = 100;
-/// Reads bear data of this age (ms); owners ask nodes a little more often.
-const BEARS: u64 = 900;
-const WATCH: u64 = 600;
+/// Time after which a hanging test fails.
+const TEST_TIMEOUT: Duration = Duration::from_secs(12);
+/// The duration of a lease (ms).
+const LEASE_MS: u64 = 1_500;
+/// The interval of renewals (ms).
+const RENEW_MS: u64 = LEASE_MS / 3;
+/// Time after which a request to a voter is repeated (ms).
+const ASK_MS: u64 = 100;
+/// The staleness bound of reads (ms).
+const STALENESS_BOUND_MS: u64 = 900;
+/// The interval at which lease holders query nodes (ms), a little shorter than the staleness bound.
+const WATCH_MS: u64 = 600;
 
-/// Waits for it; the log of all is shown where it does not come.
-fn wait(what: &str, fleet: &Fleet, mut found: impl FnMut() -> bool) {
-    let until = Instant::now() + HANGS;
-    while !found() {
+/// Waits until a condition holds. Prints all logs and panics with `failure` if it does not.
+fn wait_until(failure: &str, fleet: &Fleet, mut holds: impl FnMut() -> bool) {
+    let until = Instant::now() + TEST_TIMEOUT;
+    while !holds() {
         if Instant::now() >= until {
-            fleet.show();
-            panic!("{what}");
+            fleet.print_logs();
+            panic!("{failure}");
         }
         std::thread::sleep(Duration::from_millis(10));
     }
@@ -46,13 +49,13 @@
     folder: Folder,
     agent: Agent,
     nodes: Vec<Trial>,
-    places: Vec<SocketAddr>,
+    addresses: Vec<SocketAddr>,
     processes: BTreeMap<usize, Process>,
     duties: bool,
 }
 
-/// One of the words in a line of the log.
-fn word(line: &str, key: &str) -> Option<Value> {
+/// Returns a field of a JSON log line.
+fn log_field(line: &str, key: &str) -> Option<Value> {
     serde_json::from_str::<Value>(line)
         .ok()
         .map(|line| line[key].clone())
@@ -60,7 +63,7 @@
 }
 
 impl Fleet {
-    /// So many routers, the first three of which decide, before two groups of a primary and a replica.
+    /// Starts a fleet of routers, the first three of which are voters, and two groups of a primary and a replica each.
     fn start(name: &str, routers: usize, duties: bool) -> Fleet {
         let folder = Folder::new(&format!("duties-{name}")).expect("a folder");
         folder
@@ -79,20 +82,20 @@
             started: None,
             draining: false,
         }));
-        // Ports that are free, all found before any is given back.
-        let held: Vec<UdpSocket> = (0..routers)
+        // All sockets are open at the same time, so that the ports differ.
+        let sockets: Vec<UdpSocket> = (0..routers)
             .map(|_| UdpSocket::bind("127.0.0.1:0").expect("a port"))
             .collect();
-        let places = held
+        let addresses = sockets
             .iter()
             .map(|s| s.local_addr().expect("it is bound"))
             .collect();
-        drop(held);
+        drop(sockets);
         let mut fleet = Fleet {
             folder,
             agent,
             nodes,
-            places,
+            addresses,
             processes: BTreeMap::new(),
             duties,
         };
@@ -104,8 +107,8 @@
         let config = json!({
             "name": format!("n{n}"), "listen": "127.0.0.1:0", "discovery": self.agent.address().to_string(),
             "seed": format!("{}", n + 1),
-            "settings": {"Balancers": self.places.len(), "SlotNo": n, "Tick": 5000, "Discovery": "automatic", "Zone": "z",
-                "FamilyInfo": {"ClassRead": ["recent"], "MaxAge": [BEARS * 1_000], "ServerChecks": "silent",
+            "settings": {"Balancers": self.addresses.len(), "SlotNo": n, "Tick": 5000, "Discovery": "automatic", "Zone": "z",
+                "FamilyInfo": {"ClassRead": ["recent"], "MaxAge": [STALENESS_BOUND_MS * 1_000], "ServerChecks": "silent",
                     "ShowsRole": "delayed", "SessionMarks": "client"},
                 "Limits": {"MaxAttempts": 3, "Probing": true, "RetryAfter": true, "MaxRetryAfter": 100_000},
                 "Profiles": [{"Name": "look", "Aim": 400_000, "Deadline": 1_000_000, "Gain": 1.0, "Effect": "idempotent"}],
@@ -122,31 +125,31 @@
             .write(&format!("n{n}.star"), &operators)
             .expect("a file");
         let program = Path::new(env!("CARGO_BIN_EXE_plovercove"));
-        let started = Process::start(program, &file, |command| {
+        let process = Process::start(program, &file, |command| {
             command
                 .args(["--log-format", "json", "--operators"])
                 .arg(&rules)
         });
         self.processes
-            .insert(n, started.expect("the router starts"));
+            .insert(n, process.expect("the router starts"));
     }
 
     fn operators(&self, n: usize) -> String {
-        let seeds: Vec<String> = self.places.iter().map(SocketAddr::to_string).collect();
-        let peers = json!({"listen": self.places[n], "key_file": "key", "rules": {
+        let seeds: Vec<String> = self.addresses.iter().map(SocketAddr::to_string).collect();
+        let peers = json!({"listen": self.addresses[n], "key_file": "key", "rules": {
             "installation": "here", "probe_ms": 200, "answer_ms": 60, "suspect_ms": 600, "gossip_ms": 60,
             "repair_ms": 200, "datagrams_per_s": 400, "bytes_per_s": 400_000, "seeds": seeds}});
-        let deciders: Vec<Value> = (0..3)
+        let voters: Vec<Value> = (0..3)
             .map(
-                |d| json!({"name": format!("n{d}"), "address": self.places[d % self.places.len()]}),
+                |d| json!({"name": format!("n{d}"), "address": self.addresses[d % self.addresses.len()]}),
             )
             .collect();
         let duties = json!({
-            "rules": {"deciders": {"generation": 1, "members": deciders}, "lease_ms": LEASE, "ask_ms": ASK,
+            "rules": {"deciders": {"generation": 1, "members": voters}, "lease_ms": LEASE_MS, "ask_ms": ASK_MS,
                 "aside_ms": 1_000, "datagrams_per_s": 200},
             "fanout": {"renew_ms": 500, "answer_ms": 100, "compare_ms": 200, "forget_ms": 12_000, "heads_ms": 200,
                 "gap_ms": 500},
-            "file": format!("n{n}.kept"), "watch_ms": WATCH});
+            "file": format!("n{n}.kept"), "watch_ms": WATCH_MS});
         let block = if self.duties {
             format!("duties = {duties}\n")
         } else {
@@ -155,71 +158,71 @@
         format!("peers = {peers}\n{block}")
     }
 
-    /// What a router says when it is asked.
-    fn tells(&mut self, n: usize) -> Value {
+    /// Makes a router log its state, and returns the line on the leases.
+    fn logged_state(&mut self, n: usize) -> Value {
         let process = self.processes.get_mut(&n).expect("it runs");
         let before = process.lines().len();
         process.strike(Blow::Tell);
-        let until = Instant::now() + HANGS;
+        let until = Instant::now() + TEST_TIMEOUT;
         loop {
-            let said = process.since(before);
-            let line = said
+            let lines = process.since(before);
+            let line = lines
                 .iter()
-                .find(|l| word(l, "reason") == Some(json!("duties")));
+                .find(|l| log_field(l, "reason") == Some(json!("duties")));
             if let Some(line) = line {
                 return serde_json::from_str(line).expect("a line");
             }
             assert!(
                 Instant::now() < until,
-                "n{n} says nothing: {:?}",
+                "n{n} logs nothing: {:?}",
                 process.lines()
             );
             std::thread::sleep(Duration::from_millis(5));
         }
     }
 
-    /// Each duty, with those who say that they own it.
-    fn owners(&mut self) -> BTreeMap<String, Vec<(usize, u64)>> {
-        let mut owners: BTreeMap<String, Vec<(usize, u64)>> = BTreeMap::new();
+    /// Returns each lease with the routers that consider themselves its holder, and their tokens.
+    fn holders(&mut self) -> BTreeMap<String, Vec<(usize, u64)>> {
+        let mut holders: BTreeMap<String, Vec<(usize, u64)>> = BTreeMap::new();
         for n in self.processes.keys().copied().collect::<Vec<_>>() {
-            let told = self.tells(n);
-            for one in told["owned"].as_str().unwrap_or_default().split(' ') {
-                if let Some((duty, token)) = one.split_once('#') {
-                    owners
-                        .entry(duty.into())
+            let state = self.logged_state(n);
+            for held in state["owned"].as_str().unwrap_or_default().split(' ') {
+                if let Some((lease, token)) = held.split_once('#') {
+                    holders
+                        .entry(lease.into())
                         .or_default()
                         .push((n, token.parse().expect("a number")));
                 }
             }
         }
-        owners
+        holders
     }
 
-    /// Waits until each of the three duties has an owner, and gives them.
-    fn settled(&mut self) -> BTreeMap<String, (usize, u64)> {
-        let until = Instant::now() + HANGS;
+    /// Waits until each of the three leases has a holder. Returns the holders.
+    fn wait_for_holders(&mut self) -> BTreeMap<String, (usize, u64)> {
+        let until = Instant::now() + TEST_TIMEOUT;
         loop {
-            let owners = self.owners();
+            let holders = self.holders();
             assert!(
-                owners.values().all(|all| all.len() == 1),
-                "two own one duty: {owners:?}"
+                holders.values().all(|all| all.len() == 1),
+                "a lease has two holders: {holders:?}"
             );
-            if owners.len() == 3 {
-                return owners
+            if holders.len() == 3 {
+                return holders
                     .into_iter()
-                    .map(|(duty, all)| (duty, all[0]))
+                    .map(|(lease, all)| (lease, all[0]))
                     .collect();
             }
             if Instant::now() >= until {
-                self.show();
-                panic!("no owner: {owners:?}");
+                self.print_logs();
+                panic!("a lease has no holder: {holders:?}");
             }
             std::thread::sleep(Duration::from_millis(50));
         }
     }
 
-    /// All logs, for a test that fails.
-    fn show(&self) {
+    /// Prints all logs, for a test that fails.
+    fn print_logs(&self) {
         for (n, process) in &self.processes {
             eprintln!("n{n}: {}", process.lines().join("\n    "));
         }
@@ -229,27 +232,28 @@
         self.nodes.iter().map(Trial::probes).sum()
     }
 
-    /// Reports that nodes were asked for within a time, while each router has a client.
-    fn probes_of(&self, span: Duration) -> (u64, u64, u64) {
+    /// Counts the queries to nodes within this time, while each router has a client. Returns the number of queries, of served
+    /// requests and of all requests.
+    fn count_probes(&self, duration: Duration) -> (u64, u64, u64) {
         let load = Load::start(self);
-        // The first reads find nothing proved; what counts is what is asked later.
+        // The first reads find no position yet, and their queries are not counted.
         std::thread::sleep(Duration::from_millis(1_000));
         let before = self.probes();
-        std::thread::sleep(span);
+        std::thread::sleep(duration);
         let probes = self.probes() - before;
-        let (served, all) = load.end();
+        let (served, all) = load.finish();
         (probes, served, all)
     }
 
-    fn line(&self, n: usize, key: &str, wanted: &str) -> Option<String> {
+    fn line(&self, n: usize, key: &str, value: &str) -> Option<String> {
         let lines = self.processes[&n].lines();
         lines
             .into_iter()
-            .find(|line| word(line, key).is_some_and(|v| v.as_str() == Some(wanted)))
+            .find(|line| log_field(line, key).is_some_and(|v| v.as_str() == Some(value)))
     }
 }
 
-/// Clients, one for each router.
+/// Clients that send requests all the time, one for each router.
 struct Load {
     stop: Arc<AtomicBool>,
     served: Arc<AtomicU64>,
@@ -288,8 +292,8 @@
         load
     }
 
-    /// How many were served, of how many.
-    fn end(self) -> (u64, u64) {
+    /// Ends the clients. Returns the numbers of served requests and of all requests.
+    fn finish(self) -> (u64, u64) {
         self.stop.store(true, Ordering::Relaxed);
         self.threads
             .into_iter()
@@ -302,114 +306,128 @@
 }
 
 #[test]
-fn each_duty_has_one_owner_and_nodes_are_asked_less() {
-    // Danger: every router asks all nodes for their positions, and a node's time goes into reports.
-    const SPAN: Duration = Duration::from_secs(3);
+fn each_lease_has_one_holder_and_nodes_get_fewer_queries() {
+    // Without leases, each router queries all nodes for their positions, which costs the nodes much of their time.
+    const MEASURED_TIME: Duration = Duration::from_secs(3);
     let mut with = Fleet::start("with", 5, true);
     let without = Fleet::start("without", 5, false);
-    let owners = with.settled();
+    let holders = with.wait_for_holders();
     for n in 0..5 {
-        with.learnt(n);
+        with.wait_for_published_status(n);
     }
-    let (fewer, served, all) = with.probes_of(SPAN);
-    let (more, also_served, also_all) = without.probes_of(SPAN);
+    let (fewer, served, all) = with.count_probes(MEASURED_TIME);
+    let (more, also_served, also_all) = without.count_probes(MEASURED_TIME);
     println!(
-        "reports asked for in 3 s: {fewer} with duties, {more} without; served {served} of {all}, {also_served} of {also_all}"
+        "queries in 3 s: {fewer} with leases, {more} without; served {served} of {all}, {also_served} of {also_all}"
     );
     assert!(
-        owners.contains_key("positions/1") && owners.contains_key("gateway/z"),
-        "{owners:?}"
+        holders.contains_key("positions/1") && holders.contains_key("gateway/z"),
+        "{holders:?}"
     );
-    assert!(fewer * 4 <= more * 3, "{fewer} with duties, {more} without");
+    assert!(fewer * 4 <= more * 3, "{fewer} with leases, {more} without");
     assert!(served * 100 >= all * 99 && also_served * 100 >= also_all * 99);
 }
 
 impl Fleet {
-    /// Waits until a router has learned from the watches of others.
-    fn learnt(&mut self, n: usize) {
-        let until = Instant::now() + HANGS;
+    /// Waits until a router has applied a status that another router has published.
+    fn wait_for_published_status(&mut self, n: usize) {
+        let until = Instant::now() + TEST_TIMEOUT;
         loop {
-            let told = self.tells(n);
-            if told["learned"].as_u64().is_some_and(|learned| learned > 0) {
+            let state = self.logged_state(n);
+            if state["learned"].as_u64().is_some_and(|learned| learned > 0) {
                 return;
             }
-            assert!(Instant::now() < until, "n{n} learns nothing: {told}");
+            assert!(
+                Instant::now() < until,
+                "n{n} gets no published status: {state}"
+            );
             std::thread::sleep(Duration::from_millis(50));
         }
     }
 }
 
 #[test]
-fn an_owner_that_is_stopped_killed_or_told_to_end_is_followed_by_another() {
+fn a_lease_moves_on_when_its_holder_is_stopped_killed_or_terminated() {
     let mut fleet = Fleet::start("fails", 5, true);
-    let duty = "positions/1";
-    // Stopped past its lease, and let go: it owns nothing until it has asked again, and asks nodes nothing.
-    let (old, token) = fleet.settled()[duty];
+    let lease = "positions/1";
+    // A holder that is stopped past the end of its lease and continued: it holds no lease until it has acquired one again.
+    let (old_holder, token) = fleet.wait_for_holders()[lease];
     fleet
         .processes
-        .get_mut(&old)
+        .get_mut(&old_holder)
         .expect("it runs")
         .strike(Blow::Stop);
-    let stopped = fleet.processes.remove(&old).expect("it runs");
-    let (next, newer) = fleet.settled()[duty];
-    assert!(newer > token && next != old, "the token rises");
-    fleet.processes.insert(old, stopped);
+    let stopped = fleet.processes.remove(&old_holder).expect("it runs");
+    let (next_holder, new_token) = fleet.wait_for_holders()[lease];
+    assert!(
+        new_token > token && next_holder != old_holder,
+        "the token increases"
+    );
+    fleet.processes.insert(old_holder, stopped);
     fleet
         .processes
-        .get_mut(&old)
+        .get_mut(&old_holder)
         .expect("it runs")
         .strike(Blow::Continue);
-    wait("it does not notice that it stood still", &fleet, || {
-        fleet.line(old, "reason", "stood still").is_some()
+    wait_until("the router does not notice its stall", &fleet, || {
+        fleet.line(old_holder, "reason", "stood still").is_some()
     });
-    let owners = fleet.settled();
+    let holders = fleet.wait_for_holders();
     assert!(
-        owners[duty].1 >= newer && owners[duty].0 != old,
-        "{owners:?}"
+        holders[lease].1 >= new_token && holders[lease].0 != old_holder,
+        "{holders:?}"
     );
-    let asked = fleet.tells(old)["owned"]
+    let still_holds = fleet.logged_state(old_holder)["owned"]
         .as_str()
         .unwrap_or_default()
-        .contains(duty);
-    assert!(!asked, "it still takes itself for the owner");
+        .contains(lease);
+    assert!(
+        !still_holds,
+        "the old holder still considers itself the holder"
+    );
 
-    // Killed: the gap is a lease at the deciders, two looks of the next in rank and the claim, and what peers need.
-    let (owner, token) = owners[duty];
+    // A holder that is killed: the gap until the next holder is the lease duration at the voters, two checks and the claim
+    // of the next candidate, and some time for gossip.
+    let (holder, token) = holders[lease];
     let killed = Instant::now();
     fleet
         .processes
-        .get_mut(&owner)
+        .get_mut(&holder)
         .expect("it runs")
         .strike(Blow::Kill);
-    fleet.processes.remove(&owner);
-    let (next, newer) = fleet.settled()[duty];
+    fleet.processes.remove(&holder);
+    let (next_holder, new_token) = fleet.wait_for_holders()[lease];
     let gap = killed.elapsed();
-    let bound = Duration::from_millis(LEASE * 101 / 100 + 2 * RENEW + 4 * ASK);
+    let bound = Duration::from_millis(LEASE_MS * 101 / 100 + 2 * RENEW_MS + 4 * ASK_MS);
     println!("gap after kill {gap:?}, bound {bound:?}");
     assert!(
-        newer > token && gap <= bound + Duration::from_millis(500),
+        new_token > token && gap <= bound + Duration::from_millis(500),
         "{gap:?}"
     );
-    fleet.boot(owner);
-    fleet.settled();
+    fleet.boot(holder);
+    fleet.wait_for_holders();
 
-    // Told to end: it hands over first, and clients are not kept waiting for that.
+    // A holder that gets SIGTERM: it hands the lease over first, and clients do not wait for that.
     let load = Load::start(&fleet);
-    let mut ending = fleet.processes.remove(&next).expect("it runs");
+    let mut ending = fleet.processes.remove(&next_holder).expect("it runs");
     ending.strike(Blow::Term);
-    let line = ending.says("\"handed over\"", HANGS);
+    let line = ending.says("\"handed over\"", TEST_TIMEOUT);
     assert!(line.is_some(), "{:?}", ending.lines());
-    let after = fleet.settled();
-    assert!(after[duty].1 > newer, "{after:?}");
-    load.end();
-    assert!(ending.ended(HANGS).is_some_and(|status| status.success()));
+    let after = fleet.wait_for_holders();
+    assert!(after[lease].1 > new_token, "{after:?}");
+    load.finish();
+    assert!(
+        ending
+            .ended(TEST_TIMEOUT)
+            .is_some_and(|status| status.success())
+    );
 }
 
 #[test]
-fn without_a_majority_all_goes_on_and_a_torn_file_is_refused() {
+fn without_a_majority_requests_are_served_and_a_torn_state_file_is_rejected() {
     let mut fleet = Fleet::start("alone", 3, true);
-    fleet.settled();
-    // A decider comes back with half a file: it says so, and votes when it has read the others' tokens.
+    fleet.wait_for_holders();
+    // A voter restarts with half a state file: it logs that, and votes again once it has read the other voters' tokens.
     fleet
         .processes
         .get_mut(&1)
@@ -417,27 +435,27 @@
         .strike(Blow::Kill);
     fleet.processes.remove(&1);
     let path = fleet.folder.path().join("n1.kept");
-    let whole = std::fs::read(&path).expect("it was kept");
-    std::fs::write(&path, &whole[..whole.len() / 2]).expect("written");
+    let complete = std::fs::read(&path).expect("it was kept");
+    std::fs::write(&path, &complete[..complete.len() / 2]).expect("written");
     fleet.boot(1);
     let line = fleet
         .line(1, "reason", "decider's file")
-        .expect("it is told at once");
+        .expect("it is logged at once");
     assert!(
-        line.contains("torn") && word(&line, "help").is_some(),
+        line.contains("torn") && log_field(&line, "help").is_some(),
         "{line}"
     );
-    fleet.settled();
-    wait("the file is not written anew", &fleet, || {
-        std::fs::read(&path).is_ok_and(|now| now.len() >= whole.len())
+    fleet.wait_for_holders();
+    wait_until("the file is not written again", &fleet, || {
+        std::fs::read(&path).is_ok_and(|now| now.len() >= complete.len())
     });
-    let told = fleet.tells(0);
+    let state = fleet.logged_state(0);
     println!(
-        "writes of a decider's file: {}, the longest {} us",
-        told["written"], told["longest_write_us"]
+        "writes of a voter's state file: {}, the longest {} us",
+        state["written"], state["longest_write_us"]
     );
 
-    // Two of three are gone: what is owned ends, and requests are served as without duties.
+    // Two of three voters are down: leases expire, and requests are served as without leases.
     for n in [1, 2] {
         fleet
             .processes
@@ -446,27 +464,27 @@
             .strike(Blow::Kill);
         fleet.processes.remove(&n);
     }
-    wait("no majority is not told", &fleet, || {
+    wait_until("the loss of the majority is not logged", &fleet, || {
         fleet.line(0, "reason", "no majority").is_some()
     });
-    let mut left = fleet.owners();
-    let until = Instant::now() + HANGS;
-    while !left.is_empty() {
-        assert!(Instant::now() < until, "it still owns {left:?}");
+    let mut remaining = fleet.holders();
+    let until = Instant::now() + TEST_TIMEOUT;
+    while !remaining.is_empty() {
+        assert!(Instant::now() < until, "it still holds {remaining:?}");
         std::thread::sleep(Duration::from_millis(50));
-        left = fleet.owners();
+        remaining = fleet.holders();
     }
-    let (probes, served, all) = fleet.probes_of(Duration::from_millis(1_000));
+    let (probes, served, all) = fleet.count_probes(Duration::from_millis(1_000));
     assert!(
         probes > 0 && served * 100 >= all * 99,
-        "{served} of {all}, {probes} reports"
+        "{served} of {all}, {probes} queries"
     );
 }
 
 #[test]
-fn a_question_whose_lease_is_over_does_not_leave() {
-    // Danger: a question that waited for its connection while the process was stopped would leave after its lease, beside
-    // those of the new owner; a node cannot tell them apart.
+fn a_query_is_not_sent_after_its_lease_has_expired() {
+    // A query that waits for its connection while the process is stopped could be sent after the lease has expired, in
+    // addition to those of the new holder. A node cannot tell them apart.
     let node = Trial::start(true).expect("a node");
     let (poll, budget) = (Poll::new().expect("a poller"), Budget::new(1 << 24));
     let mut upstream = Upstream::new(
@@ -480,28 +498,28 @@
     let mut engine = Engine::new(Settings::default(), 1);
     let id: NodeId = "s0".into();
     upstream.set_address(&id, node.address(), &mut engine);
-    // What no list names is asked nothing.
+    // A node that is in no list gets no queries.
     engine.update_endpoints(EndpointUpdate::Full(vec![Endpoint {
         node: id.clone(),
         ..Endpoint::default()
     }]));
     let mut events = Events::new();
-    // The first finds no connection, the last one that is free.
-    for (may, asked) in [(false, 0), (true, 1), (false, 1)] {
+    // The first query waits for a connection, the last one finds a free one.
+    for (may_send, want_probes) in [(false, 0), (true, 1), (false, 1)] {
         upstream.query(
             NodeQuery {
                 node: id.clone(),
-                lease_check: Rc::new(move || may),
+                lease_check: Rc::new(move || may_send),
             },
             1,
             &mut engine,
         );
-        let until = Instant::now() + HANGS;
-        let heard = loop {
-            if let Some(heard) = upstream.take_query_outcomes().pop() {
-                break heard;
+        let until = Instant::now() + TEST_TIMEOUT;
+        let outcome = loop {
+            if let Some(outcome) = upstream.take_query_outcomes().pop() {
+                break outcome;
             }
-            assert!(Instant::now() < until, "nothing became of it");
+            assert!(Instant::now() < until, "the query does not end");
             poll.wait(&mut events, Some(Duration::from_millis(50)))
                 .expect("it waits");
             for event in events.iter() {
@@ -510,10 +528,13 @@
                 }
             }
         };
-        assert_eq!((heard.answer.is_some(), node.probes()), (may, asked));
+        assert_eq!(
+            (outcome.answer.is_some(), node.probes()),
+            (may_send, want_probes)
+        );
         assert!(
-            heard.answer.is_none_or(|answer| answer.queried_at == 1),
-            "its age counts from when it was asked"
+            outcome.answer.is_none_or(|answer| answer.queried_at == 1),
+            "the age counts from the time of the query"
         );
     }
 }
--- a/router/tests/errors.rs
+++ b/router/tests/errors.rs
@@ -1,5 +1,5 @@
-//! `docs/errors.md` against the program: every variant of every error that operators see is produced here, and stands on
-//! the page with its text and its help; and the page has no other.
+//! Compares `docs/errors.md` with the program: every variant of every error that operators see is produced here and must be
+//! on the page with its text and its help, and the page must not have any other.
 
 use plovercove::Settings;
 use plovercove_emulator::page::{self, Row};
@@ -21,21 +21,21 @@
 use std::process::{Command, Output};
 use strum::VariantNames;
 
-/// A fault that was seen: its variant, its text and its help.
-struct Seen(String, String, &'static str);
+/// A produced error: its variant, its text and its help.
+struct Produced(String, String, &'static str);
 
-fn seen<'a, E: std::fmt::Display>(owner: &str, fault: &'a E, help: &'static str) -> Seen
+fn produce<'a, E: std::fmt::Display>(owner: &str, fault: &'a E, help: &'static str) -> Produced
 where
     &'static str: From<&'a E>,
 {
-    Seen(
+    Produced(
         format!("{owner}::{}", <&'static str>::from(fault)),
         fault.to_string(),
         help,
     )
 }
 
-/// A folder that is gone when the test is over.
+/// A temporary folder that is deleted when this value is dropped.
 struct Files(PathBuf);
 
 impl Files {
@@ -67,7 +67,7 @@
     "Deadline":500000,"Effect":"idempotent"}],"Report":{"How":"silent"},"Rules":{"Cold":1,"ColdShare":0.2,
     "DrainGrace":1,"OverloadFactor":2,"OverloadFor":1000000},"SlotNo":0,"Tick":5000}}"#;
 
-fn of_settings(all: &mut Vec<Seen>) {
+fn produce_settings_errors(all: &mut Vec<Produced>) {
     let part = json!({"word": "odd"}).to_string();
     let value = settings::parse(part.into_bytes()).expect("JSON");
     let part = settings::Section::new(&value, "top.");
@@ -80,11 +80,11 @@
         Some(settings::Fault::Missing("a".into()).within("line 3")),
     ];
     for fault in faults.iter().map(|f| f.as_ref().expect("a fault")) {
-        all.push(seen("settings", fault, fault.help()));
+        all.push(produce("settings", fault, fault.help()));
     }
 }
 
-fn of_scripts(all: &mut Vec<Seen>, files: &Files) {
+fn produce_script_errors(all: &mut Vec<Produced>, files: &Files) {
     let wrong = |text: &str| Script::evaluate("ops.star", text).expect_err("it is wrong");
     let long = files.write("long.star", &"#".repeat(1024 * 1024 + 1), 0o600);
     let grows = "def f():\n    x = [0]\n    for a in range(60):\n        x = x + x\n    return x\n_y = f()\n";
@@ -99,21 +99,21 @@
         good.fault("tier", "expected less"),
     ];
     for fault in &faults {
-        all.push(seen("script", &fault.cause, fault.help()));
+        all.push(produce("script", &fault.cause, fault.help()));
         assert!(
             fault.to_string().ends_with(&fault.cause.to_string()),
             "{fault}"
         );
     }
-    // The evaluator gives up on values that would take more memory than tests may have.
-    all.push(seen(
+    // Producing this error would take more memory than tests may use.
+    all.push(produce(
         "script",
         &Cause::BeyondLimits,
         Cause::BeyondLimits.help(),
     ));
 }
 
-fn of_tiers(all: &mut Vec<Seen>) {
+fn produce_zone_errors(all: &mut Vec<Produced>) {
     let zone =
         |name: &str, prefer: &[&str]| json!({"name": name, "routers": 1, "prefer": [prefer]});
     for rules in [
@@ -130,11 +130,11 @@
         let fault = ZoneFailover::new(rules, &Settings::default(), 1)
             .err()
             .expect("a fault");
-        all.push(seen("tiers", &fault.kind, fault.help()));
+        all.push(produce("tiers", &fault.kind, fault.help()));
     }
 }
 
-fn of_peers(all: &mut Vec<Seen>) {
+fn produce_gossip_errors(all: &mut Vec<Produced>) {
     let mut faults = vec![Keys::new("here", b"short", None).err().expect("too short")];
     let seeds = vec!["127.0.0.1:1"; 65];
     for rules in [
@@ -148,14 +148,14 @@
         faults.push(rules.check().expect_err("a fault"));
     }
     for fault in &faults {
-        all.push(seen("peers", fault, fault.help()));
+        all.push(produce("peers", fault, fault.help()));
     }
     use plovercove_gossip::DatagramFault::*;
     for fault in [
         Foreign, Version, Tag, Malformed, Replayed, OldLife, Own, TooMuch,
     ] {
         let name: &'static str = (&fault).into();
-        all.push(Seen(
+        all.push(Produced(
             format!("datagram::{name}"),
             fault.label().into(),
             fault.help(),
@@ -163,7 +163,7 @@
     }
 }
 
-fn of_dialect(all: &mut Vec<Seen>) {
+fn produce_pgwire_errors(all: &mut Vec<Produced>) {
     const MD5: &str = "md5f6d2ba4f1b0a1ee0e1c3c2c0e7a0b1c2";
     let many: String = (0..=MAX_USERS).map(|n| format!("u{n} {MD5}\n")).collect();
     let wrong = |text: &str| Users::parse(text).expect_err("it is wrong");
@@ -178,19 +178,19 @@
         wrong(&many),
         limits.check().expect_err("none"),
     ] {
-        all.push(seen("dialect", &fault, fault.help()));
+        all.push(produce("dialect", &fault, fault.help()));
     }
-    // The crate's own tests have servers say these.
-    for refused in [
+    // The tests of `plovercove-pgwire` produce these with a server.
+    for login_error in [
         LoginError::Server("28P01".into()),
         LoginError::CannotMeet("the server wants a clear password".into()),
         LoginError::Malformed,
     ] {
-        all.push(seen("login", &refused, refused.help()));
+        all.push(produce("login", &login_error, login_error.help()));
     }
 }
 
-fn of_labels(all: &mut Vec<Seen>) {
+fn produce_label_errors(all: &mut Vec<Produced>) {
     for text in [
         "SELECT 1",
         "/* id=1",
@@ -201,11 +201,11 @@
         "/* c=a,cluster=1,d=5 */",
     ] {
         let fault = statement_labels::read_labels(text).expect_err(text);
-        all.push(seen("labels", &fault, fault.help()));
+        all.push(produce("labels", &fault, fault.help()));
     }
 }
 
-/// The program's own words for a start that fails.
+/// Starts the program with these variables and returns its output.
 fn start(variables: &[(&str, &str)]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_plovercove"));
     command
@@ -214,7 +214,7 @@
     command.output().expect("the program starts")
 }
 
-fn of_router(all: &mut Vec<Seen>, files: &Files) {
+fn produce_router_errors(all: &mut Vec<Produced>, files: &Files) {
     let read = |text: &str| {
         config::read_file(&files.write("c.json", text, 0o600))
             .err()
@@ -225,16 +225,19 @@
         other => other,
     };
     let good = files.write("good.json", GOOD, 0o600);
-    let taken = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-    let taken = taken.local_addr().map(|a| (a, taken)).expect("its address");
-    let refused = || io::Error::from(io::ErrorKind::AddrInUse);
+    let bound_listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
+    let bound_listener = bound_listener
+        .local_addr()
+        .map(|a| (a, bound_listener))
+        .expect("its address");
+    let address_in_use = || io::Error::from(io::ErrorKind::AddrInUse);
     let listen = Error::Listen {
-        address: taken.0,
+        address: bound_listener.0,
         what: "clients",
-        source: refused(),
+        source: address_in_use(),
     };
     let level = Error::Level("loud".into());
-    // What only a whole start can show: the line that the program ends with has the help in it.
+    // The program must print the help with the error, which only a complete start shows.
     let path = good.to_str().expect("a plain path");
     for (fault, variables) in [
         (&Error::NoConfig, vec![]),
@@ -243,24 +246,24 @@
             &listen,
             vec![
                 ("PROXY_CONFIG", path),
-                ("PROXY_LISTEN", &taken.0.to_string()),
+                ("PROXY_LISTEN", &bound_listener.0.to_string()),
             ],
         ),
     ] {
         let output = start(&variables);
-        let said = String::from_utf8_lossy(&output.stderr).into_owned();
+        let output_text = String::from_utf8_lossy(&output.stderr).into_owned();
         let text = fault.to_string();
-        let told = text
+        let expected_start = text
             .rsplit_once(": ")
             .filter(|_| text.contains("listen at"))
             .map_or(&*text, |(t, _)| t);
         assert!(
-            !output.status.success() && said.contains(told),
-            "{said} instead of {text}"
+            !output.status.success() && output_text.contains(expected_start),
+            "{output_text} instead of {text}"
         );
         assert!(
-            said.contains(&format!("(help: {})", fault.help())),
-            "{said}"
+            output_text.contains(&format!("(help: {})", fault.help())),
+            "{output_text}"
         );
     }
     for fault in [
@@ -279,15 +282,15 @@
         Operators::read(&files.write("o.star", "x = 1 +", 0o600)).expect_err("no script"),
         Operators::read(&files.write("o.star", "tiers = {\"zones\": []}", 0o600))
             .expect_err("no zones"),
-        // A process that may open no more files cannot run the tests either.
-        Error::Signals(refused()),
-        Error::Loop(refused()),
+        // These errors occur if the process cannot open more files, and then the tests could not run either.
+        Error::Signals(address_in_use()),
+        Error::Loop(address_in_use()),
     ] {
-        all.push(seen("router", &fault, fault.help()));
+        all.push(produce("router", &fault, fault.help()));
     }
 }
 
-fn of_operators(all: &mut Vec<Seen>, files: &Files) {
+fn produce_operators_errors(all: &mut Vec<Produced>, files: &Files) {
     const USERS: &str = "app md5f6d2ba4f1b0a1ee0e1c3c2c0e7a0b1c2\n";
     files.write("users", USERS, 0o600);
     files.write("open", USERS, 0o644);
@@ -319,7 +322,7 @@
     let settings = config::read_file(&files.write("good.json", GOOD, 0o600))
         .expect("good")
         .settings;
-    for told in [
+    for content in [
         with("credentials", json!("none")),
         with("credentials", json!("open")),
         with("credentials", json!("long")),
@@ -340,7 +343,7 @@
         with("reads", json!("b")),
         with("reads", json!("a")),
     ] {
-        let lines = told
+        let lines = content
             .as_object()
             .expect("an object")
             .iter()
@@ -352,7 +355,7 @@
             seed: 1,
         }
         .read();
-        let fault = read.err().unwrap_or_else(|| panic!("{told} is good"));
+        let fault = read.err().unwrap_or_else(|| panic!("{content} is good"));
         let (text, help) = (fault.to_string(), fault.help());
         let Error::Operators { location, cause } = fault else {
             panic!("{text}")
@@ -363,15 +366,15 @@
                 && !location.key.is_empty(),
             "{text}"
         );
-        let Seen(variant, ..) = seen("operators", &cause, help);
-        all.push(Seen(variant, text, help));
+        let Produced(variant, ..) = produce("operators", &cause, help);
+        all.push(Produced(variant, text, help));
     }
     let guard = KeyFaultCause::NoGuard("none".into());
-    all.push(seen("operators", &guard, guard.help()));
+    all.push(produce("operators", &guard, guard.help()));
 }
 
-/// Faults that pass on what another one says, with a place in front: they have its text and its help.
-const PASSED_ON: [&str; 9] = [
+/// Errors that wrap another one and add a location: they have the text and the help of the inner error.
+const WRAPPERS: [&str; 9] = [
     "settings::Within",
     "router::In",
     "router::Setting",
@@ -384,27 +387,27 @@
 ];
 
 #[test]
-fn every_error_stands_on_the_page_with_its_help_and_the_page_has_no_other() {
+fn the_page_of_errors_is_complete_and_has_no_other_errors() {
     let files = Files::new("page");
     let mut all = Vec::new();
-    of_settings(&mut all);
-    of_scripts(&mut all, &files);
-    of_tiers(&mut all);
-    of_peers(&mut all);
-    of_dialect(&mut all);
-    of_labels(&mut all);
-    of_router(&mut all, &files);
-    of_operators(&mut all, &files);
+    produce_settings_errors(&mut all);
+    produce_script_errors(&mut all, &files);
+    produce_zone_errors(&mut all);
+    produce_gossip_errors(&mut all);
+    produce_pgwire_errors(&mut all);
+    produce_label_errors(&mut all);
+    produce_router_errors(&mut all, &files);
+    produce_operators_errors(&mut all, &files);
     let page = page::read();
-    for Seen(variant, text, help) in &all {
-        let passed_on = PASSED_ON.contains(&variant.as_str());
-        let mine = |row: &&Row| passed_on || row.variant == *variant;
+    for Produced(variant, text, help) in &all {
+        let is_wrapper = WRAPPERS.contains(&variant.as_str());
+        let is_of_variant = |row: &&Row| is_wrapper || row.variant == *variant;
         let fits = |row: &Row| row.says(text, help);
         assert!(
-            page.iter().filter(mine).any(fits),
+            page.iter().filter(is_of_variant).any(fits),
             "{variant}: not on the page: {text} (help: {help})"
         );
-        assert!(help.len() > 20, "{variant} helps nobody: {help}");
+        assert!(help.len() > 20, "{variant}: the help is too short: {help}");
     }
     let named = |owner: &str, names: &[&str]| -> Vec<String> {
         names
@@ -427,15 +430,18 @@
     .concat()
     .into_iter()
     .collect();
-    let produced: BTreeSet<String> = all.into_iter().map(|Seen(variant, ..)| variant).collect();
+    let produced: BTreeSet<String> = all
+        .into_iter()
+        .map(|Produced(variant, ..)| variant)
+        .collect();
     assert_eq!(produced, variants, "each variant is produced, and no other");
     let mut rows: Vec<&str> = page.iter().map(|row| row.variant.as_str()).collect();
-    // What `plovercove-experiments` says is held against the page by its own test.
+    // A test of `plovercove-experiments` compares its own errors with the page.
     rows.retain(|row| !row.starts_with("lab::"));
     let wanted: Vec<&str> = variants
         .iter()
         .map(String::as_str)
-        .filter(|v| !PASSED_ON.contains(v))
+        .filter(|v| !WRAPPERS.contains(v))
         .collect();
     rows.sort_unstable();
     assert_eq!(
--- a/router/tests/exchanges.rs
+++ b/router/tests/exchanges.rs
@@ -1,18 +1,18 @@
-//! Recorded exchanges, played against the program over sockets. Each file under `exchanges/` is one, a step a line; what
-//! the program sent is compared with the snapshot of the same name. Nothing sleeps: every step waits for what it names.
+//! Scripted exchanges with the program over sockets. Each file under `exchanges/` is a script with one step on each line.
+//! What the program sent is compared with the snapshot of the same name. No step sleeps; each waits for what it names.
 //!
-//! | step | what the peer does |
+//! | step | action |
 //! | --- | --- |
 //! | `c1 connect` | a client opens a connection |
-//! | `r1 accept r` | the db node `p` or `r`, or the `agent`, takes one in |
-//! | `c1 > BYTES` | sends, in Rust's escapes; `Q\|text` frames a message, `9*` repeats it, `{word}` is one of `WORDS` |
+//! | `r1 accept r` | the listener `r`, `p` (db nodes), `agent` or `next` (agents) accepts a connection |
+//! | `c1 > BYTES` | sends bytes, in Rust's escapes; `Q\|text` frames a message, `9*` repeats it, `{word}` is one of `ABBREVIATIONS` |
 //! | `c1 < Z` | reads messages up to one of that kind; `packet` for one without a kind, `byte`, `http` |
 //! | `c1 < closed` | reads up to the end of the connection |
-//! | `p closed`, `r1 close` | closes a db node's listener, or a connection |
-//! | `router term`, `router exit` | sends SIGTERM; waits for the program's end |
-//! | `router reload WHO` | puts that listener's address in the place of the agent's and sends SIGHUP; `broken` cuts the file short |
-//! | `router operators NAME` | puts `NAME.star` in the place of the operators' file, with which a router starts where the exchange has one of its name |
-//! | `router says WORDS` | waits for a line of the log that holds these words |
+//! | `p closed`, `r1 close` | closes a listener, or a connection |
+//! | `router term`, `router exit` | sends SIGTERM; waits for the program to exit |
+//! | `router reload WHO` | replaces the agent's address with that of another listener and sends SIGHUP; `broken` truncates the file |
+//! | `router operators NAME` | replaces the operators' file with `NAME.star`; a router starts with the file named after its exchange, if there is one |
+//! | `router says WORDS` | waits for a log line that contains these words |
 
 use socket2::SockRef;
 use std::collections::BTreeMap;
@@ -25,10 +25,11 @@
 use std::sync::mpsc;
 use std::time::Duration;
 
-/// Far longer than any step takes; it only ends a test that would hang.
-const HANGS: Duration = Duration::from_secs(20);
+/// Time after which a hanging test fails.
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-const WORDS: [(&str, &str); 10] = [
+/// The abbreviations in scripts, with the text that each stands for.
+const ABBREVIATIONS: [(&str, &str); 10] = [
     ("startup", r"\0\0\0\x09\0\x03\0\0\0"),
     ("hello", r"R|\0\0\0\0;S|replication_role\0standby\0;Z|I"),
     (
@@ -55,19 +56,19 @@
 
 struct Play {
     router: Child,
-    /// The configuration: where it lies and what it said at the start.
+    /// The path of the configuration, and its content at the start.
     config: (PathBuf, String),
-    /// The program's log, a line each; it ends with the program.
+    /// The lines of the program's log.
     log: mpsc::Receiver<String>,
     listen: SocketAddr,
     listeners: BTreeMap<&'static str, Option<TcpListener>>,
     peers: BTreeMap<String, TcpStream>,
-    told: String,
+    transcript: String,
 }
 
 impl Drop for Play {
     fn drop(&mut self) {
-        // It may have ended already, which is what some exchanges wait for.
+        // Fails if the program has exited already, which some exchanges wait for.
         let _ = self.router.kill();
         let _ = self.router.wait();
     }
@@ -81,9 +82,9 @@
         let mut config = fs::read_to_string(folder.join("config.json")).expect("the configuration");
         config = config.replace("\"sockets\":1024", &format!("\"sockets\":{sockets}"));
         for (who, listener) in &listeners {
-            // On this system the time-out of reads is that of accepting too.
+            // On Linux, the read timeout of a listener applies to accept.
             SockRef::from(listener)
-                .set_read_timeout(Some(HANGS))
+                .set_read_timeout(Some(TEST_TIMEOUT))
                 .expect("a time-out");
             let address = listener.local_addr().expect("bound").to_string();
             config = config.replace(&format!("{{{who}}}"), &address);
@@ -93,7 +94,7 @@
         let mut command = Command::new(env!("CARGO_BIN_EXE_plovercove"));
         command.env("PROXY_CONFIG", &path).stderr(Stdio::piped());
         if folder.join(format!("{name}.star")).is_file() {
-            place_operators(name, &path);
+            copy_operators_file(name, &path);
             command.arg("--operators").arg(path.with_extension("star"));
         }
         let mut router = command.spawn().expect("the router starts");
@@ -102,30 +103,30 @@
             line.split_once("listen=")
                 .and_then(|(_, address)| address.trim().parse().ok())
         });
-        // The log is read to its end, or the program would wait for a reader.
-        let (lines, read) = mpsc::channel();
+        // The log is read to its end; otherwise the program would block when the pipe is full.
+        let (line_sender, log_lines) = mpsc::channel();
         std::thread::spawn(move || {
-            // The test may have ended before the program did.
+            // Fails if the test has ended before the program.
             log.map_while(Result::ok)
-                .for_each(|line| drop(lines.send(line)));
+                .for_each(|line| drop(line_sender.send(line)));
         });
         let listeners = listeners
             .map(|(who, listener)| (who, Some(listener)))
             .into();
-        let listen = address.expect("it says where it listens");
+        let listen = address.expect("the program logs its address");
         Play {
             router,
             config: (path, config),
-            log: read,
+            log: log_lines,
             listen,
             listeners,
             peers: BTreeMap::new(),
-            told: String::new(),
+            transcript: String::new(),
         }
     }
 
     fn step(&mut self, line: &str) {
-        let (who, what) = line.split_once(' ').expect("who and what");
+        let (who, what) = line.split_once(' ').expect("a peer and an action");
         match (who, what.split_once(' ').unwrap_or((what, ""))) {
             ("router", ("term", _)) => self.signal("-TERM"),
             ("router", ("reload", to)) => {
@@ -141,44 +142,44 @@
                 fs::write(path, changed).expect("a place for the configuration");
                 self.signal("-HUP");
             }
-            ("router", ("operators", name)) => place_operators(name, &self.config.0),
+            ("router", ("operators", name)) => copy_operators_file(name, &self.config.0),
             ("router", ("says", words)) => loop {
                 let line = self
                     .log
-                    .recv_timeout(HANGS)
+                    .recv_timeout(TEST_TIMEOUT)
                     .unwrap_or_else(|e| panic!("{line}: {e}"));
                 if line.contains(words) {
                     break;
                 }
             },
             ("router", _) => {
-                while let Ok(_line) = self.log.recv_timeout(HANGS) {}
+                while let Ok(_line) = self.log.recv_timeout(TEST_TIMEOUT) {}
                 let status = self.router.wait().expect("it ends");
-                writeln!(self.told, "router ended with {:?}", status.code()).expect("text");
+                writeln!(self.transcript, "router ended with {:?}", status.code()).expect("text");
             }
             (_, ("connect", _)) => {
                 let stream = TcpStream::connect(self.listen).expect("the router listens");
-                self.keep(who, stream);
+                self.add_peer(who, stream);
             }
             (_, ("accept", listener)) => {
                 let accepted = self.listeners[listener]
                     .as_ref()
                     .expect("still open")
                     .accept();
-                let (stream, _) =
-                    accepted.unwrap_or_else(|e| panic!("{line}: {e}; before that:\n{}", self.told));
-                self.keep(who, stream);
+                let (stream, _) = accepted
+                    .unwrap_or_else(|e| panic!("{line}: {e}; before that:\n{}", self.transcript));
+                self.add_peer(who, stream);
             }
             (_, ("closed", _)) => *self.listeners.get_mut(who).expect("a listener") = None,
             (_, ("close", _)) => drop(self.peers.remove(who).expect("a peer")),
             (_, (">", bytes)) => {
                 (&self.peers[who])
-                    .write_all(&bytes_of(bytes))
+                    .write_all(&parse_bytes(bytes))
                     .expect("the router reads");
             }
             (_, (_, "closed")) => {
                 let mut rest = Vec::new();
-                // A reset ends a connection as well as a close does.
+                // A reset ends the connection as well as a close does.
                 let ended = (&self.peers[who])
                     .read_to_end(&mut rest)
                     .map_err(|e| e.kind());
@@ -186,9 +187,9 @@
                     ended,
                     Err(ErrorKind::WouldBlock),
                     "{who} stays open; before that:\n{}",
-                    self.told
+                    self.transcript
                 );
-                self.note(who, &rest, " then the end");
+                self.record(who, &rest, " then the end");
             }
             (_, (_, "http")) => {
                 let call = self.read_until(who, |bytes| bytes.ends_with(b"\r\n\r\n"));
@@ -197,21 +198,21 @@
                     .next()
                     .unwrap_or_default()
                     .to_vec();
-                self.note(who, &line, "");
+                self.record(who, &line, "");
             }
             (_, (_, "byte")) => {
                 let byte = self.read_until(who, |bytes| bytes.len() == 1);
-                self.note(who, &byte, "");
+                self.record(who, &byte, "");
             }
             (_, (_, "packet")) => {
-                let packet = self.message(who, 0);
-                self.note(who, &packet, "");
+                let packet = self.read_message(who, 0);
+                self.record(who, &packet, "");
             }
             (_, (_, kind)) => loop {
-                let message = self.message(who, 1);
-                // Every session is greeted alike; too_long.txt shows the greeting.
+                let message = self.read_message(who, 1);
+                // All logins are answered alike; too_long.txt shows the answer.
                 if !b"RSK".contains(&message[0]) {
-                    self.note(who, &message, "");
+                    self.record(who, &message, "");
                 }
                 if kind.as_bytes() == &message[..1] {
                     break;
@@ -231,19 +232,21 @@
         );
     }
 
-    fn keep(&mut self, who: &str, stream: TcpStream) {
-        stream.set_read_timeout(Some(HANGS)).expect("a time-out");
+    fn add_peer(&mut self, who: &str, stream: TcpStream) {
+        stream
+            .set_read_timeout(Some(TEST_TIMEOUT))
+            .expect("a time-out");
         self.peers.insert(who.to_string(), stream);
     }
 
-    fn read_until(&mut self, who: &str, done: impl Fn(&[u8]) -> bool) -> Vec<u8> {
+    fn read_until(&mut self, who: &str, is_complete: impl Fn(&[u8]) -> bool) -> Vec<u8> {
         let (mut bytes, mut byte) = (Vec::new(), [0]);
-        while !done(&bytes) {
+        while !is_complete(&bytes) {
             if let Err(e) = (&self.peers[who]).read_exact(&mut byte) {
                 panic!(
                     "{who} got {:?}, then {e}; before that:\n{}",
                     bytes.escape_ascii().to_string(),
-                    self.told
+                    self.transcript
                 );
             }
             bytes.push(byte[0]);
@@ -251,21 +254,21 @@
         bytes
     }
 
-    /// One message whose length stands after so many bytes.
-    fn message(&mut self, who: &str, kind: usize) -> Vec<u8> {
+    /// Reads a message whose length field starts at this offset.
+    fn read_message(&mut self, who: &str, length_offset: usize) -> Vec<u8> {
         self.read_until(who, |bytes| {
             let length = bytes
-                .get(kind..kind + 4)
+                .get(length_offset..length_offset + 4)
                 .map(|l| u32::from_be_bytes(l.try_into().expect("four bytes")));
-            length.is_some_and(|l| bytes.len() == kind + l as usize)
+            length.is_some_and(|l| bytes.len() == length_offset + l as usize)
         })
     }
 
-    fn note(&mut self, who: &str, bytes: &[u8], after: &str) {
-        // The secret of a cancel key is drawn anew each time; that it stands there, and how long it is, does not change.
+    fn record(&mut self, who: &str, bytes: &[u8], suffix: &str) {
+        // The secret of a cancel key is random. Its presence and its length are part of the record.
         let key = bytes.windows(5).position(|head| head == b"K\0\0\0\x0c");
         let mut bytes = bytes.to_vec();
-        if let Some(secret) = key.and_then(|at| bytes.get_mut(at + 9..at + 13)) {
+        if let Some(secret) = key.and_then(|start| bytes.get_mut(start + 9..start + 13)) {
             secret.copy_from_slice(b"####");
         }
         let long = bytes.len() > 2_000;
@@ -274,7 +277,7 @@
         } else {
             bytes.escape_ascii().to_string()
         };
-        // How long an attempt is waited for depends on the moment; that it is told does not.
+        // The timeout of an attempt depends on timing. Its presence is part of the record.
         let text = match text.split_once(",d=") {
             Some((head, tail)) => {
                 format!(
@@ -284,13 +287,13 @@
             }
             None => text,
         };
-        writeln!(self.told, "{who} < {text}{after}").expect("text");
+        writeln!(self.transcript, "{who} < {text}{suffix}").expect("text");
     }
 }
 
-/// `;` stands between messages, `K|` in front of the body of a message of kind K, and `{word:rest}` for a word in which
-/// `{}` is the rest.
-fn bytes_of(text: &str) -> Vec<u8> {
+/// Parses the bytes of a step. `;` separates messages, `K|` precedes the body of a message of kind K, and `{word:rest}`
+/// stands for an abbreviation in which `{}` is replaced with the rest.
+fn parse_bytes(text: &str) -> Vec<u8> {
     let mut text = text.to_string();
     while let Some((head, tail)) = text
         .split_once("{")
@@ -298,7 +301,10 @@
     {
         let (word, after) = tail.split_once('}').expect("a word ends");
         let (word, rest) = word.split_once(':').unwrap_or((word, ""));
-        let (_, meaning) = WORDS.iter().find(|(known, _)| *known == word).expect(word);
+        let (_, meaning) = ABBREVIATIONS
+            .iter()
+            .find(|(name, _)| *name == word)
+            .expect(word);
         text = format!("{head}{}{after}", meaning.replace("{}", rest));
     }
     let mut bytes = Vec::new();
@@ -344,8 +350,8 @@
     bytes
 }
 
-/// Puts an operators' file beside the configuration.
-fn place_operators(name: &str, config: &Path) {
+/// Copies an operators' file to the folder of the configuration.
+fn copy_operators_file(name: &str, config: &Path) {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/exchanges");
     let to = config.with_extension("star");
     fs::copy(folder.join(format!("{name}.star")), to).expect("a place for the operators' file");
@@ -363,7 +369,7 @@
     {
         play.step(line);
     }
-    insta::assert_snapshot!(name, play.told);
+    insta::assert_snapshot!(name, play.transcript);
 }
 
 macro_rules! exchanges {
@@ -398,17 +404,17 @@
     large,
 );
 
-/// Danger: at the limit of descriptors a router that can't accept would spin, or leave clients without a word.
+/// At the limit of descriptors, a router that cannot accept could spin, or leave new clients without an answer.
 #[test]
-fn at_the_limit_idle_clients_give_way_and_others_are_told() {
+fn at_the_limit_idle_clients_are_evicted_and_others_get_an_error() {
     let mut play = Play::start("limit", 64);
-    // Of 64 descriptors 20 are for clients.
+    // 20 of 64 descriptors are for clients.
     for client in (1..=20).map(|number| format!("c{number}")) {
         for step in ["connect", "> {startup}", "< Z"] {
             play.step(&format!("{client} {step}"));
         }
     }
-    play.told.clear();
+    play.transcript.clear();
     for step in [
         "late connect",
         "late > {startup}",
@@ -423,22 +429,22 @@
     {
         play.step(&format!("{client} > Q|{{look:{client}}}\\0"));
     }
-    // Each has been taken on once a connection for it has come to the db node; only then are all places busy.
+    // A request has been accepted once a connection for it arrives at the db node. Only then are all clients busy.
     for backend in 1..=20 {
         play.step(&format!("b{backend} accept r"));
     }
     for step in ["later connect", "later > {startup}", "later < closed"] {
         play.step(step);
     }
-    insta::assert_snapshot!("limit", play.told);
+    insta::assert_snapshot!("limit", play.transcript);
 }
 
-/// Danger: clients may hold only so many connections; those that ask once and hold on to theirs would leave none for
-/// the others, who were turned away while the router had nothing to do.
+/// The number of client connections is limited. Clients that keep idle connections could use up all of them, and others
+/// would be rejected although the router is idle.
 #[test]
-fn idle_clients_beyond_a_third_of_the_places_are_closed() {
+fn idle_clients_beyond_a_third_of_the_limit_are_closed() {
     let mut play = Play::start("idle", 64);
-    // Of 20 places 6 may be held without a request.
+    // 6 of 20 client connections may be idle.
     for client in 1..=7 {
         play.step(&format!("c{client} connect"));
         play.step(&format!("c{client} > {{startup}};Q|{{look:{client}}}\\0"));
@@ -454,15 +460,15 @@
             play.step(&format!("c{client} < Z"));
         }
     }
-    play.told.clear();
+    play.transcript.clear();
     for step in ["c1 < closed", "c2 > Q|\\0", "c2 < Z"] {
         play.step(step);
     }
-    insta::assert_snapshot!("idle", play.told);
+    insta::assert_snapshot!("idle", play.transcript);
 }
 
 #[test]
-fn a_faulty_configuration_is_one_line_and_no_start() {
+fn a_faulty_configuration_prints_one_line_and_ends_the_program() {
     let run = |path: Option<&Path>| {
         let mut router = Command::new(env!("CARGO_BIN_EXE_plovercove"));
         router
@@ -472,21 +478,19 @@
         assert_eq!((out.status.code(), out.stdout.len()), (Some(1), 0));
         String::from_utf8(out.stderr).expect("text")
     };
-    // What is wrong, and what to do about it.
-    let said = run(None);
-    let (wrong, help) = said
-        .split_once(" (help: ")
-        .expect("what an operator can do");
+    // The line contains the error and the help.
+    let output = run(None);
+    let (error, help) = output.split_once(" (help: ").expect("a help");
     assert!(
-        wrong == "plovercove: PROXY_CONFIG is missing" && help.ends_with(")\n"),
-        "{said}"
+        error == "plovercove: PROXY_CONFIG is missing" && help.ends_with(")\n"),
+        "{output}"
     );
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join("faulty.json");
     fs::write(&path, r#"{"limits":{"sockets":"many"}}"#).expect("a place for the configuration");
-    let said = run(Some(&path));
-    let wrong = "plovercove: limits.sockets: expected a number, got \"many\" (help: ";
+    let output = run(Some(&path));
+    let error = "plovercove: limits.sockets: expected a number, got \"many\" (help: ";
     assert!(
-        said.starts_with(wrong) && said.lines().count() == 1,
-        "{said}"
+        output.starts_with(error) && output.lines().count() == 1,
+        "{output}"
     );
 }
--- a/router/tests/peers.rs
+++ b/router/tests/peers.rs
@@ -1,5 +1,5 @@
-//! Talk between routers, from the outside: off it is not there; on, operators are told what is wrong, keys are changed in
-//! service, and a router says what it believes when asked.
+//! Gossip between router processes: without its block nothing of it exists; faults in the block are reported; keys can be
+//! rotated while routers run; and SIGUSR1 logs the state.
 
 use plovercove_emulator::process::{Blow, Folder, Process};
 use plovercove_emulator::rough::{Agent, Says};
@@ -8,8 +8,8 @@
 use std::process::Command;
 use std::time::{Duration, Instant};
 
-/// Ends a test that would hang.
-const HANGS: Duration = Duration::from_secs(20);
+/// Time after which a hanging test fails.
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn program() -> &'static Path {
     Path::new(env!("CARGO_BIN_EXE_plovercove"))
@@ -45,7 +45,7 @@
     process.expect("the router starts")
 }
 
-/// What the descriptors of a process are: sockets by their number, all else by name.
+/// Returns the targets of the descriptors of a process: the numbers of sockets, and the names of all else.
 fn descriptors(id: u32) -> Vec<String> {
     let all = std::fs::read_dir(format!("/proc/{id}/fd")).expect("it runs");
     let links = all
@@ -54,7 +54,7 @@
     links.map(|to| to.display().to_string()).collect()
 }
 
-/// Datagram sockets of a process.
+/// Returns the number of datagram sockets of a process.
 fn datagram_sockets(id: u32) -> usize {
     let table = std::fs::read_to_string(format!("/proc/{id}/net/udp")).expect("a table");
     let numbers: Vec<String> = table
@@ -68,36 +68,37 @@
         .count()
 }
 
-/// Whether a process catches SIGUSR1.
+/// Returns whether a process has a handler of SIGUSR1.
 fn catches_usr1(id: u32) -> bool {
     let status = std::fs::read_to_string(format!("/proc/{id}/status")).expect("it runs");
     let line = status
         .lines()
         .find_map(|line| line.strip_prefix("SigCgt:"))
-        .expect("it is told");
+        .expect("a line of caught signals");
     u64::from_str_radix(line.trim(), 16).expect("a mask") & (1 << 9) != 0
 }
 
-fn block(folder: &Folder, key: &str, more: &str) -> String {
+/// Writes a key file and returns a `peers` block with more rules.
+fn peers_block(folder: &Folder, key: &str, more_rules: &str) -> String {
     folder.write("key", key).expect("a file");
     format!(
-        "peers = {{\"listen\": \"127.0.0.1:0\", \"key_file\": \"key\", \"rules\": {{\"installation\": \"here\"{more}}}}}\n"
+        "peers = {{\"listen\": \"127.0.0.1:0\", \"key_file\": \"key\", \"rules\": {{\"installation\": \"here\"{more_rules}}}}}\n"
     )
 }
 
 const KEY: &str = "a key of enough bytes\n";
 
 #[test]
-fn without_the_block_no_socket_and_no_signal_is_there() {
-    // Danger: on the platform routers share nothing, and a descriptor or a signal more would be paid for there.
+fn without_the_block_there_is_no_socket_and_no_signal_handler() {
+    // On the platform, routers share nothing, and each additional descriptor counts against a limit.
     let (folder, agent) = (Folder::new("peers-off").expect("a folder"), agent());
     let off = start(&folder, &agent, "off", None);
     let empty = start(&folder, &agent, "empty", Some("tiers = None\n"));
-    let on = start(&folder, &agent, "on", Some(&block(&folder, KEY, "")));
+    let on = start(&folder, &agent, "on", Some(&peers_block(&folder, KEY, "")));
     for process in [&off, &empty, &on] {
-        assert!(process.says("serving", HANGS).is_some());
+        assert!(process.says("serving", TEST_TIMEOUT).is_some());
     }
-    assert!(agent.called(3, HANGS), "all have called their agent");
+    assert!(agent.called(3, TEST_TIMEOUT), "all have called their agent");
     let count = |p: &Process| descriptors(p.id()).len();
     assert_eq!(
         (
@@ -111,24 +112,24 @@
         [&off, &empty, &on].map(|p| catches_usr1(p.id())),
         [false, false, true]
     );
-    // The socket, and the signal's end of the pipe that wakes the loop. Each holds one connection to its agent besides, but
-    // between two calls it is away: the counts are looked at until they agree.
-    let until = Instant::now() + HANGS;
+    // Gossip adds two descriptors: the socket, and the write end of the wake-up pipe for SIGUSR1. Each router also has a
+    // connection to its agent, which is closed between two calls, so the counts are polled until they agree.
+    let until = Instant::now() + TEST_TIMEOUT;
     let counts = || (count(&off), count(&empty), count(&on));
     while !matches!(counts(), (off, empty, on) if (empty, on) == (off, off + 2)) {
         assert!(Instant::now() < until, "{:?}", counts());
         std::thread::sleep(Duration::from_millis(5));
     }
-    // What is done for the fleet goes by the same socket, and without its block nothing is said of it.
+    // The lease tasks use the same socket, and their state is logged only if their block exists.
     let mut with = start(
         &folder,
         &agent,
         "with",
-        Some(&(block(&folder, KEY, "") + &duties(&["127.0.0.1:9"; 3]))),
+        Some(&(peers_block(&folder, KEY, "") + &duties_block(&["127.0.0.1:9"; 3]))),
     );
-    assert!(with.says("serving", HANGS).is_some());
-    // Its call to the agent may still be on its way.
-    let until = Instant::now() + HANGS;
+    assert!(with.says("serving", TEST_TIMEOUT).is_some());
+    // The connection to the agent may not be open yet.
+    let until = Instant::now() + TEST_TIMEOUT;
     while (datagram_sockets(with.id()), count(&with)) != (1, count(&on)) {
         assert!(Instant::now() < until, "{:?}", descriptors(with.id()));
         std::thread::sleep(Duration::from_millis(5));
@@ -136,29 +137,29 @@
     let mut on = on;
     for process in [&mut on, &mut with] {
         process.strike(Blow::Tell);
-        assert!(process.says("gossip state", HANGS).is_some());
+        assert!(process.says("gossip state", TEST_TIMEOUT).is_some());
     }
-    let said = |p: &Process| {
+    let logs_lease_tasks = |p: &Process| {
         p.lines()
             .iter()
             .any(|l| l.contains("state of the lease tasks"))
     };
     assert_eq!(
-        [&off, &empty, &on, &with].map(said),
+        [&off, &empty, &on, &with].map(logs_lease_tasks),
         [false, false, false, true],
         "{:?}",
         with.lines()
     );
 }
 
-/// A `duties` block with deciders at these addresses, a port further each.
-fn duties(deciders: &[&str; 3]) -> String {
-    let one = |(n, at): (usize, &&str)| {
-        let (host, port) = at.rsplit_once(':').expect("an address");
+/// Returns a `duties` block with voters at these addresses, where the port of each is increased by its index.
+fn duties_block(voters: &[&str; 3]) -> String {
+    let voter = |(n, address): (usize, &&str)| {
+        let (host, port) = address.rsplit_once(':').expect("an address");
         let port = port.parse::<usize>().expect("a port") + n;
         format!("{{\"name\": \"d{n}\", \"address\": \"{host}:{port}\"}}")
     };
-    let members: Vec<String> = deciders.iter().enumerate().map(one).collect();
+    let members: Vec<String> = voters.iter().enumerate().map(voter).collect();
     format!(
         "duties = {{\"rules\": {{\"deciders\": {{\"generation\": 1, \"members\": [{}]}}, \"lease_ms\": 2000, \"ask_ms\": 100}}}}\n",
         members.join(", ")
@@ -166,7 +167,7 @@
 }
 
 #[test]
-fn a_duties_block_that_cannot_be_meant_is_refused_with_its_key_and_what_to_do() {
+fn faults_in_a_duties_block_are_reported_with_key_and_help() {
     let folder = Folder::new("duties-check").expect("a folder");
     let check = |text: &str| {
         let path = folder.write("check.star", text).expect("a file");
@@ -175,23 +176,23 @@
             .arg(path)
             .output()
             .expect("it starts");
-        let said = String::from_utf8_lossy(&output.stdout).into_owned()
+        let text = String::from_utf8_lossy(&output.stdout).into_owned()
             + &String::from_utf8_lossy(&output.stderr);
-        (output.status.success(), said)
+        (output.status.success(), text)
     };
-    let peers = block(&folder, KEY, "").replace("127.0.0.1:0", "127.0.0.1:7001");
-    let good = peers.clone() + &duties(&["127.0.0.1:9"; 3]);
-    let (passes, said) = check(&good);
+    let peers = peers_block(&folder, KEY, "").replace("127.0.0.1:0", "127.0.0.1:7001");
+    let good = peers.clone() + &duties_block(&["127.0.0.1:9"; 3]);
+    let (passes, output) = check(&good);
     assert!(
-        passes && said.contains("3 routers vote on leases"),
-        "{said}"
+        passes && output.contains("3 routers vote on leases"),
+        "{output}"
     );
-    let (passes, said) = check(&duties(&["127.0.0.1:9"; 3]));
+    let (passes, output) = check(&duties_block(&["127.0.0.1:9"; 3]));
     assert!(
         !passes
-            && said.contains("duties: expected a peers block")
-            && said.contains("add a peers block"),
-        "{said}"
+            && output.contains("duties: expected a peers block")
+            && output.contains("add a peers block"),
+        "{output}"
     );
     for (from, to, want) in [
         (
@@ -241,15 +242,18 @@
         ),
     ] {
         assert!(good.contains(from), "{from}");
-        let (passes, said) = check(&good.replace(from, to));
-        assert!(!passes && said.contains(want), "{said} instead of {want}");
+        let (passes, output) = check(&good.replace(from, to));
+        assert!(
+            !passes && output.contains(want),
+            "{output} instead of {want}"
+        );
     }
 }
 
 #[test]
-fn what_cannot_be_meant_is_refused_with_its_key() {
+fn faults_in_a_peers_block_are_reported_with_key() {
     let folder = Folder::new("peers-check").expect("a folder");
-    let good = block(&folder, KEY, "");
+    let good = peers_block(&folder, KEY, "");
     let check = |text: &str| {
         let path = folder.write("check.star", text).expect("a file");
         let output = Command::new(program())
@@ -257,14 +261,15 @@
             .arg(path)
             .output()
             .expect("it starts");
-        let said = String::from_utf8_lossy(&output.stdout).into_owned()
+        let text = String::from_utf8_lossy(&output.stdout).into_owned()
             + &String::from_utf8_lossy(&output.stderr);
-        (output.status.success(), said)
+        (output.status.success(), text)
     };
-    let (passes, said) = check(&good);
+    let (passes, output) = check(&good);
     assert!(
-        passes && said.contains("routers of the installation here exchange gossip at 127.0.0.1:0"),
-        "{said}"
+        passes
+            && output.contains("routers of the installation here exchange gossip at 127.0.0.1:0"),
+        "{output}"
     );
     for (from, to, want) in [
         ("\"here\"", "\"\"", "peers.rules.installation"),
@@ -297,99 +302,114 @@
         ),
         ("\"key\"", "\"nokey\"", "peers.key_file"),
     ] {
-        let (passes, said) = check(&good.replace(from, to));
-        assert!(!passes && said.contains(want), "{said} instead of {want}");
+        let (passes, output) = check(&good.replace(from, to));
+        assert!(
+            !passes && output.contains(want),
+            "{output} instead of {want}"
+        );
     }
-    let short = block(&folder, "short", "");
-    let (passes, said) = check(&short);
+    let short = peers_block(&folder, "short", "");
+    let (passes, output) = check(&short);
     assert!(
-        !passes && said.contains("peers.key_file: expected a key of 16 bytes"),
-        "{said}"
+        !passes && output.contains("peers.key_file: expected a key of 16 bytes"),
+        "{output}"
     );
     use std::os::unix::fs::PermissionsExt;
     folder.write("key", KEY).expect("a file");
     let key = folder.path().join("key");
     std::fs::set_permissions(&key, std::fs::Permissions::from_mode(0o644)).expect("its own file");
-    let (passes, said) = check(&good);
-    assert!(!passes && said.contains("its mode must be 600"), "{said}");
+    let (passes, output) = check(&good);
+    assert!(
+        !passes && output.contains("its mode must be 600"),
+        "{output}"
+    );
 }
 
 #[test]
-fn a_key_is_changed_in_service_and_two_routers_never_lose_each_other() {
-    // Danger: where all must change at once, all are strangers to each other for as long as that takes.
+fn a_key_rotation_keeps_two_routers_connected() {
+    // A key rotation happens one router at a time, so routers with the old and the new key must accept each other meanwhile.
     let (folder, agent) = (Folder::new("peers-keys").expect("a folder"), agent());
     agent.then(Says::Nothing);
     let fast = ", \"probe_ms\": 200, \"answer_ms\": 60, \"suspect_ms\": 600, \"gossip_ms\": 60, \"repair_ms\": 200, \"datagrams_per_s\": 200";
-    let one = start(&folder, &agent, "one", Some(&block(&folder, KEY, fast)));
+    let one = start(
+        &folder,
+        &agent,
+        "one",
+        Some(&peers_block(&folder, KEY, fast)),
+    );
     let line = one
-        .says("gossip with other routers is enabled", HANGS)
-        .expect("it talks");
+        .says("gossip with other routers is enabled", TEST_TIMEOUT)
+        .expect("gossip starts");
     let address = line
         .split("advertise=")
         .nth(1)
         .and_then(|rest| rest.split(' ').next())
-        .expect("told");
+        .expect("an address");
     let with_seed = format!("{fast}, \"seeds\": [\"{address}\"]");
     let mut two = start(
         &folder,
         &agent,
         "two",
-        Some(&block(&folder, KEY, &with_seed)),
+        Some(&peers_block(&folder, KEY, &with_seed)),
     );
     let mut one = one;
     for process in [&one, &two] {
         assert!(
-            process.says("seen=2", HANGS).is_some(),
+            process.says("seen=2", TEST_TIMEOUT).is_some(),
             "{:?}",
             process.lines()
         );
     }
-    // Both take the new one as well; then each in turn uses it.
+    // First both routers accept the new key as a second one, then both use it and accept the old one.
     folder
         .write("new", "another key, long enough too\n")
         .expect("a file");
     let steps = [("key", "new"), ("new", "key")];
-    for (ours, also) in steps {
+    for (key_file, second_key_file) in steps {
         for (name, process) in [("one", &mut one), ("two", &mut two)] {
-            let more = if name == "one" { fast } else { &with_seed };
+            let more_rules = if name == "one" { fast } else { &with_seed };
             let text = format!(
-                "peers = {{\"listen\": \"127.0.0.1:0\", \"key_file\": \"{ours}\", \"also_key_file\": \"{also}\", \"rules\": {{\"installation\": \"here\"{more}}}}}\n"
+                "peers = {{\"listen\": \"127.0.0.1:0\", \"key_file\": \"{key_file}\", \"also_key_file\": \"{second_key_file}\", \"rules\": {{\"installation\": \"here\"{more_rules}}}}}\n"
             );
             folder
                 .write(&format!("{name}.star"), &text)
                 .expect("a file");
             let before = process.lines().len();
             process.strike(Blow::Reload);
-            let taken = || {
+            let is_applied = || {
                 process
                     .since(before)
                     .iter()
-                    .any(|l| l.contains("operators' file was applied"))
+                    .any(|l| l.contains("operators' file was taken over"))
             };
-            let until = Instant::now() + HANGS;
-            while !taken() {
+            let until = Instant::now() + TEST_TIMEOUT;
+            while !is_applied() {
                 assert!(Instant::now() < until, "{:?}", process.since(before));
                 std::thread::sleep(Duration::from_millis(5));
             }
         }
-        // Over some probes neither misses the other.
-        let sent = |p: &Process| p.lines().iter().filter(|l| l.contains("seen=1")).count();
-        let before = (sent(&one), sent(&two));
+        // Neither router considers the other one down over some probes.
+        let lone_counts = |p: &Process| p.lines().iter().filter(|l| l.contains("seen=1")).count();
+        let before = (lone_counts(&one), lone_counts(&two));
         for process in [&mut one, &mut two] {
             let lines = process.lines().len();
             process.strike(Blow::Tell);
-            let until = Instant::now() + HANGS;
-            let told = |p: &Process| {
+            let until = Instant::now() + TEST_TIMEOUT;
+            let is_logged = |p: &Process| {
                 p.since(lines)
                     .iter()
                     .any(|l| l.contains("belief") && l.contains("seen=2"))
             };
-            while !told(process) {
+            while !is_logged(process) {
                 assert!(Instant::now() < until, "{:?}", process.lines());
                 std::thread::sleep(Duration::from_millis(5));
             }
         }
-        assert_eq!(before, (sent(&one), sent(&two)), "they lost each other");
+        assert_eq!(
+            before,
+            (lone_counts(&one), lone_counts(&two)),
+            "a router considered the other one down"
+        );
         assert!(
             !one.lines()
                 .iter()
@@ -400,7 +420,10 @@
         );
     }
     two.strike(Blow::Term);
-    assert!(two.ended(HANGS).is_some_and(|status| status.success()));
-    // Who leaves is missed at once.
-    assert!(one.says("a router is down", HANGS).is_some());
+    assert!(
+        two.ended(TEST_TIMEOUT)
+            .is_some_and(|status| status.success())
+    );
+    // The other router sees a member that leaves as down at once.
+    assert!(one.says("a router is down", TEST_TIMEOUT).is_some());
 }
