--- a/router/src/serve.rs
+++ b/router/src/serve.rs
@@ -59,7 +59,7 @@
     }
 
     /// Returns the events of one kind of socket.
-    fn from_source(&self, wanted: EventSource) -> impl Iterator<Item = ReadyEvent> {
+    fn of_source(&self, wanted: EventSource) -> impl Iterator<Item = ReadyEvent> {
         self.events.iter().filter_map(move |event| {
             let (source, key) = split_poll_key(event.key);
             let hung_up = event.is_interrupt() || event.is_err() == Some(true);
@@ -236,7 +236,7 @@
     }
 
     fn read_discovery(&mut self, ready: &Ready<'_>, now: Time) {
-        for _ in ready.from_source(EventSource::Discovery) {
+        for _ in ready.of_source(EventSource::Discovery) {
             if let Some(listing) = self.discovery.handle_event(now, &mut self.engine) {
                 self.apply_listing(listing, false, now);
             }
@@ -244,7 +244,7 @@
     }
 
     fn take_signals(&mut self, ready: &Ready<'_>, now: Time) {
-        for _ in ready.from_source(EventSource::Signal) {
+        for _ in ready.of_source(EventSource::Signal) {
             for signal in self.signals.take() {
                 match signal {
                     Signal::Reload => self.reload(now),
@@ -260,7 +260,7 @@
     }
 
     fn read_gossip(&mut self, ready: &Ready<'_>, now: Time) {
-        for _ in ready.from_source(EventSource::Gossip) {
+        for _ in ready.of_source(EventSource::Gossip) {
             if let Some(gossip) = &mut self.gossip {
                 gossip.read_datagrams(now, &mut self.engine);
             }
@@ -268,20 +268,20 @@
     }
 
     fn read_nodes(&mut self, ready: &Ready<'_>, now: Time) {
-        for event in ready.from_source(EventSource::Node) {
+        for event in ready.of_source(EventSource::Node) {
             self.upstream.handle_event(event.key, now, &mut self.engine);
         }
     }
 
     fn read_clients(&mut self, ready: &Ready<'_>, now: Time) {
-        for event in ready.from_source(EventSource::Client) {
+        for event in ready.of_source(EventSource::Client) {
             self.front
                 .handle_event(event.key, event.hung_up, now, &mut self.engine);
         }
     }
 
     fn accept_clients(&mut self, ready: &Ready<'_>, now: Time) {
-        for event in ready.from_source(EventSource::Listener) {
+        for event in ready.of_source(EventSource::Listener) {
             self.front.accept(event.key, now, &mut self.engine);
         }
     }
