--- a/leases/tests/replicated_log/mod.rs
+++ b/leases/tests/replicated_log/mod.rs
@@ -49,7 +49,6 @@
 }
 
 /// Routers whose leases a replicated log grants.
-
 pub struct ReplicatedLog {
     pub net: Net,
     pub sent: u64,
