--- a/emulator/src/manual_node.rs
+++ b/emulator/src/manual_node.rs
@@ -129,7 +129,7 @@
     ///
     /// # Errors
     /// The time-out can't be set.
-    pub fn has_come(&mut self) -> io::Result<Option<String>> {
+    pub fn pending_statement(&mut self) -> io::Result<Option<String>> {
         let mut byte = [0];
         self.0.set_nonblocking(true)?;
         let come = self.0.peek(&mut byte);
--- a/experiments/src/faults/play.rs
+++ b/experiments/src/faults/play.rs
@@ -385,7 +385,7 @@
         }
     }
 
-    fn strike(&mut self, n: usize, blow: ProcessSignal) {
+    fn send_signal(&mut self, n: usize, blow: ProcessSignal) {
         if let Some((process, _)) = &mut self.places[n].process {
             process.send_signal(blow);
         }
@@ -1002,7 +1002,7 @@
         let gone = rig.places[n]
             .process
             .as_mut()
-            .is_some_and(|(p, _)| p.ended(Duration::ZERO).is_some());
+            .is_some_and(|(p, _)| p.wait_for_exit(Duration::ZERO).is_some());
         if gone {
             if let Some((process, from)) = rig.places[n].process.take() {
                 rig.bury(n, false, process, from, None);
--- a/router/tests/standing_floods.rs
+++ b/router/tests/standing_floods.rs
@@ -7,7 +7,7 @@
 use plovercove_emulator::faulty_peers::{Agent, AgentReply, Node, NodeBehavior};
 use plovercove_emulator::process::{Process, ProcessSignal};
 use plovercove_emulator::{RequestClient, RequestOutcome};
-use standing_fleet::{HANGS, Start, ask, group, listing, statement};
+use standing_fleet::{Start, TEST_TIMEOUT, ask, group, listing, statement};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 
@@ -22,10 +22,13 @@
     let agent = Agent::start(vec![AgentReply::Body(listing(42, &entries))]).expect("an agent");
     let (router, folder) = Start {
         sockets,
-        ..Start::before(name, &agent, &entries)
+        ..Start::with_agent(name, &agent, &entries)
     }
     .run();
-    assert!(agent.wait_for_calls(2, HANGS), "the list is followed");
+    assert!(
+        agent.wait_for_calls(2, TEST_TIMEOUT),
+        "the list is followed"
+    );
     (router, nodes, (agent, folder))
 }
 
@@ -41,7 +44,9 @@
 
 fn connect(to: SocketAddr) -> TcpStream {
     let stream = TcpStream::connect(to).expect("it listens");
-    stream.set_read_timeout(Some(HANGS)).expect("a time-out");
+    stream
+        .set_read_timeout(Some(TEST_TIMEOUT))
+        .expect("a time-out");
     stream
 }
 
@@ -214,7 +219,7 @@
     router.send_signal(ProcessSignal::Term);
     assert!(
         router
-            .wait_for_exit(HANGS)
+            .ended(TEST_TIMEOUT)
             .is_some_and(|status| status.success())
     );
     let failed = |line: &String| line.contains("cannot accept") || line.contains("can be begun");
