--- a/router/tests/duties.rs
+++ b/router/tests/duties.rs
@@ -418,7 +418,7 @@
     load.finish();
     assert!(
         ending
-            .ended(TEST_TIMEOUT)
+            .wait_for_exit(TEST_TIMEOUT)
             .is_some_and(|status| status.success())
     );
 }
--- a/router/tests/standing.rs
+++ b/router/tests/standing.rs
@@ -251,7 +251,7 @@
     assert_eq!(greeted.read_outcome(), Outcome::Row);
     assert!(
         router
-            .ended(TEST_TIMEOUT)
+            .wait_for_exit(TEST_TIMEOUT)
             .is_some_and(|status| status.success())
     );
 }
@@ -280,7 +280,7 @@
     assert_eq!(silent_client.read_outcome(), Outcome::Error("53300".into()));
     assert!(
         router
-            .ended(TEST_TIMEOUT)
+            .wait_for_exit(TEST_TIMEOUT)
             .is_some_and(|status| status.success())
     );
     assert!(
--- a/router/tests/standing_clients.rs
+++ b/router/tests/standing_clients.rs
@@ -311,7 +311,7 @@
         router.send_signal(ProcessSignal::Term);
         assert!(
             router
-                .ended(TEST_TIMEOUT)
+                .wait_for_exit(TEST_TIMEOUT)
                 .is_some_and(|status| status.success())
         );
         assert!(
@@ -380,7 +380,7 @@
     router.send_signal(ProcessSignal::Term);
     assert!(
         router
-            .ended(TEST_TIMEOUT)
+            .wait_for_exit(TEST_TIMEOUT)
             .is_some_and(|status| status.success())
     );
     let begun: Vec<_> = (0..9)
@@ -446,7 +446,7 @@
     router.send_signal(ProcessSignal::Term);
     assert!(
         router
-            .ended(TEST_TIMEOUT)
+            .wait_for_exit(TEST_TIMEOUT)
             .is_some_and(|status| status.success())
     );
     assert!(
--- a/router/tests/standing_floods.rs
+++ b/router/tests/standing_floods.rs
@@ -219,7 +219,7 @@
     router.send_signal(ProcessSignal::Term);
     assert!(
         router
-            .ended(TEST_TIMEOUT)
+            .wait_for_exit(TEST_TIMEOUT)
             .is_some_and(|status| status.success())
     );
     let failed = |line: &String| line.contains("cannot accept") || line.contains("can be begun");
