--- a/fanout/src/client.rs
+++ b/fanout/src/client.rs
@@ -102,8 +102,9 @@
     renewal_interval: Micros,
     renew_at: Time,
     attempts: u32,
-    /// When the gateway answered last, and since when an answer is due.
+    /// When the gateway answered last.
     answered_at: Option<Time>,
+    /// Since when an answer of the gateway is due.
     waiting_since: Option<Time>,
     gateway_silent: bool,
     moved_notice_at: Time,
--- a/fanout/src/gateway.rs
+++ b/fanout/src/gateway.rs
@@ -175,7 +175,7 @@
     /// to the new lease holder.
     pub(crate) fn lose_lease(&mut self, now: Time) {
         let entries = self.table.locally_renewed_entries();
-        self.hand_over(now, entries);
+        self.prepare_proposals(now, entries);
         self.token = None;
         self.outbox.clear();
         self.ready.clear();
--- a/fanout/src/reconciliation.rs
+++ b/fanout/src/reconciliation.rs
@@ -121,7 +121,7 @@
 
     /// Keeps the entries that subscribers declared here, to propose them to the new lease holder, which may know newer
     /// ones.
-    pub(crate) fn hand_over(&mut self, _now: Time, entries: Vec<Entry>) {
+    pub(crate) fn prepare_proposals(&mut self, _now: Time, entries: Vec<Entry>) {
         self.others.former_lease = self.token.map(|token| (self.zone.clone(), token));
         self.others.proposed = entries;
     }
--- a/fanout/src/retained.rs
+++ b/fanout/src/retained.rs
@@ -11,6 +11,7 @@
 #[derive(Debug, Clone)]
 struct RetainedItem {
     number: u64,
+    /// When the item was made, by this router's clock.
     made_at: Time,
     body: Arc<[u8]>,
 }
@@ -31,6 +32,7 @@
 /// What a receiver is sent next.
 pub(crate) enum NextDelivery {
     Item(Item),
+    /// The items up to this number are no longer available.
     Missed(TopicNumber),
 }
 
@@ -83,6 +85,7 @@
         self.items.len()
     }
 
+    /// Returns a number of this topic with its lease and token.
     pub fn topic_number(&self, topic: &Topic, number: u64) -> TopicNumber {
         TopicNumber {
             topic: topic.clone(),
--- a/fanout/src/rules.rs
+++ b/fanout/src/rules.rs
@@ -20,7 +20,7 @@
     Gap,
     /// Of positions only the newest is kept.
     Collapse,
-    /// The number of items retained for slow subscribers is bounded.
+    /// The number of items retained for slow subscribers, and of events that wait to be taken, is bounded.
     Queue,
     /// Renewals are spread over time.
     Jitter,
@@ -133,8 +133,8 @@
         crate::us_from_ms(self.renew_ms).max(interval)
     }
 
-    /// Returns the time after which a subscriber that has not renewed is removed (us). It allows for three lost renewals
-    /// in a row, and for repetitions of the last one.
+    /// Returns the time after which a subscriber that has not renewed is removed (us). It allows for three lost
+    /// renewals in a row, and for repetitions of the last one.
     pub fn subscriber_lease(&self, subscribers: usize) -> Micros {
         3 * self.renewal_interval(subscribers) + crate::us_from_ms(4 * self.answer_ms)
     }
--- a/fanout/src/sequence_tracker.rs
+++ b/fanout/src/sequence_tracker.rs
@@ -18,6 +18,7 @@
         lease: LeaseName,
         token: Token,
         number: u64,
+        /// When the item was made, by this router's clock.
         made_at: Time,
         body: Arc<[u8]>,
     },
@@ -37,6 +38,7 @@
     fetch_at: Time,
 }
 
+/// The state of one topic's numbers at a receiver.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct SequenceTracker {
     /// Token and number of the last item delivered or reported as missed.
@@ -44,6 +46,7 @@
     /// Last item delivered before the receiver left the topic; nothing up to it is delivered again.
     delivered_before_leaving: Option<(Token, u64)>,
     lease: Option<LeaseName>,
+    /// Items that arrived while an earlier one is missing: when each was made, and its content, by number.
     ahead: BTreeMap<u64, (Time, Arc<[u8]>)>,
     /// The newest number that is known to exist.
     latest_known: u64,
@@ -220,6 +223,7 @@
         self.gap.map_or(Time::MAX, |gap| gap.fetch_at)
     }
 
+    /// Opens or closes the gap, depending on whether items up to the latest known number are missing.
     fn update_gap(&mut self, now: Time) {
         let has_gap = self.latest_known > self.last_number();
         if !has_gap {
@@ -246,6 +250,7 @@
         });
     }
 
+    /// Reports the items up to this number as missed.
     fn skip_through(&mut self, through: u64) {
         let (Some((token, _)), Some(lease)) = (self.last, self.lease.clone()) else {
             return;
@@ -259,6 +264,7 @@
         });
     }
 
+    /// Delivers the buffered items that now follow without a gap.
     fn deliver_ahead(&mut self) {
         let before = self.last_number();
         while let Some((made_at, body)) = self.ahead.remove(&(self.last_number() + 1)) {
--- a/fanout/src/table.rs
+++ b/fanout/src/table.rs
@@ -9,10 +9,12 @@
 use std::ops::Bound;
 use std::sync::Arc;
 
-/// Subranges of a range, levels of ranges, and leaves at the lowest level. With 10,000 subscriptions, a leaf has two or
-/// three entries.
+/// Number of subranges of a range.
 pub(crate) const CHILDREN_PER_RANGE: usize = 16;
+/// Number of levels of ranges below the complete list.
 pub(crate) const RANGE_LEVELS: u8 = 3;
+/// Number of leaves, which are the ranges of the lowest level. With 10,000 subscriptions, a leaf has two or three
+/// entries.
 pub(crate) const LEAF_COUNT: usize = 4_096;
 
 /// Maximum number of zones. The digests of one zone take 32 kB, so a sender that invents zone names must not be able to
@@ -84,6 +86,7 @@
     rules: Rules,
     zone: Name,
     pub(crate) subscribers: BTreeMap<Name, SubscriberRecord>,
+    /// Subscriber and topic of each entry, by the entry's key.
     keys: BTreeMap<u64, (Name, Topic)>,
     /// Subscribers of this zone, by topic.
     pub(crate) listeners: BTreeMap<Topic, BTreeSet<Name>>,
@@ -258,6 +261,7 @@
             .fold(0, |digest, leaf| digest ^ leaf)
     }
 
+    /// Adds a live entry to the digest of its leaf and to the listeners, or removes it if it is there.
     fn toggle_live(&mut self, key: u64, entry: &Entry) {
         if entry.state != State::Live {
             return;
--- a/fanout/src/wire.rs
+++ b/fanout/src/wire.rs
@@ -148,6 +148,7 @@
     },
     // Items, from publishers to gateways and from gateways to subscribers.
     Item(Item),
+    /// The sender's newest number of a topic.
     LatestNumber(TopicNumber),
     /// The items up to this number are no longer available.
     Missed(TopicNumber),
@@ -186,6 +187,7 @@
         index: u16,
         keys: Vec<[u8; 4]>,
     },
+    /// An entry of the sender's list.
     Entry(Entry),
     /// An entry that a subscriber declared at a gateway which then lost its lease. The successor takes it only if it
     /// knows nothing newer.
--- a/fanout/tests/common/mod.rs
+++ b/fanout/tests/common/mod.rs
@@ -77,11 +77,11 @@
 }
 
 pub fn topic(name: &str) -> Topic {
-    Topic::new(name).expect("a name")
+    Topic::new(name).expect("a valid name")
 }
 
 pub fn lease_name(name: &str) -> LeaseName {
-    LeaseName::new(name).expect("a name")
+    LeaseName::new(name).expect("a valid name")
 }
 
 pub fn normal_conditions() -> Conditions {
@@ -167,7 +167,7 @@
             self.now,
             seed,
         )
-        .expect("a zone");
+        .expect("a valid zone");
         self.add(zone, Role::Gateway(Box::new(gateway)))
     }
 
@@ -198,7 +198,9 @@
         let index = self.hosts.len();
         let mut client = self.new_client(index, name, zone);
         for name in topics {
-            client.subscribe(&topic(name)).expect("few");
+            client
+                .subscribe(&topic(name))
+                .expect("fewer topics than the maximum");
         }
         client.set_gateway(self.now, address(self.lease_holders[zone].0));
         self.add(zone, Role::Client(Box::new(client)))
@@ -206,14 +208,14 @@
 
     pub fn gateway(&self, index: usize) -> &Gateway {
         let Role::Gateway(gateway) = &self.hosts[index].role else {
-            panic!("{index} is no gateway")
+            panic!("host {index} is not a gateway")
         };
         gateway
     }
 
     pub fn client(&self, index: usize) -> &Client {
         let Role::Client(client) = &self.hosts[index].role else {
-            panic!("{index} is no subscriber")
+            panic!("host {index} is not a subscriber")
         };
         client
     }
@@ -222,7 +224,7 @@
     pub fn with_client(&mut self, index: usize, action: impl FnOnce(&mut Client, Time)) {
         let now = self.now;
         let Role::Client(client) = &mut self.hosts[index].role else {
-            panic!("{index} is no subscriber")
+            panic!("host {index} is not a subscriber")
         };
         action(client, now);
         self.wake(index);
@@ -270,7 +272,7 @@
     pub fn publish(&mut self, index: usize, name: &str, token: Token, body: &[u8]) -> Option<u64> {
         let now = self.now;
         let Role::Publisher(publisher) = &mut self.hosts[index].role else {
-            panic!("{index} is no publisher")
+            panic!("host {index} is not a publisher")
         };
         let number = publisher
             .publish(now, &topic(name), &lease_name(name), token, body)
@@ -315,7 +317,7 @@
     pub fn deliver_to_gateway(&mut self, index: usize, from: SocketAddr, body: &[u8]) {
         let now = self.now;
         let Role::Gateway(gateway) = &mut self.hosts[index].role else {
-            panic!("{index} is no gateway")
+            panic!("host {index} is not a gateway")
         };
         gateway
             .receive(now, from, body, 0)
--- a/fanout/tests/costs.rs
+++ b/fanout/tests/costs.rs
@@ -25,7 +25,7 @@
         for t in 0..5 {
             client
                 .subscribe(&topic(&format!("nodes/{t}")))
-                .expect("few");
+                .expect("fewer topics than the maximum");
         }
         client.set_gateway(network.now, common::address(gateway));
         client.turn(network.now + SECOND);
--- a/fanout/tests/faults.rs
+++ b/fanout/tests/faults.rs
@@ -18,23 +18,23 @@
         ..rules.clone()
     }
     .check()
-    .expect_err("nothing would be held");
-    let name = Fault::from(Topic::new("a b").expect_err("a blank"));
+    .expect_err("below the minimum");
+    let name = Fault::from(Topic::new("a b").expect_err("a name with a space"));
     assert!(Gateway::new(rules.clone(), "a b", address(), 1, 1).is_err());
-    let mut gateway = Gateway::new(rules.clone(), "a", address(), 1, 1).expect("a zone");
+    let mut gateway = Gateway::new(rules.clone(), "a", address(), 1, 1).expect("a valid zone");
     let unread = gateway
         .receive(1, address(), &[9, 9, 9], 0)
-        .expect_err("nobody says that");
+        .expect_err("an invalid body");
     let (role, watch) = (
-        Topic::new("role/1").expect("a name"),
-        LeaseName::new("role/1").expect("a name"),
+        Topic::new("role/1").expect("a valid name"),
+        LeaseName::new("role/1").expect("a valid name"),
     );
     gateway
         .publish(1, &role, &watch, Token(2), 1, b"x")
-        .expect("the newest");
+        .expect("the newest token");
     let refused = gateway
         .publish(1, &role, &watch, Token(1), 2, b"x")
-        .expect_err("older");
+        .expect_err("an older token");
     let large = vec![0; MAX_ITEM_BYTES + 1];
     let large = Publisher::new(rules.clone(), 1, 1).publish(1, &role, &watch, Token(1), &large);
     let identity = Subscriber {
@@ -52,16 +52,16 @@
         1,
         1,
     );
-    client.subscribe(&role).expect("the first");
+    client.subscribe(&role).expect("the first topic");
     let full = client
-        .subscribe(&Topic::new("owners").expect("a name"))
-        .expect_err("one too many");
+        .subscribe(&Topic::new("owners").expect("a valid name"))
+        .expect_err("one topic too many");
     let all = [
         setting,
         name,
         unread,
         refused,
-        large.expect_err("too large"),
+        large.expect_err("an item too large"),
         full,
     ];
     let kinds: Vec<_> = all.iter().map(std::mem::discriminant).collect();
--- a/fanout/tests/fleet.rs
+++ b/fanout/tests/fleet.rs
@@ -158,7 +158,9 @@
     network.lease_holders[0] = (standby, Token(2));
     // One subscriber is not notified of the new gateway, and subscribes at the former one.
     network.with_client(host(3), |client, _| {
-        client.subscribe(&common::topic("owners")).expect("few")
+        client
+            .subscribe(&common::topic("owners"))
+            .expect("fewer topics than the maximum")
     });
     for n in (0..network.hosts.len()).filter(|n| *n != 0 && *n != host(3)) {
         network.notify_lease_holders_to(n);
@@ -283,7 +285,11 @@
         Box::new(|_, from, _, _| vec![if from == host(0) { 60 * SECOND } else { 1_000 }]),
     ] {
         network.conditions = conditions;
-        network.with_client(host(0), |client, _| client.subscribe(&topic).expect("few"));
+        network.with_client(host(0), |client, _| {
+            client
+                .subscribe(&topic)
+                .expect("fewer topics than the maximum")
+        });
         network.run_for(SECOND / 20);
         network.conditions = normal_conditions();
         network.with_client(host(0), |client, _| client.unsubscribe(&topic));
@@ -520,7 +526,7 @@
         );
         network
             .run_until(60 * SECOND, Network::lists_are_correct)
-            .expect("equal");
+            .expect("the lists become correct");
         network.conditions = partitioned(|from, to| from == 0 && (to == 1 || to == 2));
         for n in 30..130 {
             network.add_client(
--- a/fanout/tests/model.rs
+++ b/fanout/tests/model.rs
@@ -56,7 +56,7 @@
 }
 
 fn topic() -> Topic {
-    Topic::new("role/1").expect("a name")
+    Topic::new("role/1").expect("a valid name")
 }
 
 fn subscriber_in(boot: u64, zone: usize) -> Subscriber {
--- a/fanout/tests/random.rs
+++ b/fanout/tests/random.rs
@@ -65,7 +65,8 @@
     for (action, duration) in actions {
         match action {
             Action::Subscribe(client, index) => network.with_client(hosts[client], |c, _| {
-                c.subscribe(&topic(&topic_name(index))).expect("few")
+                c.subscribe(&topic(&topic_name(index)))
+                    .expect("fewer topics than the maximum")
             }),
             Action::Unsubscribe(client, index) => network.with_client(hosts[client], |c, _| {
                 c.unsubscribe(&topic(&topic_name(index)))
@@ -118,7 +119,7 @@
     network.run_for(5 * SECOND);
     prop_assert!(
         network.lists_are_correct(),
-        "later: {:?}",
+        "five seconds later: {:?}",
         network.list_differences()
     );
     for n in hosts {
@@ -175,7 +176,7 @@
     #[test]
     fn arbitrary_bodies_do_no_harm(bodies in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..200), 1..40)) {
         let rules = Rules::default();
-        let mut gateway = Gateway::new(rules.clone(), "a", address(0), SECOND, 1).expect("a zone");
+        let mut gateway = Gateway::new(rules.clone(), "a", address(0), SECOND, 1).expect("a valid zone");
         gateway.set_token(SECOND, Some(Token(1)));
         let identity = Subscriber { name: "r".into(), boot: 1, address: address(1), zone: "a".into() };
         let mut client = Client::new(rules.clone(), identity, SECOND, 1);
