--- a/router/tests/peers.rs
+++ b/router/tests/peers.rs
@@ -345,7 +345,7 @@
         Some(&peers_block(&folder, KEY, fast)),
     );
     let line = one
-        .says("gossip with other routers is enabled", TEST_TIMEOUT)
+        .wait_for_line("gossip with other routers is enabled", TEST_TIMEOUT)
         .expect("gossip starts");
     let address = line
         .split("advertise=")
