--- a/engine/src/deadlines.rs
+++ b/engine/src/deadlines.rs
@@ -11,7 +11,7 @@
     Wake,
     /// An attempt times out.
     Attempt(AttemptId),
-    /// A connection to a database node has been opening, under a health check or idle for too long.
+    /// A connection to a database node takes too long to open or to answer a health check, or is idle for too long.
     Backend(Key),
     /// A client's connection has to be checked.
     Client(Key),
--- a/engine/src/engine.rs
+++ b/engine/src/engine.rs
@@ -359,7 +359,8 @@
         });
     }
 
-    /// Handles a deadline of the decisions or of an attempt.
+    /// Lets the decisions review all requests at the next call of [`Engine::decide`], because a wake-up that they
+    /// requested is due or something that they depend on has changed.
     pub fn wake(&mut self) {
         self.events.push(Event::Timer);
     }
--- a/engine/src/table.rs
+++ b/engine/src/table.rs
@@ -2,6 +2,7 @@
 
 use slab::Slab;
 
+/// Number of the lowest bits of a key that hold the slot. The bits above them hold the serial number.
 const SLOT_BITS: u32 = 20;
 
 /// Identifies one entry of a table by its slot and a serial number. The serial number distinguishes it from later
--- a/engine/src/watch_schedule.rs
+++ b/engine/src/watch_schedule.rs
@@ -23,7 +23,7 @@
 /// Pause after an answer without a change that came at once instead of after the wait. It prevents a busy loop, and is
 /// half of the 200 ms within which the next call still continues the watch.
 const EARLY_ANSWER_PAUSE: Micros = 100_000;
-/// Factor on the lateness of the last answers by which an answer may be late.
+/// An answer may come later than its wait by this multiple of the mean lateness of the last answers.
 const LATENESS_FACTOR: Micros = 2;
 /// Divisor for the largest part of a wait that a random draw takes away, so that the calls of routers do not end
 /// together.
@@ -44,7 +44,7 @@
 
 impl ListSource {
     /// Returns the longest time from one call to the next: the maximum update delay less the reserve for the next call,
-    /// or seven eighths of the drain grace.
+    /// or seven eighths of the drain grace but at least [`MIN_CYCLE`], whichever is shorter.
     fn cycle(self) -> Micros {
         match self {
             ListSource::Polled => MAX_UPDATE_DELAY - NEXT_CALL_RESERVE,
--- a/fencing/src/tests.rs
+++ b/fencing/src/tests.rs
@@ -8,22 +8,22 @@
 
 #[test]
 fn a_fence_admits_the_newest_token_and_rejects_older_ones() {
-    let (mut fence, watch) = (Fence::new(2), lease("positions/1"));
-    assert_eq!(fence.admit(&watch, Token(3)), Ok(Admitted::Newer));
-    assert_eq!(fence.admit(&watch, Token(3)), Ok(Admitted::Current));
-    assert_eq!(fence.admit(&watch, Token(7)), Ok(Admitted::Newer));
+    let (mut fence, name) = (Fence::new(2), lease("positions/1"));
+    assert_eq!(fence.admit(&name, Token(3)), Ok(Admitted::Newer));
+    assert_eq!(fence.admit(&name, Token(3)), Ok(Admitted::Current));
+    assert_eq!(fence.admit(&name, Token(7)), Ok(Admitted::Newer));
     let older = FenceError::Older {
-        lease: watch.clone(),
+        lease: name.clone(),
         token: Token(6),
         newest: Token(7),
     };
-    assert_eq!(fence.admit(&watch, Token(6)), Err(older));
+    assert_eq!(fence.admit(&name, Token(6)), Err(older));
     assert!(matches!(
-        fence.admit(&watch, Token::NONE),
+        fence.admit(&name, Token::NONE),
         Err(FenceError::Never { .. })
     ));
     assert_eq!(
-        (fence.newest(&watch), fence.newest(&lease("other"))),
+        (fence.newest(&name), fence.newest(&lease("other"))),
         (Token(7), Token::NONE)
     );
 }
--- a/leases/src/local_lease.rs
+++ b/leases/src/local_lease.rs
@@ -53,7 +53,7 @@
     started_at: Time,
     /// When the latest request was sent.
     last_sent: Time,
-    /// A majority has granted the token.
+    /// Whether a majority has granted the token.
     pub is_held: bool,
     /// The latest checkpoint of the previous holder.
     pub predecessor_checkpoint: Option<Checkpoint>,
@@ -240,8 +240,8 @@
         };
     }
 
-    /// Returns the time between two polls at this rank. All routers together poll a lease about six times in a renewal
-    /// interval.
+    /// Returns the time between two polls at this rank. In a renewal interval, 100 routers together poll a lease about
+    /// six times, and 300 routers about thirteen times.
     fn poll_interval(&self, rules: &Rules) -> Micros {
         rules
             .renew_interval()
@@ -484,7 +484,8 @@
             .is_held
             .then_some(claim.token)
             .or(self.previous_grant.map(|grant| grant.token));
-        // If the clock stopped during the stall, the router would take a lease for running that has ended in true time.
+        // If the clock stopped during the stall, the lease may have ended in true time although the clock shows that it is
+        // still running.
         if rules.is_enabled(Guard::Stalled) {
             self.previous_grant = None;
             let (predecessor_checkpoint, checkpoint) =
--- a/leases/src/manager.rs
+++ b/leases/src/manager.rs
@@ -57,6 +57,8 @@
     voter: Option<Voter>,
     /// For each voter, when the latest request that it answered in the stage [`VoterStage::Voting`] was sent.
     last_answered: Vec<Option<Time>>,
+    /// Whether a majority of the voters answered when that last changed; `None` until a majority answers for the first
+    /// time.
     had_majority: Option<bool>,
     /// When a request is due even if no lease needs one, to see whether the voters answer.
     next_heartbeat: Time,
@@ -64,7 +66,7 @@
     /// The time of the latest call.
     latest_time: Time,
     next_turn: Time,
-    /// The router is shutting down: it hands its leases over and claims none.
+    /// Whether the router is shutting down: it then hands its leases over and claims none.
     is_leaving: bool,
     outbox: Vec<(SocketAddr, Vec<u8>)>,
     /// Messages of this router to itself.
@@ -191,7 +193,7 @@
         let unwanted: Vec<LeaseName> = self
             .leases
             .keys()
-            .filter(|d| wanted.binary_search_by(|w| w.lease.cmp(d)).is_err())
+            .filter(|lease| wanted.binary_search_by(|w| w.lease.cmp(lease)).is_err())
             .cloned()
             .collect();
         for lease in unwanted {
--- a/leases/src/persisted.rs
+++ b/leases/src/persisted.rs
@@ -20,13 +20,13 @@
     pub installation: String,
     /// The voter's name among the members.
     pub name: String,
-    /// Generation of the set of voters in which it votes, or voted last.
+    /// Generation of the set of voters in which the voter votes, or voted last.
     pub generation: u32,
-    /// It has never voted for a token above this one.
+    /// The voter has never voted for a token above this one.
     pub token_ceiling: Token,
-    /// It has never granted a longer lease (ms).
+    /// The voter has never granted a longer lease (ms).
     pub max_lease_ms: u64,
-    /// It has promised not to vote in a generation below this one.
+    /// The voter has promised not to vote in a generation below this one.
     pub sealed_below: u32,
 }
 
--- a/leases/src/rules.rs
+++ b/leases/src/rules.rs
@@ -106,7 +106,9 @@
 
     /// Returns the position of the member with this address.
     pub(crate) fn position_of(&self, address: &SocketAddr) -> Option<usize> {
-        self.members.iter().position(|d| d.address == *address)
+        self.members
+            .iter()
+            .position(|voter| voter.address == *address)
     }
 }
 
@@ -396,7 +398,7 @@
         }
         if let Some(other) = voters[..position]
             .iter()
-            .find(|d| d.name == voter.name || d.address == voter.address)
+            .find(|other| other.name == voter.name || other.address == voter.address)
         {
             let duplicate = if other.name == voter.name {
                 voter.name.clone()
--- a/leases/src/voter.rs
+++ b/leases/src/voter.rs
@@ -16,10 +16,10 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
-/// Number of tokens by which one write to disk raises the ceiling. At a grant a second, a write is due every quarter of an
-/// hour.
+/// Number of tokens by which one write to disk raises the ceiling. The next write is scheduled when half of them are used:
+/// after about eight minutes if one lease is granted once a second.
 const TOKEN_CEILING_STEP: u64 = 1_000;
-/// Maximum number of leases that a voter keeps: eight times the number of the largest installation.
+/// Maximum number of leases that a voter keeps: eight times as many as the largest installation has.
 const MAX_LEASES: usize = 4_096;
 /// Maximum number of requests that wait for a write to disk. Candidates retry the requests that are dropped.
 const MAX_DEFERRED_REQUESTS: usize = 256;
@@ -75,7 +75,7 @@
     to_write: Option<PersistedState>,
     /// The state that the router is writing.
     being_written: Option<PersistedState>,
-    /// Earliest time at which it votes.
+    /// Earliest time at which the voter votes.
     votes_from: Time,
     started_at: Time,
     known_states: BTreeMap<SocketAddr, KnownState>,
@@ -84,7 +84,7 @@
     limiter: RateLimiter,
     /// Number of requests dropped by the rate limit.
     pub(crate) dropped: u64,
-    /// Another voter has reported a higher token of this voter than its file allows.
+    /// Whether another voter has reported a higher token of this voter than its file allows.
     file_is_stale: bool,
 }
 
@@ -727,7 +727,10 @@
             if is_renewal && highest_before == item.token {
                 record.store_checkpoint(item.checkpoint, item.token);
             }
-            checkpoint = record.checkpoint.clone().filter(|m| m.token < item.token);
+            checkpoint = record
+                .checkpoint
+                .clone()
+                .filter(|stored| stored.token < item.token);
         }
         let status = match (outcome, record.ballot.holder) {
             (VoteOutcome::Granted, _) => LeaseStatus::Granted,
@@ -810,14 +813,12 @@
 impl Record {
     /// Stores the checkpoint of the holder of this token, if it is newer than the stored one.
     fn store_checkpoint(&mut self, checkpoint: Option<Checkpoint>, token: Token) {
-        let Some(checkpoint) = checkpoint.filter(|m| m.token == token) else {
+        let Some(checkpoint) = checkpoint.filter(|reported| reported.token == token) else {
             return;
         };
-        if self
-            .checkpoint
-            .as_ref()
-            .is_none_or(|m| (m.token, m.count) < (checkpoint.token, checkpoint.count))
-        {
+        if self.checkpoint.as_ref().is_none_or(|stored| {
+            (stored.token, stored.count) < (checkpoint.token, checkpoint.count)
+        }) {
             self.checkpoint = Some(checkpoint);
         }
     }
--- a/leases/src/wire.rs
+++ b/leases/src/wire.rs
@@ -14,15 +14,16 @@
 /// Stage of a voter between its start and its first vote.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum VoterStage {
-    /// It votes.
+    /// The voter votes.
     Voting,
-    /// It knows up to which token it may have voted, and waits for the end of the leases that it may have granted.
+    /// The voter knows up to which token it may have voted, and waits for the end of the leases that it may have granted.
     Waiting,
-    /// It has no file of this generation, and reads the states of the other voters.
+    /// The voter has no file of this generation, and reads the states of the other voters.
     Blank,
-    /// It has the file of the previous generation, has sealed itself, and waits until a majority of that generation has.
+    /// The voter has the file of the previous generation, has sealed itself, and waits until a majority of that
+    /// generation has done so.
     Joining,
-    /// It was a voter of the previous generation and is not one of this generation.
+    /// The router was a voter of the previous generation and is not one of this generation.
     Former,
 }
 
--- a/locality/src/allowance.rs
+++ b/locality/src/allowance.rs
@@ -55,6 +55,7 @@
     /// A request that costs more than the depth is never admitted. If each bucket were as deep as the most expensive
     /// request, all routers together could send at once what the limit allows in a second.
     pub fn covers(&self, now: Time, cost: f64, reserve: f64) -> bool {
+        // The tolerance absorbs rounding errors of the level.
         self.rate > 0.0
             && self.level_at(now) + 1e-12 >= cost + reserve * (self.depth - cost).max(0.0)
     }
--- a/locality/src/lib.rs
+++ b/locality/src/lib.rs
@@ -1,8 +1,8 @@
 //! Locality policy: which zones a request may use now, and how much of a node may be used.
 //!
 //! Zones form tiers of preference. Requests spill over to other zones within a limit, and a zone that was lost recovers
-//! along a ramp that rises with successful answers. The crate does no I/O and reads no clock: the decision module queries it
-//! ([`plovercove::LocalityPolicy`]) and notifies it of attempts and their results.
+//! along a ramp that rises with successful answers. The crate does no I/O and reads no clock: the balancer queries
+//! it ([`plovercove::LocalityPolicy`]) and notifies it of attempts and their results.
 //!
 //! *Locality* means a zone here, *priority* a tier of preference, and *spillover* the requests that leave their zone.
 //!
--- a/locality/src/ramp.rs
+++ b/locality/src/ramp.rs
@@ -102,7 +102,8 @@
         }
     }
 
-    /// Records an answer that was slow or did not come.
+    /// Records an answer that was slow or did not come. The share never falls below a quarter of the start share:
+    /// without requests the zone could not show that it answers again.
     pub fn record_slow(&mut self, now: Time, rules: &RampRules) {
         self.slow += 1;
         let many_are_slow =
--- a/locality/src/zone_failover.rs
+++ b/locality/src/zone_failover.rs
@@ -37,7 +37,7 @@
 /// Multiple of the cheapest class's cost up to which a class is ordinary. Where many routers share a node, their narrow
 /// allowances do not admit more expensive requests.
 const ORDINARY_COST_FACTOR: f64 = 3.0;
-/// Safety margin below the spill limit, since the costs of single requests vary.
+/// Share of the spill limit that is used. The rest is a safety margin, since the costs of single requests vary.
 const SPILL_MARGIN: f64 = 0.97;
 /// Share of an allowance's depth that is reserved for classes of higher worth; the class of the least worth has to leave
 /// all of the reserve.
@@ -325,7 +325,7 @@
     }
 
     /// Returns the index of the zone with this name. A zone that the rules do not contain is added in the last tier,
-    /// without routers.
+    /// without routers. Once there are [`MAX_ZONES`] zones, further ones are counted as part of the last zone.
     fn zone_index(&mut self, name: &str) -> usize {
         if let Some(index) = self.zones.iter().position(|state| state.name == name) {
             return index;
--- a/src/api/event.rs
+++ b/src/api/event.rs
@@ -48,7 +48,7 @@
         end: AttemptEnd,
         /// Time between the send and the end.
         elapsed: Micros,
-        /// Whether the request is over.
+        /// Whether the request needs no further attempt, because it has its final answer or its client has left.
         request_over: bool,
         /// What the answer itself reports about the node.
         answer_report: NodeReport,
--- a/src/api/locality_policy.rs
+++ b/src/api/locality_policy.rs
@@ -24,7 +24,7 @@
     fn weight_share(&mut self, now: Time, query: &RoutingQuery, node: &NodeId) -> Option<f64>;
     /// Records that an attempt was sent.
     fn attempt_sent(&mut self, now: Time, query: &RoutingQuery, node: &NodeId);
-    /// Records that an attempt ended, this long after it was sent.
+    /// Records that an attempt ended, `elapsed` after it was sent.
     fn attempt_ended(
         &mut self,
         now: Time,
--- a/src/api/settings.rs
+++ b/src/api/settings.rs
@@ -120,7 +120,8 @@
     Live,
 }
 
-/// Prices charged against the weight earned, each per unit of its own rate.
+/// Prices that the operators subtract from the weight earned. Each price is for one unit of the rate that its field
+/// names.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Prices {
     /// Price of attempts that cross zones, per first attempt.
@@ -196,9 +197,9 @@
     pub slow_start_min_share: f64,
     /// Time after its start by which a node is warm at the latest.
     pub slow_start_duration: Micros,
-    /// Multiple of its present capacity at which a warming node fails ...
+    /// Multiple of its present capacity at which a warming node fails, if the load lasts for `overload_duration`.
     pub overload_factor: f64,
-    /// ... if the load lasts for this long.
+    /// Time for which a warming node bears a load of `overload_factor` times its present capacity before it fails.
     pub overload_duration: Micros,
     /// The prices that the operators charge.
     pub prices: Prices,
--- a/src/attempt_outcome.rs
+++ b/src/attempt_outcome.rs
@@ -38,7 +38,8 @@
 }
 
 impl Observation {
-    /// Returns whether the node was too busy to serve the attempt.
+    /// Returns whether the node did not answer in time or rejected the attempt because its queue was full: it is
+    /// presumably too busy.
     fn is_lost(&self) -> bool {
         matches!(self.end, AttemptEnd::TimedOut | AttemptEnd::Overloaded)
     }
--- a/src/concurrency_limit.rs
+++ b/src/concurrency_limit.rs
@@ -58,7 +58,7 @@
         new
     }
 
-    /// Sets the limit back to its initial value, because the node has restarted.
+    /// Sets the limit to its initial value, for an unknown node or after a restart of the node.
     pub(crate) fn reset(&mut self, router_count: u32) {
         self.limit = INITIAL_FLEET_LIMIT / f64::from(router_count.max(1));
     }
--- a/src/primary.rs
+++ b/src/primary.rs
@@ -13,10 +13,10 @@
 
 /// Time during which a member that denied being primary gets no further writes as a presumed primary.
 const DENIAL_PAUSE: Micros = 250_000;
-/// Time during which its denial outranks the endpoint list.
+/// Time during which a member's denial of being primary outranks the endpoint list.
 const DENIAL_OUTRANKS_LIST: Micros = 6_000_000;
 
-/// The node that is presumed to be primary, and the age of the evidence.
+/// The node that is presumed to be primary, and the time of the evidence for it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct PrimaryBelief {
     pub(crate) node: NodeId,
--- a/src/replica_selection.rs
+++ b/src/replica_selection.rs
@@ -35,7 +35,7 @@
 const CROWDED_FACTOR: f64 = 2.0;
 /// Share of the primary's concurrency limit that is open to reads for which the replicas have no room.
 const SPILL_SHARE_OF_PRIMARY: f64 = 0.6;
-/// Time during which a node that reported too large a lag is not tried as the last resort.
+/// Time after a report of its position during which a node that lags too far behind is not tried as the last resort.
 const LAST_REPORT_TRUSTED: Micros = 1_000_000;
 /// Lower bound of the weights in the endpoint list.
 const MIN_LISTED_WEIGHT: f64 = 0.01;
@@ -137,8 +137,9 @@
         }
     }
 
-    /// Returns the last resort if nodes check reads themselves: the most advanced node, except nodes whose last report
-    /// proves that they are too far behind.
+    /// Returns the last resort if nodes check reads themselves: the most advanced node, except nodes whose position was
+    /// reported within [`LAST_REPORT_TRUSTED`]. The caller has found no node that is known to be fresh enough, so a
+    /// position that recent shows that its node is too far behind.
     pub(crate) fn find_most_advanced<'a>(
         &self,
         request: &Request,
--- a/src/retry.rs
+++ b/src/retry.rs
@@ -8,10 +8,11 @@
 use crate::node::Node;
 use crate::request::{Attempt, Request};
 
-/// Base pause before a write is sent again after two attempts; it doubles with each further attempt. A dead primary
-/// refuses connections at once: without a pause all attempts would be used up long before there is a new primary.
+/// Base of the pause before a write is sent again, which begins after the second attempt. The pause is the base doubled
+/// once for each attempt made so far: four times the base after two attempts. A dead primary refuses connections at
+/// once: without a pause all attempts would be used up long before there is a new primary.
 const WRITE_BACKOFF: Micros = 50_000;
-/// Maximum number of doublings of the pause.
+/// Maximum number of doublings of [`WRITE_BACKOFF`].
 const MAX_WRITE_BACKOFF_DOUBLINGS: usize = 6;
 /// Number of ticks before the end of a deduplication window at which retries stop, since the window must not close
 /// between the decision and the send.
