--- a/router/src/config.rs
+++ b/router/src/config.rs
@@ -151,8 +151,8 @@
 
 /// Reads the remembered list. It is in this program's own format, so an unknown status is an error, unlike in a list that
 /// the agent sends.
-fn remembered_list(value: &Value, what: &str) -> ReadResult<Listing> {
-    let listing = discovery::read_listing(value, &format!("{what}."))?;
+fn remembered_list(value: &Value, key: &str) -> ReadResult<Listing> {
+    let listing = discovery::read_listing(value, &format!("{key}."))?;
     listing
         .unknown_status
         .clone()
@@ -160,11 +160,11 @@
 }
 
 /// Reads a seed: a string of hexadecimal digits, or a number.
-fn read_seed(value: &Value, what: &str) -> ReadResult<u64> {
+fn read_seed(value: &Value, key: &str) -> ReadResult<u64> {
     let hex = value
         .as_str()
         .and_then(|digits| u64::from_str_radix(digits, 16).ok());
-    hex.map_or_else(|| unsigned(value, what), Ok)
+    hex.map_or_else(|| unsigned(value, key), Ok)
 }
 
 #[cfg(test)]
--- a/router/src/discovery.rs
+++ b/router/src/discovery.rs
@@ -66,11 +66,11 @@
     section: &Section<'_>,
     state: EndpointState,
 ) -> ReadResult<(Endpoint, Option<SocketAddr>)> {
-    let address = section.optional("address", |value, what| {
-        let address_text = text(value, what)?;
+    let address = section.optional("address", |value, key| {
+        let address_text = text(value, key)?;
         address_text.parse().map_err(|_| {
             Fault::new(format!(
-                "{what}: expected an address and port, got {address_text:?}"
+                "{key}: expected an address and port, got {address_text:?}"
             ))
         })
     });
@@ -228,15 +228,15 @@
     }
 
     /// Continues at the agent that a reloaded configuration names. The agent is called soon even if its address is unchanged,
-    /// because a pause or an unanswered call would otherwise delay news. The current list stays until a new agent has sent
-    /// its complete list, since that agent may count versions differently.
-    pub fn move_to(&mut self, agent: SocketAddr, now: Time, engine: &mut Engine) {
+    /// because a pause or an unanswered call would otherwise delay the next list. The current list stays until a new agent
+    /// has sent its complete list, since that agent may count versions differently.
+    pub fn change_agent(&mut self, agent: SocketAddr, now: Time, engine: &mut Engine) {
         if agent != self.agent {
             (self.agent, self.index, self.is_failing) = (agent, None, false);
         }
         self.stream = None;
         match self.schedule.record_service_change(now) {
-            at if at > now => self.wait(Phase::Pausing, at, engine),
+            at if at > now => self.enter_phase(Phase::Pausing, at, engine),
             _ => self.call(now, engine),
         }
     }
@@ -255,13 +255,15 @@
         )
     }
 
-    fn wait(&mut self, phase: Phase, until: Time, engine: &mut Engine) {
+    /// Enters a phase that lasts until the deadline at the latest.
+    fn enter_phase(&mut self, phase: Phase, until: Time, engine: &mut Engine) {
         self.phase = phase;
         engine
             .deadlines
             .set(&mut self.deadline, Deadline::Discovery, Some(until));
     }
 
+    /// Sends the next call, on the open connection or on a new one.
     fn call(&mut self, now: Time, engine: &mut Engine) {
         if self.stream.is_some() {
             return self.request(now, engine);
@@ -270,7 +272,7 @@
         match self.connect() {
             Ok(stream) => {
                 self.stream = Some(stream);
-                self.wait(Phase::Connecting, until, engine);
+                self.enter_phase(Phase::Connecting, until, engine);
             }
             Err(e) => self.call_failed(&CallFault::Connect(e), now, engine),
         }
@@ -287,7 +289,7 @@
             "GET {path} HTTP/1.1\r\nHost: {}\r\nAccept: application/json\r\n\r\n",
             self.agent
         );
-        self.wait(Phase::Calling, until, engine);
+        self.enter_phase(Phase::Calling, until, engine);
         let Some(stream) = &mut self.stream else {
             return;
         };
@@ -325,7 +327,7 @@
             | CallFault::Odd(_) => self.schedule.record_invalid_answer(now),
         };
         debug!(trouble = %cause, pause = at - now, "a call of discovery failed");
-        self.wait(Phase::Pausing, at, engine);
+        self.enter_phase(Phase::Pausing, at, engine);
     }
 
     /// Handles the deadline: the end of a pause, or the timeout of a connection attempt or an answer.
@@ -358,6 +360,7 @@
         Some(CallFault::Odd(status_fault))
     }
 
+    /// Records an accepted list and schedules the next call.
     fn accept_listing(&mut self, listing: &Listing, now: Time, engine: &mut Engine) {
         if std::mem::take(&mut self.is_failing) {
             info!("discovery answers again");
@@ -377,7 +380,7 @@
         self.has_listed_nodes |= !listing.entries.is_empty();
         self.index = Some(listing.index);
         match self.schedule.record_answer(now, has_changes) {
-            at if at > now => self.wait(Phase::Pausing, at, engine),
+            at if at > now => self.enter_phase(Phase::Pausing, at, engine),
             // The next call must follow in the same turn for the agent to keep the watch alive.
             _ => self.call(now, engine),
         }
--- a/router/src/error.rs
+++ b/router/src/error.rs
@@ -259,7 +259,7 @@
 fn without_key(error: &impl Display) -> String {
     let text = error.to_string();
     text.split_once(": ")
-        .map(|(_, why)| why.to_string())
+        .map(|(_, text_without_key)| text_without_key.to_string())
         .unwrap_or(text)
 }
 
--- a/router/src/lease_tasks/config.rs
+++ b/router/src/lease_tasks/config.rs
@@ -164,8 +164,12 @@
                 });
             }
         }
-        let deciders = rules.voters.members.iter().chain(&rules.voters.previous);
-        if self.file.is_none() && deciders.map(|d| d.address).any(|d| d == address) {
+        let voters = rules.voters.members.iter().chain(&rules.voters.previous);
+        if self.file.is_none()
+            && voters
+                .map(|voter| voter.address)
+                .any(|voter| voter == address)
+        {
             return Err(TermsFault::NoFile { address });
         }
         let file = self.file.as_ref().map(|file| folder.join(file));
--- a/router/src/lease_tasks/file.rs
+++ b/router/src/lease_tasks/file.rs
@@ -96,7 +96,7 @@
         name: &str,
     ) -> (Self, Result<Option<PersistedState>, FileFault>) {
         let path = path.to_path_buf();
-        let kept = match fs::read(&path) {
+        let state = match fs::read(&path) {
             Ok(bytes) => PersistedState::decode(&bytes, rules, name)
                 .map(Some)
                 .map_err(|source| FileFault::Kept {
@@ -109,7 +109,7 @@
                 source,
             }),
         };
-        let must_not_write = kept.as_ref().is_err_and(FileFault::forbids_writing);
+        let must_not_write = state.as_ref().is_err_and(FileFault::forbids_writing);
         (
             StateFile {
                 path,
@@ -118,7 +118,7 @@
                 next_attempt: 0,
                 writes: WriteCounts::default(),
             },
-            kept,
+            state,
         )
     }
 
--- a/router/src/serve.rs
+++ b/router/src/serve.rs
@@ -33,10 +33,10 @@
 /// result.
 const MAX_DECISION_ROUNDS: u32 = 16;
 
-fn bind_listener(address: SocketAddr, what: &'static str) -> Result<TcpListener, Error> {
+fn bind_listener(address: SocketAddr, client_kind: &'static str) -> Result<TcpListener, Error> {
     TcpListener::bind(address).map_err(|source| Error::Listen {
         address,
-        what,
+        what: client_kind,
         source,
     })
 }
@@ -418,7 +418,7 @@
         };
         info!(discovery = %config.discovery, "SIGHUP: the configuration was reloaded");
         self.discovery
-            .move_to(config.discovery, now, &mut self.engine);
+            .change_agent(config.discovery, now, &mut self.engine);
         if let Some(settings) = operator_settings {
             let zones = settings
                 .zone_failover
--- a/router/src/upstream/cancellation.rs
+++ b/router/src/upstream/cancellation.rs
@@ -22,6 +22,7 @@
         }
     }
 
+    /// Removes an attempt that waits for a connection.
     fn remove_waiting(&mut self, id: AttemptId, node: &NodeId) {
         let is_attempt = |job: &Job| matches!(job, Job::Attempt { id: other, .. } if *other == id);
         if let Some(pool) = self.pools.get_mut(node) {
--- a/router/src/upstream/exchange.rs
+++ b/router/src/upstream/exchange.rs
@@ -28,7 +28,7 @@
     /// The connection is ready for its next job.
     Ready { is_reusable: bool },
     /// The node rejected the login.
-    LoginRefused(LoginError),
+    LoginRejected(LoginError),
 }
 
 impl State {
@@ -41,7 +41,7 @@
     ) -> Result<Progress, InvalidReply> {
         match self {
             State::Busy(running) => running.read_message(message, answer),
-            State::LoggingIn(login) => take_login(login, message, credentials, answer),
+            State::LoggingIn(login) => read_login_message(login, message, credentials, answer),
             State::Connecting | State::Cancelling(_) | State::Idle => Err(InvalidReply),
         }
     }
@@ -67,7 +67,7 @@
     }
 }
 
-fn take_login(
+fn read_login_message(
     login: &mut Login,
     message: &Message<'_>,
     credentials: &Credentials,
@@ -77,7 +77,7 @@
         Ok(true) => Ok(Progress::Ready { is_reusable: true }),
         Ok(false) => Ok(Progress::Continue),
         Err(LoginError::Malformed) => Err(InvalidReply),
-        Err(why) => Ok(Progress::LoginRefused(why)),
+        Err(error) => Ok(Progress::LoginRejected(error)),
     }
 }
 
@@ -120,11 +120,12 @@
         self.connection_broke(key, now, engine);
     }
 
+    /// Writes queued bytes to a connection. Drops a job that has not started if it may not start any more.
     pub(super) fn write(&mut self, key: Key, now: Time, engine: &mut Engine) {
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
-        // The system may have held all of it back until now: then it begins now.
+        // If no byte of the job has been sent yet, it starts now, and is checked once more.
         if let State::Busy(running) = &connection.state
             && !running.is_written
             && connection.stream.is_output_untouched()
@@ -199,8 +200,8 @@
             return false;
         };
         connection.stream.consume(length);
-        if let Progress::LoginRefused(why) = progress {
-            self.login_refused(key, &why, now, engine);
+        if let Progress::LoginRejected(error) = progress {
+            self.login_rejected(key, &error, now, engine);
             return false;
         }
         if !answer.is_empty() {
@@ -215,16 +216,18 @@
         true
     }
 
-    fn login_refused(&mut self, key: Key, why: &LoginError, now: Time, engine: &mut Engine) {
+    /// Closes a connection whose login the node rejected, and fails a waiting job. An overloaded node is not a fault to log.
+    fn login_rejected(&mut self, key: Key, error: &LoginError, now: Time, engine: &mut Engine) {
         let Some(connection) = self.connections.get(key) else {
             return;
         };
         let node = connection.node.clone();
-        let is_full = matches!(why, LoginError::Server(code) if code == code::TOO_MANY_CONNECTIONS);
+        let is_full =
+            matches!(error, LoginError::Server(code) if code == code::TOO_MANY_CONNECTIONS);
         let end = if is_full {
             AttemptEnd::Overloaded
         } else {
-            warn!(%node, reason = "login", help = why.help(), "{why}");
+            warn!(%node, reason = "login", help = error.help(), "{error}");
             AttemptEnd::Unreachable
         };
         self.drop_connection(key, engine);
--- a/router/src/upstream/locations.rs
+++ b/router/src/upstream/locations.rs
@@ -26,7 +26,7 @@
             }
             if endpoint.state != EndpointState::Serving {
                 let is_removed = endpoint.state == EndpointState::Removed;
-                self.close_retired(&endpoint.node, is_removed, engine);
+                self.retire(&endpoint.node, is_removed, engine);
             }
         }
         self.release_reused_addresses(now, engine);
@@ -45,8 +45,8 @@
         }
     }
 
-    /// Closes the idle connections to a node that drains or is removed.
-    fn close_retired(&mut self, node: &NodeId, is_removed: bool, engine: &mut Engine) {
+    /// Closes the idle connections to a node that drains or is removed, and records which of the two.
+    fn retire(&mut self, node: &NodeId, is_removed: bool, engine: &mut Engine) {
         self.close_idle(node, engine);
         if let Some(pool) = self.pools.get_mut(node) {
             pool.is_removed = is_removed;
@@ -54,10 +54,13 @@
     }
 
     fn remove_unlisted(&mut self, listed: &BTreeSet<&NodeId>, engine: &mut Engine) {
-        let known = self.pools.keys();
-        let unlisted: Vec<NodeId> = known.filter(|id| !listed.contains(id)).cloned().collect();
+        let known_nodes = self.pools.keys();
+        let unlisted: Vec<NodeId> = known_nodes
+            .filter(|id| !listed.contains(id))
+            .cloned()
+            .collect();
         for node in unlisted {
-            self.close_retired(&node, true, engine);
+            self.retire(&node, true, engine);
         }
     }
 
--- a/router/src/upstream/pool.rs
+++ b/router/src/upstream/pool.rs
@@ -240,6 +240,7 @@
         Ok(())
     }
 
+    /// Opens a connection for the jobs that wait at a node.
     fn open(&mut self, node: &NodeId, now: Time, engine: &mut Engine) -> io::Result<()> {
         self.connect(node, State::Connecting, now, engine)?;
         let pool = self.pools.get_mut(node).ok_or(ErrorKind::NotFound)?;
@@ -247,6 +248,7 @@
         Ok(())
     }
 
+    /// Returns the connection that has been idle longest, at any node.
     fn longest_idle(&self) -> Option<Key> {
         let connections = self.connections.iter();
         let idle = connections.filter(|(_, c)| matches!(c.state, State::Idle));
--- a/router/src/upstream/tests.rs
+++ b/router/src/upstream/tests.rs
@@ -975,11 +975,11 @@
         ..settings()
     });
     for list in 0..3 {
-        let places: Vec<u16> = (0..MAX_REMOVED_POOLS as u16)
+        let ports: Vec<u16> = (0..MAX_REMOVED_POOLS as u16)
             .map(|n| 1_024 + list * MAX_REMOVED_POOLS as u16 + n)
             .collect();
-        let names: Vec<String> = places.iter().map(|port| format!("r{port}")).collect();
-        let all = names.iter().zip(&places).map(|(name, port)| {
+        let names: Vec<String> = ports.iter().map(|port| format!("r{port}")).collect();
+        let all = names.iter().zip(&ports).map(|(name, port)| {
             (
                 &**name,
                 EndpointState::Serving,
@@ -1423,19 +1423,30 @@
 
 #[test]
 fn a_connection_that_is_ready_after_its_attempt_ended_carries_the_next_request() {
-    let waits = SECOND / 2;
-    for gone in [true, false] {
+    let timeout = SECOND / 2;
+    for client_disconnects in [true, false] {
         let node = start_node();
         let mut pools = Pools::with_nodes(&[("p", &node)]);
-        let request =
-            pools.begin_request_within("a1", WRITE, 0, if gone { CLIENT_TIMEOUT } else { waits });
+        let request = pools.begin_request_within(
+            "a1",
+            WRITE,
+            0,
+            if client_disconnects {
+                CLIENT_TIMEOUT
+            } else {
+                timeout
+            },
+        );
         let mut link = pools.accept(&node);
-        if gone {
+        if client_disconnects {
             pools.engine.client_gone(request);
         }
-        pools.advance(waits);
+        pools.advance(timeout);
         pools.advance(SECOND);
-        assert_eq!(pools.fate(request), (!gone).then_some(Fate::Rejected));
+        assert_eq!(
+            pools.fate(request),
+            (!client_disconnects).then_some(Fate::Rejected)
+        );
         // 1.5 s after the connection attempt.
         link.greet("primary").expect("the pools are there");
         pools.run_until(|pools| pools.upstream.pools["p"].idle.len() == 1);
@@ -1477,7 +1488,7 @@
 fn an_error_before_the_end_of_a_connection_counts_and_half_an_error_does_not() {
     // A node that reported that it is full and then closed has not run the request. A half error message tells nothing.
     let full = b"E\0\0\0\x17SERROR\0C53300\0Mno\0\0";
-    for (said, is_retried) in [(&full[..], true), (&full[..9], false), (ERROR, false)] {
+    for (sent_bytes, is_retried) in [(&full[..], true), (&full[..9], false), (ERROR, false)] {
         let node = start_node();
         let mut pools = Pools::with_nodes(&[("p", &node)]);
         let request = pools.begin_request("a1", WRITE, 0);
@@ -1486,7 +1497,7 @@
             link.statement().expect("a statement").as_deref(),
             Some("a1")
         );
-        link.say(said).expect("the pools are there");
+        link.say(sent_bytes).expect("the pools are there");
         pools.turn();
         assert_eq!(
             (pools.fate(request), pools.connection_counts()),
