--- a/router/tests/bad_input.rs
+++ b/router/tests/bad_input.rs
@@ -1,9 +1,9 @@
 //! Bad input at the size of a large fleet: one of 300 routers with 120 db nodes, most of which misbehave, and an agent with
 //! scripted answers. No test sleeps for a fixed time; every wait has a condition and a timeout.
 
+use plovercove_emulator::faulty_peers::{Agent, AgentReply, Node, NodeBehavior};
 use plovercove_emulator::process::{Folder, Process};
-use plovercove_emulator::rough::{Agent, Manner, Node, Says};
-use plovercove_emulator::{Caller, Fate};
+use plovercove_emulator::{RequestClient, RequestOutcome};
 use serde_json::{Value, json};
 use std::collections::HashMap;
 use std::path::Path;
@@ -57,7 +57,7 @@
     (process.expect("the router starts"), folder)
 }
 
-fn ask(client: &mut Caller, id: &str, class: &str, group: usize) -> Fate {
+fn ask(client: &mut RequestClient, id: &str, class: &str, group: usize) -> RequestOutcome {
     let statement = format!(
         "/* id={id},c={class},t=acme,d={CLIENT_TIMEOUT_MS},cluster={group} */ SELECT body FROM objects WHERE oid = '7f'"
     );
@@ -114,23 +114,23 @@
 fn every_request_has_one_answer_although_most_nodes_misbehave() {
     // At this size, a router meets every kind of misbehaving node at the same time.
     let manners = [
-        Manner::Good,
-        Manner::Refuses,
-        Manner::Closes,
-        Manner::Silent,
-        Manner::ClosesOnWork,
-        Manner::ShortReport,
-        Manner::SpoiltReport,
+        NodeBehavior::Healthy,
+        NodeBehavior::RefuseConnection,
+        NodeBehavior::CloseOnConnect,
+        NodeBehavior::Silent,
+        NodeBehavior::CloseOnStatement,
+        NodeBehavior::ShortReport,
+        NodeBehavior::MalformedReport,
     ];
     let nodes: Vec<Node> = (0..GROUPS * NODES_PER_GROUP)
         .map(|n| {
             let (group, member) = (n / NODES_PER_GROUP, n % NODES_PER_GROUP);
             // Primaries behave well except in three groups; replicas behave in all ways.
             let manner = match (group, member) {
-                (0, 0) => Manner::Refuses,
-                (1, 0) => Manner::Silent,
-                (2, 0) => Manner::ClosesOnWork,
-                (_, 0) => Manner::Good,
+                (0, 0) => NodeBehavior::RefuseConnection,
+                (1, 0) => NodeBehavior::Silent,
+                (2, 0) => NodeBehavior::CloseOnStatement,
+                (_, 0) => NodeBehavior::Healthy,
                 _ => manners[(group + member) % manners.len()],
             };
             Node::start(manner, member == 0).expect("a node")
@@ -141,12 +141,13 @@
         .enumerate()
         .map(|(n, node)| entry(n, node, n % NODES_PER_GROUP == 0, "active"))
         .collect();
-    let agent = Agent::start(vec![Says::Body(listing(42, true, &entries))]).expect("an agent");
+    let agent =
+        Agent::start(vec![AgentReply::Body(listing(42, true, &entries))]).expect("an agent");
     let (router, _folder) = start("rough-nodes", &agent, &entries);
     let (listen, started_at) = (router.listen(), Instant::now());
     let client = |n: usize| {
         std::thread::spawn(move || {
-            let mut client = Caller::new(listen);
+            let mut client = RequestClient::new(listen);
             let classes = ["search", "look", "book"];
             (0..REQUESTS_PER_CLIENT)
                 .map(|k| {
@@ -165,9 +166,12 @@
         .into_iter()
         .flat_map(|c| c.join().expect("a client"))
         .collect();
-    let count = |fate: Fate| answers.iter().filter(|(_, _, f)| *f == fate).count();
+    let count = |fate: RequestOutcome| answers.iter().filter(|(_, _, f)| *f == fate).count();
     assert_eq!(
-        (count(Fate::Unanswered), count(Fate::Foreign)),
+        (
+            count(RequestOutcome::Unanswered),
+            count(RequestOutcome::Foreign)
+        ),
         (0, 0),
         "of {}",
         answers.len()
@@ -176,16 +180,16 @@
         .iter()
         .filter(|(class, group, _)| *class == "book" && *group > 3);
     let (all, good) = writes.fold((0, 0), |n, w| {
-        (n.0 + 1, n.1 + usize::from(w.2 == Fate::Served))
+        (n.0 + 1, n.1 + usize::from(w.2 == RequestOutcome::Served))
     });
     assert!(
         good * 4 >= all * 3,
         "{good} of {all} writes to good primaries were served"
     );
     assert!(
-        count(Fate::Served) * 2 > answers.len(),
+        count(RequestOutcome::Served) * 2 > answers.len(),
         "{} served of {}",
-        count(Fate::Served),
+        count(RequestOutcome::Served),
         answers.len()
     );
     // A write runs at most once over all nodes.
@@ -224,7 +228,7 @@
     // A router depends on one agent for all its nodes. In earlier faults, a list without nodes removed them all, changes of
     // an older version reopened draining nodes, and one unknown status blocked all later lists.
     let nodes: Vec<Node> = (0..NODES_PER_GROUP)
-        .map(|n| Node::start(Manner::Good, n == 0).expect("a node"))
+        .map(|n| Node::start(NodeBehavior::Healthy, n == 0).expect("a node"))
         .collect();
     let entries = |status: &str| -> Vec<Value> {
         let state = |n| if n == 3 { status } else { "active" };
@@ -234,24 +238,24 @@
             .map(|(n, node)| entry(n, node, n == 0, state(n)))
             .collect()
     };
-    let good = |index| Says::Body(listing(index, true, &entries("active")));
+    let good = |index| AgentReply::Body(listing(index, true, &entries("active")));
     let agent = Agent::start(vec![good(42)]).expect("an agent");
     let (router, _folder) = start("rough-lists", &agent, &entries("active"));
-    let mut client = Caller::new(router.listen());
+    let mut client = RequestClient::new(router.listen());
     let mut sent = 0;
     let mut assert_serves = |when: &str| {
         for class in ["search", "look", "book"] {
             sent += 1;
             assert_eq!(
                 ask(&mut client, &format!("{sent:x}"), class, 1),
-                Fate::Served,
+                RequestOutcome::Served,
                 "{class} {when}"
             );
         }
     };
     assert_serves("at the start");
     let wait_for_warning = |cause: &str| {
-        let line = router.says(&format!("discovery: {cause}"), TEST_TIMEOUT);
+        let line = router.wait_for_line(&format!("discovery: {cause}"), TEST_TIMEOUT);
         assert!(
             line.is_some_and(|l| l.contains("the list stays as it is")),
             "{cause}: {:?}",
@@ -259,31 +263,41 @@
         );
     };
     let bad_answers = [
-        (Says::Body(listing(43, true, &[])), "the list names nobody"),
         (
-            Says::Body(listing(7, false, &entries("left"))),
+            AgentReply::Body(listing(43, true, &[])),
+            "the list names nobody",
+        ),
+        (
+            AgentReply::Body(listing(7, false, &entries("left"))),
             "changes of version 7, which is older",
         ),
-        (Says::Status(503), "the agent answered with status 503"),
-        (Says::Closes, "the agent closed the connection"),
-        (Says::Body("{\"index\":".into()), ""),
         (
-            Says::Body("{\"index\":44,\"snapshot\":true}".into()),
+            AgentReply::Status(503),
+            "the agent answered with status 503",
+        ),
+        (AgentReply::Close, "the agent closed the connection"),
+        (AgentReply::Body("{\"index\":".into()), ""),
+        (
+            AgentReply::Body("{\"index\":44,\"snapshot\":true}".into()),
             "endpoints",
         ),
         (
-            Says::Body(listing(60, false, &entries("resting"))),
+            AgentReply::Body(listing(60, false, &entries("resting"))),
             "endpoints[3].status: \"resting\" is unknown",
         ),
     ];
     let calls = bad_answers.len();
     for (n, (says, cause)) in bad_answers.into_iter().enumerate() {
-        agent.then(says);
+        agent.push_reply(says);
         wait_for_warning(cause);
         assert_serves(cause);
         // The next call gets a good answer, so that pauses stay short, and the call after it waits.
-        agent.then(good(50 + n as u64));
-        assert!(agent.called(3 + 2 * n, TEST_TIMEOUT), "{:?}", agent.calls());
+        agent.push_reply(good(50 + n as u64));
+        assert!(
+            agent.wait_for_calls(3 + 2 * n, TEST_TIMEOUT),
+            "{:?}",
+            agent.calls()
+        );
     }
     let requests_complete_list = |call: &String| call.starts_with("GET /api/targets HTTP");
     assert!(
@@ -296,9 +310,9 @@
         "after rejected lists, the complete list is requested"
     );
     // An unknown status that comes again is accepted: its node counts as draining, and the rest of the list is applied.
-    agent.then(Says::Body(listing(70, true, &entries("resting"))));
-    agent.then(Says::Body(listing(70, true, &entries("resting"))));
-    let line = router.says("its node counts as draining", TEST_TIMEOUT);
+    agent.push_reply(AgentReply::Body(listing(70, true, &entries("resting"))));
+    agent.push_reply(AgentReply::Body(listing(70, true, &entries("resting"))));
+    let line = router.wait_for_line("its node counts as draining", TEST_TIMEOUT);
     assert!(
         line.is_some_and(|line| line.contains("\"resting\" is unknown")),
         "{:?}",
--- a/router/tests/errors.rs
+++ b/router/tests/errors.rs
@@ -2,7 +2,7 @@
 //! on the page with its text and its help, and the page must not have any other.
 
 use plovercove::Settings;
-use plovercove_emulator::page::{self, Row};
+use plovercove_emulator::error_page::{self, Row};
 use plovercove_gossip::{Keys, Rules as PeerRules};
 use plovercove_locality::{Rules as TierRules, ZoneFailover};
 use plovercove_pgwire::login::LoginError;
@@ -398,7 +398,7 @@
     produce_label_errors(&mut all);
     produce_router_errors(&mut all, &files);
     produce_operators_errors(&mut all, &files);
-    let page = page::read();
+    let page = error_page::read();
     for Produced(variant, text, help) in &all {
         let is_wrapper = WRAPPERS.contains(&variant.as_str());
         let is_of_variant = |row: &&Row| is_wrapper || row.variant == *variant;
--- a/router/tests/peers.rs
+++ b/router/tests/peers.rs
@@ -1,8 +1,8 @@
 //! Gossip between router processes: without its block nothing of it exists; faults in the block are reported; keys can be
 //! rotated while routers run; and SIGUSR1 logs the state.
 
-use plovercove_emulator::process::{Blow, Folder, Process};
-use plovercove_emulator::rough::{Agent, Says};
+use plovercove_emulator::faulty_peers::{Agent, AgentReply};
+use plovercove_emulator::process::{Folder, Process, ProcessSignal};
 use serde_json::json;
 use std::path::Path;
 use std::process::Command;
@@ -30,7 +30,7 @@
 
 fn agent() -> Agent {
     let list = json!({"index": 1, "snapshot": true, "endpoints": []}).to_string();
-    Agent::start(vec![Says::Body(list)]).expect("an agent")
+    Agent::start(vec![AgentReply::Body(list)]).expect("an agent")
 }
 
 fn start(folder: &Folder, agent: &Agent, name: &str, operators: Option<&str>) -> Process {
@@ -96,9 +96,12 @@
     let empty = start(&folder, &agent, "empty", Some("tiers = None\n"));
     let on = start(&folder, &agent, "on", Some(&peers_block(&folder, KEY, "")));
     for process in [&off, &empty, &on] {
-        assert!(process.says("serving", TEST_TIMEOUT).is_some());
+        assert!(process.wait_for_line("serving", TEST_TIMEOUT).is_some());
     }
-    assert!(agent.called(3, TEST_TIMEOUT), "all have called their agent");
+    assert!(
+        agent.wait_for_calls(3, TEST_TIMEOUT),
+        "all have called their agent"
+    );
     let count = |p: &Process| descriptors(p.id()).len();
     assert_eq!(
         (
@@ -127,7 +130,7 @@
         "with",
         Some(&(peers_block(&folder, KEY, "") + &duties_block(&["127.0.0.1:9"; 3]))),
     );
-    assert!(with.says("serving", TEST_TIMEOUT).is_some());
+    assert!(with.wait_for_line("serving", TEST_TIMEOUT).is_some());
     // The connection to the agent may not be open yet.
     let until = Instant::now() + TEST_TIMEOUT;
     while (datagram_sockets(with.id()), count(&with)) != (1, count(&on)) {
@@ -136,8 +139,12 @@
     }
     let mut on = on;
     for process in [&mut on, &mut with] {
-        process.strike(Blow::Tell);
-        assert!(process.says("gossip state", TEST_TIMEOUT).is_some());
+        process.send_signal(ProcessSignal::LogState);
+        assert!(
+            process
+                .wait_for_line("gossip state", TEST_TIMEOUT)
+                .is_some()
+        );
     }
     let logs_lease_tasks = |p: &Process| {
         p.lines()
@@ -329,7 +336,7 @@
 fn a_key_rotation_keeps_two_routers_connected() {
     // A key rotation happens one router at a time, so routers with the old and the new key must accept each other meanwhile.
     let (folder, agent) = (Folder::new("peers-keys").expect("a folder"), agent());
-    agent.then(Says::Nothing);
+    agent.push_reply(AgentReply::Silence);
     let fast = ", \"probe_ms\": 200, \"answer_ms\": 60, \"suspect_ms\": 600, \"gossip_ms\": 60, \"repair_ms\": 200, \"datagrams_per_s\": 200";
     let one = start(
         &folder,
@@ -338,7 +345,7 @@
         Some(&peers_block(&folder, KEY, fast)),
     );
     let line = one
-        .says("gossip with other routers is enabled", TEST_TIMEOUT)
+        .wait_for_line("gossip with other routers is enabled", TEST_TIMEOUT)
         .expect("gossip starts");
     let address = line
         .split("advertise=")
@@ -355,7 +362,7 @@
     let mut one = one;
     for process in [&one, &two] {
         assert!(
-            process.says("seen=2", TEST_TIMEOUT).is_some(),
+            process.wait_for_line("seen=2", TEST_TIMEOUT).is_some(),
             "{:?}",
             process.lines()
         );
@@ -375,7 +382,7 @@
                 .write(&format!("{name}.star"), &text)
                 .expect("a file");
             let before = process.lines().len();
-            process.strike(Blow::Reload);
+            process.send_signal(ProcessSignal::Reload);
             let is_applied = || {
                 process
                     .since(before)
@@ -393,7 +400,7 @@
         let before = (lone_counts(&one), lone_counts(&two));
         for process in [&mut one, &mut two] {
             let lines = process.lines().len();
-            process.strike(Blow::Tell);
+            process.send_signal(ProcessSignal::LogState);
             let until = Instant::now() + TEST_TIMEOUT;
             let is_logged = |p: &Process| {
                 p.since(lines)
@@ -419,11 +426,14 @@
             one.lines()
         );
     }
-    two.strike(Blow::Term);
+    two.send_signal(ProcessSignal::Term);
     assert!(
-        two.ended(TEST_TIMEOUT)
+        two.wait_for_exit(TEST_TIMEOUT)
             .is_some_and(|status| status.success())
     );
     // The other router sees a member that leaves as down at once.
-    assert!(one.says("a router is down", TEST_TIMEOUT).is_some());
+    assert!(
+        one.wait_for_line("a router is down", TEST_TIMEOUT)
+            .is_some()
+    );
 }
--- a/router/tests/standing.rs
+++ b/router/tests/standing.rs
@@ -5,9 +5,9 @@
 #[allow(dead_code, reason = "each test file uses a part of it")]
 mod standing_fleet;
 
-use plovercove_emulator::process::{Blow, Process};
-use plovercove_emulator::rough::{Agent, Manner, Node, Says};
-use plovercove_emulator::{Caller, Fate};
+use plovercove_emulator::faulty_peers::{Agent, AgentReply, Node, NodeBehavior};
+use plovercove_emulator::process::{Process, ProcessSignal};
+use plovercove_emulator::{RequestClient, RequestOutcome};
 use standing_fleet::{
     MAX_DEADLINE, Start, TEST_TIMEOUT, ask, group, listing, statement, with_status,
 };
@@ -141,17 +141,17 @@
 /// outlive it.
 fn start_serving(
     name: &str,
-    manners: [Manner; 3],
+    manners: [NodeBehavior; 3],
     sockets: u32,
 ) -> (Process, Vec<Node>, Agent, impl Sized) {
     let (nodes, entries) = group(manners);
-    let agent = Agent::start(vec![Says::Body(listing(42, &entries))]).expect("an agent");
+    let agent = Agent::start(vec![AgentReply::Body(listing(42, &entries))]).expect("an agent");
     let (router, folder) = Start {
         sockets,
         ..Start::with_agent(name, &agent, &entries)
     }
     .run();
-    assert!(agent.called(2, TEST_TIMEOUT), "the list is applied");
+    assert!(agent.wait_for_calls(2, TEST_TIMEOUT), "the list is applied");
     (router, nodes, agent, folder)
 }
 
@@ -160,7 +160,7 @@
     // Clients send requests on every open connection until SIGKILL, and each request that a node has received must be
     // answered.
     let (mut router, nodes, _agent, _folder) =
-        start_serving("standing-restart", [Manner::Slow; 3], 512);
+        start_serving("standing-restart", [NodeBehavior::Slow; 3], 512);
     let listen = router.listen();
     // Half of the clients have one request pending at a time, the others have two.
     let clients: Vec<_> = (0..12)
@@ -172,22 +172,22 @@
         std::thread::sleep(Duration::from_millis(5));
     }
     let term = Instant::now();
-    router.strike(Blow::Term);
+    router.send_signal(ProcessSignal::Term);
     let mut new_clients = 0;
     while term.elapsed() < NEW_CONNECTIONS_AFTER_TERM {
         new_clients += 1;
         let id = format!("f{new_clients:06x}");
         assert_eq!(
-            ask(&mut Caller::new(listen), &id, "look"),
-            Fate::Served,
+            ask(&mut RequestClient::new(listen), &id, "look"),
+            RequestOutcome::Served,
             "at {:?}",
             term.elapsed()
         );
     }
     assert!(new_clients >= 2, "{new_clients} new connections");
     let kill = term + MAX_DEADLINE + KILL_MARGIN;
-    router.ended(kill.saturating_duration_since(Instant::now()));
-    router.strike(Blow::Kill);
+    router.wait_for_exit(kill.saturating_duration_since(Instant::now()));
+    router.send_signal(ProcessSignal::Kill);
     let seen: Vec<ClientLog> = clients
         .into_iter()
         .map(|c| c.join().expect("a client"))
@@ -221,7 +221,7 @@
 fn a_client_that_connects_just_before_the_listener_closes_is_answered() {
     // Otherwise a connection that was accepted last would be closed without an answer while its request is in transit.
     let (mut router, _nodes, _agent, _folder) =
-        start_serving("standing-late-comer", [Manner::Good; 3], 512);
+        start_serving("standing-late-comer", [NodeBehavior::Healthy; 3], 512);
     let listen = router.listen();
     let (mut silent, mut greeted) = (
         RawClient::connect(listen).expect("up"),
@@ -229,7 +229,7 @@
     );
     greeted.send_startup().expect("it reads");
     assert_eq!(greeted.read_outcome(), Outcome::Ready);
-    router.strike(Blow::Term);
+    router.send_signal(ProcessSignal::Term);
     let until = Instant::now() + TEST_TIMEOUT;
     // Once connections are refused, the router has accepted all earlier ones.
     while TcpStream::connect(listen).is_ok() {
@@ -251,7 +251,7 @@
     assert_eq!(greeted.read_outcome(), Outcome::Row);
     assert!(
         router
-            .ended(TEST_TIMEOUT)
+            .wait_for_exit(TEST_TIMEOUT)
             .is_some_and(|status| status.success())
     );
 }
@@ -259,7 +259,7 @@
 #[test]
 fn a_silent_client_gets_an_error_before_it_is_closed_and_does_not_delay_the_exit() {
     let (mut router, _nodes, _agent, _folder) =
-        start_serving("standing-mute", [Manner::Good; 3], 512);
+        start_serving("standing-mute", [NodeBehavior::Healthy; 3], 512);
     let mut silent_client = RawClient::connect(router.listen()).expect("up");
     // A client that has been served before, and has started a message that it never completes.
     let mut half = RawClient::connect(router.listen()).expect("up");
@@ -276,11 +276,11 @@
         "the silent client has been accepted before"
     );
     let term = Instant::now();
-    router.strike(Blow::Term);
+    router.send_signal(ProcessSignal::Term);
     assert_eq!(silent_client.read_outcome(), Outcome::Error("53300".into()));
     assert!(
         router
-            .ended(TEST_TIMEOUT)
+            .wait_for_exit(TEST_TIMEOUT)
             .is_some_and(|status| status.success())
     );
     assert!(
@@ -297,7 +297,7 @@
     // silent clients come first. The requests are writes that have been sent; reads would use up their attempts within the
     // 300 ms that the silent clients are given, and would free their connections.
     let (router, _nodes, _agent, _folder) =
-        start_serving("standing-places", [Manner::HoldsWork; 3], 64);
+        start_serving("standing-places", [NodeBehavior::HangOnStatement; 3], 64);
     let listen = router.listen();
     let mut accepted_clients = Vec::new();
     // The limit is reached once a new client is rejected.
@@ -347,7 +347,8 @@
 #[test]
 fn many_simultaneous_clients_are_all_answered() {
     // Clients that have not sent anything yet are evicted for new ones, and must not be closed without an answer.
-    let (router, _nodes, _agent, _folder) = start_serving("standing-crowd", [Manner::Good; 3], 64);
+    let (router, _nodes, _agent, _folder) =
+        start_serving("standing-crowd", [NodeBehavior::Healthy; 3], 64);
     let listen = router.listen();
     let mut crowd: Vec<RawClient> = (0..80)
         .map(|_| RawClient::connect(listen).expect("up"))
@@ -372,18 +373,22 @@
 fn a_request_that_was_never_sent_is_rejected_and_not_failed() {
     // A failure means that the outcome is unknown, and the client must not retry a write. A request that was never sent must
     // be rejected instead.
-    for (n, primary) in [Manner::Refuses, Manner::Closes, Manner::Silent]
-        .into_iter()
-        .enumerate()
+    for (n, primary) in [
+        NodeBehavior::RefuseConnection,
+        NodeBehavior::CloseOnConnect,
+        NodeBehavior::Silent,
+    ]
+    .into_iter()
+    .enumerate()
     {
         let name = format!("standing-unsent-{n}");
         let (router, nodes, _agent, _folder) = start_serving(&name, [primary; 3], 512);
-        let mut client = Caller::new(router.listen());
+        let mut client = RequestClient::new(router.listen());
         for k in 0..4 {
             let fate = ask(&mut client, &format!("e{k}"), "book");
             assert_eq!(
                 fate,
-                Fate::Refused,
+                RequestOutcome::Refused,
                 "a write to nodes that are all {primary:?}"
             );
         }
@@ -398,23 +403,23 @@
 
 #[test]
 fn the_router_becomes_ready_whatever_discovery_does_at_the_start() {
-    let (_nodes, entries) = group([Manner::Good; 3]);
+    let (_nodes, entries) = group([NodeBehavior::Healthy; 3]);
     let complete_list = listing(42, &entries);
     let starts = [
-        ("nothing", Some(Says::Nothing)),
-        ("closes", Some(Says::Closes)),
+        ("nothing", Some(AgentReply::Silence)),
+        ("closes", Some(AgentReply::Close)),
         ("refused", None),
-        ("503", Some(Says::Status(503))),
+        ("503", Some(AgentReply::Status(503))),
         (
             "garbage",
-            Some(Says::Body("\u{0}\u{1}]]{\"index\":".into())),
+            Some(AgentReply::Body("\u{0}\u{1}]]{\"index\":".into())),
         ),
-        ("other", Some(Says::Body("[1, 2, 3]".into()))),
-        ("nobody", Some(Says::Body(listing(42, &[])))),
-        ("half", Some(Says::Half(complete_list.clone()))),
-        ("head", Some(Says::Part(complete_list, 17))),
+        ("other", Some(AgentReply::Body("[1, 2, 3]".into()))),
+        ("nobody", Some(AgentReply::Body(listing(42, &[])))),
+        ("half", Some(AgentReply::FirstHalf(complete_list.clone()))),
+        ("head", Some(AgentReply::FirstBytes(complete_list, 17))),
     ];
-    let one = |(name, says): (&str, Option<Says>)| {
+    let one = |(name, says): (&str, Option<AgentReply>)| {
         for known in [&entries[..], &[]] {
             let agent = Agent::start(says.iter().cloned().collect()).expect("an agent");
             let free_address = TcpListener::bind("127.0.0.1:0")
@@ -430,10 +435,10 @@
             let (router, _folder) = start.run();
             assert!(is_ready(router.listen()), "{name}");
             if !known.is_empty() {
-                let fate = ask(&mut Caller::new(router.listen()), "a7", "look");
+                let fate = ask(&mut RequestClient::new(router.listen()), "a7", "look");
                 assert_eq!(
                     fate,
-                    Fate::Served,
+                    RequestOutcome::Served,
                     "{name}: the remembered list is enough to serve"
                 );
             }
@@ -463,32 +468,40 @@
 
 #[test]
 fn lists_with_white_space_are_accepted() {
-    let (nodes, entries) = group([Manner::Good; 3]);
+    let (nodes, entries) = group([NodeBehavior::Healthy; 3]);
     let changes = |index, entries: &[serde_json::Value]| {
         indented(&listing(index, entries)).replace("true", "false")
     };
-    let agent = Agent::start(vec![Says::Body(indented(&listing(42, &entries)))]).expect("an agent");
+    let agent =
+        Agent::start(vec![AgentReply::Body(indented(&listing(42, &entries)))]).expect("an agent");
     let (router, _folder) = Start::with_agent("standing-indented", &agent, &[]).run();
-    assert!(agent.called(2, TEST_TIMEOUT), "{:?}", router.lines());
-    let mut client = Caller::new(router.listen());
+    assert!(
+        agent.wait_for_calls(2, TEST_TIMEOUT),
+        "{:?}",
+        router.lines()
+    );
+    let mut client = RequestClient::new(router.listen());
     assert_eq!(
         ask(&mut client, "a1", "look"),
-        Fate::Served,
+        RequestOutcome::Served,
         "{:?}",
         router.lines()
     );
-    agent.then(Says::Body(changes(
+    agent.push_reply(AgentReply::Body(changes(
         43,
         &with_status(&entries, 1, "left")[1..2],
     )));
     assert!(
-        agent.called(3, TEST_TIMEOUT) && agent.calls()[2].contains("after=43"),
+        agent.wait_for_calls(3, TEST_TIMEOUT) && agent.calls()[2].contains("after=43"),
         "{:?}",
         router.lines()
     );
     let before = nodes[1].ran().len();
     for n in 0..20 {
-        assert_eq!(ask(&mut client, &format!("b{n:x}"), "look"), Fate::Served);
+        assert_eq!(
+            ask(&mut client, &format!("b{n:x}"), "look"),
+            RequestOutcome::Served
+        );
     }
     assert_eq!(
         nodes[1].ran().len(),
@@ -505,10 +518,13 @@
 /// Sends enough requests that each node in use gets some. Asserts that this node, whose removal or draining the router has
 /// applied, gets none.
 fn assert_gets_no_requests(router: &Process, node: &Node) {
-    let mut client = Caller::new(router.listen());
+    let mut client = RequestClient::new(router.listen());
     let before = node.ran().len();
     for n in 0..40 {
-        assert_eq!(ask(&mut client, &format!("f{n:04x}"), "look"), Fate::Served);
+        assert_eq!(
+            ask(&mut client, &format!("f{n:04x}"), "look"),
+            RequestOutcome::Served
+        );
     }
     assert_eq!(
         node.ran().len(),
@@ -520,9 +536,9 @@
 #[test]
 fn a_new_process_calls_discovery_at_once_and_applies_its_list() {
     // A router is expected to know the agent's list from its start, whatever the remembered list says.
-    let (nodes, entries) = group([Manner::Good; 3]);
+    let (nodes, entries) = group([NodeBehavior::Healthy; 3]);
     for pushed in [false, true] {
-        let agent = Agent::start(vec![Says::Body(listing(
+        let agent = Agent::start(vec![AgentReply::Body(listing(
             42,
             &with_status(&entries, 2, "left"),
         ))])
@@ -534,7 +550,11 @@
             ..Start::with_agent(&name, &agent, &entries)
         }
         .run();
-        assert!(agent.called(2, TEST_TIMEOUT), "{:?}", router.lines());
+        assert!(
+            agent.wait_for_calls(2, TEST_TIMEOUT),
+            "{:?}",
+            router.lines()
+        );
         let first_call_after = agent.times()[0].0 - started_at;
         assert!(
             first_call_after < Duration::from_secs(2),
@@ -547,11 +567,14 @@
 #[test]
 fn a_change_while_no_watch_was_open_is_requested_at_once() {
     // With pushed lists, a router is expected to know a change at once, even if no watch was open.
-    let (nodes, entries) = group([Manner::Good; 3]);
+    let (nodes, entries) = group([NodeBehavior::Healthy; 3]);
     for pushed in [false, true] {
-        let agent =
-            Agent::start(vec![Says::Body(listing(42, &entries)), Says::Closes]).expect("an agent");
-        agent.then(Says::Body(listing(
+        let agent = Agent::start(vec![
+            AgentReply::Body(listing(42, &entries)),
+            AgentReply::Close,
+        ])
+        .expect("an agent");
+        agent.push_reply(AgentReply::Body(listing(
             43,
             &with_status(&entries, 2, "leaving"),
         )));
@@ -561,7 +584,11 @@
             ..Start::with_agent(&name, &agent, &entries)
         }
         .run();
-        assert!(agent.called(4, TEST_TIMEOUT), "{:?}", router.lines());
+        assert!(
+            agent.wait_for_calls(4, TEST_TIMEOUT),
+            "{:?}",
+            router.lines()
+        );
         let times = agent.times();
         let pause = times[2].0 - times[1].1.expect("it closed");
         assert!(
@@ -574,23 +601,27 @@
 
 #[test]
 fn the_list_of_a_new_agent_is_applied_within_four_seconds() {
-    let (nodes, entries) = group([Manner::Good; 3]);
-    let agent = Agent::start(vec![Says::Body(listing(42, &entries))]).expect("an agent");
+    let (nodes, entries) = group([NodeBehavior::Healthy; 3]);
+    let agent = Agent::start(vec![AgentReply::Body(listing(42, &entries))]).expect("an agent");
     // The new agent counts its versions from a lower number.
-    let next = Agent::start(vec![Says::Body(listing(
+    let next = Agent::start(vec![AgentReply::Body(listing(
         3,
         &with_status(&entries, 2, "leaving"),
     ))])
     .expect("an agent");
     let start = Start::with_agent("standing-moved", &agent, &entries);
     let (mut router, folder) = start.run();
-    assert!(agent.called(2, TEST_TIMEOUT), "{:?}", router.lines());
+    assert!(
+        agent.wait_for_calls(2, TEST_TIMEOUT),
+        "{:?}",
+        router.lines()
+    );
     folder
         .write("config.json", &start.config(&next.address().to_string()))
         .expect("a file");
     let reloaded_at = Instant::now();
-    router.strike(Blow::Reload);
-    assert!(next.called(2, TEST_TIMEOUT), "{:?}", router.lines());
+    router.send_signal(ProcessSignal::Reload);
+    assert!(next.wait_for_calls(2, TEST_TIMEOUT), "{:?}", router.lines());
     let applied_at = next.times()[1].0;
     assert!(
         applied_at - reloaded_at < Duration::from_secs(4),
--- a/router/tests/standing_sequences.rs
+++ b/router/tests/standing_sequences.rs
@@ -5,9 +5,9 @@
 #[allow(dead_code, reason = "each test file uses a part of it")]
 mod standing_fleet;
 
-use plovercove_emulator::process::{Blow, Folder, Process};
-use plovercove_emulator::rough::{Agent, Manner, Node, Says};
-use plovercove_emulator::{Caller, Fate};
+use plovercove_emulator::faulty_peers::{Agent, AgentReply, Node, NodeBehavior};
+use plovercove_emulator::process::{Folder, Process, ProcessSignal};
+use plovercove_emulator::{RequestClient, RequestOutcome};
 use serde_json::Value;
 use standing_fleet::{DRAIN_GRACE_US, Start, TEST_TIMEOUT, ask, group, listing, with_status};
 use std::path::Path;
@@ -28,7 +28,7 @@
 /// A client that sends requests all the time.
 struct RequestLoop {
     stop: Arc<AtomicBool>,
-    thread: JoinHandle<Vec<(String, Instant, Fate)>>,
+    thread: JoinHandle<Vec<(String, Instant, RequestOutcome)>>,
 }
 
 impl RequestLoop {
@@ -37,7 +37,7 @@
         let is_stopping = Arc::clone(&stop);
         let thread = std::thread::spawn(move || {
             let (mut client, mut sent, mut remaining) =
-                (Caller::new(listen), Vec::new(), REQUESTS_AFTER_LIST);
+                (RequestClient::new(listen), Vec::new(), REQUESTS_AFTER_LIST);
             while remaining > 0 {
                 remaining -= usize::from(is_stopping.load(Ordering::SeqCst));
                 let (id, sent_at) = (format!("a{:06x}", sent.len()), Instant::now());
@@ -62,7 +62,7 @@
             .count();
         let served = sent
             .iter()
-            .filter(|(_, _, fate)| *fate == Fate::Served)
+            .filter(|(_, _, fate)| *fate == RequestOutcome::Served)
             .count();
         let after = sent
             .iter()
@@ -98,8 +98,8 @@
 
 impl Scene {
     fn new(name: &str, pushed: bool) -> Self {
-        let (nodes, entries) = group([Manner::Good; 3]);
-        let agent = Agent::start(vec![Says::Body(listing(42, &entries))]).expect("an agent");
+        let (nodes, entries) = group([NodeBehavior::Healthy; 3]);
+        let agent = Agent::start(vec![AgentReply::Body(listing(42, &entries))]).expect("an agent");
         let start = Start {
             pushed,
             ..Start::with_agent(name, &agent, &entries)
@@ -130,7 +130,7 @@
     }
 
     fn called(&self, times: usize) {
-        let called = self.agent.called(times, TEST_TIMEOUT);
+        let called = self.agent.wait_for_calls(times, TEST_TIMEOUT);
         assert!(
             called,
             "{:?}: {:?}",
@@ -188,12 +188,12 @@
 /// The open watch falls silent, and right after that a db node begins to drain.
 fn run_silent_watch(name: &str, pushed: bool) {
     let scene = Scene::new(name, pushed);
-    scene.agent.then(Says::Nothing);
+    scene.agent.push_reply(AgentReply::Silence);
     until("the watch falls silent", || {
         scene.agent.times()[1].1.is_some()
     });
     let available_at = Instant::now();
-    scene.agent.then(Says::Body(scene.leaving(90)));
+    scene.agent.push_reply(AgentReply::Body(scene.leaving(90)));
     scene.assert_applied(available_at);
 }
 
@@ -211,17 +211,19 @@
 /// after that.
 fn run_reset_watch(name: &str, pushed: bool) {
     let scene = Scene::new(name, pushed);
-    scene.agent.then(Says::Breaks);
+    scene.agent.push_reply(AgentReply::Reset);
     scene.called(3);
     let available_at = Instant::now();
-    scene.agent.then(Says::Resets(scene.leaving(60)));
+    scene
+        .agent
+        .push_reply(AgentReply::BodyThenReset(scene.leaving(60)));
     scene.called(4);
     assert!(
         !scene.agent.calls()[3].contains("after=60"),
         "an answer that ends in a reset is not complete: {:?}",
         scene.agent.calls()
     );
-    scene.agent.then(Says::Body(scene.leaving(90)));
+    scene.agent.push_reply(AgentReply::Body(scene.leaving(90)));
     scene.assert_applied(available_at);
 }
 
@@ -239,7 +241,7 @@
 /// and another one by the list of a new agent after a reload.
 fn run_discovery_down(name: &str, pushed: bool) {
     let mut scene = Scene::new(name, pushed);
-    scene.agent.goes_down();
+    scene.agent.go_down();
     let failed_calls = |router: &Process| {
         router
             .lines()
@@ -248,8 +250,8 @@
             .count()
     };
     until("calls fail", || failed_calls(&scene.router) >= 4);
-    scene.agent.then(Says::Body(scene.leaving(90)));
-    scene.agent.returns();
+    scene.agent.push_reply(AgentReply::Body(scene.leaving(90)));
+    scene.agent.come_back();
     let available_at = Instant::now();
     let applied_at = scene.applied_at(&scene.agent, 90);
     let within = if pushed {
@@ -275,7 +277,7 @@
         7,
         &with_status(&with_status(&scene.entries, 2, "left"), 1, "leaving"),
     );
-    let next = Agent::start(vec![Says::Body(second_list)]).expect("an agent");
+    let next = Agent::start(vec![AgentReply::Body(second_list)]).expect("an agent");
     let start = Start {
         pushed,
         ..Start::with_agent(name, &scene.agent, &scene.entries)
@@ -285,7 +287,7 @@
         .write("config.json", &start.config(&next.address().to_string()))
         .expect("a file");
     let reloaded_at = Instant::now();
-    scene.router.strike(Blow::Reload);
+    scene.router.send_signal(ProcessSignal::Reload);
     let moved_at = scene.applied_at(&next, 7);
     println!(
         "applied after {:?} of {NEW_AGENT_BOUND:?}",
--- a/router/tests/standing_watch.rs
+++ b/router/tests/standing_watch.rs
@@ -6,9 +6,9 @@
 #[allow(dead_code, reason = "each test file uses a part of it")]
 mod standing_fleet;
 
-use plovercove_emulator::process::Blow;
-use plovercove_emulator::rough::{Agent, Manner, Node, Says};
-use plovercove_emulator::{Caller, Fate};
+use plovercove_emulator::faulty_peers::{Agent, AgentReply, Node, NodeBehavior};
+use plovercove_emulator::process::ProcessSignal;
+use plovercove_emulator::{RequestClient, RequestOutcome};
 use serde_json::{Value, json};
 use standing_fleet::{
     DRAIN_GRACE_US, Start, TEST_TIMEOUT, ask, entry, group, listing, with_status,
@@ -45,13 +45,13 @@
 
 /// Runs an agent with this script, whose last step is silence, and with a new list after it. Asserts that each call comes in
 /// time and that the new list is applied.
-fn check_silence(name: &str, script: fn(&[Value]) -> Vec<Says>, pushed: bool) {
-    let (_nodes, entries) = group([Manner::Good; 3]);
+fn check_silence(name: &str, script: fn(&[Value]) -> Vec<AgentReply>, pushed: bool) {
+    let (_nodes, entries) = group([NodeBehavior::Healthy; 3]);
     let script = script(&entries);
     let silent = script.len() - 1;
     let closed: Vec<bool> = script
         .iter()
-        .map(|says| matches!(says, Says::Closes | Says::Status(_)))
+        .map(|says| matches!(says, AgentReply::Close | AgentReply::Status(_)))
         .collect();
     let agent = Agent::start(script).expect("an agent");
     let (router, _folder) = Start {
@@ -61,14 +61,14 @@
     .run();
     let called = |times| {
         assert!(
-            agent.called(times, TEST_TIMEOUT),
+            agent.wait_for_calls(times, TEST_TIMEOUT),
             "{:?}: {:?}",
             agent.calls(),
             router.lines()
         )
     };
     called(silent + 1);
-    agent.then(Says::Body(listing(
+    agent.push_reply(AgentReply::Body(listing(
         90,
         &with_status(&entries, 2, "leaving"),
     )));
@@ -92,8 +92,8 @@
     );
 }
 
-fn list(entries: &[Value]) -> Says {
-    Says::Body(listing(42, entries))
+fn list(entries: &[Value]) -> AgentReply {
+    AgentReply::Body(listing(42, entries))
 }
 
 macro_rules! check_silences {
@@ -118,43 +118,43 @@
 
 check_silences! {
     #[doc = "One silence."]
-    before_the_first_answer: |_| vec![Says::Nothing],
+    before_the_first_answer: |_| vec![AgentReply::Silence],
     #[doc = "One silence."]
-    between_two_calls: |all| vec![list(all), Says::Nothing],
+    between_two_calls: |all| vec![list(all), AgentReply::Silence],
     #[doc = "One silence."]
-    in_the_head: |all| vec![list(all), Says::Part(listing(43, all), 20)],
+    in_the_head: |all| vec![list(all), AgentReply::FirstBytes(listing(43, all), 20)],
     #[doc = "One silence."]
-    after_the_head: |all| vec![list(all), Says::Part(listing(43, all), 41)],
+    after_the_head: |all| vec![list(all), AgentReply::FirstBytes(listing(43, all), 41)],
     #[doc = "One silence."]
-    in_the_middle_of_a_body: |all| vec![list(all), Says::Half(listing(43, all))],
+    in_the_middle_of_a_body: |all| vec![list(all), AgentReply::FirstHalf(listing(43, all))],
     #[doc = "One silence."]
-    after_a_failure: |all| vec![list(all), Says::Closes, Says::Nothing],
+    after_a_failure: |all| vec![list(all), AgentReply::Close, AgentReply::Silence],
     #[doc = "Failures or silences in a row."]
-    after_a_failed_start: |_| vec![Says::Status(503), Says::Nothing],
+    after_a_failed_start: |_| vec![AgentReply::Status(503), AgentReply::Silence],
     #[doc = "Failures or silences in a row."]
     while_failures_go_on: |all| {
-        vec![list(all), Says::Closes, Says::Status(503), Says::Closes, Says::Status(503), Says::Nothing]
+        vec![list(all), AgentReply::Close, AgentReply::Status(503), AgentReply::Close, AgentReply::Status(503), AgentReply::Silence]
     },
     #[doc = "Failures or silences in a row."]
-    again_and_again: |all| vec![list(all), Says::Nothing, Says::Half(listing(43, all)), Says::Nothing],
+    again_and_again: |all| vec![list(all), AgentReply::Silence, AgentReply::FirstHalf(listing(43, all)), AgentReply::Silence],
 }
 
 /// Reloads a configuration with a new agent that answers its first call in this way. Asserts that the second call comes in
 /// time: a router is expected to know the new agent's list 4 s after SIGHUP even if the first call is lost.
-fn check_new_agent(name: &str, first_answer: Says) {
-    let (_nodes, entries) = group([Manner::Good; 3]);
+fn check_new_agent(name: &str, first_answer: AgentReply) {
+    let (_nodes, entries) = group([NodeBehavior::Healthy; 3]);
     let agent = Agent::start(vec![list(&entries)]).expect("an agent");
     let next = Agent::start(vec![first_answer]).expect("an agent");
     let start = Start::with_agent(name, &agent, &entries);
     let (mut router, folder) = start.run();
-    assert!(agent.called(2, TEST_TIMEOUT), "it watches");
+    assert!(agent.wait_for_calls(2, TEST_TIMEOUT), "it watches");
     folder
         .write("config.json", &start.config(&next.address().to_string()))
         .expect("a file");
     let reloaded_at = Instant::now();
-    router.strike(Blow::Reload);
-    next.then(list(&entries));
-    assert!(next.called(2, TEST_TIMEOUT), "{:?}", router.lines());
+    router.send_signal(ProcessSignal::Reload);
+    next.push_reply(list(&entries));
+    assert!(next.wait_for_calls(2, TEST_TIMEOUT), "{:?}", router.lines());
     let duration = next.times()[1].0 - reloaded_at;
     assert!(
         duration < NEW_AGENT_BOUND - MARGIN,
@@ -164,12 +164,12 @@
 
 #[test]
 fn an_unanswered_first_call_after_sighup_is_repeated_in_time() {
-    check_new_agent("watch-moved-silent", Says::Nothing);
+    check_new_agent("watch-moved-silent", AgentReply::Silence);
 }
 
 #[test]
 fn a_rejected_first_call_after_sighup_is_repeated_in_time() {
-    check_new_agent("watch-moved-closed", Says::Closes);
+    check_new_agent("watch-moved-closed", AgentReply::Close);
 }
 
 /// With pushed lists, the bound starts as soon as the agent has a list, and is the grace period of draining nodes.
@@ -177,12 +177,16 @@
 
 /// Runs an agent with this script and with a new list after it. Asserts that the call after the script comes within this
 /// time after the agent's last answer, and that the list is applied. Returns the calls.
-fn check_next_call(name: &str, script: fn(&[Value]) -> Vec<Says>, within: Duration) -> Vec<String> {
-    let (_nodes, entries) = group([Manner::Good; 3]);
+fn check_next_call(
+    name: &str,
+    script: fn(&[Value]) -> Vec<AgentReply>,
+    within: Duration,
+) -> Vec<String> {
+    let (_nodes, entries) = group([NodeBehavior::Healthy; 3]);
     let script = script(&entries);
     let last = script.len() - 1;
     let agent = Agent::start(script).expect("an agent");
-    agent.then(Says::Body(listing(
+    agent.push_reply(AgentReply::Body(listing(
         90,
         &with_status(&entries, 2, "leaving"),
     )));
@@ -192,7 +196,7 @@
     }
     .run();
     assert!(
-        agent.called(last + 3, TEST_TIMEOUT),
+        agent.wait_for_calls(last + 3, TEST_TIMEOUT),
         "{:?}: {:?}",
         agent.calls(),
         router.lines()
@@ -214,11 +218,11 @@
 fn after_repeated_failures_a_pushed_list_is_requested_within_a_part_of_the_grace_period() {
     let script = |all: &[Value]| {
         let failures = [
-            Says::Closes,
-            Says::Status(503),
-            Says::Closes,
-            Says::Status(503),
-            Says::Closes,
+            AgentReply::Close,
+            AgentReply::Status(503),
+            AgentReply::Close,
+            AgentReply::Status(503),
+            AgentReply::Close,
         ];
         std::iter::once(list(all)).chain(failures).collect()
     };
@@ -229,7 +233,7 @@
 fn a_silent_agent_of_pushed_lists_is_called_again_within_the_grace_period() {
     check_next_call(
         "watch-silent-soon",
-        |all| vec![list(all), Says::Nothing],
+        |all| vec![list(all), AgentReply::Silence],
         PUSHED_LIST_BOUND,
     );
 }
@@ -247,14 +251,14 @@
         }),
         ("cut", |all| listing(43, all)[..90].to_string()),
     ] {
-        let (_nodes, entries) = group([Manner::Good; 3]);
-        let agent =
-            Agent::start(vec![list(&entries), Says::Body(invalid(&entries))]).expect("an agent");
-        agent.then(Says::Body(listing(90, &entries)));
+        let (_nodes, entries) = group([NodeBehavior::Healthy; 3]);
+        let agent = Agent::start(vec![list(&entries), AgentReply::Body(invalid(&entries))])
+            .expect("an agent");
+        agent.push_reply(AgentReply::Body(listing(90, &entries)));
         let name = format!("watch-spoilt-{name}");
         let (router, _folder) = Start::with_agent(&name, &agent, &entries).run();
         assert!(
-            agent.called(4, TEST_TIMEOUT),
+            agent.wait_for_calls(4, TEST_TIMEOUT),
             "{:?}: {:?}",
             agent.calls(),
             router.lines()
@@ -272,8 +276,8 @@
 
 #[test]
 fn an_agent_that_sends_only_invalid_lists_does_not_make_the_loop_spin() {
-    let (_nodes, entries) = group([Manner::Good; 3]);
-    let invalid = (0..12).map(|_| Says::Body("{".into()));
+    let (_nodes, entries) = group([NodeBehavior::Healthy; 3]);
+    let invalid = (0..12).map(|_| AgentReply::Body("{".into()));
     let agent = Agent::start(invalid.collect()).expect("an agent");
     let (router, _folder) = Start {
         pushed: true,
@@ -281,7 +285,7 @@
     }
     .run();
     assert!(
-        agent.called(12, TEST_TIMEOUT),
+        agent.wait_for_calls(12, TEST_TIMEOUT),
         "{:?}: {:?}",
         agent.calls(),
         router.lines()
@@ -296,23 +300,27 @@
 
 #[test]
 fn sighup_ends_a_pause_even_if_the_agent_is_unchanged() {
-    let (_nodes, entries) = group([Manner::Good; 3]);
-    let refusals = (0..4).map(|_| Says::Status(503));
+    let (_nodes, entries) = group([NodeBehavior::Healthy; 3]);
+    let refusals = (0..4).map(|_| AgentReply::Status(503));
     let agent =
         Agent::start(std::iter::once(list(&entries)).chain(refusals).collect()).expect("an agent");
     let start = Start::with_agent("watch-moved-same", &agent, &entries);
     let (mut router, _folder) = start.run();
     // After four rejected calls in a row the pause is at least 2 s.
     assert!(
-        agent.called(5, TEST_TIMEOUT),
+        agent.wait_for_calls(5, TEST_TIMEOUT),
         "{:?}: {:?}",
         agent.calls(),
         router.lines()
     );
     let rejected_at = agent.times()[4].1;
-    router.strike(Blow::Reload);
+    router.send_signal(ProcessSignal::Reload);
     let reloaded_at = Instant::now();
-    assert!(agent.called(6, TEST_TIMEOUT), "{:?}", router.lines());
+    assert!(
+        agent.wait_for_calls(6, TEST_TIMEOUT),
+        "{:?}",
+        router.lines()
+    );
     let duration = agent.times()[5].0.saturating_duration_since(reloaded_at);
     assert!(
         duration < Duration::from_millis(800),
@@ -322,12 +330,12 @@
 
 #[test]
 fn a_reset_does_not_complete_a_list_without_a_length() {
-    let (_nodes, entries) = group([Manner::Good; 3]);
+    let (_nodes, entries) = group([NodeBehavior::Healthy; 3]);
     let script = vec![
         list(&entries),
-        Says::Ends(listing(50, &entries)),
-        Says::Resets(listing(60, &entries)),
-        Says::Body(listing(70, &entries)),
+        AgentReply::BodyThenClose(listing(50, &entries)),
+        AgentReply::BodyThenReset(listing(60, &entries)),
+        AgentReply::Body(listing(70, &entries)),
     ];
     let agent = Agent::start(script).expect("an agent");
     let (router, _folder) = Start {
@@ -336,7 +344,7 @@
     }
     .run();
     assert!(
-        agent.called(5, TEST_TIMEOUT),
+        agent.wait_for_calls(5, TEST_TIMEOUT),
         "{:?}: {:?}",
         agent.calls(),
         router.lines()
@@ -355,16 +363,16 @@
 
 #[test]
 fn a_second_answer_in_one_read_is_not_the_answer_to_the_next_call() {
-    let (_nodes, entries) = group([Manner::Good; 3]);
-    let agent = Agent::start(vec![Says::Twice(
+    let (_nodes, entries) = group([NodeBehavior::Healthy; 3]);
+    let agent = Agent::start(vec![AgentReply::TwoBodies(
         listing(50, &entries),
         listing(60, &entries),
     )])
     .expect("an agent");
-    agent.then(Says::Body(listing(70, &entries)));
+    agent.push_reply(AgentReply::Body(listing(70, &entries)));
     let (router, _folder) = Start::with_agent("watch-twice", &agent, &entries).run();
     assert!(
-        agent.called(3, TEST_TIMEOUT),
+        agent.wait_for_calls(3, TEST_TIMEOUT),
         "{:?}: {:?}",
         agent.calls(),
         router.lines()
@@ -378,23 +386,29 @@
 
 #[test]
 fn a_node_that_is_missing_in_a_complete_list_gets_no_requests() {
-    let (nodes, entries) = group([Manner::Good; 3]);
-    let extra = Node::start(Manner::Good, false).expect("a node");
+    let (nodes, entries) = group([NodeBehavior::Healthy; 3]);
+    let extra = Node::start(NodeBehavior::Healthy, false).expect("a node");
     let mut with_extra = entries.clone();
     with_extra.push(entry(3, &extra, false, "active"));
-    let agent =
-        Agent::start(vec![list(&with_extra), Says::Body(listing(43, &entries))]).expect("an agent");
+    let agent = Agent::start(vec![
+        list(&with_extra),
+        AgentReply::Body(listing(43, &entries)),
+    ])
+    .expect("an agent");
     let (router, _folder) = Start::with_agent("watch-lacks", &agent, &with_extra).run();
     assert!(
-        agent.called(3, TEST_TIMEOUT),
+        agent.wait_for_calls(3, TEST_TIMEOUT),
         "{:?}: {:?}",
         agent.calls(),
         router.lines()
     );
     let before = extra.ran().len();
-    let mut client = Caller::new(router.listen());
+    let mut client = RequestClient::new(router.listen());
     for n in 0..40 {
-        assert_eq!(ask(&mut client, &format!("a{n:04x}"), "look"), Fate::Served);
+        assert_eq!(
+            ask(&mut client, &format!("a{n:04x}"), "look"),
+            RequestOutcome::Served
+        );
     }
     assert_eq!(extra.ran().len(), before, "no request is sent to it");
     assert!(nodes.iter().any(|node| !node.ran().is_empty()));
@@ -422,7 +436,7 @@
 
 #[test]
 fn the_timeout_of_a_connection_attempt_is_shorter_than_that_of_an_answer() {
-    let (_nodes, entries) = group([Manner::Good; 3]);
+    let (_nodes, entries) = group([NodeBehavior::Healthy; 3]);
     let (socket, _queued) = start_full_listener();
     let agent = socket
         .local_addr()
@@ -447,7 +461,9 @@
         let (router, _folder) = start.run();
         let ready = Instant::now();
         assert!(
-            router.says("discovery: no answer", TEST_TIMEOUT).is_some(),
+            router
+                .wait_for_line("discovery: no answer", TEST_TIMEOUT)
+                .is_some(),
             "{:?}",
             router.lines()
         );
