--- a/router/src/upstream/tests.rs
+++ b/router/src/upstream/tests.rs
@@ -246,12 +246,12 @@
             Command::Answer {
                 request, answer, ..
             } => {
-                let fate = if answer == FinalAnswer::Failed {
+                let outcome = if answer == FinalAnswer::Failed {
                     RequestOutcome::Failed
                 } else {
                     RequestOutcome::Rejected
                 };
-                self.ended.push((request, fate));
+                self.ended.push((request, outcome));
             }
         }
     }
@@ -369,7 +369,7 @@
     }
 
     /// Returns the end of a request, if it has ended. Asserts that it has ended at most once.
-    fn fate(&self, request: Key) -> Option<RequestOutcome> {
+    fn outcome(&self, request: Key) -> Option<RequestOutcome> {
         let ends: Vec<&RequestOutcome> = self
             .ended
             .iter()
@@ -377,13 +377,13 @@
             .map(|(_, f)| f)
             .collect();
         assert!(ends.len() <= 1, "{ends:?}");
-        ends.first().map(|fate| (*fate).clone())
+        ends.first().map(|outcome| (*outcome).clone())
     }
 
     /// Runs turns until a request has ended. Returns its end.
     fn run_to_end(&mut self, request: Key) -> RequestOutcome {
-        self.run_until(|pools| pools.fate(request).is_some());
-        self.fate(request).expect("just seen")
+        self.run_until(|pools| pools.outcome(request).is_some());
+        self.outcome(request).expect("just seen")
     }
 }
 
@@ -558,7 +558,7 @@
         self.link.answer("ok").expect("the pools are there");
         pools.run_until(|pools| pools.connection_counts() == (1, 0));
         if let Some(request) = request {
-            assert_eq!(pools.fate(request), Some(served("ok")));
+            assert_eq!(pools.outcome(request), Some(served("ok")));
         }
     }
 
@@ -669,12 +669,10 @@
             sent,
             "no byte of it was sent"
         );
-        assert!(
-            request.is_none_or(|request| !matches!(
-                pools.fate(request),
-                Some(RequestOutcome::Served(_))
-            ))
-        );
+        assert!(request.is_none_or(|request| !matches!(
+            pools.outcome(request),
+            Some(RequestOutcome::Served(_))
+        )));
     }
 }
 
@@ -714,7 +712,7 @@
         }
         pools.advance(CLIENT_TIMEOUT);
         assert_eq!(
-            pools.fate(request),
+            pools.outcome(request),
             Some(RequestOutcome::Rejected),
             "it never ran; applied by the upstream: {has_upstream_list}"
         );
@@ -856,7 +854,7 @@
     );
     pools.advance(CLIENT_TIMEOUT);
     assert_eq!(
-        (pools.fate(request), pools.fate(next)),
+        (pools.outcome(request), pools.outcome(next)),
         (
             Some(RequestOutcome::Rejected),
             Some(RequestOutcome::Rejected)
@@ -967,7 +965,7 @@
         pools.apply_list(false, &[rest]);
         let request = pools.begin_request("a1", WRITE, 0);
         assert_eq!(
-            (pools.fate(request), pools.connection_counts()),
+            (pools.outcome(request), pools.connection_counts()),
             (None, (1, 0)),
             "{:?}",
             pools.sent
@@ -1023,7 +1021,7 @@
     for id in ["a1", "a2", "a3"] {
         let request = pools.begin_request(id, READ, 0);
         assert_eq!(
-            (pools.fate(request), pools.connection_counts()),
+            (pools.outcome(request), pools.connection_counts()),
             (None, (links.len() + 1, links.len())),
             "{:?}",
             pools.sent
@@ -1163,7 +1161,7 @@
 /// another attempt.
 fn has_another_attempt(pools: &mut Pools, request: Key, attempts: usize) -> bool {
     for _ in 0..1_000 {
-        if pools.sent.len() > attempts || pools.fate(request).is_some() {
+        if pools.sent.len() > attempts || pools.outcome(request).is_some() {
             break;
         }
         pools.advance(10_000);
@@ -1207,7 +1205,7 @@
                 serve_on_new_connection(&mut pools, &node, "a1", request);
             } else {
                 assert_eq!(
-                    pools.fate(request),
+                    pools.outcome(request),
                     Some(RequestOutcome::Failed),
                     "nothing is promised"
                 );
@@ -1235,7 +1233,7 @@
         for _ in 0..400 {
             pools.advance(10_000);
         }
-        assert_eq!((pools.fate(request), pools.sent.len()), (None, 1));
+        assert_eq!((pools.outcome(request), pools.sent.len()), (None, 1));
         link.reset().expect("a socket");
         pools.run_until(|pools| pools.connection_counts().1 == 0);
         assert_eq!(
@@ -1244,7 +1242,7 @@
             "class {class}: {:?}",
             pools.ended
         );
-        assert_eq!(pools.fate(request), want, "class {class}");
+        assert_eq!(pools.outcome(request), want, "class {class}");
     }
 }
 
@@ -1268,9 +1266,9 @@
         "it never ran: {:?}",
         pools.ended
     );
-    assert_eq!(pools.fate(request), None);
+    assert_eq!(pools.outcome(request), None);
     pools.advance(CLIENT_TIMEOUT);
-    assert_eq!(pools.fate(request), Some(RequestOutcome::Rejected));
+    assert_eq!(pools.outcome(request), Some(RequestOutcome::Rejected));
 }
 
 #[test]
@@ -1392,7 +1390,7 @@
             First::GoneInOneTurn => None,
         };
         assert_eq!(
-            (pools.fate(request), pools.sent.len()),
+            (pools.outcome(request), pools.sent.len()),
             (want, 1),
             "{first:?}"
         );
@@ -1421,7 +1419,7 @@
         Some("a1")
     );
     for byte in ERROR {
-        if pools.fate(request).is_some() {
+        if pools.outcome(request).is_some() {
             break;
         }
         link.send(&[*byte]).expect("the pools are there");
@@ -1429,7 +1427,7 @@
         pools.advance(SECOND);
     }
     assert_eq!(
-        (pools.fate(request), pools.connection_counts()),
+        (pools.outcome(request), pools.connection_counts()),
         (Some(RequestOutcome::Failed), (0, 0))
     );
     assert!(pools.now <= NOW + CLIENT_TIMEOUT, "{}", pools.now - NOW);
@@ -1459,7 +1457,7 @@
         pools.advance(timeout);
         pools.advance(SECOND);
         assert_eq!(
-            pools.fate(request),
+            pools.outcome(request),
             (!client_disconnects).then_some(RequestOutcome::Rejected)
         );
         // 1.5 s after the connection attempt.
@@ -1493,7 +1491,7 @@
     });
     pools.settle();
     assert_eq!(
-        (pools.fate(request), pools.connection_counts()),
+        (pools.outcome(request), pools.connection_counts()),
         (Some(RequestOutcome::Rejected), (0, 0))
     );
     assert_closed(&mut link);
@@ -1515,7 +1513,7 @@
         link.send(sent_bytes).expect("the pools are there");
         pools.turn();
         assert_eq!(
-            (pools.fate(request), pools.connection_counts()),
+            (pools.outcome(request), pools.connection_counts()),
             (None, (1, 1)),
             "it may say more"
         );
@@ -1523,7 +1521,7 @@
         pools.run_until(|pools| pools.connection_counts().1 == 0);
         assert_eq!(has_another_attempt(&mut pools, request, 1), is_retried);
         assert_eq!(
-            pools.fate(request),
+            pools.outcome(request),
             (!is_retried).then_some(RequestOutcome::Failed)
         );
         assert_closed(&mut link);
@@ -1610,6 +1608,6 @@
         });
         let next = pools.begin_request("a2", WRITE, 0);
         serve_on_new_connection(&mut pools, &node, "a2", next);
-        assert_eq!(cancelled.and_then(|request| pools.fate(request)), None);
+        assert_eq!(cancelled.and_then(|request| pools.outcome(request)), None);
     }
 }
--- a/router/tests/bad_input.rs
+++ b/router/tests/bad_input.rs
@@ -97,10 +97,10 @@
 fn count_similar_lines(lines: &[String]) -> HashMap<String, usize> {
     let mut found = HashMap::new();
     for line in lines {
-        let said = line
+        let message = line
             .split_once("Z ")
-            .map_or(line.as_str(), |(_, said)| said);
-        let text: String = said
+            .map_or(line.as_str(), |(_, message)| message);
+        let text: String = message
             .chars()
             .filter(|c| !c.is_ascii_hexdigit())
             .take(40)
@@ -166,7 +166,7 @@
         .into_iter()
         .flat_map(|c| c.join().expect("a client"))
         .collect();
-    let count = |fate: RequestOutcome| answers.iter().filter(|(_, _, f)| *f == fate).count();
+    let count = |outcome: RequestOutcome| answers.iter().filter(|(_, _, f)| *f == outcome).count();
     assert_eq!(
         (
             count(RequestOutcome::Unanswered),
@@ -193,15 +193,15 @@
         answers.len()
     );
     // A write runs at most once over all nodes.
-    let mut ran: HashMap<String, usize> = HashMap::new();
+    let mut runs: HashMap<String, usize> = HashMap::new();
     for (id, times) in nodes.iter().flat_map(Node::ran) {
-        *ran.entry(id).or_default() += times;
+        *runs.entry(id).or_default() += times;
     }
     for (n, k) in (16..40)
         .flat_map(|n| (0..REQUESTS_PER_CLIENT).map(move |k| (n, k)))
         .filter(|(n, k)| (n + k) % 3 == 2)
     {
-        let times = ran.get(&format!("{n:x}{k:04x}")).copied().unwrap_or(0);
+        let times = runs.get(&format!("{n:x}{k:04x}")).copied().unwrap_or(0);
         assert!(times <= 1, "a write ran {times} times");
     }
     let (cpu_used, elapsed) = (cpu_seconds(router.id()), started_at.elapsed().as_secs_f64());
--- a/router/tests/duties.rs
+++ b/router/tests/duties.rs
@@ -282,9 +282,12 @@
                     let group = count % 2 + 1;
                     let statement =
                         format!("/* id={id},c=look,d=1000,cluster={group} */ SELECT 'k'");
-                    let fate = caller.ask(&statement, &id, Duration::from_millis(1_000));
+                    let outcome = caller.ask(&statement, &id, Duration::from_millis(1_000));
                     all.fetch_add(1, Ordering::Relaxed);
-                    served.fetch_add(u64::from(fate == RequestOutcome::Served), Ordering::Relaxed);
+                    served.fetch_add(
+                        u64::from(outcome == RequestOutcome::Served),
+                        Ordering::Relaxed,
+                    );
                     std::thread::sleep(Duration::from_millis(10));
                 }
             }));
--- a/router/tests/errors.rs
+++ b/router/tests/errors.rs
@@ -24,12 +24,12 @@
 /// A produced error: its variant, its text and its help.
 struct Produced(String, String, &'static str);
 
-fn produce<'a, E: std::fmt::Display>(owner: &str, fault: &'a E, help: &'static str) -> Produced
+fn produce<'a, E: std::fmt::Display>(prefix: &str, fault: &'a E, help: &'static str) -> Produced
 where
     &'static str: From<&'a E>,
 {
     Produced(
-        format!("{owner}::{}", <&'static str>::from(fault)),
+        format!("{prefix}::{}", <&'static str>::from(fault)),
         fault.to_string(),
         help,
     )
@@ -409,10 +409,10 @@
         );
         assert!(help.len() > 20, "{variant}: the help is too short: {help}");
     }
-    let named = |owner: &str, names: &[&str]| -> Vec<String> {
+    let named = |prefix: &str, names: &[&str]| -> Vec<String> {
         names
             .iter()
-            .map(|name| format!("{owner}::{name}"))
+            .map(|name| format!("{prefix}::{name}"))
             .collect()
     };
     let variants: BTreeSet<String> = [
--- a/router/tests/standing.rs
+++ b/router/tests/standing.rs
@@ -385,9 +385,9 @@
         let (router, nodes, _agent, _folder) = start_serving(&name, [primary; 3], 512);
         let mut client = RequestClient::new(router.listen());
         for k in 0..4 {
-            let fate = ask(&mut client, &format!("e{k}"), "book");
+            let outcome = ask(&mut client, &format!("e{k}"), "book");
             assert_eq!(
-                fate,
+                outcome,
                 RequestOutcome::Refused,
                 "a write to nodes that are all {primary:?}"
             );
@@ -420,13 +420,13 @@
         ("head", Some(AgentReply::FirstBytes(complete_list, 17))),
     ];
     let one = |(name, says): (&str, Option<AgentReply>)| {
-        for known in [&entries[..], &[]] {
+        for remembered in [&entries[..], &[]] {
             let agent = Agent::start(says.iter().cloned().collect()).expect("an agent");
             let free_address = TcpListener::bind("127.0.0.1:0")
                 .and_then(|l| l.local_addr())
                 .expect("a port");
-            let mut start = Start::with_agent("", &agent, known);
-            let folder = format!("standing-ready-{name}-{}", known.len());
+            let mut start = Start::with_agent("", &agent, remembered);
+            let folder = format!("standing-ready-{name}-{}", remembered.len());
             start.name = &folder;
             if says.is_none() {
                 start.agent = free_address.to_string();
@@ -434,10 +434,10 @@
             let started_at = Instant::now();
             let (router, _folder) = start.run();
             assert!(is_ready(router.listen()), "{name}");
-            if !known.is_empty() {
-                let fate = ask(&mut RequestClient::new(router.listen()), "a7", "look");
+            if !remembered.is_empty() {
+                let outcome = ask(&mut RequestClient::new(router.listen()), "a7", "look");
                 assert_eq!(
-                    fate,
+                    outcome,
                     RequestOutcome::Served,
                     "{name}: the remembered list is enough to serve"
                 );
--- a/router/tests/standing_fleet/mod.rs
+++ b/router/tests/standing_fleet/mod.rs
@@ -54,7 +54,7 @@
     /// The configured address of the agent.
     pub agent: String,
     /// The entries of the remembered list, which has version 41.
-    pub known: &'a [Value],
+    pub remembered: &'a [Value],
     /// Whether lists are pushed, as opposed to polled.
     pub pushed: bool,
     /// The limit on descriptors.
@@ -63,11 +63,11 @@
 
 impl<'a> Start<'a> {
     /// Returns parameters with this agent, which the router polls, and this remembered list.
-    pub fn with_agent(name: &'a str, agent: &Agent, known: &'a [Value]) -> Self {
+    pub fn with_agent(name: &'a str, agent: &Agent, remembered: &'a [Value]) -> Self {
         Start {
             name,
             agent: agent.address().to_string(),
-            known,
+            remembered,
             pushed: false,
             sockets: 512,
         }
@@ -79,7 +79,7 @@
         json!({
             "name": "n1", "listen": "127.0.0.1:0", "discovery": agent, "seed": "5",
             "limits": {"cores": 1.0, "memory_mb": 64, "sockets": self.sockets},
-            "known": {"index": 41, "snapshot": true, "endpoints": self.known},
+            "known": {"index": 41, "snapshot": true, "endpoints": self.remembered},
             "settings": {"Balancers": 1, "SlotNo": 0, "Tick": 5000,
                 "Discovery": if self.pushed { "automatic" } else { "subscribe" }, "Zone": "z",
                 "FamilyInfo": {"ClassRead": ["loose", "update"], "MaxAge": [0, 0],
--- a/router/tests/standing_sequences.rs
+++ b/router/tests/standing_sequences.rs
@@ -41,8 +41,8 @@
             while remaining > 0 {
                 remaining -= usize::from(is_stopping.load(Ordering::SeqCst));
                 let (id, sent_at) = (format!("a{:06x}", sent.len()), Instant::now());
-                let fate = ask(&mut client, &id, "look");
-                sent.push((id, sent_at, fate));
+                let outcome = ask(&mut client, &id, "look");
+                sent.push((id, sent_at, outcome));
                 std::thread::sleep(REQUEST_INTERVAL);
             }
             sent
@@ -62,7 +62,7 @@
             .count();
         let served = sent
             .iter()
-            .filter(|(_, _, fate)| *fate == RequestOutcome::Served)
+            .filter(|(_, _, outcome)| *outcome == RequestOutcome::Served)
             .count();
         let after = sent
             .iter()
@@ -123,7 +123,7 @@
         };
         scene.called(2);
         let draining_node = &scene.nodes[2];
-        until("the node that will drain gets a request", || {
+        wait_until("the node that will drain gets a request", || {
             !draining_node.ran().is_empty()
         });
         scene
@@ -172,15 +172,15 @@
     fn applied_at(&self, agent: &Agent, index: u64) -> Instant {
         let after = format!("after={index}&");
         let call_index = || agent.calls().iter().position(|call| call.contains(&after));
-        until("the list is applied", || call_index().is_some());
+        wait_until("the list is applied", || call_index().is_some());
         agent.times()[call_index().expect("just seen")].0
     }
 }
 
-fn until(what: &str, mut holds: impl FnMut() -> bool) {
+fn wait_until(condition: &str, mut holds: impl FnMut() -> bool) {
     let until = Instant::now() + TEST_TIMEOUT;
     while !holds() {
-        assert!(Instant::now() < until, "timed out: {what}");
+        assert!(Instant::now() < until, "timed out: {condition}");
         std::thread::sleep(REQUEST_INTERVAL);
     }
 }
@@ -189,7 +189,7 @@
 fn run_silent_watch(name: &str, pushed: bool) {
     let scene = Scene::new(name, pushed);
     scene.agent.push_reply(AgentReply::Silence);
-    until("the watch falls silent", || {
+    wait_until("the watch falls silent", || {
         scene.agent.times()[1].1.is_some()
     });
     let available_at = Instant::now();
@@ -249,7 +249,7 @@
             .filter(|line| line.contains("a call of discovery failed"))
             .count()
     };
-    until("calls fail", || failed_calls(&scene.router) >= 4);
+    wait_until("calls fail", || failed_calls(&scene.router) >= 4);
     scene.agent.push_reply(AgentReply::Body(scene.leaving(90)));
     scene.agent.come_back();
     let available_at = Instant::now();
@@ -269,7 +269,7 @@
         applied_at - available_at,
         scene.agent.calls()
     );
-    until("the node that will drain gets a request", || {
+    wait_until("the node that will drain gets a request", || {
         !scene.nodes[1].ran().is_empty()
     });
     // The new agent counts its versions from a lower number.
--- a/router/tests/standing_signals.rs
+++ b/router/tests/standing_signals.rs
@@ -124,7 +124,7 @@
         let start = Start {
             name: "",
             agent: agent.into(),
-            known: entries,
+            remembered: entries,
             pushed: false,
             sockets: 512,
         };
--- a/router/tests/standing_watch.rs
+++ b/router/tests/standing_watch.rs
@@ -454,7 +454,7 @@
         let start = Start {
             name: &name,
             agent: agent.clone(),
-            known: &entries,
+            remembered: &entries,
             pushed,
             sockets: 512,
         };
