--- a/src/retry.rs
+++ b/src/retry.rs
@@ -8,9 +8,9 @@
 use crate::node::Node;
 use crate::request::{Attempt, Request};
 
-/// Base of the pause before a write is sent again, which begins after the second attempt. The pause is the base doubled
-/// once for each attempt made so far: four times the base after two attempts. A dead primary refuses connections at
-/// once: without a pause all attempts would be used up long before there is a new primary.
+/// Base of the pause before the third attempt of a write and each further one. The pause is the base doubled once for
+/// each attempt made so far, so it is four times the base before the third attempt. A dead primary refuses connections
+/// at once: without a pause all attempts would be used up long before there is a new primary.
 const WRITE_BACKOFF: Micros = 50_000;
 /// Maximum number of doublings of [`WRITE_BACKOFF`].
 const MAX_WRITE_BACKOFF_DOUBLINGS: usize = 6;
