--- a/engine/src/watch_schedule.rs
+++ b/engine/src/watch_schedule.rs
@@ -119,7 +119,7 @@
     /// Records that a connection for the next call is being opened. Returns the time at which it is given up.
     pub fn begin_connection(&mut self, now: Time) -> Time {
         (self.cycle_started_at, self.is_connecting) = (now, true);
-        // Of the 5 s of a polled source this is enough for one lost SYN, which is sent again after 1 s.
+        // For a polled source a quarter of the cycle is 1.25 s, enough for one lost SYN, which is sent again after 1 s.
         now + self.cycle / 4
     }
 
--- a/leases/src/persisted.rs
+++ b/leases/src/persisted.rs
@@ -105,8 +105,9 @@
     /// Decodes a file's content for the router of this name under these settings.
     ///
     /// # Errors
-    /// The file is rejected. The router then does not vote until the operator has moved the file away: without a file, it
-    /// reads the tokens of the other voters before it votes.
+    /// The file is rejected. If it is torn or damaged, the caller goes on as if the file were lost: the voter reads the
+    /// tokens of the other voters before it votes. After any other fault the file may hold valid state. It must then not be
+    /// overwritten, and the router does not vote until the operator has moved the file away.
     pub fn decode(
         bytes: &[u8],
         rules: &Rules,
--- a/leases/src/voter.rs
+++ b/leases/src/voter.rs
@@ -460,11 +460,18 @@
         });
     }
 
-    /// Extends the leases that were running at the time `was`, after a stall of the event loop or a jump of the clock.
+    /// Extends the leases that were running at `latest_time`, the time of the last call before a stall of the
+    /// event loop or a jump of the clock.
     ///
     /// The voter cannot know whether these leases have ended in true time, so it extends them by the length of the stall or
     /// jump, and at most by the longest lease that it may have granted.
-    pub fn extend_after_stall(&mut self, rules: &Rules, was: Time, now: Time, duration: Micros) {
+    pub fn extend_after_stall(
+        &mut self,
+        rules: &Rules,
+        latest_time: Time,
+        now: Time,
+        duration: Micros,
+    ) {
         let max_lease_ms = self
             .on_disk
             .as_ref()
@@ -472,7 +479,7 @@
             .max(rules.lease_ms);
         let latest_end = now.saturating_add(rules.lease_at_voter(max_lease_ms));
         let extended = |end: Time| {
-            if now < was {
+            if now < latest_time {
                 latest_end
             } else {
                 end.saturating_add(duration).min(latest_end)
@@ -481,11 +488,11 @@
         for record in self
             .records
             .values_mut()
-            .filter(|r| r.ballot.is_running(was))
+            .filter(|r| r.ballot.is_running(latest_time))
         {
             record.ballot.until = extended(record.ballot.until);
         }
-        if self.votes_from > was {
+        if self.votes_from > latest_time {
             self.votes_from = extended(self.votes_from);
         }
         (self.started_at, self.next_query) = (self.started_at.min(now), self.next_query.min(now));
@@ -851,6 +858,7 @@
         {
             self.losses.pop_front();
         }
+        // Long after the last suspension, a lease is treated as if it had never been suspended.
         if now.saturating_sub(self.suspended_until) > 10 * window {
             self.suspensions = 0;
         }
--- a/locality/src/zone_failover.rs
+++ b/locality/src/zone_failover.rs
@@ -541,6 +541,7 @@
     fn refill_spill_allowances(&mut self, now: Time) {
         let ordinary_cost = self.ordinary_cost_s();
         let home = &self.zones[self.home];
+        // A zone with less than nine tenths of its known capacity counts as short of nodes.
         let needs_spill = home.condition != ZoneCondition::Well
             || !home.ramp.is_complete()
             || self.home_share < 1.0
@@ -941,6 +942,7 @@
         for (latency, zone) in others {
             // A zone without a measurement joins the last tier of the measured zones; in a tier behind them it would
             // get no requests and never be measured.
+            // A tier ends at one and a half times the additional latency of its first zone, plus 2 ms.
             if latency.is_finite() && latency > tier_latency * 1.5 + ms_to_us(2) as f64 {
                 (tier, tier_latency) = (tier + 1, latency);
             }
--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -208,6 +208,7 @@
         retry::is_write(&self.settings, request)
     }
 
+    /// Returns whether the request with this identifier is known and is a write.
     pub(crate) fn is_write_id(&self, id: RequestId) -> bool {
         self.requests
             .get(&id)
