--- a/emulator/src/client.rs
+++ b/emulator/src/client.rs
@@ -60,7 +60,7 @@
             Arc::new(AtomicBool::new(false)),
             Arc::new(Mutex::new(Vec::new())),
         );
-        let each = spec.rate() / routers.len() as f64 / THREADS as f64;
+        let each = spec.request_rate() / routers.len() as f64 / THREADS as f64;
         let begun = Instant::now();
         let mut threads = Vec::new();
         for (n, (zone, address)) in routers.iter().enumerate() {
@@ -69,7 +69,7 @@
                 let (zone, address) = (*zone, *address);
                 let name = (n * THREADS + thread) as u64;
                 let client = move || {
-                    let dice = plovercove_simulation::Dice::seed_from_u64(seed ^ (name << 32));
+                    let dice = plovercove_simulation::SimRng::seed_from_u64(seed ^ (name << 32));
                     let mut client = Client {
                         spec,
                         zone,
@@ -184,7 +184,7 @@
     zone: usize,
     caller: Caller,
     name: u64,
-    dice: plovercove_simulation::Dice,
+    dice: plovercove_simulation::SimRng,
     asked: u64,
 }
 
@@ -227,7 +227,7 @@
     fn ask(&mut self, class: usize) -> Fate {
         self.asked += 1;
         let id = format!("{:x}{:08x}", self.name + 16, self.asked);
-        let group = self.dice.random_range(0..self.spec.groups()) + 1;
+        let group = self.dice.random_range(0..self.spec.group_count()) + 1;
         let told = &self.spec.classes[class];
         let (name, d, t) = (
             &told.name,
--- a/emulator/src/fleet.rs
+++ b/emulator/src/fleet.rs
@@ -3,7 +3,7 @@
 use crate::agent::{Agent, Entry};
 use crate::node::Node;
 use crate::shared::Shared;
-use plovercove_simulation::node::Machine;
+use plovercove_simulation::node::NodeModel;
 use plovercove_simulation::replication::Group;
 use plovercove_simulation::{Spec, layout};
 use std::io;
@@ -41,17 +41,22 @@
     /// A socket could not be had.
     pub fn start(spec: &Spec, seed: u64) -> io::Result<Self> {
         let layout = layout(spec);
-        let rate = spec.rate() * spec.write_share() / layout.groups.len() as f64;
+        let rate = spec.request_rate() * spec.write_share() / layout.groups.len() as f64;
         let apply = (spec.replication.apply_use / rate.max(1e-9) * 1e6) as u64;
         let ship = (spec.replication.ship_ms * 1e3) as u64;
         let group =
             |(members, head): (&Vec<usize>, &usize)| Group::new(members.len(), *head, ship, apply);
-        let groups = layout.groups.iter().zip(&layout.heads).map(group).collect();
+        let groups = layout
+            .groups
+            .iter()
+            .zip(&layout.primaries)
+            .map(group)
+            .collect();
         let shared = Arc::new(Shared::new(spec.clone(), seed, groups));
         let mut nodes = Vec::new();
-        for (n, place) in layout.places.iter().enumerate() {
+        for (n, place) in layout.placements.iter().enumerate() {
             let listener = TcpListener::bind(("127.0.0.1", 0))?;
-            let machine = Machine::new(spec.node.clone(), 1.0, spec.mean_work());
+            let machine = NodeModel::new(spec.node.clone(), 1.0, spec.mean_work_s());
             let name = format!("s-{n:04}");
             let node = Arc::new(Node::new(name, *place, machine, listener.local_addr()?));
             node.serve(listener, &shared);
@@ -83,7 +88,7 @@
                 zone: self.shared.zone(node.zone).to_string(),
                 group: node.group as u64 + 1,
                 head,
-                started: inside.machine.started(),
+                started: inside.machine.started_at(),
                 draining: false,
             })
         });
@@ -100,7 +105,7 @@
             if group.primary() == Some(node.member) {
                 group.lose_primary(now);
             }
-            group.sever(node.member, now);
+            group.disconnect(node.member, now);
         }
         std::thread::sleep(LIST_LATE.0);
         self.list();
@@ -126,7 +131,7 @@
             node.start_again(&self.shared)?;
             self.shared
                 .group(node.group)
-                .rejoin(node.member, crate::now());
+                .reconnect(node.member, crate::now());
         }
         std::thread::sleep(LIST_LATE.1);
         self.list();
@@ -146,7 +151,7 @@
             fallen: self
                 .nodes
                 .iter()
-                .filter(|node| node.inside().machine.fallen())
+                .filter(|node| node.inside().machine.has_crashed())
                 .count(),
             twice,
             spilled,
--- a/emulator/src/links.rs
+++ b/emulator/src/links.rs
@@ -65,7 +65,7 @@
     real: Vec<Option<SocketAddr>>,
     weather: HashMap<(usize, usize), Weather>,
     passed: Passed,
-    dice: plovercove_simulation::Dice,
+    dice: plovercove_simulation::SimRng,
 }
 
 type Due = (Instant, u64, usize, SocketAddr, Vec<u8>);
@@ -114,7 +114,7 @@
                     sent: vec![Vec::new(); routers],
                     ..Passed::default()
                 },
-                dice: plovercove_simulation::Dice::seed_from_u64(seed),
+                dice: plovercove_simulation::SimRng::seed_from_u64(seed),
             }),
             queue: Mutex::default(),
             news: Condvar::new(),
--- a/emulator/src/node.rs
+++ b/emulator/src/node.rs
@@ -3,7 +3,7 @@
 use crate::shared::Shared;
 use crate::wire;
 use plovercove::Time;
-use plovercove_simulation::node::{Machine, Offer};
+use plovercove_simulation::node::{NodeModel, Offer};
 use std::collections::HashMap;
 use std::io::{self, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -14,7 +14,7 @@
 const WAIT: Duration = Duration::from_secs(10);
 
 pub(crate) struct Inside {
-    pub(crate) machine: Machine<u64>,
+    pub(crate) machine: NodeModel<u64>,
     /// Those whose turn has come, and until when they run.
     turns: HashMap<u64, Time>,
     tickets: u64,
@@ -45,7 +45,7 @@
     pub(crate) fn new(
         name: String,
         place: (usize, usize, usize),
-        machine: Machine<u64>,
+        machine: NodeModel<u64>,
         address: SocketAddr,
     ) -> Self {
         let (zone, group, member) = place;
@@ -93,7 +93,7 @@
     /// Its process starts again, cold, at the same address.
     pub(crate) fn start_again(self: &Arc<Self>, shared: &Arc<Shared>) -> io::Result<()> {
         let mut inside = self.inside();
-        if inside.up || inside.machine.fallen() {
+        if inside.up || inside.machine.has_crashed() {
             return Ok(());
         }
         let listener = TcpListener::bind(self.address)?;
@@ -202,13 +202,13 @@
         let ticket = inside.tickets;
         let until = match inside.machine.offer(crate::now(), ticket, work) {
             Offer::Runs(until) => until,
-            Offer::Full => return Worked::Full,
-            Offer::Falls => {
+            Offer::Rejected => return Worked::Full,
+            Offer::Crashes => {
                 drop(inside);
                 self.die();
                 return Worked::Lost;
             }
-            Offer::Waits => loop {
+            Offer::Queued => loop {
                 let (woken, late) = self
                     .turned
                     .wait_timeout(inside, WAIT)
@@ -229,7 +229,7 @@
         if inside.epoch != epoch {
             return Worked::Lost;
         }
-        if let Some((next, until)) = inside.machine.done(crate::now()) {
+        if let Some((next, until)) = inside.machine.finish_request(crate::now()) {
             inside.turns.insert(next, until);
             self.turned.notify_all();
         }
--- a/emulator/src/shared.rs
+++ b/emulator/src/shared.rs
@@ -69,7 +69,7 @@
     pub(crate) fn work(&self, class: usize, id: &str) -> f64 {
         let mut hasher = DefaultHasher::new();
         (self.seed, id).hash(&mut hasher);
-        let mut dice = plovercove_simulation::Dice::seed_from_u64(hasher.finish());
+        let mut dice = plovercove_simulation::SimRng::seed_from_u64(hasher.finish());
         let told = &self.spec.classes[class];
         let sigma2 = (1.0 + told.spread * told.spread).ln();
         let mean = (told.work_ms / 1e3).ln() - sigma2 / 2.0;
--- a/experiments/src/error.rs
+++ b/experiments/src/error.rs
@@ -1,6 +1,6 @@
 //! Why the lab does not play, and what to do.
 
-use plovercove_simulation::SpecFault;
+use plovercove_simulation::SpecError;
 use std::io;
 
 /// What is wrong with a command, a script or a trial.
@@ -8,7 +8,7 @@
 pub enum Error {
     /// A fault of the script.
     #[error(transparent)]
-    Script(#[from] plovercove_starlark_config::Fault),
+    Script(#[from] plovercove_starlark_config::ScriptError),
     /// A fault of one case of the script.
     #[error("case {case}: {fault}")]
     Case {
@@ -20,7 +20,7 @@
     },
     /// The model cannot play the case.
     #[error("the model cannot play it: {0}")]
-    Model(#[source] SpecFault),
+    Model(#[source] SpecError),
     /// The script has no such case.
     #[error("{file}: there is no case {case:?}")]
     NoCase {
--- a/experiments/src/error/tests.rs
+++ b/experiments/src/error/tests.rs
@@ -52,7 +52,7 @@
         played(drain),
         played(""),
         // What needs a broken machine or a router of another build.
-        Error::Model(SpecFault("clients.load: expected more".into())),
+        Error::Model(SpecError("clients.load: expected more".into())),
         Error::NoCase {
             file: "a.star".into(),
             case: "b".into(),
--- a/experiments/src/experiment.rs
+++ b/experiments/src/experiment.rs
@@ -85,10 +85,10 @@
             .unwrap_or_else(|| serde_json::json!(["tiers"]));
         let Value::Object(cases) = cases else {
             return Err(script
-                .fault("cases", "expected a dict of names and settings")
+                .error_at("cases", "expected a dict of names and settings")
                 .into());
         };
-        let variants = script.typed_from(variants, "variants")?;
+        let variants = script.deserialize_value(variants, "variants")?;
         let given: Vec<Value> = set.iter().map(|s| setting(s)).collect::<Result<_, _>>()?;
         let mut read = Vec::new();
         for (case, over) in cases {
@@ -98,12 +98,12 @@
                 .iter()
                 .for_each(|over| merge(&mut value, over.clone()));
             let mut spec: Spec = script
-                .typed_from(value, "")
+                .deserialize_value(value, "")
                 .map_err(|e| of_case(&case, e))?;
             spec.check().map_err(|e| {
                 let text = e.to_string();
                 let (key, why) = text.split_once(": ").unwrap_or(("", &text));
-                of_case(&case, script.fault(key, why))
+                of_case(&case, script.error_at(key, why))
             })?;
             spec.name.clone_from(&case);
             read.push((case, spec));
--- a/experiments/src/faults/draw.rs
+++ b/experiments/src/faults/draw.rs
@@ -2,14 +2,14 @@
 
 use super::{Fault, Trial, What};
 use plovercove_emulator::links::Weather;
-use plovercove_simulation::Dice;
+use plovercove_simulation::SimRng;
 use rand::{RngExt, SeedableRng};
 
 /// Drawn faults begin within so many seconds, and last from and up to so many.
 const TIMES: (f64, f64, f64) = (5.0, 0.4, 4.0);
 
 /// Some different ones of `n0` and so on.
-fn some(dice: &mut Dice, letter: char, all: usize, most: usize) -> Vec<String> {
+fn some(dice: &mut SimRng, letter: char, all: usize, most: usize) -> Vec<String> {
     let count = dice.random_range(1..=most.min(all).max(1));
     let mut names: Vec<usize> = (0..all).collect();
     for n in 0..count {
@@ -24,16 +24,16 @@
 
 /// The faults that a seed stands for.
 pub fn faults(trial: &Trial, seed: u64) -> Vec<Fault> {
-    let mut dice = Dice::seed_from_u64(seed ^ 0x5eed_fa17);
+    let mut dice = SimRng::seed_from_u64(seed ^ 0x5eed_fa17);
     let (routers, nodes) = (trial.routers().len(), trial.nodes().len());
     let peers = trial.peers.is_some();
     let mut drawn: Vec<Fault> = Vec::new();
     while drawn.len() < trial.random {
         let at = dice.random::<f64>() * TIMES.0;
         let until = at + TIMES.1 + dice.random::<f64>() * (TIMES.2 - TIMES.1);
-        let few = |dice: &mut Dice| some(dice, 'n', routers, routers / 3);
+        let few = |dice: &mut SimRng| some(dice, 'n', routers, routers / 3);
         // Replicas alone: a group whose primary dies needs another, which these stand-ins do not choose.
-        let replica = |dice: &mut Dice| loop {
+        let replica = |dice: &mut SimRng| loop {
             let n = dice.random_range(0..nodes);
             if n % trial.members != 0 {
                 return vec![format!("s{n}")];
--- a/experiments/src/faults/mod.rs
+++ b/experiments/src/faults/mod.rs
@@ -322,7 +322,7 @@
         let cases = base.remove("cases").unwrap_or_else(|| json!({ "all": {} }));
         let Value::Object(cases) = cases else {
             return Err(script
-                .fault("cases", "expected a dict of names and settings")
+                .error_at("cases", "expected a dict of names and settings")
                 .to_string());
         };
         let mut read = Vec::new();
@@ -330,11 +330,11 @@
             let mut value = Value::Object(base.clone());
             crate::experiment::merge(&mut value, over);
             let trial: Trial = script
-                .typed_from(value, "")
+                .deserialize_value(value, "")
                 .map_err(|e| format!("case {name}: {e}"))?;
             trial.check().map_err(|e| {
                 let (key, why) = e.split_once(": ").unwrap_or(("", &e));
-                format!("case {name}: {}", script.fault(key, why))
+                format!("case {name}: {}", script.error_at(key, why))
             })?;
             read.push((name, trial));
         }
--- a/experiments/src/sockets.rs
+++ b/experiments/src/sockets.rs
@@ -3,7 +3,7 @@
 use crate::error::Error;
 use plovercove_emulator::process::{Blow, Folder, Process};
 use plovercove_emulator::{Clients, Fate, Fleet, Sample, Tally};
-use plovercove_simulation::{Reads, Spec, Trouble, Variant};
+use plovercove_simulation::{FaultKind, Reads, Spec, Variant};
 use serde::Serialize;
 use serde_json::json;
 use std::fmt::Write as _;
@@ -91,7 +91,7 @@
                    "LateWorth": c.late, "Effect": effect})
         })
         .collect();
-    let settings = spec.settings(index, zone);
+    let settings = spec.router_settings(index, zone);
     json!({
         "name": format!("n{index}"), "listen": "127.0.0.1:0", "discovery": agent.to_string(),
         "seed": format!("{:x}", index + 17), "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
@@ -114,7 +114,7 @@
 
 /// The operators' file for the spec's rules: JSON but for the names of true, false and null, which it has none of.
 fn operators(spec: &Spec) -> Result<String, Error> {
-    let rules = serde_json::to_string(&spec.rules())?;
+    let rules = serde_json::to_string(&spec.locality_rules())?;
     Ok(format!("tiers = {rules}\n"))
 }
 
@@ -166,7 +166,7 @@
     }
     let mut steps = Vec::new();
     for fault in &spec.faults {
-        let Trouble::ZoneDown { zone, part } = &fault.what else {
+        let FaultKind::ZoneDown { zone, part } = &fault.what else {
             return Err(Error::OnlyZoneDown);
         };
         if *part < 1.0 {
--- a/experiments/src/table.rs
+++ b/experiments/src/table.rs
@@ -56,11 +56,12 @@
             .collect();
         let routers = spec.zones.iter().map(|z| z.routers).sum::<usize>() as f64;
         let talked = || runs.iter().filter_map(|r| r.talked.as_ref());
-        let rate = |sent: fn(&plovercove_simulation::Talked) -> u64| {
+        let rate = |sent: fn(&plovercove_simulation::GossipStats) -> u64| {
             mean(talked().map(|t| sent(t) as f64 / routers / (spec.seconds + 8.0)))
         };
-        let sum =
-            |count: fn(&plovercove_simulation::Talked) -> u64| talked().map(count).sum::<u64>();
+        let sum = |count: fn(&plovercove_simulation::GossipStats) -> u64| {
+            talked().map(count).sum::<u64>()
+        };
         let _ = writeln!(
             out,
             "| {case} | {:.0} | {:.0} | {} | {} | {} | {} | {:.1}, {:.0} |",
--- a/router/src/error.rs
+++ b/router/src/error.rs
@@ -2,7 +2,7 @@
 
 use plovercove_locality as zone_rules;
 use plovercove_settings as settings;
-use plovercove_starlark_config::Place;
+use plovercove_starlark_config::Location;
 use std::fmt::Display;
 use std::io;
 use std::net::SocketAddr;
@@ -56,12 +56,12 @@
     Setting(#[from] settings::Fault),
     /// An error in evaluating the operators' file.
     #[error(transparent)]
-    Script(#[from] plovercove_starlark_config::Fault),
+    Script(#[from] plovercove_starlark_config::ScriptError),
     /// An error in a key of the operators' file.
     #[error("{location}: {cause}")]
     Operators {
         /// The file, the line and the key.
-        location: Box<Place>,
+        location: Box<Location>,
         /// The cause.
         #[source]
         cause: KeyFaultCause,
--- a/router/src/operators.rs
+++ b/router/src/operators.rs
@@ -327,7 +327,7 @@
     /// Like `read`, and also returns the script, which knows the lines of the keys.
     fn load(path: &Path) -> Result<(Self, Script), Error> {
         let script = Script::read(path)?;
-        let operators: Operators = script.typed()?;
+        let operators: Operators = script.deserialize()?;
         let locate = |fault| with_location(&script, fault);
         if let Some(rules) = &operators.tiers {
             rules.check().map_err(zone_failover_fault).map_err(locate)?;
@@ -472,7 +472,7 @@
 /// Adds the file and the line of the key.
 fn with_location(script: &Script, fault: KeyFault) -> Error {
     Error::Operators {
-        location: Box::new(script.place(&fault.key)),
+        location: Box::new(script.location(&fault.key)),
         cause: fault.cause,
     }
 }
--- a/router/tests/errors.rs
+++ b/router/tests/errors.rs
@@ -12,7 +12,7 @@
 use plovercove_router::operators::{Operators, OperatorsFile};
 use plovercove_router::{Error, config, statement_labels};
 use plovercove_settings as settings;
-use plovercove_starlark_config::{Cause, Fault as ScriptFault, Script};
+use plovercove_starlark_config::{Cause, Script, ScriptError};
 use serde_json::{Value, json};
 use std::collections::BTreeSet;
 use std::io;
@@ -89,14 +89,14 @@
     let long = files.write("long.star", &"#".repeat(1024 * 1024 + 1), 0o600);
     let grows = "def f():\n    x = [0]\n    for a in range(60):\n        x = x + x\n    return x\n_y = f()\n";
     let good = Script::evaluate("ops.star", "tiers = 3\ntier = 4\n").expect("a script");
-    let faults: [ScriptFault; 7] = [
+    let faults: [ScriptError; 7] = [
         Script::read(&files.0.join("none.star")).expect_err("it is not there"),
         Script::read(&long).expect_err("it is too long"),
         wrong("x = 1 +\n"),
         wrong(grows),
         wrong("x = [len]\n"),
-        good.typed::<Operators>().expect_err("an unknown key"),
-        good.fault("tier", "expected less"),
+        good.deserialize::<Operators>().expect_err("an unknown key"),
+        good.error_at("tier", "expected less"),
     ];
     for fault in &faults {
         all.push(produce("script", &fault.cause, fault.help()));
--- a/simulation/src/lib.rs
+++ b/simulation/src/lib.rs
@@ -13,12 +13,12 @@
 mod strict;
 mod world;
 
-pub use pressure::{Peak, Shares};
+pub use pressure::{LoadPeak, LoadShares};
 pub use report::*;
 pub use rules::{Breach, Rule};
 pub use spec::*;
 pub use strict::Strict;
-pub use world::{Talked, run};
+pub use world::{GossipStats, run};
 
 /// The generator of all random numbers here.
-pub type Dice = rand_pcg::Pcg64Mcg;
+pub type SimRng = rand_pcg::Pcg64Mcg;
--- a/simulation/src/node/tests.rs
+++ b/simulation/src/node/tests.rs
@@ -9,15 +9,15 @@
         queue: 1,
         ..NodeSpec::default()
     };
-    let mut node = Machine::new(spec, 1.0, 0.05);
+    let mut node = NodeModel::new(spec, 1.0, 0.05);
     assert_eq!(node.offer(0, 1, 0.05), Offer::Runs(50_000));
     assert_eq!(node.offer(0, 2, 0.05), Offer::Runs(50_000));
     assert_eq!(
         (node.offer(0, 3, 0.05), node.offer(0, 4, 0.05)),
-        (Offer::Waits, Offer::Full)
+        (Offer::Queued, Offer::Rejected)
     );
-    assert_eq!(node.done(50_000), Some((3, 100_000)));
-    assert_eq!((node.done(100_000), node.held()), (None, 1));
+    assert_eq!(node.finish_request(50_000), Some((3, 100_000)));
+    assert_eq!((node.finish_request(100_000), node.in_flight()), (None, 1));
 }
 
 #[test]
@@ -28,14 +28,14 @@
         cold_s: 10.0,
         ..NodeSpec::default()
     };
-    let mut node = Machine::new(spec, 1.0, 0.1);
+    let mut node = NodeModel::new(spec, 1.0, 0.1);
     node.restart(0);
     assert_eq!(node.offer(0, 0, 0.1), Offer::Runs(500_000));
     assert!((node.warmth(5_000_000) - 0.6).abs() < 1e-9);
     // The settings allow 4 x 0.2 x 2 s of work: 16 requests, their root is 4, so it bears 16 + 2 x 4 + 2 = 26.
     node.restart(10_000_000);
     // A little less than the mean each, so that rounding decides nothing.
-    let fell = (1..100).find(|n| node.offer(10_000_000, *n, 0.0999) == Offer::Falls);
+    let fell = (1..100).find(|n| node.offer(10_000_000, *n, 0.0999) == Offer::Crashes);
     assert_eq!(fell, Some(27));
     // 27 came, 0.0999 s each against a mean of 0.1 s.
     assert!(
@@ -43,9 +43,9 @@
         "{}",
         node.cold_peak()
     );
-    let mut warm = Machine::new(NodeSpec::default(), 1.0, 0.1);
+    let mut warm = NodeModel::new(NodeSpec::default(), 1.0, 0.1);
     assert!(
-        (0..500).all(|n| warm.offer(0, n, 0.1) != Offer::Falls),
+        (0..500).all(|n| warm.offer(0, n, 0.1) != Offer::Crashes),
         "a warm node only queues"
     );
 }
--- a/simulation/src/pressure.rs
+++ b/simulation/src/pressure.rs
@@ -28,7 +28,7 @@
 
 /// Shares of the work that pressed a node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
-pub struct Shares {
+pub struct LoadShares {
     /// From routers that had been told of its start.
     pub told: f64,
     /// Writes.
@@ -39,21 +39,21 @@
 
 /// The most that came to any cold node within a window.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
-pub struct Peak {
+pub struct LoadPeak {
     /// As a share of what it surely bears.
     pub pressure: f64,
     /// Whose it was.
-    pub shares: Shares,
+    pub shares: LoadShares,
 }
 
-impl Shares {
+impl LoadShares {
     /// Whether the routers knew what they did.
-    pub fn theirs(&self) -> bool {
+    pub fn are_mostly_informed(&self) -> bool {
         self.told > THEIRS
     }
 }
 
-impl fmt::Display for Shares {
+impl fmt::Display for LoadShares {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let percent = |share: f64| (share * 100.0).round() as u32;
         let (told, writes, again) = (
@@ -92,7 +92,7 @@
         self.nodes.remove(&node);
     }
 
-    pub(crate) fn shares(&self, node: u32) -> Shares {
+    pub(crate) fn shares(&self, node: u32) -> LoadShares {
         let seen = self.nodes.get(&node);
         let sum = |which: fn(&Press) -> bool| -> f64 {
             seen.iter()
@@ -102,7 +102,7 @@
                 .sum()
         };
         let all = sum(|_| true).max(1e-9);
-        Shares {
+        LoadShares {
             told: sum(|p| p.told) / all,
             writes: sum(|p| p.write) / all,
             again: sum(|p| p.again) / all,
--- a/simulation/src/pressure/tests.rs
+++ b/simulation/src/pressure/tests.rs
@@ -18,18 +18,18 @@
     let shares = pressure.shares(7);
     assert_eq!(
         shares,
-        Shares {
+        LoadShares {
             told: 0.75,
             writes: 0.0,
             again: 0.25
         }
     );
-    assert!(shares.theirs());
+    assert!(shares.are_mostly_informed());
     pressure.add(7, press(2_700_000, 1.0, false));
     assert!(
-        !pressure.shares(7).theirs(),
+        !pressure.shares(7).are_mostly_informed(),
         "three of five is under two thirds"
     );
     pressure.clear(7);
-    assert!(!pressure.shares(7).theirs());
+    assert!(!pressure.shares(7).are_mostly_informed());
 }
--- a/simulation/src/replication.rs
+++ b/simulation/src/replication.rs
@@ -55,7 +55,7 @@
     }
 
     /// The newest commit no later than this.
-    pub fn commit_before(&self, at: Time) -> Option<Time> {
+    pub fn last_commit_until(&self, at: Time) -> Option<Time> {
         let after = self.log.partition_point(|t| *t <= at);
         after.checked_sub(1).map(|n| self.log[n])
     }
@@ -96,20 +96,20 @@
     }
 
     /// A long read holds a replica from now until then.
-    pub fn block(&mut self, member: usize, now: Time, until: Time) {
+    pub fn pause_apply(&mut self, member: usize, now: Time, until: Time) {
         self.advance(member, now);
         let replica = &mut self.members[member];
         replica.blocked = replica.blocked.max(until);
     }
 
     /// A member gets no more of the log.
-    pub fn sever(&mut self, member: usize, now: Time) {
+    pub fn disconnect(&mut self, member: usize, now: Time) {
         self.advance(member, now);
         self.members[member].severed.get_or_insert(now);
     }
 
     /// It does again. The thread goes on from where it stood.
-    pub fn rejoin(&mut self, member: usize, now: Time) {
+    pub fn reconnect(&mut self, member: usize, now: Time) {
         self.advance(member, now);
         let replica = &mut self.members[member];
         if replica.severed.take().is_some() {
--- a/simulation/src/replication/tests.rs
+++ b/simulation/src/replication/tests.rs
@@ -18,7 +18,7 @@
         119_999,
         "the second commit has come and is not applied"
     );
-    group.block(1, 130_000, 500_000);
+    group.pause_apply(1, 130_000, 500_000);
     let held = group.position(1, 450_000);
     assert!(held < 160_000, "{held}");
     assert!(group.position(1, 1_000_000) == 995_000);
@@ -29,7 +29,7 @@
     let mut group = Group::new(3, 0, 5_000, 1_000);
     group.commit(100_000);
     group.commit(200_000);
-    group.sever(2, 150_000);
+    group.disconnect(2, 150_000);
     let last = group.position(1, 300_000);
     group.lose_primary(300_000);
     assert!(group.position(1, 900_000) <= 300_000);
@@ -40,7 +40,7 @@
     );
     assert_eq!(group.position(1, 1_000_000), 1_000_000);
     assert!(group.position(2, 1_000_000) <= 150_000 && last <= 300_000);
-    group.rejoin(2, 1_000_000);
+    group.reconnect(2, 1_000_000);
     assert!(group.position(2, 1_200_000) > 1_000_000);
     assert!(group.position(0, 1_200_000) >= 300_000);
 }
--- a/simulation/src/report.rs
+++ b/simulation/src/report.rs
@@ -1,6 +1,6 @@
 //! What a run tells.
 
-use crate::pressure::Peak;
+use crate::pressure::LoadPeak;
 use crate::rules::Breach;
 use crate::spec::Variant;
 use serde::Serialize;
@@ -24,7 +24,7 @@
 
 /// What came of the requests of one class or tenant.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Part {
+pub struct ServedShare {
     /// Its name.
     pub name: String,
     /// Its first tries in the window, if there is one, and those of them that earned full worth, as counts.
@@ -33,7 +33,7 @@
     pub in_time: u64,
 }
 
-impl Part {
+impl ServedShare {
     /// The share that was answered in time.
     pub fn share(&self) -> f64 {
         if self.asked > 0 {
@@ -72,14 +72,14 @@
     /// Attempts sent to nodes that were silent or answered with errors just then.
     pub to_bad: u64,
     /// What came of the talk between routers.
-    pub talked: Option<crate::world::Talked>,
+    pub talked: Option<crate::world::GossipStats>,
     /// Nodes that fell over.
     pub fallen: u32,
     /// The most that came to a cold node within a window, as a share of what one surely bears; 1 breaks the promise.
     pub cold_peak: f64,
     /// Whose the most was, and the most of which over two thirds came from routers that had been told of the start:
     /// for more than that the rule blames them.
-    pub cold: (Peak, Peak),
+    pub cold: (LoadPeak, LoadPeak),
     /// Seconds after the loss until service is back to 95 % of what is left.
     pub after_loss: Option<f64>,
     /// Seconds after the return until it is back to 95 % of what it was before the loss.
@@ -89,10 +89,10 @@
     /// See `p50_ms`.
     pub p99_ms: f64,
     /// Class by class.
-    pub classes: Vec<Part>,
+    pub classes: Vec<ServedShare>,
     /// Tenant by tenant, where there are any.
     #[serde(skip_serializing_if = "Vec::is_empty")]
-    pub tenants: Vec<Part>,
+    pub tenants: Vec<ServedShare>,
     /// Rules that were broken.
     pub breaches: Vec<Breach>,
     /// Events handled, a measure of the run's size.
--- a/simulation/src/spec.rs
+++ b/simulation/src/spec.rs
@@ -132,14 +132,14 @@
     pub spread_s: f64,
     /// Calls that the service answers in a second, of all routers; 0 for any number. A call that would have to wait for
     /// longer than `call_wait_s` fails, and is made again after a pause that grows.
-    #[serde(skip_serializing_if = "unset")]
+    #[serde(skip_serializing_if = "is_zero")]
     pub calls_per_s: f64,
     /// How long a call waits in turn (s).
-    #[serde(skip_serializing_if = "unset")]
+    #[serde(skip_serializing_if = "is_zero")]
     pub call_wait_s: f64,
 }
 
-fn unset(figure: &f64) -> bool {
+fn is_zero(figure: &f64) -> bool {
     *figure == 0.0
 }
 
@@ -173,7 +173,7 @@
 
 impl TenantSpec {
     /// Its weight at this second.
-    pub(crate) fn weight(&self, second: f64) -> f64 {
+    pub(crate) fn weight_at(&self, second: f64) -> f64 {
         let floods = self.flood.iter().filter(|f| (f.0..f.1).contains(&second));
         self.share * floods.map(|f| f.2).product::<f64>()
     }
@@ -202,29 +202,33 @@
     /// The spread of the routers' traffic: the ratio of the busiest to the mean, 1 for all alike.
     pub skew: f64,
     /// How uneven the groups' traffic is: the n-th of them is asked for n to the power of minus this; 0 for all alike.
-    #[serde(skip_serializing_if = "unset")]
+    #[serde(skip_serializing_if = "is_zero")]
     pub group_skew: f64,
     /// The tenants, if requests belong to any.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub tenants: Vec<TenantSpec>,
     /// What a request beyond its tenant's share is worth, as a fraction: routers are told.
-    #[serde(skip_serializing_if = "usual_over_share")]
+    #[serde(skip_serializing_if = "is_default_over_share")]
     pub over_share_worth: f64,
 }
 
 /// Half of the worth of what is inside: it earns something, and never as much as what it would take the place of.
-const OVER_SHARE: f64 = 0.5;
+const DEFAULT_OVER_SHARE_WORTH: f64 = 0.5;
 
-fn usual_over_share(worth: &f64) -> bool {
-    *worth == OVER_SHARE
+fn is_default_over_share(worth: &f64) -> bool {
+    *worth == DEFAULT_OVER_SHARE_WORTH
 }
 
 impl ClientSpec {
     /// How many times the usual requests of all tenants come at this second.
-    pub(crate) fn tenants_ask(&self, second: f64) -> f64 {
+    pub(crate) fn tenant_rate_factor(&self, second: f64) -> f64 {
         let usual: f64 = self.tenants.iter().map(|t| t.share).sum();
         if usual > 0.0 {
-            self.tenants.iter().map(|t| t.weight(second)).sum::<f64>() / usual
+            self.tenants
+                .iter()
+                .map(|t| t.weight_at(second))
+                .sum::<f64>()
+                / usual
         } else {
             1.0
         }
@@ -245,7 +249,7 @@
             skew: 1.0,
             group_skew: 0.0,
             tenants: Vec::new(),
-            over_share_worth: OVER_SHARE,
+            over_share_worth: DEFAULT_OVER_SHARE_WORTH,
         }
     }
 }
@@ -298,7 +302,7 @@
 }
 
 /// The mix of a trip database: searches, own bookings, counts, reports and bookings.
-pub fn usual_classes() -> Vec<ClassSpec> {
+pub fn default_classes() -> Vec<ClassSpec> {
     let class = |name: &str, share, work_ms, aim_ms, deadline_ms, worth, late, reads| ClassSpec {
         name: name.to_string(),
         share,
@@ -350,7 +354,7 @@
 /// What goes wrong.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
-pub enum Trouble {
+pub enum FaultKind {
     /// The processes of a share of a zone's nodes die; they start again, cold, at the end.
     ZoneDown {
         /// The zone.
@@ -432,7 +436,7 @@
     /// It ends at this second.
     pub until: f64,
     /// What it is.
-    pub what: Trouble,
+    pub what: FaultKind,
 }
 
 /// How routers treat zones.
@@ -476,7 +480,7 @@
     #[serde(default)]
     pub clients: ClientSpec,
     /// The classes of requests.
-    #[serde(default = "usual_classes")]
+    #[serde(default = "default_classes")]
     pub classes: Vec<ClassSpec>,
     /// What goes wrong.
     #[serde(default)]
@@ -507,23 +511,23 @@
 
 /// What is wrong with an experiment: the key and why.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct SpecFault(pub String);
+pub struct SpecError(pub String);
 
-impl std::fmt::Display for SpecFault {
+impl std::fmt::Display for SpecError {
     fn fmt(&self, to: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         to.write_str(&self.0)
     }
 }
 
-impl std::error::Error for SpecFault {}
+impl std::error::Error for SpecError {}
 
 impl Spec {
     /// Checks what the types alone do not.
     ///
     /// # Errors
     /// Names the key at fault.
-    pub fn check(&self) -> Result<(), SpecFault> {
-        let fault = |text: String| Err(SpecFault(text));
+    pub fn check(&self) -> Result<(), SpecError> {
+        let fault = |text: String| Err(SpecError(text));
         let nodes: usize = self.zones.iter().map(|z| z.nodes).sum();
         let routers: usize = self.zones.iter().map(|z| z.routers).sum();
         if !(self.seconds > 0.0 && self.seconds <= 3_600.0) {
@@ -584,32 +588,32 @@
             return fault("classes: expected one or more".into());
         }
         let known = |name: &String| self.zones.iter().any(|z| &z.name == name);
-        for (place, fault_) in self.faults.iter().enumerate() {
-            let zones: Vec<&String> = match &fault_.what {
-                Trouble::ZoneDown { zone, .. }
-                | Trouble::BlackHole { zone, .. }
-                | Trouble::RoutersDown { zone }
-                | Trouble::Replace { zone, .. }
-                | Trouble::Drain { zone, .. } => vec![zone],
-                Trouble::Cut { from, to } => vec![from, to],
-                Trouble::ListSilent { zone } if !zone.is_empty() => vec![zone],
+        for (place, scheduled) in self.faults.iter().enumerate() {
+            let zones: Vec<&String> = match &scheduled.what {
+                FaultKind::ZoneDown { zone, .. }
+                | FaultKind::BlackHole { zone, .. }
+                | FaultKind::RoutersDown { zone }
+                | FaultKind::Replace { zone, .. }
+                | FaultKind::Drain { zone, .. } => vec![zone],
+                FaultKind::Cut { from, to } => vec![from, to],
+                FaultKind::ListSilent { zone } if !zone.is_empty() => vec![zone],
                 _ => Vec::new(),
             };
             if let Some(zone) = zones.into_iter().find(|z| !known(z)) {
                 return fault(format!("faults[{place}]: there is no zone {zone:?}"));
             }
-            if !(fault_.at >= 0.0 && fault_.until >= fault_.at) {
+            if !(scheduled.at >= 0.0 && scheduled.until >= scheduled.at) {
                 return fault(format!("faults[{place}]: expected 0 <= at <= until"));
             }
         }
         if let Some(rules) = &self.tiers {
-            rules.check().map_err(|e| SpecFault(format!("tiers.{e}")))?;
+            rules.check().map_err(|e| SpecError(format!("tiers.{e}")))?;
         }
         Ok(())
     }
 
     /// Mean work of a request (s on one core).
-    pub fn mean_work(&self) -> f64 {
+    pub fn mean_work_s(&self) -> f64 {
         let shares: f64 = self.classes.iter().map(|c| c.share).sum();
         self.classes
             .iter()
@@ -618,9 +622,9 @@
     }
 
     /// First tries a second, of all clients.
-    pub fn rate(&self) -> f64 {
+    pub fn request_rate(&self) -> f64 {
         let nodes: usize = self.zones.iter().map(|z| z.nodes).sum();
-        self.clients.load * nodes as f64 * f64::from(self.node.cores) / self.mean_work()
+        self.clients.load * nodes as f64 * f64::from(self.node.cores) / self.mean_work_s()
     }
 
     /// The share of requests that write.
@@ -636,13 +640,13 @@
     }
 
     /// How many groups there are; nodes left over belong to the last ones.
-    pub fn groups(&self) -> usize {
+    pub fn group_count(&self) -> usize {
         let nodes: usize = self.zones.iter().map(|z| z.nodes).sum();
         (nodes / self.replication.members).max(1)
     }
 
     /// The rules of tiers that hold for it.
-    pub fn rules(&self) -> Rules {
+    pub fn locality_rules(&self) -> Rules {
         self.tiers.clone().unwrap_or_else(|| {
             let zone = |z: &ZoneSpec| plovercove_locality::Zone {
                 name: z.name.clone(),
@@ -662,7 +666,7 @@
     }
 
     /// What one router is told at its start.
-    pub fn settings(&self, index: usize, zone: &str) -> Settings {
+    pub fn router_settings(&self, index: usize, zone: &str) -> Settings {
         let class = |c: &ClassSpec| Class {
             name: c.name.clone(),
             access: match c.reads {
@@ -721,11 +725,11 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Layout {
     /// Zone, group and member of each node, by number.
-    pub places: Vec<(usize, usize, usize)>,
+    pub placements: Vec<(usize, usize, usize)>,
     /// The nodes of each group.
     pub groups: Vec<Vec<usize>>,
     /// The member of each group that begins as its primary.
-    pub heads: Vec<usize>,
+    pub primaries: Vec<usize>,
 }
 
 /// Deals the nodes out to groups, so that the members of each are spread over the zones.
@@ -744,9 +748,9 @@
         .collect();
     let mut dealt = vec![0; spec.zones.len()];
     let mut layout = Layout {
-        places: vec![(0, 0, 0); zone_of.len()],
-        groups: vec![Vec::new(); spec.groups()],
-        heads: Vec::new(),
+        placements: vec![(0, 0, 0); zone_of.len()],
+        groups: vec![Vec::new(); spec.group_count()],
+        primaries: Vec::new(),
     };
     for turn in 0..zone_of.len() {
         // The zone that has dealt the least share of its nodes so far goes next.
@@ -758,10 +762,10 @@
         let node = first[zone] + dealt[zone];
         dealt[zone] += 1;
         let group = (turn / spec.replication.members).min(layout.groups.len() - 1);
-        layout.places[node] = (zone, group, layout.groups[group].len());
+        layout.placements[node] = (zone, group, layout.groups[group].len());
         layout.groups[group].push(node);
     }
-    layout.heads = layout
+    layout.primaries = layout
         .groups
         .iter()
         .enumerate()
--- a/simulation/src/world.rs
+++ b/simulation/src/world.rs
@@ -10,15 +10,15 @@
 mod summary;
 mod talk;
 
-pub use talk::Talked;
+pub use talk::GossipStats;
 
-use crate::Dice;
-use crate::node::Machine;
-use crate::pressure::{Peak, Pressure};
+use crate::SimRng;
+use crate::node::NodeModel;
+use crate::pressure::{LoadPeak, Pressure};
 use crate::replication::Group;
-use crate::report::{Part, Report, Second};
+use crate::report::{Report, Second, ServedShare};
 use crate::rules::{Breaches, Rule};
-use crate::spec::{Spec, SpecFault, layout};
+use crate::spec::{Spec, SpecError, layout};
 use hdrhistogram::Histogram;
 use plovercove::{AttemptEnd, Endpoint, EndpointState, Micros, NodeId, NodeReport, Settings, Time};
 use plovercove_engine::{AttemptId, Backoff, Engine, Key};
@@ -124,7 +124,7 @@
 
 struct Node {
     id: NodeId,
-    machine: Machine<u32>,
+    machine: NodeModel<u32>,
     zone: usize,
     group: usize,
     member: usize,
@@ -212,7 +212,7 @@
 
 struct World<'a> {
     spec: &'a Spec,
-    dice: Dice,
+    rng: SimRng,
     now: Time,
     end: Time,
     heap: BinaryHeap<Reverse<Item>>,
@@ -249,9 +249,9 @@
     bad: Vec<Option<Option<f64>>>,
     /// When links between zones were last cut.
     cut_at: Option<Time>,
-    talked: Talked,
+    talked: GossipStats,
     /// Links between routers draw from dice of their own: the rest of a run is the same with talk and without.
-    talk_dice: Dice,
+    gossip_rng: SimRng,
     spill_limit: f64,
     seed: u64,
     // what is counted
@@ -273,19 +273,19 @@
     local: (u64, u64),
     fallen: u32,
     /// The most that came to a cold node, and the most that came from routers that knew.
-    cold: (Peak, Peak),
+    cold: (LoadPeak, LoadPeak),
     probes: u64,
     to_bad: u64,
     events: u64,
-    classes: Vec<Part>,
-    tenants: Vec<Part>,
+    classes: Vec<ServedShare>,
+    tenants: Vec<ServedShare>,
 }
 
 /// Plays an experiment.
 ///
 /// # Errors
 /// Names the key that makes it impossible.
-pub fn run(spec: &Spec, seed: u64) -> Result<Report, SpecFault> {
+pub fn run(spec: &Spec, seed: u64) -> Result<Report, SpecError> {
     spec.check()?;
     let mut world = World::new(spec, seed)?;
     world.play();
@@ -293,24 +293,24 @@
 }
 
 impl<'a> World<'a> {
-    fn new(spec: &'a Spec, seed: u64) -> Result<Self, SpecFault> {
-        let mut dice = Dice::seed_from_u64(seed);
+    fn new(spec: &'a Spec, seed: u64) -> Result<Self, SpecError> {
+        let mut rng = SimRng::seed_from_u64(seed);
         let dealt = layout(spec);
-        let rate = spec.rate();
+        let rate = spec.request_rate();
         let shares: f64 = spec.classes.iter().map(|c| c.share).sum();
         let apply = spec.replication.apply_use
             / (rate * spec.write_share() / dealt.groups.len() as f64).max(1e-9);
         let speed = Normal::new(1.0, spec.node.speed_spread.max(1e-9)).expect("finite");
         let mut nodes: Vec<Node> = dealt
-            .places
+            .placements
             .iter()
             .enumerate()
             .map(|(n, (zone, group, member))| Node {
                 id: format!("s-{n:04}").into(),
-                machine: Machine::new(
+                machine: NodeModel::new(
                     spec.node.clone(),
-                    speed.sample(&mut dice).clamp(0.5, 1.5),
-                    spec.mean_work(),
+                    speed.sample(&mut rng).clamp(0.5, 1.5),
+                    spec.mean_work_s(),
                 ),
                 zone: *zone,
                 group: *group,
@@ -322,7 +322,7 @@
             })
             .collect();
         let ship = us(spec.replication.ship_ms / 1e3);
-        let heads = dealt.heads;
+        let heads = dealt.primaries;
         let groups: Vec<(Group, Vec<usize>)> = dealt
             .groups
             .into_iter()
@@ -351,7 +351,7 @@
         let place = |name: &String| spec.zones.iter().position(|z| &z.name == name);
         for (a, b, ms) in &spec.net.pairs {
             let (Some(a), Some(b)) = (place(a), place(b)) else {
-                return Err(SpecFault(format!("net.pairs: {a:?} or {b:?} is no zone")));
+                return Err(SpecError(format!("net.pairs: {a:?} or {b:?} is no zone")));
             };
             (trips[a][b], trips[b][a]) = (ms * 1e3, ms * 1e3);
         }
@@ -381,7 +381,7 @@
                     wake: None,
                     rate: part * weight(n) / sum,
                     told: 0,
-                    hears_after: us(dice.random::<f64>() * spec.list.spread_s),
+                    hears_after: us(rng.random::<f64>() * spec.list.spread_s),
                     silent: 0,
                     pools: vec![(0, 0); all_nodes],
                     closed: HashMap::new(),
@@ -396,22 +396,22 @@
         let settings = routers
             .iter()
             .enumerate()
-            .map(|(n, r)| spec.settings(n, &spec.zones[r.zone].name));
+            .map(|(n, r)| spec.router_settings(n, &spec.zones[r.zone].name));
         let work = |c: &crate::spec::ClassSpec| {
             let sigma2 = (1.0 + c.spread * c.spread).ln();
             let mu = (c.work_ms / 1e3).ln() - sigma2 / 2.0;
             LogNormal::new(mu, sigma2.sqrt()).expect("finite")
         };
-        let part = |name: &String| Part {
+        let part = |name: &String| ServedShare {
             name: name.clone(),
-            ..Part::default()
+            ..ServedShare::default()
         };
         let session = |g: usize, s: usize| Arc::from(format!("u{g}-{s}"));
         let seconds = spec.seconds.ceil() as usize + 1;
         let popular = popular(groups.len(), spec.clients.group_skew);
         let mut world = World {
             settings: settings.collect(),
-            dice,
+            rng,
             now: BEGIN,
             end: BEGIN + us(spec.seconds),
             heap: BinaryHeap::new(),
@@ -440,9 +440,9 @@
             faulty: vec![None; all_nodes],
             bad: vec![None; all_nodes],
             cut_at: None,
-            talked: Talked::default(),
-            talk_dice: Dice::seed_from_u64(seed ^ 0x7a1c),
-            spill_limit: spec.rules().max_spill_share,
+            talked: GossipStats::default(),
+            gossip_rng: SimRng::seed_from_u64(seed ^ 0x7a1c),
+            spill_limit: spec.locality_rules().max_spill_share,
             seed,
             seconds: vec![
                 Second {
@@ -515,7 +515,7 @@
     }
 
     fn uniform(&mut self, (low, high): (f64, f64)) -> f64 {
-        low + (high - low) * self.dice.random::<f64>()
+        low + (high - low) * self.rng.random::<f64>()
     }
 
     fn handle(&mut self, event: Event) {
--- a/simulation/src/world/clients.rs
+++ b/simulation/src/world/clients.rs
@@ -19,11 +19,11 @@
             .filter(|b| (b.0..b.1).contains(&second));
         let rate = self.routers[router as usize].rate
             * bursts.map(|b| b.2).product::<f64>()
-            * self.spec.clients.tenants_ask(second);
+            * self.spec.clients.tenant_rate_factor(second);
         if rate <= 0.0 {
             return;
         }
-        let gap = Exp::new(rate).expect("positive").sample(&mut self.dice);
+        let gap = Exp::new(rate).expect("positive").sample(&mut self.rng);
         if self.now + us(gap) < self.end {
             self.at(self.now + us(gap), Event::Arrive(router));
         }
@@ -31,32 +31,32 @@
 
     pub(super) fn arrive(&mut self, router: u32) {
         self.next_arrival(router);
-        let mut draw = self.dice.random::<f64>();
+        let mut draw = self.rng.random::<f64>();
         let class = self.shares.iter().position(|share| {
             draw -= share;
             draw < 0.0
         });
         let class = class.unwrap_or(self.shares.len() - 1);
         let group = if self.popular.is_empty() {
-            self.dice.random_range(0..self.groups.len())
+            self.rng.random_range(0..self.groups.len())
         } else {
-            let draw = self.dice.random::<f64>();
+            let draw = self.rng.random::<f64>();
             self.popular
                 .iter()
                 .position(|up_to| draw < *up_to)
                 .unwrap_or(self.groups.len() - 1)
         };
-        let session = self.dice.random_range(0..SESSIONS) as u32;
+        let session = self.rng.random_range(0..SESSIONS) as u32;
         let tenant = self.tenant();
         let follows = self.spec.classes[class].reads == Reads::Session
-            && self.dice.random::<f64>() < self.spec.clients.follows_write;
+            && self.rng.random::<f64>() < self.spec.clients.follows_write;
         let need = follows.then(|| {
             let gap = Exp::new(1e3 / self.spec.clients.gap_ms)
                 .expect("positive")
-                .sample(&mut self.dice);
+                .sample(&mut self.rng);
             self.groups[group]
                 .0
-                .commit_before(self.now.saturating_sub(us(gap)))
+                .last_commit_until(self.now.saturating_sub(us(gap)))
         });
         let worth = self.spec.classes[class].worth;
         let second = self.second();
@@ -104,14 +104,14 @@
     /// Whose the next request is; no dice are thrown where there are no tenants.
     fn tenant(&mut self) -> Option<usize> {
         let (second, tenants) = (self.second(), &self.spec.clients.tenants);
-        let all: f64 = tenants.iter().map(|t| t.weight(second)).sum();
+        let all: f64 = tenants.iter().map(|t| t.weight_at(second)).sum();
         let mut draw = if tenants.is_empty() {
             return None;
         } else {
-            self.dice.random::<f64>() * all
+            self.rng.random::<f64>() * all
         };
         let found = tenants.iter().position(|t| {
-            draw -= t.weight(second);
+            draw -= t.weight_at(second);
             draw < 0.0
         });
         Some(found.unwrap_or(tenants.len() - 1))
@@ -134,7 +134,7 @@
             if up.is_empty() || left < 20_000 {
                 return self.lose(id);
             }
-            router = up[self.dice.random_range(0..up.len())];
+            router = up[self.rng.random_range(0..up.len())];
         }
         if left < 20_000 {
             return self.lose(id);
@@ -172,7 +172,7 @@
         }
         let usual = self.spec.clients.backoff_ms * 1e3;
         let spread = self.uniform((0.5, 1.5));
-        let follows = self.dice.random::<f64>() < self.spec.clients.follow;
+        let follows = self.rng.random::<f64>() < self.spec.clients.follow;
         let wait = match told {
             Some(told) if follows => told as f64,
             _ => usual * spread,
--- a/simulation/src/world/faults.rs
+++ b/simulation/src/world/faults.rs
@@ -1,7 +1,7 @@
 //! What goes wrong, by script: where it begins and where it ends.
 
 use super::{Event, World, us};
-use crate::spec::Trouble;
+use crate::spec::FaultKind;
 use plovercove::EndpointState;
 use rand::RngExt;
 
@@ -12,7 +12,7 @@
             .collect();
         let count = (nodes.len() as f64 * part).round() as usize;
         while nodes.len() > count {
-            nodes.remove(self.dice.random_range(0..nodes.len()));
+            nodes.remove(self.rng.random_range(0..nodes.len()));
         }
         nodes
     }
@@ -28,13 +28,13 @@
     pub(super) fn begin(&mut self, n: usize) {
         self.cut_now(n);
         match self.spec.faults[n].what.clone() {
-            Trouble::ZoneDown { zone, part } => {
+            FaultKind::ZoneDown { zone, part } => {
                 let nodes = self.pick(Some(self.place(&zone)), part);
                 nodes.iter().for_each(|node| self.node_down(*node));
                 self.list_nodes(&nodes, EndpointState::Removed, self.spec.list.notice_s);
                 self.picked[n] = nodes;
             }
-            Trouble::Drain { zone, part } | Trouble::Replace { zone, part } => {
+            FaultKind::Drain { zone, part } | FaultKind::Replace { zone, part } => {
                 let nodes = self.pick(Some(self.place(&zone)), part);
                 self.list_nodes(&nodes, EndpointState::Draining, (0.0, 0.1));
                 for node in &nodes {
@@ -48,11 +48,11 @@
                         let wait = self.uniform((0.31, 0.91));
                         self.at(now + us(wait), Event::Elect(group as u32));
                     }
-                    self.groups[group].0.sever(member, now);
+                    self.groups[group].0.disconnect(member, now);
                 }
                 self.picked[n] = nodes;
             }
-            Trouble::BlackHole { zone, .. } => {
+            FaultKind::BlackHole { zone, .. } => {
                 let zone = self.place(&zone);
                 self.cut_zone(zone, true);
                 for node in 0..self.nodes.len() {
@@ -61,18 +61,18 @@
                     }
                 }
             }
-            Trouble::Cut { from, to } => {
+            FaultKind::Cut { from, to } => {
                 let (from, to) = (self.place(&from), self.place(&to));
                 self.to_node[from][to] += 1;
             }
-            Trouble::ListSilent { zone } => self.silence(&zone, true),
-            Trouble::RoutersDown { zone } => {
+            FaultKind::ListSilent { zone } => self.silence(&zone, true),
+            FaultKind::RoutersDown { zone } => {
                 let zone = self.place(&zone);
                 for router in self.routers_of(zone) {
                     self.stop(router);
                 }
             }
-            Trouble::Rollout { down_s } => {
+            FaultKind::Rollout { down_s } => {
                 let (at, until) = (self.spec.faults[n].at, self.spec.faults[n].until);
                 let gap = (until - at) / self.routers.len() as f64;
                 for router in 0..self.routers.len() as u32 {
@@ -81,7 +81,7 @@
                     self.at(stop + us(down_s), Event::Start(router));
                 }
             }
-            Trouble::Bad { part, errors } => {
+            FaultKind::Bad { part, errors } => {
                 let nodes = self.pick(None, part);
                 self.fault(&nodes, self.spec.faults[n].until);
                 nodes
@@ -89,12 +89,12 @@
                     .for_each(|node| self.bad[*node as usize] = Some(errors));
                 self.picked[n] = nodes;
             }
-            Trouble::Slow { part, times } => {
+            FaultKind::Slow { part, times } => {
                 let nodes = self.pick(None, part);
                 self.fault(&nodes, self.spec.faults[n].until);
                 nodes
                     .iter()
-                    .for_each(|node| self.nodes[*node as usize].machine.slow(times));
+                    .for_each(|node| self.nodes[*node as usize].machine.set_slowdown(times));
                 self.picked[n] = nodes;
             }
         }
@@ -103,8 +103,8 @@
     /// Where links are cut or healed, nobody is blamed for whom it misses for a while; nor are nodes behind them well.
     fn cut_now(&mut self, n: usize) {
         let zone = match &self.spec.faults[n].what {
-            Trouble::BlackHole { zone, .. } => zone,
-            Trouble::Cut { to, .. } => to,
+            FaultKind::BlackHole { zone, .. } => zone,
+            FaultKind::Cut { to, .. } => to,
             _ => return,
         };
         let zone = self.place(zone);
@@ -119,7 +119,7 @@
     pub(super) fn finish(&mut self, n: usize) {
         self.cut_now(n);
         match self.spec.faults[n].what.clone() {
-            Trouble::ZoneDown { .. } => {
+            FaultKind::ZoneDown { .. } => {
                 let nodes = std::mem::take(&mut self.picked[n]);
                 nodes.iter().for_each(|node| self.node_up(*node));
                 let up: Vec<u32> = nodes
@@ -128,7 +128,7 @@
                     .collect();
                 self.list_nodes(&up, EndpointState::Serving, self.spec.list.add_s);
             }
-            Trouble::Drain { .. } => {
+            FaultKind::Drain { .. } => {
                 let nodes = std::mem::take(&mut self.picked[n]);
                 for node in &nodes {
                     self.node_down(*node);
@@ -136,7 +136,7 @@
                 }
                 self.list_nodes(&nodes, EndpointState::Serving, self.spec.list.add_s);
             }
-            Trouble::Replace { .. } => {
+            FaultKind::Replace { .. } => {
                 for node in std::mem::take(&mut self.picked[n]) {
                     self.node_down(node);
                     let gone = self.entry(node, EndpointState::Removed);
@@ -147,7 +147,7 @@
                     self.will_change(after, vec![gone, came]);
                 }
             }
-            Trouble::BlackHole { zone, cold } => {
+            FaultKind::BlackHole { zone, cold } => {
                 let zone = self.place(&zone);
                 self.cut_zone(zone, false);
                 let nodes: Vec<u32> = (0..self.nodes.len() as u32)
@@ -156,7 +156,7 @@
                 let now = self.now;
                 for node in &nodes {
                     let known = &self.nodes[*node as usize];
-                    self.groups[known.group].0.rejoin(known.member, now);
+                    self.groups[known.group].0.reconnect(known.member, now);
                     if cold {
                         self.node_down(*node);
                         self.node_up(*node);
@@ -166,29 +166,29 @@
                     self.list_nodes(&nodes, EndpointState::Serving, self.spec.list.add_s);
                 }
             }
-            Trouble::Cut { from, to } => {
+            FaultKind::Cut { from, to } => {
                 let (from, to) = (self.place(&from), self.place(&to));
                 self.to_node[from][to] -= 1;
             }
-            Trouble::ListSilent { zone } => self.silence(&zone, false),
-            Trouble::RoutersDown { zone } => {
+            FaultKind::ListSilent { zone } => self.silence(&zone, false),
+            FaultKind::RoutersDown { zone } => {
                 let zone = self.place(&zone);
                 for router in self.routers_of(zone) {
                     self.at(self.now, Event::Start(router));
                 }
             }
-            Trouble::Rollout { .. } => {}
-            Trouble::Bad { .. } => {
+            FaultKind::Rollout { .. } => {}
+            FaultKind::Bad { .. } => {
                 let nodes = std::mem::take(&mut self.picked[n]);
                 nodes
                     .iter()
                     .for_each(|node| self.bad[*node as usize] = None);
             }
-            Trouble::Slow { .. } => {
+            FaultKind::Slow { .. } => {
                 let nodes = std::mem::take(&mut self.picked[n]);
                 nodes
                     .iter()
-                    .for_each(|node| self.nodes[*node as usize].machine.slow(1.0));
+                    .for_each(|node| self.nodes[*node as usize].machine.set_slowdown(1.0));
             }
         }
     }
--- a/simulation/src/world/links.rs
+++ b/simulation/src/world/links.rs
@@ -18,7 +18,7 @@
             return None;
         }
         let base = self.trips[from][to] * self.uniform((0.85, 1.25));
-        let again = if self.spec.net.loss > 0.0 && self.dice.random::<f64>() < self.spec.net.loss {
+        let again = if self.spec.net.loss > 0.0 && self.rng.random::<f64>() < self.spec.net.loss {
             RESEND
         } else {
             0
@@ -84,7 +84,7 @@
                 self.counted.local.1 += 1;
             }
         }
-        let work = self.works[class as usize].sample(&mut self.dice);
+        let work = self.works[class as usize].sample(&mut self.rng);
         self.requests[id as usize].holds += 1;
         let (router_epoch, node_epoch) = (
             self.routers[router as usize].epoch,
--- a/simulation/src/world/list.rs
+++ b/simulation/src/world/list.rs
@@ -135,7 +135,7 @@
             node: known.id.clone(),
             state,
             listed_as_primary: primary,
-            started_at: known.machine.started(),
+            started_at: known.machine.started_at(),
             ..self.initial[node as usize].clone()
         }
     }
@@ -144,7 +144,7 @@
     pub(super) fn list_nodes(&mut self, nodes: &[u32], state: EndpointState, delays: (f64, f64)) {
         let mut portions: Vec<Vec<u32>> = vec![Vec::new(); NOTICES];
         for node in nodes {
-            portions[self.dice.random_range(0..NOTICES)].push(*node);
+            portions[self.rng.random_range(0..NOTICES)].push(*node);
         }
         for portion in portions.into_iter().filter(|p| !p.is_empty()) {
             let after = self.uniform(delays);
--- a/simulation/src/world/nodes.rs
+++ b/simulation/src/world/nodes.rs
@@ -2,7 +2,7 @@
 
 use super::{Event, World, us};
 use crate::node::Offer;
-use crate::pressure::{Peak, Press};
+use crate::pressure::{LoadPeak, Press};
 use crate::rules::Rule;
 use crate::spec::Reads;
 use plovercove::{AttemptEnd, EndpointState, Micros, Time};
@@ -26,7 +26,7 @@
         }
         let cold = known.machine.warmth(self.now) < 1.0;
         if cold {
-            let started = known.machine.started();
+            let started = known.machine.started_at();
             let told = self.routers[run.router as usize].starts.get(&node).copied() == started
                 || started.is_some_and(|at| self.now > at + DEEMED);
             let write = self.spec.classes[class as usize].reads == Reads::Write;
@@ -43,14 +43,14 @@
             return self.vanish(id);
         }
         let offered = known.machine.offer(self.now, id, work);
-        let pressure = known.machine.cold_pressure();
+        let pressure = known.machine.cold_load_share();
         let (most, theirs) = &mut self.counted.cold;
         if cold && pressure > theirs.pressure {
-            let peak = Peak {
+            let peak = LoadPeak {
                 pressure,
                 shares: self.pressure.shares(node),
             };
-            if peak.shares.theirs() {
+            if peak.shares.are_mostly_informed() {
                 *theirs = peak;
             }
             if pressure > most.pressure {
@@ -59,14 +59,14 @@
         }
         match offered {
             Offer::Runs(until) => self.begins(id, until),
-            Offer::Waits => self.runs[id as usize].at_node = true,
-            Offer::Full => self.reply(id, AttemptEnd::Overloaded),
-            Offer::Falls => {
+            Offer::Queued => self.runs[id as usize].at_node = true,
+            Offer::Rejected => self.reply(id, AttemptEnd::Overloaded),
+            Offer::Crashes => {
                 self.counted.fallen += 1;
                 let (name, second) = (known.id.clone(), self.second());
                 let shares = self.pressure.shares(node);
                 // Where most of it came from routers that could not know, the rule is not theirs; the node is counted.
-                if shares.theirs() {
+                if shares.are_mostly_informed() {
                     self.breaches.add(Rule::PushedOver, second, || {
                         format!("node {name}: {shares}")
                     });
@@ -86,7 +86,7 @@
         let position = log.position(member, self.now);
         let head = log.primary() == Some(member);
         if self.spec.classes[class].blocks && !head {
-            log.block(member, self.now, until);
+            log.pause_apply(member, self.now, until);
         }
         let by_head = head || self.nodes[node].headed;
         let run = &mut self.runs[id as usize];
@@ -107,7 +107,7 @@
         if known.epoch != epoch {
             return;
         }
-        if let Some((next, until)) = known.machine.done(self.now) {
+        if let Some((next, until)) = known.machine.finish_request(self.now) {
             self.begins(next, until);
         }
         let (group, member) = (
@@ -119,7 +119,7 @@
         let errors = self.bad[node as usize]
             .flatten()
             .unwrap_or(self.spec.node.errors);
-        let failed = self.dice.random::<f64>() < errors;
+        let failed = self.rng.random::<f64>() < errors;
         let log = &mut self.groups[group].0;
         if write && log.primary() != Some(member) {
             return self.reply(id, AttemptEnd::Failure);
@@ -185,13 +185,13 @@
             let wait = self.uniform(detect) + self.uniform(elect);
             self.at(now + us(wait), Event::Elect(group as u32));
         }
-        self.groups[group].0.sever(member, now);
+        self.groups[group].0.disconnect(member, now);
     }
 
     pub(super) fn node_up(&mut self, node: u32) {
         let now = self.now;
         let known = &mut self.nodes[node as usize];
-        if known.up || known.machine.fallen() {
+        if known.up || known.machine.has_crashed() {
             return;
         }
         (known.up, known.epoch) = (true, known.epoch + 1);
@@ -200,7 +200,7 @@
         // Until all have heard that it is another start.
         self.faulty[node as usize] = Some((now, now + DEEMED));
         let (group, member) = (known.group, known.member);
-        self.groups[group].0.rejoin(member, now);
+        self.groups[group].0.reconnect(member, now);
         if self.groups[group].0.primary().is_none() {
             self.at(now + us(1.0), Event::Elect(group as u32));
         }
--- a/simulation/src/world/routers.rs
+++ b/simulation/src/world/routers.rs
@@ -1,7 +1,7 @@
 //! The routers: each is the real core, told the time, its commands carried out.
 
 use super::{BEGIN, Event, World, us};
-use crate::spec::{SpecFault, Variant};
+use crate::spec::{SpecError, Variant};
 use crate::strict::Strict;
 use plovercove::{EndpointUpdate, LocalityPolicy, NodeId, NodeReport, Role};
 use plovercove_engine::{Command, Deadline, Engine, FinalAnswer};
@@ -11,7 +11,7 @@
 const ROUNDS: usize = 16;
 
 impl World<'_> {
-    pub(super) fn boot(&mut self, router: usize) -> Result<(), SpecFault> {
+    pub(super) fn boot(&mut self, router: usize) -> Result<(), SpecError> {
         let zone = self.routers[router].zone;
         let name = &self.spec.zones[zone].name;
         let (settings, epoch) = (self.settings[router].clone(), self.routers[router].epoch);
@@ -20,9 +20,9 @@
             Variant::Flat => None,
             Variant::Strict => Some(Box::new(Strict::new(name))),
             Variant::ZoneFailover => {
-                let tiers = ZoneFailover::new(self.spec.rules(), &settings, seed);
+                let tiers = ZoneFailover::new(self.spec.locality_rules(), &settings, seed);
                 Some(Box::new(
-                    tiers.map_err(|e| SpecFault(format!("tiers.{e}")))?,
+                    tiers.map_err(|e| SpecError(format!("tiers.{e}")))?,
                 ))
             }
         };
@@ -240,7 +240,10 @@
         };
         let position = Some(log.position(member, self.now).saturating_sub(old));
         let machine = &self.nodes[node as usize].machine;
-        let (held, busy) = (machine.held() as u32, (machine.busy() * 1e3) as u32);
+        let (held, busy) = (
+            machine.in_flight() as u32,
+            (machine.utilization() * 1e3) as u32,
+        );
         let told = up.then_some(NodeReport {
             position,
             role: Some(role),
--- a/simulation/src/world/talk.rs
+++ b/simulation/src/world/talk.rs
@@ -1,7 +1,7 @@
 //! Routers that talk with each other: the same crate as in the router, its datagrams on links that lose and delay.
 
 use super::{BEGIN, Event, World, us};
-use crate::spec::{PeerSpec, SpecFault};
+use crate::spec::{PeerSpec, SpecError};
 use plovercove::{LocalityPolicy, Micros, NodeId};
 use plovercove_engine::Engine;
 use plovercove_gossip::{Gossip, GossipEvent, Incarnation, Keys, Level, Observer};
@@ -23,7 +23,7 @@
 
 /// What came of it, over all routers.
 #[derive(Clone, Debug, Default, PartialEq, serde::Serialize)]
-pub struct Talked {
+pub struct GossipStats {
     /// Datagrams and bytes that were sent.
     pub sent: (u64, u64),
     /// Datagrams that were lost.
@@ -61,16 +61,16 @@
         spec: &PeerSpec,
         router: usize,
         inner: Option<Box<dyn LocalityPolicy>>,
-    ) -> Result<Box<dyn LocalityPolicy>, SpecFault> {
+    ) -> Result<Box<dyn LocalityPolicy>, SpecError> {
         let mut rules = spec.rules.clone();
         rules.installation = "model".into();
         rules.routers = self.routers.len() as u32;
         rules.seeds = (0..self.routers.len().min(SEEDS)).map(address).collect();
         rules
             .check()
-            .map_err(|e| SpecFault(format!("peers.rules.{e}")))?;
+            .map_err(|e| SpecError(format!("peers.rules.{e}")))?;
         let keys = Keys::new("model", b"one key for all of them", None);
-        let keys = keys.map_err(|e| SpecFault(format!("peers: {e}")))?;
+        let keys = keys.map_err(|e| SpecError(format!("peers: {e}")))?;
         let zone = self.spec.zones[self.routers[router].zone].name.clone();
         let me = Incarnation {
             address: address(router),
@@ -146,11 +146,12 @@
             self.talked.sent.1 += bytes.len() as u64;
             let (a, b) = (self.routers[router as usize].zone, self.routers[to].zone);
             let cut = self.to_router[a][b] > 0 || self.to_node[a][b] > 0;
-            if cut || self.talk_dice.random::<f64>() < loss {
+            if cut || self.gossip_rng.random::<f64>() < loss {
                 self.talked.lost += 1;
                 continue;
             }
-            let wait = (self.trips[a][b] * (0.85 + 0.4 * self.talk_dice.random::<f64>())) as Micros;
+            let wait =
+                (self.trips[a][b] * (0.85 + 0.4 * self.gossip_rng.random::<f64>())) as Micros;
             let (slot, epoch) = (self.datagrams.insert(bytes) as u32, self.routers[to].epoch);
             self.at(
                 now + wait,
--- a/simulation/tests/drawn/mod.rs
+++ b/simulation/tests/drawn/mod.rs
@@ -1,12 +1,12 @@
 //! Drawn groups with cold nodes, for the test and for scans by hand.
 
-use plovercove_simulation::{Dice, Fault, NodeSpec, Report, Spec, Trouble};
+use plovercove_simulation::{Fault, FaultKind, NodeSpec, Report, SimRng, Spec};
 use rand::{RngExt, SeedableRng};
 
 /// A group of which some members start anew at once, with lists told apart, uneven routers, bursts and restarts.
 pub fn drawn(seed: u64) -> Spec {
-    let dice = &mut Dice::seed_from_u64(seed);
-    let mut pick = |low: f64, high: f64| low + (high - low) * dice.random::<f64>();
+    let rng = &mut SimRng::seed_from_u64(seed);
+    let mut pick = |low: f64, high: f64| low + (high - low) * rng.random::<f64>();
     let members = pick(3.0, 8.0) as usize;
     let routers = [1, 2, 5, 20, 30, 100, 300][pick(0.0, 7.0) as usize];
     let cold = pick(1.0, members as f64) as usize;
@@ -20,7 +20,7 @@
     };
     let (load, skew, spread) = (pick(0.3, 1.5), pick(1.0, 6.0), pick(0.0, 4.0));
     let burst = pick(6.0, 16.0);
-    let down = Trouble::ZoneDown {
+    let down = FaultKind::ZoneDown {
         zone: "a".into(),
         part: cold as f64 / members as f64,
     };
@@ -34,7 +34,7 @@
         faults.push(Fault {
             at,
             until: at + 0.3,
-            what: Trouble::RoutersDown { zone: "a".into() },
+            what: FaultKind::RoutersDown { zone: "a".into() },
         });
     }
     let text = format!(
@@ -55,7 +55,7 @@
 pub fn restarted(seed: u64) -> Spec {
     let mut spec = drawn(seed);
     let at = spec.clients.bursts[0].0;
-    let what = Trouble::Rollout { down_s: 0.3 };
+    let what = FaultKind::Rollout { down_s: 0.3 };
     spec.faults.push(Fault {
         at,
         until: at + 2.0,
--- a/simulation/tests/runs.rs
+++ b/simulation/tests/runs.rs
@@ -1,6 +1,6 @@
 //! Runs of the model: the same seed gives the same run, and rules hold where it is small enough for CI.
 
-use plovercove_simulation::{Fault, Spec, Trouble, Variant, run};
+use plovercove_simulation::{Fault, FaultKind, Spec, Variant, run};
 
 fn spec(faults: Vec<Fault>) -> Spec {
     let text = r#"{"seconds": 30, "window": [8, 28], "clients": {"load": 0.5}, "zones": [
@@ -15,7 +15,7 @@
     Fault {
         at: 8.0,
         until: 14.0,
-        what: Trouble::ZoneDown {
+        what: FaultKind::ZoneDown {
             zone: zone.into(),
             part: 1.0,
         },
@@ -74,7 +74,7 @@
     let drain = Fault {
         at: 8.0,
         until: 14.0,
-        what: Trouble::Drain {
+        what: FaultKind::Drain {
             zone: "b".into(),
             part: 1.0,
         },
--- a/simulation/tests/slow_start.rs
+++ b/simulation/tests/slow_start.rs
@@ -61,6 +61,9 @@
             "{line}; {:?}",
             report.breaches
         );
-        assert!(most.pressure <= 1.0 || !most.shares.theirs(), "{line}");
+        assert!(
+            most.pressure <= 1.0 || !most.shares.are_mostly_informed(),
+            "{line}"
+        );
     }
 }
--- a/simulation/tests/standing.rs
+++ b/simulation/tests/standing.rs
@@ -1,6 +1,6 @@
 //! Sentences of the operators' standing test that only a fleet can be held against: nobody starves.
 
-use plovercove_simulation::{Part, Report, Spec, run};
+use plovercove_simulation::{Report, ServedShare, Spec, run};
 
 fn spec(more: &str) -> Spec {
     let text = format!(
@@ -10,7 +10,7 @@
     serde_json::from_str(&text).expect("a good spec")
 }
 
-fn least(parts: &[Part]) -> &Part {
+fn least(parts: &[ServedShare]) -> &ServedShare {
     let all: u64 = parts.iter().map(|part| part.asked).sum();
     // Only those with a twentieth of the requests have a floor.
     let counts = parts.iter().filter(|part| part.asked * 20 >= all);
@@ -19,7 +19,7 @@
         .expect("some class counts")
 }
 
-fn told(report: &Report, parts: &[Part]) -> String {
+fn told(report: &Report, parts: &[ServedShare]) -> String {
     let all = parts
         .iter()
         .map(|p| format!("{} {:.2} of {}", p.name, p.share(), p.asked));
--- a/starlark-config/src/lib.rs
+++ b/starlark-config/src/lib.rs
@@ -85,7 +85,7 @@
 
 /// A place in a script. Without a line the whole file is meant, without a key the script itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct Location {
     /// The file.
     pub file: String,
     /// The line, from 1.
@@ -94,7 +94,7 @@
     pub key: String,
 }
 
-impl fmt::Display for Place {
+impl fmt::Display for Location {
     fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(to, "{}", self.file)?;
         if let Some(line) = self.line {
@@ -109,15 +109,15 @@
 
 /// What is wrong with a script, and where.
 #[derive(Debug, thiserror::Error)]
-#[error("{place}: {cause}")]
-pub struct Fault {
+#[error("{location}: {cause}")]
+pub struct ScriptError {
     /// Where.
-    pub place: Place,
+    pub location: Location,
     /// What.
     pub cause: Cause,
 }
 
-impl Fault {
+impl ScriptError {
     /// What an operator can do.
     pub fn help(&self) -> &'static str {
         self.cause.help()
@@ -138,10 +138,10 @@
     ///
     /// # Errors
     /// Names the file, the line where there is one, and what is wrong.
-    pub fn read(path: &Path) -> Result<Self, Fault> {
+    pub fn read(path: &Path) -> Result<Self, ScriptError> {
         let file = path.display().to_string();
-        let fault = |cause| Fault {
-            place: whole(&file),
+        let fault = |cause| ScriptError {
+            location: whole_file(&file),
             cause,
         };
         let length = std::fs::metadata(path)
@@ -158,16 +158,16 @@
     ///
     /// # Errors
     /// As [`Script::read`].
-    pub fn evaluate(file: &str, text: &str) -> Result<Self, Fault> {
-        let fault = |e: starlark::Error| Fault {
-            place: Place {
+    pub fn evaluate(file: &str, text: &str) -> Result<Self, ScriptError> {
+        let fault = |e: starlark::Error| ScriptError {
+            location: Location {
                 line: e.span().map(|span| span.resolve_span().begin.line + 1),
-                ..whole(file)
+                ..whole_file(file)
             },
             cause: Cause::Script(e.without_diagnostic().to_string().trim().to_string()),
         };
-        let broken = |cause| Fault {
-            place: whole(file),
+        let broken = |cause| ScriptError {
+            location: whole_file(file),
             cause,
         };
         let ast = AstModule::parse(file, text.to_string(), &Dialect::Standard).map_err(fault)?;
@@ -207,11 +207,11 @@
                 if name.starts_with('_') {
                     continue;
                 }
-                let json = value.to_json_value().map_err(|e| Fault {
-                    place: Place {
+                let json = value.to_json_value().map_err(|e| ScriptError {
+                    location: Location {
                         line: line_of(text, name),
                         key: name.to_string(),
-                        ..whole(file)
+                        ..whole_file(file)
                     },
                     cause: Cause::NoValue(e.to_string()),
                 })?;
@@ -229,15 +229,19 @@
     ///
     /// # Errors
     /// Names the line and the key at fault.
-    pub fn typed<T: DeserializeOwned>(&self) -> Result<T, Fault> {
-        self.typed_from(Value::Object(self.values.clone()), "")
+    pub fn deserialize<T: DeserializeOwned>(&self) -> Result<T, ScriptError> {
+        self.deserialize_value(Value::Object(self.values.clone()), "")
     }
 
     /// A value that came of this script as a type; `within` is the key that it stood under.
     ///
     /// # Errors
-    /// As [`Script::typed`].
-    pub fn typed_from<T: DeserializeOwned>(&self, value: Value, within: &str) -> Result<T, Fault> {
+    /// As [`Script::deserialize`].
+    pub fn deserialize_value<T: DeserializeOwned>(
+        &self,
+        value: Value,
+        within: &str,
+    ) -> Result<T, ScriptError> {
         serde_path_to_error::deserialize(value).map_err(|e| {
             let path = e.path().to_string();
             let inner = e.into_inner();
@@ -257,24 +261,24 @@
             } else {
                 format!("{within}.{path}")
             };
-            Fault {
-                place: self.place(key.trim_end_matches('.')),
+            ScriptError {
+                location: self.location(key.trim_end_matches('.')),
                 cause: Cause::Key(inner),
             }
         })
     }
 
     /// A complaint about a key of this script, with its line.
-    pub fn fault(&self, key: &str, why: impl Into<String>) -> Fault {
-        Fault {
-            place: self.place(key),
+    pub fn error_at(&self, key: &str, why: impl Into<String>) -> ScriptError {
+        ScriptError {
+            location: self.location(key),
             cause: Cause::Meaning(why.into()),
         }
     }
 
     /// Where a key of this script stands.
-    pub fn place(&self, key: &str) -> Place {
-        Place {
+    pub fn location(&self, key: &str) -> Location {
+        Location {
             file: self.file.clone(),
             line: line_of(&self.text, key),
             key: key.to_string(),
@@ -283,8 +287,8 @@
 }
 
 /// A file as a whole.
-fn whole(file: &str) -> Place {
-    Place {
+fn whole_file(file: &str) -> Location {
+    Location {
         file: file.to_string(),
         line: None,
         key: String::new(),
--- a/starlark-config/src/tests.rs
+++ b/starlark-config/src/tests.rs
@@ -21,7 +21,7 @@
 fn complaint(text: &str) -> String {
     let script = Script::evaluate("ops.star", text);
     script
-        .and_then(|s| s.typed::<Want>())
+        .and_then(|s| s.deserialize::<Want>())
         .expect_err("it is wrong")
         .to_string()
 }
@@ -30,7 +30,7 @@
 fn variables_are_settings_and_functions_and_private_names_are_not() {
     let text = "def _zone(n):\n    return {\"name\": n, \"routers\": 3}\n_all = [\"a\", \"b\"]\nspill = 0.1 + 0.2\nzones = [_zone(n) for n in _all]\n";
     let script = Script::evaluate("ops.star", text).unwrap_or_else(|e| panic!("{e}"));
-    let want: Want = script.typed().unwrap_or_else(|e| panic!("{e}"));
+    let want: Want = script.deserialize().unwrap_or_else(|e| panic!("{e}"));
     assert!((want.spill - 0.3).abs() < 1e-9);
     assert_eq!(
         (want.zones[1].name.as_str(), want.zones[1].routers),
