--- a/emulator/src/agent.rs
+++ b/emulator/src/agent.rs
@@ -1,4 +1,5 @@
-//! The agent of the node list: HTTP on loopback, the whole list or a watch for a newer one.
+//! A discovery agent that serves the node list over HTTP on loopback. It answers with the complete list, or waits until
+//! the list is newer than the version that the client has.
 
 use crate::wire;
 use plovercove::Time;
@@ -8,85 +9,85 @@
 use std::sync::{Arc, Condvar, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// One that keeps silent looks so often whether it still is to.
-const LOOKS: Duration = Duration::from_millis(50);
-/// A watch lasts no longer.
-const LONGEST: Duration = Duration::from_secs(60);
+/// Interval at which a silent agent checks whether it may answer again.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Maximum duration of a watch.
+const MAX_WATCH_TIME: Duration = Duration::from_secs(60);
 
-/// One node of the list.
+/// An entry of the node list.
 pub struct Entry {
-    /// Its name.
+    /// Name of the node.
     pub name: String,
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Name of its zone.
     pub zone: String,
-    /// Its group, as the list counts them.
+    /// Number of its group in the list.
     pub group: u64,
-    /// Whether it is the primary.
+    /// Whether the node is the primary of its group.
     pub head: bool,
-    /// Since when it runs, if it is not for long.
+    /// Time at which the node started, if it started recently.
     pub started: Option<Time>,
-    /// Whether it drains.
+    /// Whether the node is draining.
     pub draining: bool,
 }
 
 #[derive(Default)]
-struct Told {
+struct ListState {
     version: u64,
     entries: Vec<Value>,
-    hushed: bool,
+    is_silent: bool,
 }
 
-struct Board {
-    told: Mutex<Told>,
-    news: Condvar,
+struct SharedList {
+    state: Mutex<ListState>,
+    changed: Condvar,
 }
 
-/// The agent.
+/// A running agent.
 pub struct Agent {
     address: SocketAddr,
-    board: Arc<Board>,
+    list: Arc<SharedList>,
 }
 
 impl Agent {
-    /// An agent that knows no node yet.
+    /// Starts an agent with an empty list.
     ///
     /// # Errors
-    /// No port could be had.
+    /// No port is available.
     pub fn start() -> io::Result<Self> {
         let listener = TcpListener::bind(("127.0.0.1", 0))?;
         let address = listener.local_addr()?;
-        let board = Arc::new(Board {
-            told: Mutex::default(),
-            news: Condvar::new(),
+        let list = Arc::new(SharedList {
+            state: Mutex::default(),
+            changed: Condvar::new(),
         });
-        let shared = board.clone();
+        let shared = list.clone();
         std::thread::spawn(move || {
             while let Ok((connection, _)) = listener.accept() {
-                let board = shared.clone();
-                std::thread::spawn(move || drop(serve(connection, &board)));
+                let list = shared.clone();
+                std::thread::spawn(move || drop(serve(connection, &list)));
             }
         });
-        Ok(Agent { address, board })
+        Ok(Agent { address, list })
     }
 
-    /// Where it listens.
+    /// Address on which it listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// From now on it takes calls and does not answer, or answers again.
+    /// Makes the agent silent or lets it answer again. A silent agent reads requests without answering them.
     pub fn set_silent(&self, on: bool) {
-        self.board
-            .told
+        self.list
+            .state
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
-            .hushed = on;
-        self.board.news.notify_all();
+            .is_silent = on;
+        self.list.changed.notify_all();
     }
 
-    /// From now on this is the list.
+    /// Replaces the list.
     pub fn set_list(&self, nodes: impl Iterator<Item = Entry>) {
         let entry = |e: Entry| {
             json!({
@@ -95,54 +96,57 @@
                 "replication": if e.head { "primary" } else { "standby" },
             })
         };
-        let mut told = self
-            .board
-            .told
+        let mut state = self
+            .list
+            .state
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        told.version += 1;
-        told.entries = nodes.map(entry).collect();
-        drop(told);
-        self.board.news.notify_all();
+        state.version += 1;
+        state.entries = nodes.map(entry).collect();
+        drop(state);
+        self.list.changed.notify_all();
     }
 }
 
-/// A number in the query of a request's first line.
-fn number(line: &str, name: &str) -> Option<u64> {
+/// Returns a number from the query of the first line of a request.
+fn query_number(line: &str, name: &str) -> Option<u64> {
     let query = line.split_whitespace().nth(1)?.split_once('?')?.1;
     query
         .split('&')
         .find_map(|part| part.strip_prefix(name)?.strip_prefix('=')?.parse().ok())
 }
 
-fn serve(connection: TcpStream, board: &Board) -> io::Result<()> {
+fn serve(connection: TcpStream, list: &SharedList) -> io::Result<()> {
     let mut reader = BufReader::new(connection.try_clone()?);
     let mut writer = connection;
     loop {
         let Some(first) = wire::request(&mut reader)? else {
             return Ok(());
         };
-        let after = number(&first, "after").unwrap_or(0);
-        let wait = Duration::from_millis(number(&first, "wait_ms").unwrap_or(0)).min(LONGEST);
+        let after = query_number(&first, "after").unwrap_or(0);
+        let wait =
+            Duration::from_millis(query_number(&first, "wait_ms").unwrap_or(0)).min(MAX_WATCH_TIME);
         let until = Instant::now() + wait;
-        let mut told = board.told.lock().unwrap_or_else(PoisonError::into_inner);
-        while told.hushed || (told.version <= after && Instant::now() < until) {
-            let left = until.saturating_duration_since(Instant::now()).max(LOOKS);
-            told = board
-                .news
-                .wait_timeout(told, left)
+        let mut state = list.state.lock().unwrap_or_else(PoisonError::into_inner);
+        while state.is_silent || (state.version <= after && Instant::now() < until) {
+            let left = until
+                .saturating_duration_since(Instant::now())
+                .max(POLL_INTERVAL);
+            state = list
+                .changed
+                .wait_timeout(state, left)
                 .unwrap_or_else(PoisonError::into_inner)
                 .0;
         }
-        let news = told.version > after;
-        let entries = if news {
-            told.entries.clone()
+        let is_newer = state.version > after;
+        let entries = if is_newer {
+            state.entries.clone()
         } else {
             Vec::new()
         };
-        let body =
-            json!({ "index": told.version, "snapshot": news, "endpoints": entries }).to_string();
-        drop(told);
+        let body = json!({ "index": state.version, "snapshot": is_newer, "endpoints": entries })
+            .to_string();
+        drop(state);
         write!(
             writer,
             "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
--- a/emulator/src/client.rs
+++ b/emulator/src/client.rs
@@ -1,4 +1,5 @@
-//! Clients: open arrivals for each router, each request on a connection of its own or one that is kept.
+//! Clients of routers. Their requests arrive at random times, independent of earlier answers as far as the number of
+//! client threads allows. A client reuses its connection as long as the router keeps it open.
 
 use crate::wire;
 use plovercove_simulation::{Reads, Spec};
@@ -14,75 +15,76 @@
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// With its value.
+    /// The answer had the value of the request.
     Served,
-    /// Refused: trying again is harmless.
+    /// The router rejected the request without an attempt, so a retry is safe.
     Refused,
-    /// Failed.
+    /// The request failed, and may have run.
     Failed,
-    /// Not at all, by its patience and a little more.
+    /// No answer came within the timeout and a short grace time.
     Unanswered,
-    /// With a value that is another request's.
+    /// The answer had the value of another request.
     Foreign,
 }
 
-/// One request.
+/// A request and its outcome.
 #[derive(Clone, Copy, Debug)]
 pub struct Sample {
-    /// When it was due, since the clients began.
+    /// Time at which it was due, since the clients started.
     pub at: Duration,
-    /// How long it took from then.
+    /// Time from then until the outcome.
     pub took: Duration,
-    /// Its class, by place in the spec.
+    /// Index of its class in the specification.
     pub class: usize,
-    /// Its zone, by place in the spec.
+    /// Index of its zone in the specification.
     pub zone: usize,
-    /// How it ended.
-    pub fate: RequestOutcome,
+    /// Outcome.
+    pub outcome: RequestOutcome,
 }
 
-/// Clients that ask until they are stopped.
+/// Clients that send requests until they are stopped.
 pub struct Clients {
     stop: Arc<AtomicBool>,
     threads: Vec<JoinHandle<()>>,
     samples: Arc<Mutex<Vec<Sample>>>,
 }
 
-/// Threads for each router; each asks one thing at a time.
-const THREADS: usize = 24;
-/// Beyond its patience a request is waited for so long.
-const GRACE: Duration = Duration::from_millis(500);
+/// Number of client threads for each router. Each has one request in flight at a time.
+const THREADS_PER_ROUTER: usize = 24;
+/// Additional time to wait for an answer after the timeout.
+const TIMEOUT_GRACE: Duration = Duration::from_millis(500);
 
 impl Clients {
-    /// Begins to ask these routers, each told with the place of its zone, the load of the spec.
+    /// Starts clients that send the load of the specification to these routers. `routers` has the index of the zone and the
+    /// address of each.
     pub fn start(spec: &Spec, routers: &[(usize, SocketAddr)], seed: u64) -> Self {
         let (stop, samples) = (
             Arc::new(AtomicBool::new(false)),
             Arc::new(Mutex::new(Vec::new())),
         );
-        let each = spec.rate() / routers.len() as f64 / THREADS as f64;
-        let begun = Instant::now();
+        let rate = spec.rate() / routers.len() as f64 / THREADS_PER_ROUTER as f64;
+        let started = Instant::now();
         let mut threads = Vec::new();
         for (n, (zone, address)) in routers.iter().enumerate() {
-            for thread in 0..THREADS {
+            for thread in 0..THREADS_PER_ROUTER {
                 let (stop, samples, spec) = (stop.clone(), samples.clone(), spec.clone());
                 let (zone, address) = (*zone, *address);
-                let name = (n * THREADS + thread) as u64;
+                let name = (n * THREADS_PER_ROUTER + thread) as u64;
                 let client = move || {
                     let dice = plovercove_simulation::Dice::seed_from_u64(seed ^ (name << 32));
-                    let mut client = Client {
+                    let mut client = ClientThread {
                         spec,
                         zone,
-                        caller: RequestClient::new(address),
+                        connection: RequestClient::new(address),
                         name,
                         dice,
-                        asked: 0,
+                        sent: 0,
                     };
-                    let found = client.run(each, begun, &stop);
+                    let requests = client.run(rate, started, &stop);
                     samples
                         .lock()
                         .unwrap_or_else(PoisonError::into_inner)
-                        .extend(found);
+                        .extend(requests);
                 };
                 threads.push(std::thread::spawn(client));
             }
@@ -94,11 +96,11 @@
         }
     }
 
-    /// Ends them, and tells what came of their requests in the order in which they were due.
+    /// Stops the clients. Returns all requests in the order in which they were due.
     pub fn stop(self) -> Vec<Sample> {
         self.stop.store(true, Ordering::Relaxed);
         for thread in self.threads {
-            // A client that panicked would leave a gap in the counts: let it be seen.
+            // A client that panicked would be missing in the counts, so the panic is passed on.
             thread.join().expect("a client panicked");
         }
         let mut samples =
@@ -108,14 +110,14 @@
     }
 }
 
-/// One client's connection to a router: a request at a time, on a connection that is kept where it can be.
+/// A client of one router. It sends one request at a time, and reuses its connection where possible.
 pub struct RequestClient {
     address: SocketAddr,
     stream: Option<TcpStream>,
 }
 
 impl RequestClient {
-    /// A client of this router, not yet connected.
+    /// Creates a client of this router. It connects with its first request.
     pub fn new(address: SocketAddr) -> Self {
         RequestClient {
             address,
@@ -123,50 +125,54 @@
         }
     }
 
-    /// Asks one thing and waits for its final answer; its value must end with the id.
-    pub fn ask(&mut self, statement: &str, id: &str, patience: Duration) -> RequestOutcome {
-        self.exchange(&format!("{statement}\0"), id.as_bytes(), patience + GRACE)
-            .unwrap_or_else(|e| {
-                self.stream = None;
-                match e.kind() {
-                    ErrorKind::WouldBlock | ErrorKind::TimedOut => RequestOutcome::Unanswered,
-                    _ => RequestOutcome::Failed,
-                }
-            })
+    /// Sends a statement and waits for the final answer. The value of the answer has to end with the id.
+    pub fn ask(&mut self, statement: &str, id: &str, timeout: Duration) -> RequestOutcome {
+        self.exchange(
+            &format!("{statement}\0"),
+            id.as_bytes(),
+            timeout + TIMEOUT_GRACE,
+        )
+        .unwrap_or_else(|e| {
+            self.stream = None;
+            match e.kind() {
+                ErrorKind::WouldBlock | ErrorKind::TimedOut => RequestOutcome::Unanswered,
+                _ => RequestOutcome::Failed,
+            }
+        })
     }
 
     fn exchange(
         &mut self,
         statement: &str,
         id: &[u8],
-        patience: Duration,
+        timeout: Duration,
     ) -> io::Result<RequestOutcome> {
-        // Between requests the router may have closed; then a new connection is opened.
-        let fresh = self.stream.as_ref().is_none_or(|s| {
+        // The router may have closed the connection since the last request. In this case a new one is opened.
+        let needs_connection = self.stream.as_ref().is_none_or(|s| {
             s.set_nonblocking(true).is_err()
                 || !matches!(s.peek(&mut [0]), Err(e) if e.kind() == ErrorKind::WouldBlock)
                 || s.set_nonblocking(false).is_err()
         });
-        if fresh {
-            let mut stream = TcpStream::connect_timeout(&self.address, patience)?;
+        if needs_connection {
+            let mut stream = TcpStream::connect_timeout(&self.address, timeout)?;
             stream.set_nodelay(true)?;
             wire::greet(&mut stream)?;
             self.stream = Some(stream);
         }
         let stream = self.stream.as_mut().ok_or(ErrorKind::NotConnected)?;
-        stream.set_read_timeout(Some(patience))?;
-        if fresh {
+        stream.set_read_timeout(Some(timeout))?;
+        if needs_connection {
             while wire::message(stream)?.0 != b'Z' {}
         }
         let mut out = Vec::new();
         wire::put(&mut out, b'Q', statement.as_bytes());
         stream.write_all(&out)?;
-        let mut fate = RequestOutcome::Failed;
+        let mut outcome = RequestOutcome::Failed;
         loop {
             let (kind, body) = wire::message(stream)?;
             match kind {
                 b'D' => {
-                    fate = if body.ends_with(id) {
+                    outcome = if body.ends_with(id) {
                         RequestOutcome::Served
                     } else {
                         RequestOutcome::Foreign
@@ -174,56 +180,56 @@
                 }
                 b'E' => {
                     let text = String::from_utf8_lossy(&body);
-                    let refused = text.contains("C53300\0") || text.contains("C57P03\0");
-                    fate = if refused {
+                    let is_rejected = text.contains("C53300\0") || text.contains("C57P03\0");
+                    outcome = if is_rejected {
                         RequestOutcome::Refused
                     } else {
                         RequestOutcome::Failed
                     };
                 }
-                b'Z' => return Ok(fate),
+                b'Z' => return Ok(outcome),
                 _ => {}
             }
         }
     }
 }
 
-struct Client {
+struct ClientThread {
     spec: Spec,
     zone: usize,
-    caller: RequestClient,
+    connection: RequestClient,
     name: u64,
     dice: plovercove_simulation::Dice,
-    asked: u64,
+    sent: u64,
 }
 
-impl Client {
-    fn run(&mut self, rate: f64, begun: Instant, stop: &AtomicBool) -> Vec<Sample> {
+impl ClientThread {
+    fn run(&mut self, rate: f64, started: Instant, stop: &AtomicBool) -> Vec<Sample> {
         let mut samples = Vec::new();
         let mut due = Duration::ZERO;
         loop {
             let gap = Exp::new(rate).map_or(1.0, |d| d.sample(&mut self.dice));
             due += Duration::from_secs_f64(gap);
-            std::thread::sleep(due.saturating_sub(begun.elapsed()));
+            std::thread::sleep(due.saturating_sub(started.elapsed()));
             if stop.load(Ordering::Relaxed) {
                 return samples;
             }
-            // One that is behind asks when it can: it is a client, not a clock.
-            due = due.max(begun.elapsed());
-            let class = self.class();
-            let fate = self.ask(class);
-            let took = begun.elapsed().saturating_sub(due);
+            // A client that is late counts from when it sends the request: its own delay is no delay of the router.
+            due = due.max(started.elapsed());
+            let class = self.draw_class();
+            let outcome = self.send_request(class);
+            let took = started.elapsed().saturating_sub(due);
             samples.push(Sample {
                 at: due,
                 took,
                 class,
                 zone: self.zone,
-                fate,
+                outcome,
             });
         }
     }
 
-    fn class(&mut self) -> usize {
+    fn draw_class(&mut self) -> usize {
         let all: f64 = self.spec.classes.iter().map(|c| c.share).sum();
         let mut draw = self.dice.random::<f64>() * all;
         let found = self.spec.classes.iter().position(|c| {
@@ -233,17 +239,17 @@
         found.unwrap_or(0)
     }
 
-    fn ask(&mut self, class: usize) -> RequestOutcome {
-        self.asked += 1;
-        let id = format!("{:x}{:08x}", self.name + 16, self.asked);
+    fn send_request(&mut self, class: usize) -> RequestOutcome {
+        self.sent += 1;
+        let id = format!("{:x}{:08x}", self.name + 16, self.sent);
         let group = self.dice.random_range(0..self.spec.groups()) + 1;
-        let told = &self.spec.classes[class];
+        let class = &self.spec.classes[class];
         let (name, d, t) = (
-            &told.name,
-            told.deadline_ms,
+            &class.name,
+            class.deadline_ms,
             &self.spec.zones[self.zone].name,
         );
-        let what = if told.reads == Reads::Write {
+        let what = if class.reads == Reads::Write {
             "INSERT"
         } else {
             "SELECT"
@@ -252,6 +258,7 @@
             "/* id={id},c={name},t={t},d={d},cluster={group} */ {what} 'k{}'",
             self.name
         );
-        self.caller.ask(&statement, &id, Duration::from_millis(d))
+        self.connection
+            .ask(&statement, &id, Duration::from_millis(d))
     }
 }
--- a/emulator/src/counting_node.rs
+++ b/emulator/src/counting_node.rs
@@ -1,4 +1,4 @@
-//! A db node whose conduct is changed while it serves, and that counts what came to it: for trials of many routers.
+//! A db node whose faults can change while it serves, and that counts the statements that it receives.
 
 use crate::wire;
 use std::collections::HashMap;
@@ -7,197 +7,198 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// What a request takes where nothing is wrong.
-const WORK: Duration = Duration::from_millis(2);
+/// Time that a request takes without faults.
+const WORK_TIME: Duration = Duration::from_millis(2);
 
-/// How a node behaves.
+/// Faults of a node.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Conduct {
-    /// Its process is down: whoever connects is turned away at once.
+pub struct InjectedFaults {
+    /// Whether the node is down. It closes new connections at once.
     pub down: bool,
-    /// It takes statements in and never answers.
+    /// Whether the node reads statements without answering them.
     pub silent: bool,
-    /// It answers this class with errors; empty for all classes, none for none.
+    /// Class whose statements the node answers with errors. An empty text stands for all classes, and `None` for no class.
     pub errors: Option<String>,
-    /// Each answer takes so much longer.
+    /// Additional time for each answer.
     pub slow: Duration,
 }
 
-/// A statement that came to a node and was not answered well.
+/// A statement that a node received and did not answer in time and without error.
 #[derive(Clone, Debug)]
 pub struct Unserved {
-    /// When it came.
+    /// Time at which it arrived.
     pub at: Instant,
-    /// Its id.
+    /// Id of the statement.
     pub id: String,
 }
 
 #[derive(Default)]
-struct Inside {
-    conduct: Conduct,
+struct State {
+    faults: InjectedFaults,
     primary: bool,
     connections: Vec<TcpStream>,
-    /// How often each write ran, by its id.
-    wrote: HashMap<String, u32>,
+    /// Number of times that each write ran, by id.
+    write_counts: HashMap<String, u32>,
     statements: u64,
-    /// Reports that it was asked for.
+    /// Number of load reports that routers requested.
     probes: u64,
-    /// Since when nothing new may come, and how much came all the same.
-    closed: Option<Instant>,
-    after: u64,
-    /// Statements that came and were not answered well.
+    /// Time after which a draining node must not get statements, and the number of statements that it got after it.
+    drain_deadline: Option<Instant>,
+    statements_after_drain: u64,
+    /// Statements that were received and not answered in time and without error.
     unserved: Vec<Unserved>,
 }
 
-/// One db node.
+/// A running db node.
 pub struct CountingNode {
     address: SocketAddr,
-    inside: Arc<Mutex<Inside>>,
+    state: Arc<Mutex<State>>,
 }
 
-fn lock(inside: &Mutex<Inside>) -> MutexGuard<'_, Inside> {
-    inside.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock(state: &Mutex<State>) -> MutexGuard<'_, State> {
+    state.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl CountingNode {
-    /// A node that serves, as primary or as replica.
+    /// Starts a node as primary or as replica.
     ///
     /// # Errors
-    /// No port could be had.
+    /// No port is available.
     pub fn start(primary: bool) -> io::Result<Self> {
         let listener = TcpListener::bind(("127.0.0.1", 0))?;
-        let inside = Arc::new(Mutex::new(Inside {
+        let state = Arc::new(Mutex::new(State {
             primary,
-            ..Inside::default()
+            ..State::default()
         }));
         let node = CountingNode {
             address: listener.local_addr()?,
-            inside: inside.clone(),
+            state: state.clone(),
         };
         std::thread::spawn(move || {
             while let Ok((connection, _)) = listener.accept() {
-                // The last owner but this thread is gone: so is the node.
-                if Arc::strong_count(&inside) == 1 {
+                // This thread is the last owner, because the node was dropped.
+                if Arc::strong_count(&state) == 1 {
                     return;
                 }
-                let mut held = lock(&inside);
-                if held.conduct.down {
+                let mut locked = lock(&state);
+                if locked.faults.down {
                     continue;
                 }
-                held.connections.extend(connection.try_clone().ok());
-                drop(held);
-                let inside = inside.clone();
-                std::thread::spawn(move || drop(talk(connection, &inside)));
+                locked.connections.extend(connection.try_clone().ok());
+                drop(locked);
+                let state = state.clone();
+                std::thread::spawn(move || drop(serve_connection(connection, &state)));
             }
         });
         Ok(node)
     }
 
-    /// Where it listens.
+    /// Returns the address on which the node listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// It behaves so from now on. One that goes down loses its connections and what ran on them.
-    pub fn behave(&self, conduct: Conduct) {
-        let mut inside = lock(&self.inside);
-        if conduct.down {
-            for connection in inside.connections.drain(..) {
+    /// Replaces the faults of the node. A node that goes down loses its connections and the statements on them.
+    pub fn set_faults(&self, faults: InjectedFaults) {
+        let mut state = lock(&self.state);
+        if faults.down {
+            for connection in state.connections.drain(..) {
                 let _ = connection.shutdown(Shutdown::Both);
             }
         }
-        inside.conduct = conduct;
+        state.faults = faults;
     }
 
-    /// Statements that come from then on come too late: the list said that it drains.
-    pub fn close_at(&self, at: Option<Instant>) {
-        lock(&self.inside).closed = at;
+    /// Sets the time from which statements count as late, because the list says that the node is draining.
+    pub fn set_drain_deadline(&self, at: Option<Instant>) {
+        lock(&self.state).drain_deadline = at;
     }
 
-    /// Statements that came after that.
-    pub fn after_close(&self) -> u64 {
-        lock(&self.inside).after
+    /// Returns the number of statements after the drain deadline.
+    pub fn statements_after_drain(&self) -> u64 {
+        lock(&self.state).statements_after_drain
     }
 
-    /// How often each write ran, by its id.
-    pub fn wrote(&self) -> HashMap<String, u32> {
-        lock(&self.inside).wrote.clone()
+    /// Number of times that each write ran, by id.
+    pub fn write_counts(&self) -> HashMap<String, u32> {
+        lock(&self.state).write_counts.clone()
     }
 
-    /// Statements that came.
+    /// Returns the number of statements.
     pub fn statements(&self) -> u64 {
-        lock(&self.inside).statements
+        lock(&self.state).statements
     }
 
-    /// Reports that it was asked for.
+    /// Number of load reports that routers requested.
     pub fn probes(&self) -> u64 {
-        lock(&self.inside).probes
+        lock(&self.state).probes
     }
 
-    /// Statements that came and that it did not answer well.
+    /// Returns the statements that were not answered in time and without error.
     pub fn unserved(&self) -> Vec<Unserved> {
-        lock(&self.inside).unserved.clone()
+        lock(&self.state).unserved.clone()
     }
 }
 
 impl Drop for CountingNode {
     fn drop(&mut self) {
-        self.behave(Conduct {
+        self.set_faults(InjectedFaults {
             down: true,
-            ..Conduct::default()
+            ..InjectedFaults::default()
         });
-        self.inside = Arc::default();
+        self.state = Arc::default();
         let _ = TcpStream::connect_timeout(&self.address, Duration::from_millis(20));
     }
 }
 
-fn talk(mut stream: TcpStream, inside: &Mutex<Inside>) -> io::Result<()> {
+fn serve_connection(mut stream: TcpStream, state: &Mutex<State>) -> io::Result<()> {
     stream.set_nodelay(true)?;
-    let role = |inside: &Inside| if inside.primary { "primary" } else { "standby" };
-    let mine = role(&lock(inside));
-    wire::welcome(&mut stream, mine)?;
+    let role = |state: &State| if state.primary { "primary" } else { "standby" };
+    let own_role = role(&lock(state));
+    wire::welcome(&mut stream, own_role)?;
     loop {
         let Some(text) = wire::statement(&mut stream)? else {
             return Ok(());
         };
         let statement = text.as_str();
         let mut out = Vec::new();
-        let conduct = lock(inside).conduct.clone();
+        let faults = lock(state).faults.clone();
         if statement == "SHOW pressure" {
-            lock(inside).probes += 1;
+            lock(state).probes += 1;
             let position = crate::now() as f64 / 1e6;
-            let report = format!("x0={position:.6},x1={}", u8::from(mine == "primary"));
+            let report = format!("x0={position:.6},x1={}", u8::from(own_role == "primary"));
             wire::put_row(&mut out, report.as_bytes());
         } else if let Some(id) = wire::label(statement, "id") {
             let class = wire::label(statement, "c").unwrap_or_default();
-            let bad = conduct
+            let fails = faults
                 .errors
                 .as_ref()
                 .is_some_and(|c| c.is_empty() || c == class);
             let now = Instant::now();
             let write = statement.contains("INSERT");
-            let mut held = lock(inside);
-            held.statements += 1;
-            held.after += u64::from(held.closed.is_some_and(|at| now > at));
-            if conduct.silent || bad || !conduct.slow.is_zero() {
+            let mut locked = lock(state);
+            locked.statements += 1;
+            locked.statements_after_drain +=
+                u64::from(locked.drain_deadline.is_some_and(|at| now > at));
+            if faults.silent || fails || !faults.slow.is_zero() {
                 let id = id.to_string();
-                held.unserved.push(Unserved { at: now, id });
+                locked.unserved.push(Unserved { at: now, id });
             }
-            if write && mine == "primary" && !bad {
-                *held.wrote.entry(id.into()).or_default() += 1;
+            if write && own_role == "primary" && !fails {
+                *locked.write_counts.entry(id.into()).or_default() += 1;
             }
-            drop(held);
-            if conduct.silent {
+            drop(locked);
+            if faults.silent {
                 continue;
             }
-            std::thread::sleep(WORK + conduct.slow);
-            if bad {
+            std::thread::sleep(WORK_TIME + faults.slow);
+            if fails {
                 wire::put_error(&mut out, "XX000");
-            } else if write && mine != "primary" {
-                wire::put_status(&mut out, "replication_role", mine);
+            } else if write && own_role != "primary" {
+                wire::put_status(&mut out, "replication_role", own_role);
                 wire::put_error(&mut out, "25006");
             } else {
-                wire::put_status(&mut out, "replication_role", mine);
+                wire::put_status(&mut out, "replication_role", own_role);
                 if write {
                     wire::put_status(
                         &mut out,
--- a/emulator/src/error_page.rs
+++ b/emulator/src/error_page.rs
@@ -1,18 +1,18 @@
-//! `docs/errors.md`, for tests that hold it against the program.
+//! Reads `docs/errors.md`, for tests that compare the page with the errors of the programs.
 
 use std::path::Path;
 
 /// A row of the page.
 pub struct Row {
-    /// What one sees.
+    /// Message of the error, in which `…` stands for variable text.
     message: String,
-    /// What to do.
+    /// Help text.
     help: String,
-    /// The variant in the program.
+    /// Variant of the error type in the program.
     pub variant: String,
 }
 
-/// All rows of the page.
+/// Returns all rows of the page.
 pub fn read() -> Vec<Row> {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../docs/errors.md");
     let text = std::fs::read_to_string(path).expect("the page");
@@ -20,18 +20,18 @@
     let row = |line: &str| {
         let cells: Vec<&str> = line.trim_matches('|').split(" | ").map(str::trim).collect();
         assert_eq!(cells.len(), 4, "{line}");
-        let bare = |cell: &str| cell.trim_matches('`').to_string();
+        let without_backticks = |cell: &str| cell.trim_matches('`').to_string();
         Row {
-            message: bare(cells[0]),
+            message: without_backticks(cells[0]),
             help: cells[2].to_string(),
-            variant: bare(cells[3]),
+            variant: without_backticks(cells[3]),
         }
     };
     rows.map(row).collect()
 }
 
-/// Whether a text ends as a message of the page does, where `…` stands for anything.
-fn ends_as(text: &str, message: &str) -> bool {
+/// Returns whether a text ends with a message of the page, in which `…` stands for any text.
+fn ends_with_message(text: &str, message: &str) -> bool {
     let mut rest = text;
     let pieces: Vec<&str> = message.split('…').collect();
     let (last, first) = pieces.split_last().expect("one at the least");
@@ -45,8 +45,8 @@
 }
 
 impl Row {
-    /// Whether a fault with this text and this help is the one of this row; a place may stand in front of the text.
-    pub fn says(&self, text: &str, help: &str) -> bool {
-        self.help == help && ends_as(text, &self.message)
+    /// Returns whether an error with this text and this help is the one of this row. The text may begin with a location.
+    pub fn matches(&self, text: &str, help: &str) -> bool {
+        self.help == help && ends_with_message(text, &self.message)
     }
 }
--- a/emulator/src/fleet.rs
+++ b/emulator/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The nodes and their groups, what happens to them, and what is counted.
+//! The emulated db nodes with their groups and the agent, the failure and return of zones, and counters.
 
 use crate::agent::{Agent, Entry};
 use crate::node::Node;
@@ -11,23 +11,25 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The list hears of what has died, and of what has started, after so long.
-const LIST_LATE: (Duration, Duration) = (Duration::from_millis(1_200), Duration::from_millis(900));
-/// Another primary takes over after so long.
-const ELECTS: Duration = Duration::from_millis(2_500);
+/// Time until the list omits a node that has failed.
+const LIST_DELAY_OF_FAILURE: Duration = Duration::from_millis(1_200);
+/// Time until the list contains a node that has started.
+const LIST_DELAY_OF_START: Duration = Duration::from_millis(900);
+/// Time until a group that lost its primary elects another one.
+const ELECTION_TIME: Duration = Duration::from_millis(2_500);
 
-/// What was counted.
+/// Counters over all nodes.
 #[derive(Clone, Debug, Default)]
-pub struct Tally {
-    /// Nodes that fell over.
+pub struct FleetCounts {
+    /// Number of nodes that failed because of overload.
     pub fallen: usize,
-    /// Writes that ran more than once.
+    /// Number of writes that ran more than once.
     pub twice: usize,
-    /// Seconds of work that came to each zone from others, by second since the start; writes left out.
+    /// Work that each zone received from other zones, in seconds of work, by second since the start. Writes are not counted.
     pub spilled: Vec<Vec<f64>>,
 }
 
-/// Db nodes and the agent of their list, on loopback sockets.
+/// Db nodes, and the agent that serves their list, on loopback sockets.
 pub struct Fleet {
     shared: Arc<Shared>,
     nodes: Vec<Arc<Node>>,
@@ -35,10 +37,10 @@
 }
 
 impl Fleet {
-    /// Starts the nodes of a spec and the agent.
+    /// Starts the nodes of a specification and the agent.
     ///
     /// # Errors
-    /// A socket could not be had.
+    /// A socket is not available.
     pub fn start(spec: &Spec, seed: u64) -> io::Result<Self> {
         let layout = layout(spec);
         let rate = spec.rate() * spec.write_share() / layout.groups.len() as f64;
@@ -63,90 +65,90 @@
             nodes,
             agent,
         };
-        fleet.list();
+        fleet.publish_list();
         Ok(fleet)
     }
 
-    /// Where the agent listens.
+    /// Returns the address of the agent.
     pub fn agent(&self) -> SocketAddr {
         self.agent.address()
     }
 
-    /// Tells the list as things stand.
-    fn list(&self) {
+    /// Publishes the list of the running nodes.
+    fn publish_list(&self) {
         let entries = self.nodes.iter().filter_map(|node| {
-            let inside = node.inside();
+            let state = node.state();
             let head = self.shared.group(node.group).primary() == Some(node.member);
-            inside.up.then(|| Entry {
+            state.up.then(|| Entry {
                 name: node.name.clone(),
                 address: node.address,
                 zone: self.shared.zone(node.zone).to_string(),
                 group: node.group as u64 + 1,
                 head,
-                started: inside.machine.started(),
+                started: state.machine.started(),
                 draining: false,
             })
         });
         self.agent.set_list(entries);
     }
 
-    /// The processes of a zone's nodes die. The list and the groups follow in time; this returns when they have.
+    /// Stops the nodes of a zone. Returns after the list was updated and the groups have elected new primaries.
     pub fn zone_down(&self, zone: &str) {
-        let mine: Vec<&Arc<Node>> = self.of(zone).collect();
+        let nodes: Vec<&Arc<Node>> = self.nodes_in(zone).collect();
         let now = crate::now();
-        for node in &mine {
-            node.die();
+        for node in &nodes {
+            node.stop();
             let mut group = self.shared.group(node.group);
             if group.primary() == Some(node.member) {
                 group.lose_primary(now);
             }
             group.sever(node.member, now);
         }
-        std::thread::sleep(LIST_LATE.0);
-        self.list();
-        std::thread::sleep(ELECTS.saturating_sub(LIST_LATE.0));
+        std::thread::sleep(LIST_DELAY_OF_FAILURE);
+        self.publish_list();
+        std::thread::sleep(ELECTION_TIME.saturating_sub(LIST_DELAY_OF_FAILURE));
         for n in 0..self.shared.groups() {
-            let able: Vec<usize> = self
+            let candidates: Vec<usize> = self
                 .nodes
                 .iter()
-                .filter(|node| node.group == n && node.inside().up)
+                .filter(|node| node.group == n && node.state().up)
                 .map(|node| node.member)
                 .collect();
-            self.shared.group(n).elect(&able, crate::now());
+            self.shared.group(n).elect(&candidates, crate::now());
         }
-        self.list();
+        self.publish_list();
     }
 
-    /// They start again, cold. This returns when the list has told it.
+    /// Starts the nodes of a zone again, with cold caches. Returns after the list was updated.
     ///
     /// # Errors
-    /// An address could not be had again.
+    /// The address of a node is no longer available.
     pub fn zone_up(&self, zone: &str) -> io::Result<()> {
-        for node in self.of(zone) {
+        for node in self.nodes_in(zone) {
             node.start_again(&self.shared)?;
             self.shared
                 .group(node.group)
                 .rejoin(node.member, crate::now());
         }
-        std::thread::sleep(LIST_LATE.1);
-        self.list();
+        std::thread::sleep(LIST_DELAY_OF_START);
+        self.publish_list();
         Ok(())
     }
 
-    fn of<'a>(&'a self, zone: &'a str) -> impl Iterator<Item = &'a Arc<Node>> {
+    fn nodes_in<'a>(&'a self, zone: &'a str) -> impl Iterator<Item = &'a Arc<Node>> {
         self.nodes
             .iter()
             .filter(move |node| self.shared.zone(node.zone) == zone)
     }
 
-    /// What was counted so far.
-    pub fn tally(&self) -> Tally {
+    /// Returns the counters.
+    pub fn counts(&self) -> FleetCounts {
         let (twice, spilled) = self.shared.counts();
-        Tally {
+        FleetCounts {
             fallen: self
                 .nodes
                 .iter()
-                .filter(|node| node.inside().machine.fallen())
+                .filter(|node| node.state().machine.fallen())
                 .count(),
             twice,
             spilled,
@@ -156,6 +158,6 @@
 
 impl Drop for Fleet {
     fn drop(&mut self) {
-        self.nodes.iter().for_each(|node| node.die());
+        self.nodes.iter().for_each(|node| node.stop());
     }
 }
--- a/emulator/src/lib.rs
+++ b/emulator/src/lib.rs
@@ -1,6 +1,8 @@
-//! Stand-ins on loopback sockets: db nodes, the agent that tells the node list, and clients. What a node can do, when it
-//! falls and how old its data is comes from the same machines as the `fleet` model's. For the translator there are a server
-//! that answers what a script says, and a client that knows no more than old drivers do.
+//! Emulates the surroundings of routers on loopback sockets: db nodes, discovery agents, clients and the network between
+//! them.
+//!
+//! The capacity of a node, its failure under overload and the age of its data follow the models of the simulation. For
+//! tests of the protocol translation there are a scripted server, and a client that knows only what old drivers know.
 
 mod agent;
 mod client;
@@ -21,12 +23,12 @@
 
 pub use agent::{Agent, Entry};
 pub use client::{Clients, RequestClient, RequestOutcome, Sample};
-pub use fleet::{Fleet, Tally};
+pub use fleet::{Fleet, FleetCounts};
 
 use plovercove::Time;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// The system's clock, Unix time in microseconds.
+/// Returns the Unix time of the system clock (us).
 pub(crate) fn now() -> Time {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/emulator/src/links.rs
+++ b/emulator/src/links.rs
@@ -1,5 +1,5 @@
-//! Links between routers, for datagrams: what one sends to another passes through here, and what the weather between the
-//! two does to it. One link for each directed pair; the sender is known by the address it sends from.
+//! Relays the datagrams between routers, and can lose, delay, duplicate or corrupt them. There is one link for each directed
+//! pair of routers. The sender is recognized by the address from which it sends.
 
 use rand::{RngExt, SeedableRng};
 use serde::{Deserialize, Serialize};
@@ -12,33 +12,33 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// A thread that waits looks so often whether all is over.
-const LOOKS: Duration = Duration::from_millis(50);
-/// No datagram is longer.
-const LONGEST: usize = 2_048;
+/// Interval at which waiting threads check whether the links are being stopped.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Maximum length of a datagram.
+const MAX_DATAGRAM_BYTES: usize = 2_048;
 
-/// What a link does to what passes.
+/// What a link does to the datagrams that pass through it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-#[serde(default, deny_unknown_fields)]
-pub struct Weather {
-    /// Nothing passes.
+#[serde(default, deny_unknown_fields, expecting = "struct Weather")]
+pub struct LinkConditions {
+    /// Whether all datagrams are lost.
     pub cut: bool,
-    /// The share that is lost.
+    /// Share of datagrams that are lost.
     pub loss: f64,
-    /// How long everything takes (ms).
+    /// Delay of each datagram (ms).
     pub delay_ms: f64,
-    /// How much longer some take, at the most (ms); they overtake each other.
+    /// Maximum additional random delay (ms). Datagrams may overtake each other.
     pub jitter_ms: f64,
-    /// The share that comes twice.
+    /// Share of datagrams that are delivered twice.
     pub duplicate: f64,
-    /// The share of which a bit is changed.
+    /// Share of datagrams in which a bit is flipped.
     pub flip: f64,
 }
 
-impl Weather {
-    /// Both at once.
-    pub fn and(self, other: Weather) -> Weather {
-        Weather {
+impl LinkConditions {
+    /// Combines the conditions of two faults that are in force at the same time.
+    pub fn and(self, other: LinkConditions) -> LinkConditions {
+        LinkConditions {
             cut: self.cut || other.cut,
             loss: 1.0 - (1.0 - self.loss) * (1.0 - other.loss),
             delay_ms: self.delay_ms + other.delay_ms,
@@ -49,39 +49,40 @@
     }
 }
 
-/// What passed.
+/// Counters of the relayed datagrams.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Passed {
-    /// Datagrams and bytes that each router sent, by second since the links began.
+pub struct Traffic {
+    /// Datagrams and bytes that each router sent, by second since the links were started.
     pub sent: Vec<Vec<(u64, u64)>>,
-    /// Datagrams of no router.
+    /// Number of datagrams from addresses that are not those of a router.
     pub strangers: u64,
-    /// The longest datagram.
+    /// Length of the longest datagram.
     pub longest: usize,
 }
 
 struct Table {
-    /// Where each router takes datagrams now.
-    real: Vec<Option<SocketAddr>>,
-    weather: HashMap<(usize, usize), Weather>,
-    passed: Passed,
+    /// Address on which each router receives datagrams.
+    addresses: Vec<Option<SocketAddr>>,
+    conditions: HashMap<(usize, usize), LinkConditions>,
+    traffic: Traffic,
     dice: plovercove_simulation::Dice,
 }
 
-type Due = (Instant, u64, usize, SocketAddr, Vec<u8>);
+/// Time of delivery, sequence number, receiving router, its address and the bytes of a datagram.
+type QueuedDatagram = (Instant, u64, usize, SocketAddr, Vec<u8>);
 
-struct Inside {
-    begun: Instant,
-    over: AtomicBool,
+struct Shared {
+    started: Instant,
+    is_stopped: AtomicBool,
     sockets: Vec<UdpSocket>,
     table: Mutex<Table>,
-    queue: Mutex<(BinaryHeap<Reverse<Due>>, u64)>,
-    news: Condvar,
+    queue: Mutex<(BinaryHeap<Reverse<QueuedDatagram>>, u64)>,
+    queued: Condvar,
 }
 
-/// The links of a fleet of routers.
+/// The links between the routers of a fleet.
 pub struct Links {
-    inside: Arc<Inside>,
+    shared: Arc<Shared>,
     threads: Vec<JoinHandle<()>>,
 }
 
@@ -90,126 +91,130 @@
 }
 
 impl Links {
-    /// Links between so many routers.
+    /// Starts the links between this number of routers.
     ///
     /// # Errors
-    /// No port could be had.
+    /// No port is available.
     pub fn start(routers: usize, seed: u64) -> io::Result<Self> {
         let open = || {
             let socket = UdpSocket::bind(("127.0.0.1", 0))?;
-            socket.set_read_timeout(Some(LOOKS))?;
+            socket.set_read_timeout(Some(POLL_INTERVAL))?;
             Ok(socket)
         };
         let sockets = (0..routers)
             .map(|_| open())
             .collect::<io::Result<Vec<_>>>()?;
-        let inside = Arc::new(Inside {
-            begun: Instant::now(),
-            over: AtomicBool::new(false),
+        let shared = Arc::new(Shared {
+            started: Instant::now(),
+            is_stopped: AtomicBool::new(false),
             sockets,
             table: Mutex::new(Table {
-                real: vec![None; routers],
-                weather: HashMap::new(),
-                passed: Passed {
+                addresses: vec![None; routers],
+                conditions: HashMap::new(),
+                traffic: Traffic {
                     sent: vec![Vec::new(); routers],
-                    ..Passed::default()
+                    ..Traffic::default()
                 },
                 dice: plovercove_simulation::Dice::seed_from_u64(seed),
             }),
             queue: Mutex::default(),
-            news: Condvar::new(),
+            queued: Condvar::new(),
         });
         let mut threads = Vec::new();
         for n in 0..routers {
-            let inside = inside.clone();
-            threads.push(std::thread::spawn(move || inside.receive(n)));
+            let shared = shared.clone();
+            threads.push(std::thread::spawn(move || shared.receive(n)));
         }
-        let sender = inside.clone();
+        let sender = shared.clone();
         threads.push(std::thread::spawn(move || sender.send()));
-        Ok(Links { inside, threads })
+        Ok(Links { shared, threads })
     }
 
-    /// The address at which the others reach a router.
+    /// Returns the address to which the other routers send datagrams for this router.
     ///
     /// # Errors
-    /// The socket has none.
+    /// The system cannot determine the address.
     pub fn address(&self, router: usize) -> io::Result<SocketAddr> {
-        self.inside.sockets[router].local_addr()
+        self.shared.sockets[router].local_addr()
     }
 
-    /// The router takes its datagrams there now.
-    pub fn locate(&self, router: usize, at: SocketAddr) {
-        lock(&self.inside.table).real[router] = Some(at);
+    /// Sets the address on which a router receives datagrams.
+    pub fn set_router_address(&self, router: usize, address: SocketAddr) {
+        lock(&self.shared.table).addresses[router] = Some(address);
     }
 
-    /// The weather from one router to another is this from now on.
-    pub fn set(&self, from: usize, to: usize, weather: Weather) {
-        lock(&self.inside.table).weather.insert((from, to), weather);
+    /// Sets the conditions of the link from one router to another.
+    pub fn set_conditions(&self, from: usize, to: usize, conditions: LinkConditions) {
+        lock(&self.shared.table)
+            .conditions
+            .insert((from, to), conditions);
     }
 
-    /// What passed so far.
-    pub fn passed(&self) -> Passed {
-        lock(&self.inside.table).passed.clone()
+    /// Returns the counters.
+    pub fn traffic(&self) -> Traffic {
+        lock(&self.shared.table).traffic.clone()
     }
 }
 
 impl Drop for Links {
     fn drop(&mut self) {
-        self.inside.over.store(true, Ordering::Relaxed);
-        self.inside.news.notify_all();
+        self.shared.is_stopped.store(true, Ordering::Relaxed);
+        self.shared.queued.notify_all();
         for thread in self.threads.drain(..) {
             let _ = thread.join();
         }
     }
 }
 
-impl Inside {
-    fn over(&self) -> bool {
-        self.over.load(Ordering::Relaxed)
+impl Shared {
+    fn is_stopped(&self) -> bool {
+        self.is_stopped.load(Ordering::Relaxed)
     }
 
     fn receive(&self, to: usize) {
-        let mut bytes = [0; LONGEST];
-        while !self.over() {
+        let mut bytes = [0; MAX_DATAGRAM_BYTES];
+        while !self.is_stopped() {
             if let Ok((length, from)) = self.sockets[to].recv_from(&mut bytes) {
-                self.pass(from, to, &bytes[..length]);
+                self.relay(from, to, &bytes[..length]);
             }
         }
     }
 
-    fn pass(&self, from: SocketAddr, to: usize, bytes: &[u8]) {
+    fn relay(&self, from: SocketAddr, to: usize, bytes: &[u8]) {
         let mut table = lock(&self.table);
-        let Some(real) = table.real[to] else { return };
-        let sender = table.real.iter().position(|at| *at == Some(from));
-        let weather = sender
-            .and_then(|n| table.weather.get(&(n, to)).copied())
+        let Some(address) = table.addresses[to] else {
+            return;
+        };
+        let sender = table.addresses.iter().position(|at| *at == Some(from));
+        let conditions = sender
+            .and_then(|n| table.conditions.get(&(n, to)).copied())
             .unwrap_or_default();
-        let second = self.begun.elapsed().as_secs() as usize;
-        table.passed.longest = table.passed.longest.max(bytes.len());
+        let second = self.started.elapsed().as_secs() as usize;
+        table.traffic.longest = table.traffic.longest.max(bytes.len());
         match sender {
             Some(n) => {
-                let sent = &mut table.passed.sent[n];
+                let sent = &mut table.traffic.sent[n];
                 if sent.len() <= second {
                     sent.resize(second + 1, (0, 0));
                 }
                 sent[second].0 += 1;
                 sent[second].1 += bytes.len() as u64;
             }
-            None => table.passed.strangers += 1,
+            None => table.traffic.strangers += 1,
         }
         let dice = &mut table.dice;
-        if weather.cut || dice.random::<f64>() < weather.loss {
+        if conditions.cut || dice.random::<f64>() < conditions.loss {
             return;
         }
-        let copies = 1 + u32::from(dice.random::<f64>() < weather.duplicate);
+        let copies = 1 + u32::from(dice.random::<f64>() < conditions.duplicate);
         let mut due = Vec::new();
         for _ in 0..copies {
             let mut bytes = bytes.to_vec();
-            if dice.random::<f64>() < weather.flip && !bytes.is_empty() {
+            if dice.random::<f64>() < conditions.flip && !bytes.is_empty() {
                 let at = dice.random_range(0..bytes.len());
                 bytes[at] ^= 1 << dice.random_range(0..8);
             }
-            let wait = weather.delay_ms + weather.jitter_ms * dice.random::<f64>();
+            let wait = conditions.delay_ms + conditions.jitter_ms * dice.random::<f64>();
             due.push((Instant::now() + Duration::from_secs_f64(wait / 1e3), bytes));
         }
         drop(table);
@@ -217,30 +222,29 @@
         for (at, bytes) in due {
             queue.1 += 1;
             let order = queue.1;
-            queue.0.push(Reverse((at, order, to, real, bytes)));
+            queue.0.push(Reverse((at, order, to, address, bytes)));
         }
         drop(queue);
-        self.news.notify_one();
+        self.queued.notify_one();
     }
 
     fn send(&self) {
         let mut queue = lock(&self.queue);
-        while !self.over() {
+        while !self.is_stopped() {
             let now = Instant::now();
-            let wait = queue
-                .0
-                .peek()
-                .map_or(LOOKS, |Reverse(due)| due.0.saturating_duration_since(now));
+            let wait = queue.0.peek().map_or(POLL_INTERVAL, |Reverse(due)| {
+                due.0.saturating_duration_since(now)
+            });
             if wait.is_zero() {
-                if let Some(Reverse((_, _, to, real, bytes))) = queue.0.pop() {
-                    // Whoever is not there any more gets nothing.
-                    let _ = self.sockets[to].send_to(&bytes, real);
+                if let Some(Reverse((_, _, to, address, bytes))) = queue.0.pop() {
+                    // A router that no longer runs does not receive the datagram.
+                    let _ = self.sockets[to].send_to(&bytes, address);
                 }
                 continue;
             }
             queue = self
-                .news
-                .wait_timeout(queue, wait.min(LOOKS))
+                .queued
+                .wait_timeout(queue, wait.min(POLL_INTERVAL))
                 .unwrap_or_else(PoisonError::into_inner)
                 .0;
         }
--- a/emulator/src/links/tests.rs
+++ b/emulator/src/links/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn each_direction_has_a_weather_of_its_own_and_all_is_counted() {
+fn each_direction_has_its_own_conditions_and_all_datagrams_are_counted() {
     let links = Links::start(2, 1).expect("ports");
     let routers: Vec<UdpSocket> = (0..2)
         .map(|_| UdpSocket::bind(("127.0.0.1", 0)).expect("a port"))
@@ -12,23 +12,23 @@
         socket
             .set_read_timeout(Some(Duration::from_secs(5)))
             .expect("a socket");
-        links.locate(n, socket.local_addr().expect("bound"));
+        links.set_router_address(n, socket.local_addr().expect("bound"));
     }
-    links.set(
+    links.set_conditions(
         0,
         1,
-        Weather {
+        LinkConditions {
             cut: true,
-            ..Weather::default()
+            ..LinkConditions::default()
         },
     );
-    links.set(
+    links.set_conditions(
         1,
         0,
-        Weather {
+        LinkConditions {
             duplicate: 1.0,
             delay_ms: 5.0,
-            ..Weather::default()
+            ..LinkConditions::default()
         },
     );
     routers[0]
@@ -46,7 +46,7 @@
         .set_read_timeout(Some(Duration::from_millis(1)))
         .expect("a socket");
     assert!(routers[1].recv(&mut bytes).is_err(), "it is cut");
-    let passed = links.passed();
+    let passed = links.traffic();
     let sent = |n: usize| passed.sent[n].iter().map(|s| s.0).sum::<u64>();
     assert_eq!(
         (sent(0), sent(1), passed.strangers, passed.longest),
--- a/emulator/src/manual_node.rs
+++ b/emulator/src/manual_node.rs
@@ -1,4 +1,5 @@
-//! A db node that does nothing by itself: a test takes its connections in, and says when each greets and answers.
+//! A db node that a test drives by hand: the test accepts each connection, and decides when to send the greeting and each
+//! answer.
 
 use crate::wire;
 use socket2::{Domain, Socket, Type};
@@ -6,82 +7,82 @@
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
 
-/// A db node that waits to be told.
+/// A db node that acts only when the test calls a method.
 pub struct Node(TcpListener);
 
 impl Node {
-    /// A node that listens; what waits for it longer than this ends the test.
+    /// Starts a node that listens. `timeout` limits the time for which `accept` waits for a connection.
     ///
     /// # Errors
-    /// No port could be had.
-    pub fn start(hangs: Duration) -> io::Result<Self> {
+    /// No port is available.
+    pub fn start(timeout: Duration) -> io::Result<Self> {
         let listener = TcpListener::bind(("127.0.0.1", 0))?;
-        // On this system the time-out of reads is that of accepting too.
-        socket2::SockRef::from(&listener).set_read_timeout(Some(hangs))?;
+        // On Linux the read timeout of a listener is also its timeout for accepting.
+        socket2::SockRef::from(&listener).set_read_timeout(Some(timeout))?;
         Ok(Node(listener))
     }
 
-    /// Where it listens.
+    /// Returns the address on which the node listens.
     ///
     /// # Errors
-    /// The system does not tell.
+    /// The system cannot determine the address.
     pub fn address(&self) -> io::Result<SocketAddr> {
         self.0.local_addr()
     }
 
-    /// Takes the next connection in, with what the router says first. It has not been greeted.
+    /// Accepts the next connection and reads the startup packet of the router. No greeting is sent yet.
     ///
     /// # Errors
-    /// None came.
-    pub fn accept(&self, hangs: Duration) -> io::Result<Link> {
+    /// No connection came within the timeout.
+    pub fn accept(&self, timeout: Duration) -> io::Result<Link> {
         let (mut stream, _) = self.0.accept()?;
-        stream.set_read_timeout(Some(hangs))?;
-        stream.set_write_timeout(Some(hangs))?;
+        stream.set_read_timeout(Some(timeout))?;
+        stream.set_write_timeout(Some(timeout))?;
         stream.set_nodelay(true)?;
         wire::startup(&mut stream)?;
         Ok(Link(stream))
     }
 }
 
-/// A db node that no connection comes up to: its queue is full.
+/// A db node to which no connection can be established, because its accept queue is full.
 pub struct FullQueueNode {
     node: Node,
     queue: Vec<TcpStream>,
 }
 
-/// So long a connection is waited for, to tell that the queue is full.
-const UP: Duration = Duration::from_millis(200);
+/// Time without a connection after which the accept queue counts as full.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
 
 impl FullQueueNode {
-    /// A node that listens and is deaf; see `Node::start`.
+    /// Starts a node and fills its accept queue. For `timeout` see `Node::start`.
     ///
     /// # Errors
-    /// No port could be had.
-    pub fn start(hangs: Duration) -> io::Result<Self> {
+    /// No port is available.
+    pub fn start(timeout: Duration) -> io::Result<Self> {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
         socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())?;
         socket.listen(0)?;
-        socket.set_read_timeout(Some(hangs))?;
+        socket.set_read_timeout(Some(timeout))?;
         let node = Node(socket.into());
         let (at, mut queue) = (node.address()?, Vec::new());
-        while let Ok(stream) = TcpStream::connect_timeout(&at, UP) {
+        while let Ok(stream) = TcpStream::connect_timeout(&at, CONNECT_TIMEOUT) {
             queue.push(stream);
         }
         Ok(FullQueueNode { node, queue })
     }
 
-    /// Where it listens.
+    /// Returns the address on which the node listens.
     ///
     /// # Errors
-    /// The system does not tell.
+    /// The system cannot determine the address.
     pub fn address(&self) -> io::Result<SocketAddr> {
         self.node.address()
     }
 
-    /// From now on connections come up, those that were begun before included.
+    /// Empties the accept queue, so that connections are established, including those that were begun before.
     ///
     /// # Errors
-    /// What stood in the queue has gone.
+    /// A connection of the queue no longer exists.
     pub fn accept_connections(self) -> io::Result<Node> {
         for _ in &self.queue {
             self.node.0.accept()?;
@@ -90,14 +91,14 @@
     }
 }
 
-/// One connection of the router's.
+/// A connection from the router.
 pub struct Link(TcpStream);
 
 impl Link {
-    /// Welcomes the router as this role.
+    /// Sends the greeting to the router, with this replication role.
     ///
     /// # Errors
-    /// The router has gone.
+    /// The router has closed the connection.
     pub fn greet(&mut self, role: &str) -> io::Result<()> {
         let mut out = Vec::new();
         wire::put(&mut out, b'R', &[0; 4]);
@@ -106,10 +107,10 @@
         io::Write::write_all(&mut self.0, &out)
     }
 
-    /// The id of the next statement; none at the end of the connection.
+    /// Waits for the next statement and returns its id, or `None` at the end of the connection.
     ///
     /// # Errors
-    /// Nothing comes, and the connection stays open.
+    /// No data came within the timeout, and the connection is open.
     pub fn statement(&mut self) -> io::Result<Option<String>> {
         let text = match wire::statement(&mut self.0) {
             Err(e)
@@ -125,10 +126,10 @@
         Ok(text.map(|text| wire::label(&text, "id").map_or(text.clone(), str::to_string)))
     }
 
-    /// The id of a statement that has come by now, if one has.
+    /// Returns the id of a statement that has already arrived, without waiting.
     ///
     /// # Errors
-    /// The time-out can't be set.
+    /// The mode of the socket cannot be changed.
     pub fn pending_statement(&mut self) -> io::Result<Option<String>> {
         let mut byte = [0];
         self.0.set_nonblocking(true)?;
@@ -141,50 +142,50 @@
         }
     }
 
-    /// Reads so many bytes at the most, as they come; 0 at the end of the connection.
+    /// Reads up to `max_bytes` bytes. Returns their number, which is 0 at the end of the connection.
     ///
     /// # Errors
-    /// Nothing comes, and the connection stays open.
-    pub fn read(&mut self, most: usize) -> io::Result<usize> {
-        io::Read::read(&mut self.0, &mut vec![0; most])
+    /// No data came within the timeout, and the connection is open.
+    pub fn read(&mut self, max_bytes: usize) -> io::Result<usize> {
+        io::Read::read(&mut self.0, &mut vec![0; max_bytes])
     }
 
-    /// Says that nothing more will be said; what comes is read no longer.
+    /// Shuts down the sending direction of the connection.
     ///
     /// # Errors
-    /// The router has gone.
+    /// The router has closed the connection.
     pub fn close_write(&self) -> io::Result<()> {
         self.0.shutdown(Shutdown::Write)
     }
 
-    /// Resets the connection, as the system does when a process dies.
+    /// Resets the connection, as the system does when a process is killed.
     ///
     /// # Errors
-    /// The system refuses.
+    /// The socket option cannot be set.
     pub fn reset(self) -> io::Result<()> {
         socket2::SockRef::from(&self.0).set_linger(Some(Duration::ZERO))
     }
 
-    /// Says these bytes, whatever they are.
+    /// Sends bytes unchanged.
     ///
     /// # Errors
-    /// The router has gone, or takes nothing in.
+    /// The router has closed the connection, or does not read within the timeout.
     pub fn send(&mut self, bytes: &[u8]) -> io::Result<()> {
         io::Write::write_all(&mut self.0, bytes)
     }
 
-    /// Answers the statement that came with its own id.
+    /// Sends the answer to the statement with this id.
     ///
     /// # Errors
-    /// The router has gone.
+    /// The router has closed the connection.
     pub fn answer(&mut self, id: &str) -> io::Result<()> {
         self.answer_all(&[id])
     }
 
-    /// Says these answers in one write, whatever came.
+    /// Sends the answers to these ids in one write, whether or not the statements arrived.
     ///
     /// # Errors
-    /// The router has gone.
+    /// The router has closed the connection.
     pub fn answer_all(&mut self, ids: &[&str]) -> io::Result<()> {
         let mut out = Vec::new();
         for id in ids {
--- a/emulator/src/node.rs
+++ b/emulator/src/node.rs
@@ -1,4 +1,4 @@
-//! One db node: a listener, a thread for each connection, and the model's machine between them.
+//! An emulated db node: a listener, a thread for each connection, and the simulated machine that limits their work.
 
 use crate::shared::Shared;
 use crate::wire;
@@ -10,34 +10,37 @@
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// No request waits longer for its turn.
-const WAIT: Duration = Duration::from_secs(10);
+/// Maximum time that a request waits until its work begins.
+const MAX_QUEUE_TIME: Duration = Duration::from_secs(10);
 
-pub(crate) struct Inside {
+pub(crate) struct State {
     pub(crate) machine: Machine<u64>,
-    /// Those whose turn has come, and until when they run.
-    turns: HashMap<u64, Time>,
-    tickets: u64,
+    /// Queued requests whose work has begun since, with the time at which it ends.
+    begun: HashMap<u64, Time>,
+    last_ticket: u64,
     pub(crate) up: bool,
     epoch: u32,
     connections: Vec<TcpStream>,
 }
 
-/// One db node.
+/// An emulated db node.
 pub(crate) struct Node {
     pub(crate) name: String,
     pub(crate) zone: usize,
     pub(crate) group: usize,
     pub(crate) member: usize,
     pub(crate) address: SocketAddr,
-    inside: Mutex<Inside>,
-    turned: Condvar,
+    state: Mutex<State>,
+    work_begun: Condvar,
 }
 
-/// What became of a request that was offered.
-enum Worked {
+/// Result of the work of a request.
+enum WorkResult {
+    /// The work is done.
     Done,
+    /// The queue of the node is full.
     Full,
+    /// The node failed before the work was done, or the request waited too long.
     Lost,
 }
 
@@ -49,10 +52,10 @@
         address: SocketAddr,
     ) -> Self {
         let (zone, group, member) = place;
-        let inside = Inside {
+        let state = State {
             machine,
-            turns: HashMap::new(),
-            tickets: 0,
+            begun: HashMap::new(),
+            last_ticket: 0,
             up: true,
             epoch: 0,
             connections: Vec::new(),
@@ -63,70 +66,75 @@
             group,
             member,
             address,
-            inside: Mutex::new(inside),
-            turned: Condvar::new(),
+            state: Mutex::new(state),
+            work_begun: Condvar::new(),
         }
     }
 
-    pub(crate) fn inside(&self) -> MutexGuard<'_, Inside> {
-        self.inside.lock().unwrap_or_else(PoisonError::into_inner)
+    pub(crate) fn state(&self) -> MutexGuard<'_, State> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Its process dies: its listener closes and its connections are reset or end.
-    pub(crate) fn die(&self) {
-        let mut inside = self.inside();
-        if !inside.up {
+    /// Stops the node: its listener and its connections are closed.
+    pub(crate) fn stop(&self) {
+        let mut state = self.state();
+        if !state.up {
             return;
         }
-        (inside.up, inside.epoch) = (false, inside.epoch + 1);
-        drop(inside.machine.stop());
-        inside.turns.clear();
-        for connection in inside.connections.drain(..) {
+        (state.up, state.epoch) = (false, state.epoch + 1);
+        drop(state.machine.stop());
+        state.begun.clear();
+        for connection in state.connections.drain(..) {
             let _ = connection.shutdown(Shutdown::Both);
         }
-        drop(inside);
-        self.turned.notify_all();
-        // The thread that accepts wakes up, sees that it is down and lets its listener go.
+        drop(state);
+        self.work_begun.notify_all();
+        // A connection wakes the accepting thread, which then closes the listener because the node is down.
         let _ = TcpStream::connect(self.address);
     }
 
-    /// Its process starts again, cold, at the same address.
+    /// Starts the node again at the same address, with cold caches.
     pub(crate) fn start_again(self: &Arc<Self>, shared: &Arc<Shared>) -> io::Result<()> {
-        let mut inside = self.inside();
-        if inside.up || inside.machine.fallen() {
+        let mut state = self.state();
+        if state.up || state.machine.fallen() {
             return Ok(());
         }
         let listener = TcpListener::bind(self.address)?;
-        (inside.up, inside.epoch) = (true, inside.epoch + 1);
-        inside.machine.restart(crate::now());
-        drop(inside);
+        (state.up, state.epoch) = (true, state.epoch + 1);
+        state.machine.restart(crate::now());
+        drop(state);
         self.serve(listener, shared);
         Ok(())
     }
 
-    /// Accepts until the node is down.
+    /// Accepts connections until the node is down.
     pub(crate) fn serve(self: &Arc<Self>, listener: TcpListener, shared: &Arc<Shared>) {
         let (node, shared) = (self.clone(), shared.clone());
         std::thread::spawn(move || {
             while let Ok((connection, _)) = listener.accept() {
-                let mut inside = node.inside();
-                if !inside.up {
+                let mut state = node.state();
+                if !state.up {
                     return;
                 }
-                let Ok(kept) = connection.try_clone() else {
+                let Ok(clone) = connection.try_clone() else {
                     continue;
                 };
-                inside.connections.push(kept);
-                let epoch = inside.epoch;
-                drop(inside);
+                state.connections.push(clone);
+                let epoch = state.epoch;
+                drop(state);
                 let (node, shared) = (node.clone(), shared.clone());
-                // A connection that ends, ends: its peer sees it.
-                std::thread::spawn(move || drop(node.talk(connection, epoch, &shared)));
+                // An error ends the connection, which its peer notices.
+                std::thread::spawn(move || drop(node.serve_connection(connection, epoch, &shared)));
             }
         });
     }
 
-    fn talk(&self, mut stream: TcpStream, epoch: u32, shared: &Shared) -> io::Result<()> {
+    fn serve_connection(
+        &self,
+        mut stream: TcpStream,
+        epoch: u32,
+        shared: &Shared,
+    ) -> io::Result<()> {
         stream.set_nodelay(true)?;
         wire::welcome(&mut stream, self.role(shared))?;
         loop {
@@ -161,7 +169,7 @@
         format!("x0={:.6},x1={head}", position as f64 / 1e6)
     }
 
-    /// Answers a client's statement; false where the node died over it.
+    /// Answers the statement of a client. Returns `false` if the node failed before the work was done.
     fn answer(&self, statement: &str, epoch: u32, shared: &Shared, out: &mut Vec<u8>) -> bool {
         let class = wire::label(statement, "c").and_then(|c| shared.class(c));
         let (Some(class), Some(id)) = (class, wire::label(statement, "id")) else {
@@ -174,16 +182,16 @@
             wire::put_error(out, "25006");
             return true;
         }
-        shared.sent(self.zone, wire::label(statement, "t"), class);
+        shared.count_received(self.zone, wire::label(statement, "t"), class);
         match self.work(shared.work(class, id), epoch) {
-            Worked::Lost => return false,
-            Worked::Full => wire::put_error(out, "53300"),
-            Worked::Done => {
+            WorkResult::Lost => return false,
+            WorkResult::Full => wire::put_error(out, "53300"),
+            WorkResult::Done => {
                 let now = crate::now();
                 wire::put_status(out, "replication_role", self.role(shared));
                 if write {
                     shared.group(self.group).commit(now);
-                    shared.ran(id);
+                    shared.count_write(id);
                     wire::put_status(out, "log_position", &now.div_ceil(1_000).to_string());
                 }
                 wire::put_row(out, id.as_bytes());
@@ -192,47 +200,47 @@
         true
     }
 
-    /// Does the work, when its turn comes.
-    fn work(&self, work: f64, epoch: u32) -> Worked {
-        let mut inside = self.inside();
-        if inside.epoch != epoch {
-            return Worked::Lost;
+    /// Waits until the work can begin, and then for as long as it takes.
+    fn work(&self, work: f64, epoch: u32) -> WorkResult {
+        let mut state = self.state();
+        if state.epoch != epoch {
+            return WorkResult::Lost;
         }
-        inside.tickets += 1;
-        let ticket = inside.tickets;
-        let until = match inside.machine.offer(crate::now(), ticket, work) {
+        state.last_ticket += 1;
+        let ticket = state.last_ticket;
+        let until = match state.machine.offer(crate::now(), ticket, work) {
             Offer::Runs(until) => until,
-            Offer::Full => return Worked::Full,
+            Offer::Full => return WorkResult::Full,
             Offer::Falls => {
-                drop(inside);
-                self.die();
-                return Worked::Lost;
+                drop(state);
+                self.stop();
+                return WorkResult::Lost;
             }
             Offer::Waits => loop {
-                let (woken, late) = self
-                    .turned
-                    .wait_timeout(inside, WAIT)
+                let (guard, wait) = self
+                    .work_begun
+                    .wait_timeout(state, MAX_QUEUE_TIME)
                     .unwrap_or_else(PoisonError::into_inner);
-                inside = woken;
-                if inside.epoch != epoch || late.timed_out() {
-                    return Worked::Lost;
+                state = guard;
+                if state.epoch != epoch || wait.timed_out() {
+                    return WorkResult::Lost;
                 }
-                if let Some(until) = inside.turns.remove(&ticket) {
+                if let Some(until) = state.begun.remove(&ticket) {
                     break until;
                 }
             },
         };
-        drop(inside);
-        // The work itself: time passes.
+        drop(state);
+        // The work itself is only a wait.
         std::thread::sleep(Duration::from_micros(until.saturating_sub(crate::now())));
-        let mut inside = self.inside();
-        if inside.epoch != epoch {
-            return Worked::Lost;
+        let mut state = self.state();
+        if state.epoch != epoch {
+            return WorkResult::Lost;
         }
-        if let Some((next, until)) = inside.machine.done(crate::now()) {
-            inside.turns.insert(next, until);
-            self.turned.notify_all();
+        if let Some((next, until)) = state.machine.done(crate::now()) {
+            state.begun.insert(next, until);
+            self.work_begun.notify_all();
         }
-        Worked::Done
+        WorkResult::Done
     }
 }
--- a/emulator/src/orphan_reaper.rs
+++ b/emulator/src/orphan_reaper.rs
@@ -1,15 +1,16 @@
-//! Routers do not outlive the process that started them, also where that one is killed and can end nobody.
+//! Kills the router processes that are left when the process that started them ends, even if that one was killed with
+//! SIGKILL.
 //!
-//! A shell reads from a pipe which processes were started and which have ended. The pipe's other end closes with its owner,
-//! however that dies, and the shell kills those that are left.
+//! A shell reads from a pipe which processes were started and which have ended. The system closes the other end of the pipe
+//! when its owner ends for any reason, and the shell then kills the remaining processes.
 
 use std::io::{self, Write};
 use std::process::{ChildStdin, Command, Stdio};
 use std::sync::{LazyLock, Mutex, PoisonError};
 
-/// Reads `+ ID` and `- ID`; at the end of its input it kills the processes that were started and have not ended. What ends its
-/// owner in peace must not end it first.
-const WATCH: &str = r#"
+/// Script that reads `+ ID` and `- ID`. At the end of its input it kills the processes that were started and have not
+/// ended. It ignores the signals that terminate its owner, because it has to outlive the owner.
+const WATCHER_SCRIPT: &str = r#"
 trap '' INT TERM HUP
 running=" "
 while read -r change id; do
@@ -21,11 +22,12 @@
 [ -z "${running// /}" ] || kill -9 $running
 "#;
 
-static WATCHER: LazyLock<Mutex<io::Result<ChildStdin>>> = LazyLock::new(|| Mutex::new(watcher()));
+static WATCHER: LazyLock<Mutex<io::Result<ChildStdin>>> =
+    LazyLock::new(|| Mutex::new(start_watcher()));
 
-fn watcher() -> io::Result<ChildStdin> {
+fn start_watcher() -> io::Result<ChildStdin> {
     let mut shell = Command::new("bash")
-        .args(["-c", WATCH])
+        .args(["-c", WATCHER_SCRIPT])
         .stdin(Stdio::piped())
         .stdout(Stdio::null())
         .stderr(Stdio::null())
@@ -36,7 +38,7 @@
         .ok_or_else(|| io::Error::other("the shell has no input"))
 }
 
-fn tell(change: char, id: u32) -> io::Result<()> {
+fn notify_watcher(change: char, id: u32) -> io::Result<()> {
     let mut watcher = WATCHER.lock().unwrap_or_else(PoisonError::into_inner);
     match &mut *watcher {
         Ok(input) => writeln!(input, "{change} {id}"),
@@ -44,16 +46,16 @@
     }
 }
 
-/// A process was started that ends with this one.
+/// Registers a process that has to end with this one.
 ///
 /// # Errors
-/// Nobody can watch it.
-pub(crate) fn started(id: u32) -> io::Result<()> {
-    tell('+', id)
+/// The watcher is not running.
+pub(crate) fn register(id: u32) -> io::Result<()> {
+    notify_watcher('+', id)
 }
 
-/// It has ended and was waited for: its number may be another's from now on.
-pub(crate) fn ended(id: u32) {
-    // Without a watcher nothing was started.
-    let _ = tell('-', id);
+/// Removes a process that has ended and was waited for. The system may reuse its id from now on.
+pub(crate) fn unregister(id: u32) {
+    // If there is no watcher, no process was registered either.
+    let _ = notify_watcher('-', id);
 }
--- a/emulator/src/process.rs
+++ b/emulator/src/process.rs
@@ -1,5 +1,5 @@
-//! A router's process: started, watched by its log, signalled by its id, and ended. The one owner of all three for the
-//! lab, the rig and the tests.
+//! Starts a router process, reads its log, sends it signals and waits for its exit. Experiments and tests all use this
+//! module for router processes.
 
 use crate::orphan_reaper;
 use rustix::process::{Pid, Signal, kill_process};
@@ -12,90 +12,94 @@
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// A router that has not said by then that it listens does not start.
-const STARTS: Duration = Duration::from_secs(10);
-/// Between two looks at whether a process has ended: the system tells only its parent, and only when asked.
-const LOOKS: Duration = Duration::from_millis(5);
+/// Maximum time until a router logs that it listens. A start that takes longer has failed.
+const MAX_START_TIME: Duration = Duration::from_secs(10);
+/// Interval at which the exit of a process is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What is done to a process from outside.
+/// A signal to a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessSignal {
-    /// SIGTERM: it finishes what it has taken and ends.
+    /// SIGTERM: the process finishes the requests that it has received, and exits.
     Term,
-    /// SIGKILL: it is gone at once.
+    /// SIGKILL: the process ends at once.
     Kill,
-    /// SIGSTOP: it stands still, its connections stay open.
+    /// SIGSTOP: the process is stopped, and its connections stay open.
     Stop,
-    /// SIGCONT: it goes on.
+    /// SIGCONT: the stopped process continues.
     Continue,
-    /// SIGHUP: it reads its files again.
+    /// SIGHUP: the process reads its files again.
     Reload,
-    /// SIGUSR1: it tells its log what it believes, where it talks with other routers.
+    /// SIGUSR1: a process that gossips with other routers logs its gossip state.
     LogState,
 }
 
 #[derive(Default)]
-struct Said {
+struct LogContent {
     lines: Vec<String>,
-    /// Its log is at an end.
-    over: bool,
+    /// Whether the log has ended.
+    is_complete: bool,
 }
 
 #[derive(Default)]
 struct Log {
-    said: Mutex<Said>,
-    news: Condvar,
+    content: Mutex<LogContent>,
+    changed: Condvar,
 }
 
 impl Log {
-    fn said(&self) -> MutexGuard<'_, Said> {
-        self.said.lock().unwrap_or_else(PoisonError::into_inner)
+    fn content(&self) -> MutexGuard<'_, LogContent> {
+        self.content.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Waits until something is found in the log; none once it is over or the time is.
-    fn find<T>(&self, within: Duration, mut what: impl FnMut(&[String]) -> Option<T>) -> Option<T> {
+    /// Waits until `search` finds something in the log. Returns `None` if the log ends or the time is over first.
+    fn find<T>(
+        &self,
+        within: Duration,
+        mut search: impl FnMut(&[String]) -> Option<T>,
+    ) -> Option<T> {
         let until = Instant::now() + within;
-        let mut said = self.said();
+        let mut content = self.content();
         loop {
-            if let Some(found) = what(&said.lines) {
+            if let Some(found) = search(&content.lines) {
                 return Some(found);
             }
             let left = until.saturating_duration_since(Instant::now());
-            if said.over || left.is_zero() {
+            if content.is_complete || left.is_zero() {
                 return None;
             }
-            said = self
-                .news
-                .wait_timeout(said, left)
+            content = self
+                .changed
+                .wait_timeout(content, left)
                 .unwrap_or_else(PoisonError::into_inner)
                 .0;
         }
     }
 }
 
-/// A folder of its own for a process's files. It goes with its owner.
+/// A temporary folder for the files of a process. It is removed when this value is dropped.
 pub struct Folder(PathBuf);
 
 impl Folder {
-    /// A new folder whose name begins so.
+    /// Creates a folder whose name contains this name and the id of the current process.
     ///
     /// # Errors
-    /// It could not be made.
+    /// The folder cannot be created.
     pub fn new(name: &str) -> io::Result<Self> {
         let path = std::env::temp_dir().join(format!("plovercove-{}-{name}", std::process::id()));
         fs::create_dir_all(&path)?;
         Ok(Folder(path))
     }
 
-    /// Where it is.
+    /// Returns the path of the folder.
     pub fn path(&self) -> &Path {
         &self.0
     }
 
-    /// Writes a file that only its owner may read.
+    /// Writes a file that only its owner may read and write.
     ///
     /// # Errors
-    /// It could not be written.
+    /// The file cannot be written.
     pub fn write(&self, file: &str, text: &str) -> io::Result<PathBuf> {
         let path = self.0.join(file);
         fs::write(&path, text)?;
@@ -110,7 +114,7 @@
     }
 }
 
-/// A running router.
+/// A running router process. It is killed when this value is dropped.
 pub struct Process {
     child: Child,
     log: Arc<Log>,
@@ -118,19 +122,20 @@
     fronts: Vec<SocketAddr>,
 }
 
-/// The address that a line names after this word, in the text form of the log or in JSON.
-fn address(line: &str, word: &str) -> Option<SocketAddr> {
+/// Returns the address in a field of a log line, in the text format or in the JSON format of the log.
+fn address_field(line: &str, field: &str) -> Option<SocketAddr> {
     let (_, rest) = line
-        .split_once(&format!("{word}="))
-        .or_else(|| line.split_once(&format!("\"{word}\":\"")))?;
+        .split_once(&format!("{field}="))
+        .or_else(|| line.split_once(&format!("\"{field}\":\"")))?;
     rest.split([' ', '"']).next()?.parse().ok()
 }
 
 impl Process {
-    /// Starts a router with this configuration and waits until it serves.
+    /// Starts a router with this configuration and waits until it listens. `more` can add arguments and environment variables
+    /// to the command.
     ///
     /// # Errors
-    /// It ended, or did not say in time that it listens; with the last line that it said.
+    /// The process exited, or did not log in time that it listens. The text has the last line of its log.
     pub fn start(
         program: &Path,
         config: &Path,
@@ -144,93 +149,99 @@
         let mut child = more(&mut command)
             .spawn()
             .map_err(|e| format!("{}: {e}", program.display()))?;
-        if let Err(e) = orphan_reaper::started(child.id()) {
+        if let Err(e) = orphan_reaper::register(child.id()) {
             let _ = child.kill();
             let _ = child.wait();
             return Err(format!(
                 "nobody ends the router if this process is killed: {e}"
             ));
         }
-        let err = child.stderr.take();
-        let nowhere = SocketAddr::from(([0, 0, 0, 0], 0));
+        let stderr = child.stderr.take();
+        let unknown = SocketAddr::from(([0, 0, 0, 0], 0));
         let mut process = Process {
             child,
             log: Arc::default(),
-            listen: nowhere,
+            listen: unknown,
             fronts: Vec::new(),
         };
-        let err = err.ok_or("its log cannot be read")?;
+        let stderr = stderr.ok_or("its log cannot be read")?;
         let log = Arc::clone(&process.log);
-        // The log is read to its end, or the program would wait for a reader.
+        // The log is read to its end, because the process would block on a full pipe.
         std::thread::spawn(move || {
-            for line in BufReader::new(err).lines().map_while(Result::ok) {
-                log.said().lines.push(line);
-                log.news.notify_all();
+            for line in BufReader::new(stderr).lines().map_while(Result::ok) {
+                log.content().lines.push(line);
+                log.changed.notify_all();
             }
-            log.said().over = true;
-            log.news.notify_all();
+            log.content().is_complete = true;
+            log.changed.notify_all();
         });
-        // The platform's listener is told of last.
-        let listen = process.log.find(STARTS, |lines| {
-            lines.iter().find_map(|line| address(line, "listen"))
+        // The main listener is logged last, so the further listeners are known once it is.
+        let listen = process.log.find(MAX_START_TIME, |lines| {
+            lines.iter().find_map(|line| address_field(line, "listen"))
         });
         let Some(listen) = listen else {
-            let last = process.log.said().lines.last().cloned().unwrap_or_default();
+            let last = process
+                .log
+                .content()
+                .lines
+                .last()
+                .cloned()
+                .unwrap_or_default();
             return Err(format!("the router does not start: {last}"));
         };
         process.listen = listen;
         process.fronts = process
             .lines()
             .iter()
-            .filter_map(|line| address(line, "address"))
+            .filter_map(|line| address_field(line, "address"))
             .collect();
         Ok(process)
     }
 
-    /// Where the platform's clients come.
+    /// Returns the address of the main listener.
     pub fn listen(&self) -> SocketAddr {
         self.listen
     }
 
-    /// Where those of further fronts come, in the order of the operators' file.
+    /// Returns the addresses of the further listeners, in the order of the operators' file.
     pub fn fronts(&self) -> &[SocketAddr] {
         &self.fronts
     }
 
-    /// The number of its process.
+    /// Returns the process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// The lines of its log so far.
+    /// Returns the lines of the log so far.
     pub fn lines(&self) -> Vec<String> {
-        self.log.said().lines.clone()
+        self.log.content().lines.clone()
     }
 
-    /// The lines of its log after so many.
+    /// Returns the lines of the log without the first `count` ones.
     pub fn since(&self, count: usize) -> Vec<String> {
         self.log
-            .said()
+            .content()
             .lines
             .get(count..)
             .unwrap_or_default()
             .to_vec()
     }
 
-    /// Waits for a line of its log that holds these words.
+    /// Waits for a log line that contains these words, and returns it.
     pub fn wait_for_line(&self, words: &str, within: Duration) -> Option<String> {
         self.log.find(within, |lines| {
             lines.iter().find(|line| line.contains(words)).cloned()
         })
     }
 
-    /// Does this to it. It may have ended already, which is no fault.
-    pub fn send_signal(&mut self, blow: ProcessSignal) {
-        // Danger: the number of a process that has been waited for may be another's by now.
+    /// Sends a signal to the process. Does nothing if it has already exited.
+    pub fn send_signal(&mut self, signal: ProcessSignal) {
+        // The system may have given the id of a process that was waited for to another one, which must not get the signal.
         if self.status().is_some() {
             return;
         }
-        let signal = match blow {
+        let signal = match signal {
             ProcessSignal::Term => Signal::TERM,
             ProcessSignal::Kill => Signal::KILL,
             ProcessSignal::Stop => Signal::STOP,
@@ -243,14 +254,14 @@
         }
     }
 
-    /// How it ended, if it has.
+    /// Returns the exit status, if the process has exited.
     fn status(&mut self) -> Option<ExitStatus> {
         let status = self.child.try_wait().ok().flatten()?;
-        orphan_reaper::ended(self.child.id());
+        orphan_reaper::unregister(self.child.id());
         Some(status)
     }
 
-    /// Waits for its end.
+    /// Waits for the exit of the process. Returns `None` if it does not exit in this time.
     pub fn wait_for_exit(&mut self, within: Duration) -> Option<ExitStatus> {
         let until = Instant::now() + within;
         loop {
@@ -260,17 +271,17 @@
             if Instant::now() >= until {
                 return None;
             }
-            std::thread::sleep(LOOKS);
+            std::thread::sleep(POLL_INTERVAL);
         }
     }
 }
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // Its own child, stopped or not: whoever wants it to end in peace has told it so before.
+        // SIGKILL also ends a stopped process. For a graceful shutdown, the owner sends SIGTERM and waits before this.
         let _ = self.child.kill();
         let _ = self.child.wait();
-        orphan_reaper::ended(self.child.id());
+        orphan_reaper::unregister(self.child.id());
     }
 }
 
--- a/emulator/src/process/tests.rs
+++ b/emulator/src/process/tests.rs
@@ -3,26 +3,26 @@
 use super::*;
 
 #[test]
-fn addresses_are_found_in_both_forms_of_the_log() {
+fn addresses_are_found_in_both_formats_of_the_log() {
     let there: SocketAddr = "127.0.0.1:5432".parse().expect("an address");
     for line in [
         "INFO serving name=\"n\" listen=127.0.0.1:5432",
         "{\"listen\":\"127.0.0.1:5432\",\"x\":1}",
     ] {
-        assert_eq!(address(line, "listen"), Some(there));
-        assert_eq!(address(line, "address"), None);
+        assert_eq!(address_field(line, "listen"), Some(there));
+        assert_eq!(address_field(line, "address"), None);
     }
 }
 
 #[test]
-fn a_process_that_ends_at_once_is_told_of_with_its_last_words() {
+fn a_process_that_exits_at_once_is_reported_with_its_last_log_line() {
     let folder = Folder::new("ends-at-once").expect("a folder");
     let path = folder.write("config.json", "{}").expect("a file");
-    let said = Process::start(Path::new("/bin/sh"), &path, |c| {
+    let started = Process::start(Path::new("/bin/sh"), &path, |c| {
         c.args(["-c", "echo no good >&2"])
     });
     assert_eq!(
-        said.err().as_deref(),
+        started.err().as_deref(),
         Some("the router does not start: no good")
     );
     let gone = folder.path().to_path_buf();
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_stopped_process_goes_on_and_ends_and_is_struck_no_more() {
+fn a_stopped_process_continues_and_exits_and_gets_no_further_signal() {
     let folder = Folder::new("stopped").expect("a folder");
     let path = folder.write("config.json", "{}").expect("a file");
     let script = "echo listen=127.0.0.1:1 >&2; read _; exit 3";
@@ -48,12 +48,14 @@
     );
     process.send_signal(ProcessSignal::Continue);
     let status = process
-        .wait_for_exit(STARTS)
+        .wait_for_exit(MAX_START_TIME)
         .expect("it goes on to its end");
     assert_eq!(status.code(), Some(3));
     process.send_signal(ProcessSignal::Kill);
     assert!(
-        process.wait_for_line("never said", STARTS).is_none(),
+        process
+            .wait_for_line("never said", MAX_START_TIME)
+            .is_none(),
         "its log is over, so nobody waits"
     );
 }
--- a/emulator/src/server.rs
+++ b/emulator/src/server.rs
@@ -1,7 +1,8 @@
-//! A scripted server of versions 3.0 and 3.2, one thread a connection: it logs clients in by any published method, answers
-//! what its script says, byte by byte, and notes what it was sent.
+//! A scripted PostgreSQL server for protocol versions 3.0 and 3.2, with one thread for each connection. It supports all
+//! published login methods, sends the bytes of its script as answers, and records what it receives.
 //!
-//! It is written from the manual ("Frontend/Backend Protocol") and shares no framing with the router.
+//! It follows the manual ("Frontend/Backend Protocol") and shares no framing code with the router, so that a mistake in the
+//! router's framing is not repeated here.
 
 use crate::wire;
 use plovercove_pgwire::verifier::{ScramExchange, Verifier};
@@ -12,45 +13,45 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// How it lets clients in.
+/// How the server authenticates clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoginMethod {
-    /// Everyone is welcome.
+    /// All clients are accepted.
     Trust,
-    /// The password in clear text.
+    /// Clients send the password in clear text.
     ClearText,
-    /// MD5.
+    /// Clients prove the password with MD5.
     Md5,
-    /// SCRAM-SHA-256, beside one that the client cannot know.
+    /// SCRAM-SHA-256. The server also offers SCRAM-SHA-256-PLUS, which the router does not support.
     Scram,
-    /// A method of that number, which no client here can meet.
+    /// An authentication request with this number, which the router does not support.
     Other(u32),
-    /// An error of that code instead of a login.
+    /// The login fails with this error code.
     Reject(&'static str),
 }
 
-/// What it does after a reply.
+/// What the server does after an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AfterReply {
-    /// It waits for the next query.
+    /// Waits for the next query.
     KeepOpen,
-    /// It closes the connection.
+    /// Closes the connection.
     Close,
-    /// It waits for so many milliseconds, or until it is cancelled, and then says 57014.
+    /// Waits for this time (ms) or until the query is cancelled, and then sends the error 57014.
     Work(u64),
 }
 
-/// What it answers to a query.
+/// The answer to a query.
 #[derive(Clone, Debug)]
 pub struct Answer {
-    /// Bytes, ReadyForQuery among them where there is to be one.
+    /// Bytes to send. They include ReadyForQuery, unless the test omits it.
     pub bytes: Vec<u8>,
-    /// What then.
+    /// What the server does after sending the bytes.
     pub then: AfterReply,
 }
 
 impl Answer {
-    /// These bytes, and it stays.
+    /// Creates an answer after which the connection stays open.
     pub fn of(bytes: Vec<u8>) -> Self {
         Answer {
             bytes,
@@ -59,51 +60,51 @@
     }
 }
 
-/// What it was sent.
+/// What the server received.
 #[derive(Clone, Debug, Default)]
 pub struct Log {
-    /// Queries, in the order they came.
+    /// Queries, in the order in which they arrived.
     pub queries: Vec<String>,
-    /// Messages of other kinds than queries, by kind, with their bodies.
+    /// Type and body of each message that is not a query.
     pub others: Vec<(u8, Vec<u8>)>,
-    /// Logins that were let in, and cancels with the right key.
+    /// Number of successful logins.
     pub logins: usize,
-    /// See `logins`.
+    /// Number of cancel requests with the right key.
     pub cancels: usize,
 }
 
-/// Its password, and the user's name.
+/// Password of the user.
 pub const PASSWORD: &str = "s3cret of the servers";
-/// The user that it knows.
+/// Name of the only user.
 pub const USER: &str = "router";
 
 type Script = Arc<dyn Fn(&str) -> Answer + Send + Sync>;
 
 struct Shared {
-    gate: Mutex<LoginMethod>,
+    login_method: Mutex<LoginMethod>,
     minor: u32,
     greeting: Vec<u8>,
     script: Script,
     log: Mutex<Log>,
     cancelled: AtomicBool,
-    over: AtomicBool,
+    is_stopped: AtomicBool,
 }
 
-/// A server that runs until it is dropped.
+/// A server that runs until this value is dropped.
 pub struct Server {
     address: SocketAddr,
     shared: Arc<Shared>,
     thread: Option<JoinHandle<()>>,
 }
 
-/// One message: its kind, its length and its body.
+/// Encodes a message with its type, length and body.
 pub fn message(kind: u8, body: &[u8]) -> Vec<u8> {
     let mut out = Vec::new();
     wire::put(&mut out, kind, body);
     out
 }
 
-/// An error or a notice of these fields.
+/// Encodes an error or a notice with these fields.
 pub fn fields(kind: u8, fields: &[(u8, &str)]) -> Vec<u8> {
     let mut body = Vec::new();
     for (field, text) in fields {
@@ -115,7 +116,7 @@
     message(kind, &body)
 }
 
-/// A description of text columns of these names and types.
+/// Encodes a row description of text columns with these names and types.
 pub fn columns(named: &[(&str, u32)]) -> Vec<u8> {
     let mut body = (named.len() as u16).to_be_bytes().to_vec();
     for (name, kind) in named {
@@ -127,7 +128,7 @@
     message(b'T', &body)
 }
 
-/// A row of these values.
+/// Encodes a row with these values.
 pub fn row(values: &[Option<&[u8]>]) -> Vec<u8> {
     let mut body = (values.len() as u16).to_be_bytes().to_vec();
     for value in values {
@@ -137,29 +138,29 @@
     message(b'D', &body)
 }
 
-/// A command's completion.
+/// Encodes the completion of a command.
 pub fn complete(tag: &str) -> Vec<u8> {
     message(b'C', &[tag.as_bytes(), &[0]].concat())
 }
 
-/// Ready, in this state.
+/// Encodes ReadyForQuery with this transaction state.
 pub fn ready(state: u8) -> Vec<u8> {
     message(b'Z', &[state])
 }
 
 impl Server {
-    /// Starts one that speaks version 3 up to this minor version.
+    /// Starts a server that supports version 3 up to this minor version.
     pub fn start(
-        gate: LoginMethod,
+        login_method: LoginMethod,
         minor: u32,
         script: impl Fn(&str) -> Answer + Send + Sync + 'static,
     ) -> io::Result<Self> {
-        Self::greeting(gate, minor, Vec::new(), script)
+        Self::start_with_greeting(login_method, minor, Vec::new(), script)
     }
 
-    /// The same, with further messages before it is ready for the first query.
-    pub fn greeting(
-        gate: LoginMethod,
+    /// Starts a server that sends further messages before its first ReadyForQuery.
+    pub fn start_with_greeting(
+        login_method: LoginMethod,
         minor: u32,
         greeting: Vec<u8>,
         script: impl Fn(&str) -> Answer + Send + Sync + 'static,
@@ -167,22 +168,22 @@
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
         let shared = Arc::new(Shared {
-            gate: Mutex::new(gate),
+            login_method: Mutex::new(login_method),
             minor,
             greeting,
             script: Arc::new(script),
             log: Mutex::default(),
             cancelled: AtomicBool::new(false),
-            over: AtomicBool::new(false),
+            is_stopped: AtomicBool::new(false),
         });
         let mine = Arc::clone(&shared);
         let thread = std::thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                if mine.over.load(Ordering::SeqCst) {
+                if mine.is_stopped.load(Ordering::SeqCst) {
                     return;
                 }
                 let shared = Arc::clone(&mine);
-                // A connection that breaks ends its thread; the test sees what came before.
+                // An error on a connection ends its thread. The log keeps what was received before.
                 std::thread::spawn(move || drop(serve(stream, &shared)));
             }
         });
@@ -193,17 +194,21 @@
         })
     }
 
-    /// Where it listens.
+    /// Returns the address on which the server listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// From now on it lets clients in so.
-    pub fn set_gate(&self, gate: LoginMethod) {
-        *self.shared.gate.lock().expect("no thread panics with it") = gate;
+    /// Sets the login method of new connections.
+    pub fn set_login_method(&self, login_method: LoginMethod) {
+        *self
+            .shared
+            .login_method
+            .lock()
+            .expect("no thread panics with it") = login_method;
     }
 
-    /// What it has been sent so far.
+    /// Returns what the server has received so far.
     pub fn log(&self) -> Log {
         self.shared
             .log
@@ -215,8 +220,8 @@
 
 impl Drop for Server {
     fn drop(&mut self) {
-        self.shared.over.store(true, Ordering::SeqCst);
-        // Its own listener wakes up for one more connection.
+        self.shared.is_stopped.store(true, Ordering::SeqCst);
+        // One more connection wakes the accepting thread.
         let _ = TcpStream::connect(self.address);
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
@@ -224,48 +229,54 @@
     }
 }
 
-fn ask(stream: &mut TcpStream, number: u32, more: &[u8]) -> io::Result<Vec<u8>> {
+fn request_authentication(stream: &mut TcpStream, number: u32, more: &[u8]) -> io::Result<Vec<u8>> {
     stream.write_all(&message(b'R', &[&number.to_be_bytes(), more].concat()))?;
     Ok(wire::message(stream)?.1)
 }
 
-/// Whether the client is let in.
-fn gate(stream: &mut TcpStream, gate: LoginMethod) -> io::Result<bool> {
-    let text = |said: &[u8]| said.strip_suffix(&[0]).unwrap_or(said).to_vec();
-    Ok(match gate {
+/// Authenticates a client. Returns whether it succeeded.
+fn authenticate(stream: &mut TcpStream, method: LoginMethod) -> io::Result<bool> {
+    let text = |response: &[u8]| response.strip_suffix(&[0]).unwrap_or(response).to_vec();
+    Ok(match method {
         LoginMethod::Trust => true,
-        LoginMethod::ClearText => text(&ask(stream, 3, &[])?) == PASSWORD.as_bytes(),
+        LoginMethod::ClearText => {
+            text(&request_authentication(stream, 3, &[])?) == PASSWORD.as_bytes()
+        }
         LoginMethod::Md5 => {
-            let kept = Verifier::md5_from_password(USER, PASSWORD.as_bytes());
-            kept.matches_md5_response([5, 6, 7, 8], &text(&ask(stream, 5, &[5, 6, 7, 8])?))
+            let verifier = Verifier::md5_from_password(USER, PASSWORD.as_bytes());
+            verifier.matches_md5_response(
+                [5, 6, 7, 8],
+                &text(&request_authentication(stream, 5, &[5, 6, 7, 8])?),
+            )
         }
         LoginMethod::Scram => {
-            let Verifier::Scram(kept) =
+            let Verifier::Scram(verifier) =
                 Verifier::scram_from_password(PASSWORD.as_bytes(), &[3; 16], 4_096)
             else {
                 return Ok(false);
             };
-            let said = ask(stream, 10, b"SCRAM-SHA-256-PLUS\0SCRAM-SHA-256\0\0")?;
-            let first = said
+            let response =
+                request_authentication(stream, 10, b"SCRAM-SHA-256-PLUS\0SCRAM-SHA-256\0\0")?;
+            let first = response
                 .strip_prefix(b"SCRAM-SHA-256\0")
                 .and_then(|s| s.get(4..))
                 .unwrap_or_default();
-            let Some((exchange, answer)) = ScramExchange::start(&kept, first, "fromtheserver")
+            let Some((exchange, answer)) = ScramExchange::start(&verifier, first, "fromtheserver")
             else {
                 return Ok(false);
             };
-            let last = ask(stream, 11, answer.as_bytes())?;
-            let Some(done) = exchange.finish(&last) else {
+            let last = request_authentication(stream, 11, answer.as_bytes())?;
+            let Some(server_final) = exchange.finish(&last) else {
                 return Ok(false);
             };
             stream.write_all(&message(
                 b'R',
-                &[&12u32.to_be_bytes(), done.as_bytes()].concat(),
+                &[&12u32.to_be_bytes(), server_final.as_bytes()].concat(),
             ))?;
             true
         }
         LoginMethod::Other(number) => {
-            ask(stream, number, &[])?;
+            request_authentication(stream, number, &[])?;
             false
         }
         LoginMethod::Reject(code) => {
@@ -278,54 +289,57 @@
     })
 }
 
-/// The secret of cancels: longer than the four bytes of 3.0 where the client speaks 3.2.
-fn secret(minor: u32) -> Vec<u8> {
+/// Returns the cancel key: four bytes in version 3.0, and longer in version 3.2.
+fn cancel_key(minor: u32) -> Vec<u8> {
     vec![0x5a; if minor >= 2 { 200 } else { 4 }]
 }
 
 fn serve(mut stream: TcpStream, shared: &Shared) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let first = wire::startup(&mut stream)?;
-    let asked = first
+    let code = first
         .first_chunk::<4>()
         .map_or(0, |c| u32::from_be_bytes(*c));
-    if asked == 80_877_102 {
-        let right = first
+    if code == 80_877_102 {
+        let is_right_key = first
             .get(8..)
-            .is_some_and(|s| s == secret(0) || s == secret(2));
-        shared.log.lock().expect("no thread panics with it").cancels += usize::from(right);
-        shared.cancelled.store(right, Ordering::SeqCst);
+            .is_some_and(|s| s == cancel_key(0) || s == cancel_key(2));
+        shared.log.lock().expect("no thread panics with it").cancels += usize::from(is_right_key);
+        shared.cancelled.store(is_right_key, Ordering::SeqCst);
         return Ok(());
     }
-    let minor = (asked & 0xffff).min(shared.minor);
-    if asked & 0xffff > shared.minor {
+    let minor = (code & 0xffff).min(shared.minor);
+    if code & 0xffff > shared.minor {
         stream.write_all(&message(b'v', &[minor.to_be_bytes(), [0; 4]].concat()))?;
     }
-    let way = *shared.gate.lock().expect("no thread panics with it");
-    if !gate(&mut stream, way)? {
+    let method = *shared
+        .login_method
+        .lock()
+        .expect("no thread panics with it");
+    if !authenticate(&mut stream, method)? {
         return stream.write_all(&fields(
             b'E',
             &[(b'S', "FATAL"), (b'C', "28P01"), (b'M', "no")],
         ));
     }
-    let mut hello = message(b'R', &[0; 4]);
+    let mut greeting = message(b'R', &[0; 4]);
     for (name, value) in [
         ("server_version", "18.0"),
         ("in_hot_standby", "off"),
         ("scram_iterations", "4096"),
     ] {
-        hello.extend(message(
+        greeting.extend(message(
             b'S',
             &[name.as_bytes(), &[0], value.as_bytes(), &[0]].concat(),
         ));
     }
-    hello.extend(message(
+    greeting.extend(message(
         b'K',
-        &[&7u32.to_be_bytes()[..], &secret(minor)].concat(),
+        &[&7u32.to_be_bytes()[..], &cancel_key(minor)].concat(),
     ));
-    hello.extend_from_slice(&shared.greeting);
-    hello.extend(ready(b'I'));
-    stream.write_all(&hello)?;
+    greeting.extend_from_slice(&shared.greeting);
+    greeting.extend(ready(b'I'));
+    stream.write_all(&greeting)?;
     shared.log.lock().expect("no thread panics with it").logins += 1;
     loop {
         let (kind, body) = wire::message(&mut stream)?;
@@ -354,7 +368,7 @@
             continue;
         }
         let text = String::from_utf8_lossy(body.strip_suffix(&[0]).unwrap_or(&body)).into_owned();
-        // The router's own questions are no part of the script.
+        // The script does not see the queries that the router itself sends.
         let answer = if text.starts_with("SHOW") {
             Answer::of(
                 [
--- a/emulator/src/shared.rs
+++ b/emulator/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the nodes share: the groups' logs, the classes, and what is counted over all of them.
+//! State that all nodes of a fleet share: the logs of the groups, the request classes, and counters.
 
 use plovercove_simulation::replication::Group;
 use plovercove_simulation::{Reads, Spec};
@@ -9,12 +9,12 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Instant;
 
-/// What nodes share.
+/// State that all nodes of a fleet share.
 pub(crate) struct Shared {
     spec: Spec,
     seed: u64,
     groups: Vec<Mutex<Group>>,
-    begun: Instant,
+    started: Instant,
     spilled: Mutex<Vec<Vec<f64>>>,
     writes: Mutex<HashMap<String, u32>>,
 }
@@ -25,7 +25,7 @@
             spec,
             seed,
             groups: groups.into_iter().map(Mutex::new).collect(),
-            begun: Instant::now(),
+            started: Instant::now(),
             spilled: Mutex::default(),
             writes: Mutex::default(),
         }
@@ -35,12 +35,12 @@
         self.groups.len()
     }
 
-    /// The name of a zone, by its place.
+    /// Returns the name of a zone, by its index.
     pub(crate) fn zone(&self, zone: usize) -> &str {
         &self.spec.zones[zone].name
     }
 
-    /// Writes that ran more than once, and the work that came to each zone from others.
+    /// Returns the number of writes that ran more than once, and the work that each zone received from others, by second.
     pub(crate) fn counts(&self) -> (usize, Vec<Vec<f64>>) {
         let writes = self.writes.lock().unwrap_or_else(PoisonError::into_inner);
         let spilled = self
@@ -65,23 +65,24 @@
         self.spec.classes[class].reads == Reads::Write
     }
 
-    /// The work of a request, the same wherever and whenever it runs.
+    /// Returns the work of a request (s). It depends only on seed, class and id, so it is the same on each node.
     pub(crate) fn work(&self, class: usize, id: &str) -> f64 {
         let mut hasher = DefaultHasher::new();
         (self.seed, id).hash(&mut hasher);
         let mut dice = plovercove_simulation::Dice::seed_from_u64(hasher.finish());
-        let told = &self.spec.classes[class];
-        let sigma2 = (1.0 + told.spread * told.spread).ln();
-        let mean = (told.work_ms / 1e3).ln() - sigma2 / 2.0;
-        LogNormal::new(mean, sigma2.sqrt()).map_or(told.work_ms / 1e3, |d| d.sample(&mut dice))
+        let class = &self.spec.classes[class];
+        let sigma2 = (1.0 + class.spread * class.spread).ln();
+        let mean = (class.work_ms / 1e3).ln() - sigma2 / 2.0;
+        LogNormal::new(mean, sigma2.sqrt()).map_or(class.work_ms / 1e3, |d| d.sample(&mut dice))
     }
 
-    /// A statement came to a node of this zone, from a client whose tenant is named as its zone.
-    pub(crate) fn sent(&self, to: usize, from: Option<&str>, class: usize) {
+    /// Counts the work of a statement that a node of zone `to` received. `from` is the tenant, which has the name of the
+    /// client's zone.
+    pub(crate) fn count_received(&self, to: usize, from: Option<&str>, class: usize) {
         if self.writes(class) || from.is_none_or(|from| self.zone(to) == from) {
             return;
         }
-        let second = self.begun.elapsed().as_secs() as usize;
+        let second = self.started.elapsed().as_secs() as usize;
         let mut spilled = self.spilled.lock().unwrap_or_else(PoisonError::into_inner);
         while spilled.len() <= second {
             spilled.push(vec![0.0; self.spec.zones.len()]);
@@ -89,7 +90,7 @@
         spilled[second][to] += self.spec.classes[class].work_ms / 1e3;
     }
 
-    pub(crate) fn ran(&self, id: &str) {
+    pub(crate) fn count_write(&self, id: &str) {
         let mut writes = self.writes.lock().unwrap_or_else(PoisonError::into_inner);
         *writes.entry(id.to_string()).or_default() += 1;
     }
--- a/emulator/src/tcp_relay.rs
+++ b/emulator/src/tcp_relay.rs
@@ -1,5 +1,5 @@
-//! Wires: connections from a router to a db node or an agent that pass through here, and can be cut in either direction or
-//! slowed, with nothing told to either side.
+//! Relays the TCP connections from a router to a db node or an agent. A relay can hold up the data in either direction or
+//! delay it, without either side noticing that the connection is cut.
 
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -7,69 +7,71 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::Duration;
 
-/// A thread that waits looks so often whether something has changed.
-const LOOKS: Duration = Duration::from_millis(20);
-const CHUNK: usize = 16 * 1024;
+/// Interval at which waiting threads check for changes.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Maximum number of bytes that are relayed at once.
+const CHUNK_BYTES: usize = 16 * 1024;
 
 #[derive(Default)]
 struct State {
-    /// Nothing goes out, nothing comes home.
+    /// Whether the direction from the router is cut, and whether the direction to the router is cut.
     cut: [AtomicBool; 2],
     delay_ms: AtomicU64,
-    over: AtomicBool,
+    is_stopped: AtomicBool,
     connections: AtomicU64,
 }
 
-/// One wire.
+/// A relay to one address.
 pub struct TcpRelay {
     address: SocketAddr,
     state: Arc<State>,
 }
 
 impl TcpRelay {
-    /// A wire to this address.
+    /// Starts a relay to this address.
     ///
     /// # Errors
-    /// No port could be had.
+    /// No port is available.
     pub fn start(to: SocketAddr) -> io::Result<Self> {
         let listener = TcpListener::bind(("127.0.0.1", 0))?;
-        let wire = TcpRelay {
+        let relay = TcpRelay {
             address: listener.local_addr()?,
             state: Arc::default(),
         };
-        let state = wire.state.clone();
+        let state = relay.state.clone();
         std::thread::spawn(move || {
             while let Ok((near, _)) = listener.accept() {
-                if state.over.load(Ordering::Relaxed) {
+                if state.is_stopped.load(Ordering::Relaxed) {
                     return;
                 }
                 state.connections.fetch_add(1, Ordering::Relaxed);
                 let state = state.clone();
-                std::thread::spawn(move || drop(join(near, to, &state)));
+                std::thread::spawn(move || drop(relay_connection(near, to, &state)));
             }
         });
-        Ok(wire)
+        Ok(relay)
     }
 
-    /// Where a router connects.
+    /// Returns the address to which a router connects.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// What the router sends is held up, what comes back is, or both, until this is said again.
-    pub fn cut(&self, out: bool, home: bool) {
-        self.state.cut[0].store(out, Ordering::Relaxed);
-        self.state.cut[1].store(home, Ordering::Relaxed);
+    /// Cuts or restores each direction. `outbound` is the direction from the router, and `inbound` the one to the router. Data
+    /// in a cut direction is held up until it is restored.
+    pub fn cut(&self, outbound: bool, inbound: bool) {
+        self.state.cut[0].store(outbound, Ordering::Relaxed);
+        self.state.cut[1].store(inbound, Ordering::Relaxed);
     }
 
-    /// All takes so much longer.
-    pub fn delay(&self, span: Duration) {
+    /// Sets the delay of each chunk of data.
+    pub fn delay(&self, delay: Duration) {
         self.state
             .delay_ms
-            .store(span.as_millis() as u64, Ordering::Relaxed);
+            .store(delay.as_millis() as u64, Ordering::Relaxed);
     }
 
-    /// Connections that were made through it.
+    /// Returns the number of connections through this relay.
     pub fn connections(&self) -> u64 {
         self.state.connections.load(Ordering::Relaxed)
     }
@@ -77,13 +79,13 @@
 
 impl Drop for TcpRelay {
     fn drop(&mut self) {
-        self.state.over.store(true, Ordering::Relaxed);
-        // Wakes the thread that accepts, so that it ends.
-        let _ = TcpStream::connect_timeout(&self.address, LOOKS);
+        self.state.is_stopped.store(true, Ordering::Relaxed);
+        // One more connection wakes the accepting thread, so that it ends.
+        let _ = TcpStream::connect_timeout(&self.address, POLL_INTERVAL);
     }
 }
 
-fn join(near: TcpStream, to: SocketAddr, state: &Arc<State>) -> io::Result<()> {
+fn relay_connection(near: TcpStream, to: SocketAddr, state: &Arc<State>) -> io::Result<()> {
     let far = TcpStream::connect(to)?;
     near.set_nodelay(true)?;
     far.set_nodelay(true)?;
@@ -93,19 +95,21 @@
     Ok(())
 }
 
-fn pump(mut from: TcpStream, mut to: TcpStream, state: &State, way: usize) {
-    let mut chunk = [0; CHUNK];
-    let _ = from.set_read_timeout(Some(LOOKS));
-    let held = || state.cut[way].load(Ordering::Relaxed) && !state.over.load(Ordering::Relaxed);
-    while !state.over.load(Ordering::Relaxed) {
+fn pump(mut from: TcpStream, mut to: TcpStream, state: &State, direction: usize) {
+    let mut chunk = [0; CHUNK_BYTES];
+    let _ = from.set_read_timeout(Some(POLL_INTERVAL));
+    let is_cut = || {
+        state.cut[direction].load(Ordering::Relaxed) && !state.is_stopped.load(Ordering::Relaxed)
+    };
+    while !state.is_stopped.load(Ordering::Relaxed) {
         let read = match from.read(&mut chunk) {
             Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => continue,
             Err(_) | Ok(0) => 0,
             Ok(n) => n,
         };
-        // What is cut off is not told that the other side has gone, either.
-        while held() {
-            std::thread::sleep(LOOKS);
+        // The end of a connection is held up too, because a cut network would not deliver it either.
+        while is_cut() {
+            std::thread::sleep(POLL_INTERVAL);
         }
         let delay = state.delay_ms.load(Ordering::Relaxed);
         if delay > 0 {
--- a/emulator/src/wire.rs
+++ b/emulator/src/wire.rs
@@ -1,19 +1,19 @@
-//! As much of the PostgreSQL wire protocol, version 3, as both sides need.
+//! The parts of version 3 of the PostgreSQL wire protocol that the emulated clients and nodes need, and HTTP requests.
 
 use std::io::{self, BufRead, ErrorKind, Read, Write};
 use std::net::TcpStream;
 
-/// No message is longer.
-const LONGEST: usize = 1024 * 1024;
+/// Maximum length of a message.
+const MAX_MESSAGE_BYTES: usize = 1024 * 1024;
 
-/// Reads a packet without a kind: the startup.
+/// Reads a startup packet, which has no type byte.
 pub fn startup(stream: &mut TcpStream) -> io::Result<Vec<u8>> {
     let mut head = [0; 4];
     stream.read_exact(&mut head)?;
     body(stream, u32::from_be_bytes(head) as usize)
 }
 
-/// Reads one message: its kind and its body.
+/// Reads a message. Returns its type and body.
 pub fn message(stream: &mut TcpStream) -> io::Result<(u8, Vec<u8>)> {
     let mut head = [0; 5];
     stream.read_exact(&mut head)?;
@@ -21,7 +21,7 @@
     Ok((kind, body(stream, u32::from_be_bytes(length) as usize)?))
 }
 
-/// Reads a simple query's statement; none where the client says something else, as at its end.
+/// Reads a message and returns the statement of a simple query. Returns `None` for other messages, such as Terminate.
 pub fn statement(stream: &mut TcpStream) -> io::Result<Option<String>> {
     let (kind, body) = message(stream)?;
     let text = || {
@@ -33,7 +33,7 @@
 }
 
 fn body(stream: &mut TcpStream, length: usize) -> io::Result<Vec<u8>> {
-    if !(4..=LONGEST).contains(&length) {
+    if !(4..=MAX_MESSAGE_BYTES).contains(&length) {
         return Err(ErrorKind::InvalidData.into());
     }
     let mut body = vec![0; length - 4];
@@ -41,19 +41,19 @@
     Ok(body)
 }
 
-/// Adds one message.
+/// Appends a message.
 pub fn put(out: &mut Vec<u8>, kind: u8, body: &[u8]) {
     out.push(kind);
     out.extend_from_slice(&(body.len() as u32 + 4).to_be_bytes());
     out.extend_from_slice(body);
 }
 
-/// Adds a ParameterStatus.
+/// Appends a ParameterStatus message.
 pub fn put_status(out: &mut Vec<u8>, name: &str, value: &str) {
     put(out, b'S', format!("{name}\0{value}\0").as_bytes());
 }
 
-/// Adds a row of one text column, with its description and completion.
+/// Appends a row with one text column, preceded by its description and followed by CommandComplete.
 pub fn put_row(out: &mut Vec<u8>, value: &[u8]) {
     let described = [
         &b"\0\x01body\0"[..],
@@ -69,17 +69,17 @@
     put(out, b'C', b"SELECT 1\0");
 }
 
-/// Adds an error of this code.
+/// Appends an error with this code.
 pub fn put_error(out: &mut Vec<u8>, code: &str) {
     put(out, b'E', format!("SERROR\0C{code}\0Mno\0\0").as_bytes());
 }
 
-/// Adds ReadyForQuery.
+/// Appends ReadyForQuery.
 pub fn put_ready(out: &mut Vec<u8>) {
     put(out, b'Z', b"I");
 }
 
-/// Takes a client in as a server does: its startup, and a greeting that tells the node's role.
+/// Accepts a client as a server does: reads its startup packet, and sends a greeting with the role of the node.
 pub fn welcome(stream: &mut TcpStream, role: &str) -> io::Result<()> {
     startup(stream)?;
     let mut out = Vec::new();
@@ -89,7 +89,7 @@
     stream.write_all(&out)
 }
 
-/// Reads an HTTP request's head; its first line, or none where the connection is at its end.
+/// Reads the head of an HTTP request. Returns its first line, or `None` at the end of the connection.
 pub fn request(reader: &mut impl BufRead) -> io::Result<Option<String>> {
     let mut first = String::new();
     if reader.read_line(&mut first)? == 0 {
@@ -105,7 +105,7 @@
     Ok(Some(first))
 }
 
-/// Sends a startup packet for `worker` at `catalog`.
+/// Sends a startup packet for the user `worker` and the database `catalog`.
 pub fn greet(stream: &mut TcpStream) -> io::Result<()> {
     let mut packet = 196_608_u32.to_be_bytes().to_vec();
     packet.extend_from_slice(b"user\0worker\0database\0catalog\0\0");
@@ -113,7 +113,7 @@
     stream.write_all(&packet)
 }
 
-/// A label of the comment in front of a statement.
+/// Returns the value of a label in the comment in front of a statement.
 pub fn label<'a>(statement: &'a str, name: &str) -> Option<&'a str> {
     let comment = statement.strip_prefix("/*")?.split("*/").next()?;
     comment
--- a/experiments/src/error.rs
+++ b/experiments/src/error.rs
@@ -1,120 +1,120 @@
-//! Why the lab does not play, and what to do.
+//! Errors of the program, each with a help text.
 
 use plovercove_simulation::SpecFault;
 use std::io;
 
-/// What is wrong with a command, a script or a trial.
+/// An error in the command line, in a script or during a run.
 #[derive(Debug, thiserror::Error, strum::IntoStaticStr, strum::VariantNames)]
 pub enum Error {
-    /// A fault of the script.
+    /// The script has an error.
     #[error(transparent)]
     Script(#[from] plovercove_starlark_config::Fault),
-    /// A fault of one case of the script.
+    /// A case of the script has an error.
     #[error("case {case}: {fault}")]
     Case {
-        /// The case.
+        /// Name of the case.
         case: String,
-        /// The fault.
+        /// Error of the case.
         #[source]
         fault: Box<Error>,
     },
-    /// The model cannot play the case.
+    /// The simulation cannot run the case.
     #[error("the model cannot play it: {0}")]
     Model(#[source] SpecFault),
     /// The script has no such case.
     #[error("{file}: there is no case {case:?}")]
     NoCase {
-        /// The script.
+        /// Path of the script.
         file: String,
-        /// The case.
+        /// Name of the case.
         case: String,
     },
-    /// A setting that is none.
+    /// The argument of `--set` is not of the form `KEY=VALUE`.
     #[error("--set {0}: expected KEY=VALUE")]
     Set(String),
-    /// A range of seeds that is none.
+    /// The argument of `--seeds` is not a valid range.
     #[error("expected A..B with A up to B, and no more than 100000 seeds")]
     Seeds,
-    /// A way of treating zones that is none.
+    /// The argument of `--variant` is not a known variant.
     #[error("expected tiers, flat or strict, got {0:?}")]
     Variant(String),
-    /// A measurement that is too short, too long or too wide.
+    /// The number of clients, the duration or the number of rounds of a measurement is out of range.
     #[error("expected 1 to 200 clients, 0.1 to 60 seconds and 1 to 100 rounds")]
     Rounds,
-    /// A case that is too large for sockets.
+    /// The case is too large to run on sockets.
     #[error(
         "on sockets {most_nodes} nodes and {most_routers} routers are the most; this has {nodes} and {routers}"
     )]
     TooLarge {
-        /// The most nodes.
+        /// Maximum number of nodes.
         most_nodes: usize,
-        /// The most routers.
+        /// Maximum number of routers.
         most_routers: usize,
-        /// Its nodes.
+        /// Number of nodes of the case.
         nodes: usize,
-        /// Its routers.
+        /// Number of routers of the case.
         routers: usize,
     },
-    /// A fault that only the model knows.
+    /// The case has a fault that only the simulation supports.
     #[error("on sockets only zone_down can be played")]
     OnlyZoneDown,
-    /// A zone of which a part goes down.
+    /// The case has a fault that takes down only a part of a zone.
     #[error("on sockets a zone goes down whole")]
     Whole,
-    /// There is no router to try.
+    /// The router's program was not found.
     #[error("the router is not beside this program: build it, or name it with --router")]
     NoRouter,
-    /// A router under trial does not start; in the stand-ins' words.
+    /// A router process does not start.
     #[error("router {name}: {why}")]
     Router {
-        /// Which.
+        /// Name of the router.
         name: String,
-        /// The last line that it said.
+        /// Reason, with the last line of its log.
         why: String,
     },
-    /// A trial of faults cannot go on; in its own words.
+    /// A fault injection run cannot continue. The text is the reason.
     #[error("the trial cannot go on: {0}")]
     Trial(String),
-    /// A file that cannot be written.
+    /// A file cannot be written.
     #[error("{path}: {source}")]
     File {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// Why.
+        /// Cause.
         source: io::Error,
     },
-    /// The system refuses a file, a socket or a process.
+    /// The operating system does not provide a file, a socket or a process.
     #[error("the system refuses what a trial needs: {0}")]
     System(#[from] io::Error),
-    /// An outcome that cannot be written as JSON.
+    /// A result cannot be written as JSON.
     #[error("an outcome is no JSON: {0}")]
     Json(#[from] serde_json::Error),
-    /// The router under measurement does not say what it should.
+    /// The router under measurement does not provide an expected value.
     #[error("the router's {0} is not told")]
     Untold(&'static str),
     /// A client under measurement was not served.
     #[error("{way}: {source}")]
     Client {
-        /// Its way to the server.
+        /// Name of the client's path to the server.
         way: &'static str,
-        /// Why.
+        /// Cause.
         source: io::Error,
     },
-    /// A client under measurement had another answer than rows.
+    /// A client under measurement received an answer without rows.
     #[error("{way}: an answer without rows: {heard}")]
     Answer {
-        /// Its way to the server.
+        /// Name of the client's path to the server.
         way: &'static str,
-        /// What it heard.
+        /// Received messages.
         heard: String,
     },
-    /// A client of the lab's own panicked.
+    /// A client thread panicked.
     #[error("a client panicked")]
     Panicked,
 }
 
 impl Error {
-    /// What to do.
+    /// Returns what the user can do about the error.
     pub fn help(&self) -> &'static str {
         match self {
             Error::Script(fault) => fault.help(),
@@ -163,7 +163,7 @@
     }
 }
 
-/// For what still speaks in texts: the trials of faults.
+/// The fault injection uses texts as errors. This conversion appends the help.
 impl From<Error> for String {
     fn from(error: Error) -> String {
         format!("{error} (help: {})", error.help())
--- a/experiments/src/error/tests.rs
+++ b/experiments/src/error/tests.rs
@@ -23,17 +23,17 @@
     read
 }
 
-/// What sockets say of a case, before anything is started.
-fn played(more: &str) -> Error {
+/// Returns the error of running a case on sockets, before any process is started.
+fn sockets_error(more: &str) -> Error {
     let experiment = read(more, &[]).unwrap_or_else(|e| panic!("{more}: {e}"));
     let spec: &Spec = &experiment.cases[0].1;
-    sockets::play(spec, Path::new("no such program"), 1, |_| {}).expect_err("it cannot be played")
+    sockets::run(spec, Path::new("no such program"), 1, |_| {}).expect_err("it cannot be played")
 }
 
 #[test]
-fn every_error_of_the_lab_stands_on_the_page_with_its_help() {
-    let refused = || io::Error::from(io::ErrorKind::PermissionDenied);
-    let down = |part: f64| {
+fn every_error_of_the_program_is_on_the_page_of_errors_with_its_help() {
+    let permission_denied = || io::Error::from(io::ErrorKind::PermissionDenied);
+    let zone_down = |part: f64| {
         format!(
             "faults = [{{\"at\": 0.1, \"until\": 0.2, \"what\": {{\"zone_down\": {{\"zone\": \"a\", \"part\": {part}}}}}}}]\n"
         )
@@ -47,11 +47,11 @@
         read("", &["seconds"]).err().expect("no value"),
         crate::seeds("4..1").expect_err("backwards"),
         crate::variant("round").expect_err("no way"),
-        played("zones = [{\"name\": \"a\", \"nodes\": 60, \"routers\": 2}]\n"),
-        played(&down(0.5)),
-        played(drain),
-        played(""),
-        // What needs a broken machine or a router of another build.
+        sockets_error("zones = [{\"name\": \"a\", \"nodes\": 60, \"routers\": 2}]\n"),
+        sockets_error(&zone_down(0.5)),
+        sockets_error(drain),
+        sockets_error(""),
+        // These errors need a faulty machine or a router of another build, so they are constructed.
         Error::Model(SpecFault("clients.load: expected more".into())),
         Error::NoCase {
             file: "a.star".into(),
@@ -62,14 +62,14 @@
         Error::Trial("interrupted".into()),
         Error::File {
             path: "a.json".into(),
-            source: refused(),
+            source: permission_denied(),
         },
-        Error::System(refused()),
+        Error::System(permission_denied()),
         Error::Json(serde_json::from_str::<u8>("x").expect_err("no number")),
         Error::Untold("CPU time"),
         Error::Client {
             way: "front",
-            source: refused(),
+            source: permission_denied(),
         },
         Error::Answer {
             way: "front",
@@ -82,11 +82,14 @@
     for fault in &all {
         let name: &'static str = fault.into();
         let (text, help) = (fault.to_string(), fault.help());
-        // These two pass on a fault of the script.
-        let passed_on = matches!(fault, Error::Script(_) | Error::Case { .. });
-        let mine = |row: &&error_page::Row| passed_on || row.variant == format!("lab::{name}");
+        // These two variants forward an error of the script.
+        let is_forwarded = matches!(fault, Error::Script(_) | Error::Case { .. });
+        let matches_row =
+            |row: &&error_page::Row| is_forwarded || row.variant == format!("lab::{name}");
         assert!(
-            page.iter().filter(mine).any(|row| row.says(&text, help)),
+            page.iter()
+                .filter(matches_row)
+                .any(|row| row.matches(&text, help)),
             "{name}: {text} (help: {help})"
         );
         names.insert(name);
--- a/experiments/src/experiment.rs
+++ b/experiments/src/experiment.rs
@@ -1,4 +1,5 @@
-//! An experiment: a script's base, its cases and its variants, and their runs over seeds on all cores.
+//! An experiment: the base settings, cases and variants of a script, and their simulated runs with several seeds on all
+//! cores.
 
 use crate::error::Error;
 use indicatif::{ProgressBar, ProgressStyle};
@@ -10,48 +11,49 @@
 use std::ops::RangeInclusive;
 use std::path::Path;
 
-/// An experiment.
+/// An experiment that was read from a script.
 pub struct Experiment {
-    /// Its name.
+    /// Name of the experiment.
     pub name: String,
-    /// How routers treat zones, one run for each.
+    /// Variants of the zone policy. Each case runs with each of them.
     pub variants: Vec<Variant>,
-    /// Its cases, in the script's order of names.
+    /// Name and specification of each case, sorted by name.
     pub cases: Vec<(String, Spec)>,
 }
 
-/// One run.
+/// Result of one run.
 #[derive(Serialize)]
 pub struct Outcome {
-    /// The case.
+    /// Name of the case.
     pub case: String,
-    /// How many seconds of wall time it took.
+    /// Wall-clock duration (s).
     pub wall: f64,
-    /// What came of it.
+    /// Report of the simulation.
     pub report: Report,
 }
 
-/// Puts `over` on top of `base`: objects are merged, all else is replaced.
-pub(crate) fn merge(base: &mut Value, over: Value) {
-    match (base, over) {
-        (Value::Object(base), Value::Object(over)) => {
-            for (key, value) in over {
+/// Merges `overrides` into `base`. Objects are merged recursively, and all other values are replaced.
+pub(crate) fn merge(base: &mut Value, overrides: Value) {
+    match (base, overrides) {
+        (Value::Object(base), Value::Object(overrides)) => {
+            for (key, value) in overrides {
                 merge(base.entry(key).or_insert(Value::Null), value);
             }
         }
-        (base, over) => *base = over,
+        (base, overrides) => *base = overrides,
     }
 }
 
-fn of_case(case: &str, fault: impl Into<Error>) -> Error {
+fn case_error(case: &str, fault: impl Into<Error>) -> Error {
     Error::Case {
         case: case.to_string(),
         fault: Box::new(fault.into()),
     }
 }
 
-/// What `--set key=value` asks for: the value is JSON, or else text.
-fn setting(text: &str) -> Result<Value, Error> {
+/// Parses the argument of `--set`. The value is JSON, or a string if it is not valid JSON. Dots in the key separate the
+/// levels of nested objects.
+fn parse_setting(text: &str) -> Result<Value, Error> {
     let (key, value) = text
         .split_once('=')
         .ok_or_else(|| Error::Set(text.to_string()))?;
@@ -62,20 +64,20 @@
 }
 
 impl Experiment {
-    /// Reads a script, and puts these settings in the place of its own.
+    /// Reads a script, and replaces its settings by those given as `KEY=VALUE`.
     pub fn read(path: &Path, set: &[String]) -> Result<Self, Error> {
         let name = path
             .file_stem()
             .map_or_else(String::new, |n| n.to_string_lossy().into_owned());
-        Self::of(name, &Script::read(path)?, set)
+        Self::from_script(name, &Script::read(path)?, set)
     }
 
-    /// Reads a script that is part of the program.
+    /// Reads a script from a text.
     pub fn from_text(name: &str, text: &str) -> Result<Self, Error> {
-        Self::of(name.to_string(), &Script::evaluate(name, text)?, &[])
+        Self::from_script(name.to_string(), &Script::evaluate(name, text)?, &[])
     }
 
-    fn of(name: String, script: &Script, set: &[String]) -> Result<Self, Error> {
+    fn from_script(name: String, script: &Script, set: &[String]) -> Result<Self, Error> {
         let mut base = script.values.clone();
         let cases = base
             .remove("cases")
@@ -89,21 +91,24 @@
                 .into());
         };
         let variants = script.typed_from(variants, "variants")?;
-        let given: Vec<Value> = set.iter().map(|s| setting(s)).collect::<Result<_, _>>()?;
+        let given: Vec<Value> = set
+            .iter()
+            .map(|s| parse_setting(s))
+            .collect::<Result<_, _>>()?;
         let mut read = Vec::new();
-        for (case, over) in cases {
+        for (case, overrides) in cases {
             let mut value = Value::Object(base.clone());
-            merge(&mut value, over);
+            merge(&mut value, overrides);
             given
                 .iter()
-                .for_each(|over| merge(&mut value, over.clone()));
+                .for_each(|setting| merge(&mut value, setting.clone()));
             let mut spec: Spec = script
                 .typed_from(value, "")
-                .map_err(|e| of_case(&case, e))?;
+                .map_err(|e| case_error(&case, e))?;
             spec.check().map_err(|e| {
                 let text = e.to_string();
                 let (key, why) = text.split_once(": ").unwrap_or(("", &text));
-                of_case(&case, script.fault(key, why))
+                case_error(&case, script.fault(key, why))
             })?;
             spec.name.clone_from(&case);
             read.push((case, spec));
@@ -115,8 +120,8 @@
         })
     }
 
-    /// Plays all cases and variants with each seed. The order of the outcomes is that of cases, variants and seeds.
-    pub fn play(&self, seeds: RangeInclusive<u64>) -> Result<Vec<Outcome>, Error> {
+    /// Simulates all cases and variants with each seed. The outcomes are ordered by case, variant and seed.
+    pub fn simulate(&self, seeds: RangeInclusive<u64>) -> Result<Vec<Outcome>, Error> {
         let mut runs = Vec::new();
         for (name, spec) in &self.cases {
             for variant in &self.variants {
@@ -138,12 +143,12 @@
         let outcomes: Result<Vec<Outcome>, Error> = runs
             .into_par_iter()
             .map(|(case, spec, seed)| {
-                let begun = std::time::Instant::now();
-                let report = run(&spec, seed).map_err(|e| of_case(case, Error::Model(e)))?;
+                let started = std::time::Instant::now();
+                let report = run(&spec, seed).map_err(|e| case_error(case, Error::Model(e)))?;
                 bar.inc(1);
                 Ok(Outcome {
                     case: case.clone(),
-                    wall: begun.elapsed().as_secs_f64(),
+                    wall: started.elapsed().as_secs_f64(),
                     report,
                 })
             })
--- a/experiments/src/faults/mod.rs
+++ b/experiments/src/faults/mod.rs
@@ -1,12 +1,13 @@
-//! Trials of many router processes that fail, are cut off from each other and come back: what a script describes is played
-//! with real processes, and judged by a checker that knows nothing but their logs and what the stand-ins counted.
+//! Fault injection for a fleet of real router processes: routers crash, are partitioned and come back as a script
+//! describes. A checker then looks for violations of the invariants. It reads only the logs of the processes and the
+//! counters of the emulated nodes and links.
 
-pub mod check;
-pub mod draw;
-pub mod play;
+pub mod checker;
+pub mod random_faults;
+pub mod runner;
 
 use crate::sockets;
-use plovercove_emulator::links::Weather;
+use plovercove_emulator::links::LinkConditions;
 use plovercove_starlark_config::Script;
 use rayon::prelude::*;
 use serde::{Deserialize, Serialize};
@@ -14,182 +15,186 @@
 use std::ops::RangeInclusive;
 use std::path::{Path, PathBuf};
 
-/// More processes than this are too much for one machine.
-const MOST: usize = 128;
+/// Maximum number of routers, and of db nodes, in one scenario. One machine cannot run more processes.
+const MAX_PROCESSES: usize = 128;
 
-/// A zone of the trial.
+/// A zone of a scenario.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Zone {
-    /// Its name.
+    /// Name of the zone.
     pub name: String,
-    /// Its routers.
+    /// Number of routers.
     pub routers: usize,
-    /// Its db nodes; members of a group stand in different zones.
+    /// Number of db nodes. The members of a group are in different zones.
     pub nodes: usize,
 }
 
-/// What goes wrong. Routers are named n0, n1 and so on, or by their zone, or `*`; nodes s0, s1 and so on, or by zone.
+/// A kind of injected fault.
+///
+/// Routers are named `n0`, `n1` and so on, db nodes `s0`, `s1` and so on. The name of a zone stands for all routers or
+/// db nodes of that zone, and `*` for all of them.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum What {
-    /// SIGKILL; started again at the end, under the same name and address.
+    /// Kills routers with SIGKILL. They are started again at the end, under the same name and address.
     Kill {
-        /// Which.
+        /// Names of the affected routers or db nodes.
         routers: Vec<String>,
     },
-    /// SIGTERM; started again at the end.
+    /// Terminates routers with SIGTERM. They are started again at the end.
     Term {
-        /// Which.
+        /// Names of the affected routers or db nodes.
         routers: Vec<String>,
     },
-    /// SIGSTOP, and SIGCONT at the end.
+    /// Stops routers with SIGSTOP, and continues them with SIGCONT at the end.
     Stop {
-        /// Which.
+        /// Names of the affected routers or db nodes.
         routers: Vec<String>,
     },
-    /// Stopped and let go in turn: a slow peer.
+    /// Stops and continues routers alternately, so that they are slow members.
     Duty {
-        /// Which.
+        /// Names of the affected routers or db nodes.
         routers: Vec<String>,
-        /// Let go for so long (ms).
+        /// Time for which a router runs in each cycle (ms).
         on_ms: u64,
-        /// Stopped for so long (ms).
+        /// Time for which a router is stopped in each cycle (ms).
         off_ms: u64,
     },
-    /// One after the other is ended by SIGTERM and started again, evenly from the beginning to the end.
+    /// Restarts routers one after the other with SIGTERM, at equal intervals between the beginning and the end.
     Rolling {
-        /// Which.
+        /// Names of the affected routers or db nodes.
         routers: Vec<String>,
     },
-    /// A second process under a router's name, at an address of its own.
+    /// Starts a second process with the name of a router, at another address.
     Twin {
-        /// Whose name.
+        /// Router whose name is used twice.
         router: String,
     },
-    /// Weather from some routers to others.
+    /// Changes the conditions of the links from some routers to others.
     Link {
-        /// From which.
+        /// Sending routers.
         from: Vec<String>,
-        /// To which.
+        /// Receiving routers.
         to: Vec<String>,
-        /// What happens to datagrams.
-        weather: Weather,
+        /// Conditions of these links.
+        weather: LinkConditions,
     },
-    /// Routers are parted: nothing passes between the parts.
+    /// Partitions the routers: no datagram passes between the parts.
     Partition {
-        /// The parts.
+        /// Names of the routers in each part.
         parts: Vec<Vec<String>>,
     },
-    /// Datagrams with a wrong key, so many a second to each.
+    /// Sends datagrams that are sealed with a wrong key.
     Flood {
-        /// To which.
+        /// Receiving routers.
         routers: Vec<String>,
-        /// A second.
+        /// Datagrams per second to each router.
         rate: u32,
     },
-    /// Db nodes die, and start again at the end.
+    /// Stops db nodes. They are started again at the end.
     NodeDown {
-        /// Which.
+        /// Names of the affected routers or db nodes.
         nodes: Vec<String>,
     },
-    /// Db nodes take statements in and never answer.
+    /// Makes db nodes read statements without answering them.
     NodeSilent {
-        /// Which.
+        /// Names of the affected routers or db nodes.
         nodes: Vec<String>,
     },
-    /// Db nodes answer with errors.
+    /// Makes db nodes answer with errors.
     NodeErrors {
-        /// Which.
+        /// Names of the affected routers or db nodes.
         nodes: Vec<String>,
-        /// Only this class; empty for all.
+        /// Class whose statements fail. If it is empty, the statements of all classes fail.
         #[serde(default)]
         class: String,
     },
-    /// Db nodes take so much longer.
+    /// Makes db nodes slower.
     NodeSlow {
-        /// Which.
+        /// Names of the affected routers or db nodes.
         nodes: Vec<String>,
-        /// How much (ms).
+        /// Additional time for each answer (ms).
         ms: u64,
     },
-    /// Routers cannot reach db nodes, or hear nothing from them.
+    /// Cuts the connections between routers and db nodes.
     Wires {
-        /// Which routers.
+        /// Names of the routers.
         routers: Vec<String>,
-        /// Which nodes.
+        /// Names of the db nodes.
         nodes: Vec<String>,
-        /// Only what comes back is cut.
+        /// Cuts only the direction from the db nodes to the routers.
         #[serde(default)]
         home_only: bool,
     },
-    /// Routers' agents keep silent.
+    /// Makes the discovery agents of routers read requests without answering them.
     AgentSilent {
-        /// Which routers'.
+        /// Names of the routers.
         routers: Vec<String>,
     },
-    /// Db nodes are listed as draining, and as serving again at the end.
+    /// Lists db nodes as draining, and as serving again at the end.
     Drain {
-        /// Which.
+        /// Names of the affected routers or db nodes.
         nodes: Vec<String>,
     },
-    /// A db node's address is given to a node of another name.
+    /// Lists the address of a db node under a new node name.
     Rename {
-        /// Which.
+        /// Names of the affected routers or db nodes.
         node: String,
     },
 }
 
-/// A fault and its time.
+/// A fault with its beginning and end.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// When it begins (s after all routers have found each other).
+    /// Beginning, in seconds after all routers have found each other.
     pub at: f64,
-    /// When it ends.
+    /// End, in seconds after all routers have found each other.
     pub until: f64,
-    /// What happens.
+    /// Kind of fault.
     pub what: What,
 }
 
-/// A trial.
+/// Description of one run: the fleet, the load of its clients and the injected faults.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(default, deny_unknown_fields)]
-pub struct Trial {
-    /// The zones.
+#[serde(default, deny_unknown_fields, expecting = "struct Trial")]
+pub struct Scenario {
+    /// Zones of the fleet.
     pub zones: Vec<Zone>,
-    /// Members of a group.
+    /// Number of db nodes in a group.
     pub members: usize,
-    /// It lasts so long at the least (s).
+    /// Minimum duration of the run (s).
     pub seconds: f64,
-    /// After the last fault all are waited for so long (s); none: by the bounds of their rules.
+    /// Time after the last fault within which all routers have to agree (s). If it is `None`, the time follows from the
+    /// gossip rules.
     pub wait_s: Option<f64>,
-    /// Requests a second of all clients together.
+    /// Requests per second of all clients together.
     pub rate: f64,
-    /// The peers' rules of the operators' file; none: routers share nothing.
+    /// Gossip rules of the operators' file. If they are `None`, the routers do not gossip.
     pub peers: Option<Map<String, Value>>,
-    /// What goes wrong.
+    /// Injected faults.
     pub faults: Vec<Fault>,
-    /// So many faults are drawn from the seed besides.
+    /// Number of further faults that are drawn from the seed.
     pub random: usize,
-    /// Nodes that all routers must take out, by the bound, from the beginning of their fault.
+    /// Nodes that all routers have to eject within the time bound after the beginning of the node's fault.
     pub out: Vec<String>,
-    /// Routers that clients ask.
+    /// Routers to which clients send requests.
     pub clients: Vec<String>,
-    /// Clients of each of them; each asks one thing at a time.
+    /// Number of clients of each of these routers. A client has one request in flight at a time.
     pub each: u64,
-    /// Connections to nodes and agents go by way of wires that can be cut; without, directly.
+    /// Whether connections to nodes and agents pass through relays that can be cut. Otherwise they are direct.
     pub wires: bool,
 }
 
-impl Default for Trial {
+impl Default for Scenario {
     fn default() -> Self {
         let zone = |name: &str| Zone {
             name: name.into(),
             routers: 3,
             nodes: 3,
         };
-        Trial {
+        Scenario {
             zones: ["a", "b", "c"].map(zone).to_vec(),
             members: 3,
             seconds: 4.0,
@@ -206,14 +211,15 @@
     }
 }
 
-impl Trial {
-    /// Routers, each with its zone.
+impl Scenario {
+    /// Returns the index of the zone of each router.
     pub fn routers(&self) -> Vec<usize> {
         let each = |(n, z): (usize, &Zone)| std::iter::repeat_n(n, z.routers);
         self.zones.iter().enumerate().flat_map(each).collect()
     }
 
-    /// Db nodes, each with zone and group: zones take turns, so that members of a group stand apart.
+    /// Returns zone and group of each db node. Nodes are assigned to zones in rotation, so that the members of a group are
+    /// in different zones.
     pub fn nodes(&self) -> Vec<(usize, usize)> {
         let mut left: Vec<usize> = self.zones.iter().map(|z| z.nodes).collect();
         let mut zones = Vec::new();
@@ -232,9 +238,14 @@
 
     fn check(&self) -> Result<(), String> {
         let (routers, nodes) = (self.routers().len(), self.nodes().len());
-        if routers == 0 || routers > MOST || nodes == 0 || nodes > MOST || self.members == 0 {
+        if routers == 0
+            || routers > MAX_PROCESSES
+            || nodes == 0
+            || nodes > MAX_PROCESSES
+            || self.members == 0
+        {
             return Err(format!(
-                "zones: expected 1 to {MOST} routers and nodes, got {routers} and {nodes}"
+                "zones: expected 1 to {MAX_PROCESSES} routers and nodes, got {routers} and {nodes}"
             ));
         }
         if !(0.0..=600.0).contains(&self.seconds) {
@@ -247,7 +258,7 @@
             return Err(format!("each: expected 1 to 64, got {}", self.each));
         }
         for name in &self.clients {
-            play::select(name, 'n', &self.routers(), &self.zones)
+            runner::select(name, 'n', &self.routers(), &self.zones)
                 .map_err(|e| format!("clients: {e}"))?;
         }
         for (n, fault) in self.faults.iter().enumerate() {
@@ -258,12 +269,12 @@
                 ));
             }
             for name in fault.what.routers() {
-                play::select(&name, 'n', &self.routers(), &self.zones)
+                runner::select(&name, 'n', &self.routers(), &self.zones)
                     .map_err(|e| format!("{key}.what: {e}"))?;
             }
             let zones: Vec<usize> = self.nodes().iter().map(|n| n.0).collect();
             for name in fault.what.nodes() {
-                play::select(&name, 's', &zones, &self.zones)
+                runner::select(&name, 's', &zones, &self.zones)
                     .map_err(|e| format!("{key}.what: {e}"))?;
             }
         }
@@ -272,7 +283,7 @@
 }
 
 impl What {
-    /// The routers that it names.
+    /// Returns the names of the affected routers.
     pub fn routers(&self) -> Vec<String> {
         match self {
             What::Kill { routers }
@@ -290,7 +301,7 @@
         }
     }
 
-    /// The nodes that it names.
+    /// Returns the names of the affected db nodes.
     pub fn nodes(&self) -> Vec<String> {
         match self {
             What::NodeDown { nodes }
@@ -305,17 +316,17 @@
     }
 }
 
-/// A script's cases.
+/// The cases of a script.
 pub struct Cases {
-    /// Each with its name.
-    pub cases: Vec<(String, Trial)>,
+    /// Name and scenario of each case.
+    pub cases: Vec<(String, Scenario)>,
 }
 
 impl Cases {
-    /// Reads a script: settings of all cases, and `cases` with what differs.
+    /// Reads a script. Its top level has the settings of all cases, and `cases` overrides them for each case.
     ///
     /// # Errors
-    /// Names file, line and key.
+    /// The text names file, line and key.
     pub fn read(path: &Path) -> Result<Self, String> {
         let script = Script::read(path).map_err(|e| e.to_string())?;
         let mut base = script.values.clone();
@@ -326,175 +337,175 @@
                 .to_string());
         };
         let mut read = Vec::new();
-        for (name, over) in cases {
+        for (name, overrides) in cases {
             let mut value = Value::Object(base.clone());
-            crate::experiment::merge(&mut value, over);
-            let trial: Trial = script
+            crate::experiment::merge(&mut value, overrides);
+            let scenario: Scenario = script
                 .typed_from(value, "")
                 .map_err(|e| format!("case {name}: {e}"))?;
-            trial.check().map_err(|e| {
+            scenario.check().map_err(|e| {
                 let (key, why) = e.split_once(": ").unwrap_or(("", &e));
                 format!("case {name}: {}", script.fault(key, why))
             })?;
-            read.push((name, trial));
+            read.push((name, scenario));
         }
         Ok(Cases { cases: read })
     }
 }
 
-/// What is asked for on the command line.
-pub struct Wish {
-    /// The script.
+/// Options of the command line.
+pub struct RunOptions {
+    /// Path of the script.
     pub file: PathBuf,
-    /// Only these cases.
+    /// Cases to run. If there are none, all cases run.
     pub cases: Vec<String>,
-    /// The seeds.
+    /// Seeds with which each case runs.
     pub seeds: RangeInclusive<u64>,
-    /// Trials at once.
+    /// Number of concurrent runs.
     pub at_once: usize,
-    /// Where logs are kept.
+    /// Folder for the logs of runs with violations.
     pub keep: Option<PathBuf>,
-    /// A guard that is switched off.
+    /// Guard that the routers disable.
     pub without: Option<String>,
-    /// Whether a schedule that fails is made smaller.
+    /// Whether faults are removed from a failing schedule while it still fails.
     pub shrink: bool,
-    /// The router's program.
+    /// Path of the router's program.
     pub router: Option<PathBuf>,
 }
 
-/// What came of one trial.
+/// Result of one run.
 #[derive(Serialize)]
-pub struct Verdict {
-    /// The case.
+pub struct RunResult {
+    /// Name of the case.
     pub case: String,
-    /// The seed.
+    /// Seed of the run.
     pub seed: u64,
-    /// What was broken.
-    pub broken: Vec<check::Broken>,
-    /// What happened, with what was drawn.
+    /// Violations that the checker found.
+    pub broken: Vec<checker::Violation>,
+    /// Injected faults, including the random ones.
     pub faults: Vec<Fault>,
-    /// Figures.
-    pub figures: check::Figures,
-    /// How long it took (s).
+    /// Figures of the run.
+    pub figures: checker::Figures,
+    /// Wall-clock duration (s).
     pub wall: f64,
 }
 
-fn one(
-    wish: &Wish,
+fn run_one(
+    options: &RunOptions,
     program: &Path,
     name: &str,
-    trial: &Trial,
+    scenario: &Scenario,
     seed: u64,
-) -> Result<Verdict, String> {
-    let begun = std::time::Instant::now();
-    let mut trial = trial.clone();
-    let drawn = draw::faults(&trial, seed);
-    trial.faults.extend(drawn);
-    trial.random = 0;
-    let record = play::play(&trial, program, seed, wish.without.as_deref())
+) -> Result<RunResult, String> {
+    let started = std::time::Instant::now();
+    let mut scenario = scenario.clone();
+    let drawn = random_faults::draw_faults(&scenario, seed);
+    scenario.faults.extend(drawn);
+    scenario.random = 0;
+    let record = runner::run_scenario(&scenario, program, seed, options.without.as_deref())
         .map_err(|e| format!("{name}, seed {seed}: {e}"))?;
-    let (broken, figures) = check::check(&trial, &record);
-    if let Some(folder) = wish.keep.as_ref().filter(|_| !broken.is_empty()) {
-        play::keep(&folder.join(format!("{name}-{seed}")), &trial, &record)
+    let (broken, figures) = checker::check(&scenario, &record);
+    if let Some(folder) = options.keep.as_ref().filter(|_| !broken.is_empty()) {
+        runner::write_record(&folder.join(format!("{name}-{seed}")), &scenario, &record)
             .map_err(|e| e.to_string())?;
     }
-    let wall = begun.elapsed().as_secs_f64();
-    Ok(Verdict {
+    let wall = started.elapsed().as_secs_f64();
+    Ok(RunResult {
         case: name.into(),
         seed,
         broken,
-        faults: trial.faults,
+        faults: scenario.faults,
         figures,
         wall,
     })
 }
 
-/// Plays what is wished, and prints each outcome as it comes.
+/// Runs all cases with all seeds, and prints each result as soon as it is there.
 ///
 /// # Errors
-/// A trial could not be played at all.
-pub fn run(wish: &Wish) -> Result<Vec<Verdict>, String> {
-    let mut cases = Cases::read(&wish.file)?.cases;
-    if let Some(unknown) = wish
+/// A run could not be carried out.
+pub fn run(options: &RunOptions) -> Result<Vec<RunResult>, String> {
+    let mut cases = Cases::read(&options.file)?.cases;
+    if let Some(unknown) = options
         .cases
         .iter()
         .find(|c| !cases.iter().any(|(name, _)| name == *c))
     {
         return Err(format!(
             "{}: there is no case {unknown:?}",
-            wish.file.display()
+            options.file.display()
         ));
     }
-    cases.retain(|(name, _)| wish.cases.is_empty() || wish.cases.contains(name));
-    let program = wish
+    cases.retain(|(name, _)| options.cases.is_empty() || options.cases.contains(name));
+    let program = options
         .router
         .clone()
         .map_or_else(sockets::router_beside, Ok)?;
-    let mut runs = Vec::new();
-    for seed in wish.seeds.clone() {
-        runs.extend(cases.iter().map(|(name, trial)| (name, trial, seed)));
+    let mut queue = Vec::new();
+    for seed in options.seeds.clone() {
+        queue.extend(cases.iter().map(|(name, scenario)| (name, scenario, seed)));
     }
     let pool = rayon::ThreadPoolBuilder::new()
-        .num_threads(wish.at_once)
+        .num_threads(options.at_once)
         .build()
         .map_err(|e| e.to_string())?;
-    let play = |(name, trial, seed): (&String, &Trial, u64)| {
-        let verdict = one(wish, &program, name, trial, seed);
-        if let Ok(verdict) = &verdict {
-            println!("{}", line(verdict));
+    let run = |(name, scenario, seed): (&String, &Scenario, u64)| {
+        let result = run_one(options, &program, name, scenario, seed);
+        if let Ok(result) = &result {
+            println!("{}", format_result(result));
         }
-        verdict
+        result
     };
-    let verdicts: Result<Vec<Verdict>, String> =
-        pool.install(|| runs.into_par_iter().with_max_len(1).map(play).collect());
-    let verdicts = verdicts?;
-    if wish.shrink
-        && let Some(failed) = verdicts.iter().find(|v| !v.broken.is_empty())
-        && let Some((_, trial)) = cases.iter().find(|(name, _)| *name == failed.case)
+    let results: Result<Vec<RunResult>, String> =
+        pool.install(|| queue.into_par_iter().with_max_len(1).map(run).collect());
+    let results = results?;
+    if options.shrink
+        && let Some(failed) = results.iter().find(|v| !v.broken.is_empty())
+        && let Some((_, scenario)) = cases.iter().find(|(name, _)| *name == failed.case)
     {
-        let wanted = failed.broken[0].check;
-        let small = draw::shrink(failed.faults.clone(), |faults| {
-            let trial = Trial {
+        let check = failed.broken[0].check;
+        let small = random_faults::shrink(failed.faults.clone(), |faults| {
+            let scenario = Scenario {
                 faults: faults.to_vec(),
                 random: 0,
-                ..trial.clone()
+                ..scenario.clone()
             };
-            let again = one(wish, &program, &failed.case, &trial, failed.seed);
-            again.is_ok_and(|v| v.broken.iter().any(|b| b.check == wanted))
+            let again = run_one(options, &program, &failed.case, &scenario, failed.seed);
+            again.is_ok_and(|v| v.broken.iter().any(|b| b.check == check))
         });
         let text = serde_json::to_string_pretty(&small).map_err(|e| e.to_string())?;
         println!(
-            "{} of {} faults are enough for {wanted}:\n{text}",
+            "{} of {} faults are enough for {check}:\n{text}",
             small.len(),
             failed.faults.len()
         );
     }
-    Ok(verdicts)
+    Ok(results)
 }
 
-/// The most lines about what was broken, but for the first of each check.
-const LINES: usize = 8;
+/// Maximum number of violations that are printed for a run. The first violation of each check is always printed.
+const MAX_PRINTED_VIOLATIONS: usize = 8;
 
-/// What is told of all that was broken: the first of each check, and the earliest of the rest, in the order of time.
+/// Selects the violations to print, in order of time: the first of each check, and then the earliest others.
 ///
-/// Danger: a check that strikes every router at once would hide one that strikes later.
-fn told(broken: &[check::Broken]) -> Vec<&check::Broken> {
+/// Without the first of each check, a check that fails on every router at once would hide one that fails later.
+fn select_violations(broken: &[checker::Violation]) -> Vec<&checker::Violation> {
     let mut seen = std::collections::BTreeSet::new();
     let first: Vec<bool> = broken.iter().map(|b| seen.insert(b.check)).collect();
-    let mut room = LINES.saturating_sub(seen.len());
+    let mut room = MAX_PRINTED_VIOLATIONS.saturating_sub(seen.len());
     let mut all = broken.iter().zip(first).collect::<Vec<_>>();
     all.retain(|(_, first)| *first || room.checked_sub(1).inspect(|left| room = *left).is_some());
     all.into_iter().map(|(broken, _)| broken).collect()
 }
 
-/// One line for people, and the schedule where something was broken.
-fn line(verdict: &Verdict) -> String {
-    let f = &verdict.figures;
+/// Formats a result as one line. If there are violations, they and the schedule of faults follow.
+fn format_result(result: &RunResult) -> String {
+    let f = &result.figures;
     let mut out = format!(
         "{:>16} {:>5}  {}  {} requests, {} served; joined {:.1} s, agreed {:.1} s; {:.1} datagrams/s each, {} at the most; {:.0} s",
-        verdict.case,
-        verdict.seed,
-        if verdict.broken.is_empty() {
+        result.case,
+        result.seed,
+        if result.broken.is_empty() {
             "good  "
         } else {
             "BROKEN"
@@ -505,18 +516,18 @@
         f.agreed,
         f.datagrams.0,
         f.datagrams.1,
-        verdict.wall,
+        result.wall,
     );
-    for broken in told(&verdict.broken) {
+    for broken in select_violations(&result.broken) {
         out += &format!(
             "\n    {} at {:.2} s, {}: {}",
             broken.check, broken.at, broken.who, broken.what
         );
     }
-    if !verdict.broken.is_empty() {
+    if !result.broken.is_empty() {
         out += &format!(
             "\n    schedule: {}",
-            serde_json::to_string(&verdict.faults).unwrap_or_default()
+            serde_json::to_string(&result.faults).unwrap_or_default()
         );
     }
     out
--- a/experiments/src/faults/tests.rs
+++ b/experiments/src/faults/tests.rs
@@ -1,12 +1,14 @@
-//! What a trial's line tells of all that was broken, and what the checker asks for.
+//! Unit tests of the selection of printed violations and of the checker.
 
-use super::check::{Broken, check};
-use super::play::{Asked, Done, End, Life, Met, Record};
-use super::{Trial, told};
+use super::checker::{Violation, check};
+use super::runner::{
+    FaultInterval, ProcessExit, ProcessRun, ReceivedStatement, RequestRecord, RunRecord,
+};
+use super::{Scenario, select_violations};
 use plovercove_emulator::RequestOutcome;
 
-fn broken(check: &'static str, at: f64) -> Broken {
-    Broken {
+fn violation(check: &'static str, at: f64) -> Violation {
+    Violation {
         check,
         at,
         who: "n0".into(),
@@ -15,19 +17,22 @@
 }
 
 #[test]
-fn a_check_that_strikes_late_is_told_beside_one_that_strikes_every_router() {
-    let mut all: Vec<Broken> = (0..30)
-        .map(|n| broken("evidence", 6.0 + f64::from(n) / 100.0))
+fn a_check_that_fails_late_is_printed_beside_one_that_fails_on_every_router() {
+    let mut all: Vec<Violation> = (0..30)
+        .map(|n| violation("evidence", 6.0 + f64::from(n) / 100.0))
         .collect();
     all.extend([
-        broken("agreement", 8.0),
-        broken("agreement", 8.0),
-        broken("exits", 9.0),
+        violation("agreement", 8.0),
+        violation("agreement", 8.0),
+        violation("exits", 9.0),
     ]);
-    let told: Vec<(&str, f64)> = told(&all).iter().map(|b| (b.check, b.at)).collect();
+    let selected: Vec<(&str, f64)> = select_violations(&all)
+        .iter()
+        .map(|b| (b.check, b.at))
+        .collect();
     let early = (0..6).map(|n| ("evidence", 6.0 + f64::from(n) / 100.0));
     assert_eq!(
-        told,
+        selected,
         early
             .chain([("agreement", 8.0), ("exits", 9.0)])
             .collect::<Vec<_>>()
@@ -35,67 +40,80 @@
 }
 
 #[test]
-fn few_lines_are_all_told_in_their_order() {
+fn few_violations_are_all_printed_in_order_of_time() {
     let all = [
-        broken("links", 1.0),
-        broken("third", 2.0),
-        broken("links", 3.0),
+        violation("links", 1.0),
+        violation("third", 2.0),
+        violation("links", 3.0),
     ];
     assert_eq!(
-        told(&all).iter().map(|b| b.at).collect::<Vec<_>>(),
+        select_violations(&all)
+            .iter()
+            .map(|b| b.at)
+            .collect::<Vec<_>>(),
         [1.0, 2.0, 3.0]
     );
 }
 
-/// A trial in which s4 dies after one second and nobody takes it out, though these routers met it so often.
-fn acts_struck(meetings: &[(usize, usize)]) -> bool {
-    let trial = Trial {
+/// Returns whether the checker reports a missing ejection when `s4` fails after one second and no router ejects it.
+/// `statement_counts` has the routers that sent statements to the node, each with their number.
+fn reports_missing_ejection(statement_counts: &[(usize, usize)]) -> bool {
+    let scenario = Scenario {
         out: vec!["s4".into()],
         peers: Some(serde_json::Map::new()),
-        ..Trial::default()
+        ..Scenario::default()
     };
-    let mut record = Record {
-        places: trial.nodes(),
-        nodes: vec![Done {
-            whom: 4,
+    let mut record = RunRecord {
+        node_placement: scenario.nodes(),
+        node_faults: vec![FaultInterval {
+            target: 4,
             from: 1.0,
             until: 20.0,
         }],
-        unserved: vec![Vec::new(); trial.nodes().len()],
-        closing: 20.0,
-        ..Record::default()
+        unserved: vec![Vec::new(); scenario.nodes().len()],
+        shutdown_start: 20.0,
+        ..RunRecord::default()
     };
-    for router in 0..trial.routers().len() {
-        record.lives.push(Life {
+    for router in 0..scenario.routers().len() {
+        record.processes.push(ProcessRun {
             router,
-            twin: false,
+            is_twin: false,
             from: -1.0,
             until: 21.0,
-            end: End::Terminated(Some(0)),
+            exit: ProcessExit::Terminated(Some(0)),
             log: Vec::new(),
             cpu: 0.0,
         });
     }
-    for (router, count) in meetings {
+    for (router, count) in statement_counts {
         let id = format!("request-of-{router}");
-        record.asked.push(Asked {
+        record.requests.push(RequestRecord {
             router: *router,
             at: 1.1,
             took: 0.9,
             id: id.clone(),
-            write: false,
-            fate: RequestOutcome::Refused,
+            is_write: false,
+            outcome: RequestOutcome::Refused,
         });
-        let met = Met { at: 1.2, id };
-        record.unserved[4].extend(std::iter::repeat_n(met, *count));
+        let statement = ReceivedStatement { at: 1.2, id };
+        record.unserved[4].extend(std::iter::repeat_n(statement, *count));
     }
-    check(&trial, &record).0.iter().any(|b| b.check == "acts")
+    check(&scenario, &record)
+        .0
+        .iter()
+        .any(|b| b.check == "acts")
 }
 
 #[test]
-fn a_dead_node_that_two_zones_met_twice_has_to_be_out_and_one_that_a_single_zone_met_has_not() {
+fn a_dead_node_has_to_be_ejected_only_if_two_zones_sent_it_two_statements_each() {
     // Routers 0 to 2 stand in the first zone, 3 to 5 in the second.
-    assert!(acts_struck(&[(0, 2), (3, 2)]));
-    assert!(!acts_struck(&[(3, 5), (4, 5), (5, 5)]), "one zone");
-    assert!(!acts_struck(&[(0, 1), (3, 2)]), "once only in the first");
+    assert!(reports_missing_ejection(&[(0, 2), (3, 2)]));
+    assert!(
+        !reports_missing_ejection(&[(3, 5), (4, 5), (5, 5)]),
+        "one zone"
+    );
+    assert!(
+        !reports_missing_ejection(&[(0, 1), (3, 2)]),
+        "once only in the first"
+    );
 }
--- a/experiments/src/main.rs
+++ b/experiments/src/main.rs
@@ -1,11 +1,11 @@
 //! `plovercove-experiments`: tries designs and faults on a model of the fleet that drives plovercove's own decisions.
 
-mod cost;
 mod error;
 mod experiment;
 mod faults;
 mod sockets;
 mod table;
+mod translation_cost;
 
 use clap::{Parser, Subcommand};
 use error::Error;
@@ -17,7 +17,7 @@
 /// Experiments on plovercove: load, faults and designs, on a model that drives the router's own decisions.
 #[derive(Parser)]
 #[command(name = "plovercove-experiments", version)]
-struct Line {
+struct Arguments {
     #[command(subcommand)]
     command: Command,
 }
@@ -146,7 +146,7 @@
 }
 
 fn main() -> ExitCode {
-    match play(Line::parse().command) {
+    match run(Arguments::parse().command) {
         Ok(code) => code,
         Err(why) => {
             eprintln!("plovercove-experiments: {why} (help: {})", why.help());
@@ -155,19 +155,19 @@
     }
 }
 
-/// Writes an outcome as JSON.
-fn write(path: &Path, outcome: &impl serde::Serialize) -> Result<(), Error> {
-    let text = serde_json::to_string_pretty(outcome)?;
+/// Writes results as JSON.
+fn write_json(path: &Path, results: &impl serde::Serialize) -> Result<(), Error> {
+    let text = serde_json::to_string_pretty(results)?;
     std::fs::write(path, text).map_err(|source| Error::File {
         path: path.display().to_string(),
         source,
     })
 }
 
-/// What `demo` plays.
-const DEMO: &str = include_str!("../../experiments/demo.star");
+/// Script of the command `demo`.
+const DEMO_SCRIPT: &str = include_str!("../../experiments/demo.star");
 
-fn on_sockets(
+fn run_on_sockets(
     experiment: Experiment,
     case: Option<&str>,
     seed: u64,
@@ -184,19 +184,19 @@
             case: case.unwrap_or_default().to_string(),
         })?;
     let router = router.map_or_else(sockets::router_beside, Ok)?;
-    let outcome = sockets::play(spec, &router, seed, |line| println!("{line}"))?;
+    let outcome = sockets::run(spec, &router, seed, |line| println!("{line}"))?;
     print!("{}", sockets::summary(&outcome));
     if let Some(path) = json {
-        write(&path, &outcome)?;
+        write_json(&path, &outcome)?;
     }
-    Ok(if outcome.broken() {
+    Ok(if outcome.has_violations() {
         ExitCode::FAILURE
     } else {
         ExitCode::SUCCESS
     })
 }
 
-fn play(command: Command) -> Result<ExitCode, Error> {
+fn run(command: Command) -> Result<ExitCode, Error> {
     match command {
         Command::Sockets {
             file,
@@ -206,11 +206,15 @@
             json,
         } => {
             let experiment = Experiment::read(&file, &[])?;
-            on_sockets(experiment, case.as_deref(), seed, router, json)
-        }
-        Command::Demo { router } => {
-            on_sockets(Experiment::from_text("demo", DEMO)?, None, 1, router, None)
+            run_on_sockets(experiment, case.as_deref(), seed, router, json)
         }
+        Command::Demo { router } => run_on_sockets(
+            Experiment::from_text("demo", DEMO_SCRIPT)?,
+            None,
+            1,
+            router,
+            None,
+        ),
         Command::Translate {
             clients,
             seconds,
@@ -224,13 +228,13 @@
                 return Err(Error::Rounds);
             }
             let program = router.map_or_else(sockets::router_beside, Ok)?;
-            let costs = cost::measure(
+            let costs = translation_cost::measure(
                 &program,
                 clients,
                 std::time::Duration::from_secs_f64(seconds),
                 rounds,
             )?;
-            print!("{}", cost::table(&costs));
+            print!("{}", translation_cost::table(&costs));
             Ok(ExitCode::SUCCESS)
         }
         Command::Faults {
@@ -247,7 +251,7 @@
         } => {
             let (from, to) = seeds.unwrap_or((seed, seed));
             let at_once = at_once.clamp(1, 16);
-            let wish = faults::Wish {
+            let options = faults::RunOptions {
                 file,
                 cases: case,
                 seeds: from..=to,
@@ -258,18 +262,18 @@
                 router,
             };
             for signal in [signal_hook::consts::SIGINT, signal_hook::consts::SIGTERM] {
-                // Danger: killed at once it would leave its routers behind. It ends them first.
-                let flag = faults::play::INTERRUPTED.clone();
+                // A program that exits at once would leave its router processes behind. The flag makes all runs end them first.
+                let flag = faults::runner::INTERRUPTED.clone();
                 signal_hook::flag::register(signal, flag)?;
             }
-            let verdicts = faults::run(&wish).map_err(Error::Trial)?;
-            let broken = verdicts.iter().filter(|v| !v.broken.is_empty()).count();
+            let results = faults::run(&options).map_err(Error::Trial)?;
+            let broken = results.iter().filter(|v| !v.broken.is_empty()).count();
             println!(
                 "{} trials, {broken} in which something was broken",
-                verdicts.len()
+                results.len()
             );
             if let Some(path) = json {
-                write(&path, &verdicts)?;
+                write_json(&path, &results)?;
             }
             Ok(if broken > 0 {
                 ExitCode::FAILURE
@@ -318,13 +322,13 @@
                 experiment.variants = variant;
             }
             let (from, to) = seeds.unwrap_or((seed, seed));
-            let outcomes = experiment.play(from..=to)?;
+            let outcomes = experiment.simulate(from..=to)?;
             print!("{}", table::summary(&experiment, &outcomes));
             if seconds {
                 print!("{}", table::seconds(&outcomes));
             }
             if let Some(path) = json {
-                write(&path, &outcomes)?;
+                write_json(&path, &outcomes)?;
             }
             let broken = |o: &Outcome| !o.report.breaches.is_empty();
             let failed = strict && outcomes.iter().any(broken);
--- a/experiments/src/sockets.rs
+++ b/experiments/src/sockets.rs
@@ -1,8 +1,8 @@
-//! A small experiment on loopback sockets: stand-ins, and real router processes with tiers.
+//! Runs a small experiment on loopback sockets, with emulated nodes and clients and with real router processes.
 
 use crate::error::Error;
 use plovercove_emulator::process::{Folder, Process, ProcessSignal};
-use plovercove_emulator::{Clients, Fleet, RequestOutcome, Sample, Tally};
+use plovercove_emulator::{Clients, Fleet, FleetCounts, RequestOutcome, Sample};
 use plovercove_simulation::{Reads, Spec, Trouble, Variant};
 use serde::Serialize;
 use serde_json::json;
@@ -11,44 +11,46 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-/// A router that has not ended by then after SIGTERM is killed.
-const ENDS: Duration = Duration::from_secs(8);
-/// More than this is for the model: threads and sockets are few here.
-const MOST: (usize, usize) = (24, 6);
+/// Maximum time between SIGTERM and the exit of a router. A router that takes longer is killed.
+const MAX_EXIT_TIME: Duration = Duration::from_secs(8);
+/// Maximum number of nodes. Larger experiments need more threads and sockets than one machine has, and are simulated.
+const MAX_NODES: usize = 24;
+/// Maximum number of routers, for the same reason.
+const MAX_ROUTERS: usize = 6;
 
-/// What came of it.
+/// Result of an experiment on sockets.
 #[derive(Debug, Serialize)]
 pub struct Outcome {
-    /// Requests, and how they ended.
+    /// Number of requests.
     pub requests: usize,
-    /// See `requests`.
+    /// Number of requests that were served.
     pub served: usize,
-    /// See `requests`.
+    /// Number of requests that were rejected.
     pub refused: usize,
-    /// See `requests`.
+    /// Number of requests that failed.
     pub failed: usize,
-    /// Rules broken: no answer by the patience, another request's value, a write that ran twice, a node that fell over.
+    /// Number of requests without an answer by the timeout, which violates the rules.
     pub unanswered: usize,
-    /// See `unanswered`.
+    /// Number of requests that were answered with the value of another request, which violates the rules.
     pub foreign: usize,
-    /// See `unanswered`.
+    /// Number of writes that ran more than once, which violates the rules.
     pub twice: usize,
-    /// See `unanswered`.
+    /// Number of nodes that were overloaded until they failed, which violates the rules.
     pub fallen: usize,
-    /// Worth in time over worth asked for, by second.
+    /// Value of the requests that were answered in time, as a share of the value of all requests, by second.
     pub in_time: Vec<f64>,
-    /// The most that was spilled to a zone in any second, as a share of what the whole zone can do.
+    /// Maximum spillover to a zone in any second, as a share of the capacity of the whole zone.
     pub spill_most: f64,
 }
 
 impl Outcome {
-    /// Whether a rule was broken.
-    pub fn broken(&self) -> bool {
+    /// Returns whether a rule was violated.
+    pub fn has_violations(&self) -> bool {
         self.unanswered + self.foreign + self.twice + self.fallen > 0
     }
 }
 
-/// A router, and the place of its zone.
+/// A router process with the index of its zone.
 struct Router {
     process: Process,
     zone: usize,
@@ -56,26 +58,26 @@
 
 impl Drop for Router {
     fn drop(&mut self) {
-        // It finishes what it has taken, as in service; what does not end by then is killed.
+        // The router finishes its requests after SIGTERM. Dropping the process kills a router that takes longer.
         self.process.send_signal(ProcessSignal::Term);
-        let _ = self.process.wait_for_exit(ENDS);
+        let _ = self.process.wait_for_exit(MAX_EXIT_TIME);
     }
 }
 
-/// What a router is told, in the platform's form.
+/// Returns the configuration of a router, in the format of the platform.
 pub(crate) fn config(
     spec: &Spec,
     index: usize,
     zone: &str,
     agent: SocketAddr,
 ) -> serde_json::Value {
-    let word = |reads: Reads| match reads {
+    let read_class = |reads: Reads| match reads {
         Reads::Any => "loose",
         Reads::Bounded(_) => "recent",
         Reads::Session => "own_writes",
         Reads::Write => "update",
     };
-    let age = |reads: Reads| {
+    let max_age = |reads: Reads| {
         if let Reads::Bounded(ms) = reads {
             ms * 1_000
         } else {
@@ -98,8 +100,8 @@
         "settings": {
             "Balancers": settings.router_count, "SlotNo": index, "Tick": 5000, "Discovery": "automatic", "Zone": zone,
             "FamilyInfo": {
-                "ClassRead": spec.classes.iter().map(|c| word(c.reads)).collect::<Vec<_>>(),
-                "MaxAge": spec.classes.iter().map(|c| age(c.reads)).collect::<Vec<_>>(),
+                "ClassRead": spec.classes.iter().map(|c| read_class(c.reads)).collect::<Vec<_>>(),
+                "MaxAge": spec.classes.iter().map(|c| max_age(c.reads)).collect::<Vec<_>>(),
                 "ServerChecks": "silent", "ShowsRole": "delayed", "SessionMarks": "client"},
             "Limits": {"Cancel": true, "ConnIdle": 30_000_000, "DialTimeout": settings.connect_timeout,
                 "MaxAttempts": settings.max_attempts, "MaxRetryAfter": settings.max_retry_after, "Probing": true,
@@ -112,8 +114,9 @@
                 "OverloadFor": settings.overload_duration, "GraceToAnswer": settings.answer_grace}}})
 }
 
-/// The operators' file for the spec's rules: JSON but for the names of true, false and null, which it has none of.
-fn operators(spec: &Spec) -> Result<String, Error> {
+/// Returns the operators' file with the rules of the specification. The rules are written as JSON, which is valid Starlark
+/// here, because they do not contain `true`, `false` or `null`.
+fn operators_file(spec: &Spec) -> Result<String, Error> {
     let rules = serde_json::to_string(&spec.rules())?;
     Ok(format!("tiers = {rules}\n"))
 }
@@ -145,21 +148,22 @@
     })
 }
 
-/// Plays a spec: its zones going down and coming up, at their times.
-pub fn play(
+/// Runs a specification: starts the fleet and the clients, and takes zones down and up at their times. `print` gets the
+/// lines that describe the progress.
+pub fn run(
     spec: &Spec,
     program: &Path,
     seed: u64,
-    mut tell: impl FnMut(&str),
+    mut print: impl FnMut(&str),
 ) -> Result<Outcome, Error> {
     let (nodes, routers) = spec
         .zones
         .iter()
         .fold((0, 0), |sum, z| (sum.0 + z.nodes, sum.1 + z.routers));
-    if nodes > MOST.0 || routers > MOST.1 {
+    if nodes > MAX_NODES || routers > MAX_ROUTERS {
         return Err(Error::TooLarge {
-            most_nodes: MOST.0,
-            most_routers: MOST.1,
+            most_nodes: MAX_NODES,
+            most_routers: MAX_ROUTERS,
             nodes,
             routers,
         });
@@ -177,11 +181,11 @@
     }
     steps.sort_by(|a, b| a.0.total_cmp(&b.0));
     let folder = Folder::new(&format!("lab-{seed}"))?;
-    folder.write("operators.star", &operators(spec)?)?;
+    folder.write("operators.star", &operators_file(spec)?)?;
     let fleet = Fleet::start(spec, seed)?;
     let mut running = Vec::new();
-    for (zone, told) in spec.zones.iter().enumerate() {
-        for _ in 0..told.routers {
+    for (zone, zone_spec) in spec.zones.iter().enumerate() {
+        for _ in 0..zone_spec.routers {
             running.push(start(
                 program,
                 &folder,
@@ -192,16 +196,16 @@
             )?);
         }
     }
-    tell(&format!("{nodes} db nodes and {routers} routers serve"));
+    print(&format!("{nodes} db nodes and {routers} routers serve"));
     let addresses: Vec<_> = running
         .iter()
         .map(|r| (r.zone, r.process.listen()))
         .collect();
-    let begun = Instant::now();
+    let started = Instant::now();
     let clients = Clients::start(spec, &addresses, seed);
     for (at, zone, up) in steps {
-        std::thread::sleep(Duration::from_secs_f64(at).saturating_sub(begun.elapsed()));
-        tell(&format!(
+        std::thread::sleep(Duration::from_secs_f64(at).saturating_sub(started.elapsed()));
+        print(&format!(
             "{at:5.1} s: zone {zone} {}",
             if up {
                 "starts again, cold"
@@ -215,16 +219,17 @@
             fleet.zone_down(zone);
         }
     }
-    std::thread::sleep(Duration::from_secs_f64(spec.seconds).saturating_sub(begun.elapsed()));
+    std::thread::sleep(Duration::from_secs_f64(spec.seconds).saturating_sub(started.elapsed()));
     let samples = clients.stop();
-    let tally = fleet.tally();
+    let counts = fleet.counts();
     drop(running);
     drop(fleet);
-    Ok(count(spec, &samples, &tally))
+    Ok(summarize(spec, &samples, &counts))
 }
 
-fn count(spec: &Spec, samples: &[Sample], tally: &Tally) -> Outcome {
-    let of = |fate: RequestOutcome| samples.iter().filter(|s| s.fate == fate).count();
+fn summarize(spec: &Spec, samples: &[Sample], counts: &FleetCounts) -> Outcome {
+    let count_of =
+        |outcome: RequestOutcome| samples.iter().filter(|s| s.outcome == outcome).count();
     let mut worth = vec![(0.0, 0.0); spec.seconds.ceil() as usize];
     for s in samples {
         let class = &spec.classes[s.class];
@@ -232,25 +237,25 @@
             continue;
         };
         second.0 += class.worth;
-        if s.fate == RequestOutcome::Served {
+        if s.outcome == RequestOutcome::Served {
             let in_time = s.took <= Duration::from_millis(class.aim_ms);
             second.1 += class.worth * if in_time { 1.0 } else { class.late };
         }
     }
     let capacity = |zone: usize| (spec.zones[zone].nodes as u32 * spec.node.cores) as f64;
-    let spilled = tally
+    let spilled = counts
         .spilled
         .iter()
         .flat_map(|s| s.iter().enumerate().map(|(z, work)| work / capacity(z)));
     Outcome {
         requests: samples.len(),
-        served: of(RequestOutcome::Served),
-        refused: of(RequestOutcome::Refused),
-        failed: of(RequestOutcome::Failed),
-        unanswered: of(RequestOutcome::Unanswered),
-        foreign: of(RequestOutcome::Foreign),
-        twice: tally.twice,
-        fallen: tally.fallen,
+        served: count_of(RequestOutcome::Served),
+        refused: count_of(RequestOutcome::Refused),
+        failed: count_of(RequestOutcome::Failed),
+        unanswered: count_of(RequestOutcome::Unanswered),
+        foreign: count_of(RequestOutcome::Foreign),
+        twice: counts.twice,
+        fallen: counts.fallen,
         in_time: worth
             .into_iter()
             .map(|(asked, good)| if asked > 0.0 { good / asked } else { 1.0 })
@@ -259,7 +264,7 @@
     }
 }
 
-/// The router beside this program.
+/// Returns the path of the router's program, which is in the folder of this program or in the folder above.
 pub fn router_beside() -> Result<PathBuf, Error> {
     let mine = std::env::current_exe()?;
     let beside =
@@ -268,7 +273,7 @@
     found.ok_or(Error::NoRouter)
 }
 
-/// What people read.
+/// Formats the result for the terminal.
 pub fn summary(outcome: &Outcome) -> String {
     let mut out = String::new();
     let o = outcome;
--- a/experiments/src/table.rs
+++ b/experiments/src/table.rs
@@ -1,13 +1,13 @@
-//! What people read: a table in Markdown.
+//! Formats the results of simulated experiments as Markdown tables.
 
 use crate::experiment::{Experiment, Outcome};
 use plovercove_simulation::{Report, Variant};
 use std::fmt::Write as _;
 
-/// The runs of one case and variant.
-fn of<'a>(outcomes: &'a [Outcome], case: &str, variant: Variant) -> Vec<&'a Report> {
-    let mine = |o: &&Outcome| o.case == case && o.report.variant == variant;
-    outcomes.iter().filter(mine).map(|o| &o.report).collect()
+/// Returns the reports of one case and variant.
+fn reports_of<'a>(outcomes: &'a [Outcome], case: &str, variant: Variant) -> Vec<&'a Report> {
+    let matches = |o: &&Outcome| o.case == case && o.report.variant == variant;
+    outcomes.iter().filter(matches).map(|o| &o.report).collect()
 }
 
 fn mean(values: impl Iterator<Item = f64>) -> f64 {
@@ -15,22 +15,27 @@
     if count > 0.0 { sum / count } else { f64::NAN }
 }
 
-/// Median and longest of times that may never have come: `4/9 s`, with the share of runs that came back where not all.
-fn times(values: &[Option<f64>]) -> String {
-    let mut came: Vec<f64> = values.iter().copied().flatten().collect();
-    if came.is_empty() {
+/// Formats median and maximum of the times, such as `4/9`. Runs without a time are left out, and the number of runs that
+/// have one is appended if not all do.
+fn format_times(values: &[Option<f64>]) -> String {
+    let mut known: Vec<f64> = values.iter().copied().flatten().collect();
+    if known.is_empty() {
         return "-".into();
     }
-    came.sort_by(f64::total_cmp);
-    let text = format!("{:.0}/{:.0}", came[came.len() / 2], came[came.len() - 1]);
-    if came.len() == values.len() {
+    known.sort_by(f64::total_cmp);
+    let text = format!(
+        "{:.0}/{:.0}",
+        known[known.len() / 2],
+        known[known.len() - 1]
+    );
+    if known.len() == values.len() {
         text
     } else {
-        format!("{text} ({} of {})", came.len(), values.len())
+        format!("{text} ({} of {})", known.len(), values.len())
     }
 }
 
-fn name(variant: Variant) -> &'static str {
+fn variant_name(variant: Variant) -> &'static str {
     match variant {
         Variant::ZoneFailover => "tiers",
         Variant::Flat => "flat",
@@ -38,8 +43,8 @@
     }
 }
 
-/// What talk between routers came to, where there is any.
-fn talks(out: &mut String, experiment: &Experiment, outcomes: &[Outcome]) {
+/// Appends a table on the gossip between routers, if a report has data on it.
+fn write_gossip_table(out: &mut String, experiment: &Experiment, outcomes: &[Outcome]) {
     if outcomes.iter().all(|o| o.report.talked.is_none()) {
         return;
     }
@@ -69,7 +74,7 @@
             sum(|t| t.outs),
             sum(|t| t.wrong_outs),
             sum(|t| t.false_downs),
-            times(&talked().map(|t| t.all_out).collect::<Vec<_>>()),
+            format_times(&talked().map(|t| t.all_out).collect::<Vec<_>>()),
             rate(|t| t.sent.0),
             rate(|t| t.sent.1),
         );
@@ -77,7 +82,7 @@
     let _ = writeln!(out);
 }
 
-/// The table, and below it what was broken.
+/// Formats the table of all cases and variants, followed by the violated rules.
 pub fn summary(experiment: &Experiment, outcomes: &[Outcome]) -> String {
     let mut out = String::new();
     let _ = writeln!(
@@ -90,30 +95,30 @@
     );
     for (case, _) in &experiment.cases {
         for variant in &experiment.variants {
-            let runs = of(outcomes, case, *variant);
+            let runs = reports_of(outcomes, case, *variant);
             let worst = runs.iter().map(|r| r.window).fold(f64::INFINITY, f64::min);
             let spill = runs.iter().map(|r| r.spill_most).fold(0.0, f64::max);
             let broken: u64 = runs.iter().flat_map(|r| &r.breaches).map(|b| b.times).sum();
             let _ = writeln!(
                 out,
                 "| {case} | {} | {:.3} | {:.3} | {:.3} | {:.3} | {:.3} | {} | {} | {} | {:.0} | {} |",
-                name(*variant),
+                variant_name(*variant),
                 mean(runs.iter().map(|r| r.in_time)),
                 mean(runs.iter().map(|r| r.window)),
                 worst,
                 mean(runs.iter().map(|r| r.local)),
                 spill,
                 runs.iter().map(|r| r.fallen).sum::<u32>(),
-                times(&runs.iter().map(|r| r.after_loss).collect::<Vec<_>>()),
-                times(&runs.iter().map(|r| r.after_return).collect::<Vec<_>>()),
+                format_times(&runs.iter().map(|r| r.after_loss).collect::<Vec<_>>()),
+                format_times(&runs.iter().map(|r| r.after_return).collect::<Vec<_>>()),
                 mean(runs.iter().map(|r| r.p99_ms)),
                 broken,
             );
         }
     }
     let _ = writeln!(out);
-    against(&mut out, experiment, outcomes);
-    talks(&mut out, experiment, outcomes);
+    write_comparison(&mut out, experiment, outcomes);
+    write_gossip_table(&mut out, experiment, outcomes);
     for o in outcomes {
         for b in &o.report.breaches {
             let (at, what) = &b.first;
@@ -121,7 +126,7 @@
                 out,
                 "{} {} seed {}: {:?} broken {} times, first at {at:.2} s: {what}",
                 o.case,
-                name(o.report.variant),
+                variant_name(o.report.variant),
                 o.report.seed,
                 b.rule,
                 b.times
@@ -141,8 +146,8 @@
     out
 }
 
-/// Tiers against the better of the baselines, seed by seed.
-fn against(out: &mut String, experiment: &Experiment, outcomes: &[Outcome]) {
+/// Appends a comparison, paired by seed, of zone failover with the better of the other variants.
+fn write_comparison(out: &mut String, experiment: &Experiment, outcomes: &[Outcome]) {
     let others: Vec<Variant> = experiment
         .variants
         .iter()
@@ -157,44 +162,44 @@
         "Tiers against the better baseline, in loss and return (paired by seed):\n"
     );
     for (case, _) in &experiment.cases {
-        let tiers = of(outcomes, case, Variant::ZoneFailover);
+        let tiers = reports_of(outcomes, case, Variant::ZoneFailover);
         let means = others
             .iter()
-            .map(|v| mean(of(outcomes, case, *v).iter().map(|r| r.window)));
+            .map(|v| mean(reports_of(outcomes, case, *v).iter().map(|r| r.window)));
         let best = means.fold(f64::NEG_INFINITY, f64::max);
-        let gap = |r: &&Report| {
+        let gain = |r: &&Report| {
             let same = |v: &Variant| {
-                of(outcomes, case, *v)
+                reports_of(outcomes, case, *v)
                     .iter()
                     .find(|o| o.seed == r.seed)
                     .map_or(f64::NEG_INFINITY, |o| o.window)
             };
             r.window - others.iter().map(same).fold(f64::NEG_INFINITY, f64::max)
         };
-        let gaps: Vec<f64> = tiers.iter().map(gap).collect();
-        let by = mean(tiers.iter().map(|r| r.window)) - best;
-        // The mean of the paired gaps is known within about this.
-        let average = mean(gaps.iter().copied());
-        let spread = (mean(gaps.iter().map(|g| (g - average).powi(2))) / gaps.len().max(2) as f64)
-            .sqrt()
-            * 2.0;
-        let word = if by.abs() < spread {
+        let gains: Vec<f64> = tiers.iter().map(gain).collect();
+        let difference = mean(tiers.iter().map(|r| r.window)) - best;
+        // Twice the standard error: the mean of the paired gains is known to about this precision.
+        let average = mean(gains.iter().copied());
+        let spread =
+            (mean(gains.iter().map(|g| (g - average).powi(2))) / gains.len().max(2) as f64).sqrt()
+                * 2.0;
+        let rating = if difference.abs() < spread {
             "within noise"
-        } else if by > 0.0 {
+        } else if difference > 0.0 {
             "better"
         } else {
             "worse"
         };
         let _ = writeln!(
             out,
-            "- {case}: {by:+.3} against the better mean ({word}, +/- {spread:.3}); on the worst seed {:+.3} against the better of that seed",
-            gaps.iter().copied().fold(f64::INFINITY, f64::min)
+            "- {case}: {difference:+.3} against the better mean ({rating}, +/- {spread:.3}); on the worst seed {:+.3} against the better of that seed",
+            gains.iter().copied().fold(f64::INFINITY, f64::min)
         );
     }
     let _ = writeln!(out);
 }
 
-/// Second by second, means over the seeds of a case and variant.
+/// Formats the figures of each second of each run.
 pub fn seconds(outcomes: &[Outcome]) -> String {
     let mut out = String::new();
     for o in outcomes {
@@ -202,7 +207,7 @@
             out,
             "\n{} {} seed {}",
             o.case,
-            name(o.report.variant),
+            variant_name(o.report.variant),
             o.report.seed
         );
         let _ = writeln!(
