--- a/experiments/src/cost.rs
+++ b/experiments/src/translation_cost.rs
@@ -1,5 +1,5 @@
-//! What translation costs: the same load through the platform's listener and through further fronts of one router process,
-//! before one scripted server, with the router's own CPU time beside it.
+//! Measures the cost of protocol translation. The same load passes through the main listener and through further
+//! listeners of one router process to one scripted server. The rate and the CPU time of the router are compared.
 
 use crate::error::Error;
 use plovercove_emulator::legacy_client::{LegacyClient, ServerMessage};
@@ -13,24 +13,28 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-/// The verifier of `app`, whose password is `old but true`.
-const APP: (&str, &str) = ("old but true", "app md5fb55191c9e5b0a66e4856ae386b4139d\n");
+/// Password of the user `app`.
+const APP_PASSWORD: &str = "old but true";
+/// Line of the credentials file with the verifier of `app`.
+const APP_VERIFIER: &str = "app md5fb55191c9e5b0a66e4856ae386b4139d\n";
 
-/// One way to the server.
-struct Way {
+/// A combination of listener, protocol version and labels whose cost is measured.
+struct ClientPath {
     name: &'static str,
     address: SocketAddr,
-    two: bool,
-    labelled: bool,
+    /// Whether the client uses protocol 2.0 instead of 3.0.
+    protocol_2: bool,
+    /// Whether statements start with labels.
+    is_labelled: bool,
 }
 
-/// What one way cost.
+/// Measured cost of one path.
 pub struct Cost {
-    /// Its name.
+    /// Name of the path.
     pub name: &'static str,
-    /// Requests a second, of each round.
+    /// Requests per second in each round.
     pub rates: Vec<f64>,
-    /// Microseconds of the router's CPU time a request, of each round.
+    /// CPU time of the router per request in each round (us).
     pub cpu: Vec<f64>,
 }
 
@@ -59,7 +63,7 @@
 fn start(program: &Path, server: SocketAddr) -> Result<(Process, Folder), Error> {
     let folder = Folder::new("cost")?;
     let write = |name: &str, text: &str| folder.write(name, text);
-    write("users", APP.1)?;
+    write("users", APP_VERIFIER)?;
     write("password", PASSWORD)?;
     let config = write("config.json", &config(server))?;
     let operators = write(
@@ -85,10 +89,11 @@
     Ok((process, folder))
 }
 
-/// CPU time of a process so far, in seconds.
+/// Returns the CPU time that a process has used (s).
 fn cpu(id: u32) -> Result<f64, Error> {
     let stat = std::fs::read_to_string(format!("/proc/{id}/stat"))?;
-    // The name may hold blanks; user and system time are the 12th and 13th after it, in hundredths.
+    // The process name may contain spaces, so the fields are counted from the closing parenthesis. User and system time are
+    // the 12th and 13th field after it, in hundredths of a second.
     let mut fields = stat
         .rsplit_once(')')
         .map_or("", |(_, rest)| rest)
@@ -103,41 +108,42 @@
     Ok((next()? + next()?) / 100.0)
 }
 
-/// Clients in turn on one way, for a while: requests answered.
-fn load(way: &Way, clients: usize, span: Duration) -> Result<u64, Error> {
+/// Runs clients on one path for a time. Returns the number of answered requests.
+fn load(path: &ClientPath, clients: usize, duration: Duration) -> Result<u64, Error> {
     static NUMBER: AtomicU64 = AtomicU64::new(0);
-    let until = Instant::now() + span;
-    let each =
-        || -> Result<u64, Error> {
-            let (mut client, _) = LegacyClient::connect(way.address, way.two, "app", APP.0)
-                .map_err(|source| Error::Client {
-                    way: way.name,
+    let until = Instant::now() + duration;
+    let each = || -> Result<u64, Error> {
+        let (mut client, _) =
+            LegacyClient::connect(path.address, path.protocol_2, "app", APP_PASSWORD).map_err(
+                |source| Error::Client {
+                    way: path.name,
                     source,
-                })?;
-            let mut answered = 0;
-            while Instant::now() < until {
-                let text = "SELECT body FROM trips WHERE id = '7f'";
-                let number = NUMBER.fetch_add(1, Ordering::Relaxed);
-                let heard = match way.labelled {
-                    true => client.query(&format!(
-                        "/* id={number},c=look,t=acme,d=4000,cluster=2 */ {text}"
-                    )),
-                    false => client.query(text),
-                };
-                let heard = heard.map_err(|source| Error::Client {
-                    way: way.name,
-                    source,
-                })?;
-                if !heard.iter().any(|h| matches!(h, ServerMessage::Row(_))) {
-                    return Err(Error::Answer {
-                        way: way.name,
-                        heard: format!("{heard:?}"),
-                    });
-                }
-                answered += 1;
+                },
+            )?;
+        let mut answered = 0;
+        while Instant::now() < until {
+            let text = "SELECT body FROM trips WHERE id = '7f'";
+            let number = NUMBER.fetch_add(1, Ordering::Relaxed);
+            let messages = match path.is_labelled {
+                true => client.query(&format!(
+                    "/* id={number},c=look,t=acme,d=4000,cluster=2 */ {text}"
+                )),
+                false => client.query(text),
+            };
+            let messages = messages.map_err(|source| Error::Client {
+                way: path.name,
+                source,
+            })?;
+            if !messages.iter().any(|h| matches!(h, ServerMessage::Row(_))) {
+                return Err(Error::Answer {
+                    way: path.name,
+                    heard: format!("{messages:?}"),
+                });
             }
-            Ok(answered)
-        };
+            answered += 1;
+        }
+        Ok(answered)
+    };
     std::thread::scope(|scope| {
         let running: Vec<_> = (0..clients).map(|_| scope.spawn(each)).collect();
         running
@@ -147,11 +153,11 @@
     })
 }
 
-/// Measures all ways, in turn, in so many rounds.
+/// Measures all paths one after the other, in each of `rounds` rounds.
 pub fn measure(
     program: &Path,
     clients: usize,
-    span: Duration,
+    duration: Duration,
     rounds: usize,
 ) -> Result<Vec<Cost>, Error> {
     let value: Vec<u8> = [b"\\x".to_vec(), b"9f41".repeat(64)].concat();
@@ -167,22 +173,22 @@
     let [plain, forms] = *router.fronts() else {
         return Err(Error::Untold("further front"));
     };
-    let platform = router.listen();
-    let way = |name, address, two, labelled| Way {
+    let main_listener = router.listen();
+    let path = |name, address, protocol_2, is_labelled| ClientPath {
         name,
         address,
-        two,
-        labelled,
+        protocol_2,
+        is_labelled,
     };
-    let ways = [
-        way("platform, 3.0, labels", platform, false, true),
-        way("front, 3.0, labels", plain, false, true),
-        way("front, 3.0, no labels", plain, false, false),
-        way("front, 3.0, bytea escaped", forms, false, false),
-        way("front, 2.0, no labels", plain, true, false),
-        way("front, 2.0, bytea escaped", forms, true, false),
+    let paths = [
+        path("platform, 3.0, labels", main_listener, false, true),
+        path("front, 3.0, labels", plain, false, true),
+        path("front, 3.0, no labels", plain, false, false),
+        path("front, 3.0, bytea escaped", forms, false, false),
+        path("front, 2.0, no labels", plain, true, false),
+        path("front, 2.0, bytea escaped", forms, true, false),
     ];
-    let mut costs: Vec<Cost> = ways
+    let mut costs: Vec<Cost> = paths
         .iter()
         .map(|w| Cost {
             name: w.name,
@@ -190,12 +196,12 @@
             cpu: Vec::new(),
         })
         .collect();
-    // The first round warms up and does not count.
+    // Round 0 is a warm-up and is not counted.
     for round in 0..=rounds {
-        for (way, cost) in ways.iter().zip(&mut costs) {
-            let (before, begun) = (cpu(router.id())?, Instant::now());
-            let answered = load(way, clients, span)?;
-            let (used, took) = (cpu(router.id())? - before, begun.elapsed().as_secs_f64());
+        for (path, cost) in paths.iter().zip(&mut costs) {
+            let (before, started) = (cpu(router.id())?, Instant::now());
+            let answered = load(path, clients, duration)?;
+            let (used, took) = (cpu(router.id())? - before, started.elapsed().as_secs_f64());
             if round > 0 && answered > 0 {
                 cost.rates.push(answered as f64 / took);
                 cost.cpu.push(used * 1e6 / answered as f64);
@@ -211,7 +217,7 @@
     sorted.get(sorted.len() / 2).copied().unwrap_or(f64::NAN)
 }
 
-/// What people read.
+/// Formats the costs as a Markdown table.
 pub fn table(costs: &[Cost]) -> String {
     let mut out = String::from(
         "| way | requests/s, median | router's CPU a request (us): median | least | most | over the first |\n| --- | --- | --- | --- | --- | --- |\n",
--- a/router/tests/errors.rs
+++ b/router/tests/errors.rs
@@ -402,7 +402,7 @@
     for Produced(variant, text, help) in &all {
         let is_wrapper = WRAPPERS.contains(&variant.as_str());
         let is_of_variant = |row: &&Row| is_wrapper || row.variant == *variant;
-        let fits = |row: &Row| row.says(text, help);
+        let fits = |row: &Row| row.matches(text, help);
         assert!(
             page.iter().filter(is_of_variant).any(fits),
             "{variant}: not on the page: {text} (help: {help})"
--- a/router/tests/translator.rs
+++ b/router/tests/translator.rs
@@ -466,7 +466,7 @@
         (LoginMethod::Other(8), "a message that cannot be followed"),
         (LoginMethod::Reject("28P01"), "28P01"),
     ] {
-        server.set_gate(gate);
+        server.set_login_method(gate);
         let started_at = Instant::now();
         let received = router.client(false).query("INSERT 1").expect("an answer");
         assert!(
