--- a/gather/benches/merge.rs
+++ b/gather/benches/merge.rs
@@ -1,10 +1,11 @@
-//! A million rows from 300 sources: streamed, and collected and sorted. Prints the memory that each takes (from the system's
-//! own count of this process, since a counting allocator would need unsafe code).
+//! Merges a million rows of 300 sources, once as streams and once by collecting and sorting them.
 //!
-//! Each way runs in a process of its own for memory: `merge memory-streamed`, `merge memory-collected`, `merge memory-none`.
+//! To print the peak memory of one way, run it in a separate process: `merge memory-streamed`, `merge
+//! memory-collected`, `merge memory-none`. The figure is that of the operating system, since a counting allocator would
+//! need unsafe code.
 
 use criterion::{Criterion, Throughput};
-use plovercove_gather::{Absent, Input, Plan, Row, Rules, Sort, Streams, Value};
+use plovercove_gather::{AbsentOrder, Input, Plan, Row, Rules, SortKey, StreamMerge, Value};
 use std::hint::black_box;
 use std::time::Duration;
 
@@ -12,10 +13,10 @@
 const ROWS: i128 = 1_000_000;
 
 fn plan() -> Plan {
-    let sort = vec![Sort {
+    let sort = vec![SortKey {
         by: "n".into(),
-        down: true,
-        absent: Absent::Last,
+        descending: true,
+        absent: AbsentOrder::Last,
     }];
     let rules = Rules {
         columns: vec!["key".into(), "n".into()],
@@ -23,15 +24,15 @@
         rows: Some(100),
         ..Rules::default()
     };
-    rules.plan().expect("rules that hold")
+    rules.plan().expect("valid rules")
 }
 
-/// One source's rows, the highest first, as a reader would decode them one by one.
+/// Returns the rows of one source with the highest first, made one by one as a decoder would return them.
 fn source(number: i128) -> impl Iterator<Item = Row> {
-    let each = ROWS / SOURCES + i128::from(number < ROWS % SOURCES);
-    (0..each).map(move |n| {
+    let row_count = ROWS / SOURCES + i128::from(number < ROWS % SOURCES);
+    (0..row_count).map(move |n| {
         let value = 1_000_000 - n * 300 - (number * 7_919 + n * 104_729) % 300;
-        Row::plain(vec![
+        Row::from_values(vec![
             Value::text("tenant of usual length"),
             Value::Int(value),
         ])
@@ -43,9 +44,9 @@
         name: format!("s{n}"),
         rows: source(n),
         combined: false,
-        cut: None,
+        withheld_prefix: None,
     };
-    let streams = Streams::new(plan, (0..SOURCES).map(input).collect());
+    let streams = StreamMerge::new(plan, (0..SOURCES).map(input).collect());
     streams.filter(|row| black_box(row).is_ok()).count()
 }
 
@@ -53,12 +54,12 @@
     let mut all: Vec<(u32, Row)> = (0..SOURCES)
         .flat_map(|n| source(n).map(move |row| (n as u32, row)))
         .collect();
-    all.sort_by(|a, b| plan.streamed(&a.1, &b.1).then(a.0.cmp(&b.0)));
+    all.sort_by(|a, b| plan.cmp_stream_order(&a.1, &b.1).then(a.0.cmp(&b.0)));
     black_box(all).len()
 }
 
-/// The most memory that this process has had (KB), where the system tells.
-fn most_kb() -> String {
+/// Returns the line with the peak memory of this process (KB), if the operating system reports it.
+fn peak_memory() -> String {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status
         .lines()
@@ -71,12 +72,12 @@
     let plan = plan();
     match std::env::args().nth(1).as_deref() {
         Some("memory-streamed") => {
-            return println!("streamed: {} rows, {}", streamed(&plan), most_kb());
+            return println!("streamed: {} rows, {}", streamed(&plan), peak_memory());
         }
         Some("memory-collected") => {
-            return println!("collected: {} rows, {}", collected(&plan), most_kb());
+            return println!("collected: {} rows, {}", collected(&plan), peak_memory());
         }
-        Some("memory-none") => return println!("neither: {}", most_kb()),
+        Some("memory-none") => return println!("neither: {}", peak_memory()),
         _ => {}
     }
     let mut criterion = Criterion::default()
--- a/gather/src/bounds.rs
+++ b/gather/src/bounds.rs
@@ -1,192 +1,220 @@
-//! What is true whatever was held back. The beginning of a sort key (an *edge*) stands for all keys that begin so: an empty
-//! one says nothing.
+//! Bounds that are true whatever rows the sources withheld. A bound on the sort key of a row is a *prefix*: the first
+//! values of a sort key, which stand for all sort keys that begin with them. An empty prefix allows any sort key.
 
-use crate::merge::Cut;
+use crate::merge::Withheld;
 use crate::part::{Range, Row};
-use crate::rules::{By, CombineBy, KeepBy, Plan, Role};
+use crate::rules::{Aggregate, CombinedColumn, KeptRow, Plan, Role};
 use crate::value::Value;
 use std::cmp::Ordering;
 
-/// Two edges as far as both go.
-pub(crate) fn along(plan: &Plan, a: &[Value], b: &[Value]) -> Ordering {
+/// Compares two prefixes by the columns that both have.
+pub(crate) fn cmp_prefixes(plan: &Plan, a: &[Value], b: &[Value]) -> Ordering {
     let each = plan.sort.iter().zip(a.iter().zip(b));
     each.map(|(k, (a, b))| k.cmp(a, b))
         .find(|o| o.is_ne())
         .unwrap_or(Ordering::Equal)
 }
 
-/// The edge that lies first: of two that agree, the shorter one, which leaves more room.
-pub(crate) fn nearer(
+/// Returns the prefix that sorts first. If one is the beginning of the other, returns the shorter one, which allows
+/// more.
+pub(crate) fn earlier_prefix(
     plan: &Plan,
     a: Option<Vec<Value>>,
     b: Option<Vec<Value>>,
 ) -> Option<Vec<Value>> {
     match (a, b) {
         (Some(a), Some(b)) => {
-            let order = along(plan, &a, &b).then(a.len().cmp(&b.len()));
+            let order = cmp_prefixes(plan, &a, &b).then(a.len().cmp(&b.len()));
             Some(if order.is_le() { a } else { b })
         }
         (a, b) => a.or(b),
     }
 }
 
-/// The furthest edge a row can truly lie at, and whether nothing is open about it.
+/// The last sort key that a row can have.
 #[derive(Clone, Debug)]
-pub(crate) struct Worst {
-    edge: Vec<Value>,
+pub(crate) struct UpperBound {
+    prefix: Vec<Value>,
+    /// Whether this is the known sort key of the row.
     exact: bool,
 }
 
-/// The one that lies last.
-pub(crate) fn further(plan: &Plan, a: Option<Worst>, b: Worst) -> Worst {
+/// Returns the bound that sorts last. If one prefix is the beginning of the other, returns the shorter one.
+pub(crate) fn later_bound(plan: &Plan, a: Option<UpperBound>, b: UpperBound) -> UpperBound {
     let Some(a) = a else { return b };
-    let order = along(plan, &a.edge, &b.edge)
-        .then(b.edge.len().cmp(&a.edge.len()))
+    let order = cmp_prefixes(plan, &a.prefix, &b.prefix)
+        .then(b.prefix.len().cmp(&a.prefix.len()))
         .then(b.exact.cmp(&a.exact));
     if order.is_ge() { a } else { b }
 }
 
-/// Whether what lies at `worst` at the furthest is before what lies at `best` at the nearest. Two rows of which all is known
-/// stand as they are listed.
-pub(crate) fn before(plan: &Plan, worst: &Worst, best: &[Value], exact: bool) -> bool {
-    match along(plan, &worst.edge, best) {
+/// Returns whether a row with the upper bound `earlier` surely precedes a row with the lower bound `later`. Two rows
+/// with known sort keys that are equal are in the order in which they are listed; `later_is_exact` says that `later` is
+/// a known sort key.
+pub(crate) fn is_surely_before(
+    plan: &Plan,
+    earlier: &UpperBound,
+    later: &[Value],
+    later_is_exact: bool,
+) -> bool {
+    match cmp_prefixes(plan, &earlier.prefix, later) {
         Ordering::Less => true,
-        Ordering::Equal => worst.exact && exact,
+        Ordering::Equal => earlier.exact && later_is_exact,
         Ordering::Greater => false,
     }
 }
 
-/// Where a row can truly lie at the nearest.
-pub(crate) fn best(plan: &Plan, row: &Row) -> Vec<Value> {
-    if row.doubt.is_none() {
-        return plan.key_of(&row.values);
+/// Returns the first sort key that a row can have.
+pub(crate) fn lower_bound(plan: &Plan, row: &Row) -> Vec<Value> {
+    if row.uncertainty.is_none() {
+        return plan.sort_key_of(&row.values);
     }
-    let edge = walk(plan, row, true);
-    let Some(loose) = row.doubt.as_ref().and_then(|d| d.loose.clone()) else {
-        return edge;
+    let prefix = bound_prefix(plan, row, true);
+    let Some(replacement) = row
+        .uncertainty
+        .as_ref()
+        .and_then(|d| d.replacement_prefix.clone())
+    else {
+        return prefix;
     };
-    // A row that takes its place brings its own sort key, but for the combined columns.
-    let until = plan.first_combined().unwrap_or(plan.sort.len());
-    let only_key = (0..until).all(|i| role(plan, i) == Role::Key);
+    // Another row that is kept instead has its own values in the sort columns before the first combined one.
+    let column_count = plan.first_combined().unwrap_or(plan.sort.len());
+    let only_key = (0..column_count).all(|i| role_of_sort_column(plan, i) == Role::Key);
     if only_key {
-        return edge;
+        return prefix;
     }
-    let own: Vec<Value> = plan.sort[..until]
+    let known: Vec<Value> = plan.sort[..column_count]
         .iter()
         .map(|k| row.values[k.column].clone())
         .collect();
-    nearer(plan, Some(own), Some(loose)).unwrap_or_default()
+    earlier_prefix(plan, Some(known), Some(replacement)).unwrap_or_default()
 }
 
-/// Where a row can truly lie at the furthest.
-pub(crate) fn worst(plan: &Plan, row: &Row) -> Worst {
-    if row.doubt.is_none() {
-        return Worst {
-            edge: plan.key_of(&row.values),
+/// Returns the last sort key that a row can have.
+pub(crate) fn upper_bound(plan: &Plan, row: &Row) -> UpperBound {
+    if row.uncertainty.is_none() {
+        return UpperBound {
+            prefix: plan.sort_key_of(&row.values),
             exact: true,
         };
     }
-    let first = plan
+    let keeps_first = plan
         .unique
         .as_ref()
-        .is_some_and(|u| matches!(u.keep, KeepBy::First));
-    if first && plan.first_combined().is_none() {
-        // Whatever takes its place sorts before it.
-        return Worst {
-            edge: plan.key_of(&row.values),
+        .is_some_and(|u| matches!(u.keep, KeptRow::First));
+    if keeps_first && plan.first_combined().is_none() {
+        // Another row that is kept instead sorts before this one.
+        return UpperBound {
+            prefix: plan.sort_key_of(&row.values),
             exact: false,
         };
     }
-    Worst {
-        edge: walk(plan, row, false),
+    UpperBound {
+        prefix: bound_prefix(plan, row, false),
         exact: false,
     }
 }
 
-fn role(plan: &Plan, sort: usize) -> Role {
+/// Returns the role of a sort column, by its index in the sort order.
+fn role_of_sort_column(plan: &Plan, sort_index: usize) -> Role {
     plan.unique
         .as_ref()
-        .map_or(Role::Kept, |u| u.roles[plan.sort[sort].column])
+        .map_or(Role::Kept, |u| u.roles[plan.sort[sort_index].column])
 }
 
-/// The sort key of a row in doubt, column by column, as far as it can be said.
-fn walk(plan: &Plan, row: &Row, best: bool) -> Vec<Value> {
-    let Some(doubt) = &row.doubt else {
-        return plan.key_of(&row.values);
+/// Returns the bound on the sort key of a row that is uncertain: the first possible sort key (`first`) or the last, up
+/// to the first column that has no bound.
+fn bound_prefix(plan: &Plan, row: &Row, first: bool) -> Vec<Value> {
+    let Some(uncertainty) = &row.uncertainty else {
+        return plan.sort_key_of(&row.values);
     };
-    let mut edge = Vec::new();
+    let mut prefix = Vec::new();
     for (i, by) in plan.sort.iter().enumerate() {
-        match role(plan, i) {
-            Role::Key => edge.push(row.values[by.column].clone()),
-            Role::Kept if doubt.loose.is_none() => edge.push(row.values[by.column].clone()),
+        match role_of_sort_column(plan, i) {
+            Role::Key => prefix.push(row.values[by.column].clone()),
+            Role::Kept if uncertainty.replacement_prefix.is_none() => {
+                prefix.push(row.values[by.column].clone())
+            }
             Role::Kept => break,
-            Role::Combined(at) => {
-                let range = &doubt.ranges[at];
-                let end = if best == by.down {
+            Role::Combined(index) => {
+                let range = &uncertainty.ranges[index];
+                let end = if first == by.descending {
                     &range.high
                 } else {
                     &range.low
                 };
-                // An absent value sorts apart from the others, so a range with one has no end that is surely its first.
-                let apart = [&range.low, &range.high]
+                // An absent value sorts before or after all others, so neither end of a range that includes it surely
+                // sorts first.
+                let includes_absent = [&range.low, &range.high]
                     .into_iter()
                     .any(|v| *v == Some(Value::Absent));
                 match end {
-                    Some(value) if !apart || range.is_exact() => edge.push(value.clone()),
+                    Some(value) if !includes_absent || range.is_exact() => {
+                        prefix.push(value.clone())
+                    }
                     _ => break,
                 }
             }
         }
     }
-    edge
+    prefix
 }
 
-/// What a source that was cut can add to a sum at the most: it sorts by that column, highest first, so what it holds back is
-/// not above where it cut. Without one row for each key it may hold any number of them back.
-fn most_added(plan: &Plan, combine: &CombineBy, cut: &Cut) -> Option<i128> {
-    let first = plan
+/// Returns the most that the withheld rows of a source can add to a sum of one key. This has a bound if the rows are
+/// sorted by that column with the highest first, so that no withheld row is above the prefix at which the source cut.
+/// Without one row for each key there is no bound, since the source may withhold any number of rows of the key.
+fn max_withheld_addend(plan: &Plan, combine: &CombinedColumn, withheld: &Withheld) -> Option<i128> {
+    let first_sort = plan
         .sort
         .first()
-        .filter(|k| k.column == combine.column && k.down)?;
-    if !cut.combined {
+        .filter(|k| k.column == combine.column && k.descending)?;
+    if !withheld.combined {
         return None;
     }
-    match cut.edge.first()? {
+    match withheld.prefix.first()? {
         Value::Int(n) => Some((*n).max(0)),
-        Value::Absent if first.last => Some(0),
+        Value::Absent if first_sort.absent_last => Some(0),
         _ => None,
     }
 }
 
-/// What one combined column can be when this source may hold something back for the same key.
-pub(crate) fn widen(plan: &Plan, combine: &CombineBy, range: &mut Range, cut: &Cut) {
-    let edge = || cut.edge.first().filter(|v| **v != Value::Absent);
+/// Widens the range of a combined column by what a source may withhold for the same key.
+pub(crate) fn widen_range(
+    plan: &Plan,
+    combine: &CombinedColumn,
+    range: &mut Range,
+    withheld: &Withheld,
+) {
+    let first_value = || withheld.prefix.first().filter(|v| **v != Value::Absent);
     let sorted = plan.sort.first().filter(|k| k.column == combine.column);
     match combine.by {
-        By::Sum | By::Count => {
-            if !combine.floor {
+        Aggregate::Sum | Aggregate::Count => {
+            if !combine.non_negative {
                 range.low = None;
             }
-            let more = most_added(plan, combine, cut);
+            let max_addend = max_withheld_addend(plan, combine, withheld);
             range.high = range
                 .high
                 .take()
-                .and_then(|h| Some(Value::Int(h.int()?.checked_add(more?)?)));
+                .and_then(|h| Some(Value::Int(h.int()?.checked_add(max_addend?)?)));
         }
-        By::Highest => {
-            let most = sorted.filter(|k| k.down).and_then(|_| edge());
-            range.high = range.high.take().and_then(|h| Some(h.max(most?.clone())));
+        Aggregate::Highest => {
+            let highest = sorted.filter(|k| k.descending).and_then(|_| first_value());
+            range.high = range
+                .high
+                .take()
+                .and_then(|h| Some(h.max(highest?.clone())));
         }
-        By::Lowest => {
-            let least = sorted.filter(|k| !k.down).and_then(|_| edge());
+        Aggregate::Lowest => {
+            let lowest = sorted.filter(|k| !k.descending).and_then(|_| first_value());
             range.low = range.low.take().and_then(|l| {
                 if l == Value::Absent {
                     None
                 } else {
-                    Some(l.min(least?.clone()))
+                    Some(l.min(lowest?.clone()))
                 }
             });
-            // Nothing was there at all: what was held back may be anything.
+            // All values that came are absent, so the withheld ones may be anything.
             if range.low.is_none() && range.high == Some(Value::Absent) {
                 range.high = None;
             }
@@ -194,37 +222,37 @@
     }
 }
 
-/// Where a row that no source sent can lie at the nearest; none where nothing was held back.
-pub(crate) fn unsent(plan: &Plan, cuts: &[Cut]) -> Option<Vec<Value>> {
-    if cuts.is_empty() {
+/// Returns the first sort key that a row which no source sent can have; `None` if no source withheld rows.
+pub(crate) fn lower_bound_of_unsent_rows(plan: &Plan, withheld: &[Withheld]) -> Option<Vec<Value>> {
+    if withheld.is_empty() {
         return None;
     }
-    let nearest = |until: usize| {
-        let edges = cuts
+    let earliest = |max_columns: usize| {
+        let prefixes = withheld
             .iter()
-            .map(|c| Some(c.edge[..c.edge.len().min(until)].to_vec()));
-        edges.fold(None, |a, b| nearer(plan, a, b))
+            .map(|c| Some(c.prefix[..c.prefix.len().min(max_columns)].to_vec()));
+        prefixes.fold(None, |a, b| earlier_prefix(plan, a, b))
     };
-    let (Some(unique), Some(at)) = (&plan.unique, plan.first_combined()) else {
-        return nearest(plan.sort.len());
+    let (Some(unique), Some(sort_index)) = (&plan.unique, plan.first_combined()) else {
+        return earliest(plan.sort.len());
     };
-    let by = plan.sort[at];
-    let Role::Combined(place) = unique.roles[by.column] else {
+    let sort_column = plan.sort[sort_index];
+    let Role::Combined(index) = unique.roles[sort_column.column] else {
         return Some(Vec::new());
     };
-    let combine = &unique.combine[place];
-    if at > 0 {
-        return nearest(at);
+    let combine = &unique.combine[index];
+    if sort_index > 0 {
+        return earliest(sort_index);
     }
     Some(match combine.by {
-        By::Lowest | By::Highest => return nearest(1),
-        By::Sum | By::Count if by.down => {
-            let all = cuts.iter().try_fold(0_i128, |sum, c| {
-                sum.checked_add(most_added(plan, combine, c)?)
+        Aggregate::Lowest | Aggregate::Highest => return earliest(1),
+        Aggregate::Sum | Aggregate::Count if sort_column.descending => {
+            let sum = withheld.iter().try_fold(0_i128, |sum, c| {
+                sum.checked_add(max_withheld_addend(plan, combine, c)?)
             });
-            all.map(Value::Int).into_iter().collect()
+            sum.map(Value::Int).into_iter().collect()
         }
-        By::Sum | By::Count if combine.floor => vec![Value::Int(0)],
-        By::Sum | By::Count => Vec::new(),
+        Aggregate::Sum | Aggregate::Count if combine.non_negative => vec![Value::Int(0)],
+        Aggregate::Sum | Aggregate::Count => Vec::new(),
     })
 }
--- a/gather/src/error.rs
+++ b/gather/src/error.rs
@@ -1,9 +1,9 @@
-//! What can be wrong with rules and with what sources send.
+//! Errors in merge rules and in the partial results of sources.
 
-/// Why rules or a source's part are refused. The variants that name a `source` refuse that source and nothing else.
+/// Why rules or the partial result of a source are rejected. A variant with a `source_name` rejects only that source.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// A key of the rules has a value that cannot be meant.
+    /// A key of the rules has an invalid value.
     #[error("merge.{key}: {want}")]
     Rule {
         /// The key in the operators' file, below `merge`.
@@ -11,104 +11,105 @@
         /// What is expected.
         want: String,
     },
-    /// Bytes that are no part, not a number among them.
+    /// The received bytes do not decode, a floating-point value is NaN, or the content contradicts itself: an origin
+    /// that is not listed, or pieces with different counts.
     #[error("{source_name}: what came is no part of an answer")]
     Malformed {
-        /// Who sent it.
+        /// Name of the source.
         source_name: String,
     },
-    /// Rows that were told sorted are not.
+    /// Rows that the source declared as sorted are not sorted.
     #[error("{source_name}: row {row} is told sorted and sorts before the one before it")]
     Unsorted {
-        /// Who sent it.
+        /// Name of the source.
         source_name: String,
-        /// Which row, from 0.
+        /// Index of the row, from 0.
         row: u64,
     },
-    /// A key that was told to be there once is there twice.
+    /// A key has two rows although the source declared one row for each key.
     #[error(
         "{source_name}: a key that was told combined comes twice, the second time in row {row}"
     )]
     Colliding {
-        /// Who sent it.
+        /// Name of the source.
         source_name: String,
-        /// Which row, from 0.
+        /// Index of the row, from 0.
         row: u64,
     },
     /// A row has another number of columns than the rules name.
     #[error("{source_name}: a row has {got} columns and the rules name {want}")]
     Columns {
-        /// Who sent it.
+        /// Name of the source.
         source_name: String,
-        /// How many came.
+        /// Number of columns received.
         got: usize,
-        /// How many were expected.
+        /// Number of columns expected.
         want: usize,
     },
-    /// A value that its column cannot have: a sum of what is no integer, a negative number where none is told to be, an
-    /// integer beyond [`crate::INT_MOST`], a range the wrong way round, an origin that is not named.
+    /// A value is invalid in its column: a summand that is no integer, a negative value in a column declared as
+    /// non-negative, an integer beyond [`crate::MAX_INT_MAGNITUDE`], or a reversed range.
     #[error("{source_name}: column {column} cannot be {value}")]
     Unfit {
-        /// Who sent it.
+        /// Name of the source.
         source_name: String,
-        /// Which column.
+        /// Name of the column.
         column: String,
-        /// What came.
+        /// The received value.
         value: String,
     },
-    /// A sum that does not fit.
+    /// A sum overflows.
     #[error("column {column}: the sum does not fit in 127 bits")]
     Overflow {
-        /// Which column.
+        /// Name of the column.
         column: String,
     },
-    /// A source sends more than one source may.
+    /// A source exceeds the limits of one source.
     #[error("{source_name}: more than {most} {what} from one source")]
     TooMuch {
-        /// Who sent it.
+        /// Name of the source.
         source_name: String,
-        /// What there is too much of.
+        /// What exceeds the limit: sources, pieces, bytes or values.
         what: &'static str,
-        /// The most.
+        /// The limit.
         most: usize,
     },
-    /// The same piece came with different content.
+    /// The same piece was received with different content.
     #[error("{source_name}: piece {piece} came twice with different content")]
     Contradicts {
-        /// Who sent it.
+        /// Name of the source.
         source_name: String,
-        /// Which piece.
+        /// Number of the piece.
         piece: u32,
     },
-    /// Nobody expected this source.
+    /// The source is not among the queried ones.
     #[error("{source_name}: not among the sources that were asked")]
     Unexpected {
-        /// Who sent it.
+        /// Name of the source.
         source_name: String,
     },
-    /// It answers in the name of sources that another part answers for as well.
+    /// The partial result includes a source that another partial result includes as well.
     #[error("{source_name}: speaks for {origin}, and so does another part")]
     Overlaps {
-        /// Who sent it.
+        /// Name of the source.
         source_name: String,
-        /// Whom both speak for.
+        /// Name of the source that both include.
         origin: String,
     },
-    /// A page from the middle cannot be merged again.
+    /// A page that does not begin with the first row cannot be merged again.
     #[error("an answer with an offset or a cursor is no part of another")]
     MiddlePage,
-    /// A name so long that nothing else fits in a piece.
+    /// The name of the source leaves no room for data in a piece.
     #[error("{source_name}: a name too long for pieces of {most} bytes")]
     TooLong {
-        /// Who would have sent it.
+        /// Name of the source.
         source_name: String,
-        /// The room (bytes).
+        /// Maximum size of a piece (bytes).
         most: usize,
     },
 }
 
 impl Error {
-    /// What an operator can do.
+    /// Returns what an operator can do about the error.
     pub fn help(&self) -> &'static str {
         match self {
             Error::Rule { .. } => {
@@ -143,7 +144,7 @@
         }
     }
 
-    /// The source that is refused, where it is one source's doing.
+    /// Returns the rejected source, or `None` if the error is not that of a single source.
     pub fn source_name(&self) -> Option<&str> {
         match self {
             Error::Malformed { source_name }
--- a/gather/src/gathering.rs
+++ b/gather/src/gathering.rs
@@ -1,73 +1,76 @@
-//! Gathers the pieces of the sources that were asked, and closes with one answer.
+//! Gathers the pieces that the queried sources send, and makes one answer of them.
 
-use crate::answer::{Answer, Asked, Cursor, Why, conclude};
+use crate::answer::{Answer, Cursor, MissingReason, SourceResult, build_answer};
 use crate::error::Error;
-use crate::merge::tidy;
-use crate::part::{MOST_PIECES, Partial, Piece, Version};
+use crate::merge::normalize;
+use crate::part::{MAX_PIECES, Partial, Piece, Version};
 use crate::rules::{Guard, Plan};
 use std::collections::BTreeMap;
 
-/// Sources of one gathering at the most.
-pub const MOST_SOURCES: usize = 2_000;
-/// Bytes of pieces that all sources of a gathering may fill: each has an equal share, 16 pieces of 1,000 bytes at the least.
-const MOST_BYTES: usize = 64 << 20;
-/// Values of rows that all sources may have; one takes 32 bytes. A byte on the wire can be a value, so bytes alone are no bound.
-const MOST_VALUES: usize = 4 << 20;
+/// Maximum number of sources of one gathering.
+pub const MAX_SOURCES: usize = 2_000;
+/// Maximum size of the pieces of all sources of a gathering (bytes). Each source may use an equal share of it, but at
+/// least 16 pieces of 1,000 bytes.
+const MAX_PIECE_BYTES: usize = 64 << 20;
+/// Maximum number of values in the rows of all sources. A value takes 32 bytes of memory but can be one byte on the
+/// wire, so a limit on bytes alone would not limit memory.
+const MAX_VALUES: usize = 4 << 20;
 
-/// What became of a piece.
+/// The effect of a received piece.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Put {
-    /// More of this source is to come.
-    More,
-    /// This source is complete.
+pub enum PutOutcome {
+    /// Further pieces of this source are missing.
+    Incomplete,
+    /// All pieces of this source are there.
     Complete,
-    /// It had come already.
-    Again,
-    /// It is of an answer that a newer one has replaced.
-    Older,
+    /// The piece had been received before.
+    Duplicate,
+    /// The piece belongs to a partial result that a newer one of the same source has replaced.
+    Outdated,
 }
 
+/// What has been received from one source.
 #[derive(Debug, Default)]
-struct Heard {
+struct SourceState {
     version: Option<Version>,
     pieces: BTreeMap<u32, Box<[u8]>>,
     bytes: usize,
-    of: u32,
-    whole: Option<Partial>,
-    refused: Option<Error>,
-    again: bool,
-    changed: bool,
+    piece_count: u32,
+    partial: Option<Partial>,
+    rejected: Option<Error>,
+    answered_again: bool,
+    identity_changed: bool,
 }
 
-/// Partial results of several sources on their way to one answer. The caller has the clock: it closes at its deadline, or
-/// when all are there.
+/// Collects the partial results of several sources. The caller keeps the time: it calls [`Gathering::close`] at its
+/// deadline, or as soon as [`Gathering::is_complete`].
 #[derive(Debug)]
 pub struct Gathering {
     plan: Plan,
     after: Option<Cursor>,
-    sources: BTreeMap<String, Heard>,
+    sources: BTreeMap<String, SourceState>,
 }
 
 impl Gathering {
-    /// Expects these sources.
+    /// Starts a gathering that expects these sources. `after` is the cursor of a page, if it is not the first one.
     ///
     /// # Errors
-    /// [`Error::TooMuch`] for too many sources, [`Error::Columns`] for a cursor of other rules.
+    /// [`Error::TooMuch`] for too many sources, [`Error::Columns`] for a cursor that does not fit the rules.
     pub fn new(
         plan: Plan,
         sources: impl IntoIterator<Item = String>,
         after: Option<Cursor>,
     ) -> Result<Self, Error> {
-        let sources: BTreeMap<String, Heard> = sources
+        let sources: BTreeMap<String, SourceState> = sources
             .into_iter()
-            .take(MOST_SOURCES + 1)
-            .map(|name| (name, Heard::default()))
+            .take(MAX_SOURCES + 1)
+            .map(|name| (name, SourceState::default()))
             .collect();
-        if sources.len() > MOST_SOURCES {
+        if sources.len() > MAX_SOURCES {
             return Err(Error::TooMuch {
                 source_name: String::new(),
                 what: "sources",
-                most: MOST_SOURCES,
+                most: MAX_SOURCES,
             });
         }
         let columns = plan.rules().columns.len();
@@ -89,72 +92,77 @@
         })
     }
 
-    /// Takes one piece.
+    /// Adds one piece.
     ///
     /// # Errors
-    /// The source is refused, until it speaks anew with a newer token, life or round; nobody else is affected.
-    pub fn put(&mut self, piece: Piece) -> Result<Put, Error> {
+    /// The source is rejected until it sends a partial result with a newer token, incarnation or round. No other source
+    /// is affected.
+    pub fn put(&mut self, piece: Piece) -> Result<PutOutcome, Error> {
         let name = piece.source.name.clone();
         let count = self.sources.len().max(1);
-        let share = (MOST_BYTES / count).max(16_000);
-        let Some(heard) = self.sources.get_mut(&name) else {
+        let share = (MAX_PIECE_BYTES / count).max(16_000);
+        let Some(state) = self.sources.get_mut(&name) else {
             return Err(Error::Unexpected { source_name: name });
         };
-        let guard = |guard| self.plan.rules.on(guard);
-        if let Some(known) = heard.version.filter(|v| *v != piece.version()) {
-            heard.again = true;
-            heard.changed |= (known.0, known.1) != (piece.source.token, piece.source.life);
-            if known > piece.version() && guard(Guard::Newer) {
-                return Ok(Put::Older);
+        let is_on = |guard| self.plan.rules.is_guard_on(guard);
+        if let Some(known) = state.version.filter(|v| *v != piece.version()) {
+            state.answered_again = true;
+            state.identity_changed |=
+                (known.token, known.incarnation) != (piece.source.token, piece.source.incarnation);
+            if known > piece.version() && is_on(Guard::Newer) {
+                return Ok(PutOutcome::Outdated);
             }
-            let (again, changed) = (heard.again, heard.changed);
-            *heard = Heard {
-                again,
-                changed,
-                ..Heard::default()
+            let (answered_again, identity_changed) = (state.answered_again, state.identity_changed);
+            *state = SourceState {
+                answered_again,
+                identity_changed,
+                ..SourceState::default()
             };
         }
-        heard.version = Some(piece.version());
-        if let Some(refused) = &heard.refused {
-            return Err(refused.clone());
+        state.version = Some(piece.version());
+        if let Some(error) = &state.rejected {
+            return Err(error.clone());
         }
-        let refuse = |heard: &mut Heard, error: Error| {
-            (heard.pieces, heard.whole, heard.refused) =
+        let reject = |state: &mut SourceState, error: Error| {
+            (state.pieces, state.partial, state.rejected) =
                 (BTreeMap::new(), None, Some(error.clone()));
             Err(error)
         };
-        if heard.pieces.is_empty() {
-            heard.of = piece.of;
+        if state.pieces.is_empty() {
+            state.piece_count = piece.piece_count;
         }
-        if piece.of == 0 || piece.number >= piece.of || piece.of != heard.of {
-            return refuse(heard, Error::Malformed { source_name: name });
+        if piece.piece_count == 0
+            || piece.number >= piece.piece_count
+            || piece.piece_count != state.piece_count
+        {
+            return reject(state, Error::Malformed { source_name: name });
         }
-        if piece.of as usize > MOST_PIECES {
-            return refuse(
-                heard,
+        if piece.piece_count as usize > MAX_PIECES {
+            return reject(
+                state,
                 Error::TooMuch {
                     source_name: name,
                     what: "pieces",
-                    most: MOST_PIECES,
+                    most: MAX_PIECES,
                 },
             );
         }
-        if let Some(known) = heard.pieces.get(&piece.number) {
-            if *known != piece.bytes && guard(Guard::Contradict) {
-                return refuse(
-                    heard,
+        if let Some(known) = state.pieces.get(&piece.number) {
+            if *known != piece.bytes && is_on(Guard::Contradict) {
+                return reject(
+                    state,
                     Error::Contradicts {
                         source_name: name,
                         piece: piece.number,
                     },
                 );
             }
-            return Ok(Put::Again);
+            return Ok(PutOutcome::Duplicate);
         }
-        heard.bytes += piece.bytes.len();
-        if heard.bytes > share && guard(Guard::Share) {
-            return refuse(
-                heard,
+        state.bytes += piece.bytes.len();
+        if state.bytes > share && is_on(Guard::Share) {
+            return reject(
+                state,
                 Error::TooMuch {
                     source_name: name,
                     what: "bytes",
@@ -162,12 +170,12 @@
                 },
             );
         }
-        heard.pieces.insert(piece.number, piece.bytes);
-        if heard.pieces.len() < heard.of as usize {
-            return Ok(Put::More);
+        state.pieces.insert(piece.number, piece.bytes);
+        if state.pieces.len() < state.piece_count as usize {
+            return Ok(PutOutcome::Incomplete);
         }
-        // Pieces stay where they are, so that a later one that contradicts is noticed whatever came first.
-        let bytes: Vec<u8> = heard
+        // The pieces are kept, so that a contradicting copy of one is detected whichever copy comes first.
+        let bytes: Vec<u8> = state
             .pieces
             .values()
             .flat_map(|b| b.iter().copied())
@@ -175,84 +183,87 @@
         let malformed = || Error::Malformed {
             source_name: name.clone(),
         };
-        let told = postcard::from_bytes(&bytes).map_err(|_| malformed());
-        let whole = told.and_then(|partial: Partial| {
-            let same = partial.source == piece.source && partial.round == piece.round;
-            if same {
-                accept(&self.plan, count, partial)
+        let decoded = postcard::from_bytes(&bytes).map_err(|_| malformed());
+        let checked = decoded.and_then(|partial: Partial| {
+            let matches_piece = partial.source == piece.source && partial.round == piece.round;
+            if matches_piece {
+                check_partial(&self.plan, count, partial)
             } else {
                 Err(malformed())
             }
         });
-        match whole {
-            Ok(partial) => heard.whole = Some(partial),
-            Err(error) => return refuse(heard, error),
+        match checked {
+            Ok(partial) => state.partial = Some(partial),
+            Err(error) => return reject(state, error),
         }
-        Ok(Put::Complete)
+        Ok(PutOutcome::Complete)
     }
 
-    /// Takes a partial that did not travel.
+    /// Adds a partial result that was not sent in pieces.
     ///
     /// # Errors
-    /// As for a piece.
-    pub fn put_whole(&mut self, partial: Partial) -> Result<Put, Error> {
-        // It goes the same way as others, so that it makes no difference how a partial came.
+    /// The same as those of [`Gathering::put`].
+    pub fn put_partial(&mut self, partial: Partial) -> Result<PutOutcome, Error> {
+        // The partial result takes the same path as pieces from the network, so that both ways have the same effect.
         let pieces = partial.pieces(1 << 16)?;
         pieces
             .into_iter()
-            .try_fold(Put::More, |_, piece| self.put(piece))
+            .try_fold(PutOutcome::Incomplete, |_, piece| self.put(piece))
     }
 
-    /// Whether every source is complete or refused, so that waiting brings nothing more.
+    /// Returns whether every source is complete or rejected, so that waiting longer has no effect.
     pub fn is_complete(&self) -> bool {
         self.sources
             .values()
-            .all(|h| h.whole.is_some() || h.refused.is_some())
+            .all(|state| state.partial.is_some() || state.rejected.is_some())
     }
 
-    /// How many are complete.
-    pub fn complete(&self) -> usize {
-        self.sources.values().filter(|h| h.whole.is_some()).count()
+    /// Returns the number of sources that are complete.
+    pub fn complete_count(&self) -> usize {
+        self.sources
+            .values()
+            .filter(|state| state.partial.is_some())
+            .count()
     }
 
-    /// The answer of what is there.
+    /// Makes the answer from what has been received.
     ///
     /// # Errors
-    /// [`Error::Overflow`] where a sum does not fit; what one source did wrong stands in the answer instead.
+    /// [`Error::Overflow`] if a sum does not fit. Errors of a single source are listed in the answer instead.
     pub fn close(self) -> Result<Answer, Error> {
-        let asked = self.sources.into_iter().map(|(name, heard)| {
-            let pieces = heard.pieces.len() as u32;
-            let why = match (&heard.whole, &heard.refused) {
+        let results = self.sources.into_iter().map(|(name, state)| {
+            let received = state.pieces.len() as u32;
+            let reason = match (&state.partial, &state.rejected) {
                 (Some(_), _) => None,
-                (None, Some(error)) => Some(Why::Refused(error.clone())),
-                (None, None) if pieces > 0 => Some(Why::Incomplete {
-                    have: pieces,
-                    of: heard.of,
+                (None, Some(error)) => Some(MissingReason::Rejected(error.clone())),
+                (None, None) if received > 0 => Some(MissingReason::Incomplete {
+                    received,
+                    expected: state.piece_count,
                 }),
-                (None, None) => Some(Why::Silent),
+                (None, None) => Some(MissingReason::NoAnswer),
             };
-            Asked {
+            SourceResult {
                 name,
-                partial: heard.whole,
-                why,
-                again: heard.again,
-                changed: heard.changed,
+                partial: state.partial,
+                reason,
+                answered_again: state.answered_again,
+                identity_changed: state.identity_changed,
             }
         });
-        conclude(&self.plan, asked.collect(), self.after.as_ref())
+        build_answer(&self.plan, results.collect(), self.after.as_ref())
     }
 }
 
-/// A partial that came, checked and in order.
-fn accept(plan: &Plan, sources: usize, partial: Partial) -> Result<Partial, Error> {
-    let most = (MOST_VALUES / sources).max(16_000);
+/// Checks a partial result and brings its rows into the order of a merge.
+fn check_partial(plan: &Plan, sources: usize, partial: Partial) -> Result<Partial, Error> {
+    let max_values = (MAX_VALUES / sources).max(16_000);
     let values: usize = partial.rows.iter().map(|r| r.values.len()).sum();
-    if values > most && plan.rules.on(Guard::Share) {
+    if values > max_values && plan.rules.is_guard_on(Guard::Share) {
         return Err(Error::TooMuch {
             source_name: partial.source.name,
             what: "values",
-            most,
+            most: max_values,
         });
     }
-    tidy(plan, partial)
+    normalize(plan, partial)
 }
--- a/gather/src/lib.rs
+++ b/gather/src/lib.rs
@@ -1,8 +1,10 @@
-//! Merging partial results from several sources by typed rules, with what truncation and silence may hide, without I/O or clock.
+//! Scatter-gather: merges partial results of several sources by typed rules. The answer states which rows and values
+//! are certain although sources truncated their rows or did not answer. The crate does no I/O and reads no clock.
 //!
-//! [`Rules`] say how rows are sorted, which rows of one key stay, and how many. A source sends a [`Partial`] in [`Piece`]s; a
-//! [`Gathering`] collects those of the sources that were asked and closes with an [`Answer`], which can itself be a partial of a
-//! higher merge. [`Streams`] merges any number of rows that come in order. [`Question`] is what routers ask each other.
+//! [`Rules`] define the sort order, how rows with one key are reduced to one, and the limits. A source sends a
+//! [`Partial`] in [`Piece`]s. A [`Gathering`] collects the pieces of the queried sources and returns an [`Answer`],
+//! which can itself be a partial result of a higher level. [`StreamMerge`] merges any number of rows that arrive in
+//! order. [`Question`] is a query that routers send to each other.
 
 mod answer;
 mod bounds;
@@ -14,14 +16,14 @@
 mod rules;
 mod value;
 
-pub use answer::{Answer, Answered, Cursor, Placed, Tally, Why};
+pub use answer::{Answer, AnswerRow, AnsweredSource, Cursor, MissingReason, RowCounts};
 pub use error::Error;
-pub use gathering::{Gathering, MOST_SOURCES, Put};
-pub use merge::{Input, Streams};
-pub use part::{Doubt, MOST_PIECES, Partial, Piece, Range, Row, Source};
+pub use gathering::{Gathering, MAX_SOURCES, PutOutcome};
+pub use merge::{Input, StreamMerge};
+pub use part::{MAX_PIECES, Partial, Piece, Range, Row, Source, Uncertainty};
 pub use question::{Message, Question, Topic};
 pub use rules::{
-    Absent, By, Combine, Guard, Keep, MOST_COLUMNS, MOST_ROWS, MOST_TIES, Need, Plan, Rules, Sort,
-    Ties, Unique,
+    AbsentOrder, Aggregate, Combine, Guard, KeepRule, MAX_COLUMNS, MAX_ROWS, MAX_TIES, Plan,
+    RequiredSources, Rules, SortKey, TieRule, Unique,
 };
-pub use value::{INT_MOST, Real, Value};
+pub use value::{MAX_INT_MAGNITUDE, Real, Value};
--- a/gather/src/merge.rs
+++ b/gather/src/merge.rs
@@ -1,134 +1,147 @@
-//! The merge itself: sorted streams of several sources become one, rows of one key become one row, and the first ones stay.
-//! Memory grows with sources and with the limit, not with rows.
+//! The merge: combines the sorted rows of several sources, reduces the rows of each key to one, and keeps the first
+//! rows. Its memory depends on the number of sources and on the limit, not on the number of rows.
 
-use crate::bounds::{self, nearer};
+use crate::bounds::{self, earlier_prefix};
 use crate::error::Error;
-use crate::part::{Doubt, Partial, Range, Row, in_order, is_kept};
-use crate::rules::{By, Guard, KeepBy, MOST_TIES, Plan, Ties, UniqueBy};
+use crate::part::{Partial, Range, Row, Uncertainty, check_order, is_not_combined};
+use crate::rules::{Aggregate, Guard, KeptRow, MAX_TIES, Plan, TieRule, UniquePlan};
 use crate::value::Value;
 use plovercove_fencing::Token;
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
-/// Rows of one source, in the order that the merge needs ([`Plan::streamed`]).
+/// Rows of one source, in the order that the merge needs ([`Plan::cmp_stream_order`]).
 pub struct Input<I> {
-    /// The source's name, for errors.
+    /// Name of the source, for errors.
     pub name: String,
-    /// Its rows. Their `origin` is the place of their source among all, by name.
+    /// The rows. Their `origin` is the index of their source among all sources, sorted by name.
     pub rows: I,
-    /// One row for each key, and none of them held back.
+    /// Whether there is one row for each key and the source withheld no further row of a listed key.
     pub combined: bool,
-    /// It held rows back: none sorts before this beginning of a sort key.
-    pub cut: Option<Vec<Value>>,
+    /// Set if the source withheld rows. None of them sorts before this prefix of a sort key.
+    pub withheld_prefix: Option<Vec<Value>>,
 }
 
-/// Where one source was cut.
+/// The bound on the rows that one source withheld.
 #[derive(Clone, Debug)]
-pub(crate) struct Cut {
+pub(crate) struct Withheld {
+    /// Index of the source among the inputs.
     pub input: usize,
-    pub edge: Vec<Value>,
+    /// No withheld row sorts before this prefix of a sort key.
+    pub prefix: Vec<Value>,
+    /// See [`Input::combined`].
     pub combined: bool,
 }
 
 impl Plan {
-    /// How rows must come to a merge of streams: by key where there is one row for each key, else by the sort keys.
-    pub fn streamed(&self, a: &Row, b: &Row) -> Ordering {
+    /// Compares two rows by the order that a merge of streams needs: by key if the rows of each key are reduced to one,
+    /// else by the sort columns.
+    pub fn cmp_stream_order(&self, a: &Row, b: &Row) -> Ordering {
         if self.unique.is_some() {
-            self.by_key(&a.values, &b.values)
+            self.cmp_unique_key(&a.values, &b.values)
         } else {
-            self.by_sort(&a.values, &b.values)
+            self.cmp_sort_keys(&a.values, &b.values)
         }
     }
 
-    /// The order of an answer: sort keys, then content, then source. So every order of arrival gives the same.
-    pub(crate) fn full(&self, a: &Row, b: &Row) -> Ordering {
+    /// Compares two rows by the order of an answer: sort columns, then content, then source. This is a total order, so
+    /// the order of arrival has no effect on the answer.
+    pub(crate) fn cmp_answer_order(&self, a: &Row, b: &Row) -> Ordering {
         let order = self
-            .by_sort(&a.values, &b.values)
+            .cmp_sort_keys(&a.values, &b.values)
             .then_with(|| a.values.cmp(&b.values));
-        if self.rules.on(Guard::LastResort) {
+        if self.rules.is_guard_on(Guard::LastResort) {
             order.then(a.origin.cmp(&b.origin))
         } else {
             order
         }
     }
 
-    /// Which of two rows with one key stays: less is better. Combined columns have no say, so that rows which were
-    /// combined below are chosen among alike.
-    fn choose(&self, unique: &UniqueBy, tokens: &[Token], a: &Row, b: &Row) -> Ordering {
+    /// Compares two rows of one key; the lesser one is kept. Combined columns are ignored, so that the choice is the
+    /// same for rows that a lower level has combined.
+    fn cmp_kept(&self, unique: &UniquePlan, tokens: &[Token], a: &Row, b: &Row) -> Ordering {
         let token = |row: &Row| tokens.get(row.origin as usize).copied().unwrap_or_default();
-        let kept = match unique.keep {
-            KeepBy::First => Ordering::Equal,
-            KeepBy::Token => token(b).cmp(&token(a)),
-            KeepBy::Freshest(life, position) => {
-                let of = |row: &Row, column: usize| row.values[column].clone();
-                (of(b, life), of(b, position)).cmp(&(of(a, life), of(a, position)))
+        let by_rule = match unique.keep {
+            KeptRow::First => Ordering::Equal,
+            KeptRow::Token => token(b).cmp(&token(a)),
+            KeptRow::Freshest(incarnation, position) => {
+                let value = |row: &Row, column: usize| row.values[column].clone();
+                (value(b, incarnation), value(b, position))
+                    .cmp(&(value(a, incarnation), value(a, position)))
             }
         };
-        let sorted = || {
-            let keys = self.sort.iter().filter(|k| is_kept(self, k.column));
-            keys.map(|k| k.cmp(&a.values[k.column], &b.values[k.column]))
+        let by_sort_columns = || {
+            let keys = self.sort.iter().filter(|k| is_not_combined(self, k.column));
+            keys.map(|column| column.cmp(&a.values[column.column], &b.values[column.column]))
                 .find(|o| o.is_ne())
         };
-        let content = || {
-            let columns = (0..a.values.len()).filter(|c| is_kept(self, *c));
+        let by_content = || {
+            let columns = (0..a.values.len()).filter(|c| is_not_combined(self, *c));
             columns
                 .map(|c| a.values[c].cmp(&b.values[c]))
                 .find(|o| o.is_ne())
         };
-        kept.then_with(|| sorted().unwrap_or(Ordering::Equal))
-            .then_with(|| content().unwrap_or(Ordering::Equal))
+        by_rule
+            .then_with(|| by_sort_columns().unwrap_or(Ordering::Equal))
+            .then_with(|| by_content().unwrap_or(Ordering::Equal))
             .then(a.origin.cmp(&b.origin))
     }
 }
 
-struct Head<'p> {
+/// The next row of one input, on the heap of a [`StreamMerge`].
+struct StreamHead<'p> {
     row: Row,
     input: usize,
     plan: &'p Plan,
 }
 
-impl Ord for Head<'_> {
+impl Ord for StreamHead<'_> {
     fn cmp(&self, other: &Self) -> Ordering {
-        // A binary heap gives the greatest out; what comes first must be that.
+        // `BinaryHeap` pops the greatest element, so the order is reversed.
         other
             .plan
-            .streamed(&other.row, &self.row)
+            .cmp_stream_order(&other.row, &self.row)
             .then(other.input.cmp(&self.input))
     }
 }
 
-impl PartialOrd for Head<'_> {
+impl PartialOrd for StreamHead<'_> {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl PartialEq for Head<'_> {
+impl PartialEq for StreamHead<'_> {
     fn eq(&self, other: &Self) -> bool {
         self.cmp(other).is_eq()
     }
 }
 
-impl Eq for Head<'_> {}
+impl Eq for StreamHead<'_> {}
 
-/// Sorted streams as one: one row of each source is held. A row out of order ends it with an error.
-pub struct Streams<'p, I> {
+/// Merges sorted streams into one. It keeps one row of each source in memory. A row that is out of order ends it with
+/// an error.
+pub struct StreamMerge<'p, I> {
     plan: &'p Plan,
-    heads: BinaryHeap<Head<'p>>,
+    heads: BinaryHeap<StreamHead<'p>>,
     inputs: Vec<Input<I>>,
+    /// Number of rows returned of each input.
     read: Vec<u64>,
     failed: Option<Error>,
 }
 
-impl<'p, I: Iterator<Item = Row>> Streams<'p, I> {
-    /// These sources, merged.
+impl<'p, I: Iterator<Item = Row>> StreamMerge<'p, I> {
+    /// Merges these inputs.
     pub fn new(plan: &'p Plan, mut inputs: Vec<Input<I>>) -> Self {
-        let first = |(input, from): (usize, &mut Input<I>)| {
-            from.rows.next().map(|row| Head { row, input, plan })
+        let first = |(input, source): (usize, &mut Input<I>)| {
+            source
+                .rows
+                .next()
+                .map(|row| StreamHead { row, input, plan })
         };
         let heads = inputs.iter_mut().enumerate().filter_map(first).collect();
         let read = vec![0; inputs.len()];
-        Streams {
+        StreamMerge {
             plan,
             heads,
             inputs,
@@ -137,13 +150,13 @@
         }
     }
 
-    /// Rows given out so far.
-    pub fn read(&self) -> u64 {
+    /// Returns the number of rows returned so far.
+    pub fn rows_read(&self) -> u64 {
         self.read.iter().sum()
     }
 }
 
-impl<I: Iterator<Item = Row>> Iterator for Streams<'_, I> {
+impl<I: Iterator<Item = Row>> Iterator for StreamMerge<'_, I> {
     type Item = Result<(usize, Row), Error>;
 
     fn next(&mut self) -> Option<Self::Item> {
@@ -160,7 +173,9 @@
                 std::collections::binary_heap::PeekMut::pop(head).row,
             )));
         };
-        if self.plan.rules.on(Guard::Sorted) && self.plan.streamed(&head.row, &next).is_gt() {
+        if self.plan.rules.is_guard_on(Guard::Sorted)
+            && self.plan.cmp_stream_order(&head.row, &next).is_gt()
+        {
             let source_name = self.inputs[input].name.clone();
             self.failed = Some(Error::Unsorted {
                 source_name,
@@ -171,19 +186,25 @@
     }
 }
 
-/// Rows of one key as they come.
-struct Group {
+/// The rows of one key that have been read so far, merged into one.
+struct KeyGroup {
+    /// The row that is kept.
     kept: Row,
-    known: Vec<Value>,
+    /// The combined columns over the rows read.
+    combined: Vec<Value>,
+    /// The possible values of the combined columns.
     ranges: Vec<Range>,
-    loose: Option<Vec<Value>>,
-    of: u64,
+    /// See [`Uncertainty::replacement_prefix`].
+    replacement_prefix: Option<Vec<Value>>,
+    merged_rows: u64,
+    /// Number of the group, from 1.
     number: u64,
 }
 
-fn added(plan: &Plan, column: usize, a: &Value, b: &Value) -> Result<Value, Error> {
+/// Adds two values of a column; a value that is no integer counts as 0.
+fn add_ints(plan: &Plan, column: usize, a: &Value, b: &Value) -> Result<Value, Error> {
     let (a, b) = (a.int().unwrap_or(0), b.int().unwrap_or(0));
-    let sum = if plan.rules.on(Guard::Overflow) {
+    let sum = if plan.rules.is_guard_on(Guard::Overflow) {
         a.checked_add(b)
     } else {
         Some(a.wrapping_add(b))
@@ -194,224 +215,265 @@
     Ok(Value::Int(sum.ok_or_else(overflow)?))
 }
 
-fn chosen(by: By, a: Value, b: Value) -> Value {
+/// Returns the lower or the higher of two values, whichever `by` asks for. Absent values are ignored.
+fn choose_extreme(by: Aggregate, a: Value, b: Value) -> Value {
     match (a, b) {
         (Value::Absent, other) | (other, Value::Absent) => other,
-        (a, b) if by == By::Lowest => a.min(b),
+        (a, b) if by == Aggregate::Lowest => a.min(b),
         (a, b) => a.max(b),
     }
 }
 
-/// A combined column of one row: a count of rows where none is told, a sum that is never absent.
-fn own(by: By, value: &Value) -> Value {
+/// Returns the value of a combined column of one row: for an absent value a count of 1 or a sum of 0.
+fn combined_value(by: Aggregate, value: &Value) -> Value {
     match (by, value) {
-        (By::Count, Value::Absent) => Value::Int(1),
-        (By::Sum, Value::Absent) => Value::Int(0),
+        (Aggregate::Count, Value::Absent) => Value::Int(1),
+        (Aggregate::Sum, Value::Absent) => Value::Int(0),
         _ => value.clone(),
     }
 }
 
-impl Group {
-    fn new(plan: &Plan, unique: &UniqueBy, row: Row, number: u64) -> Group {
-        let known: Vec<Value> = unique
+impl KeyGroup {
+    fn new(plan: &Plan, unique: &UniquePlan, row: Row, number: u64) -> KeyGroup {
+        let combined: Vec<Value> = unique
             .combine
             .iter()
-            .map(|c| own(c.by, &row.values[c.column]))
+            .map(|c| combined_value(c.by, &row.values[c.column]))
             .collect();
-        let (mut kept, mut ranges, mut loose) =
-            (row, known.iter().map(Range::exact).collect(), None);
-        if let Some(doubt) = kept.doubt.take() {
-            (ranges, loose) = (doubt.ranges, doubt.loose.filter(|_| plan.keeps()));
+        let (mut kept, mut ranges, mut replacement_prefix) =
+            (row, combined.iter().map(Range::exact).collect(), None);
+        if let Some(uncertainty) = kept.uncertainty.take() {
+            (ranges, replacement_prefix) = (
+                uncertainty.ranges,
+                uncertainty
+                    .replacement_prefix
+                    .filter(|_| plan.has_kept_columns()),
+            );
         }
-        Group {
-            of: kept.of,
+        KeyGroup {
+            merged_rows: kept.merged_rows,
             kept,
-            known,
+            combined,
             ranges,
-            loose,
+            replacement_prefix,
             number,
         }
     }
 
+    /// Adds the row of another group with the same key.
     fn add(
         &mut self,
         plan: &Plan,
-        unique: &UniqueBy,
+        unique: &UniquePlan,
         tokens: &[Token],
-        other: Group,
+        other: KeyGroup,
     ) -> Result<(), Error> {
         for (i, combine) in unique.combine.iter().enumerate() {
-            let (range, more) = (&mut self.ranges[i], &other.ranges[i]);
-            if matches!(combine.by, By::Sum | By::Count) {
-                self.known[i] = added(plan, combine.column, &self.known[i], &other.known[i])?;
-                let end = |a: &Option<Value>, b: &Option<Value>| match (a, b) {
-                    (Some(a), Some(b)) => added(plan, combine.column, a, b).map(Some),
+            let (range, other_range) = (&mut self.ranges[i], &other.ranges[i]);
+            if matches!(combine.by, Aggregate::Sum | Aggregate::Count) {
+                self.combined[i] =
+                    add_ints(plan, combine.column, &self.combined[i], &other.combined[i])?;
+                let merged_end = |a: &Option<Value>, b: &Option<Value>| match (a, b) {
+                    (Some(a), Some(b)) => add_ints(plan, combine.column, a, b).map(Some),
                     _ => Ok(None),
                 };
                 *range = Range {
-                    low: end(&range.low, &more.low)?,
-                    high: end(&range.high, &more.high)?,
+                    low: merged_end(&range.low, &other_range.low)?,
+                    high: merged_end(&range.high, &other_range.high)?,
                 };
             } else {
-                self.known[i] = chosen(combine.by, self.known[i].clone(), other.known[i].clone());
-                let end = |a: &Option<Value>, b: &Option<Value>| {
-                    Some(chosen(combine.by, a.clone()?, b.clone()?))
+                self.combined[i] = choose_extreme(
+                    combine.by,
+                    self.combined[i].clone(),
+                    other.combined[i].clone(),
+                );
+                let merged_end = |a: &Option<Value>, b: &Option<Value>| {
+                    Some(choose_extreme(combine.by, a.clone()?, b.clone()?))
                 };
                 *range = Range {
-                    low: end(&range.low, &more.low),
-                    high: end(&range.high, &more.high),
+                    low: merged_end(&range.low, &other_range.low),
+                    high: merged_end(&range.high, &other_range.high),
                 };
             }
         }
-        self.loose = nearer(plan, self.loose.take(), other.loose);
-        self.of = self.of.saturating_add(other.of);
-        if plan.choose(unique, tokens, &other.kept, &self.kept).is_lt() {
+        self.replacement_prefix = earlier_prefix(
+            plan,
+            self.replacement_prefix.take(),
+            other.replacement_prefix,
+        );
+        self.merged_rows = self.merged_rows.saturating_add(other.merged_rows);
+        if plan
+            .cmp_kept(unique, tokens, &other.kept, &self.kept)
+            .is_lt()
+        {
             self.kept = other.kept;
         }
         Ok(())
     }
 
-    /// The row, with what those that were cut may hold back for its key.
-    fn finish(mut self, plan: &Plan, unique: &UniqueBy, cuts: &[Cut], spoke: &[u64]) -> Row {
-        let mut doubted = self.loose.is_some();
-        for cut in cuts
+    /// Returns the merged row, with its uncertainty because of rows of the key that sources may have withheld.
+    /// `last_groups` has for each source the number of the last group that it had a row in.
+    fn finish(
+        mut self,
+        plan: &Plan,
+        unique: &UniquePlan,
+        withheld: &[Withheld],
+        last_groups: &[u64],
+    ) -> Row {
+        let mut uncertain = self.replacement_prefix.is_some();
+        for source in withheld
             .iter()
-            .filter(|c| !(c.combined && spoke[c.input] == self.number))
+            .filter(|source| !(source.combined && last_groups[source.input] == self.number))
         {
             for (combine, range) in unique.combine.iter().zip(&mut self.ranges) {
-                bounds::widen(plan, combine, range, cut);
+                bounds::widen_range(plan, combine, range, source);
             }
-            // What sorts later than the one that is first already does not take its place.
-            let first = matches!(unique.keep, KeepBy::First) && plan.first_combined().is_none();
-            let own = plan.key_of(&self.kept.values);
-            let later = first && bounds::along(plan, &own, &cut.edge).is_lt();
-            if plan.keeps() && !later {
-                let until = plan
+            // If the first row in sort order is kept, a row that sorts after the kept one cannot replace it.
+            let keeps_first =
+                matches!(unique.keep, KeptRow::First) && plan.first_combined().is_none();
+            let sort_key = plan.sort_key_of(&self.kept.values);
+            let cannot_replace =
+                keeps_first && bounds::cmp_prefixes(plan, &sort_key, &source.prefix).is_lt();
+            if plan.has_kept_columns() && !cannot_replace {
+                let column_count = plan
                     .first_combined()
                     .unwrap_or(plan.sort.len())
-                    .min(cut.edge.len());
-                self.loose = nearer(plan, self.loose.take(), Some(cut.edge[..until].to_vec()));
-                doubted = true;
+                    .min(source.prefix.len());
+                self.replacement_prefix = earlier_prefix(
+                    plan,
+                    self.replacement_prefix.take(),
+                    Some(source.prefix[..column_count].to_vec()),
+                );
+                uncertain = true;
             }
         }
-        doubted |= !self.ranges.iter().all(Range::is_exact);
-        for (combine, value) in unique.combine.iter().zip(self.known) {
+        uncertain |= !self.ranges.iter().all(Range::is_exact);
+        for (combine, value) in unique.combine.iter().zip(self.combined) {
             self.kept.values[combine.column] = value;
         }
-        self.kept.of = self.of;
-        self.kept.doubt = doubted.then(|| {
-            Box::new(Doubt {
+        self.kept.merged_rows = self.merged_rows;
+        self.kept.uncertainty = uncertain.then(|| {
+            Box::new(Uncertainty {
                 ranges: self.ranges,
-                loose: self.loose,
+                replacement_prefix: self.replacement_prefix,
             })
         });
         self.kept
     }
 }
 
-/// What a merge makes.
-pub(crate) struct Merged {
-    /// Rows in order, those before the page among them.
+/// The result of a merge.
+pub(crate) struct MergeResult {
+    /// The rows in order, including those that an offset skips.
     pub rows: Vec<Row>,
-    /// Nothing that is not listed is nearer than this; none where nothing is hidden.
-    pub hidden: Option<Vec<Value>>,
-    /// How far what the cursor passed over can truly lie.
-    pub passed: Option<bounds::Worst>,
-    /// Rows read, and rows that went into others of their key.
+    /// No row that is not listed sorts before this prefix of a sort key; `None` if there is no such row.
+    pub hidden_prefix: Option<Vec<Value>>,
+    /// The last sort key that the rows before the page can have; `None` if the page has no cursor or no row precedes
+    /// it.
+    pub skipped_bound: Option<bounds::UpperBound>,
+    /// Number of rows read.
     pub read: u64,
+    /// Number of rows that were merged into another row of their key.
     pub dropped: u64,
-    /// Rows (after deduplication) that the limit cut; a merge without keys stops reading there and counts one.
+    /// Number of rows (after deduplication) that the limit cut. A merge without keys stops reading at the limit and
+    /// counts one.
     pub cut: u64,
 }
 
-/// The first rows by order, as many as the limit allows.
-struct First<'p> {
+/// Collects the first rows in order, up to a limit.
+struct TopRows<'p> {
     plan: &'p Plan,
-    rows: BinaryHeap<Ordered<'p>>,
-    ties: BinaryHeap<Ordered<'p>>,
-    hold: usize,
-    edge: Option<Vec<Value>>,
+    rows: BinaryHeap<OrderedRow<'p>>,
+    /// Rows beyond the limit that tie with the last row within it.
+    ties: BinaryHeap<OrderedRow<'p>>,
+    max_held_rows: usize,
+    /// No row that was cut sorts before this prefix of a sort key.
+    cut_prefix: Option<Vec<Value>>,
+    /// Number of rows cut.
     cut: u64,
 }
 
-struct Ordered<'p>(Row, &'p Plan);
+/// A row with the order of the answer, for a heap.
+struct OrderedRow<'p>(Row, &'p Plan);
 
-impl Ord for Ordered<'_> {
+impl Ord for OrderedRow<'_> {
     fn cmp(&self, other: &Self) -> Ordering {
-        self.1.full(&self.0, &other.0)
+        self.1.cmp_answer_order(&self.0, &other.0)
     }
 }
 
-impl PartialOrd for Ordered<'_> {
+impl PartialOrd for OrderedRow<'_> {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl PartialEq for Ordered<'_> {
+impl PartialEq for OrderedRow<'_> {
     fn eq(&self, other: &Self) -> bool {
         self.cmp(other).is_eq()
     }
 }
 
-impl Eq for Ordered<'_> {}
+impl Eq for OrderedRow<'_> {}
 
-impl<'p> First<'p> {
+impl<'p> TopRows<'p> {
+    /// Counts a row that is cut, and includes it in the bound on cut rows.
     fn evict(&mut self, row: &Row) {
         self.cut += 1;
-        if !self.plan.rules.on(Guard::OwnCut) {
+        if !self.plan.rules.is_guard_on(Guard::OwnCut) {
             return;
         }
-        // Most that is cut is sure, and lies later than what was cut already: nothing is allocated for it.
-        let nearer_by = |edge: &Vec<Value>| {
-            let each = self.plan.sort.iter().zip(edge);
-            each.map(|(k, v)| k.cmp(&row.values[k.column], v))
+        // Most cut rows are certain and sort after a row that was cut before. This check avoids an allocation for them.
+        let sorts_before = |prefix: &Vec<Value>| {
+            let each = self.plan.sort.iter().zip(prefix);
+            each.map(|(column, value)| column.cmp(&row.values[column.column], value))
                 .find(|o| o.is_ne())
                 .is_some_and(Ordering::is_lt)
         };
-        if row.doubt.is_some() || self.edge.as_ref().is_none_or(nearer_by) {
-            self.edge = nearer(
+        if row.uncertainty.is_some() || self.cut_prefix.as_ref().is_none_or(sorts_before) {
+            self.cut_prefix = earlier_prefix(
                 self.plan,
-                self.edge.take(),
-                Some(bounds::best(self.plan, row)),
+                self.cut_prefix.take(),
+                Some(bounds::lower_bound(self.plan, row)),
             );
         }
     }
 
-    /// Takes a row; false where no later one (by the sort keys) can have a place.
+    /// Adds a row. Returns false if no row that sorts after it can be within the limit.
     fn push(&mut self, row: Row) -> bool {
         let plan = self.plan;
-        if self.rows.len() < self.hold {
-            self.rows.push(Ordered(row, plan));
+        if self.rows.len() < self.max_held_rows {
+            self.rows.push(OrderedRow(row, plan));
             return true;
         }
-        let out = match self.rows.peek_mut() {
-            Some(mut last) if plan.full(&row, &last.0).is_lt() => {
+        let cut_row = match self.rows.peek_mut() {
+            Some(mut last) if plan.cmp_answer_order(&row, &last.0).is_lt() => {
                 std::mem::replace(&mut last.0, row)
             }
             _ => row,
         };
-        let Some(last) = self.rows.peek().map(|l| plan.key_of(&l.0.values)) else {
+        let Some(last) = self.rows.peek().map(|l| plan.sort_key_of(&l.0.values)) else {
             return false;
         };
-        let tied = |row: &Row| bounds::along(plan, &plan.key_of(&row.values), &last).is_eq();
+        let tied =
+            |row: &Row| bounds::cmp_prefixes(plan, &plan.sort_key_of(&row.values), &last).is_eq();
         if self.ties.peek().is_some_and(|t| !tied(&t.0)) {
             for old in std::mem::take(&mut self.ties) {
                 self.evict(&old.0);
             }
         }
-        if plan.rules.ties == Ties::Keep && tied(&out) {
-            self.ties.push(Ordered(out, plan));
-            if self.ties.len() > MOST_TIES
-                && let Some(most) = self.ties.pop()
+        if plan.rules.ties == TieRule::Extend && tied(&cut_row) {
+            self.ties.push(OrderedRow(cut_row, plan));
+            if self.ties.len() > MAX_TIES
+                && let Some(last_tie) = self.ties.pop()
             {
-                self.evict(&most.0);
+                self.evict(&last_tie.0);
             }
             return true;
         }
-        let later = !tied(&out);
-        self.evict(&out);
-        !later
+        let sorts_after_limit = !tied(&cut_row);
+        self.evict(&cut_row);
+        !sorts_after_limit
     }
 
     fn finish(self) -> (Vec<Row>, Option<Vec<Value>>, u64) {
@@ -422,147 +484,178 @@
             .map(|o| o.0)
             .collect();
         rows.extend(self.ties.into_sorted_vec().into_iter().map(|o| o.0));
-        (rows, self.edge, self.cut)
+        (rows, self.cut_prefix, self.cut)
     }
 }
 
-/// Where a page begins: after these values, and of rows that are equal to them with this source.
-pub(crate) struct After {
+/// The position after which a page begins: rows with a lesser sort key or content are skipped, and rows with equal
+/// values of a source with a lesser index than `origin`.
+pub(crate) struct PageStart {
     pub values: Vec<Value>,
     pub origin: u32,
 }
 
-impl After {
-    fn passes(&self, plan: &Plan, row: &Row) -> bool {
+impl PageStart {
+    /// Returns whether a row is before the page.
+    fn skips(&self, plan: &Plan, row: &Row) -> bool {
         let order = plan
-            .by_sort(&row.values, &self.values)
+            .cmp_sort_keys(&row.values, &self.values)
             .then_with(|| row.values.cmp(&self.values));
         order.is_lt() || order.is_eq() && row.origin < self.origin
     }
 }
 
-/// Merges streams by the rules: everything but offset and bytes. `tokens` are those of the sources, by name.
+/// Merges streams by the rules, except for the offset and the limit of bytes. `tokens` are the fencing tokens of the
+/// sources, sorted by name.
 pub(crate) fn merge<I: Iterator<Item = Row>>(
     plan: &Plan,
     inputs: Vec<Input<I>>,
     tokens: &[Token],
-    hold: usize,
-    after: Option<&After>,
-) -> Result<Merged, Error> {
-    let cut = |(input, from): (usize, &Input<I>)| {
-        let edge = from
-            .cut
+    max_held_rows: usize,
+    page_start: Option<&PageStart>,
+) -> Result<MergeResult, Error> {
+    let withheld_rows = |(input, source): (usize, &Input<I>)| {
+        let prefix = source
+            .withheld_prefix
             .clone()
-            .filter(|_| plan.rules.on(Guard::Threshold))?;
-        Some(Cut {
+            .filter(|_| plan.rules.is_guard_on(Guard::Threshold))?;
+        Some(Withheld {
             input,
-            edge,
-            combined: from.combined,
+            prefix,
+            combined: source.combined,
         })
     };
-    let cuts: Vec<Cut> = inputs.iter().enumerate().filter_map(cut).collect();
+    let withheld: Vec<Withheld> = inputs
+        .iter()
+        .enumerate()
+        .filter_map(withheld_rows)
+        .collect();
     let combined: Vec<bool> = inputs.iter().map(|i| i.combined).collect();
     let names: Vec<String> = inputs.iter().map(|i| i.name.clone()).collect();
-    let mut streams = Streams::new(plan, inputs);
-    let mut first = First {
+    let mut streams = StreamMerge::new(plan, inputs);
+    let mut top_rows = TopRows {
         plan,
         rows: BinaryHeap::new(),
         ties: BinaryHeap::new(),
-        hold,
-        edge: None,
+        max_held_rows,
+        cut_prefix: None,
         cut: 0,
     };
-    let (mut passed, mut dropped) = (None, 0);
-    let mut place = |row: Row, passed: &mut Option<bounds::Worst>| {
-        if after.is_some_and(|after| after.passes(plan, &row)) {
-            *passed = Some(bounds::further(
+    let (mut skipped_bound, mut dropped) = (None, 0);
+    let mut add_row = |row: Row, skipped_bound: &mut Option<bounds::UpperBound>| {
+        if page_start.is_some_and(|start| start.skips(plan, &row)) {
+            *skipped_bound = Some(bounds::later_bound(
                 plan,
-                passed.take(),
-                bounds::worst(plan, &row),
+                skipped_bound.take(),
+                bounds::upper_bound(plan, &row),
             ));
             return true;
         }
-        first.push(row)
+        top_rows.push(row)
     };
     if let Some(unique) = &plan.unique {
-        let mut spoke = vec![0_u64; combined.len()];
-        let (mut group, mut number): (Option<Group>, u64) = (None, 0);
+        let mut last_groups = vec![0_u64; combined.len()];
+        let (mut group, mut number): (Option<KeyGroup>, u64) = (None, 0);
         while let Some(next) = streams.next() {
             let (input, row) = next?;
-            let same = group
+            let is_same_key = group
                 .as_ref()
-                .is_some_and(|g| plan.by_key(&g.kept.values, &row.values).is_eq());
-            if same && combined[input] && spoke[input] == number && plan.rules.on(Guard::Collide) {
+                .is_some_and(|g| plan.cmp_unique_key(&g.kept.values, &row.values).is_eq());
+            if is_same_key
+                && combined[input]
+                && last_groups[input] == number
+                && plan.rules.is_guard_on(Guard::Collide)
+            {
                 return Err(Error::Colliding {
                     source_name: names[input].clone(),
                     row: streams.read[input] - 1,
                 });
             }
-            if same && let Some(group) = &mut group {
-                group.add(plan, unique, tokens, Group::new(plan, unique, row, number))?;
+            if is_same_key && let Some(group) = &mut group {
+                group.add(
+                    plan,
+                    unique,
+                    tokens,
+                    KeyGroup::new(plan, unique, row, number),
+                )?;
                 dropped += 1;
             } else {
-                if let Some(done) = group.take() {
-                    place(done.finish(plan, unique, &cuts, &spoke), &mut passed);
+                if let Some(finished) = group.take() {
+                    add_row(
+                        finished.finish(plan, unique, &withheld, &last_groups),
+                        &mut skipped_bound,
+                    );
                 }
                 number += 1;
-                group = Some(Group::new(plan, unique, row, number));
+                group = Some(KeyGroup::new(plan, unique, row, number));
             }
-            spoke[input] = number;
+            last_groups[input] = number;
         }
-        if let Some(done) = group.take() {
-            place(done.finish(plan, unique, &cuts, &spoke), &mut passed);
+        if let Some(finished) = group.take() {
+            add_row(
+                finished.finish(plan, unique, &withheld, &last_groups),
+                &mut skipped_bound,
+            );
         }
     } else {
         for next in streams.by_ref() {
-            // Streams come by the sort keys, so nothing after this one has a place either.
-            if !place(next?.1, &mut passed) {
+            // The rows arrive in sort order, so no row after this one is within the limit either.
+            if !add_row(next?.1, &mut skipped_bound) {
                 break;
             }
         }
     }
-    let read = streams.read();
-    let (rows, edge, cut) = first.finish();
-    let hidden = nearer(plan, edge, bounds::unsent(plan, &cuts));
-    Ok(Merged {
+    let read = streams.rows_read();
+    let (rows, cut_prefix, cut) = top_rows.finish();
+    let hidden_prefix = earlier_prefix(
+        plan,
+        cut_prefix,
+        bounds::lower_bound_of_unsent_rows(plan, &withheld),
+    );
+    Ok(MergeResult {
         rows,
-        hidden,
-        passed,
+        hidden_prefix,
+        skipped_bound,
         read,
         dropped,
         cut,
     })
 }
 
-/// One partial as it is merged: checked, in order, one row for each key, its first `each` rows.
-pub(crate) fn tidy(plan: &Plan, mut partial: Partial) -> Result<Partial, Error> {
-    partial.fits(plan)?;
-    in_order(plan, &partial)?;
+/// Checks a partial result and prepares it for a merge: sorts it, reduces the rows of each key to one, and truncates it
+/// to the maximum number of rows of one source.
+pub(crate) fn normalize(plan: &Plan, mut partial: Partial) -> Result<Partial, Error> {
+    partial.check_rows(plan)?;
+    check_order(plan, &partial)?;
     let name = partial.source.name.clone();
     if plan.unique.is_some() {
         let tokens: Vec<Token> = partial.origins.iter().map(|o| o.token).collect();
-        let rows = by_key(plan, std::mem::take(&mut partial.rows));
+        let rows = sort_by_unique_key(plan, std::mem::take(&mut partial.rows));
         let input = Input {
             name,
             rows: rows.into_iter(),
             combined: partial.combined,
-            cut: None,
+            withheld_prefix: None,
         };
         partial.rows = merge(plan, vec![input], &tokens, usize::MAX, None)?.rows;
-        partial.combined |= partial.cut.is_none();
+        partial.combined |= partial.withheld_prefix.is_none();
     } else {
-        partial.rows.sort_by(|a, b| plan.full(a, b));
+        partial.rows.sort_by(|a, b| plan.cmp_answer_order(a, b));
     }
     partial.sorted = true;
-    if let Some(each) = plan.rules.each.filter(|_| partial.origins.len() == 1) {
-        partial.cut_to(plan, usize::try_from(each).unwrap_or(usize::MAX));
+    if let Some(max_rows) = plan
+        .rules
+        .max_rows_per_source
+        .filter(|_| partial.origins.len() == 1)
+    {
+        partial.truncate_rows(plan, usize::try_from(max_rows).unwrap_or(usize::MAX));
     }
     Ok(partial)
 }
 
-/// Rows in the order of their keys, as a merge of streams with keys takes them.
-pub(crate) fn by_key(plan: &Plan, mut rows: Vec<Row>) -> Vec<Row> {
-    rows.sort_by(|a, b| plan.by_key(&a.values, &b.values));
+/// Sorts rows by their keys, as a merge of streams with keys needs them.
+pub(crate) fn sort_by_unique_key(plan: &Plan, mut rows: Vec<Row>) -> Vec<Row> {
+    rows.sort_by(|a, b| plan.cmp_unique_key(&a.values, &b.values));
     rows
 }
 
--- a/gather/src/merge/tests.rs
+++ b/gather/src/merge/tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of `merge`.
+//! Unit tests of sums in a merge.
 
 use super::*;
 use crate::rules::Rules;
@@ -10,7 +10,7 @@
         ..Rules::default()
     };
     let sum = |rules: &Rules| {
-        added(
+        add_ints(
             &rules.plan().expect("rules"),
             0,
             &Value::Int(i128::MAX),
@@ -21,7 +21,7 @@
     #[cfg(feature = "mutations")]
     assert!(
         sum(&Rules {
-            without: Some(Guard::Overflow),
+            disabled_guard: Some(Guard::Overflow),
             ..rules
         })
         .is_ok()
--- a/gather/src/part.rs
+++ b/gather/src/part.rs
@@ -1,33 +1,35 @@
-//! What one source sends: its rows, what it held back, and the numbered pieces in which that travels.
+//! The partial result that one source sends: its rows, the bound on rows that it withheld, and its encoding in numbered
+//! pieces.
 
 use crate::error::Error;
-use crate::rules::{By, Guard, Plan, Role};
-use crate::value::{INT_MOST, Value};
+use crate::rules::{Aggregate, Guard, Plan, Role};
+use crate::value::{MAX_INT_MAGNITUDE, Value};
 use plovercove_fencing::Token;
 use serde::{Deserialize, Serialize};
 
-/// Who answers. A source that is a duty has one name whoever owns it; its token tells the owners apart.
+/// The identity of a source. A source that holds a lease keeps its name when the lease changes hands; the fencing token
+/// distinguishes the lease holders.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Source {
-    /// Its name, alike everywhere: `gateway/a`.
+    /// Name of the source, the same at all routers: `gateway/a`.
     pub name: String,
-    /// The life of the process (`boot`); compared under the same token only.
-    pub life: u64,
-    /// The grant under which it answers; [`Token::NONE`] where it owns nothing.
+    /// Incarnation of the process (`boot`). It is compared only between equal tokens.
+    pub incarnation: u64,
+    /// Fencing token of the lease under which the source answers; [`Token::NONE`] without a lease.
     pub token: Token,
 }
 
-/// What a combined column can truly be. `None` is without bound.
+/// The values that a combined column can have. `None` is an end without a bound.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Range {
-    /// Not below this.
+    /// The lowest possible value.
     pub low: Option<Value>,
-    /// Not above this.
+    /// The highest possible value.
     pub high: Option<Value>,
 }
 
 impl Range {
-    /// One value and no other.
+    /// Makes the range of exactly this value.
     pub fn exact(value: &Value) -> Range {
         Range {
             low: Some(value.clone()),
@@ -35,76 +37,78 @@
         }
     }
 
-    /// Whether there is only one value that it can be.
+    /// Returns whether only one value is possible.
     pub fn is_exact(&self) -> bool {
         self.low.is_some() && self.low == self.high
     }
 }
 
-/// What is not sure of a row, since a source was cut.
+/// What is uncertain about a row because a source withheld rows.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Doubt {
-    /// What each combined column can be, in the order of `combine`.
+pub struct Uncertainty {
+    /// The possible values of each combined column, in the order of `combine`.
     pub ranges: Vec<Range>,
-    /// Another row may truly stay for this key. It does not sort before this beginning of a sort key.
-    pub loose: Option<Vec<Value>>,
+    /// Set if a withheld row may be the one that is kept for this key. That row does not sort before this prefix of a
+    /// sort key.
+    pub replacement_prefix: Option<Vec<Value>>,
 }
 
 /// One row.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Row {
-    /// Its values, in the places of the rules' columns.
+    /// The values, in the order of the columns in the rules.
     pub values: Vec<Value>,
-    /// Whose row it is: a place in the partial's `origins`.
+    /// The source of the row, as an index in `origins` of its partial result.
     pub origin: u32,
-    /// Of how many rows it was made: those that came.
-    pub of: u64,
-    /// What is not sure of it.
-    pub doubt: Option<Box<Doubt>>,
+    /// Number of received rows that were merged into this one.
+    pub merged_rows: u64,
+    /// What is uncertain about the row; `None` if it is certain.
+    pub uncertainty: Option<Box<Uncertainty>>,
 }
 
 impl Row {
-    /// A row as its source has it.
-    pub fn plain(values: Vec<Value>) -> Row {
+    /// Makes a row that was not merged with others, of the source with index 0.
+    pub fn from_values(values: Vec<Value>) -> Row {
         Row {
             values,
             origin: 0,
-            of: 1,
-            doubt: None,
+            merged_rows: 1,
+            uncertainty: None,
         }
     }
 }
 
-/// What one source answers.
+/// The partial result of one source.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Partial {
-    /// Who.
+    /// The source.
     pub source: Source,
-    /// Counts its answers to the same question. The newest counts: by token, then life, then this.
+    /// Number of this partial result among those of the source to the same question. Only the newest is used: the one
+    /// with the highest token, then the highest incarnation, then the highest round.
     pub round: u32,
-    /// How old the oldest of it is (ms).
+    /// Age of the oldest information in it (ms).
     pub age_ms: u64,
-    /// Whether its rows are in the order of the rules. It is looked at.
+    /// Whether the source declares that the rows are in the sort order of the rules. The receiver verifies it.
     pub sorted: bool,
-    /// Whether it has one row for each key, and no other row of that key among those it held back.
+    /// Whether there is one row for each key and the source withheld no further row of a key that is listed.
     pub combined: bool,
-    /// It held rows back. None of them sorts before this beginning of a sort key; they may tie with it.
-    pub cut: Option<Vec<Value>>,
-    /// How many rows it holds in all, if it says so.
-    pub held: Option<u64>,
-    /// Whose rows these are, by name: itself, or those that it asked.
+    /// Set if the source withheld rows. None of them sorts before this prefix of a sort key; they may tie with it.
+    pub withheld_prefix: Option<Vec<Value>>,
+    /// Number of rows that the source has in total, if known.
+    pub total_rows: Option<u64>,
+    /// The sources of the rows, sorted by name: the source itself, or the sources that it queried.
     pub origins: Vec<Source>,
-    /// Whom it asked in vain.
+    /// Names of the sources that it queried without a usable answer.
     pub missing: Vec<String>,
-    /// Its rows.
+    /// The rows.
     pub rows: Vec<Row>,
 }
 
 impl Partial {
-    /// Rows of one source, all that it holds, as they are.
-    pub fn raw(source: Source, age_ms: u64, rows: Vec<Vec<Value>>) -> Partial {
-        let held = Some(rows.len() as u64);
-        let rows = rows.into_iter().map(Row::plain).collect();
+    /// Makes a partial result of all rows of one source, in any order and with any number of rows for a key.
+    pub fn from_raw_rows(source: Source, age_ms: u64, rows: Vec<Vec<Value>>) -> Partial {
+        let total_rows = Some(rows.len() as u64);
+        let rows = rows.into_iter().map(Row::from_values).collect();
         let origins = vec![source.clone()];
         Partial {
             source,
@@ -112,76 +116,79 @@
             age_ms,
             sorted: false,
             combined: false,
-            cut: None,
-            held,
+            withheld_prefix: None,
+            total_rows,
             origins,
             missing: Vec::new(),
             rows,
         }
     }
 
-    /// What a source sends of all the rows that it holds: sorted, combined, its first `most` and from where it cut.
+    /// Makes the partial result that a source sends of all its rows: sorted, one row for each key, and truncated to the
+    /// first `max_rows`, with the prefix at which it was truncated.
     ///
     /// # Errors
     /// The rows do not fit the rules.
-    pub fn of(
+    pub fn build(
         plan: &Plan,
         source: Source,
         age_ms: u64,
         rows: Vec<Vec<Value>>,
-        most: Option<usize>,
+        max_rows: Option<usize>,
     ) -> Result<Partial, Error> {
-        let mut partial = crate::merge::tidy(plan, Partial::raw(source, age_ms, rows))?;
-        partial.cut_to(plan, most.unwrap_or(usize::MAX));
+        let mut partial =
+            crate::merge::normalize(plan, Partial::from_raw_rows(source, age_ms, rows))?;
+        partial.truncate_rows(plan, max_rows.unwrap_or(usize::MAX));
         Ok(partial)
     }
 
-    /// Cuts what is in order to its first rows.
-    pub(crate) fn cut_to(&mut self, plan: &Plan, most: usize) {
-        if let Some(first) = self.rows.get(most) {
-            let edge = crate::bounds::best(plan, first);
-            self.cut = crate::bounds::nearer(plan, self.cut.take(), Some(edge));
-            self.rows.truncate(most);
+    /// Truncates sorted rows to the first `max_rows`.
+    pub(crate) fn truncate_rows(&mut self, plan: &Plan, max_rows: usize) {
+        if let Some(first_withheld) = self.rows.get(max_rows) {
+            let prefix = crate::bounds::lower_bound(plan, first_withheld);
+            self.withheld_prefix =
+                crate::bounds::earlier_prefix(plan, self.withheld_prefix.take(), Some(prefix));
+            self.rows.truncate(max_rows);
         }
     }
 
-    /// The pieces in which it travels, each at most so many bytes in its wire form.
+    /// Encodes the partial result as pieces of at most `max_piece_bytes` bytes each in encoded form.
     ///
     /// # Errors
-    /// [`Error::TooLong`] where not even the head of a piece fits, [`Error::TooMuch`] where there would be too many.
-    pub fn pieces(&self, room: usize) -> Result<Vec<Piece>, Error> {
+    /// [`Error::TooLong`] if the header of a piece does not fit, [`Error::TooMuch`] if there would be too many pieces.
+    pub fn pieces(&self, max_piece_bytes: usize) -> Result<Vec<Piece>, Error> {
         let name = &self.source.name;
         let body = postcard::to_allocvec(self).map_err(|_| Error::Malformed {
             source_name: name.clone(),
         })?;
-        // Numbers of up to 10, 10, 5, 5 and 5 bytes, and two lengths of up to 3.
-        let space = room.saturating_sub(name.len() + 41);
-        if space == 0 {
+        // The header of a piece has five integers of up to 10, 10, 5, 5 and 5 bytes and two lengths of up to 3 bytes.
+        let payload_bytes = max_piece_bytes.saturating_sub(name.len() + 41);
+        if payload_bytes == 0 {
             return Err(Error::TooLong {
                 source_name: name.clone(),
-                most: room,
+                most: max_piece_bytes,
             });
         }
-        let of = body.len().div_ceil(space);
-        if of > MOST_PIECES {
+        let piece_count = body.len().div_ceil(payload_bytes);
+        if piece_count > MAX_PIECES {
             return Err(Error::TooMuch {
                 source_name: name.clone(),
                 what: "pieces",
-                most: MOST_PIECES,
+                most: MAX_PIECES,
             });
         }
         let piece = |(number, bytes): (usize, &[u8])| Piece {
             source: self.source.clone(),
             round: self.round,
             number: number as u32,
-            of: of as u32,
+            piece_count: piece_count as u32,
             bytes: bytes.into(),
         };
-        Ok(body.chunks(space).enumerate().map(piece).collect())
+        Ok(body.chunks(payload_bytes).enumerate().map(piece).collect())
     }
 
-    /// Checks each row against the rules. Sums of what fits can be made.
-    pub(crate) fn fits(&self, plan: &Plan) -> Result<(), Error> {
+    /// Checks that the rows fit the rules. Rows that pass have values of a type and magnitude that can be summed.
+    pub(crate) fn check_rows(&self, plan: &Plan) -> Result<(), Error> {
         let name = || self.source.name.clone();
         let columns = &plan.rules.columns;
         let unfit = |column: usize, value: &dyn std::fmt::Display| Error::Unfit {
@@ -189,13 +196,13 @@
             column: columns.get(column).cloned().unwrap_or_default(),
             value: value.to_string().chars().take(40).collect(),
         };
-        let known = |row: &Row| (row.origin as usize) < self.origins.len();
-        let ordered = self.origins.windows(2).all(|w| w[0].name < w[1].name);
-        let edge = |edge: &Vec<Value>| edge.len() <= plan.sort.len();
+        let has_known_origin = |row: &Row| (row.origin as usize) < self.origins.len();
+        let origins_sorted = self.origins.windows(2).all(|w| w[0].name < w[1].name);
+        let prefix_fits = |prefix: &Vec<Value>| prefix.len() <= plan.sort.len();
         if self.origins.is_empty()
-            || !ordered
-            || !self.rows.iter().all(known)
-            || !self.cut.iter().all(edge)
+            || !origins_sorted
+            || !self.rows.iter().all(has_known_origin)
+            || !self.withheld_prefix.iter().all(prefix_fits)
         {
             return Err(Error::Malformed {
                 source_name: name(),
@@ -212,56 +219,57 @@
             for (column, value) in row.values.iter().enumerate() {
                 if value
                     .int()
-                    .is_some_and(|n| n.unsigned_abs() > INT_MOST.unsigned_abs())
+                    .is_some_and(|n| n.unsigned_abs() > MAX_INT_MAGNITUDE.unsigned_abs())
                 {
                     return Err(unfit(column, value));
                 }
             }
             let Some(unique) = &plan.unique else {
-                if row.doubt.is_some() || row.of != 1 {
+                if row.uncertainty.is_some() || row.merged_rows != 1 {
                     return Err(Error::Malformed {
                         source_name: name(),
                     });
                 }
                 continue;
             };
-            if let Some(doubt) = &row.doubt
-                && (doubt.ranges.len() != unique.combine.len() || !doubt.loose.iter().all(edge))
+            if let Some(uncertainty) = &row.uncertainty
+                && (uncertainty.ranges.len() != unique.combine.len()
+                    || !uncertainty.replacement_prefix.iter().all(prefix_fits))
             {
                 return Err(Error::Malformed {
                     source_name: name(),
                 });
             }
             for (i, combine) in unique.combine.iter().enumerate() {
-                let added = matches!(combine.by, By::Sum | By::Count);
-                let good = |v: &Value| match v {
+                let is_added = matches!(combine.by, Aggregate::Sum | Aggregate::Count);
+                let is_valid = |v: &Value| match v {
                     Value::Absent => true,
-                    Value::Int(n) => !combine.floor || *n >= 0,
-                    _ => !added,
+                    Value::Int(n) => !combine.non_negative || *n >= 0,
+                    _ => !is_added,
                 };
                 let value = &row.values[combine.column];
-                if !good(value) {
+                if !is_valid(value) {
                     return Err(unfit(combine.column, value));
                 }
-                let Some(range) = row.doubt.as_ref().map(|d| &d.ranges[i]) else {
+                let Some(range) = row.uncertainty.as_ref().map(|d| &d.ranges[i]) else {
                     continue;
                 };
                 let ends = [&range.low, &range.high];
-                let small = |v: &Value| {
+                let is_in_range = |v: &Value| {
                     v.int()
-                        .is_none_or(|n| n.unsigned_abs() <= INT_MOST.unsigned_abs())
+                        .is_none_or(|n| n.unsigned_abs() <= MAX_INT_MAGNITUDE.unsigned_abs())
                 };
-                let fits = |v: &Value| {
-                    small(v)
-                        && if added {
-                            v.int().is_some() && good(v)
+                let is_valid_end = |v: &Value| {
+                    is_in_range(v)
+                        && if is_added {
+                            v.int().is_some() && is_valid(v)
                         } else {
                             true
                         }
                 };
-                let turned =
+                let is_reversed =
                     matches!((&range.low, &range.high), (Some(low), Some(high)) if low > high);
-                if turned || !ends.into_iter().flatten().all(fits) {
+                if is_reversed || !ends.into_iter().flatten().all(is_valid_end) {
                     return Err(unfit(combine.column, &"a range that cannot be"));
                 }
             }
@@ -270,41 +278,51 @@
     }
 }
 
-/// Which of two answers of one source counts: a newer owner, a newer process, a later answer.
-pub(crate) type Version = (Token, u64, u32);
+/// The version of a partial result. The highest of one source is used: that of the newest lease holder, then that of
+/// its newest process, then its latest.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct Version {
+    pub token: Token,
+    pub incarnation: u64,
+    pub round: u32,
+}
 
-/// Pieces of one partial at the most: 1 MB.
-pub const MOST_PIECES: usize = 1_024;
+/// Maximum number of pieces of one partial result: 1 MB with pieces of 1,000 bytes.
+pub const MAX_PIECES: usize = 1_024;
 
-/// One piece of a partial, as long as a part of a datagram may be.
+/// One piece of an encoded partial result, no longer than a part of a datagram may be.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Piece {
-    /// Whose.
+    /// The source.
     pub source: Source,
-    /// Of which of its answers.
+    /// The round of the partial result, see [`Partial::round`].
     pub round: u32,
-    /// Which, from 0.
+    /// Number of the piece, from 0.
     pub number: u32,
-    /// Of how many.
-    pub of: u32,
-    /// Its bytes.
+    /// Number of pieces of the partial result.
+    pub piece_count: u32,
+    /// The bytes of this piece.
     pub bytes: Box<[u8]>,
 }
 
 impl Piece {
     pub(crate) fn version(&self) -> Version {
-        (self.source.token, self.source.life, self.round)
+        Version {
+            token: self.source.token,
+            incarnation: self.source.incarnation,
+            round: self.round,
+        }
     }
 
-    /// A piece as it is sent.
+    /// Encodes the piece for sending.
     pub fn encode(&self) -> Vec<u8> {
         postcard::to_allocvec(self).unwrap_or_default()
     }
 
-    /// A piece as it came.
+    /// Decodes a received piece.
     ///
     /// # Errors
-    /// [`Error::Malformed`].
+    /// [`Error::Malformed`] if the bytes are no piece.
     pub fn decode(bytes: &[u8]) -> Result<Piece, Error> {
         postcard::from_bytes(bytes).map_err(|_| Error::Malformed {
             source_name: String::new(),
@@ -312,26 +330,26 @@
     }
 }
 
-/// Whether rows that are told sorted are.
-pub(crate) fn in_order(plan: &Plan, partial: &Partial) -> Result<(), Error> {
-    if !partial.sorted || !plan.rules.on(Guard::Sorted) {
+/// Checks the order of rows that the source declares as sorted.
+pub(crate) fn check_order(plan: &Plan, partial: &Partial) -> Result<(), Error> {
+    if !partial.sorted || !plan.rules.is_guard_on(Guard::Sorted) {
         return Ok(());
     }
-    let wrong = partial
+    let unsorted = partial
         .rows
         .windows(2)
-        .position(|w| plan.by_sort(&w[0].values, &w[1].values).is_gt());
-    match wrong {
-        Some(at) => Err(Error::Unsorted {
+        .position(|w| plan.cmp_sort_keys(&w[0].values, &w[1].values).is_gt());
+    match unsorted {
+        Some(index) => Err(Error::Unsorted {
             source_name: partial.source.name.clone(),
-            row: at as u64 + 1,
+            row: index as u64 + 1,
         }),
         None => Ok(()),
     }
 }
 
-/// Whether a column is neither key nor combined.
-pub(crate) fn is_kept(plan: &Plan, column: usize) -> bool {
+/// Returns whether a column is not combined: it is part of the key, or its value is that of the row that is kept.
+pub(crate) fn is_not_combined(plan: &Plan, column: usize) -> bool {
     plan.unique
         .as_ref()
         .is_none_or(|u| !matches!(u.roles[column], Role::Combined(_)))
--- a/gather/src/question.rs
+++ b/gather/src/question.rs
@@ -1,72 +1,74 @@
-//! The fleet question: what any router can be asked, with the columns and rules of its answer.
+//! Queries over all routers: their topics, the columns and merge rules of the answers, and the messages on the wire.
 
 use crate::answer::Cursor;
 use crate::error::Error;
 use crate::part::Piece;
-use crate::rules::{Absent, By, Combine, Keep, Need, Rules, Sort, Unique};
+use crate::rules::{
+    AbsentOrder, Aggregate, Combine, KeepRule, RequiredSources, Rules, SortKey, Unique,
+};
 use serde::{Deserialize, Serialize};
 
-/// What is asked.
+/// The subject of a query.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Topic {
-    /// The db nodes by how often attempts at them failed, summed over routers.
+    /// The database nodes by the number of failed attempts, summed over routers.
     NodesByFailures,
-    /// The duties and who owns each, by the highest token.
+    /// The leases and the holder of each, according to the highest fencing token.
     Owners,
-    /// Who subscribes to this topic.
+    /// The subscribers of this topic.
     Subscribers(String),
-    /// How far each node of this group is, by its latest life and position.
+    /// The log position of each node of this group, from the latest incarnation and position known.
     Positions(String),
-    /// The tenants by requests, summed over routers.
+    /// The tenants by number of requests, summed over routers.
     HeaviestTenants,
 }
 
 impl Topic {
-    /// The columns of its answer and the rules by which parts of it are merged.
+    /// Returns the columns of the answer and the rules by which partial results are merged.
     pub fn rules(&self) -> Rules {
-        let down = |by: &str| Sort {
+        let descending = |by: &str| SortKey {
             by: by.into(),
-            down: true,
-            absent: Absent::Last,
+            descending: true,
+            absent: AbsentOrder::Last,
         };
-        let up = |by: &str| Sort {
+        let ascending = |by: &str| SortKey {
             by: by.into(),
-            down: false,
-            absent: Absent::Last,
+            descending: false,
+            absent: AbsentOrder::Last,
         };
         let sum = |column: &str| Combine {
             column: column.into(),
-            by: By::Sum,
-            floor: true,
+            by: Aggregate::Sum,
+            non_negative: true,
         };
         let (columns, sort, key, keep, combine): (&[&str], _, &[&str], _, _) = match self {
             Topic::NodesByFailures => {
                 let (sort, sums) = (
-                    vec![down("failures"), up("node")],
+                    vec![descending("failures"), ascending("node")],
                     vec![sum("failures"), sum("attempts")],
                 );
                 (
                     &["node", "failures", "attempts"],
                     sort,
                     &["node"],
-                    Keep::First,
+                    KeepRule::First,
                     sums,
                 )
             }
             Topic::Owners => (
                 &["duty", "owner", "zone", "token"],
-                vec![up("duty")],
+                vec![ascending("duty")],
                 &["duty"],
-                Keep::Token,
+                KeepRule::Token,
                 Vec::new(),
             ),
             Topic::Subscribers(_) => {
-                let keep = Keep::Freshest {
-                    life: "life".into(),
+                let keep = KeepRule::Freshest {
+                    incarnation: "life".into(),
                     position: "counter".into(),
                 };
-                let sort = vec![up("zone"), up("subscriber")];
+                let sort = vec![ascending("zone"), ascending("subscriber")];
                 (
                     &["subscriber", "zone", "life", "counter"],
                     sort,
@@ -76,25 +78,28 @@
                 )
             }
             Topic::Positions(_) => {
-                let keep = Keep::Freshest {
-                    life: "life".into(),
+                let keep = KeepRule::Freshest {
+                    incarnation: "life".into(),
                     position: "position".into(),
                 };
                 (
                     &["node", "life", "position", "age_ms"],
-                    vec![up("node")],
+                    vec![ascending("node")],
                     &["node"],
                     keep,
                     Vec::new(),
                 )
             }
             Topic::HeaviestTenants => {
-                let (sort, sums) = (vec![down("requests"), up("tenant")], vec![sum("requests")]);
+                let (sort, sums) = (
+                    vec![descending("requests"), ascending("tenant")],
+                    vec![sum("requests")],
+                );
                 (
                     &["tenant", "requests"],
                     sort,
                     &["tenant"],
-                    Keep::First,
+                    KeepRule::First,
                     sums,
                 )
             }
@@ -109,73 +114,80 @@
                 combine,
             }),
             rows: Some(100),
-            need: Need::Any,
+            need: RequiredSources::Any,
             ..Rules::default()
         }
     }
 }
 
-/// A question as it is sent, in a part for questions.
+/// A query as it is sent, in a part of a datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Question {
-    /// Its number, the asker's own.
+    /// Number of the query, chosen by the requester.
     pub id: u64,
-    /// The asker's name.
-    pub asker: String,
-    /// Its life: answers to an older one are none of this one's.
-    pub life: u64,
-    /// What is left until its deadline when it is sent (ms). No clock of two machines is compared.
-    pub left_ms: u32,
-    /// What it asks.
+    /// Name of the router that sent the query.
+    pub requester: String,
+    /// Incarnation of the requester. It ignores answers to queries of an earlier incarnation.
+    pub incarnation: u64,
+    /// Time until the deadline at the moment of sending (ms). A duration is sent because the clocks of two machines are
+    /// not comparable.
+    pub remaining_ms: u32,
+    /// The subject of the query.
     pub topic: Topic,
-    /// Rows of the answer at the most, if other than the topic's rules say.
+    /// Maximum number of rows of the answer, if it differs from that of the topic's rules.
     pub rows: Option<u64>,
-    /// The page after this row.
+    /// The answer begins after this row.
     pub after: Option<Cursor>,
 }
 
-/// Names in a question at the most (bytes): it fits in one part.
-const LONGEST: usize = 128;
-/// The longest time that a question may leave (ms).
-const LONGEST_WAIT: u32 = 60_000;
+/// Maximum length of a name in a query (bytes), so that a query fits in one part of a datagram.
+const MAX_NAME_BYTES: usize = 128;
+/// Maximum time until the deadline of a query (ms).
+const MAX_WAIT_MS: u32 = 60_000;
 
 impl Question {
-    /// The rules of its answer.
+    /// Checks the query and returns the merge rules of its answer.
     ///
     /// # Errors
-    /// [`Error::Rule`]: what it asks cannot be answered.
+    /// [`Error::Rule`] if a field of the query is out of range.
     pub fn rules(&self) -> Result<Rules, Error> {
-        let bad = |key: &str, want: String| Error::Rule {
+        let rule_error = |key: &str, want: String| Error::Rule {
             key: format!("question.{key}"),
             want,
         };
         let name = match &self.topic {
             Topic::Subscribers(name) | Topic::Positions(name) => name,
-            _ => &self.asker,
+            _ => &self.requester,
         };
-        for (key, text) in [("asker", &self.asker), ("topic", name)] {
-            if text.is_empty() || text.len() > LONGEST {
-                return Err(bad(key, format!("expected 1 to {LONGEST} bytes")));
+        for (key, text) in [("asker", &self.requester), ("topic", name)] {
+            if text.is_empty() || text.len() > MAX_NAME_BYTES {
+                return Err(rule_error(
+                    key,
+                    format!("expected 1 to {MAX_NAME_BYTES} bytes"),
+                ));
             }
         }
-        if self.left_ms > LONGEST_WAIT {
-            return Err(bad(
+        if self.remaining_ms > MAX_WAIT_MS {
+            return Err(rule_error(
                 "left_ms",
-                format!("expected {LONGEST_WAIT} at the most, got {}", self.left_ms),
+                format!(
+                    "expected {MAX_WAIT_MS} at the most, got {}",
+                    self.remaining_ms
+                ),
             ));
         }
-        let own = self.topic.rules();
+        let topic_rules = self.topic.rules();
         let rules = Rules {
-            rows: self.rows.or(own.rows),
-            ..own
+            rows: self.rows.or(topic_rules.rows),
+            ..topic_rules
         };
         rules.check()?;
         if self
             .after
             .as_ref()
-            .is_some_and(|c| c.values.len() != rules.columns.len())
+            .is_some_and(|cursor| cursor.values.len() != rules.columns.len())
         {
-            return Err(bad(
+            return Err(rule_error(
                 "after",
                 "expected a row of this topic's columns".into(),
             ));
@@ -183,22 +195,23 @@
         Ok(rules)
     }
 
-    /// What is left when it has been under way and waiting for so long (ms); none when nobody waits any more.
-    pub fn left_after(&self, ms: u64) -> Option<u64> {
-        u64::from(self.left_ms)
-            .checked_sub(ms)
-            .filter(|left| *left > 0)
+    /// Returns the time until the deadline (ms) after the query has been in transit and in a queue for `elapsed_ms`;
+    /// `None` once the deadline is over.
+    pub fn remaining_after(&self, elapsed_ms: u64) -> Option<u64> {
+        u64::from(self.remaining_ms)
+            .checked_sub(elapsed_ms)
+            .filter(|remaining| *remaining > 0)
     }
 }
 
-/// What a part for questions is.
+/// The content of a datagram part that carries queries and answers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Somebody asks.
-    Ask(Question),
-    /// A piece of what one source answers.
+    /// A query.
+    Query(Question),
+    /// A piece of the partial result of one source.
     Answer {
-        /// The question's number.
+        /// Number of the query.
         id: u64,
         /// The piece.
         piece: Piece,
@@ -206,15 +219,15 @@
 }
 
 impl Message {
-    /// As it is sent.
+    /// Encodes the message for sending.
     pub fn encode(&self) -> Vec<u8> {
         postcard::to_allocvec(self).unwrap_or_default()
     }
 
-    /// As it came.
+    /// Decodes a received message.
     ///
     /// # Errors
-    /// [`Error::Malformed`].
+    /// [`Error::Malformed`] if the bytes are no message.
     pub fn decode(bytes: &[u8]) -> Result<Message, Error> {
         postcard::from_bytes(bytes).map_err(|_| Error::Malformed {
             source_name: String::new(),
--- a/gather/src/value.rs
+++ b/gather/src/value.rs
@@ -1,25 +1,25 @@
-//! What stands in a row: a few kinds of values with one total order.
+//! Values of a row: a few types with one total order.
 
 use serde::{Deserialize, Serialize};
 use std::cmp::Ordering;
 use std::fmt;
 
-/// Integers lie within this on both sides. 2^27 of them can be added before 128 bits are full.
-pub const INT_MOST: i128 = 1 << 100;
+/// Largest magnitude of an integer that a source may send. 2^27 such integers can be added before 128 bits overflow.
+pub const MAX_INT_MAGNITUDE: i128 = 1 << 100;
 
-/// A number with a fraction. It is never "not a number", and zero has one sign, so that all of them can be ordered.
+/// A floating-point number that is never NaN and never negative zero, so that all such numbers have a total order.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(try_from = "f64", into = "f64")]
 pub struct Real(f64);
 
 impl Real {
-    /// This number; none where it is none.
+    /// Converts a number; returns `None` for NaN.
     pub fn new(number: f64) -> Option<Real> {
-        // Adding zero makes -0 into 0.
+        // Adding zero turns -0 into 0.
         (!number.is_nan()).then_some(Real(number + 0.0))
     }
 
-    /// The number.
+    /// Returns the number.
     pub fn get(self) -> f64 {
         self.0
     }
@@ -42,13 +42,14 @@
 /// One value of a row.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Value {
-    /// There is none.
+    /// No value.
     Absent,
-    /// Yes or no.
+    /// A boolean.
     Bool(bool),
-    /// An integer, at most [`INT_MOST`] on either side of zero. It is wider than sources need, so that sums of sums fit.
+    /// An integer of a magnitude up to [`MAX_INT_MAGNITUDE`]. It is wider than sources need, so that sums of sums fit.
     Int(i128),
-    /// A number with a fraction. Such numbers are compared, never added: their sum would depend on the order of arrival.
+    /// A floating-point number. Such numbers are compared but never added: their sum would depend on the order of
+    /// arrival.
     Real(Real),
     /// Text, ordered by its bytes.
     Text(Box<str>),
@@ -59,21 +60,21 @@
 impl Eq for Value {}
 
 impl Value {
-    /// Text.
+    /// Makes a text value.
     pub fn text(text: &str) -> Value {
         Value::Text(text.into())
     }
 
-    /// The integer, if it is one.
+    /// Returns the integer, or `None` for a value of another type.
     pub fn int(&self) -> Option<i128> {
-        if let Value::Int(n) = self {
-            Some(*n)
+        if let Value::Int(int) = self {
+            Some(*int)
         } else {
             None
         }
     }
 
-    /// Absent first, then no and yes, numbers, text, bytes.
+    /// Returns the rank of the type in the order of values: absent, booleans, numbers, text, bytes.
     fn rank(&self) -> u8 {
         match self {
             Value::Absent => 0,
@@ -86,8 +87,8 @@
 }
 
 impl From<i64> for Value {
-    fn from(n: i64) -> Value {
-        Value::Int(n.into())
+    fn from(int: i64) -> Value {
+        Value::Int(int.into())
     }
 }
 
@@ -103,8 +104,8 @@
             (Value::Bool(a), Value::Bool(b)) => a.cmp(b),
             (Value::Int(a), Value::Int(b)) => a.cmp(b),
             (Value::Real(a), Value::Real(b)) => a.0.total_cmp(&b.0),
-            (Value::Int(a), Value::Real(b)) => against(*a, b.0),
-            (Value::Real(a), Value::Int(b)) => against(*b, a.0).reverse(),
+            (Value::Int(a), Value::Real(b)) => cmp_int_real(*a, b.0),
+            (Value::Real(a), Value::Int(b)) => cmp_int_real(*b, a.0).reverse(),
             (Value::Text(a), Value::Text(b)) => a.cmp(b),
             (Value::Bytes(a), Value::Bytes(b)) => a.cmp(b),
             _ => self.rank().cmp(&other.rank()),
@@ -118,30 +119,31 @@
     }
 }
 
-/// An integer against a number with a fraction, exactly: a conversion to 53 bits would call different integers equal to the
-/// same number, and the order would have circles. Of equal ones the integer is first.
-fn against(int: i128, real: f64) -> Ordering {
-    // Beyond 2^126 no integer of ours lies, and below it the whole part fits in 128 bits.
-    const EDGE: f64 = (1_u128 << 126) as f64;
-    if real >= EDGE {
+/// Compares an integer with a floating-point number exactly. A conversion of the integer to 53 bits would make
+/// different integers equal to the same number, and the order would not be transitive. Of equal numbers the integer
+/// sorts first.
+fn cmp_int_real(int: i128, real: f64) -> Ordering {
+    // No integer of a row reaches 2^126, and below it the integral part of the number fits in 128 bits.
+    const REAL_LIMIT: f64 = (1_u128 << 126) as f64;
+    if real >= REAL_LIMIT {
         return Ordering::Less;
     }
-    if real <= -EDGE {
+    if real <= -REAL_LIMIT {
         return Ordering::Greater;
     }
-    let whole = real.floor();
-    int.cmp(&(whole as i128)).then(Ordering::Less)
+    let integral = real.floor();
+    int.cmp(&(integral as i128)).then(Ordering::Less)
 }
 
 impl fmt::Display for Value {
-    fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Value::Absent => to.write_str("-"),
-            Value::Bool(yes) => write!(to, "{yes}"),
-            Value::Int(n) => write!(to, "{n}"),
-            Value::Real(real) => write!(to, "{}", real.0),
-            Value::Text(text) => to.write_str(text),
-            Value::Bytes(bytes) => bytes.iter().try_for_each(|b| write!(to, "{b:02x}")),
+            Value::Absent => formatter.write_str("-"),
+            Value::Bool(value) => write!(formatter, "{value}"),
+            Value::Int(int) => write!(formatter, "{int}"),
+            Value::Real(real) => write!(formatter, "{}", real.0),
+            Value::Text(text) => formatter.write_str(text),
+            Value::Bytes(bytes) => bytes.iter().try_for_each(|b| write!(formatter, "{b:02x}")),
         }
     }
 }
--- a/gather/src/value/tests.rs
+++ b/gather/src/value/tests.rs
@@ -1,27 +1,27 @@
-//! Unit tests of `value`.
+//! Unit tests of the order of values.
 
 use super::*;
 
 #[test]
-fn every_two_values_are_ordered_and_no_three_make_a_circle() {
+fn values_have_a_total_order() {
     let real = |f| Value::Real(Real::new(f).expect("a number"));
-    let big = 1_i128 << 53;
+    let beyond_53_bits = 1_i128 << 53;
     let ordered = [
         Value::Absent,
         Value::Bool(false),
         Value::Bool(true),
         real(f64::NEG_INFINITY),
-        Value::Int(-INT_MOST),
+        Value::Int(-MAX_INT_MAGNITUDE),
         real(-1.5),
         Value::Int(-1),
         Value::Int(0),
         real(-0.0),
         real(0.5),
         Value::Int(1),
-        Value::Int(big),
-        real(big as f64),
-        Value::Int(big + 1),
-        Value::Int(INT_MOST),
+        Value::Int(beyond_53_bits),
+        real(beyond_53_bits as f64),
+        Value::Int(beyond_53_bits + 1),
+        Value::Int(MAX_INT_MAGNITUDE),
         real(f64::INFINITY),
         "".into(),
         "a".into(),
--- a/gather/tests/hostile.rs
+++ b/gather/tests/invalid_input.rs
@@ -1,37 +1,38 @@
-//! Parts that are wrong, too large, late or twice: a typed error or a bounded answer, and each guard seen to matter.
+//! Invalid, oversized, late and duplicate partial results lead to a typed error or to an answer with bounds. For each
+//! guard, the tests show that they detect its absence.
 
 use plovercove_fencing::Token;
 use plovercove_gather::*;
 
-fn rules(without: Option<Guard>) -> Rules {
-    let sort = vec![Sort {
+fn rules(disabled_guard: Option<Guard>) -> Rules {
+    let sort = vec![SortKey {
         by: "n".into(),
-        down: true,
-        absent: Absent::Last,
+        descending: true,
+        absent: AbsentOrder::Last,
     }];
     let combine = vec![Combine {
         column: "n".into(),
-        by: By::Sum,
-        floor: false,
+        by: Aggregate::Sum,
+        non_negative: false,
     }];
     let unique = Some(Unique {
         key: vec!["key".into()],
-        keep: Keep::First,
+        keep: KeepRule::First,
         combine,
     });
     Rules {
         columns: vec!["key".into(), "n".into()],
         sort,
         unique,
-        without,
+        disabled_guard,
         ..Rules::default()
     }
 }
 
-fn source(name: &str, token: u64, life: u64) -> Source {
+fn source(name: &str, token: u64, incarnation: u64) -> Source {
     Source {
         name: name.into(),
-        life,
+        incarnation,
         token: Token(token),
     }
 }
@@ -41,7 +42,7 @@
         .iter()
         .map(|(k, n)| vec![Value::text(k), Value::from(*n)])
         .collect();
-    Partial::raw(source(name, 1, 1), 0, rows)
+    Partial::from_raw_rows(source(name, 1, 1), 0, rows)
 }
 
 fn gathering(rules: &Rules, names: &[&str]) -> Gathering {
@@ -49,18 +50,18 @@
     Gathering::new(rules.plan().expect("rules"), names, None).expect("few sources")
 }
 
-/// Puts all, takes no notice of errors, closes.
-fn close(rules: &Rules, names: &[&str], parts: Vec<Partial>) -> Result<Answer, Error> {
+/// Adds all partial results, ignores errors, and closes the gathering.
+fn gather_all(rules: &Rules, names: &[&str], parts: Vec<Partial>) -> Result<Answer, Error> {
     let mut all = gathering(rules, names);
     for part in parts {
-        let _ = all.put_whole(part);
+        let _ = all.put_partial(part);
     }
     all.close()
 }
 
-fn refused(answer: &Answer, name: &str) -> Option<Error> {
+fn rejection(answer: &Answer, name: &str) -> Option<Error> {
     match answer.missing.get(name) {
-        Some(Why::Refused(error)) => Some(error.clone()),
+        Some(MissingReason::Rejected(error)) => Some(error.clone()),
         _ => None,
     }
 }
@@ -73,41 +74,48 @@
         .collect()
 }
 
-fn unsorted(rules: &Rules) -> bool {
+fn rejects_unsorted_rows(rules: &Rules) -> bool {
     let part = Partial {
         sorted: true,
         ..raw("a", &[("x", 1), ("y", 2)])
     };
-    let answer = close(rules, &["a"], vec![part]).expect("small");
-    matches!(refused(&answer, "a"), Some(Error::Unsorted { row: 1, .. }))
+    let answer = gather_all(rules, &["a"], vec![part]).expect("small");
+    matches!(
+        rejection(&answer, "a"),
+        Some(Error::Unsorted { row: 1, .. })
+    )
 }
 
-fn colliding(rules: &Rules) -> bool {
+fn rejects_duplicate_keys(rules: &Rules) -> bool {
     let part = Partial {
         combined: true,
         ..raw("a", &[("x", 1), ("y", 2), ("x", 3)])
     };
-    let answer = close(rules, &["a"], vec![part]).expect("small");
-    matches!(refused(&answer, "a"), Some(Error::Colliding { .. }))
+    let answer = gather_all(rules, &["a"], vec![part]).expect("small");
+    matches!(rejection(&answer, "a"), Some(Error::Colliding { .. }))
 }
 
-fn newer(rules: &Rules) -> bool {
+fn uses_newer_partial(rules: &Rules) -> bool {
     let old = raw("a", &[("x", 1)]);
     let new = Partial {
         source: source("a", 2, 0),
         origins: vec![source("a", 2, 0)],
         ..raw("a", &[("x", 5)])
     };
-    let alike =
-        [vec![old.clone(), new.clone()], vec![new, old]].map(|parts| close(rules, &["a"], parts));
-    let [Ok(one), Ok(other)] = alike else {
+    let both_orders = [vec![old.clone(), new.clone()], vec![new, old]]
+        .map(|parts| gather_all(rules, &["a"], parts));
+    let [Ok(one), Ok(other)] = both_orders else {
         return false;
     };
-    let said = |a: &Answer| a.answered.iter().all(|a| a.again && a.changed);
-    one == other && numbers(&one) == [5] && said(&one)
+    let reports_change = |a: &Answer| {
+        a.answered
+            .iter()
+            .all(|a| a.answered_again && a.identity_changed)
+    };
+    one == other && numbers(&one) == [5] && reports_change(&one)
 }
 
-fn overlapping(rules: &Rules) -> bool {
+fn rejects_overlap(rules: &Rules) -> bool {
     let origins = |names: &[&str]| names.iter().map(|n| source(n, 1, 1)).collect::<Vec<_>>();
     let one = Partial {
         origins: origins(&["a", "b"]),
@@ -117,11 +125,11 @@
         origins: origins(&["b"]),
         ..raw("h", &[("x", 1)])
     };
-    let answer = close(rules, &["g", "h"], vec![two, one]).expect("small");
-    numbers(&answer) == [1] && matches!(refused(&answer, "h"), Some(Error::Overlaps { .. }))
+    let answer = gather_all(rules, &["g", "h"], vec![two, one]).expect("small");
+    numbers(&answer) == [1] && matches!(rejection(&answer, "h"), Some(Error::Overlaps { .. }))
 }
 
-fn contradicting(rules: &Rules) -> bool {
+fn rejects_contradicting_pieces(rules: &Rules) -> bool {
     let pieces = |n: i64| raw("a", &[("x", n)]).pieces(1_000).expect("small");
     let both = [
         [pieces(1), pieces(2)].concat(),
@@ -133,54 +141,63 @@
             let _ = all.put(piece);
         }
         matches!(
-            refused(&all.close().expect("small"), "a"),
+            rejection(&all.close().expect("small"), "a"),
             Some(Error::Contradicts { .. })
         )
     })
 }
 
-fn share(rules: &Rules) -> bool {
+fn rejects_oversized_partial(rules: &Rules) -> bool {
     let names: Vec<String> = (0..1_000).map(|i| format!("s{i:03}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     let rows: Vec<(String, i64)> = (0..20_000).map(|i| (format!("key {i}"), 1)).collect();
     let rows: Vec<(&str, i64)> = rows.iter().map(|(k, n)| (k.as_str(), *n)).collect();
-    let answer = close(rules, &names, vec![raw("s000", &rows)]).expect("small");
-    matches!(refused(&answer, "s000"), Some(Error::TooMuch { .. }))
+    let answer = gather_all(rules, &names, vec![raw("s000", &rows)]).expect("small");
+    matches!(rejection(&answer, "s000"), Some(Error::TooMuch { .. }))
 }
 
 #[test]
-fn each_guard_holds_and_is_missed_when_it_is_off() {
+fn each_guard_prevents_its_failure_and_its_absence_is_detected() {
     type Check = fn(&Rules) -> bool;
     let all: [(Guard, Check); 6] = [
-        (Guard::Sorted, unsorted),
-        (Guard::Collide, colliding),
-        (Guard::Newer, newer),
-        (Guard::Overlap, overlapping),
-        (Guard::Contradict, contradicting),
-        (Guard::Share, share),
+        (Guard::Sorted, rejects_unsorted_rows),
+        (Guard::Collide, rejects_duplicate_keys),
+        (Guard::Newer, uses_newer_partial),
+        (Guard::Overlap, rejects_overlap),
+        (Guard::Contradict, rejects_contradicting_pieces),
+        (Guard::Share, rejects_oversized_partial),
     ];
     for (guard, holds) in all {
         assert!(holds(&rules(None)), "{guard:?}");
-        assert!(!holds(&rules(Some(guard))), "{guard:?} is not missed");
+        assert!(
+            !holds(&rules(Some(guard))),
+            "{guard:?}: its absence is not detected"
+        );
     }
 }
 
 #[test]
-fn sums_fit_or_are_refused() {
+fn a_sum_fits_or_is_rejected() {
     let plan = rules(None).plan().expect("rules");
     let many = |n: i128, times: usize| vec![vec![Value::text("x"), Value::Int(n)]; times];
-    let sum =
-        Partial::of(&plan, source("a", 1, 1), 0, many(INT_MOST, 512), None).expect("2^109 fits");
-    assert_eq!(sum.rows[0].values[1], Value::Int(INT_MOST << 9));
-    let beyond = |part| gathering(&rules(None), &["a"]).put_whole(part);
+    let sum = Partial::build(
+        &plan,
+        source("a", 1, 1),
+        0,
+        many(MAX_INT_MAGNITUDE, 512),
+        None,
+    )
+    .expect("2^109 fits");
+    assert_eq!(sum.rows[0].values[1], Value::Int(MAX_INT_MAGNITUDE << 9));
+    let beyond = |part| gathering(&rules(None), &["a"]).put_partial(part);
     assert!(matches!(beyond(sum), Err(Error::Unfit { .. })));
-    let extreme = Partial::raw(source("a", 1, 1), 0, many(i128::MIN, 1));
+    let extreme = Partial::from_raw_rows(source("a", 1, 1), 0, many(i128::MIN, 1));
     assert!(matches!(beyond(extreme), Err(Error::Unfit { .. })));
 }
 
 #[test]
-fn not_a_number_and_senseless_bytes_are_malformed() {
-    let real = |bits: f64| postcard_like(bits);
+fn nan_and_corrupt_bytes_are_malformed() {
+    let real = |number: f64| put_real(number);
     assert!(real(1.5).is_ok() && real(f64::NAN).is_err());
     let piece = raw("a", &[("x", 1)])
         .pieces(1_000)
@@ -199,14 +216,14 @@
     }
 }
 
-/// A value with a fraction, as its bytes come.
-fn postcard_like(number: f64) -> Result<(), Error> {
+/// Adds a partial result with a floating-point value whose bytes in the encoded form are those of `number`.
+fn put_real(number: f64) -> Result<(), Error> {
     let rules = Rules {
         columns: vec!["r".into()],
         ..Rules::default()
     };
     let good = Value::Real(Real::new(1.25).expect("a number"));
-    let mut part = Partial::raw(source("a", 1, 1), 0, vec![vec![good]])
+    let mut part = Partial::from_raw_rows(source("a", 1, 1), 0, vec![vec![good]])
         .pieces(1_000)
         .expect("small");
     let (from, to) = (1.25_f64.to_le_bytes(), number.to_le_bytes());
@@ -221,7 +238,7 @@
 }
 
 #[test]
-fn rules_that_cannot_be_meant_name_their_key() {
+fn invalid_rules_are_rejected_with_the_name_of_their_key() {
     let key = |change: &dyn Fn(&mut Rules)| {
         let mut rules = rules(None);
         change(&mut rules);
@@ -233,10 +250,10 @@
     assert!(key(&|r| r.rows = Some(0)).starts_with("merge.rows:"));
     assert!(key(&|r| r.rows = Some(u64::MAX)).starts_with("merge.rows:"));
     assert!(key(&|r| r.offset = u64::MAX).starts_with("merge.offset:"));
-    assert!(key(&|r| (r.rows, r.offset) = (Some(MOST_ROWS), 1)).starts_with("merge.offset:"));
-    assert!(key(&|r| r.each = Some(0)).starts_with("merge.each:"));
+    assert!(key(&|r| (r.rows, r.offset) = (Some(MAX_ROWS), 1)).starts_with("merge.offset:"));
+    assert!(key(&|r| r.max_rows_per_source = Some(0)).starts_with("merge.each:"));
     assert!(key(&|r| r.bytes = Some(0)).starts_with("merge.bytes:"));
-    assert!(key(&|r| r.need = Need::Least(0)).starts_with("merge.need.least:"));
+    assert!(key(&|r| r.need = RequiredSources::Least(0)).starts_with("merge.need.least:"));
     assert!(key(&|r| r.columns.clear()).starts_with("merge.columns:"));
     assert!(key(&|r| r.columns[1] = "key".into()).starts_with("merge.columns.1:"));
     assert!(key(&|r| r.sort[0].by = "no".into()).starts_with("merge.sort.0.by:"));
@@ -248,13 +265,13 @@
         key(&|r| unique(r, &|u| u.combine[0].column = "key".into()))
             .starts_with("merge.unique.combine.0")
     );
-    let own = Keep::Freshest {
-        life: "n".into(),
+    let own = KeepRule::Freshest {
+        incarnation: "n".into(),
         position: "key".into(),
     };
     assert!(key(&|r| unique(r, &|u| u.keep = own.clone())).starts_with("merge.unique.keep"));
     assert_eq!(
-        key(&|r| (r.each, r.bytes) = (Some(u64::MAX), Some(u64::MAX))),
+        key(&|r| (r.max_rows_per_source, r.bytes) = (Some(u64::MAX), Some(u64::MAX))),
         "Ok(())"
     );
     let read = |text: &str| serde_json::from_str::<Rules>(text);
@@ -262,29 +279,36 @@
     let text = r#"{"columns":["a","n"],"sort":[{"by":"n","down":true,"absent":"first"}],"need":{"least":2},
         "unique":{"key":["a"],"keep":{"freshest":{"life":"n","position":"n"}}},"ties":"keep"}"#;
     assert!(read(text).is_ok_and(|r| r.check().is_ok()));
+    // The settings keep their outer names where a field has another name.
+    let text = r#"{"columns":["a","n"],"each":5,
+        "unique":{"key":["a"],"combine":[{"column":"n","by":"sum","floor":true}]}}"#;
+    assert!(read(text).is_ok_and(|r| {
+        let combine = &r.unique.as_ref().expect("set").combine[0];
+        r.check().is_ok() && r.max_rows_per_source == Some(5) && combine.non_negative
+    }));
 }
 
 #[test]
-fn missing_sources_are_named_with_the_reason() {
+fn missing_sources_are_listed_with_their_reason() {
     let all = Rules {
-        need: Need::All,
+        need: RequiredSources::All,
         ..rules(None)
     };
     let mut some = gathering(&all, &["a", "b", "c", "d"]);
-    some.put_whole(raw("a", &[("x", 1)])).expect("fits");
+    some.put_partial(raw("a", &[("x", 1)])).expect("fits");
     let long: Vec<(String, i64)> = (0..300).map(|i| (format!("{i:020}"), 1)).collect();
     let long: Vec<(&str, i64)> = long.iter().map(|(k, n)| (k.as_str(), *n)).collect();
     let pieces = raw("b", &long).pieces(1_000).expect("some pieces");
     assert!(pieces.len() > 2 && pieces.iter().all(|p| p.encode().len() <= 1_000));
-    assert_eq!(some.put(pieces[1].clone()), Ok(Put::More));
-    assert_eq!(some.put(pieces[1].clone()), Ok(Put::Again));
+    assert_eq!(some.put(pieces[1].clone()), Ok(PutOutcome::Incomplete));
+    assert_eq!(some.put(pieces[1].clone()), Ok(PutOutcome::Duplicate));
     assert!(matches!(
-        some.put_whole(raw("e", &[])),
+        some.put_partial(raw("e", &[])),
         Err(Error::Unexpected { .. })
     ));
-    let wide = Partial::raw(source("d", 1, 1), 0, vec![vec![Value::Absent]]);
+    let wide = Partial::from_raw_rows(source("d", 1, 1), 0, vec![vec![Value::Absent]]);
     assert!(matches!(
-        some.put_whole(wide),
+        some.put_partial(wide),
         Err(Error::Columns {
             got: 1,
             want: 2,
@@ -293,40 +317,53 @@
     ));
     assert!(!some.is_complete());
     let answer = some.close().expect("small");
-    let of = pieces.len() as u32;
-    assert_eq!(answer.missing["b"], Why::Incomplete { have: 1, of });
-    assert_eq!(answer.missing["c"], Why::Silent);
+    let expected = pieces.len() as u32;
+    assert_eq!(
+        answer.missing["b"],
+        MissingReason::Incomplete {
+            received: 1,
+            expected
+        }
+    );
+    assert_eq!(answer.missing["c"], MissingReason::NoAnswer);
     assert!(
-        refused(&answer, "d").is_some_and(|e| !e.help().is_empty() && e.source_name() == Some("d"))
+        rejection(&answer, "d")
+            .is_some_and(|e| !e.help().is_empty() && e.source_name() == Some("d"))
     );
-    assert!(!answer.enough && answer.rows.len() == 1 && !answer.is_whole());
-    // A higher merge hears of them too.
+    assert!(!answer.is_sufficient && answer.rows.len() == 1 && !answer.is_complete());
+    // The missing sources are also reported to a higher level.
     let part = answer
         .partial(source("g", 1, 1), 0)
         .expect("from the first row on");
-    let above = close(&all, &["g"], vec![part]).expect("small");
-    assert_eq!(above.missing["c"], Why::Below { by: "g".into() });
-    assert!(!above.enough);
+    let above = gather_all(&all, &["g"], vec![part]).expect("small");
+    assert_eq!(
+        above.missing["c"],
+        MissingReason::MissingBelow {
+            reported_by: "g".into()
+        }
+    );
+    assert!(!above.is_sufficient);
 }
 
 #[test]
-fn bytes_and_offset_cut_and_say_so() {
+fn rows_cut_by_bytes_and_offset_are_reported() {
     let one = |rules: &Rules| {
-        close(
+        gather_all(
             rules,
             &["a"],
             vec![raw("a", &[("x", 3), ("y", 2), ("z", 1)])],
         )
         .expect("small")
     };
-    // A row is a length, a kind, a length, a letter, a kind and a number of one byte each.
+    // An encoded row has six bytes: the number of values, and for each value a type byte, and the length and letter of
+    // the text or the integer.
     let cut = one(&Rules {
         bytes: Some(12),
         ..rules(None)
     });
-    assert_eq!((numbers(&cut), cut.tally.cut), (vec![3, 2], 1));
-    assert_eq!(cut.hidden, Some(vec![Value::from(1)]));
-    assert!(cut.rows.iter().all(|r| r.certain) && cut.next.is_some());
+    assert_eq!((numbers(&cut), cut.row_counts.cut), (vec![3, 2], 1));
+    assert_eq!(cut.hidden_prefix, Some(vec![Value::from(1)]));
+    assert!(cut.rows.iter().all(|r| r.certain) && cut.next_page.is_some());
     let later = one(&Rules {
         offset: 1,
         ..rules(None)
@@ -336,20 +373,20 @@
 }
 
 #[test]
-fn a_sum_over_cut_parts_has_its_bounds() {
+fn a_sum_over_truncated_partials_has_bounds() {
     let mut rules = rules(None);
-    rules.unique.as_mut().expect("set").combine[0].floor = true;
+    rules.unique.as_mut().expect("set").combine[0].non_negative = true;
     let plan = rules.plan().expect("rules");
     let cut = |name: &str, rows: &[(&str, i64)]| {
         let all = rows
             .iter()
             .map(|(k, n)| vec![Value::text(k), Value::from(*n)])
             .collect();
-        Partial::of(&plan, source(name, 1, 1), 0, all, Some(2)).expect("fits")
+        Partial::build(&plan, source(name, 1, 1), 0, all, Some(2)).expect("fits")
     };
     let a = cut("a", &[("x", 90), ("y", 50), ("z", 3), ("w", 2)]);
     let b = cut("b", &[("x", 80), ("z", 30), ("y", 4)]);
-    let answer = close(&rules, &["a", "b"], vec![a, b]).expect("small");
+    let answer = gather_all(&rules, &["a", "b"], vec![a, b]).expect("small");
     let range = |low: i64, high: i64| {
         vec![Range {
             low: Some(low.into()),
@@ -358,15 +395,15 @@
     };
     assert_eq!(numbers(&answer), [170, 50, 30]);
     assert!(answer.rows[0].certain && answer.rows[0].ranges.is_empty());
-    // b may hold up to 4 of y back, a up to 3 of z, both of them up to 7 of a key that nobody sent.
+    // Source b may withhold up to 4 of y, source a up to 3 of z, and both together up to 7 of a key that neither sent.
     assert_eq!(answer.rows[1].ranges, range(50, 54));
     assert_eq!(answer.rows[2].ranges, range(30, 33));
-    assert_eq!(answer.hidden, Some(vec![Value::from(7)]));
-    assert!(answer.rows.iter().all(|r| r.certain) && !answer.is_whole());
+    assert_eq!(answer.hidden_prefix, Some(vec![Value::from(7)]));
+    assert!(answer.rows.iter().all(|r| r.certain) && !answer.is_complete());
 }
 
 #[test]
-fn ten_million_rows_are_streamed_in_the_memory_of_their_sources() {
+fn ten_million_rows_are_merged_as_streams() {
     let rules = Rules {
         unique: None,
         rows: Some(10),
@@ -374,30 +411,31 @@
     };
     let plan = rules.plan().expect("rules");
     let stream = |s: i128| {
-        (0..100_000_i128).map(move |n| Row::plain(vec![Value::Absent, Value::Int(-n * 100 - s)]))
+        (0..100_000_i128)
+            .map(move |n| Row::from_values(vec![Value::Absent, Value::Int(-n * 100 - s)]))
     };
     let input = |s: i128| Input {
         name: format!("{s}"),
         rows: stream(s),
         combined: false,
-        cut: None,
+        withheld_prefix: None,
     };
-    let mut streams = Streams::new(&plan, (0..100).map(input).collect());
+    let mut streams = StreamMerge::new(&plan, (0..100).map(input).collect());
     let mut expected = 0;
     for next in streams.by_ref() {
         let (_, row) = next.expect("in order");
         assert_eq!(row.values[1], Value::Int(-expected));
         expected += 1;
     }
-    assert_eq!((expected, streams.read()), (10_000_000, 10_000_000));
-    let wrong = [1, 2].map(|n| Row::plain(vec![Value::Absent, Value::Int(n)]));
+    assert_eq!((expected, streams.rows_read()), (10_000_000, 10_000_000));
+    let wrong = [1, 2].map(|n| Row::from_values(vec![Value::Absent, Value::Int(n)]));
     let input = Input {
         name: "w".into(),
         rows: wrong.into_iter(),
         combined: false,
-        cut: None,
+        withheld_prefix: None,
     };
-    let all: Vec<_> = Streams::new(&plan, vec![input]).collect();
+    let all: Vec<_> = StreamMerge::new(&plan, vec![input]).collect();
     assert!(matches!(
         all.as_slice(),
         [Ok(_), Err(Error::Unsorted { row: 1, .. })]
@@ -405,7 +443,7 @@
 }
 
 #[test]
-fn questions_have_rules_that_hold_and_fit_in_a_part() {
+fn queries_have_valid_rules_and_fit_in_a_part() {
     let group = || "g".repeat(128);
     let topics = [
         Topic::NodesByFailures,
@@ -415,13 +453,13 @@
         Topic::HeaviestTenants,
     ];
     for topic in topics {
-        let ask = |rows, left_ms| {
+        let ask = |rows, remaining_ms| {
             let topic = topic.clone();
             Question {
                 id: u64::MAX,
-                asker: group(),
-                life: u64::MAX,
-                left_ms,
+                requester: group(),
+                incarnation: u64::MAX,
+                remaining_ms,
                 topic,
                 rows,
                 after: None,
@@ -433,13 +471,13 @@
                 .is_ok_and(|r| r.check().is_ok() && r.lower().check().is_ok())
         );
         assert!(ask(Some(0), 500).rules().is_err() && ask(None, u32::MAX).rules().is_err());
-        let sent = Message::Ask(ask(Some(7), 500));
+        let sent = Message::Query(ask(Some(7), 500));
         assert!(sent.encode().len() < 1_000);
         assert_eq!(Message::decode(&sent.encode()), Ok(sent));
         assert_eq!(
             (
-                ask(None, 500).left_after(499),
-                ask(None, 500).left_after(500)
+                ask(None, 500).remaining_after(499),
+                ask(None, 500).remaining_after(500)
             ),
             (Some(1), None)
         );
