--- a/history/src/error.rs
+++ b/history/src/error.rs
@@ -1,66 +1,66 @@
-//! What can go wrong with the files of a history.
+//! Errors of reading and writing the files of a history.
 
 use std::path::PathBuf;
 
-/// A history cannot be written or read.
+/// Why a history cannot be written or read.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The system refused.
+    /// The operating system reported an error.
     #[error("{path}: {source}", path = path.display())]
     File {
-        /// The file or folder.
+        /// Path of the file or folder.
         path: PathBuf,
-        /// Why.
+        /// The cause.
         source: std::io::Error,
     },
-    /// A line is none of a history.
+    /// A line is not valid in a history.
     #[error("{path}, line {line}: {source}", path = path.display())]
     Line {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The line, from 1.
+        /// Number of the line, from 1.
         line: usize,
-        /// Why.
+        /// The cause.
         source: serde_json::Error,
     },
-    /// A line is longer than any that is written.
+    /// A line exceeds the maximum length.
     #[error("{path}, line {line}: longer than {most} bytes", path = path.display())]
     Long {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The line, from 1.
+        /// Number of the line, from 1.
         line: usize,
-        /// What is allowed.
+        /// The maximum length (bytes).
         most: usize,
     },
-    /// It was written by another version.
+    /// The file has another version of the format.
     #[error("{path}: form {told} of a history, and this reads form {known}", path = path.display())]
     Form {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What the file says.
+        /// The version in the file.
         told: u32,
-        /// What is read here.
+        /// The version that this program reads.
         known: u32,
     },
-    /// Two files of a folder are of one process.
+    /// Two files have the same process name.
     #[error("{path}: there is another file of the process {process:?}", path = path.display())]
     Twice {
-        /// The second of them.
+        /// Path of the second file.
         path: PathBuf,
-        /// The process.
+        /// Name of the process.
         process: String,
     },
-    /// There is nothing to judge.
+    /// A folder has no file of a history.
     #[error("{path}: no file of a history (*.jsonl) is here", path = path.display())]
     Nothing {
-        /// The folder.
+        /// Path of the folder.
         path: PathBuf,
     },
 }
 
 impl Error {
-    /// What an operator can do.
+    /// Returns what an operator can do about the error.
     pub fn help(&self) -> &'static str {
         match self {
             Error::File { .. } => {
--- a/history/src/event.rs
+++ b/history/src/event.rs
@@ -1,4 +1,4 @@
-//! What is recorded, by whom. `docs/history.md` has the same as a table.
+//! The events that processes record in a history. `docs/history.md` lists them as a table.
 
 use plovercove_fencing::{LeaseName, Token};
 use serde::{Deserialize, Serialize};
@@ -7,445 +7,496 @@
 /// Microseconds on the machine's monotonic clock.
 pub type Time = u64;
 
-/// Who writes a file.
+/// The kind of process that writes a file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Kind {
-    /// Something that routers act upon: db nodes, agents.
-    Standin,
-    /// Who asks routers.
+pub enum ProcessKind {
+    /// An emulated database node or agent, which routers act upon.
+    #[serde(rename = "standin")]
+    Emulator,
+    /// A client that sends requests to routers.
     Client,
-    /// Who subscribes to news.
+    /// A client that subscribes to topics.
     Listener,
-    /// What stands between routers.
-    Links,
-    /// The rig that plays the trial.
-    Rig,
-    /// The log of a router under test: each of its lines is a claim.
+    /// The emulated network between routers.
+    #[serde(rename = "links")]
+    Network,
+    /// The process that runs the experiment.
+    #[serde(rename = "rig")]
+    Harness,
+    /// The log of a router under test. Each of its lines is a claim.
     Router,
 }
 
 /// The first line of each file.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Head {
-    /// The form of the file.
-    pub history: u32,
-    /// The process, by a name that no other of the trial has.
+pub struct FileHeader {
+    /// Version of the file format.
+    #[serde(rename = "history")]
+    pub format_version: u32,
+    /// Name of the process, unique within the run.
     pub process: String,
-    /// What it is.
-    pub kind: Kind,
+    /// Kind of the process.
+    pub kind: ProcessKind,
 }
 
-/// Each further line.
+/// A line after the header: one event.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Line {
-    /// When it happened.
-    pub at: Time,
-    /// Whether it is what the router under test says, and not what was seen of it.
+    /// Time of the event.
+    #[serde(rename = "at")]
+    pub time: Time,
+    /// Whether the event is a statement of the router under test, and not an observation from outside.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub claim: bool,
-    /// What happened.
-    pub what: Event,
+    /// The event.
+    #[serde(rename = "what")]
+    pub event: Event,
 }
 
 /// What happened.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Event {
-    /// A client asked.
-    Asked(Asked),
-    /// A client has an answer, or none by its patience.
-    Answered(Answered),
+    /// A client sent a request.
+    #[serde(rename = "asked")]
+    RequestSent(RequestSent),
+    /// A client received an answer, or stopped waiting for it.
+    #[serde(rename = "answered")]
+    RequestEnded(RequestEnded),
     /// A node ran a statement.
-    Ran(Ran),
-    /// An owner's effect was let pass by whom it affected.
-    Acted(Acted),
-    /// An owner's effect was refused by whom it affected.
-    Refused(Refused),
-    /// A listener asked for a topic, or for the same from another zone.
+    #[serde(rename = "ran")]
+    StatementRan(StatementRan),
+    /// The target of a lease holder's effect accepted it.
+    #[serde(rename = "acted")]
+    EffectApplied(EffectApplied),
+    /// The target of a lease holder's effect rejected it.
+    #[serde(rename = "refused")]
+    EffectRejected(EffectRejected),
+    /// A listener subscribed to a topic, or moved its subscription to another zone.
     Subscribed(Subscription),
-    /// A listener asked to hear no more of a topic.
-    Left(Subscription),
-    /// A listener was ended without a word.
-    Gone(Gone),
-    /// The list as a gateway holds it.
-    Listed(Listed),
-    /// The owner of a topic's duty told this news first.
+    /// A listener ended its subscription of a topic.
+    #[serde(rename = "left")]
+    Unsubscribed(Subscription),
+    /// A listener was killed, without ending its subscriptions.
+    #[serde(rename = "gone")]
+    ListenerKilled(ListenerKilled),
+    /// The subscription list of a gateway.
+    #[serde(rename = "listed")]
+    GatewayList(GatewayList),
+    /// The holder of a topic's lease published an event of the topic.
     Published(Published),
-    /// News reached a listener's socket.
-    Came(Came),
-    /// A listener's client handed news on.
-    Told(Told),
-    /// A listener's client said that something was missed.
-    Missed(Missed),
+    /// An event of a topic arrived at a listener's socket.
+    #[serde(rename = "came")]
+    Received(Received),
+    /// A listener's client library passed an event of a topic to the application.
+    #[serde(rename = "told")]
+    Notified(Notified),
+    /// A listener's client library reported that it missed events.
+    #[serde(rename = "missed")]
+    EventsMissed(EventsMissed),
     /// All rows that a source has for a question.
-    Held(Held),
-    /// What a source sent.
-    Sent(Sent),
-    /// The answer that was made of it.
-    Merged(Merged),
-    /// What the rig did.
+    #[serde(rename = "held")]
+    SourceRows(SourceRows),
+    /// The partial result that a source sent.
+    #[serde(rename = "sent")]
+    PartialSent(PartialSent),
+    /// The answer that was merged from the partial results.
+    #[serde(rename = "merged")]
+    AnswerMerged(AnswerMerged),
+    /// A fault that the harness injected.
     Fault(Fault),
-    /// What the settings of this trial allow.
+    /// The bounds that follow from the settings of the run.
     Bounds(Bounds),
     /// A line of a router's log.
-    Said(serde_json::Map<String, serde_json::Value>),
+    #[serde(rename = "said")]
+    RouterLog(serde_json::Map<String, serde_json::Value>),
 }
 
-/// A request, at its beginning.
+/// The start of a request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Asked {
-    /// The request.
+pub struct RequestSent {
+    /// Id of the request.
     pub id: String,
-    /// Whose writes it must see.
+    /// Session of the request, which has to see the session's own writes.
     pub session: String,
-    /// The router that was asked.
-    pub of: String,
-    /// The group of nodes that it is for.
+    /// Name of the router that received the request.
+    #[serde(rename = "of")]
+    pub router: String,
+    /// Group of nodes that the request is for.
     pub group: u64,
-    /// Whether it is a write (`book-seat`).
+    /// Whether the request is a write (`book-seat`).
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub write: bool,
-    /// How stale a read may be (us); none: as stale as it likes.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub stale: Option<Time>,
+    /// Maximum staleness of a read (us); `None` allows any staleness.
+    #[serde(default, rename = "stale", skip_serializing_if = "Option::is_none")]
+    pub max_staleness: Option<Time>,
 }
 
-/// How a request ended for who asked.
+/// How a request ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Fate {
-    /// With its value.
+pub enum Outcome {
+    /// The client received the value of the request.
     Served,
-    /// Refused: it did not run, trying again is harmless.
-    Refused,
-    /// With an error, or the connection ended: it may have run.
+    /// The request was rejected: it did not run, and a retry is safe.
+    #[serde(rename = "refused")]
+    Rejected,
+    /// The client received an error or the connection ended: the request may have run.
     Failed,
-    /// Not at all, by its patience and a little more.
+    /// The client received nothing until a short while after its timeout.
     Unanswered,
-    /// With the value of another request.
-    Foreign,
+    /// The client received the value of another request.
+    #[serde(rename = "foreign")]
+    WrongValue,
 }
 
 /// The end of a request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Answered {
-    /// The request.
+pub struct RequestEnded {
+    /// Id of the request.
     pub id: String,
-    /// How it ended.
-    pub fate: Fate,
+    /// How the request ended.
+    #[serde(rename = "fate")]
+    pub outcome: Outcome,
 }
 
-/// A statement that ran.
+/// A statement that a node ran.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Ran {
-    /// The request.
+pub struct StatementRan {
+    /// Id of the request.
     pub id: String,
-    /// The node.
+    /// Name of the node.
     pub node: String,
-    /// Its group.
+    /// Group of the node.
     pub group: u64,
-    /// Whether it wrote.
+    /// Whether the statement is a write.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub write: bool,
-    /// The position that a write was given, or up to which a read saw writes; it rises within a group.
+    /// Log position of a write, or the position up to which a read saw writes. Positions rise within a group.
     pub position: u64,
 }
 
-/// An effect of a duty's owner on something outside of it.
+/// An effect of a lease holder on a process outside of it, which the process accepted.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Acted {
-    /// The duty.
-    pub duty: LeaseName,
-    /// The token that it carried; 0 where the affected is told none (a probe at a db node) and the rig knows none.
+pub struct EffectApplied {
+    /// Name of the lease.
+    #[serde(rename = "duty")]
+    pub lease: LeaseName,
+    /// Fencing token of the effect. It is 0 if the effect carries no token (a probe at a database node) and the harness
+    /// does not know the token either.
     pub token: Token,
-    /// The process that acted, by name and life: `n4/1` is the second life of n4.
-    pub owner: String,
-    /// Who was affected.
-    pub place: String,
-    /// When it reached whom it affected.
+    /// The lease holder, as name and incarnation of the process: `n4/1` is the second incarnation of n4.
+    #[serde(rename = "owner")]
+    pub holder: String,
+    /// The process that the effect acted upon.
+    #[serde(rename = "place")]
+    pub target: String,
+    /// Time at which the effect reached the target.
     pub begin: Time,
-    /// When it was done with.
+    /// Time at which the target had completed the effect.
     pub end: Time,
-    /// Whether the affected looks at tokens.
+    /// Whether the target checks fencing tokens.
     pub fenced: bool,
 }
 
-/// An effect that was refused.
+/// An effect of a lease holder that its target rejected.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Refused {
-    /// The duty.
-    pub duty: LeaseName,
-    /// The token that it carried.
+pub struct EffectRejected {
+    /// Name of the lease.
+    #[serde(rename = "duty")]
+    pub lease: LeaseName,
+    /// Fencing token of the effect.
     pub token: Token,
-    /// The process that wanted to act.
-    pub owner: String,
-    /// Who was to be affected.
-    pub place: String,
-    /// The newest that the affected had seen.
-    pub known: Token,
+    /// The process that tried to act.
+    #[serde(rename = "owner")]
+    pub holder: String,
+    /// The process that the effect was meant to act upon.
+    #[serde(rename = "place")]
+    pub target: String,
+    /// The newest token that the target had seen.
+    #[serde(rename = "known")]
+    pub newest_known_token: Token,
 }
 
-/// A listener's wish.
+/// A change of a listener's subscription.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Subscription {
-    /// Who.
+    /// Name of the subscriber.
     pub subscriber: String,
-    /// Its life: a restart has a higher one.
-    pub life: u64,
-    /// The subscriber's own counter, over all its topics.
+    /// Incarnation of the subscriber; a restart raises it.
+    #[serde(rename = "life")]
+    pub incarnation: u64,
+    /// Number of the change, which the subscriber counts over all its topics.
     pub counter: u64,
-    /// What it wants to hear of.
+    /// The topic.
     pub topic: String,
-    /// From the gateway of this zone.
+    /// Zone of the gateway that serves the subscription.
     pub zone: String,
 }
 
-/// A listener that ended without leaving.
+/// The end of a listener that did not end its subscriptions.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Gone {
-    /// Who.
+pub struct ListenerKilled {
+    /// Name of the subscriber.
     pub subscriber: String,
-    /// Which life of it.
-    pub life: u64,
+    /// Incarnation of the subscriber.
+    #[serde(rename = "life")]
+    pub incarnation: u64,
 }
 
-/// An entry of a list.
+/// An entry of a gateway's subscription list.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Entry {
-    /// Who.
+pub struct ListEntry {
+    /// Name of the subscriber.
     pub subscriber: String,
-    /// What of.
+    /// The topic.
     pub topic: String,
-    /// Its life.
-    pub life: u64,
-    /// From which zone's gateway.
+    /// Incarnation of the subscriber.
+    #[serde(rename = "life")]
+    pub incarnation: u64,
+    /// Zone of the gateway that serves the subscription.
     pub zone: String,
 }
 
-/// A gateway's list.
+/// The subscription list of a gateway.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Listed {
-    /// The gateway.
+pub struct GatewayList {
+    /// Name of the gateway.
     pub gateway: String,
-    /// All that it holds.
-    pub entries: Vec<Entry>,
+    /// All entries of its list.
+    pub entries: Vec<ListEntry>,
 }
 
-/// News at its origin.
+/// An event of a topic at its publisher.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Published {
-    /// What of.
+    /// The topic.
     pub topic: String,
-    /// The owner's token.
+    /// Fencing token of the publisher.
     pub token: Token,
-    /// Its number within the token, from 1.
+    /// Number of the event under this token, from 1.
     pub number: u64,
 }
 
-/// News at a listener's socket.
+/// An event of a topic at a listener's socket.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Came {
-    /// Whose socket.
+pub struct Received {
+    /// Name of the subscriber.
     pub subscriber: String,
-    /// From which gateway.
+    /// Name of the gateway that sent it.
     pub gateway: String,
-    /// What of.
+    /// The topic.
     pub topic: String,
-    /// The owner's token.
+    /// Fencing token of the publisher.
     pub token: Token,
-    /// Its number.
+    /// Number of the event under this token.
     pub number: u64,
 }
 
-/// News as a listener's client hands it on.
+/// An event of a topic that a listener's client library passed to the application.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Told {
-    /// To whom.
+pub struct Notified {
+    /// Name of the subscriber.
     pub subscriber: String,
-    /// Which life of it.
-    pub life: u64,
-    /// What of.
+    /// Incarnation of the subscriber.
+    #[serde(rename = "life")]
+    pub incarnation: u64,
+    /// The topic.
     pub topic: String,
-    /// The owner's token.
+    /// Fencing token of the publisher.
     pub token: Token,
-    /// Its number.
+    /// Number of the event under this token.
     pub number: u64,
-    /// How many older ones it stands for: positions collapse to the newest.
+    /// Number of older events that this one replaces: of events with positions only the newest is sent.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub collapsed: u64,
 }
 
-fn is_zero(n: &u64) -> bool {
-    *n == 0
+fn is_zero(number: &u64) -> bool {
+    *number == 0
 }
 
-/// A listener was told that it must ask anew.
+/// A notification of a listener that it missed events and has to query the current state.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Missed {
-    /// Who.
+pub struct EventsMissed {
+    /// Name of the subscriber.
     pub subscriber: String,
-    /// Which life of it.
-    pub life: u64,
-    /// What of.
+    /// Incarnation of the subscriber.
+    #[serde(rename = "life")]
+    pub incarnation: u64,
+    /// The topic.
     pub topic: String,
 }
 
-/// A row, by column. Only null, booleans, numbers and text.
+/// A row, by name of column. Values are null, booleans, numbers or text.
 pub type Row = BTreeMap<String, serde_json::Value>;
 
-/// A source's rows.
+/// All rows of a source for a question.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Held {
-    /// The question.
+pub struct SourceRows {
+    /// Id of the question.
     pub question: String,
-    /// The source.
+    /// Name of the source.
     pub source: String,
-    /// All that it has.
+    /// All its rows.
     pub rows: Vec<Row>,
 }
 
-/// A partial result.
+/// A partial result that a source sent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Sent {
-    /// The question.
+pub struct PartialSent {
+    /// Id of the question.
     pub question: String,
-    /// The source.
+    /// Name of the source.
     pub source: String,
-    /// What it sent of its rows.
+    /// The rows that it sent.
     pub rows: Vec<Row>,
 }
 
-/// One key of an order.
+/// One column to sort by.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SortKey {
-    /// The column.
+    /// Name of the column.
     pub column: String,
-    /// The greatest first.
-    #[serde(default)]
-    pub down: bool,
-    /// Rows without the column come first.
+    /// Whether the greatest value comes first.
+    #[serde(default, rename = "down")]
+    pub descending: bool,
+    /// Whether rows without the column come first.
     #[serde(default)]
     pub absent_first: bool,
 }
 
-/// Which of several rows with one key stays.
+/// Which of several rows with one key is kept.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Keep {
-    /// The first by order.
+pub enum KeepRule {
+    /// The first row in sort order.
     #[default]
     First,
-    /// The one with the greatest value of this column (position, token).
+    /// The row with the greatest value of this column (a position or a token).
     Highest(String),
-    /// The one with the least.
+    /// The row with the least value of this column.
     Lowest(String),
-    /// The first, with the sum of all in this column.
+    /// The first row, with the sum over all rows in this column.
     Sum(String),
-    /// The first, with the number of rows in this column.
+    /// The first row, with the number of rows in this column.
     Count(String),
 }
 
-/// The rules of a merge, as the checker plays them.
+/// The rules of a merge, as the checker applies them.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Plain {
-    /// The order; the source is the last resort.
+pub struct MergeRules {
+    /// Columns to sort by. Rows that are equal in them are ordered by their source.
     pub sort: Vec<SortKey>,
-    /// Rows that are alike in these columns are one; none: all rows stay.
+    /// Columns of the key. Rows with equal keys are reduced to one row; if there are no columns, all rows are kept.
     pub key: Vec<String>,
-    /// Which of them stays.
-    pub keep: Keep,
-    /// So many rows are passed over.
+    /// Which row of a key is kept.
+    pub keep: KeepRule,
+    /// Number of rows to skip.
     pub offset: usize,
-    /// So many are told at the most.
+    /// Maximum number of rows.
     pub limit: Option<usize>,
 }
 
-/// A row of an answer.
+/// A row of a merged answer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct MergedRow {
     /// The row.
     pub row: Row,
-    /// Whether the answer says that it certainly belongs where it stands.
+    /// Whether the answer states that the position of the row is certain.
     #[serde(default)]
     pub certain: bool,
-    /// The least that a sum can be, where the answer says so.
+    /// Lower bound of a sum, if the answer states one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub low: Option<f64>,
-    /// The most.
+    /// Upper bound of a sum, if the answer states one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub high: Option<f64>,
 }
 
-/// An answer made of several sources.
+/// An answer merged from the partial results of several sources.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Merged {
-    /// The question.
+pub struct AnswerMerged {
+    /// Id of the question.
     pub question: String,
-    /// By which rules.
-    pub rules: Plain,
-    /// Sources that were asked.
+    /// Rules of the merge.
+    pub rules: MergeRules,
+    /// Names of the sources that were queried.
     pub expected: Vec<String>,
-    /// Those whose rows are in it.
-    pub from: Vec<String>,
-    /// Those that it says are missing.
+    /// Names of the sources whose rows the answer includes.
+    #[serde(rename = "from")]
+    pub included: Vec<String>,
+    /// Names of the sources that the answer reports as missing.
     pub missing: Vec<String>,
-    /// Its rows.
+    /// The rows of the answer.
     pub rows: Vec<MergedRow>,
-    /// No row that those sources held back comes before this one; none: it says that they held nothing back.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub unseen: Option<Row>,
+    /// No row that the included sources withheld sorts before this one. `None`: the answer states that they withheld no
+    /// rows.
+    #[serde(default, rename = "unseen", skip_serializing_if = "Option::is_none")]
+    pub withheld_bound: Option<Row>,
 }
 
-/// Something that the rig did.
+/// A fault that the harness injected.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// What.
-    pub what: String,
-    /// To whom.
-    pub whom: Vec<String>,
-    /// Whether it strikes processes: who asks one may be left without an answer.
-    pub blow: bool,
-    /// From when.
+    /// Name of the fault.
+    #[serde(rename = "what")]
+    pub name: String,
+    /// Names of the affected processes.
+    #[serde(rename = "whom")]
+    pub processes: Vec<String>,
+    /// Whether the fault affects the processes themselves, so that their clients may receive no answer.
+    #[serde(rename = "blow")]
+    pub hits_processes: bool,
+    /// Time at which the fault began.
     pub begin: Time,
-    /// Until when.
+    /// Time at which the fault ended.
     pub end: Time,
 }
 
-/// What the settings of a trial allow (us). The formulas stand in the pages of the parts; the rig records what comes out.
+/// The bounds that follow from the settings of a run (us). The documentation of each part has the formulas; the harness
+/// records the results.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Bounds {
-    /// Effects of two owners overlap at the most so long, where nobody looks at tokens.
-    pub overlap: Time,
-    /// After the last fault and the last change of subscriptions lists are equal.
-    pub heal: Time,
-    /// A subscription ends so long after its last renewal.
-    pub expire: Time,
-    /// After that a listener has news, or was told that it missed some.
-    pub tell: Time,
-    /// Who asks a process that was struck may be left without an answer until so long afterwards.
-    pub recover: Time,
+    /// Maximum time for which effects of two lease holders overlap on targets that do not check fencing tokens.
+    #[serde(rename = "overlap")]
+    pub max_overlap: Time,
+    /// Maximum time after the last fault and the last change of a subscription until the lists of all gateways are
+    /// equal.
+    #[serde(rename = "heal")]
+    pub max_heal_time: Time,
+    /// Time after its last renewal at which a subscription expires.
+    #[serde(rename = "expire")]
+    pub subscription_age: Time,
+    /// Maximum time after [`Bounds::max_heal_time`] is over, or after a later publication or subscription, until a
+    /// listener has received the newest event of a topic or the notification that it missed events.
+    #[serde(rename = "tell")]
+    pub max_notify_time: Time,
+    /// Time after a fault for which clients of an affected process may receive no answer.
+    #[serde(rename = "recover")]
+    pub max_recovery_time: Time,
 }
--- a/history/src/file.rs
+++ b/history/src/file.rs
@@ -1,40 +1,40 @@
-//! Files of a history: written line by line, each in one call, so that a writer that is killed tears its last line at the
-//! most; read to the end.
+//! Files of a history. Each line is written in one call, so that a writer that is killed leaves at most its last line
+//! torn. A reader tolerates a torn last line.
 
-use crate::{Error, Event, Head, Kind, Line, Time};
+use crate::{Error, Event, FileHeader, Line, ProcessKind, Time};
 use std::collections::BTreeSet;
 use std::fs;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::path::{Path, PathBuf};
 use std::sync::{Mutex, PoisonError};
 
-/// The form of the files. Raised when an older reader would misunderstand them.
-const FORM: u32 = 1;
-/// No line is longer (bytes): a list of 10,000 subscriptions takes about 1 MB.
-const LONGEST: usize = 16 << 20;
-/// Files of a history end so.
-const ENDING: &str = "jsonl";
+/// Version of the file format. It is raised when an older reader would misread the files.
+const FORMAT_VERSION: u32 = 1;
+/// Maximum length of a line (bytes). A list of 10,000 subscriptions takes about 1 MB.
+const MAX_LINE_BYTES: usize = 16 << 20;
+/// File name extension of a history file.
+const FILE_EXTENSION: &str = "jsonl";
 
-/// The machine's monotonic clock, which all its processes share.
+/// Returns the time of the machine's monotonic clock, which all its processes share.
 pub fn now() -> Time {
-    let at = rustix::time::clock_gettime(rustix::time::ClockId::Monotonic);
-    at.tv_sec as Time * 1_000_000 + at.tv_nsec as Time / 1_000
+    let time = rustix::time::clock_gettime(rustix::time::ClockId::Monotonic);
+    time.tv_sec as Time * 1_000_000 + time.tv_nsec as Time / 1_000
 }
 
-/// Writes the file of one process; from as many threads as it has.
+/// Writes the file of one process. Several threads may use it.
 pub struct Writer {
     path: PathBuf,
     file: Mutex<fs::File>,
-    failed: Mutex<Option<Error>>,
+    first_error: Mutex<Option<Error>>,
 }
 
 impl Writer {
-    /// A new file in this folder.
+    /// Creates the file of a process in this folder.
     ///
     /// # Errors
-    /// It could not be made, or there is one of this process.
-    pub fn create(folder: &Path, process: &str, kind: Kind) -> Result<Self, Error> {
-        let path = folder.join(format!("{process}.{ENDING}"));
+    /// The file cannot be created, or the process has one already.
+    pub fn create(folder: &Path, process: &str, kind: ProcessKind) -> Result<Self, Error> {
+        let path = folder.join(format!("{process}.{FILE_EXTENSION}"));
         let file = fs::OpenOptions::new()
             .write(true)
             .create_new(true)
@@ -46,74 +46,76 @@
         let writer = Writer {
             path,
             file: Mutex::new(file),
-            failed: Mutex::default(),
+            first_error: Mutex::default(),
         };
-        writer.put(&Head {
-            history: FORM,
+        writer.write_json(&FileHeader {
+            format_version: FORMAT_VERSION,
             process: process.into(),
             kind,
         })?;
         Ok(writer)
     }
 
-    /// Records what happened now.
+    /// Records an event of this moment.
     ///
     /// # Errors
-    /// It could not be written.
-    pub fn write(&self, what: Event) -> Result<(), Error> {
-        self.line(&Line {
-            at: now(),
+    /// The line cannot be written.
+    pub fn write(&self, event: Event) -> Result<(), Error> {
+        self.write_line(&Line {
+            time: now(),
             claim: false,
-            what,
+            event,
         })
     }
 
-    /// Records what happened at this time.
+    /// Records an event of this time.
     ///
     /// # Errors
-    /// It could not be written.
-    pub fn at(&self, at: Time, what: Event) -> Result<(), Error> {
-        self.line(&Line {
-            at,
+    /// The line cannot be written.
+    pub fn write_at(&self, time: Time, event: Event) -> Result<(), Error> {
+        self.write_line(&Line {
+            time,
             claim: false,
-            what,
+            event,
         })
     }
 
-    /// Records what the router under test says.
+    /// Records a statement of the router under test.
     ///
     /// # Errors
-    /// It could not be written.
-    pub fn claim(&self, at: Time, what: Event) -> Result<(), Error> {
-        self.line(&Line {
-            at,
+    /// The line cannot be written.
+    pub fn write_claim(&self, time: Time, event: Event) -> Result<(), Error> {
+        self.write_line(&Line {
+            time,
             claim: true,
-            what,
+            event,
         })
     }
 
-    /// Records what happened now, for who can do nothing where that fails: the first failure is kept for its owner.
-    pub fn note(&self, what: Event) {
-        self.keep(self.write(what));
+    /// Records an event of this moment, for callers that cannot handle an error: the first error is stored for
+    /// [`Writer::take_error`].
+    pub fn record(&self, event: Event) {
+        self.store_error(self.write(event));
     }
 
-    /// The same for what the router under test said at this time.
-    pub fn note_claim(&self, at: Time, what: Event) {
-        self.keep(self.claim(at, what));
+    /// Records a statement of the router under test, with errors as in [`Writer::record`].
+    pub fn record_claim(&self, time: Time, event: Event) {
+        self.store_error(self.write_claim(time, event));
     }
 
-    fn keep(&self, came: Result<(), Error>) {
-        if let Err(why) = came {
-            self.failed
+    fn store_error(&self, result: Result<(), Error>) {
+        if let Err(error) = result {
+            self.first_error
                 .lock()
                 .unwrap_or_else(PoisonError::into_inner)
-                .get_or_insert(why);
+                .get_or_insert(error);
         }
     }
 
-    /// Why something that was noted is not in the file; none: all of it is.
-    pub fn failed(&self) -> Option<Error> {
-        self.failed
+    /// Returns and clears the first error of [`Writer::record`] and [`Writer::record_claim`]; `None` if all events are
+    /// in the file.
+    pub fn take_error(&self) -> Option<Error> {
+        self.first_error
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .take()
@@ -122,19 +124,19 @@
     /// Records a line.
     ///
     /// # Errors
-    /// It could not be written.
-    pub fn line(&self, line: &Line) -> Result<(), Error> {
-        self.put(line)
+    /// The line cannot be written.
+    pub fn write_line(&self, line: &Line) -> Result<(), Error> {
+        self.write_json(line)
     }
 
-    fn put(&self, what: &impl serde::Serialize) -> Result<(), Error> {
+    fn write_json(&self, value: &impl serde::Serialize) -> Result<(), Error> {
         let failed = |source: std::io::Error| Error::File {
             path: self.path.clone(),
             source,
         };
-        let mut bytes = serde_json::to_vec(what).map_err(|e| failed(e.into()))?;
+        let mut bytes = serde_json::to_vec(value).map_err(|e| failed(e.into()))?;
         bytes.push(b'\n');
-        // No buffer: what was recorded is in the system's hands when this process is killed.
+        // Without a buffer, recorded lines are not lost when this process is killed.
         self.file
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
@@ -143,108 +145,110 @@
     }
 }
 
-/// One process's file.
+/// The file of one process.
 #[derive(Clone, Debug)]
 pub struct File {
-    /// Where.
+    /// Path of the file.
     pub path: PathBuf,
-    /// Whose.
-    pub head: Head,
-    /// Its lines. The first is line 2 of the file.
+    /// Its first line.
+    pub header: FileHeader,
+    /// The lines after the header. The first of them is line 2 of the file.
     pub lines: Vec<Line>,
-    /// Whether its last line was torn, and is not in `lines`.
+    /// Whether the last line was torn; it is not in `lines`.
     pub torn: bool,
 }
 
 impl File {
-    /// Reads a file. None where its writer was ended before its first line.
+    /// Reads a file. Returns `None` if it has no complete line, because its writer was killed before.
     ///
     /// # Errors
-    /// It cannot be read, or a line before the last is none.
+    /// The file cannot be read, or a line before the last is invalid.
     pub fn read(path: &Path) -> Result<Option<Self>, Error> {
         let failed = |source| Error::File {
             path: path.into(),
             source,
         };
-        let mut from = BufReader::new(fs::File::open(path).map_err(failed)?);
-        let (mut head, mut lines, mut torn) = (None, Vec::new(), false);
+        let mut reader = BufReader::new(fs::File::open(path).map_err(failed)?);
+        let (mut header, mut lines, mut torn) = (None, Vec::new(), false);
         for line in 1.. {
             let mut bytes = Vec::new();
-            let most = LONGEST as u64 + 1;
-            from.by_ref()
-                .take(most)
+            let max_bytes = MAX_LINE_BYTES as u64 + 1;
+            reader
+                .by_ref()
+                .take(max_bytes)
                 .read_until(b'\n', &mut bytes)
                 .map_err(failed)?;
             if bytes.is_empty() {
                 break;
             }
-            let whole = bytes.last() == Some(&b'\n');
-            if !whole && bytes.len() > LONGEST {
+            let is_complete = bytes.last() == Some(&b'\n');
+            if !is_complete && bytes.len() > MAX_LINE_BYTES {
                 return Err(Error::Long {
                     path: path.into(),
                     line,
-                    most: LONGEST,
+                    most: MAX_LINE_BYTES,
                 });
             }
-            if !whole {
-                // What is written ends with its line's end: this one was cut off, even where it could be read.
+            if !is_complete {
+                // A line is written together with its line feed: without one it was cut off, even if it could be
+                // parsed.
                 torn = true;
                 break;
             }
-            let bad = |source| Error::Line {
+            let invalid = |source| Error::Line {
                 path: path.into(),
                 line,
                 source,
             };
-            match &head {
+            match &header {
                 None => {
-                    let read: Head = serde_json::from_slice(&bytes).map_err(bad)?;
-                    if read.history != FORM {
+                    let parsed: FileHeader = serde_json::from_slice(&bytes).map_err(invalid)?;
+                    if parsed.format_version != FORMAT_VERSION {
                         return Err(Error::Form {
                             path: path.into(),
-                            told: read.history,
-                            known: FORM,
+                            told: parsed.format_version,
+                            known: FORMAT_VERSION,
                         });
                     }
-                    head = Some(read);
+                    header = Some(parsed);
                 }
-                Some(_) => lines.push(serde_json::from_slice(&bytes).map_err(bad)?),
+                Some(_) => lines.push(serde_json::from_slice(&bytes).map_err(invalid)?),
             }
         }
-        Ok(head.map(|head| File {
+        Ok(header.map(|header| File {
             path: path.into(),
-            head,
+            header,
             lines,
             torn,
         }))
     }
 }
 
-/// All files of a trial.
+/// All files of a run.
 #[derive(Clone, Debug, Default)]
 pub struct History {
-    /// By the names of the files.
+    /// The files, in the order in which they were read; [`History::read`] sorts them by path.
     pub files: Vec<File>,
-    /// Files without a first line.
-    pub empty: Vec<PathBuf>,
+    /// Paths of files without a complete first line.
+    pub empty_files: Vec<PathBuf>,
 }
 
-/// An event with where it stands.
+/// A line with its location.
 #[derive(Clone, Copy, Debug)]
-pub struct Seen<'a> {
+pub struct LineRef<'a> {
     /// The file.
     pub file: &'a File,
-    /// The line in it, from 1.
-    pub number: usize,
+    /// Number of the line in the file, from 1.
+    pub line_number: usize,
     /// The line.
     pub line: &'a Line,
 }
 
 impl History {
-    /// Reads a folder.
+    /// Reads all files of a folder.
     ///
     /// # Errors
-    /// It cannot be read, holds no history, or a file is bad.
+    /// The folder cannot be read or has no history file, or a file is invalid.
     pub fn read(folder: &Path) -> Result<Self, Error> {
         let failed = |source| Error::File {
             path: folder.into(),
@@ -253,7 +257,7 @@
         let mut paths = Vec::new();
         for entry in fs::read_dir(folder).map_err(failed)? {
             let path = entry.map_err(failed)?.path();
-            if path.extension().is_some_and(|e| e == ENDING) {
+            if path.extension().is_some_and(|e| e == FILE_EXTENSION) {
                 paths.push(path);
             }
         }
@@ -263,23 +267,23 @@
             });
         }
         paths.sort();
-        Self::of(&paths)
+        Self::read_files(&paths)
     }
 
     /// Reads these files as one history.
     ///
     /// # Errors
-    /// A file is bad, or two are of one process.
-    pub fn of(paths: &[PathBuf]) -> Result<Self, Error> {
-        let (mut history, mut known) = (History::default(), BTreeSet::new());
+    /// A file is invalid, or two have the same process name.
+    pub fn read_files(paths: &[PathBuf]) -> Result<Self, Error> {
+        let (mut history, mut process_names) = (History::default(), BTreeSet::new());
         for path in paths {
             match File::read(path)? {
-                None => history.empty.push(path.clone()),
+                None => history.empty_files.push(path.clone()),
                 Some(file) => {
-                    if !known.insert(file.head.process.clone()) {
+                    if !process_names.insert(file.header.process.clone()) {
                         return Err(Error::Twice {
                             path: path.clone(),
-                            process: file.head.process,
+                            process: file.header.process,
                         });
                     }
                     history.files.push(file);
@@ -289,14 +293,17 @@
         Ok(history)
     }
 
-    /// All events, file by file.
-    pub fn seen(&self) -> impl Iterator<Item = Seen<'_>> {
+    /// Returns all lines after the headers, file by file.
+    pub fn lines(&self) -> impl Iterator<Item = LineRef<'_>> {
         self.files.iter().flat_map(|file| {
-            file.lines.iter().enumerate().map(move |(n, line)| Seen {
-                file,
-                number: n + 2,
-                line,
-            })
+            file.lines
+                .iter()
+                .enumerate()
+                .map(move |(index, line)| LineRef {
+                    file,
+                    line_number: index + 2,
+                    line,
+                })
         })
     }
 }
--- a/history/src/lib.rs
+++ b/history/src/lib.rs
@@ -1,27 +1,29 @@
-//! Histories of what many processes asked, answered and did, and checkers that judge them when all is over.
+//! Recorded histories of what many processes sent, received and did, and checkers that report violated rules after the
+//! run.
 //!
-//! Each process that sees something from outside (stand-ins, clients, listeners, links, the rig) writes one file of JSON
-//! lines. Nothing in it comes from the router under test, unless the line says that it is the router's claim. A history is
-//! a folder of such files; [`judge`] reads no clock and asks nobody.
+//! Each process that observes a router from outside (emulators, clients, listeners, the emulated network, the harness
+//! of the experiment) writes one file of JSON lines. A line with a statement of the router under test itself is marked
+//! as a claim. A history is a folder of such files. [`check_history`] reads no clock and contacts no process.
 //!
-//! All times are microseconds on the one monotonic clock of the machine that plays the trial, so that events of several
-//! processes can be put in the order in which they truly happened. Histories of several machines are not supported.
+//! All times are microseconds on the monotonic clock of the one machine that runs all processes, so that events of
+//! several processes can be put in the order in which they happened. Histories of several machines are not supported.
 
 mod error;
 mod event;
 mod file;
-mod gathered;
-mod judge;
-mod lists;
-mod owners;
+mod lease_holders;
+mod merged_answers;
+mod report;
 mod requests;
+mod subscriptions;
 
 pub use error::Error;
 pub use event::{
-    Acted, Answered, Asked, Bounds, Came, Entry, Event, Fate, Fault, Gone, Head, Held, Keep, Kind,
-    Line, Listed, Merged, MergedRow, Missed, Plain, Published, Ran, Refused, Row, Sent, SortKey,
-    Subscription, Time, Told,
+    AnswerMerged, Bounds, EffectApplied, EffectRejected, Event, EventsMissed, Fault, FileHeader,
+    GatewayList, KeepRule, Line, ListEntry, ListenerKilled, MergeRules, MergedRow, Notified,
+    Outcome, PartialSent, ProcessKind, Published, Received, RequestEnded, RequestSent, Row,
+    SortKey, SourceRows, StatementRan, Subscription, Time,
 };
-pub use file::{File, History, Seen, Writer, now};
-pub use gathered::plain;
-pub use judge::{Cited, Counts, Finding, Judged, judge};
+pub use file::{File, History, LineRef, Writer, now};
+pub use merged_answers::merge_rows;
+pub use report::{CitedLine, Counts, Finding, Report, check_history};
--- a/history/src/requests.rs
+++ b/history/src/requests.rs
@@ -1,171 +1,235 @@
-//! Requests: a write runs once at most, a session sees its own writes, no read is staler than its class, one final answer.
+//! Checks of requests: a write runs at most once, a session sees its own writes, no read is staler than its class
+//! allows, and each request has one final answer.
 
-use crate::judge::{Docket, Trial};
-use crate::{Answered, Asked, Event, Fate, Kind, Ran, Seen, Time};
+use crate::report::{ReportBuilder, RunContext};
+use crate::{Event, LineRef, Outcome, ProcessKind, RequestEnded, RequestSent, StatementRan, Time};
 use std::collections::{BTreeMap, HashMap};
 
-/// What was written and seen by each session and group, with its time.
-type Sessions<'a> = HashMap<(&'a str, u64), Vec<(Time, u64, Seen<'a>)>>;
+/// A write that ran. After [`raise_positions`], position and line are those of the highest position up to this time.
+struct Write<'a> {
+    time: Time,
+    position: u64,
+    line_ref: LineRef<'a>,
+}
+
+/// The writes of each session and group, with the times at which the client received the answers.
+type Sessions<'a> = HashMap<(&'a str, u64), Vec<Write<'a>>>;
 
+/// All lines about one request.
 #[derive(Default)]
 struct Request<'a> {
-    asked: Vec<(Seen<'a>, &'a Asked)>,
-    answered: Vec<(Seen<'a>, &'a Answered)>,
-    ran: Vec<(Seen<'a>, &'a Ran)>,
+    sent: Vec<(LineRef<'a>, &'a RequestSent)>,
+    ended: Vec<(LineRef<'a>, &'a RequestEnded)>,
+    ran: Vec<(LineRef<'a>, &'a StatementRan)>,
 }
 
-/// The writes of one group in the order in which they ran, with the highest position up to each.
-type Writes<'a> = HashMap<u64, Vec<(Time, u64, Seen<'a>)>>;
+/// The writes of each group, with the times at which they ran.
+type Writes<'a> = HashMap<u64, Vec<Write<'a>>>;
 
-pub(crate) fn check(trial: &Trial<'_>, docket: &mut Docket) {
-    let mut all: BTreeMap<&str, Request<'_>> = BTreeMap::new();
-    for seen in trial.history.seen().filter(|s| !s.line.claim) {
-        match &seen.line.what {
-            Event::Asked(e) => all.entry(&e.id).or_default().asked.push((seen, e)),
-            Event::Answered(e) => all.entry(&e.id).or_default().answered.push((seen, e)),
-            Event::Ran(e) => all.entry(&e.id).or_default().ran.push((seen, e)),
+pub(crate) fn check(run: &RunContext<'_>, report: &mut ReportBuilder) {
+    let mut requests: BTreeMap<&str, Request<'_>> = BTreeMap::new();
+    for line_ref in run.history.lines().filter(|line_ref| !line_ref.line.claim) {
+        match &line_ref.line.event {
+            Event::RequestSent(sent) => requests
+                .entry(&sent.id)
+                .or_default()
+                .sent
+                .push((line_ref, sent)),
+            Event::RequestEnded(ended) => requests
+                .entry(&ended.id)
+                .or_default()
+                .ended
+                .push((line_ref, ended)),
+            Event::StatementRan(ran) => requests
+                .entry(&ran.id)
+                .or_default()
+                .ran
+                .push((line_ref, ran)),
             _ => {}
         }
     }
-    docket.counts.asked = all.values().map(|r| r.asked.len()).sum();
-    docket.counts.ran = all.values().map(|r| r.ran.len()).sum();
-    for (id, request) in &all {
-        answers(trial, docket, id, request);
-        once(trial, docket, id, request);
+    report.counts.requests = requests.values().map(|request| request.sent.len()).sum();
+    report.counts.statements = requests.values().map(|request| request.ran.len()).sum();
+    for (id, request) in &requests {
+        check_answers(run, report, id, request);
+        check_write(run, report, id, request);
     }
-    let writes = writes(&all);
+    let writes = writes_by_group(&requests);
     let mut sessions: Sessions<'_> = HashMap::new();
-    for request in all.values() {
-        let ([(_, asked)], [(told, answered)], [(ran, write), ..]) =
-            (&request.asked[..], &request.answered[..], &request.ran[..])
+    for request in requests.values() {
+        let ([(_, sent)], [(ended_line, ended)], [(write_line, write), ..]) =
+            (&request.sent[..], &request.ended[..], &request.ran[..])
         else {
             continue;
         };
-        if asked.write && answered.fate == Fate::Served {
-            let mine = sessions.entry((&asked.session, asked.group)).or_default();
-            mine.push((told.line.at, write.position, *ran));
+        if sent.write && ended.outcome == Outcome::Served {
+            let session_writes = sessions.entry((&sent.session, sent.group)).or_default();
+            session_writes.push(Write {
+                time: ended_line.line.time,
+                position: write.position,
+                line_ref: *write_line,
+            });
         }
     }
-    for own in sessions.values_mut() {
-        rising(own);
+    for session_writes in sessions.values_mut() {
+        raise_positions(session_writes);
     }
-    for (id, request) in &all {
-        let [(begun, asked)] = request.asked[..] else {
+    for (id, request) in &requests {
+        let [(request_line, sent)] = request.sent[..] else {
             continue;
         };
-        let served = request.answered.iter().any(|(_, a)| a.fate == Fate::Served);
-        // Of several tries that ran, any may have been the one that was answered: the best counts.
-        let best = request
+        let served = request
+            .ended
+            .iter()
+            .any(|(_, ended)| ended.outcome == Outcome::Served);
+        // If several attempts ran, any of them may be the one that was answered, so the one with the highest position
+        // counts.
+        let latest_read = request
             .ran
             .iter()
-            .filter(|(_, r)| !r.write)
-            .max_by_key(|(_, r)| r.position);
-        let Some((ran, read)) = best.filter(|_| served && !asked.write) else {
+            .filter(|(_, ran)| !ran.write)
+            .max_by_key(|(_, ran)| ran.position);
+        let Some((read_line, read)) = latest_read.filter(|_| served && !sent.write) else {
             continue;
         };
-        let at = begun.line.at;
-        let own = sessions
-            .get(&(&*asked.session, asked.group))
-            .and_then(|own| newest(own, at));
-        if let Some((position, write)) = own.filter(|(position, _)| *position > read.position) {
+        let sent_time = request_line.line.time;
+        let own_write = sessions
+            .get(&(&*sent.session, sent.group))
+            .and_then(|session_writes| newest_write(session_writes, sent_time));
+        if let Some((position, write)) = own_write.filter(|(position, _)| *position > read.position)
+        {
             let what = format!(
-                "{id} saw {} up to {} and not {position}",
+                "{id} saw the log of {} up to {}, but not the session's own write at {position}",
                 read.node, read.position
             );
-            docket.add("own-writes", &asked.session, what, &[write, begun, *ran]);
+            report.add(
+                "own-writes",
+                &sent.session,
+                what,
+                &[write, request_line, *read_line],
+            );
         }
-        let bound = asked.stale.and_then(|stale| at.checked_sub(stale));
-        let known = bound.and_then(|at| newest(writes.get(&asked.group)?, at));
-        if let Some((position, write)) = known.filter(|(position, _)| *position > read.position) {
-            let stale = asked.stale.unwrap_or(0);
+        let freshness_bound = sent
+            .max_staleness
+            .and_then(|max_staleness| sent_time.checked_sub(max_staleness));
+        let required =
+            freshness_bound.and_then(|time| newest_write(writes.get(&sent.group)?, time));
+        if let Some((position, write)) = required.filter(|(position, _)| *position > read.position)
+        {
+            let max_staleness = sent.max_staleness.unwrap_or(0);
             let what = format!(
-                "{id} saw {} up to {}, older than {stale} us allow",
+                "{id} saw the log of {} up to {}, which is staler than {max_staleness} us",
                 read.node, read.position
             );
-            let what = format!("{what}: {position} was there before");
-            docket.add("stale", id, what, &[write, begun, *ran]);
+            let what = format!("{what}: {position} had been written before");
+            report.add("stale", id, what, &[write, request_line, *read_line]);
         }
     }
 }
 
-/// In the order of time, each with the highest position so far.
-fn rising(writes: &mut [(Time, u64, Seen<'_>)]) {
-    writes.sort_by_key(|w| w.0);
-    for n in 1..writes.len() {
-        if writes[n].1 < writes[n - 1].1 {
-            (writes[n].1, writes[n].2) = (writes[n - 1].1, writes[n - 1].2);
+/// Sorts writes by time and replaces the position of each by the highest position so far.
+fn raise_positions(writes: &mut [Write<'_>]) {
+    writes.sort_by_key(|write| write.time);
+    for i in 1..writes.len() {
+        if writes[i].position < writes[i - 1].position {
+            (writes[i].position, writes[i].line_ref) =
+                (writes[i - 1].position, writes[i - 1].line_ref);
         }
     }
 }
 
-/// The highest position that was there by then.
-fn newest<'a>(writes: &[(Time, u64, Seen<'a>)], by: Time) -> Option<(u64, Seen<'a>)> {
-    let place = writes.partition_point(|w| w.0 <= by);
-    place.checked_sub(1).map(|n| (writes[n].1, writes[n].2))
+/// Returns the highest position that was written at this time.
+fn newest_write<'a>(writes: &[Write<'a>], time: Time) -> Option<(u64, LineRef<'a>)> {
+    let count = writes.partition_point(|write| write.time <= time);
+    count
+        .checked_sub(1)
+        .map(|i| (writes[i].position, writes[i].line_ref))
 }
 
-fn writes<'a>(all: &BTreeMap<&str, Request<'a>>) -> Writes<'a> {
+/// Returns the writes of each group.
+fn writes_by_group<'a>(requests: &BTreeMap<&str, Request<'a>>) -> Writes<'a> {
     let mut writes: Writes<'a> = HashMap::new();
-    for (seen, ran) in all
+    for (line_ref, ran) in requests
         .values()
-        .flat_map(|r| &r.ran)
+        .flat_map(|request| &request.ran)
         .filter(|(_, ran)| ran.write)
     {
-        writes
-            .entry(ran.group)
-            .or_default()
-            .push((seen.line.at, ran.position, *seen));
+        writes.entry(ran.group).or_default().push(Write {
+            time: line_ref.line.time,
+            position: ran.position,
+            line_ref: *line_ref,
+        });
     }
-    writes.values_mut().for_each(|group| rising(group));
+    writes.values_mut().for_each(|group| raise_positions(group));
     writes
 }
 
-/// One final answer each, and its own.
-fn answers(trial: &Trial<'_>, docket: &mut Docket, id: &str, request: &Request<'_>) {
-    if let [(first, _), (second, _), ..] = request.asked[..] {
-        docket.add(
+/// Checks that a request has exactly one final answer, and not that of another request.
+fn check_answers(
+    run: &RunContext<'_>,
+    report: &mut ReportBuilder,
+    id: &str,
+    request: &Request<'_>,
+) {
+    if let [(first, _), (second, _), ..] = request.sent[..] {
+        report.add(
             "answers",
             id,
-            "asked twice under one id".into(),
+            "two requests with one id".into(),
             &[first, second],
         );
     }
-    if let [(first, _), (second, _), ..] = request.answered[..] {
-        docket.add("answers", id, "two final answers".into(), &[first, second]);
+    if let [(first, _), (second, _), ..] = request.ended[..] {
+        report.add("answers", id, "two final answers".into(), &[first, second]);
     }
-    let Some((begun, asked)) = request.asked.first() else {
-        // What a torn file of a client lost was asked all the same.
-        if let Some((told, _)) = request
-            .answered
+    let Some((request_line, sent)) = request.sent.first() else {
+        // The line of the request may be missing in a torn file of a client.
+        if let Some((ended_line, _)) = request
+            .ended
             .first()
-            .filter(|_| !trial.torn(Kind::Client))
+            .filter(|_| !run.may_miss_events(ProcessKind::Client))
         {
-            docket.add("answers", id, "answered, and nobody asked".into(), &[*told]);
+            report.add(
+                "answers",
+                id,
+                "an answer without a request".into(),
+                &[*ended_line],
+            );
         }
         return;
     };
-    match request.answered.first() {
-        None if trial.torn(Kind::Client) => {}
-        None => docket.add(
+    match request.ended.first() {
+        None if run.may_miss_events(ProcessKind::Client) => {}
+        None => report.add(
             "answers",
             id,
-            "no final answer, nor an end to the wait".into(),
-            &[*begun],
+            "no final answer and no timeout".into(),
+            &[*request_line],
         ),
-        Some((told, answer)) => match answer.fate {
-            Fate::Foreign => docket.add(
+        Some((ended_line, ended)) => match ended.outcome {
+            Outcome::WrongValue => report.add(
                 "answers",
                 id,
-                "the value of another".into(),
-                &[*begun, *told],
+                "the value of another request".into(),
+                &[*request_line, *ended_line],
             ),
-            Fate::Unanswered if !struck(trial, &asked.of, begun.line.at, told.line.at) => {
-                let span = (told.line.at - begun.line.at.min(told.line.at)) as f64 / 1e6;
-                docket.add(
+            Outcome::Unanswered
+                if !may_lack_answer(
+                    run,
+                    &sent.router,
+                    request_line.line.time,
+                    ended_line.line.time,
+                ) =>
+            {
+                let duration = (ended_line.line.time
+                    - request_line.line.time.min(ended_line.line.time))
+                    as f64
+                    / 1e6;
+                report.add(
                     "answers",
                     id,
-                    format!("none in {span:.2} s"),
-                    &[*begun, *told],
+                    format!("no answer in {duration:.2} s"),
+                    &[*request_line, *ended_line],
                 );
             }
             _ => {}
@@ -173,52 +237,56 @@
     }
 }
 
-/// Whether a process was struck while somebody waited for it: it may leave that one without an answer.
-fn struck(trial: &Trial<'_>, whom: &str, from: Time, until: Time) -> bool {
-    let during = |f: &&crate::Fault| f.begin <= until && f.end + trial.bounds.recover >= from;
-    trial
-        .faults
-        .iter()
-        .any(|f| f.blow && during(f) && f.whom.iter().any(|w| w == whom))
+/// Returns whether a fault affected a process while a client waited for it, so that the client may receive no answer.
+fn may_lack_answer(run: &RunContext<'_>, process: &str, from: Time, until: Time) -> bool {
+    let during = |fault: &&crate::Fault| {
+        fault.begin <= until && fault.end + run.bounds.max_recovery_time >= from
+    };
+    run.faults.iter().any(|fault| {
+        fault.hits_processes && during(fault) && fault.processes.iter().any(|name| name == process)
+    })
 }
 
-/// No write runs twice; what was served ran, and what was refused did not.
-fn once(trial: &Trial<'_>, docket: &mut Docket, id: &str, request: &Request<'_>) {
-    let ran: Vec<Seen<'_>> = request
+/// Checks that no write ran twice, that a served write ran, and that a rejected one did not.
+fn check_write(run: &RunContext<'_>, report: &mut ReportBuilder, id: &str, request: &Request<'_>) {
+    let writes: Vec<LineRef<'_>> = request
         .ran
         .iter()
-        .filter(|(_, r)| r.write)
-        .map(|(s, _)| *s)
+        .filter(|(_, ran)| ran.write)
+        .map(|(line_ref, _)| *line_ref)
         .collect();
-    if ran.len() > 1 {
-        docket.add(
+    if writes.len() > 1 {
+        report.add(
             "once",
             id,
-            format!("a write ran {} times", ran.len()),
-            &ran[..2],
+            format!("a write ran {} times", writes.len()),
+            &writes[..2],
         );
         return;
     }
-    let [(begun, asked), ..] = request.asked[..] else {
+    let [(request_line, sent), ..] = request.sent[..] else {
         return;
     };
-    let Some((told, answer)) = request.answered.first().filter(|_| asked.write) else {
+    let Some((ended_line, ended)) = request.ended.first().filter(|_| sent.write) else {
         return;
     };
-    if answer.fate == Fate::Served && ran.is_empty() && !trial.torn(Kind::Standin) {
-        docket.add(
+    if ended.outcome == Outcome::Served
+        && writes.is_empty()
+        && !run.may_miss_events(ProcessKind::Emulator)
+    {
+        report.add(
             "once",
             id,
             "a write was served and did not run".into(),
-            &[begun, *told],
+            &[request_line, *ended_line],
         );
     }
-    if let (Fate::Refused, [ran]) = (answer.fate, &ran[..]) {
-        docket.add(
+    if let (Outcome::Rejected, [write]) = (ended.outcome, &writes[..]) {
+        report.add(
             "once",
             id,
-            "a write was refused and ran".into(),
-            &[begun, *ran, *told],
+            "a write was rejected and ran".into(),
+            &[request_line, *write, *ended_line],
         );
     }
 }
--- a/history/tests/histories.rs
+++ b/history/tests/histories.rs
@@ -1,11 +1,11 @@
-//! Small histories written by hand: each bad one is refused by its rule, with the fewest lines that show it; each lookalike
-//! passes. A lookalike differs from a bad one in just what makes it right.
+//! Small histories written by hand. Each history in `bad` violates one rule, which is reported with the fewest lines
+//! that show it. Each history in `good` resembles a bad one, but without the violation, and passes.
 
-use plovercove_history::{Error, History, Judged, Kind, Writer, judge};
+use plovercove_history::{Error, History, ProcessKind, Report, Writer, check_history};
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// Each bad history, the rule that it breaks, and the lines that show it.
+/// Name of each bad history, the rule that it violates, and the lines that show it.
 const BAD: [(&str, &str, &[usize]); 34] = [
     ("write-ran-twice", "once", &[3, 4]),
     ("write-served-and-never-ran", "once", &[2, 3]),
@@ -51,7 +51,7 @@
     ("merge-in-another-order", "merge", &[4, 5, 6]),
 ];
 
-/// The same for gathered answers, whose bounds are judged after the merge itself.
+/// The same for merged answers, whose bounds are checked after the merge itself.
 const BAD_GATHERED: [(&str, &str, &[usize]); 8] = [
     ("merge-that-dropped-a-row", "merge", &[4, 6]),
     ("missing-source-not-named", "missing", &[3]),
@@ -69,12 +69,15 @@
         .join(name)
 }
 
-fn judged(path: &Path) -> Judged {
-    judge(&History::of(&[path.into()]).unwrap_or_else(|e| panic!("{e}")))
+fn check_file(path: &Path) -> Report {
+    check_history(&History::read_files(&[path.into()]).unwrap_or_else(|e| panic!("{e}")))
 }
 
-fn names(of: &str) -> Vec<String> {
-    let files = fs::read_dir(folder(of)).expect("a folder").flatten();
+/// Returns the sorted names of the histories in a folder, without extension.
+fn names(folder_name: &str) -> Vec<String> {
+    let files = fs::read_dir(folder(folder_name))
+        .expect("a folder")
+        .flatten();
     let mut names: Vec<String> = files
         .filter_map(|f| {
             f.file_name()
@@ -88,41 +91,45 @@
 }
 
 #[test]
-fn each_bad_history_is_refused_by_its_rule_with_the_lines_that_show_it() {
-    let mut played: Vec<&str> = Vec::new();
+fn each_bad_history_is_reported_with_its_rule_and_lines() {
+    let mut checked: Vec<&str> = Vec::new();
     for (name, rule, lines) in BAD.iter().chain(&BAD_GATHERED) {
-        let judged = judged(&folder("bad").join(format!("{name}.jsonl")));
-        let [finding] = &judged.findings[..] else {
-            panic!("{name}: {:#?}", judged.findings)
+        let report = check_file(&folder("bad").join(format!("{name}.jsonl")));
+        let [finding] = &report.findings[..] else {
+            panic!("{name}: {:#?}", report.findings)
         };
-        let cited: Vec<usize> = finding.part.iter().map(|c| c.line).collect();
+        let cited: Vec<usize> = finding.evidence.iter().map(|c| c.line).collect();
         assert_eq!(
             (finding.rule, &cited[..]),
             (*rule, *lines),
             "{name}: {finding}"
         );
         assert!(
-            !finding.who.is_empty() && !finding.what.is_empty(),
+            !finding.subject.is_empty() && !finding.description.is_empty(),
             "{name}: {finding}"
         );
-        played.push(name);
+        checked.push(name);
     }
-    played.sort_unstable();
-    assert_eq!(played, names("bad"), "each file is named here");
+    checked.sort_unstable();
+    assert_eq!(checked, names("bad"), "each file has an entry in this test");
 }
 
 #[test]
-fn each_lookalike_passes_and_was_judged() {
+fn each_good_history_passes_and_is_checked() {
     let good = names("good");
     assert!(good.len() > 25);
     for name in good {
-        let judged = judged(&folder("good").join(format!("{name}.jsonl")));
-        assert!(judged.findings.is_empty(), "{name}: {:#?}", judged.findings);
-        let c = &judged.counts;
-        let any = c.asked + c.acted + c.lists + c.told + c.merged;
-        assert!(any > 0, "{name}: nothing was judged");
+        let report = check_file(&folder("good").join(format!("{name}.jsonl")));
+        assert!(report.findings.is_empty(), "{name}: {:#?}", report.findings);
+        let counts = &report.counts;
+        let checked_items = counts.requests
+            + counts.effects
+            + counts.lists
+            + counts.notifications
+            + counts.merged_answers;
+        assert!(checked_items > 0, "{name}: nothing was checked");
         assert_eq!(
-            judged.torn.len(),
+            report.torn.len(),
             usize::from(name == "torn-at-its-end"),
             "{name}"
         );
@@ -130,23 +137,23 @@
 }
 
 #[test]
-fn a_torn_last_line_is_told_and_what_it_may_have_said_accuses_nobody() {
-    let there = fs::read_to_string(folder("good").join("torn-at-its-end.jsonl")).expect("a file");
-    let into = Scratch::new("torn");
-    let path = into.0.join("torn.jsonl");
-    // Cut off at each byte, in the middle of a line and after one.
-    for cut in 0..there.len() {
-        fs::write(&path, &there[..cut]).expect("a file");
-        let judged = judged(&path);
-        let whole = cut > 0 && there[..cut].ends_with('\n');
-        assert_eq!(judged.torn.len(), usize::from(!whole), "{cut}");
+fn a_torn_last_line_is_reported_and_causes_no_violation() {
+    let text = fs::read_to_string(folder("good").join("torn-at-its-end.jsonl")).expect("a file");
+    let scratch = Scratch::new("torn");
+    let path = scratch.0.join("torn.jsonl");
+    // The file is cut off at each byte, within a line and after a line.
+    for cut in 0..text.len() {
+        fs::write(&path, &text[..cut]).expect("a file");
+        let report = check_file(&path);
+        let is_complete = cut > 0 && text[..cut].ends_with('\n');
+        assert_eq!(report.torn.len(), usize::from(!is_complete), "{cut}");
     }
 }
 
 #[test]
-fn a_bad_line_is_named_by_file_and_line() {
-    let into = Scratch::new("bad-line");
-    let path = into.0.join("one.jsonl");
+fn an_invalid_line_is_reported_with_file_and_line() {
+    let scratch = Scratch::new("bad-line");
+    let path = scratch.0.join("one.jsonl");
     let head = "{\"history\":1,\"process\":\"p\",\"kind\":\"client\"}\n";
     let line = "{\"at\":1,\"what\":{\"answered\":{\"id\":\"x\",\"fate\":\"served\"}}}\n";
     for bad in [
@@ -156,7 +163,7 @@
         "\n",
     ] {
         fs::write(&path, format!("{head}{line}{bad}{line}")).expect("a file");
-        let error = History::read(&into.0).expect_err("a bad line");
+        let error = History::read(&scratch.0).expect_err("a bad line");
         assert!(
             matches!(&error, Error::Line { path: p, line: 3, .. } if *p == path),
             "{bad:?}: {error}"
@@ -165,12 +172,15 @@
     }
     fs::write(&path, head.replace(":1,", ":99,")).expect("a file");
     assert!(matches!(
-        History::read(&into.0),
+        History::read(&scratch.0),
         Err(Error::Form { told: 99, .. })
     ));
     fs::write(&path, head).expect("a file");
-    fs::write(into.0.join("two.jsonl"), head).expect("a file");
-    assert!(matches!(History::read(&into.0), Err(Error::Twice { .. })));
+    fs::write(scratch.0.join("two.jsonl"), head).expect("a file");
+    assert!(matches!(
+        History::read(&scratch.0),
+        Err(Error::Twice { .. })
+    ));
     let empty = Scratch::new("nothing");
     assert!(matches!(
         History::read(&empty.0),
@@ -183,26 +193,27 @@
 }
 
 #[test]
-fn what_is_written_is_read_again() {
-    let into = Scratch::new("written");
-    let good = History::of(&[folder("good").join("merge-of-two.jsonl")]).expect("a history");
-    let writer = Writer::create(&into.0, "copy", Kind::Rig).expect("a file");
+fn written_lines_are_read_back() {
+    let scratch = Scratch::new("written");
+    let good =
+        History::read_files(&[folder("good").join("merge-of-two.jsonl")]).expect("a history");
+    let writer = Writer::create(&scratch.0, "copy", ProcessKind::Harness).expect("a file");
     assert!(
         matches!(
-            Writer::create(&into.0, "copy", Kind::Rig),
+            Writer::create(&scratch.0, "copy", ProcessKind::Harness),
             Err(Error::File { .. })
         ),
-        "never over another"
+        "an existing file is not overwritten"
     );
     for line in &good.files[0].lines {
-        writer.line(line).expect("written");
+        writer.write_line(line).expect("written");
     }
-    let again = History::read(&into.0).expect("a history");
+    let again = History::read(&scratch.0).expect("a history");
     assert_eq!(again.files[0].lines, good.files[0].lines);
-    assert_eq!(judge(&again).counts.merged, 1);
+    assert_eq!(check_history(&again).counts.merged_answers, 1);
 }
 
-/// A folder that goes with the test.
+/// A temporary folder that is removed at the end of a test.
 struct Scratch(PathBuf);
 
 impl Scratch {
