--- a/router/src/upstream/tests.rs
+++ b/router/src/upstream/tests.rs
@@ -13,7 +13,7 @@
     Access, Class, DedupScope, Endpoint, EndpointState, EndpointUpdate, Idempotency, RequestInfo,
     Settings,
 };
-use plovercove_emulator::held::{Deaf, Link, Node};
+use plovercove_emulator::manual_node::{FullQueueNode, Link, Node};
 use plovercove_engine::{Command, Deadline, FinalAnswer};
 use plovercove_pgwire::messages;
 use plovercove_pgwire::reply::Shape;
@@ -76,7 +76,7 @@
 
 /// The end of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-enum Fate {
+enum RequestOutcome {
     Served(String),
     Rejected,
     Failed,
@@ -89,7 +89,7 @@
     upstream: Upstream,
     now: Time,
     statements: BTreeMap<u64, Rc<Statement>>,
-    ended: Vec<(Key, Fate)>,
+    ended: Vec<(Key, RequestOutcome)>,
     /// The nodes of the attempts, in order.
     sent: Vec<NodeId>,
     version: u64,
@@ -216,7 +216,8 @@
                     .and_then(|start| served.reply.get(start + 6..start + 8))
                     .unwrap_or_default();
                 let value = String::from_utf8_lossy(value).into_owned();
-                self.ended.push((served.request, Fate::Served(value)));
+                self.ended
+                    .push((served.request, RequestOutcome::Served(value)));
             }
             let commands = self.engine.decide(self.now);
             if commands.is_empty() {
@@ -245,12 +246,12 @@
             Command::Answer {
                 request, answer, ..
             } => {
-                let fate = if answer == FinalAnswer::Failed {
-                    Fate::Failed
+                let outcome = if answer == FinalAnswer::Failed {
+                    RequestOutcome::Failed
                 } else {
-                    Fate::Rejected
+                    RequestOutcome::Rejected
                 };
-                self.ended.push((request, fate));
+                self.ended.push((request, outcome));
             }
         }
     }
@@ -368,26 +369,26 @@
     }
 
     /// Returns the end of a request, if it has ended. Asserts that it has ended at most once.
-    fn fate(&self, request: Key) -> Option<Fate> {
-        let ends: Vec<&Fate> = self
+    fn outcome(&self, request: Key) -> Option<RequestOutcome> {
+        let ends: Vec<&RequestOutcome> = self
             .ended
             .iter()
             .filter(|(key, _)| *key == request)
             .map(|(_, f)| f)
             .collect();
         assert!(ends.len() <= 1, "{ends:?}");
-        ends.first().map(|fate| (*fate).clone())
+        ends.first().map(|outcome| (*outcome).clone())
     }
 
     /// Runs turns until a request has ended. Returns its end.
-    fn run_to_end(&mut self, request: Key) -> Fate {
-        self.run_until(|pools| pools.fate(request).is_some());
-        self.fate(request).expect("just seen")
+    fn run_to_end(&mut self, request: Key) -> RequestOutcome {
+        self.run_until(|pools| pools.outcome(request).is_some());
+        self.outcome(request).expect("just seen")
     }
 }
 
-fn served(value: &str) -> Fate {
-    Fate::Served(value.into())
+fn served(value: &str) -> RequestOutcome {
+    RequestOutcome::Served(value.into())
 }
 
 fn address_of(node: &Node) -> SocketAddr {
@@ -443,7 +444,11 @@
         link.greet("primary").expect("the pools are there");
         pools.run_until(|pools| pools.upstream.pools["p"].connecting == 0);
         assert_eq!(pools.connection_counts(), (1, 0), "{kind:?}");
-        assert_eq!(link.has_come().expect("a socket"), None, "{kind:?}");
+        assert_eq!(
+            link.pending_statement().expect("a socket"),
+            None,
+            "{kind:?}"
+        );
         let outcomes = pools.upstream.take_query_outcomes();
         assert_eq!(
             outcomes.len(),
@@ -468,7 +473,11 @@
             (1, 0),
             "{kind:?}: nothing is put on it"
         );
-        assert_eq!(link.has_come().expect("a socket"), None, "{kind:?}");
+        assert_eq!(
+            link.pending_statement().expect("a socket"),
+            None,
+            "{kind:?}"
+        );
         pools.apply_list(
             false,
             &[("p", EndpointState::Draining, Some(address_of(&node)))],
@@ -549,7 +558,7 @@
         self.link.answer("ok").expect("the pools are there");
         pools.run_until(|pools| pools.connection_counts() == (1, 0));
         if let Some(request) = request {
-            assert_eq!(pools.fate(request), Some(served("ok")));
+            assert_eq!(pools.outcome(request), Some(served("ok")));
         }
     }
 
@@ -660,9 +669,10 @@
             sent,
             "no byte of it was sent"
         );
-        assert!(
-            request.is_none_or(|request| !matches!(pools.fate(request), Some(Fate::Served(_))))
-        );
+        assert!(request.is_none_or(|request| !matches!(
+            pools.outcome(request),
+            Some(RequestOutcome::Served(_))
+        )));
     }
 }
 
@@ -670,7 +680,7 @@
 fn a_request_that_waits_for_a_slow_connection_is_not_sent_once_its_node_drains() {
     // Only the engine has applied the list, or the upstream has applied it, too.
     for has_upstream_list in [false, true] {
-        let deaf = Deaf::start(TEST_TIMEOUT).expect("a node");
+        let deaf = FullQueueNode::start(TEST_TIMEOUT).expect("a node");
         let mut pools = Pools::new(settings());
         pools.apply_list(
             true,
@@ -693,17 +703,17 @@
             assert_eq!(pools.connection_counts(), (0, 0), "it is not waited for");
         } else {
             pools.change_engine_state("p", EndpointState::Draining);
-            let node = deaf.opens().expect("it listens");
+            let node = deaf.accept_connections().expect("it listens");
             let mut link = pools.accept(&node);
             link.greet("primary").expect("the pools are there");
             pools.run_until(|pools| pools.upstream.pools["p"].connecting == 0);
             assert_eq!(pools.connection_counts(), (1, 0));
-            assert_eq!(link.has_come().expect("a socket"), None);
+            assert_eq!(link.pending_statement().expect("a socket"), None);
         }
         pools.advance(CLIENT_TIMEOUT);
         assert_eq!(
-            pools.fate(request),
-            Some(Fate::Rejected),
+            pools.outcome(request),
+            Some(RequestOutcome::Rejected),
             "it never ran; applied by the upstream: {has_upstream_list}"
         );
         assert_eq!(
@@ -844,8 +854,11 @@
     );
     pools.advance(CLIENT_TIMEOUT);
     assert_eq!(
-        (pools.fate(request), pools.fate(next)),
-        (Some(Fate::Rejected), Some(Fate::Rejected))
+        (pools.outcome(request), pools.outcome(next)),
+        (
+            Some(RequestOutcome::Rejected),
+            Some(RequestOutcome::Rejected)
+        )
     );
 }
 
@@ -920,8 +933,8 @@
     assert_eq!(pools.connection_counts(), (2, 0));
     assert_eq!(
         (
-            one.has_come().expect("a socket"),
-            two.has_come().expect("a socket")
+            one.pending_statement().expect("a socket"),
+            two.pending_statement().expect("a socket")
         ),
         (None, None)
     );
@@ -952,7 +965,7 @@
         pools.apply_list(false, &[rest]);
         let request = pools.begin_request("a1", WRITE, 0);
         assert_eq!(
-            (pools.fate(request), pools.connection_counts()),
+            (pools.outcome(request), pools.connection_counts()),
             (None, (1, 0)),
             "{:?}",
             pools.sent
@@ -975,11 +988,11 @@
         ..settings()
     });
     for list in 0..3 {
-        let places: Vec<u16> = (0..MAX_REMOVED_POOLS as u16)
+        let ports: Vec<u16> = (0..MAX_REMOVED_POOLS as u16)
             .map(|n| 1_024 + list * MAX_REMOVED_POOLS as u16 + n)
             .collect();
-        let names: Vec<String> = places.iter().map(|port| format!("r{port}")).collect();
-        let all = names.iter().zip(&places).map(|(name, port)| {
+        let names: Vec<String> = ports.iter().map(|port| format!("r{port}")).collect();
+        let all = names.iter().zip(&ports).map(|(name, port)| {
             (
                 &**name,
                 EndpointState::Serving,
@@ -1008,7 +1021,7 @@
     for id in ["a1", "a2", "a3"] {
         let request = pools.begin_request(id, READ, 0);
         assert_eq!(
-            (pools.fate(request), pools.connection_counts()),
+            (pools.outcome(request), pools.connection_counts()),
             (None, (links.len() + 1, links.len())),
             "{:?}",
             pools.sent
@@ -1038,7 +1051,7 @@
         NodeEnd::Reset => link.reset().expect("a socket"),
         NodeEnd::ExtraBytes => {
             let mut link = link;
-            link.say(&ERROR[..9]).expect("the pools are there");
+            link.send(&ERROR[..9]).expect("the pools are there");
             return Some(link);
         }
     }
@@ -1103,7 +1116,7 @@
         Some("a1")
     );
     link.answer("a1").expect("the pools are there");
-    link.end().expect("the pools are there");
+    link.close_write().expect("the pools are there");
     assert_eq!(pools.run_to_end(first), served("a1"));
     serve_on_new_connection(&mut pools, &node, "a2", second);
     assert_eq!(pools.sent, ["p".into(), "p".into()], "one attempt each");
@@ -1113,7 +1126,7 @@
 fn a_request_that_took_over_a_connecting_connection_is_retried_elsewhere_when_it_times_out() {
     // The first request's client has disconnected. The second request takes over its connection, which times out.
     let (deaf, p, r2) = (
-        Deaf::start(TEST_TIMEOUT).expect("a node"),
+        FullQueueNode::start(TEST_TIMEOUT).expect("a node"),
         start_node(),
         start_node(),
     );
@@ -1148,7 +1161,7 @@
 /// another attempt.
 fn has_another_attempt(pools: &mut Pools, request: Key, attempts: usize) -> bool {
     for _ in 0..1_000 {
-        if pools.sent.len() > attempts || pools.fate(request).is_some() {
+        if pools.sent.len() > attempts || pools.outcome(request).is_some() {
             break;
         }
         pools.advance(10_000);
@@ -1192,8 +1205,8 @@
                 serve_on_new_connection(&mut pools, &node, "a1", request);
             } else {
                 assert_eq!(
-                    pools.fate(request),
-                    Some(Fate::Failed),
+                    pools.outcome(request),
+                    Some(RequestOutcome::Failed),
                     "nothing is promised"
                 );
             }
@@ -1206,8 +1219,8 @@
     // The client waits for another second, and the deduplication window is over: only an idempotent request is retried.
     for (class, is_retried, want) in [
         (READ, true, None),
-        (WRITE, false, Some(Fate::Failed)),
-        (KEYED, false, Some(Fate::Rejected)),
+        (WRITE, false, Some(RequestOutcome::Failed)),
+        (KEYED, false, Some(RequestOutcome::Rejected)),
     ] {
         let node = start_node();
         let mut pools = Pools::with_nodes(&[("p", &node)]);
@@ -1220,7 +1233,7 @@
         for _ in 0..400 {
             pools.advance(10_000);
         }
-        assert_eq!((pools.fate(request), pools.sent.len()), (None, 1));
+        assert_eq!((pools.outcome(request), pools.sent.len()), (None, 1));
         link.reset().expect("a socket");
         pools.run_until(|pools| pools.connection_counts().1 == 0);
         assert_eq!(
@@ -1229,7 +1242,7 @@
             "class {class}: {:?}",
             pools.ended
         );
-        assert_eq!(pools.fate(request), want, "class {class}");
+        assert_eq!(pools.outcome(request), want, "class {class}");
     }
 }
 
@@ -1253,9 +1266,9 @@
         "it never ran: {:?}",
         pools.ended
     );
-    assert_eq!(pools.fate(request), None);
+    assert_eq!(pools.outcome(request), None);
     pools.advance(CLIENT_TIMEOUT);
-    assert_eq!(pools.fate(request), Some(Fate::Rejected));
+    assert_eq!(pools.outcome(request), Some(RequestOutcome::Rejected));
 }
 
 #[test]
@@ -1271,7 +1284,7 @@
     let node = start_node();
     let mut pools = Pools::with_nodes(&[("p", &node)]);
     let (link, request) = start_partly_sent_write(&mut pools, &node);
-    link.end().expect("the pools are there");
+    link.close_write().expect("the pools are there");
     assert_never_ran(&mut pools, request);
 }
 
@@ -1284,7 +1297,7 @@
         let mut pools = Pools::with_nodes(&[("p", &node)]);
         let (mut link, request) = start_partly_sent_write(&mut pools, &node);
         match error {
-            true => link.say(&[ERROR, ready].concat()),
+            true => link.send(&[ERROR, ready].concat()),
             false => link.answer("zz"),
         }
         .expect("the pools are there");
@@ -1373,11 +1386,11 @@
         pools.advance(CLIENT_TIMEOUT);
         let want = match first {
             First::FinalAnswer | First::AnswerInOneTurn => Some(served("a1")),
-            First::TimeOut | First::TimeOutInOneTurn => Some(Fate::Failed),
+            First::TimeOut | First::TimeOutInOneTurn => Some(RequestOutcome::Failed),
             First::GoneInOneTurn => None,
         };
         assert_eq!(
-            (pools.fate(request), pools.sent.len()),
+            (pools.outcome(request), pools.sent.len()),
             (want, 1),
             "{first:?}"
         );
@@ -1406,16 +1419,16 @@
         Some("a1")
     );
     for byte in ERROR {
-        if pools.fate(request).is_some() {
+        if pools.outcome(request).is_some() {
             break;
         }
-        link.say(&[*byte]).expect("the pools are there");
+        link.send(&[*byte]).expect("the pools are there");
         pools.turn();
         pools.advance(SECOND);
     }
     assert_eq!(
-        (pools.fate(request), pools.connection_counts()),
-        (Some(Fate::Failed), (0, 0))
+        (pools.outcome(request), pools.connection_counts()),
+        (Some(RequestOutcome::Failed), (0, 0))
     );
     assert!(pools.now <= NOW + CLIENT_TIMEOUT, "{}", pools.now - NOW);
     assert_closed(&mut link);
@@ -1423,23 +1436,34 @@
 
 #[test]
 fn a_connection_that_is_ready_after_its_attempt_ended_carries_the_next_request() {
-    let waits = SECOND / 2;
-    for gone in [true, false] {
+    let timeout = SECOND / 2;
+    for client_disconnects in [true, false] {
         let node = start_node();
         let mut pools = Pools::with_nodes(&[("p", &node)]);
-        let request =
-            pools.begin_request_within("a1", WRITE, 0, if gone { CLIENT_TIMEOUT } else { waits });
+        let request = pools.begin_request_within(
+            "a1",
+            WRITE,
+            0,
+            if client_disconnects {
+                CLIENT_TIMEOUT
+            } else {
+                timeout
+            },
+        );
         let mut link = pools.accept(&node);
-        if gone {
+        if client_disconnects {
             pools.engine.client_gone(request);
         }
-        pools.advance(waits);
+        pools.advance(timeout);
         pools.advance(SECOND);
-        assert_eq!(pools.fate(request), (!gone).then_some(Fate::Rejected));
+        assert_eq!(
+            pools.outcome(request),
+            (!client_disconnects).then_some(RequestOutcome::Rejected)
+        );
         // 1.5 s after the connection attempt.
         link.greet("primary").expect("the pools are there");
         pools.run_until(|pools| pools.upstream.pools["p"].idle.len() == 1);
-        assert_eq!(link.has_come().expect("a socket"), None);
+        assert_eq!(link.pending_statement().expect("a socket"), None);
         let next = pools.begin_request("a2", WRITE, 0);
         assert_eq!(
             link.statement().expect("a statement").as_deref(),
@@ -1467,8 +1491,8 @@
     });
     pools.settle();
     assert_eq!(
-        (pools.fate(request), pools.connection_counts()),
-        (Some(Fate::Rejected), (0, 0))
+        (pools.outcome(request), pools.connection_counts()),
+        (Some(RequestOutcome::Rejected), (0, 0))
     );
     assert_closed(&mut link);
 }
@@ -1477,7 +1501,7 @@
 fn an_error_before_the_end_of_a_connection_counts_and_half_an_error_does_not() {
     // A node that reported that it is full and then closed has not run the request. A half error message tells nothing.
     let full = b"E\0\0\0\x17SERROR\0C53300\0Mno\0\0";
-    for (said, is_retried) in [(&full[..], true), (&full[..9], false), (ERROR, false)] {
+    for (sent_bytes, is_retried) in [(&full[..], true), (&full[..9], false), (ERROR, false)] {
         let node = start_node();
         let mut pools = Pools::with_nodes(&[("p", &node)]);
         let request = pools.begin_request("a1", WRITE, 0);
@@ -1486,17 +1510,20 @@
             link.statement().expect("a statement").as_deref(),
             Some("a1")
         );
-        link.say(said).expect("the pools are there");
+        link.send(sent_bytes).expect("the pools are there");
         pools.turn();
         assert_eq!(
-            (pools.fate(request), pools.connection_counts()),
+            (pools.outcome(request), pools.connection_counts()),
             (None, (1, 1)),
             "it may say more"
         );
-        link.end().expect("the pools are there");
+        link.close_write().expect("the pools are there");
         pools.run_until(|pools| pools.connection_counts().1 == 0);
         assert_eq!(has_another_attempt(&mut pools, request, 1), is_retried);
-        assert_eq!(pools.fate(request), (!is_retried).then_some(Fate::Failed));
+        assert_eq!(
+            pools.outcome(request),
+            (!is_retried).then_some(RequestOutcome::Failed)
+        );
         assert_closed(&mut link);
     }
 }
@@ -1514,7 +1541,7 @@
             Some("a1")
         );
         if at_once {
-            link.answers(&["a1", "b1"]).expect("the pools are there");
+            link.answer_all(&["a1", "b1"]).expect("the pools are there");
             assert_eq!(pools.run_to_end(request), served("a1"));
         } else {
             link.answer("a1").expect("the pools are there");
@@ -1553,7 +1580,7 @@
         let mut link = pools.open_idle("p", &node);
         let cancelled =
             matches!(reason, CloseReason::Cancelled).then(|| pools.begin_request("a1", WRITE, 0));
-        link.say(&ERROR[..9]).expect("the pools are there");
+        link.send(&ERROR[..9]).expect("the pools are there");
         let keys = pools.wait_for_events();
         match reason {
             CloseReason::Requested => pools.upstream.close_idle(&"p".into(), &mut pools.engine),
@@ -1581,6 +1608,6 @@
         });
         let next = pools.begin_request("a2", WRITE, 0);
         serve_on_new_connection(&mut pools, &node, "a2", next);
-        assert_eq!(cancelled.and_then(|request| pools.fate(request)), None);
+        assert_eq!(cancelled.and_then(|request| pools.outcome(request)), None);
     }
 }
--- a/router/tests/duties.rs
+++ b/router/tests/duties.rs
@@ -2,9 +2,9 @@
 //! routers when holders or voters fail.
 
 use plovercove::{Endpoint, EndpointUpdate, NodeId, Settings};
-use plovercove_emulator::process::{Blow, Folder, Process};
-use plovercove_emulator::trial::Trial;
-use plovercove_emulator::{Agent, Caller, Entry, Fate};
+use plovercove_emulator::counting_node::CountingNode;
+use plovercove_emulator::process::{Folder, Process, ProcessSignal};
+use plovercove_emulator::{Agent, Entry, RequestClient, RequestOutcome};
 use plovercove_engine::Engine;
 use plovercove_poller::{Events, Poll};
 use plovercove_router::net::budget::Budget;
@@ -48,7 +48,7 @@
 struct Fleet {
     folder: Folder,
     agent: Agent,
-    nodes: Vec<Trial>,
+    nodes: Vec<CountingNode>,
     addresses: Vec<SocketAddr>,
     processes: BTreeMap<usize, Process>,
     duties: bool,
@@ -69,11 +69,11 @@
         folder
             .write("key", "a key of enough bytes\n")
             .expect("a file");
-        let nodes: Vec<Trial> = (0..4)
-            .map(|n| Trial::start(n % 2 == 0).expect("a node"))
+        let nodes: Vec<CountingNode> = (0..4)
+            .map(|n| CountingNode::start(n % 2 == 0).expect("a node"))
             .collect();
         let agent = Agent::start().expect("an agent");
-        agent.tell(nodes.iter().enumerate().map(|(n, node)| Entry {
+        agent.set_list(nodes.iter().enumerate().map(|(n, node)| Entry {
             name: format!("s{n}"),
             address: node.address(),
             zone: "z".into(),
@@ -162,7 +162,7 @@
     fn logged_state(&mut self, n: usize) -> Value {
         let process = self.processes.get_mut(&n).expect("it runs");
         let before = process.lines().len();
-        process.strike(Blow::Tell);
+        process.send_signal(ProcessSignal::LogState);
         let until = Instant::now() + TEST_TIMEOUT;
         loop {
             let lines = process.since(before);
@@ -229,7 +229,7 @@
     }
 
     fn probes(&self) -> u64 {
-        self.nodes.iter().map(Trial::probes).sum()
+        self.nodes.iter().map(CountingNode::probes).sum()
     }
 
     /// Counts the queries to nodes within this time, while each router has a client. Returns the number of queries, of served
@@ -274,7 +274,7 @@
             let (listen, n) = (process.listen(), *n);
             let (stop, served, all) = (load.stop.clone(), load.served.clone(), load.all.clone());
             load.threads.push(std::thread::spawn(move || {
-                let mut caller = Caller::new(listen);
+                let mut caller = RequestClient::new(listen);
                 let mut count = 0_u64;
                 while !stop.load(Ordering::Relaxed) {
                     count += 1;
@@ -282,9 +282,12 @@
                     let group = count % 2 + 1;
                     let statement =
                         format!("/* id={id},c=look,d=1000,cluster={group} */ SELECT 'k'");
-                    let fate = caller.ask(&statement, &id, Duration::from_millis(1_000));
+                    let outcome = caller.ask(&statement, &id, Duration::from_millis(1_000));
                     all.fetch_add(1, Ordering::Relaxed);
-                    served.fetch_add(u64::from(fate == Fate::Served), Ordering::Relaxed);
+                    served.fetch_add(
+                        u64::from(outcome == RequestOutcome::Served),
+                        Ordering::Relaxed,
+                    );
                     std::thread::sleep(Duration::from_millis(10));
                 }
             }));
@@ -356,7 +359,7 @@
         .processes
         .get_mut(&old_holder)
         .expect("it runs")
-        .strike(Blow::Stop);
+        .send_signal(ProcessSignal::Stop);
     let stopped = fleet.processes.remove(&old_holder).expect("it runs");
     let (next_holder, new_token) = fleet.wait_for_holders()[lease];
     assert!(
@@ -368,7 +371,7 @@
         .processes
         .get_mut(&old_holder)
         .expect("it runs")
-        .strike(Blow::Continue);
+        .send_signal(ProcessSignal::Continue);
     wait_until("the router does not notice its stall", &fleet, || {
         fleet.line(old_holder, "reason", "stood still").is_some()
     });
@@ -394,7 +397,7 @@
         .processes
         .get_mut(&holder)
         .expect("it runs")
-        .strike(Blow::Kill);
+        .send_signal(ProcessSignal::Kill);
     fleet.processes.remove(&holder);
     let (next_holder, new_token) = fleet.wait_for_holders()[lease];
     let gap = killed.elapsed();
@@ -410,15 +413,15 @@
     // A holder that gets SIGTERM: it hands the lease over first, and clients do not wait for that.
     let load = Load::start(&fleet);
     let mut ending = fleet.processes.remove(&next_holder).expect("it runs");
-    ending.strike(Blow::Term);
-    let line = ending.says("\"handed over\"", TEST_TIMEOUT);
+    ending.send_signal(ProcessSignal::Term);
+    let line = ending.wait_for_line("\"handed over\"", TEST_TIMEOUT);
     assert!(line.is_some(), "{:?}", ending.lines());
     let after = fleet.wait_for_holders();
     assert!(after[lease].1 > new_token, "{after:?}");
     load.finish();
     assert!(
         ending
-            .ended(TEST_TIMEOUT)
+            .wait_for_exit(TEST_TIMEOUT)
             .is_some_and(|status| status.success())
     );
 }
@@ -432,7 +435,7 @@
         .processes
         .get_mut(&1)
         .expect("it runs")
-        .strike(Blow::Kill);
+        .send_signal(ProcessSignal::Kill);
     fleet.processes.remove(&1);
     let path = fleet.folder.path().join("n1.kept");
     let complete = std::fs::read(&path).expect("it was kept");
@@ -461,7 +464,7 @@
             .processes
             .get_mut(&n)
             .expect("it runs")
-            .strike(Blow::Kill);
+            .send_signal(ProcessSignal::Kill);
         fleet.processes.remove(&n);
     }
     wait_until("the loss of the majority is not logged", &fleet, || {
@@ -485,7 +488,7 @@
 fn a_query_is_not_sent_after_its_lease_has_expired() {
     // A query that waits for its connection while the process is stopped could be sent after the lease has expired, in
     // addition to those of the new holder. A node cannot tell them apart.
-    let node = Trial::start(true).expect("a node");
+    let node = CountingNode::start(true).expect("a node");
     let (poll, budget) = (Poll::new().expect("a poller"), Budget::new(1 << 24));
     let mut upstream = Upstream::new(
         &poll,
--- a/router/tests/errors.rs
+++ b/router/tests/errors.rs
@@ -2,7 +2,7 @@
 //! on the page with its text and its help, and the page must not have any other.
 
 use plovercove::Settings;
-use plovercove_emulator::page::{self, Row};
+use plovercove_emulator::error_page::{self, Row};
 use plovercove_gossip::{Keys, Rules as PeerRules};
 use plovercove_locality::{Rules as TierRules, ZoneFailover};
 use plovercove_pgwire::login::LoginError;
@@ -24,12 +24,12 @@
 /// A produced error: its variant, its text and its help.
 struct Produced(String, String, &'static str);
 
-fn produce<'a, E: std::fmt::Display>(owner: &str, fault: &'a E, help: &'static str) -> Produced
+fn produce<'a, E: std::fmt::Display>(prefix: &str, fault: &'a E, help: &'static str) -> Produced
 where
     &'static str: From<&'a E>,
 {
     Produced(
-        format!("{owner}::{}", <&'static str>::from(fault)),
+        format!("{prefix}::{}", <&'static str>::from(fault)),
         fault.to_string(),
         help,
     )
@@ -398,21 +398,21 @@
     produce_label_errors(&mut all);
     produce_router_errors(&mut all, &files);
     produce_operators_errors(&mut all, &files);
-    let page = page::read();
+    let page = error_page::read();
     for Produced(variant, text, help) in &all {
         let is_wrapper = WRAPPERS.contains(&variant.as_str());
         let is_of_variant = |row: &&Row| is_wrapper || row.variant == *variant;
-        let fits = |row: &Row| row.says(text, help);
+        let fits = |row: &Row| row.matches(text, help);
         assert!(
             page.iter().filter(is_of_variant).any(fits),
             "{variant}: not on the page: {text} (help: {help})"
         );
         assert!(help.len() > 20, "{variant}: the help is too short: {help}");
     }
-    let named = |owner: &str, names: &[&str]| -> Vec<String> {
+    let named = |prefix: &str, names: &[&str]| -> Vec<String> {
         names
             .iter()
-            .map(|name| format!("{owner}::{name}"))
+            .map(|name| format!("{prefix}::{name}"))
             .collect()
     };
     let variants: BTreeSet<String> = [
--- a/router/tests/standing_fleet/mod.rs
+++ b/router/tests/standing_fleet/mod.rs
@@ -1,9 +1,9 @@
 //! Shared by the `standing*` tests, which run the router as a process: one group of nodes, the router's configuration, and
 //! lists for an agent with scripted answers.
 
+use plovercove_emulator::faulty_peers::{Agent, Node, NodeBehavior};
 use plovercove_emulator::process::{Folder, Process};
-use plovercove_emulator::rough::{Agent, Manner, Node};
-use plovercove_emulator::{Caller, Fate};
+use plovercove_emulator::{RequestClient, RequestOutcome};
 use serde_json::{Value, json};
 use std::path::Path;
 use std::time::Duration;
@@ -24,7 +24,7 @@
 }
 
 /// Starts a primary and two replicas with these behaviours. Returns them with their entries, all serving.
-pub fn group(manners: [Manner; 3]) -> (Vec<Node>, Vec<Value>) {
+pub fn group(manners: [NodeBehavior; 3]) -> (Vec<Node>, Vec<Value>) {
     let start = |(n, manner)| Node::start(manner, n == 0).expect("a node");
     let nodes: Vec<Node> = manners.into_iter().enumerate().map(start).collect();
     let entries = nodes
@@ -54,7 +54,7 @@
     /// The configured address of the agent.
     pub agent: String,
     /// The entries of the remembered list, which has version 41.
-    pub known: &'a [Value],
+    pub remembered: &'a [Value],
     /// Whether lists are pushed, as opposed to polled.
     pub pushed: bool,
     /// The limit on descriptors.
@@ -63,11 +63,11 @@
 
 impl<'a> Start<'a> {
     /// Returns parameters with this agent, which the router polls, and this remembered list.
-    pub fn with_agent(name: &'a str, agent: &Agent, known: &'a [Value]) -> Self {
+    pub fn with_agent(name: &'a str, agent: &Agent, remembered: &'a [Value]) -> Self {
         Start {
             name,
             agent: agent.address().to_string(),
-            known,
+            remembered,
             pushed: false,
             sockets: 512,
         }
@@ -79,7 +79,7 @@
         json!({
             "name": "n1", "listen": "127.0.0.1:0", "discovery": agent, "seed": "5",
             "limits": {"cores": 1.0, "memory_mb": 64, "sockets": self.sockets},
-            "known": {"index": 41, "snapshot": true, "endpoints": self.known},
+            "known": {"index": 41, "snapshot": true, "endpoints": self.remembered},
             "settings": {"Balancers": 1, "SlotNo": 0, "Tick": 5000,
                 "Discovery": if self.pushed { "automatic" } else { "subscribe" }, "Zone": "z",
                 "FamilyInfo": {"ClassRead": ["loose", "update"], "MaxAge": [0, 0],
@@ -121,7 +121,7 @@
 }
 
 /// Sends a statement and returns its end.
-pub fn ask(client: &mut Caller, id: &str, class: &str) -> Fate {
+pub fn ask(client: &mut RequestClient, id: &str, class: &str) -> RequestOutcome {
     client.ask(
         &statement(id, class),
         id,
--- a/router/tests/standing_nodes.rs
+++ b/router/tests/standing_nodes.rs
@@ -4,9 +4,9 @@
 #[allow(dead_code, reason = "each test file uses a part of it")]
 mod standing_fleet;
 
-use plovercove_emulator::process::{Blow, Folder, Process};
-use plovercove_emulator::rough::{Agent, Manner, Node, Says};
-use plovercove_emulator::{Caller, Fate, held};
+use plovercove_emulator::faulty_peers::{Agent, AgentReply, Node, NodeBehavior};
+use plovercove_emulator::process::{Folder, Process, ProcessSignal};
+use plovercove_emulator::{RequestClient, RequestOutcome, manual_node};
 use serde_json::Value;
 use standing_fleet::{Start, TEST_TIMEOUT, ask, group, listing, with_status};
 use std::io::Write;
@@ -22,7 +22,7 @@
 struct Scene {
     router: Process,
     agent: Agent,
-    primary: held::Node,
+    primary: manual_node::Node,
     entries: Vec<Value>,
     others: Vec<Node>,
     _folder: Folder,
@@ -47,15 +47,15 @@
         scripted: usize,
         change_config: impl Fn(String) -> String,
     ) -> Self {
-        let (others, entries) = group([Manner::Good; 3]);
-        let primary = held::Node::start(TEST_TIMEOUT).expect("a node");
+        let (others, entries) = group([NodeBehavior::Healthy; 3]);
+        let primary = manual_node::Node::start(TEST_TIMEOUT).expect("a node");
         let entries = with_address(&entries, scripted, primary.address().expect("bound"));
         let entries = if scripted == 0 {
             entries
         } else {
             entries[..2].to_vec()
         };
-        let agent = Agent::start(vec![Says::Body(listing(42, &entries))]).expect("an agent");
+        let agent = Agent::start(vec![AgentReply::Body(listing(42, &entries))]).expect("an agent");
         let start = Start::with_agent(name, &agent, &entries);
         // A long connection timeout, since the test delays logins.
         let config = start
@@ -69,7 +69,7 @@
         let program = Path::new(env!("CARGO_BIN_EXE_plovercove"));
         let router = Process::start(program, &file, |command| command.env("PROXY_LOG", "debug"))
             .expect("the router starts");
-        assert!(agent.called(2, TEST_TIMEOUT), "the list is applied");
+        assert!(agent.wait_for_calls(2, TEST_TIMEOUT), "the list is applied");
         Scene {
             router,
             agent,
@@ -81,7 +81,7 @@
     }
 
     /// Starts a client that sends a write, and accepts its connection at the primary without answering the login.
-    fn start_write(&self, id: &str) -> (JoinHandle<Fate>, held::Link) {
+    fn start_write(&self, id: &str) -> (JoinHandle<RequestOutcome>, manual_node::Link) {
         let client = self.start_client(id);
         (
             client,
@@ -92,17 +92,18 @@
     }
 
     /// Starts a client that sends a write.
-    fn start_client(&self, id: &str) -> JoinHandle<Fate> {
+    fn start_client(&self, id: &str) -> JoinHandle<RequestOutcome> {
         let (listen, id) = (self.router.listen(), id.to_string());
-        std::thread::spawn(move || ask(&mut Caller::new(listen), &id, "book"))
+        std::thread::spawn(move || ask(&mut RequestClient::new(listen), &id, "book"))
     }
 
     /// Sends a list and waits until the router has applied it.
     fn send_list(&self, index: u64, entries: &[Value]) {
         let calls = self.agent.calls().len();
-        self.agent.then(Says::Body(listing(index, entries)));
+        self.agent
+            .push_reply(AgentReply::Body(listing(index, entries)));
         assert!(
-            self.agent.called(calls + 1, TEST_TIMEOUT),
+            self.agent.wait_for_calls(calls + 1, TEST_TIMEOUT),
             "{:?}",
             self.router.lines()
         );
@@ -112,7 +113,7 @@
     /// after the stop, and read the list only in the next one.
     fn stop(&mut self) {
         self.wait_for_process_state('S');
-        self.router.strike(Blow::Stop);
+        self.router.send_signal(ProcessSignal::Stop);
         self.wait_for_process_state('T');
     }
 
@@ -122,7 +123,7 @@
         self.stop();
         let call = self.agent.calls().len() - 1;
         // The answer is sent in one write; the system would delay the second of two.
-        self.agent.then(Says::Part(
+        self.agent.push_reply(AgentReply::FirstBytes(
             listing(43, &with_status(&self.entries, node, "leaving")),
             usize::MAX,
         ));
@@ -161,10 +162,10 @@
     let (client, mut link) = scene.start_write("a1");
     scene.stop_and_drain(0);
     link.greet("primary").expect("the router is there");
-    scene.router.strike(Blow::Continue);
+    scene.router.send_signal(ProcessSignal::Continue);
     client.join().expect("a client");
     assert_eq!(
-        link.has_come().expect("a socket"),
+        link.pending_statement().expect("a socket"),
         None,
         "the router read the list before it could send the first byte: {:#?}",
         scene.router.lines()
@@ -181,8 +182,9 @@
     };
     let mut scene = Scene::with_scripted_node("nodes-probe", 1, bounded);
     let listen = scene.router.listen();
-    let start_read =
-        |id: &'static str| std::thread::spawn(move || ask(&mut Caller::new(listen), id, "look"));
+    let start_read = |id: &'static str| {
+        std::thread::spawn(move || ask(&mut RequestClient::new(listen), id, "look"))
+    };
     let client = start_read("a1");
     let mut link = scene
         .primary
@@ -190,11 +192,14 @@
         .expect("the probe's connection");
     scene.stop_and_drain(1);
     link.greet("standby").expect("the router is there");
-    scene.router.strike(Blow::Continue);
-    assert_eq!(client.join().expect("a client"), Fate::Served);
-    assert_eq!(ask(&mut Caller::new(listen), "a2", "look"), Fate::Served);
+    scene.router.send_signal(ProcessSignal::Continue);
+    assert_eq!(client.join().expect("a client"), RequestOutcome::Served);
+    assert_eq!(
+        ask(&mut RequestClient::new(listen), "a2", "look"),
+        RequestOutcome::Served
+    );
     assert_eq!(
-        link.has_come().expect("a socket"),
+        link.pending_statement().expect("a socket"),
         None,
         "{:#?}",
         scene.router.lines()
@@ -222,8 +227,8 @@
     drop(client);
     // The router handles this request after the disconnect, since it was sent later.
     assert_eq!(
-        ask(&mut Caller::new(scene.router.listen()), "a2", "look"),
-        Fate::Served
+        ask(&mut RequestClient::new(scene.router.listen()), "a2", "look"),
+        RequestOutcome::Served
     );
     link.greet("primary").expect("the router is there");
     let next = scene.start_client("a3");
@@ -232,7 +237,7 @@
         Some("a3")
     );
     link.answer("a3").expect("the router is there");
-    assert_eq!(next.join().expect("a client"), Fate::Served);
+    assert_eq!(next.join().expect("a client"), RequestOutcome::Served);
 }
 
 #[test]
@@ -240,7 +245,7 @@
     // Another node may have the old address by then.
     let scene = Scene::new("nodes-moved-coming");
     let (client, mut link) = scene.start_write("a1");
-    let moved = held::Node::start(TEST_TIMEOUT).expect("a node");
+    let moved = manual_node::Node::start(TEST_TIMEOUT).expect("a node");
     scene.send_list(
         43,
         &with_address(&scene.entries, 0, moved.address().expect("bound")),
@@ -254,7 +259,7 @@
         Some("a1")
     );
     moved_link.answer("a1").expect("the router is there");
-    assert_eq!(client.join().expect("a client"), Fate::Served);
+    assert_eq!(client.join().expect("a client"), RequestOutcome::Served);
     assert_eq!(link.statement().expect("closed"), None);
 }
 
@@ -267,13 +272,13 @@
         link.statement().expect("a statement").as_deref(),
         Some("a1")
     );
-    let moved = held::Node::start(TEST_TIMEOUT).expect("a node");
+    let moved = manual_node::Node::start(TEST_TIMEOUT).expect("a node");
     scene.send_list(
         43,
         &with_address(&scene.entries, 0, moved.address().expect("bound")),
     );
     link.answer("a1").expect("the router is there");
-    assert_eq!(client.join().expect("a client"), Fate::Served);
+    assert_eq!(client.join().expect("a client"), RequestOutcome::Served);
     let next = scene.start_client("a2");
     assert_eq!(
         link.statement().expect("closed"),
@@ -287,12 +292,15 @@
         Some("a2")
     );
     moved_link.answer("a2").expect("the router is there");
-    assert_eq!(next.join().expect("a client"), Fate::Served);
+    assert_eq!(next.join().expect("a client"), RequestOutcome::Served);
 }
 
 /// Runs a write that the primary answers in this way. Asserts that its client gets a failure in time, that the connection
 /// is closed, and that the next write is served on another connection.
-fn check_invalid_answer(name: &str, answer: impl FnOnce(held::Link) -> Option<held::Link>) {
+fn check_invalid_answer(
+    name: &str,
+    answer: impl FnOnce(manual_node::Link) -> Option<manual_node::Link>,
+) {
     let scene = Scene::new(name);
     let (client, mut link) = scene.start_write("a1");
     link.greet("primary").expect("the router is there");
@@ -301,7 +309,7 @@
         Some("a1")
     );
     let link = answer(link);
-    assert_eq!(client.join().expect("a client"), Fate::Failed);
+    assert_eq!(client.join().expect("a client"), RequestOutcome::Failed);
     let next = scene.start_client("a2");
     let mut other = scene
         .primary
@@ -320,7 +328,7 @@
         Some("a2")
     );
     other.answer("a2").expect("the router is there");
-    assert_eq!(next.join().expect("a client"), Fate::Served);
+    assert_eq!(next.join().expect("a client"), RequestOutcome::Served);
 }
 
 /// The bytes of an error of the node itself.
@@ -329,8 +337,8 @@
 const NOTICE: &[u8] = b"N\0\0\0\x09Mno\0\0";
 
 /// Sends these bytes and then nothing.
-fn send_only(mut link: held::Link, bytes: &[u8]) -> Option<held::Link> {
-    link.say(bytes).expect("the router is there");
+fn send_only(mut link: manual_node::Link, bytes: &[u8]) -> Option<manual_node::Link> {
+    link.send(bytes).expect("the router is there");
     Some(link)
 }
 
@@ -348,7 +356,7 @@
 fn an_endless_answer_does_not_extend_its_attempt() {
     // Each message shows that the node is alive, and none of them is an answer.
     check_invalid_answer("nodes-endless", |mut link| {
-        while link.say(NOTICE).is_ok() {}
+        while link.send(NOTICE).is_ok() {}
         Some(link)
     });
 }
@@ -364,10 +372,10 @@
 #[test]
 fn requests_with_an_unknown_class_or_tenant_or_a_reused_id_are_not_sent() {
     let scene = Scene::new("nodes-unknown");
-    let mut client = Caller::new(scene.router.listen());
+    let mut client = RequestClient::new(scene.router.listen());
     let timeout = Duration::from_millis(standing_fleet::CLIENT_TIMEOUT_MS);
     let statement_of = standing_fleet::statement;
-    assert_eq!(ask(&mut client, "a1", "look"), Fate::Served);
+    assert_eq!(ask(&mut client, "a1", "look"), RequestOutcome::Served);
     let read_count = || scene.others.iter().flat_map(|node| node.ran()).count();
     let before = read_count();
     for (id, statement) in [
@@ -386,7 +394,7 @@
     ] {
         assert_eq!(
             client.ask(&statement, id, timeout),
-            Fate::Failed,
+            RequestOutcome::Failed,
             "{statement}"
         );
     }
@@ -403,5 +411,5 @@
         "the rejected writes did not reach the node"
     );
     link.answer("a2").expect("the router is there");
-    assert_eq!(write.join().expect("a client"), Fate::Served);
+    assert_eq!(write.join().expect("a client"), RequestOutcome::Served);
 }
--- a/router/tests/standing_signals.rs
+++ b/router/tests/standing_signals.rs
@@ -6,9 +6,9 @@
 #[allow(dead_code, reason = "each test file uses a part of it")]
 mod standing_fleet;
 
-use plovercove_emulator::held;
-use plovercove_emulator::process::{Blow, Folder, Process};
-use plovercove_emulator::rough::{Agent, Manner, Node, Says};
+use plovercove_emulator::faulty_peers::{Agent, AgentReply, Node, NodeBehavior};
+use plovercove_emulator::manual_node;
+use plovercove_emulator::process::{Folder, Process, ProcessSignal};
 use serde_json::Value;
 use standing_fleet::{Start, TEST_TIMEOUT, group, listing, statement, with_status};
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
@@ -80,7 +80,7 @@
 struct Scene {
     router: Process,
     agent: Agent,
-    primary: held::Node,
+    primary: manual_node::Node,
     entries: Vec<Value>,
     nodes: Vec<Node>,
     folder: Folder,
@@ -93,11 +93,11 @@
 
     /// Starts a scene whose primary has this address instead.
     fn with_primary(name: &str, address: Option<SocketAddr>) -> Self {
-        let (nodes, mut entries) = group([Manner::Good; 3]);
-        let primary = held::Node::start(TEST_TIMEOUT).expect("a node");
+        let (nodes, mut entries) = group([NodeBehavior::Healthy; 3]);
+        let primary = manual_node::Node::start(TEST_TIMEOUT).expect("a node");
         let address = address.unwrap_or_else(|| primary.address().expect("bound"));
         entries[0]["address"] = address.to_string().into();
-        let agent = Agent::start(vec![Says::Body(listing(42, &entries))]).expect("an agent");
+        let agent = Agent::start(vec![AgentReply::Body(listing(42, &entries))]).expect("an agent");
         let folder = Folder::new(name).expect("a folder");
         let file = folder
             .write(
@@ -108,7 +108,7 @@
         let program = Path::new(env!("CARGO_BIN_EXE_plovercove"));
         let router = Process::start(program, &file, |command| command.env("PROXY_LOG", "debug"))
             .expect("the router starts");
-        assert!(agent.called(2, TEST_TIMEOUT), "the list is applied");
+        assert!(agent.wait_for_calls(2, TEST_TIMEOUT), "the list is applied");
         Scene {
             router,
             agent,
@@ -124,7 +124,7 @@
         let start = Start {
             name: "",
             agent: agent.into(),
-            known: entries,
+            remembered: entries,
             pushed: false,
             sockets: 512,
         };
@@ -136,7 +136,7 @@
     /// Stops the router's process while it waits for events.
     fn stop(&mut self) {
         self.wait_for_process_state('S');
-        self.router.strike(Blow::Stop);
+        self.router.send_signal(ProcessSignal::Stop);
         self.wait_for_process_state('T');
     }
 
@@ -163,14 +163,14 @@
 
     fn wait_for_log(&self, words: &str) {
         assert!(
-            self.router.says(words, TEST_TIMEOUT).is_some(),
+            self.router.wait_for_line(words, TEST_TIMEOUT).is_some(),
             "{words}: {:#?}",
             self.router.lines()
         );
     }
 
     fn assert_exits(&mut self) {
-        let ended = self.router.ended(TEST_TIMEOUT);
+        let ended = self.router.wait_for_exit(TEST_TIMEOUT);
         assert!(
             ended.is_some_and(|status| status.success()),
             "{ended:?}: {:#?}",
@@ -200,8 +200,8 @@
         .expect("the first attempt's connection");
     scene.stop();
     drop(first);
-    scene.router.strike(Blow::Term);
-    scene.router.strike(Blow::Continue);
+    scene.router.send_signal(ProcessSignal::Term);
+    scene.router.send_signal(ProcessSignal::Continue);
     scene.wait_for_log("SIGTERM: finishing");
     let mut second = scene
         .primary
@@ -229,12 +229,15 @@
 fn sigterm_and_sighup_in_one_turn_with_a_request_all_have_their_effect() {
     // The order in which the router handles two signals of one turn is random, and both must have their effect. The signals
     // are sent in both orders.
-    for (index, signals) in [[Blow::Term, Blow::Reload], [Blow::Reload, Blow::Term]]
-        .into_iter()
-        .enumerate()
+    for (index, signals) in [
+        [ProcessSignal::Term, ProcessSignal::Reload],
+        [ProcessSignal::Reload, ProcessSignal::Term],
+    ]
+    .into_iter()
+    .enumerate()
     {
         let mut scene = Scene::new(&format!("signals-turn-{index}"));
-        let next = Agent::start(vec![Says::Body(listing(
+        let next = Agent::start(vec![AgentReply::Body(listing(
             3,
             &with_status(&scene.entries, 2, "leaving"),
         ))])
@@ -247,13 +250,13 @@
         scene.folder.write("config.json", &config).expect("a file");
         signals
             .into_iter()
-            .for_each(|signal| scene.router.strike(signal));
+            .for_each(|signal| scene.router.send_signal(signal));
         client.query(&statement("a2", "look"));
         arrival::wait_for_acknowledgement(arrival::local_port(&client.0));
-        scene.router.strike(Blow::Continue);
+        scene.router.send_signal(ProcessSignal::Continue);
         assert_eq!(client.read_outcome(), "row");
         assert!(
-            next.called(2, TEST_TIMEOUT),
+            next.wait_for_calls(2, TEST_TIMEOUT),
             "the list of the new agent is applied: {:#?}",
             scene.router.lines()
         );
@@ -271,22 +274,22 @@
     let mut client = RawClient::connect(scene.router.listen());
     client.query(&statement("a1", "book"));
     let mut link = scene.primary.accept(TEST_TIMEOUT).expect("its connection");
-    scene.router.strike(Blow::Term);
+    scene.router.send_signal(ProcessSignal::Term);
     scene.wait_for_closed_listener();
     let config = Scene::config(&next.address().to_string(), &scene.entries);
     scene.folder.write("config.json", &config).expect("a file");
-    scene.router.strike(Blow::Reload);
+    scene.router.send_signal(ProcessSignal::Reload);
     assert!(
-        next.called(1, TEST_TIMEOUT),
+        next.wait_for_calls(1, TEST_TIMEOUT),
         "the new agent is called: {:#?}",
         scene.router.lines()
     );
-    next.then(Says::Body(listing(
+    next.push_reply(AgentReply::Body(listing(
         3,
         &with_status(&scene.entries, 0, "leaving"),
     )));
     assert!(
-        next.called(2, TEST_TIMEOUT),
+        next.wait_for_calls(2, TEST_TIMEOUT),
         "the list of the new agent is applied: {:#?}",
         scene.router.lines()
     );
@@ -297,7 +300,7 @@
         "there is no primary any more, and the request was not sent"
     );
     assert_eq!(
-        link.has_come().expect("a socket"),
+        link.pending_statement().expect("a socket"),
         None,
         "{:#?}",
         scene.router.lines()
@@ -323,12 +326,12 @@
     let mut client = RawClient::connect(scene.router.listen());
     client.query(&statement("a1", "book"));
     let mut link = scene.primary.accept(TEST_TIMEOUT).expect("its connection");
-    scene.router.strike(Blow::Term);
+    scene.router.send_signal(ProcessSignal::Term);
     scene.wait_for_log("SIGTERM: finishing");
-    scene.router.strike(Blow::Term);
+    scene.router.send_signal(ProcessSignal::Term);
     scene.wait_for_log("SIGTERM: once more");
     scene.wait_for_closed_listener();
-    scene.router.strike(Blow::Term);
+    scene.router.send_signal(ProcessSignal::Term);
     link.greet("primary").expect("the router is there");
     assert_eq!(
         link.statement().expect("it is written").as_deref(),
@@ -371,9 +374,9 @@
     // test delays the configuration with a pipe.
     for hup in [false, true] {
         let name = format!("signals-early-{hup}");
-        let (_nodes, entries) = group([Manner::Good; 3]);
+        let (_nodes, entries) = group([NodeBehavior::Healthy; 3]);
         // Discovery never answers, not even with a first list.
-        let agent = Agent::start(vec![Says::Nothing; 8]).expect("an agent");
+        let agent = Agent::start(vec![AgentReply::Silence; 8]).expect("an agent");
         let folder = Folder::new(&name).expect("a folder");
         let pipe = folder.path().join("config.json");
         assert!(
@@ -495,7 +498,10 @@
         );
         link.answer(&next_id).expect("the router is there");
         assert_eq!(next.read_outcome(), "row");
-        assert!(link.has_come().expect("a socket").is_none(), "{ends}");
+        assert!(
+            link.pending_statement().expect("a socket").is_none(),
+            "{ends}"
+        );
     }
 }
 
