--- a/gather/benches/merge.rs
+++ b/gather/benches/merge.rs
@@ -21,7 +21,7 @@
     let rules = Rules {
         columns: vec!["key".into(), "n".into()],
         sort,
-        rows: Some(100),
+        max_rows: Some(100),
         ..Rules::default()
     };
     rules.plan().expect("valid rules")
--- a/gather/src/answer.rs
+++ b/gather/src/answer.rs
@@ -339,7 +339,7 @@
 
 /// Returns how many of the rows fit in the size limit of an answer.
 fn rows_within_bytes(plan: &Plan, rows: &[Row]) -> usize {
-    let Some(max_bytes) = plan.rules.bytes else {
+    let Some(max_bytes) = plan.rules.max_bytes else {
         return rows.len();
     };
     let mut remaining_bytes = max_bytes;
--- a/gather/src/lib.rs
+++ b/gather/src/lib.rs
@@ -4,7 +4,7 @@
 //! [`Rules`] define the sort order, how rows with one key are reduced to one, and the limits. A source sends a
 //! [`Partial`] in [`Piece`]s. A [`Gathering`] collects the pieces of the queried sources and returns an [`Answer`],
 //! which can itself be a partial result of a higher level. [`StreamMerge`] merges any number of rows that arrive in
-//! order. [`Question`] is a query that routers send to each other.
+//! order. [`Query`] is a query that routers send to each other.
 
 mod answer;
 mod bounds;
@@ -12,7 +12,7 @@
 mod gathering;
 mod merge;
 mod part;
-mod question;
+mod query;
 mod rules;
 mod value;
 
@@ -21,7 +21,7 @@
 pub use gathering::{Gathering, MAX_SOURCES, PutOutcome};
 pub use merge::{Input, StreamMerge};
 pub use part::{MAX_PIECES, Partial, Piece, Range, Row, Source, Uncertainty};
-pub use question::{Message, Question, Topic};
+pub use query::{Message, Query, Topic};
 pub use rules::{
     AbsentOrder, Aggregate, Combine, Guard, KeepRule, MAX_COLUMNS, MAX_ROWS, MAX_TIES, Plan,
     RequiredSources, Rules, SortKey, TieRule, Unique,
--- a/gather/src/part.rs
+++ b/gather/src/part.rs
@@ -83,7 +83,7 @@
 pub struct Partial {
     /// The source.
     pub source: Source,
-    /// Number of this partial result among those of the source to the same question. Only the newest is used: the one
+    /// Number of this partial result among those of the source to the same query. Only the newest is used: the one
     /// with the highest token, then the highest incarnation, then the highest round.
     pub round: u32,
     /// Age of the oldest information in it (ms).
--- a/gather/src/question.rs
+++ b/gather/src/query.rs
@@ -15,7 +15,8 @@
     /// The database nodes by the number of failed attempts, summed over routers.
     NodesByFailures,
     /// The leases and the holder of each, according to the highest fencing token.
-    Owners,
+    #[serde(rename = "owners")]
+    LeaseHolders,
     /// The subscribers of this topic.
     Subscribers(String),
     /// The log position of each node of this group, from the latest incarnation and position known.
@@ -56,7 +57,7 @@
                     sums,
                 )
             }
-            Topic::Owners => (
+            Topic::LeaseHolders => (
                 &["duty", "owner", "zone", "token"],
                 vec![ascending("duty")],
                 &["duty"],
@@ -113,7 +114,7 @@
                 keep,
                 combine,
             }),
-            rows: Some(100),
+            max_rows: Some(100),
             need: RequiredSources::Any,
             ..Rules::default()
         }
@@ -122,7 +123,7 @@
 
 /// A query as it is sent, in a part of a datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Question {
+pub struct Query {
     /// Number of the query, chosen by the requester.
     pub id: u64,
     /// Name of the router that sent the query.
@@ -135,7 +136,7 @@
     /// The subject of the query.
     pub topic: Topic,
     /// Maximum number of rows of the answer, if it differs from that of the topic's rules.
-    pub rows: Option<u64>,
+    pub max_rows: Option<u64>,
     /// The answer begins after this row.
     pub after: Option<Cursor>,
 }
@@ -145,7 +146,7 @@
 /// Maximum time until the deadline of a query (ms).
 const MAX_WAIT_MS: u32 = 60_000;
 
-impl Question {
+impl Query {
     /// Checks the query and returns the merge rules of its answer.
     ///
     /// # Errors
@@ -178,7 +179,7 @@
         }
         let topic_rules = self.topic.rules();
         let rules = Rules {
-            rows: self.rows.or(topic_rules.rows),
+            max_rows: self.max_rows.or(topic_rules.max_rows),
             ..topic_rules
         };
         rules.check()?;
@@ -208,7 +209,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
     /// A query.
-    Query(Question),
+    Query(Query),
     /// A piece of the partial result of one source.
     Answer {
         /// Number of the query.
--- a/gather/src/rules.rs
+++ b/gather/src/rules.rs
@@ -21,7 +21,7 @@
     Sorted,
     /// Two rows with one key are an error if their source declares one row for each key.
     Collide,
-    /// The newer of two partial results of one source counts.
+    /// The newer of two partial results of one source is used.
     Newer,
     /// Two partial results that include rows of the same source are not added up.
     Overlap,
@@ -134,7 +134,7 @@
     /// They are cut. Content and source decide which of the tied rows come first.
     #[default]
     Cut,
-    /// They are listed beyond `rows`, up to [`MAX_TIES`] of them.
+    /// They are listed beyond [`Rules::max_rows`], up to [`MAX_TIES`] of them.
     #[serde(rename = "keep")]
     Extend,
 }
@@ -165,11 +165,11 @@
     #[serde(skip_serializing_if = "Option::is_none")]
     pub unique: Option<Unique>,
     /// Maximum number of rows of the answer; [`MAX_ROWS`] if it is not set.
-    #[serde(skip_serializing_if = "Option::is_none")]
-    pub rows: Option<u64>,
+    #[serde(rename = "rows", skip_serializing_if = "Option::is_none")]
+    pub max_rows: Option<u64>,
     /// Maximum size of the answer's rows in encoded form (bytes).
-    #[serde(skip_serializing_if = "Option::is_none")]
-    pub bytes: Option<u64>,
+    #[serde(rename = "bytes", skip_serializing_if = "Option::is_none")]
+    pub max_bytes: Option<u64>,
     /// Maximum number of rows of each source: its first rows in sort order are used.
     #[serde(rename = "each", skip_serializing_if = "Option::is_none")]
     pub max_rows_per_source: Option<u64>,
@@ -214,15 +214,15 @@
             .unique
             .as_ref()
             .is_none_or(|u| u.keep == KeepRule::First && u.combine.is_empty());
-        let rows = self
-            .rows
+        let max_rows = self
+            .max_rows
             .map(|rows| rows.saturating_add(self.offset))
             .filter(|_| may_cut);
         // Only the top level limits bytes: a lower level has other rows before the same row.
         Rules {
-            rows,
+            max_rows,
             offset: 0,
-            bytes: None,
+            max_bytes: None,
             need: RequiredSources::Any,
             ..self.clone()
         }
@@ -339,14 +339,14 @@
                 roles,
             });
         }
-        let rows = self.rows.unwrap_or(MAX_ROWS);
+        let rows = self.max_rows.unwrap_or(MAX_ROWS);
         if rows == 0 || rows > MAX_ROWS {
             return Err(rule_error(
                 "rows",
                 &format!("expected 1 to {MAX_ROWS}, got {rows}"),
             ));
         }
-        if self.rows.is_some()
+        if self.max_rows.is_some()
             && rows
                 .checked_add(self.offset)
                 .is_none_or(|last_row| last_row > MAX_ROWS)
@@ -357,7 +357,10 @@
                 &format!("expected {MAX_ROWS} at the most, `rows` with it; use a cursor"),
             ));
         }
-        for (key, limit) in [("each", self.max_rows_per_source), ("bytes", self.bytes)] {
+        for (key, limit) in [
+            ("each", self.max_rows_per_source),
+            ("bytes", self.max_bytes),
+        ] {
             if limit == Some(0) {
                 return Err(rule_error(key, "expected 1 or more"));
             }
--- a/gather/tests/invalid_input.rs
+++ b/gather/tests/invalid_input.rs
@@ -197,22 +197,21 @@
 
 #[test]
 fn nan_and_corrupt_bytes_are_malformed() {
-    let real = |number: f64| put_real(number);
-    assert!(real(1.5).is_ok() && real(f64::NAN).is_err());
+    assert!(put_real(1.5).is_ok() && put_real(f64::NAN).is_err());
     let piece = raw("a", &[("x", 1)])
         .pieces(1_000)
         .expect("small")
         .remove(0);
     let sent = piece.encode();
-    for at in 0..sent.len() {
+    for index in 0..sent.len() {
         let mut changed = sent.clone();
-        changed[at] ^= 0x55;
+        changed[index] ^= 0x55;
         if let Ok(piece) = Piece::decode(&changed) {
             let mut all = gathering(&rules(None), &["a"]);
             let _ = all.put(piece);
             assert!(all.close().is_ok());
         }
-        assert!(Piece::decode(&sent[..at]).is_err());
+        assert!(Piece::decode(&sent[..index]).is_err());
     }
 }
 
@@ -227,12 +226,12 @@
         .pieces(1_000)
         .expect("small");
     let (from, to) = (1.25_f64.to_le_bytes(), number.to_le_bytes());
-    let at = part[0]
+    let start = part[0]
         .bytes
         .windows(8)
-        .position(|w| w == from)
+        .position(|bytes| bytes == from)
         .expect("it is there");
-    part[0].bytes[at..at + 8].copy_from_slice(&to);
+    part[0].bytes[start..start + 8].copy_from_slice(&to);
     let mut all = gathering(&rules, &["a"]);
     all.put(part.remove(0)).map(drop)
 }
@@ -247,12 +246,12 @@
             other => format!("{other:?}"),
         }
     };
-    assert!(key(&|r| r.rows = Some(0)).starts_with("merge.rows:"));
-    assert!(key(&|r| r.rows = Some(u64::MAX)).starts_with("merge.rows:"));
+    assert!(key(&|r| r.max_rows = Some(0)).starts_with("merge.rows:"));
+    assert!(key(&|r| r.max_rows = Some(u64::MAX)).starts_with("merge.rows:"));
     assert!(key(&|r| r.offset = u64::MAX).starts_with("merge.offset:"));
-    assert!(key(&|r| (r.rows, r.offset) = (Some(MAX_ROWS), 1)).starts_with("merge.offset:"));
+    assert!(key(&|r| (r.max_rows, r.offset) = (Some(MAX_ROWS), 1)).starts_with("merge.offset:"));
     assert!(key(&|r| r.max_rows_per_source = Some(0)).starts_with("merge.each:"));
-    assert!(key(&|r| r.bytes = Some(0)).starts_with("merge.bytes:"));
+    assert!(key(&|r| r.max_bytes = Some(0)).starts_with("merge.bytes:"));
     assert!(key(&|r| r.need = RequiredSources::Least(0)).starts_with("merge.need.least:"));
     assert!(key(&|r| r.columns.clear()).starts_with("merge.columns:"));
     assert!(key(&|r| r.columns[1] = "key".into()).starts_with("merge.columns.1:"));
@@ -271,7 +270,7 @@
     };
     assert!(key(&|r| unique(r, &|u| u.keep = own.clone())).starts_with("merge.unique.keep"));
     assert_eq!(
-        key(&|r| (r.max_rows_per_source, r.bytes) = (Some(u64::MAX), Some(u64::MAX))),
+        key(&|r| (r.max_rows_per_source, r.max_bytes) = (Some(u64::MAX), Some(u64::MAX))),
         "Ok(())"
     );
     let read = |text: &str| serde_json::from_str::<Rules>(text);
@@ -279,13 +278,21 @@
     let text = r#"{"columns":["a","n"],"sort":[{"by":"n","down":true,"absent":"first"}],"need":{"least":2},
         "unique":{"key":["a"],"keep":{"freshest":{"life":"n","position":"n"}}},"ties":"keep"}"#;
     assert!(read(text).is_ok_and(|r| r.check().is_ok()));
-    // The settings keep their outer names where a field has another name.
-    let text = r#"{"columns":["a","n"],"each":5,
-        "unique":{"key":["a"],"combine":[{"column":"n","by":"sum","floor":true}]}}"#;
-    assert!(read(text).is_ok_and(|r| {
-        let combine = &r.unique.as_ref().expect("set").combine[0];
-        r.check().is_ok() && r.max_rows_per_source == Some(5) && combine.non_negative
-    }));
+    // Each setting is read and written under its outer name, which some fields do not have.
+    let text = r#"{"columns":["a","n","i"],"sort":[{"by":"n","down":true,"absent":"first"}],
+        "unique":{"key":["a"],"keep":{"freshest":{"life":"i","position":"i"}},
+            "combine":[{"column":"n","by":"sum","floor":true}]},
+        "rows":7,"bytes":900,"each":5,"offset":1,"ties":"keep","need":"all"}"#;
+    let all = read(text).expect("settings with outer names");
+    let combine = &all.unique.as_ref().expect("set").combine[0];
+    assert!(all.sort[0].descending && combine.non_negative && all.check().is_ok());
+    assert_eq!((all.max_rows, all.max_bytes), (Some(7), Some(900)));
+    assert_eq!(all.max_rows_per_source, Some(5));
+    let written = serde_json::to_value(&all).expect("JSON");
+    assert_eq!(
+        written,
+        serde_json::from_str::<serde_json::Value>(text).expect("JSON")
+    );
 }
 
 #[test]
@@ -355,10 +362,10 @@
         )
         .expect("small")
     };
-    // An encoded row has six bytes: the number of values, and for each value a type byte, and the length and letter of
-    // the text or the integer.
+    // An encoded row has six bytes: the number of values, then type, length and letter of the text, then type and value
+    // of the integer.
     let cut = one(&Rules {
-        bytes: Some(12),
+        max_bytes: Some(12),
         ..rules(None)
     });
     assert_eq!((numbers(&cut), cut.row_counts.cut), (vec![3, 2], 1));
@@ -406,7 +413,7 @@
 fn ten_million_rows_are_merged_as_streams() {
     let rules = Rules {
         unique: None,
-        rows: Some(10),
+        max_rows: Some(10),
         ..rules(None)
     };
     let plan = rules.plan().expect("rules");
@@ -447,37 +454,37 @@
     let group = || "g".repeat(128);
     let topics = [
         Topic::NodesByFailures,
-        Topic::Owners,
+        Topic::LeaseHolders,
         Topic::Subscribers(group()),
         Topic::Positions(group()),
         Topic::HeaviestTenants,
     ];
     for topic in topics {
-        let ask = |rows, remaining_ms| {
+        let query = |max_rows, remaining_ms| {
             let topic = topic.clone();
-            Question {
+            Query {
                 id: u64::MAX,
                 requester: group(),
                 incarnation: u64::MAX,
                 remaining_ms,
                 topic,
-                rows,
+                max_rows,
                 after: None,
             }
         };
         assert!(
-            ask(None, 500)
+            query(None, 500)
                 .rules()
                 .is_ok_and(|r| r.check().is_ok() && r.lower().check().is_ok())
         );
-        assert!(ask(Some(0), 500).rules().is_err() && ask(None, u32::MAX).rules().is_err());
-        let sent = Message::Query(ask(Some(7), 500));
+        assert!(query(Some(0), 500).rules().is_err() && query(None, u32::MAX).rules().is_err());
+        let sent = Message::Query(query(Some(7), 500));
         assert!(sent.encode().len() < 1_000);
         assert_eq!(Message::decode(&sent.encode()), Ok(sent));
         assert_eq!(
             (
-                ask(None, 500).remaining_after(499),
-                ask(None, 500).remaining_after(500)
+                query(None, 500).remaining_after(499),
+                query(None, 500).remaining_after(500)
             ),
             (Some(1), None)
         );
--- a/gather/tests/properties.rs
+++ b/gather/tests/properties.rs
@@ -11,6 +11,7 @@
 /// Columns of the rows: a key and three numbers, which may be absent.
 const COLUMNS: [&str; 4] = ["key", "a", "b", "c"];
 
+/// One generated merge.
 #[derive(Clone, Debug)]
 struct Case {
     rules: Rules,
@@ -52,15 +53,15 @@
     let combine = prop::collection::vec((by, any::<bool>()), 0..2);
     prop::option::weighted(0.8, (keep, combine)).prop_map(|rule| {
         let (keep, combine) = rule?;
-        let one = |(by, floor)| Combine {
+        let combined_column = |(by, non_negative)| Combine {
             column: "a".into(),
             by,
-            non_negative: floor && by == Aggregate::Sum,
+            non_negative: non_negative && by == Aggregate::Sum,
         };
         Some(Unique {
             key: vec!["key".into()],
             keep,
-            combine: combine.into_iter().map(one).collect(),
+            combine: combine.into_iter().map(combined_column).collect(),
         })
     })
 }
@@ -79,30 +80,38 @@
         prop::option::weighted(0.2, 1..5_u64),
     );
     (sort, unique(), cut).prop_map(
-        |((mut keys, ways, a_first), unique, (rows, offset, keep, each))| {
+        |(
+            (mut keys, directions, a_first),
+            unique,
+            (max_rows, offset, keep_ties, max_rows_per_source),
+        )| {
             if a_first {
                 keys.sort_by_key(|k| *k != "a");
             }
-            let one = |(by, (down, first)): (&&str, &(bool, bool))| SortKey {
+            let sort_key = |(by, (descending, absent_first)): (&&str, &(bool, bool))| SortKey {
                 by: (*by).into(),
-                descending: *down,
-                absent: if *first {
+                descending: *descending,
+                absent: if *absent_first {
                     AbsentOrder::First
                 } else {
                     AbsentOrder::Last
                 },
             };
-            let sort = keys.iter().zip(&ways).map(one).collect();
-            let ties = if keep { TieRule::Extend } else { TieRule::Cut };
+            let sort = keys.iter().zip(&directions).map(sort_key).collect();
+            let ties = if keep_ties {
+                TieRule::Extend
+            } else {
+                TieRule::Cut
+            };
             let columns = COLUMNS.map(String::from).to_vec();
             Rules {
                 columns,
                 sort,
                 unique,
-                rows,
+                max_rows,
                 offset,
                 ties,
-                max_rows_per_source: each,
+                max_rows_per_source,
                 ..Rules::default()
             }
         },
@@ -187,12 +196,12 @@
         keys.entry(row.values[0].clone()).or_default().push(row);
     }
     let combined: Vec<usize> = unique.combine.iter().map(|c| column(&c.column)).collect();
-    let blank = |row: &PlainRow| {
+    let without_combined = |row: &PlainRow| {
         let mut row = row.clone();
         combined.iter().for_each(|c| row.values[*c] = Value::Absent);
         row
     };
-    let one = |rows: Vec<PlainRow>| {
+    let reduce = |rows: Vec<PlainRow>| {
         let rank = |row: &PlainRow| match &unique.keep {
             KeepRule::First => vec![],
             KeepRule::Token => vec![Value::from(case.sources[row.source].0 as i64)],
@@ -207,9 +216,11 @@
             }
         };
         let better = |a: &&PlainRow, b: &&PlainRow| {
-            rank(b)
-                .cmp(&rank(a))
-                .then(plain_order(&case.rules, &blank(a), &blank(b)))
+            rank(b).cmp(&rank(a)).then(plain_order(
+                &case.rules,
+                &without_combined(a),
+                &without_combined(b),
+            ))
         };
         let mut kept = rows.iter().min_by(better).expect("not empty").clone();
         for combine in &unique.combine {
@@ -229,7 +240,7 @@
         kept.merged_rows = rows.iter().map(|r| r.merged_rows).sum();
         kept
     };
-    keys.into_values().map(one).collect()
+    keys.into_values().map(reduce).collect()
 }
 
 /// Returns all rows of the plain model in order, before offset and limit.
@@ -262,17 +273,17 @@
 fn plain_page(case: &Case) -> Vec<PlainRow> {
     let (rules, all) = (&case.rules, all_rows(case));
     let end = rules
-        .rows
+        .max_rows
         .map_or(all.len(), |r| (r + rules.offset) as usize)
         .min(all.len());
     let last = all[..end].last().cloned();
-    let tied = |row: &PlainRow| {
+    let ties_with_last = |row: &PlainRow| {
         rules.ties == TieRule::Extend
             && last
                 .as_ref()
                 .is_some_and(|l| cmp_sort_keys(rules, &l.values, &row.values).is_eq())
     };
-    let end = end + all[end..].iter().take_while(|r| tied(r)).count();
+    let end = end + all[end..].iter().take_while(|r| ties_with_last(r)).count();
     all[..end]
         .iter()
         .skip(rules.offset as usize)
@@ -336,7 +347,7 @@
     for (group, members) in groups {
         let mut rules = case.rules.lower();
         if let Some(rows) = case.cuts[members[0]].1.filter(|_| cut) {
-            rules.rows = Some(rows);
+            rules.max_rows = Some(rows);
         }
         let plan = rules.plan()?;
         let max_rows = |i: usize| case.cuts[i].0.filter(|_| cut);
@@ -536,13 +547,13 @@
 fn the_absence_of_each_guard_is_detected() {
     for guard in [Guard::Threshold, Guard::OwnCut, Guard::LastResort] {
         let mut runner = TestRunner::deterministic();
-        let caught = (0..4_000).any(|_| {
+        let is_detected = (0..4_000).any(|_| {
             let mut case = case().new_tree(&mut runner).expect("a case").current();
             let passes = check_case(&case).is_ok();
             case.rules.disabled_guard = Some(guard);
             passes && check_case(&case).is_err()
         });
-        assert!(caught, "{guard:?}");
+        assert!(is_detected, "{guard:?}");
     }
 }
 
@@ -551,7 +562,8 @@
 #[test]
 fn bounds_are_not_trivial() {
     let mut runner = TestRunner::deterministic();
-    let (mut rows, mut sure, mut ranges, mut closed, mut cuts, mut prefixes) = (0, 0, 0, 0, 0, 0);
+    let (mut rows, mut certain, mut ranges, mut bounded, mut answers, mut with_prefix) =
+        (0, 0, 0, 0, 0, 0);
     for _ in 0..2_000 {
         let case = case().new_tree(&mut runner).expect("a case").current();
         let answer = one_level(&case, true).expect("small sums");
@@ -559,7 +571,7 @@
             continue;
         }
         rows += answer.rows.len();
-        sure += answer.rows.iter().filter(|r| r.certain).count();
+        certain += answer.rows.iter().filter(|r| r.certain).count();
         let all = || {
             answer
                 .rows
@@ -568,11 +580,11 @@
                 .filter(|r| !r.is_exact())
         };
         ranges += all().count();
-        closed += all()
+        bounded += all()
             .filter(|r| r.low.is_some() && r.high.is_some())
             .count();
-        cuts += 1;
-        prefixes += usize::from(
+        answers += 1;
+        with_prefix += usize::from(
             answer
                 .hidden_prefix
                 .as_ref()
@@ -580,11 +592,11 @@
         );
     }
     let summary = format!(
-        "certain {sure} of {rows}, closed {closed} of {ranges}, edges {prefixes} of {cuts}"
+        "certain rows {certain} of {rows}, bounded ranges {bounded} of {ranges}, bounds on hidden rows {with_prefix} of {answers}"
     );
     println!("{summary}");
     assert!(
-        sure * 10 > rows && closed * 20 > ranges && prefixes * 4 > cuts,
+        certain * 10 > rows && bounded * 20 > ranges && with_prefix * 4 > answers,
         "{summary}"
     );
 }
@@ -600,7 +612,7 @@
             rows.sort();
             rows.dedup();
         }
-        (case.rules.offset, case.rules.ties, case.rules.rows) = (0, TieRule::Cut, Some(3));
+        (case.rules.offset, case.rules.ties, case.rules.max_rows) = (0, TieRule::Cut, Some(3));
         let (plan, mut after, mut got) = (case.rules.plan().expect("rules"), None, Vec::new());
         for _ in 0..100 {
             let names = (0..case.sources.len()).map(|i| source(&case, i).name);
--- a/history/src/event.rs
+++ b/history/src/event.rs
@@ -97,7 +97,7 @@
     /// A listener's client library reported that it missed events.
     #[serde(rename = "missed")]
     EventsMissed(EventsMissed),
-    /// All rows that a source has for a question.
+    /// All rows that a source has for a query.
     #[serde(rename = "held")]
     SourceRows(SourceRows),
     /// The partial result that a source sent.
@@ -347,12 +347,13 @@
 /// A row, by name of column. Values are null, booleans, numbers or text.
 pub type Row = BTreeMap<String, serde_json::Value>;
 
-/// All rows of a source for a question.
+/// All rows of a source for a query.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SourceRows {
-    /// Id of the question.
-    pub question: String,
+    /// Id of the query.
+    #[serde(rename = "question")]
+    pub query: String,
     /// Name of the source.
     pub source: String,
     /// All its rows.
@@ -363,8 +364,9 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PartialSent {
-    /// Id of the question.
-    pub question: String,
+    /// Id of the query.
+    #[serde(rename = "question")]
+    pub query: String,
     /// Name of the source.
     pub source: String,
     /// The rows that it sent.
@@ -439,8 +441,9 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AnswerMerged {
-    /// Id of the question.
-    pub question: String,
+    /// Id of the query.
+    #[serde(rename = "question")]
+    pub query: String,
     /// Rules of the merge.
     pub rules: MergeRules,
     /// Names of the sources that were queried.
--- a/history/src/lease_holders.rs
+++ b/history/src/lease_holders.rs
@@ -39,11 +39,11 @@
     }
     for (line_ref, rejected) in rejections {
         if rejected.token >= rejected.newest_known_token && rejected.token != Token::NONE {
-            let what = format!(
+            let description = format!(
                 "{} rejected {} of {}, although the newest token that it knew was {}",
                 rejected.target, rejected.token, rejected.holder, rejected.newest_known_token
             );
-            report.add("refused", rejected.lease.as_str(), what, &[line_ref]);
+            report.add("refused", rejected.lease.as_str(), description, &[line_ref]);
         }
     }
 }
@@ -54,22 +54,27 @@
     let mut holders: HashMap<Token, Effect<'_>> = HashMap::new();
     for (line_ref, effect) in effects {
         if effect.fenced && effect.token == Token::NONE {
-            let what = format!(
+            let description = format!(
                 "{} accepted an effect of {} without a token",
                 effect.target, effect.holder
             );
-            report.add("token-none", lease.as_str(), what, &[*line_ref]);
+            report.add("token-none", lease.as_str(), description, &[*line_ref]);
         }
         if effect.token == Token::NONE {
             continue;
         }
         let (first, known) = holders.entry(effect.token).or_insert((*line_ref, effect));
         if known.holder != effect.holder {
-            let what = format!(
+            let description = format!(
                 "{} belongs to both {} and {}",
                 effect.token, known.holder, effect.holder
             );
-            report.add("token-twice", lease.as_str(), what, &[*first, *line_ref]);
+            report.add(
+                "token-twice",
+                lease.as_str(),
+                description,
+                &[*first, *line_ref],
+            );
         }
     }
 }
@@ -97,11 +102,16 @@
                 ended_count += 1;
             }
             if let Some((before, newer)) = newest.filter(|(_, newer)| newer.token > effect.token) {
-                let what = format!(
+                let description = format!(
                     "{target} accepted {} of {} after {} of {}",
                     effect.token, effect.holder, newer.token, newer.holder
                 );
-                report.add("token-fell", lease.as_str(), what, &[before, line_ref]);
+                report.add(
+                    "token-fell",
+                    lease.as_str(),
+                    description,
+                    &[before, line_ref],
+                );
             }
         }
     }
@@ -155,18 +165,18 @@
             });
         if let Some((first, newer)) = other {
             let duration = (effect.end - newer.begin) as f64 / 1e6;
-            let what = format!(
+            let description = format!(
                 "{} of {} acts on {} {duration:.6} s after",
                 effect.token, effect.holder, effect.target
             );
-            let what = format!(
-                "{what} the first effect of {} of {}",
+            let description = format!(
+                "{description} the first effect of {} of {}",
                 newer.token, newer.holder
             );
             report.add(
                 "two-owners",
                 lease.as_str(),
-                format!("{what}; the allowed overlap is {max_overlap} us"),
+                format!("{description}; the allowed overlap is {max_overlap} us"),
                 &[first, *line_ref],
             );
         }
@@ -185,14 +195,14 @@
         {
             let shared = other.end.min(effect.end).saturating_sub(effect.begin);
             if shared > max_overlap {
-                let what = format!(
+                let description = format!(
                     "{} and {} act at the same time for {shared} us",
                     other.holder, effect.holder
                 );
                 report.add(
                     "two-owners",
                     lease.as_str(),
-                    format!("{what}; the allowed overlap is {max_overlap} us"),
+                    format!("{description}; the allowed overlap is {max_overlap} us"),
                     &[*other_line, *line_ref],
                 );
             }
--- a/history/src/merged_answers.rs
+++ b/history/src/merged_answers.rs
@@ -179,41 +179,41 @@
         })
 }
 
-/// All lines about one question.
+/// All lines about one query.
 #[derive(Default)]
-struct Question<'a> {
+struct QueryLines<'a> {
     source_rows: BTreeMap<&'a str, (LineRef<'a>, &'a SourceRows)>,
     sent: Vec<(LineRef<'a>, &'a PartialSent)>,
     merged: Vec<(LineRef<'a>, &'a AnswerMerged)>,
 }
 
 pub(crate) fn check(run: &RunContext<'_>, report: &mut ReportBuilder) {
-    let mut all: BTreeMap<&str, Question<'_>> = BTreeMap::new();
+    let mut all: BTreeMap<&str, QueryLines<'_>> = BTreeMap::new();
     for line_ref in run.history.lines() {
         match &line_ref.line.event {
             Event::SourceRows(source) => {
-                all.entry(&source.question)
+                all.entry(&source.query)
                     .or_default()
                     .source_rows
                     .insert(&source.source, (line_ref, source));
             }
             Event::PartialSent(sent) => all
-                .entry(&sent.question)
+                .entry(&sent.query)
                 .or_default()
                 .sent
                 .push((line_ref, sent)),
             Event::AnswerMerged(answer) => all
-                .entry(&answer.question)
+                .entry(&answer.query)
                 .or_default()
                 .merged
                 .push((line_ref, answer)),
             _ => {}
         }
     }
-    for (name, question) in &all {
-        for (line_ref, answer) in &question.merged {
+    for (name, query) in &all {
+        for (line_ref, answer) in &query.merged {
             report.counts.merged_answers += 1;
-            check_answer(report, name, question, *line_ref, answer);
+            check_answer(report, name, query, *line_ref, answer);
         }
     }
 }
@@ -222,7 +222,7 @@
 fn check_answer(
     report: &mut ReportBuilder,
     name: &str,
-    question: &Question<'_>,
+    query: &QueryLines<'_>,
     line_ref: LineRef<'_>,
     answer: &AnswerMerged,
 ) {
@@ -238,7 +238,7 @@
         );
     }
     let mut last_sent: BTreeMap<&str, (LineRef<'_>, &PartialSent)> = BTreeMap::new();
-    for (sent_line, sent) in question.sent.iter().filter(|(sent_line, sent)| {
+    for (sent_line, sent) in query.sent.iter().filter(|(sent_line, sent)| {
         sent_line.line.time <= line_ref.line.time && included.contains(&sent.source)
     }) {
         if last_sent
@@ -309,7 +309,7 @@
     }
     let source_rows: Option<Vec<(LineRef<'_>, &SourceRows)>> = included
         .iter()
-        .map(|s| question.source_rows.get(&**s).copied())
+        .map(|s| query.source_rows.get(&**s).copied())
         .collect();
     let Some(source_rows) = source_rows else {
         report.unchecked.push(format!(
--- a/history/src/report.rs
+++ b/history/src/report.rs
@@ -28,7 +28,7 @@
 pub struct Finding {
     /// Name of the rule, as in `docs/history.md`.
     pub rule: &'static str,
-    /// Name of the request, lease, session, subscription, gateway or question that violated the rule.
+    /// Name of the request, lease, session, subscription, gateway or query that violated the rule.
     #[serde(rename = "who")]
     pub subject: String,
     /// Time of the last line that shows the violation (us).
--- a/history/src/requests.rs
+++ b/history/src/requests.rs
@@ -98,14 +98,14 @@
             .and_then(|session_writes| newest_write(session_writes, sent_time));
         if let Some((position, write)) = own_write.filter(|(position, _)| *position > read.position)
         {
-            let what = format!(
+            let description = format!(
                 "{id} saw the log of {} up to {}, but not the session's own write at {position}",
                 read.node, read.position
             );
             report.add(
                 "own-writes",
                 &sent.session,
-                what,
+                description,
                 &[write, request_line, *read_line],
             );
         }
@@ -117,12 +117,12 @@
         if let Some((position, write)) = required.filter(|(position, _)| *position > read.position)
         {
             let max_staleness = sent.max_staleness.unwrap_or(0);
-            let what = format!(
+            let description = format!(
                 "{id} saw the log of {} up to {}, which is staler than {max_staleness} us",
                 read.node, read.position
             );
-            let what = format!("{what}: {position} had been written before");
-            report.add("stale", id, what, &[write, request_line, *read_line]);
+            let description = format!("{description}: {position} had been written before");
+            report.add("stale", id, description, &[write, request_line, *read_line]);
         }
     }
 }
--- a/history/src/subscriptions.rs
+++ b/history/src/subscriptions.rs
@@ -132,14 +132,14 @@
                     if entry.zone != newest.subscription.zone
                         || entry.incarnation != newest.subscription.incarnation =>
                 {
-                    let what = format!(
+                    let description = format!(
                         "the subscription is in zone {} with incarnation {}, and the list has it in zone {} with incarnation {}",
                         newest.subscription.zone,
                         newest.subscription.incarnation,
                         entry.zone,
                         entry.incarnation
                     );
-                    report.add("moved", &name, what, &[newest.line_ref, line_ref]);
+                    report.add("moved", &name, description, &[newest.line_ref, line_ref]);
                 }
                 (Some(entry), false) => {
                     let Some(killed_line) = killed_line else {
@@ -225,11 +225,11 @@
                 if let Some((token, number, before)) = state.last {
                     let next = number.saturating_add(1).saturating_add(notified.collapsed);
                     if (notified.token, notified.number) <= (token, number) {
-                        let what = format!(
+                        let description = format!(
                             "{} {} after {token} {number}",
                             notified.token, notified.number
                         );
-                        report.add("backwards", &name, what, &[before, line_ref]);
+                        report.add("backwards", &name, description, &[before, line_ref]);
                         continue;
                     }
                     let follows = if notified.token == token {
@@ -238,11 +238,11 @@
                         notified.number <= 1 + notified.collapsed
                     };
                     if !follows && state.missed.is_none() {
-                        let what = format!(
+                        let description = format!(
                             "{} {} after {token} {number}, without a notification of missed events",
                             notified.token, notified.number
                         );
-                        report.add("gap", &name, what, &[before, line_ref]);
+                        report.add("gap", &name, description, &[before, line_ref]);
                     }
                 }
                 state.last = Some((notified.token, notified.number, line_ref));
@@ -274,11 +274,11 @@
                     && before.line.time.min(line_ref.line.time) > settled_time
                 {
                     let name = format!("{} of {}", received.topic, received.subscriber);
-                    let what = format!(
+                    let description = format!(
                         "{gateway} and {} both sent {} {}",
                         received.gateway, received.token, received.number
                     );
-                    report.add("told-twice", &name, what, &[before, line_ref]);
+                    report.add("told-twice", &name, description, &[before, line_ref]);
                 }
             }
             _ => {}
@@ -313,7 +313,7 @@
         }
         let last = state.and_then(|state| state.last);
         if last.is_none_or(|(token, number, _)| (token, number) < (event.token, event.number)) {
-            let what = format!(
+            let description = format!(
                 "the subscriber was notified neither of {} {} nor that it missed events",
                 event.token, event.number
             );
@@ -322,7 +322,7 @@
             report.add(
                 "silently-stale",
                 &format!("{topic} of {subscriber}"),
-                what,
+                description,
                 &evidence,
             );
         }
