--- a/src/freshness.rs
+++ b/src/freshness.rs
@@ -124,10 +124,11 @@
         let required = match self.settings.classes[request.info.class].access {
             Access::Write => return false,
             Access::Any => return true,
-            // Ages are stated in whole ticks.
+            // Ages are stated in whole ticks, so the data may be up to a tick older than stated.
             Access::Bounded(bound) => (now + self.settings.tick).saturating_sub(bound),
             Access::OwnWrites | Access::Latest => request.required_position.unwrap_or(0),
         };
+        // A node that waits for its log is relied on to catch up by half of its longest wait.
         let node_waits = match self.settings.replica_check {
             ReplicaCheck::None => return node.position.applied_up_to >= required,
             ReplicaCheck::Reject => 0,
