--- a/emulator/src/agent/tests.rs
+++ b/emulator/src/agent/tests.rs
@@ -1,7 +1,7 @@
 //! Unit tests of `agent`.
 
 #[test]
-fn numbers_are_read_from_the_first_line() {
+fn numbers_are_read_from_the_first_line_of_a_request() {
     let line = "GET /api/targets?after=41&wait_ms=200 HTTP/1.1\r\n";
     assert_eq!(
         (
--- a/emulator/src/faulty_peers.rs
+++ b/emulator/src/faulty_peers.rs
@@ -1,5 +1,5 @@
-//! Peers of a router that behave badly: an agent whose answers a test words itself, and db nodes that refuse, close,
-//! keep silent or answer with spoilt and short reports. Each counts what came to it.
+//! Peers of a router that misbehave: a discovery agent whose answers are scripted by a test, and db nodes that refuse or
+//! close connections, do not answer, or send malformed or incomplete reports. Each counts what it receives.
 
 use crate::wire;
 use std::collections::HashMap;
@@ -9,36 +9,36 @@
 use std::sync::{Arc, Condvar, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// What an agent does with a call.
+/// What an agent does with a call, which is one HTTP request of a router.
 #[derive(Clone, Debug)]
 pub enum AgentReply {
     /// Answers with this body.
     Body(String),
     /// Answers with this status and no body.
     Status(u16),
-    /// Says nothing and keeps the connection open.
+    /// Sends nothing and keeps the connection open.
     Silence,
-    /// Sends the first half of this body and then nothing.
+    /// Sends the head and the first half of this body, and then nothing.
     FirstHalf(String),
-    /// Sends so many bytes of the answer with this body, head and all, and then nothing.
+    /// Sends only this number of bytes of the answer with this body, counted from the beginning of the head.
     FirstBytes(String, usize),
     /// Closes the connection.
     Close,
-    /// Answers with this body and no length, and ends the connection.
+    /// Answers with this body, without `Content-Length`, and closes the connection.
     BodyThenClose(String),
-    /// Answers with this body and no length, and resets the connection.
+    /// Answers with this body, without `Content-Length`, and resets the connection.
     BodyThenReset(String),
-    /// Answers twice, in one write.
+    /// Sends two answers in one write.
     TwoBodies(String, String),
-    /// Resets the connection and says nothing.
+    /// Resets the connection without an answer.
     Reset,
 }
 
-/// A call that waits for its part of the script looks so often whether the router still waits for it.
-const LOOKS: Duration = Duration::from_millis(10);
+/// Interval at which a call that waits for the next scripted reply checks whether the router still waits for its answer.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A number in a call's first line.
-fn number(line: &str, name: &str) -> Option<u64> {
+/// Returns the number after a name in the first line of a call.
+fn query_number(line: &str, name: &str) -> Option<u64> {
     let rest = line.split_once(name)?.1;
     rest.split(|c: char| !c.is_ascii_digit())
         .next()?
@@ -46,39 +46,42 @@
         .ok()
 }
 
-/// Whether the other side still waits: it has neither ended nor reset the connection.
-fn waits(connection: &TcpStream) -> bool {
-    let looked = connection
+/// Returns whether the other side has neither closed nor reset the connection.
+fn is_open(connection: &TcpStream) -> bool {
+    let peeked = connection
         .set_nonblocking(true)
         .and_then(|()| connection.peek(&mut [0]));
-    let open = matches!(looked, Err(ref e) if e.kind() == io::ErrorKind::WouldBlock)
-        || matches!(looked, Ok(1..));
-    connection.set_nonblocking(false).is_ok() && open
+    let is_open = matches!(peeked, Err(ref e) if e.kind() == io::ErrorKind::WouldBlock)
+        || matches!(peeked, Ok(1..));
+    connection.set_nonblocking(false).is_ok() && is_open
 }
 
-/// An agent that does what it is told, call by call. When its script is at an end it holds calls, as agents do: a watch is
-/// answered with nothing new when its wait is over, and one for the whole list waits for what the script says next.
+/// An agent that answers one call after the other as its script says.
+///
+/// At the end of its script it keeps calls open, as real agents do: it answers a watch without changes when the wait time is
+/// over, and a call for the complete list waits for the next scripted reply.
 pub struct Agent {
     address: SocketAddr,
     script: Arc<(Mutex<Vec<AgentReply>>, Condvar)>,
     calls: Arc<Mutex<Vec<Call>>>,
-    down: Arc<AtomicBool>,
+    is_down: Arc<AtomicBool>,
 }
 
-/// A call as the agent saw it.
+/// A call that the agent received.
 #[derive(Clone, Debug)]
 struct Call {
+    /// First line of the request.
     line: String,
-    came: Instant,
-    /// When the agent had said all that it was going to say to it.
-    said: Option<Instant>,
+    received_at: Instant,
+    /// Time at which the agent had sent all of its answer.
+    answered_at: Option<Instant>,
 }
 
 impl Agent {
-    /// An agent with the first part of its script.
+    /// Starts an agent with the beginning of its script.
     ///
     /// # Errors
-    /// No port could be had.
+    /// No port is available.
     pub fn start(mut script: Vec<AgentReply>) -> io::Result<Self> {
         script.reverse();
         let listener = TcpListener::bind(("127.0.0.1", 0))?;
@@ -86,12 +89,12 @@
             address: listener.local_addr()?,
             script: Arc::new((Mutex::new(script), Condvar::new())),
             calls: Arc::default(),
-            down: Arc::default(),
+            is_down: Arc::default(),
         };
         let (script, calls, down) = (
             agent.script.clone(),
             agent.calls.clone(),
-            agent.down.clone(),
+            agent.is_down.clone(),
         );
         std::thread::spawn(move || {
             while let Ok((connection, _)) = listener.accept() {
@@ -102,44 +105,47 @@
         Ok(agent)
     }
 
-    /// From now on it resets its connections, and every new one at once.
+    /// Makes the agent reset its connections, and each new one at once.
     pub fn go_down(&self) {
-        self.down.store(true, Ordering::SeqCst);
+        self.is_down.store(true, Ordering::SeqCst);
     }
 
-    /// It takes connections in again.
+    /// Makes the agent accept connections again.
     pub fn come_back(&self) {
-        self.down.store(false, Ordering::SeqCst);
+        self.is_down.store(false, Ordering::SeqCst);
     }
 
-    /// Where it listens.
+    /// Returns the address on which the agent listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Adds to the end of its script.
-    pub fn push_reply(&self, says: AgentReply) {
+    /// Appends a reply to the script.
+    pub fn push_reply(&self, reply: AgentReply) {
         self.script
             .0
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
-            .insert(0, says);
+            .insert(0, reply);
         self.script.1.notify_all();
     }
 
-    /// The first lines of the calls so far.
+    /// Returns the first lines of the calls so far.
     pub fn calls(&self) -> Vec<String> {
         let calls = self.calls.lock().unwrap_or_else(PoisonError::into_inner);
         calls.iter().map(|call| call.line.clone()).collect()
     }
 
-    /// For each call when it came, and when the agent had said all that it was going to say.
+    /// Returns for each call the time at which it arrived, and the time at which the agent had sent all of its answer.
     pub fn times(&self) -> Vec<(Instant, Option<Instant>)> {
         let calls = self.calls.lock().unwrap_or_else(PoisonError::into_inner);
-        calls.iter().map(|call| (call.came, call.said)).collect()
+        calls
+            .iter()
+            .map(|call| (call.received_at, call.answered_at))
+            .collect()
     }
 
-    /// Waits until it has been called so often.
+    /// Waits until the agent has received this number of calls. Returns whether it has.
     pub fn wait_for_calls(&self, times: usize, within: Duration) -> bool {
         let until = Instant::now() + within;
         while self.calls().len() < times && Instant::now() < until {
@@ -165,47 +171,47 @@
             };
             let call = Call {
                 line: first.trim().to_string(),
-                came: Instant::now(),
-                said: None,
+                received_at: Instant::now(),
+                answered_at: None,
             };
             let mut all = calls.lock().unwrap_or_else(PoisonError::into_inner);
             all.push(call);
-            let place = all.len() - 1;
+            let index = all.len() - 1;
             drop(all);
-            let said = || {
+            let record_answer = || {
                 let mut all = calls.lock().unwrap_or_else(PoisonError::into_inner);
-                all[place].said = Some(Instant::now());
+                all[index].answered_at = Some(Instant::now());
             };
-            let version = number(&first, "after=").unwrap_or(0);
-            let until =
-                number(&first, "wait_ms=").map(|ms| Instant::now() + Duration::from_millis(ms));
-            let mut left = script.0.lock().unwrap_or_else(PoisonError::into_inner);
-            let says = loop {
-                // What a router has given up takes nothing from those that it still waits for.
-                if !waits(&writer) {
+            let version = query_number(&first, "after=").unwrap_or(0);
+            let until = query_number(&first, "wait_ms=")
+                .map(|ms| Instant::now() + Duration::from_millis(ms));
+            let mut replies = script.0.lock().unwrap_or_else(PoisonError::into_inner);
+            let reply = loop {
+                // A call that the router has given up must not take a reply from a call for which it still waits.
+                if !is_open(&writer) {
                     return Ok(());
                 }
                 if down.load(Ordering::SeqCst) {
                     return socket2::SockRef::from(&writer).set_linger(Some(Duration::ZERO));
                 }
-                if let Some(says) = left.pop() {
-                    break says;
+                if let Some(reply) = replies.pop() {
+                    break reply;
                 }
                 if until.is_some_and(|until| until <= Instant::now()) {
                     let nothing =
                         serde_json::json!({"index": version, "snapshot": false, "endpoints": []});
                     break AgentReply::Body(nothing.to_string());
                 }
-                let over = until.map_or(LOOKS, |until| {
+                let over = until.map_or(POLL_INTERVAL, |until| {
                     until.saturating_duration_since(Instant::now())
                 });
-                let waited = script.1.wait_timeout(left, over.min(LOOKS));
-                left = waited.unwrap_or_else(PoisonError::into_inner).0;
+                let waited = script.1.wait_timeout(replies, over.min(POLL_INTERVAL));
+                replies = waited.unwrap_or_else(PoisonError::into_inner).0;
             };
-            drop(left);
+            drop(replies);
             let head =
                 |length: usize| format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n");
-            match says {
+            match reply {
                 AgentReply::Body(body) => write!(writer, "{}{body}", head(body.len()))?,
                 AgentReply::Status(status) => {
                     write!(writer, "HTTP/1.1 {status} No\r\nContent-Length: 0\r\n\r\n")?;
@@ -218,22 +224,22 @@
                     writer.write_all(&whole.as_bytes()[..count.min(whole.len())])?;
                 }
                 AgentReply::Close => {
-                    said();
+                    record_answer();
                     return writer.shutdown(Shutdown::Both);
                 }
                 AgentReply::BodyThenClose(body) => {
                     write!(writer, "HTTP/1.1 200 OK\r\n\r\n{body}")?;
-                    said();
+                    record_answer();
                     return writer.shutdown(Shutdown::Both);
                 }
                 AgentReply::BodyThenReset(body) => {
                     write!(writer, "HTTP/1.1 200 OK\r\n\r\n{body}")?;
-                    said();
-                    // Closed with nothing lingering: a reset, once the last owner goes.
+                    record_answer();
+                    // With a linger time of 0, the connection is reset when its last owner drops it.
                     return socket2::SockRef::from(&writer).set_linger(Some(Duration::ZERO));
                 }
                 AgentReply::Reset => {
-                    said();
+                    record_answer();
                     return socket2::SockRef::from(&writer).set_linger(Some(Duration::ZERO));
                 }
                 AgentReply::TwoBodies(one, two) => {
@@ -241,40 +247,40 @@
                     writer.write_all(both.as_bytes())?;
                 }
                 AgentReply::Silence => {
-                    said();
-                    // Until the router gives the connection up.
+                    record_answer();
+                    // Waits until the router closes the connection.
                     reader.read_to_end(&mut Vec::new())?;
                     return Ok(());
                 }
             }
-            said();
+            record_answer();
         }
     }
 }
 
-/// What a slow node takes over a statement.
-const SLOW: Duration = Duration::from_millis(120);
+/// Time that a slow node takes for a statement.
+const SLOW_STATEMENT_TIME: Duration = Duration::from_millis(120);
 
-/// How a db node behaves.
+/// Behavior of a db node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum NodeBehavior {
-    /// Serves, and tells its position and load when asked.
+    /// Serves statements, and reports its position and load on request.
     Healthy,
-    /// Nothing listens there.
+    /// Does not listen, so that connections are refused.
     RefuseConnection,
-    /// Takes a connection in and closes it at once.
+    /// Accepts connections and closes them at once.
     CloseOnConnect,
-    /// Takes a connection in and says nothing, ever.
+    /// Accepts connections and never sends anything.
     Silent,
-    /// Greets, and closes when a statement comes.
+    /// Sends the greeting, and closes the connection when a statement arrives.
     CloseOnStatement,
-    /// Greets, and says nothing more once a statement comes: what it has been sent waits until its router gives it up.
+    /// Sends the greeting, and never answers a statement. The statement waits until the router gives it up.
     HangOnStatement,
-    /// Serves, and takes its time over each statement.
+    /// Serves each statement slowly.
     Slow,
-    /// Serves, but its reports lack all fields but one.
+    /// Serves statements, but its reports have only one field.
     ShortReport,
-    /// Serves, but its reports are no reports.
+    /// Serves statements, but its reports are malformed.
     MalformedReport,
 }
 
@@ -284,22 +290,22 @@
     ran: Mutex<HashMap<String, usize>>,
 }
 
-/// A db node with manners of its own.
+/// A db node with a given behavior.
 pub struct Node {
     address: SocketAddr,
     counts: Arc<Counts>,
-    /// Keeps the port of one that refuses from being another's.
-    _held: Option<socket2::Socket>,
+    /// Reserves the port of a node that refuses connections.
+    _reserved_port: Option<socket2::Socket>,
 }
 
 impl Node {
-    /// A node that behaves so, as primary or as replica.
+    /// Starts a node with this behavior, as primary or as replica.
     ///
     /// # Errors
-    /// No port could be had.
-    pub fn start(manner: NodeBehavior, primary: bool) -> io::Result<Self> {
+    /// No port is available.
+    pub fn start(behavior: NodeBehavior, primary: bool) -> io::Result<Self> {
         let counts = Arc::<Counts>::default();
-        if manner == NodeBehavior::RefuseConnection {
+        if behavior == NodeBehavior::RefuseConnection {
             let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None)?;
             socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())?;
             let address = socket
@@ -309,37 +315,41 @@
             return Ok(Node {
                 address,
                 counts,
-                _held: Some(socket),
+                _reserved_port: Some(socket),
             });
         }
         let listener = TcpListener::bind(("127.0.0.1", 0))?;
         let node = Node {
             address: listener.local_addr()?,
             counts,
-            _held: None,
+            _reserved_port: None,
         };
         let counts = node.counts.clone();
         std::thread::spawn(move || {
             while let Ok((connection, _)) = listener.accept() {
                 counts.connections.fetch_add(1, Ordering::Relaxed);
                 let counts = counts.clone();
-                std::thread::spawn(move || drop(Self::talk(connection, manner, primary, &counts)));
+                std::thread::spawn(move || {
+                    drop(Self::serve_connection(
+                        connection, behavior, primary, &counts,
+                    ))
+                });
             }
         });
         Ok(node)
     }
 
-    /// Where it listens, or would.
+    /// Returns the address of the node.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Connections that came.
+    /// Returns the number of accepted connections.
     pub fn connections(&self) -> usize {
         self.counts.connections.load(Ordering::Relaxed)
     }
 
-    /// How often each statement came whole, by its id.
+    /// Returns the number of times that each statement was received completely, by id.
     pub fn ran(&self) -> HashMap<String, usize> {
         self.counts
             .ran
@@ -348,14 +358,14 @@
             .clone()
     }
 
-    fn talk(
+    fn serve_connection(
         mut stream: TcpStream,
-        manner: NodeBehavior,
+        behavior: NodeBehavior,
         primary: bool,
         counts: &Counts,
     ) -> io::Result<()> {
         stream.set_nodelay(true)?;
-        match manner {
+        match behavior {
             NodeBehavior::CloseOnConnect => return stream.shutdown(Shutdown::Both),
             NodeBehavior::Silent => return stream.read_to_end(&mut Vec::new()).map(drop),
             _ => {}
@@ -370,7 +380,7 @@
             let mut out = Vec::new();
             if statement == "SHOW pressure" {
                 let position = crate::now() as f64 / 1e6;
-                let report = match manner {
+                let report = match behavior {
                     NodeBehavior::ShortReport => "util=0.2".to_string(),
                     NodeBehavior::MalformedReport => {
                         "x0=never,x1=,,inflight=-7=8,\u{fffd}".to_string()
@@ -388,10 +398,10 @@
                     .unwrap_or_else(PoisonError::into_inner)
                     .entry(id.into())
                     .or_default() += 1;
-                if manner == NodeBehavior::Slow {
-                    std::thread::sleep(SLOW);
+                if behavior == NodeBehavior::Slow {
+                    std::thread::sleep(SLOW_STATEMENT_TIME);
                 }
-                match manner {
+                match behavior {
                     NodeBehavior::CloseOnStatement => return stream.shutdown(Shutdown::Both),
                     NodeBehavior::HangOnStatement => {
                         return stream.read_to_end(&mut Vec::new()).map(drop);
--- a/emulator/src/legacy_client.rs
+++ b/emulator/src/legacy_client.rs
@@ -1,47 +1,47 @@
-//! A scripted client as old drivers are: version 2.0 read byte by byte as the manual of 7.3 says, and version 3.0 that
-//! knows nothing of what came later. What it cannot read is an error, never skipped.
+//! A scripted client that behaves like old drivers. It supports protocol 2.0, as the manual of PostgreSQL 7.3 describes it,
+//! and protocol 3.0 without any later additions. A message that it does not know is an error and is never skipped.
 
 use md5::{Digest, Md5};
 use std::io::{self, Error, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// What it hears, in either version.
+/// A message of the server, in either version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ServerMessage {
-    /// The columns of a result: name and type.
+    /// Name and type of each column of a result.
     Columns(Vec<(String, u32)>),
     /// A row.
     Row(Vec<Option<Vec<u8>>>),
-    /// A command is complete.
+    /// CommandComplete with its tag.
     Complete(String),
-    /// The query was empty.
+    /// EmptyQueryResponse.
     Empty,
-    /// An error: its text, with the code first where the version has one.
+    /// The text of an error. In version 3.0 the code precedes it.
     Error(String),
-    /// A notice.
+    /// The text of a notice.
     Notice(String),
-    /// A setting.
+    /// Name and value of a parameter.
     Status(String, String),
-    /// A copy out: all of its data.
+    /// All data of a COPY to the client.
     Copied(Vec<u8>),
-    /// Ready for the next query.
+    /// ReadyForQuery.
     Ready,
 }
 
-/// Longer than any answer takes.
-const HANGS: Duration = Duration::from_secs(15);
+/// Read timeout. It is longer than any answer takes.
+const READ_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// An old client.
+/// A connection of an old driver.
 pub struct LegacyClient {
     stream: TcpStream,
-    two: bool,
+    protocol_2: bool,
     columns: usize,
-    /// What a cancel must show.
+    /// Process id and key for a cancel request.
     pub key: (u32, Vec<u8>),
 }
 
-fn bad(text: impl Into<String>) -> Error {
+fn error(text: impl Into<String>) -> Error {
     Error::other(text.into())
 }
 
@@ -56,33 +56,33 @@
 }
 
 impl LegacyClient {
-    /// Connects and says nothing.
-    pub fn open(address: SocketAddr, two: bool) -> io::Result<Self> {
+    /// Connects without sending anything.
+    pub fn open(address: SocketAddr, protocol_2: bool) -> io::Result<Self> {
         let stream = TcpStream::connect(address)?;
-        stream.set_read_timeout(Some(HANGS))?;
+        stream.set_read_timeout(Some(READ_TIMEOUT))?;
         stream.set_nodelay(true)?;
         Ok(LegacyClient {
             stream,
-            two,
+            protocol_2,
             columns: 0,
             key: (0, Vec::new()),
         })
     }
 
-    /// Connects and logs in. What it was told before it was ready.
+    /// Connects and logs in. Also returns the messages that came before ReadyForQuery.
     pub fn connect(
         address: SocketAddr,
-        two: bool,
+        protocol_2: bool,
         user: &str,
         password: &str,
     ) -> io::Result<(Self, Vec<ServerMessage>)> {
-        let mut old = LegacyClient::open(address, two)?;
-        if two {
+        let mut client = LegacyClient::open(address, protocol_2)?;
+        if protocol_2 {
             let mut packet = vec![0u8; 296];
             packet[..8].copy_from_slice(b"\0\0\x01\x28\0\x02\0\0");
             packet[8..13].copy_from_slice(b"trips");
             packet[72..72 + user.len()].copy_from_slice(user.as_bytes());
-            old.stream.write_all(&packet)?;
+            client.stream.write_all(&packet)?;
         } else {
             let body = [
                 b"\0\x03\0\0user\0",
@@ -90,132 +90,141 @@
                 b"\0database\0trips\0\0",
             ]
             .concat();
-            old.stream
+            client
+                .stream
                 .write_all(&[&(body.len() as u32 + 4).to_be_bytes(), &body[..]].concat())?;
         }
-        let heard = old.log_in(user, password)?;
-        Ok((old, heard))
+        let messages = client.log_in(user, password)?;
+        Ok((client, messages))
     }
 
     fn log_in(&mut self, user: &str, password: &str) -> io::Result<Vec<ServerMessage>> {
-        let mut heard = Vec::new();
+        let mut messages = Vec::new();
         loop {
             let kind = self.byte()?;
-            let length = if self.two { 0 } else { self.number()? as usize };
+            let length = if self.protocol_2 {
+                0
+            } else {
+                self.number()? as usize
+            };
             match kind {
                 b'R' => match self.number()? {
                     0 => {}
-                    3 => self.prove(password)?,
+                    3 => self.send_password(password)?,
                     5 => {
                         let salt = self.bytes(4)?;
                         let inner = md5(&[password.as_bytes(), user.as_bytes()]);
-                        self.prove(&format!("md5{}", md5(&[inner.as_bytes(), &salt])))?;
+                        self.send_password(&format!("md5{}", md5(&[inner.as_bytes(), &salt])))?;
                     }
                     other => {
-                        return Err(bad(format!(
+                        return Err(error(format!(
                             "an authentication method it has never heard of: {other}"
                         )));
                     }
                 },
                 b'K' => {
-                    // It has room for four bytes and no more.
+                    // Old drivers expect a key of four bytes.
                     self.key = (self.number()?, self.bytes(4)?);
-                    if !self.two && length != 12 {
-                        return Err(bad("a cancel key of an odd length"));
+                    if !self.protocol_2 && length != 12 {
+                        return Err(error("a cancel key of an odd length"));
                     }
                 }
                 b'Z' => {
-                    if !self.two {
+                    if !self.protocol_2 {
                         self.byte()?;
                     }
-                    return Ok(heard);
+                    return Ok(messages);
                 }
                 kind => {
-                    let said = self.rest(kind, length)?;
-                    if let ServerMessage::Error(text) = said {
-                        return Err(bad(text));
+                    let message = self.read_body(kind, length)?;
+                    if let ServerMessage::Error(text) = message {
+                        return Err(error(text));
                     }
-                    heard.push(said);
+                    messages.push(message);
                 }
             }
         }
     }
 
-    fn prove(&mut self, text: &str) -> io::Result<()> {
-        let kind: &[u8] = if self.two { b"" } else { b"p" };
+    fn send_password(&mut self, text: &str) -> io::Result<()> {
+        let kind: &[u8] = if self.protocol_2 { b"" } else { b"p" };
         let length = (text.len() as u32 + 5).to_be_bytes();
         self.stream
             .write_all(&[kind, &length, text.as_bytes(), &[0]].concat())
     }
 
-    /// Sends bytes as they are.
+    /// Sends bytes unchanged.
     pub fn send(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.stream.write_all(bytes)
     }
 
-    /// Asks, without waiting for the answer.
+    /// Sends a query without waiting for its answer.
     pub fn send_query(&mut self, text: &str) -> io::Result<()> {
         let length = (text.len() as u32 + 5).to_be_bytes();
-        let length: &[u8] = if self.two { b"" } else { &length };
+        let length: &[u8] = if self.protocol_2 { b"" } else { &length };
         self.send(&[b"Q", length, text.as_bytes(), &[0]].concat())
     }
 
-    /// Asks, and hears all up to where it is ready again, or to the error that ends the session.
+    /// Sends a query, and receives all messages up to ReadyForQuery or to the error that ends the session.
     pub fn query(&mut self, text: &str) -> io::Result<Vec<ServerMessage>> {
         self.send_query(text)?;
         self.receive_until_ready()
     }
 
-    /// Hears all up to where it is ready again, or to the error that ends the session.
+    /// Receives all messages up to ReadyForQuery, or to the error that ends the session.
     pub fn receive_until_ready(&mut self) -> io::Result<Vec<ServerMessage>> {
-        let mut heard = Vec::new();
+        let mut messages = Vec::new();
         loop {
-            match self.one() {
-                Ok(said) => {
-                    let done = said == ServerMessage::Ready;
-                    heard.push(said);
-                    if done {
-                        return Ok(heard);
+            match self.read_message() {
+                Ok(message) => {
+                    let is_done = message == ServerMessage::Ready;
+                    messages.push(message);
+                    if is_done {
+                        return Ok(messages);
                     }
                 }
-                // The session was ended, and it was told why.
+                // The server ended the session and sent the reason before.
                 Err(e)
                     if e.kind() == io::ErrorKind::UnexpectedEof
-                        && matches!(heard.last(), Some(ServerMessage::Error(_))) =>
+                        && matches!(messages.last(), Some(ServerMessage::Error(_))) =>
                 {
-                    return Ok(heard);
+                    return Ok(messages);
                 }
-                Err(e) => return Err(Error::new(e.kind(), format!("{e} after {heard:?}"))),
+                Err(e) => return Err(Error::new(e.kind(), format!("{e} after {messages:?}"))),
             }
         }
     }
 
-    /// Whether the other side closes the connection, with nothing more said.
+    /// Returns whether the other side closes the connection without sending anything more.
     pub fn is_closed_by_peer(&mut self) -> bool {
         matches!(self.stream.read(&mut [0]), Ok(0))
     }
 
-    fn one(&mut self) -> io::Result<ServerMessage> {
+    fn read_message(&mut self) -> io::Result<ServerMessage> {
         let kind = self.byte()?;
-        let length = if self.two { 0 } else { self.number()? as usize };
-        if kind == b'P' && self.two {
+        let length = if self.protocol_2 {
+            0
+        } else {
+            self.number()? as usize
+        };
+        if kind == b'P' && self.protocol_2 {
             if self.text()? != "blank" {
-                return Err(bad("a cursor of another name"));
+                return Err(error("a cursor of another name"));
             }
-            return self.one();
+            return self.read_message();
         }
-        self.rest(kind, length)
+        self.read_body(kind, length)
     }
 
-    fn rest(&mut self, kind: u8, length: usize) -> io::Result<ServerMessage> {
-        if self.two {
-            self.rest_of_two(kind)
+    fn read_body(&mut self, kind: u8, length: usize) -> io::Result<ServerMessage> {
+        if self.protocol_2 {
+            self.read_body_2(kind)
         } else {
-            self.rest_of_three(kind, length)
+            self.read_body_3(kind, length)
         }
     }
 
-    fn rest_of_two(&mut self, kind: u8) -> io::Result<ServerMessage> {
+    fn read_body_2(&mut self, kind: u8) -> io::Result<ServerMessage> {
         Ok(match kind {
             b'T' => {
                 let mut columns = Vec::new();
@@ -236,12 +245,12 @@
                         values.push(None);
                         continue;
                     }
-                    // The length of a text counts itself.
-                    let itself = if kind == b'D' { 4 } else { 0 };
+                    // The length of a text value includes the length field.
+                    let length_of_field = if kind == b'D' { 4 } else { 0 };
                     let length = self
                         .number()?
-                        .checked_sub(itself)
-                        .ok_or_else(|| bad("a length under its own"))?;
+                        .checked_sub(length_of_field)
+                        .ok_or_else(|| error("a length under its own"))?;
                     values.push(Some(self.bytes(length as usize)?));
                 }
                 ServerMessage::Row(values)
@@ -260,7 +269,7 @@
                 ServerMessage::Copied(data)
             }
             other => {
-                return Err(bad(format!(
+                return Err(error(format!(
                     "a message that 2.0 does not have: {:?}",
                     other as char
                 )));
@@ -268,30 +277,32 @@
         })
     }
 
-    fn rest_of_three(&mut self, kind: u8, length: usize) -> io::Result<ServerMessage> {
+    fn read_body_3(&mut self, kind: u8, length: usize) -> io::Result<ServerMessage> {
         let length = length
             .checked_sub(4)
-            .ok_or_else(|| bad("an impossible length"))?;
+            .ok_or_else(|| error("an impossible length"))?;
         let body = self.bytes(length)?;
         let texts = || -> Vec<String> {
             body.split(|b| *b == 0)
                 .map(|t| String::from_utf8_lossy(t).into_owned())
                 .collect()
         };
-        let told = || -> io::Result<String> {
-            let mut told = String::new();
+        let error_text = || -> io::Result<String> {
+            let mut result = String::new();
             for field in texts().iter().filter(|f| !f.is_empty()) {
                 let (kind, text) = field.split_at(1);
                 match kind {
-                    "C" => told.insert_str(0, &format!("{text} ")),
-                    "M" | "D" | "H" => told.push_str(text),
+                    "C" => result.insert_str(0, &format!("{text} ")),
+                    "M" | "D" | "H" => result.push_str(text),
                     "S" | "P" | "p" | "q" | "W" | "F" | "L" | "R" | "V" => {}
                     other => {
-                        return Err(bad(format!("a field that it has never heard of: {other}")));
+                        return Err(error(format!(
+                            "a field that it has never heard of: {other}"
+                        )));
                     }
                 }
             }
-            Ok(told)
+            Ok(result)
         };
         Ok(match kind {
             b'T' => {
@@ -301,7 +312,7 @@
                     let name = String::from_utf8_lossy(&rest[..end]).into_owned();
                     let fixed = rest
                         .get(end + 1..end + 19)
-                        .ok_or_else(|| bad("half a column"))?;
+                        .ok_or_else(|| error("half a column"))?;
                     columns.push((
                         name,
                         u32::from_be_bytes([fixed[6], fixed[7], fixed[8], fixed[9]]),
@@ -322,8 +333,8 @@
             }
             b'C' => ServerMessage::Complete(texts()[0].clone()),
             b'I' => ServerMessage::Empty,
-            b'E' => ServerMessage::Error(told()?),
-            b'N' => ServerMessage::Notice(told()?),
+            b'E' => ServerMessage::Error(error_text()?),
+            b'N' => ServerMessage::Notice(error_text()?),
             b'S' => ServerMessage::Status(texts()[0].clone(), texts()[1].clone()),
             b'Z' => ServerMessage::Ready,
             b'H' => {
@@ -335,12 +346,12 @@
                     match kind {
                         b'd' => data.extend(more),
                         b'c' => return Ok(ServerMessage::Copied(data)),
-                        other => return Err(bad(format!("{:?} amid a copy", other as char))),
+                        other => return Err(error(format!("{:?} amid a copy", other as char))),
                     }
                 }
             }
             other => {
-                return Err(bad(format!(
+                return Err(error(format!(
                     "a message that it cannot parse: {:?}",
                     other as char
                 )));
@@ -350,14 +361,14 @@
 
     fn bytes(&mut self, count: usize) -> io::Result<Vec<u8>> {
         if count > 1 << 24 {
-            return Err(bad("an impossible length"));
+            return Err(error("an impossible length"));
         }
         let mut bytes = vec![0; count];
         self.stream.read_exact(&mut bytes)?;
         Ok(bytes)
     }
 
-    /// Reads one byte, such as the answer to a wish for encryption.
+    /// Reads one byte, such as the answer to an SSLRequest.
     pub fn byte(&mut self) -> io::Result<u8> {
         Ok(self.bytes(1)?[0])
     }
@@ -376,18 +387,18 @@
         let mut bytes = Vec::new();
         loop {
             match self.byte()? {
-                0 => return String::from_utf8(bytes).map_err(|e| bad(e.to_string())),
+                0 => return String::from_utf8(bytes).map_err(|e| error(e.to_string())),
                 byte => bytes.push(byte),
             }
         }
     }
 }
 
-/// Asks that the session with this key be cancelled; true once the router has closed.
+/// Sends a cancel request with this key. Returns whether the router then closes the connection.
 pub fn cancel(address: SocketAddr, key: &(u32, Vec<u8>)) -> io::Result<bool> {
-    let mut old = LegacyClient::open(address, false)?;
+    let mut client = LegacyClient::open(address, false)?;
     let length = (12 + key.1.len() as u32).to_be_bytes();
-    old.send(
+    client.send(
         &[
             &length[..],
             &80_877_102u32.to_be_bytes(),
@@ -396,5 +407,5 @@
         ]
         .concat(),
     )?;
-    Ok(old.is_closed_by_peer())
+    Ok(client.is_closed_by_peer())
 }
--- a/experiments/tests/faults.rs
+++ b/experiments/tests/faults.rs
@@ -1,11 +1,12 @@
-//! Many router processes with faults between them. The trials wait for what they need, each with an end, and the checker
-//! reads nothing but logs and stand-ins' counts; each guard is taken away once, and the check is seen to catch that.
+//! Fault injection with many router processes. Each run waits for conditions with a time limit, and its checker reads only
+//! logs and the counters of the emulated nodes. Each guard of the router is also disabled once, to prove that its check
+//! fails without it.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// Cases that CI plays; the others are played by hand, as `docs/experiments/peers.md` says.
+/// Cases that run in CI. The others are run by hand, as `docs/experiments/peers.md` describes.
 const CASES: [&str; 9] = [
     "node-dies-lossy",
     "one-way-cut",
@@ -17,7 +18,9 @@
     "flood",
     "random",
 ];
-fn lab() -> Command {
+
+/// Returns the command of the program under test.
+fn program() -> Command {
     Command::new(env!("CARGO_BIN_EXE_plovercove-experiments"))
 }
 
@@ -27,21 +30,22 @@
         .join(name)
 }
 
-fn faults(file: &str, words: &[&str]) -> (bool, String) {
-    let mut command = lab();
-    command.arg("faults").arg(script(file)).args(words);
+fn faults(file: &str, arguments: &[&str]) -> (bool, String) {
+    let mut command = program();
+    command.arg("faults").arg(script(file)).args(arguments);
     let output = command.output().expect("the program starts");
     let text = String::from_utf8_lossy(&output.stdout).into_owned()
         + &String::from_utf8_lossy(&output.stderr);
     (output.status.success(), text)
 }
 
-/// Rigs play one after the other: dozens of processes at once starve each other, and a check takes that for a fault.
-static ALONE: std::sync::Mutex<()> = std::sync::Mutex::new(());
+/// Lock that serializes these tests. Dozens of processes at once would slow each other down, and the checker would report
+/// that as violations.
+static EXCLUSIVE: std::sync::Mutex<()> = std::sync::Mutex::new(());
 
 #[test]
-fn nine_routers_keep_every_invariant_in_the_named_cases() {
-    let _alone = ALONE
+fn nine_routers_violate_no_invariant_in_the_named_cases() {
+    let _guard = EXCLUSIVE
         .lock()
         .unwrap_or_else(std::sync::PoisonError::into_inner);
     let mut words = vec!["--at-once", "5"];
@@ -56,18 +60,18 @@
     }
 }
 
-/// Plays a guard's own case: with the guard nothing is broken, and without it this check strikes.
-fn check_catches_the_absence_of(guard: &'static str, check: &str) {
-    check_catches_in_case(guard, guard, check);
+/// Runs the case with the name of a guard. With the guard there are no violations, and without it this check fails.
+fn assert_check_fails_without(guard: &'static str, check: &str) {
+    assert_check_fails_in_case_without(guard, guard, check);
 }
 
-/// Plays a case twice at once: with a guard nothing is broken, and without it this check strikes.
-fn check_catches_in_case(case: &'static str, guard: &'static str, check: &str) {
-    let _alone = ALONE
+/// Runs a case twice at the same time. With the guard there are no violations, and without it this check fails.
+fn assert_check_fails_in_case_without(case: &'static str, guard: &'static str, check: &str) {
+    let _guard = EXCLUSIVE
         .lock()
         .unwrap_or_else(std::sync::PoisonError::into_inner);
-    // Cargo builds the router's program for the whole workspace only. One that was left by a build without the feature takes
-    // no guard away, and all checks would seem to catch nothing.
+    // Cargo builds the router's program only when it builds the whole workspace. A program that remained from a build without
+    // the feature `mutations` ignores the option, and no check would fail.
     let unknown = ["--case", case, "--without", "no-such-guard"];
     let (_, text) = faults("faults-guards.star", &unknown);
     assert!(
@@ -86,110 +90,110 @@
 }
 
 #[test]
-fn without_the_tag_of_datagrams_innocent_nodes_are_blamed() {
-    check_catches_the_absence_of("tag", "innocent");
+fn without_authentication_of_datagrams_healthy_nodes_are_ejected() {
+    assert_check_fails_without("tag", "innocent");
 }
 
 #[test]
-fn without_enough_observers_a_node_is_out_for_links_that_are_not_its_own() {
-    check_catches_the_absence_of("observers", "links");
+fn without_enough_observers_link_faults_eject_a_node() {
+    assert_check_fails_without("observers", "links");
 }
 
 #[test]
-fn without_observers_of_two_zones_a_node_is_out_for_links_that_are_not_its_own() {
-    check_catches_the_absence_of("one-zone", "links");
+fn without_observers_of_two_zones_link_faults_eject_a_node() {
+    assert_check_fails_without("one-zone", "links");
 }
 
 #[test]
-fn without_doubt_of_who_sees_all_fail_a_node_is_out_for_links_that_are_not_its_own() {
-    check_catches_the_absence_of("blame", "links");
+fn a_router_that_sees_all_nodes_fail_ejects_a_node_if_its_reports_are_not_discounted() {
+    assert_check_fails_without("blame", "links");
 }
 
 #[test]
-fn without_doubt_of_who_is_cut_off_from_four_of_nine_a_node_is_out_for_links_that_are_not_its_own()
-{
-    check_catches_in_case("blame-four", "blame", "links");
+fn a_router_that_sees_four_of_nine_nodes_fail_ejects_a_node_if_its_reports_are_not_discounted() {
+    assert_check_fails_in_case_without("blame-four", "blame", "links");
 }
 
 #[test]
-fn without_the_bound_of_a_third_more_nodes_are_out() {
-    check_catches_the_absence_of("third", "third");
+fn without_the_limit_of_a_third_more_nodes_are_ejected() {
+    assert_check_fails_without("third", "third");
 }
 
 #[test]
-fn without_its_exception_a_primary_is_out() {
-    check_catches_the_absence_of("primary", "primary");
+fn without_its_exception_a_slow_primary_is_ejected() {
+    assert_check_fails_without("primary", "primary");
 }
 
 #[test]
-fn without_the_age_of_evidence_routers_do_not_agree() {
-    check_catches_the_absence_of("age", "agreement");
+fn without_the_maximum_age_of_evidence_routers_do_not_agree() {
+    assert_check_fails_without("age", "agreement");
 }
 
-/// The states of the processes whose command line holds these words, as the system's letters.
-fn states(words: &str) -> Vec<char> {
+/// Returns the states, as letters of `/proc`, of all processes whose command line contains this text.
+fn states(text: &str) -> Vec<char> {
     let all = std::fs::read_dir("/proc").expect("processes");
     let state = |process: std::fs::DirEntry| {
         let line = std::fs::read(process.path().join("cmdline")).ok()?;
         let stat = std::fs::read_to_string(process.path().join("stat")).ok()?;
         let (_, after_name) = stat.rsplit_once(") ")?;
-        let is_one = String::from_utf8_lossy(&line).contains(words);
+        let is_one = String::from_utf8_lossy(&line).contains(text);
         after_name.chars().next().filter(|_| is_one)
     };
     all.flatten().filter_map(state).collect()
 }
 
-/// Waits until the processes with these words are as wanted.
-fn wait_for(words: &str, what: &str, is_so: impl Fn(&[char]) -> bool) {
+/// Waits until the states of the processes whose command line contains this text fulfil a condition.
+fn wait_for(text: &str, failure: &str, is_so: impl Fn(&[char]) -> bool) {
     let until = Instant::now() + Duration::from_secs(30);
-    while !is_so(&states(words)) {
-        assert!(Instant::now() < until, "{what}: {:?}", states(words));
+    while !is_so(&states(text)) {
+        assert!(Instant::now() < until, "{failure}: {:?}", states(text));
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
-/// Starts a rig. With the words that its routers are known by: their files' folder bears its process's number.
-fn rig(case: &str) -> (std::process::Child, String) {
-    let mut command = lab();
+/// Starts a run. Also returns the text by which its routers are recognized: the name of the folder of their files, which
+/// contains the process id of the program.
+fn start_run(case: &str) -> (std::process::Child, String) {
+    let mut command = program();
     command
         .arg("faults")
         .arg(script("faults-peers.star"))
         .args(["--case", case]);
-    let rig = command
+    let run = command
         .stdout(Stdio::null())
         .stderr(Stdio::null())
         .spawn()
         .expect("the program starts");
-    let routers = format!("/plovercove-{}-faults", rig.id());
-    (rig, routers)
+    let routers = format!("/plovercove-{}-faults", run.id());
+    (run, routers)
 }
 
-fn signal(rig: &std::process::Child, signal: rustix::process::Signal) {
-    let id = rustix::process::Pid::from_raw(rig.id() as i32).expect("a process");
+fn signal(run: &std::process::Child, signal: rustix::process::Signal) {
+    let id = rustix::process::Pid::from_raw(run.id() as i32).expect("a process");
     rustix::process::kill_process(id, signal).expect("it runs");
 }
 
 #[test]
-fn a_rig_that_is_interrupted_leaves_no_process_behind() {
-    let _alone = ALONE
+fn an_interrupted_program_leaves_no_process_behind() {
+    let _guard = EXCLUSIVE
         .lock()
         .unwrap_or_else(std::sync::PoisonError::into_inner);
-    let (mut rig, routers) = rig("partition");
+    let (mut run, routers) = start_run("partition");
     wait_for(&routers, "its routers do not start", |all| all.len() >= 9);
-    signal(&rig, rustix::process::Signal::TERM);
-    assert!(!rig.wait().expect("it ends").success());
+    signal(&run, rustix::process::Signal::TERM);
+    assert!(!run.wait().expect("it ends").success());
     assert_eq!(states(&routers), [], "its routers are still there");
 }
 
 #[test]
-fn a_rig_that_is_killed_leaves_no_process_behind() {
-    // Failure: routers that it had stopped, or that wrote nothing to their log, stayed and disturbed what was played next.
-    let _alone = ALONE
+fn a_killed_program_leaves_no_process_behind() {
+    // Routers that were stopped, or that wrote nothing to their log, used to remain and disturbed the following runs.
+    let _guard = EXCLUSIVE
         .lock()
         .unwrap_or_else(std::sync::PoisonError::into_inner);
-    let (mut rig, routers) = rig("stopped");
+    let (mut run, routers) = start_run("stopped");
     wait_for(&routers, "none is stopped", |all| all.contains(&'T'));
-    signal(&rig, rustix::process::Signal::KILL);
-    assert!(!rig.wait().expect("it ends").success());
+    signal(&run, rustix::process::Signal::KILL);
+    assert!(!run.wait().expect("it ends").success());
     wait_for(&routers, "its routers are still there", <[char]>::is_empty);
 }
--- a/experiments/tests/sockets.rs
+++ b/experiments/tests/sockets.rs
@@ -1,4 +1,5 @@
-//! A lost zone on loopback sockets, with stand-ins and real routers; and the model's hard cases, one seed of each.
+//! The failure of a zone on loopback sockets, with emulated nodes and real routers, and the hard cases of the simulation with
+//! one seed each.
 
 use serde_json::Value;
 use std::path::{Path, PathBuf};
@@ -10,7 +11,7 @@
         .join(name)
 }
 
-fn lab(arguments: &[&str], file: &Path) -> Output {
+fn run_program(arguments: &[&str], file: &Path) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_plovercove-experiments"));
     command.arg(arguments[0]).arg(file).args(&arguments[1..]);
     command.output().expect("the program starts")
@@ -21,12 +22,13 @@
 }
 
 #[test]
-fn a_zone_is_lost_and_comes_back_on_sockets() {
-    // Danger: nodes that come back cold get the whole of what their zone is owed, fall, and the zone is lost for good.
+fn a_zone_fails_and_returns_on_sockets() {
+    // Nodes that return with cold caches could get the full load of their zone at once and fail again, so that the zone would
+    // never recover.
     let json = std::env::temp_dir().join(format!("plovercove-sockets-{}.json", std::process::id()));
-    let told = json.to_str().expect("a plain path");
-    let output = lab(
-        &["sockets", "--json", told],
+    let path = json.to_str().expect("a plain path");
+    let output = run_program(
+        &["sockets", "--json", path],
         &experiment("zones-sockets.star"),
     );
     assert!(
@@ -48,18 +50,18 @@
         .filter_map(Value::as_f64)
         .collect();
     let mean = |from: usize, to: usize| seconds[from..to].iter().sum::<f64>() / (to - from) as f64;
-    // Wide bounds: the machine may be busy. Without a way round the lost zone a third of it would be gone.
+    // The bounds are wide, because the machine may be busy. Without zone failover a third of the requests would be lost.
     assert!(mean(1, 5) > 0.95, "calm: {seconds:?}");
     assert!(mean(7, 10) > 0.85, "lost: {seconds:?}");
     assert!(mean(14, 24) > 0.95, "back: {seconds:?}");
-    // The limit is half a zone; a second's chance is beside it.
+    // The limit is half of a zone. The figure of a single second may randomly exceed it a little.
     let spilled = outcome["spill_most"].as_f64().expect("a number");
     assert!(spilled > 0.02 && spilled < 0.55, "spilled {spilled}");
 }
 
 #[test]
-fn every_hard_case_keeps_the_rules() {
-    let output = lab(
+fn no_hard_case_violates_the_rules() {
+    let output = run_program(
         &["run", "--variant", "tiers", "--seed", "7", "--strict"],
         &experiment("zones.star"),
     );
@@ -82,9 +84,9 @@
 }
 
 #[test]
-fn a_hundred_routers_keep_the_rules_when_half_are_killed_and_a_zone_comes_back() {
+fn a_hundred_routers_keep_the_rules_when_half_are_killed_and_a_zone_returns() {
     for case in ["calm", "herd", "zone", "join"] {
-        let output = lab(
+        let output = run_program(
             &["run", "--case", case, "--seed", "7", "--strict"],
             &experiment("larger-fleet.star"),
         );
@@ -97,8 +99,8 @@
 }
 
 #[test]
-fn the_whole_fleets_troubles_keep_the_rules_at_a_small_size() {
-    // Nodes under new names, unequal groups, a discovery that is asked too much: 40 routers and 24 nodes.
+fn the_faults_of_the_whole_fleet_keep_the_rules_at_a_small_size() {
+    // 40 routers and 24 nodes, with nodes under new names, groups of different sizes and an overloaded discovery.
     let zones = ["a", "b", "c", "d"]
         .map(|z| format!("{{\"name\":\"{z}\",\"nodes\":6,\"routers\":10}}"))
         .join(",");
@@ -107,9 +109,9 @@
         "list.calls_per_s=30".into(),
         "clients.load=0.5".into(),
     ];
-    let mut words = vec!["run", "--seed", "3", "--strict"];
-    words.extend(sets.iter().flat_map(|set| ["--set", set]));
-    let output = lab(&words, &experiment("whole-fleet.star"));
+    let mut arguments = vec!["run", "--seed", "3", "--strict"];
+    arguments.extend(sets.iter().flat_map(|set| ["--set", set]));
+    let output = run_program(&arguments, &experiment("whole-fleet.star"));
     assert!(output.status.success(), "{}", text(&output));
     for case in ["calm", "roll", "herd", "zone", "split", "join"] {
         assert!(
@@ -120,8 +122,9 @@
 }
 
 #[test]
-fn a_pushed_over_node_is_seen_and_ends_a_strict_run() {
-    // Danger: a check that cannot fail. Nodes that bear a tenth of what they can do, and routers that know of their start.
+fn an_overloaded_node_that_fails_is_reported_and_fails_a_strict_run() {
+    // Proves that the check can fail: the nodes fail at a tenth of their capacity, although the routers know that they have
+    // just started.
     let file = std::env::temp_dir().join(format!("plovercove-fall-{}.star", std::process::id()));
     let script = r#"
 seconds = 40
@@ -130,21 +133,21 @@
 faults = [{"at": 5, "until": 10, "what": {"zone_down": {"zone": "a"}}}]
 "#;
     std::fs::write(&file, script).expect("a folder for temporary files");
-    let output = lab(&["run", "--variant", "strict", "--strict"], &file);
+    let output = run_program(&["run", "--variant", "strict", "--strict"], &file);
     std::fs::remove_file(&file).expect("just written");
-    let said = text(&output);
+    let output_text = text(&output);
     assert!(
-        !output.status.success() && said.contains("PushedOver broken"),
-        "{said}"
+        !output.status.success() && output_text.contains("PushedOver broken"),
+        "{output_text}"
     );
     assert!(
-        said.contains("% from routers that were told of its start"),
-        "who pressed it is told: {said}"
+        output_text.contains("% from routers that were told of its start"),
+        "who pressed it is told: {output_text}"
     );
 }
 
 #[test]
-fn what_is_wrong_with_a_script_is_named() {
+fn an_error_in_a_script_is_named() {
     let file = std::env::temp_dir().join(format!("plovercove-wrong-{}.star", std::process::id()));
     for (script, want) in [
         (
@@ -165,8 +168,11 @@
         ),
     ] {
         std::fs::write(&file, script).expect("a folder for temporary files");
-        let said = text(&lab(&["check"], &file));
-        assert!(said.contains(want), "{said} instead of {want}");
+        let output_text = text(&run_program(&["check"], &file));
+        assert!(
+            output_text.contains(want),
+            "{output_text} instead of {want}"
+        );
     }
     std::fs::remove_file(&file).expect("just written");
 }
