--- a/gather/benches/merge.rs
+++ b/gather/benches/merge.rs
@@ -1,8 +1,8 @@
 //! Merges a million rows of 300 sources, once as streams and once by collecting and sorting them.
 //!
-//! To print the peak memory of one way, run it in a separate process: `merge memory-streamed`, `merge
-//! memory-collected`, `merge memory-none`. The figure is that of the operating system, since a counting allocator would
-//! need unsafe code.
+//! To print the peak memory of one way, run it in a separate process: `merge memory-streamed`,
+//! `merge memory-collected`, `merge memory-none`. The figure is that of the operating system, since a counting allocator
+//! would need unsafe code.
 
 use criterion::{Criterion, Throughput};
 use plovercove_gather::{AbsentOrder, Input, Plan, Row, Rules, SortKey, StreamMerge, Value};
--- a/gather/src/gathering.rs
+++ b/gather/src/gathering.rs
@@ -11,10 +11,10 @@
 pub const MAX_SOURCES: usize = 2_000;
 /// Maximum size of the pieces of all sources of a gathering (bytes). Each source may use an equal share of it, but at
 /// least 16 pieces of 1,000 bytes.
-const MAX_PIECE_BYTES: usize = 64 << 20;
+const MAX_TOTAL_PIECE_BYTES: usize = 64 << 20;
 /// Maximum number of values in the rows of all sources. A value takes 32 bytes of memory but can be one byte on the
 /// wire, so a limit on bytes alone would not limit memory.
-const MAX_VALUES: usize = 4 << 20;
+const MAX_TOTAL_VALUES: usize = 4 << 20;
 
 /// The effect of a received piece.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -100,7 +100,7 @@
     pub fn put(&mut self, piece: Piece) -> Result<PutOutcome, Error> {
         let name = piece.source.name.clone();
         let count = self.sources.len().max(1);
-        let share = (MAX_PIECE_BYTES / count).max(16_000);
+        let share = (MAX_TOTAL_PIECE_BYTES / count).max(16_000);
         let Some(state) = self.sources.get_mut(&name) else {
             return Err(Error::Unexpected { source_name: name });
         };
@@ -256,7 +256,7 @@
 
 /// Checks a partial result and brings its rows into the order of a merge.
 fn check_partial(plan: &Plan, sources: usize, partial: Partial) -> Result<Partial, Error> {
-    let max_values = (MAX_VALUES / sources).max(16_000);
+    let max_values = (MAX_TOTAL_VALUES / sources).max(16_000);
     let values: usize = partial.rows.iter().map(|r| r.values.len()).sum();
     if values > max_values && plan.rules.is_guard_on(Guard::Share) {
         return Err(Error::TooMuch {
