--- a/router/src/error.rs
+++ b/router/src/error.rs
@@ -162,7 +162,7 @@
     Peers(#[source] plovercove_gossip::Error),
     /// An error in the `duties` block.
     #[error("{}", without_key(.0))]
-    Duties(#[source] Box<crate::lease_tasks::TermsFault>),
+    Duties(#[source] Box<crate::lease_tasks::LeaseTasksFault>),
     /// A listener has no protocol version or no authentication method.
     #[error("expected one version and one method at the least")]
     NoMethod,
--- a/router/src/lease_tasks/config.rs
+++ b/router/src/lease_tasks/config.rs
@@ -49,7 +49,7 @@
 
 /// A fault of the `duties` block.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
-pub enum TermsFault {
+pub enum LeaseTasksFault {
     /// The file has no `peers` block, so this router cannot reach the others.
     #[error("duties: expected a peers block beside it")]
     NoPeers,
@@ -91,20 +91,22 @@
     NoGuard(String),
 }
 
-impl TermsFault {
+impl LeaseTasksFault {
     /// Returns advice for the operator.
     pub fn help(&self) -> &'static str {
         match self {
-            TermsFault::NoPeers => "add a peers block, or take the duties block out",
-            TermsFault::Rules(fault) => fault.help(),
-            TermsFault::Fanout(fault) => fault.help(),
-            TermsFault::NoFile { .. } => {
+            LeaseTasksFault::NoPeers => "add a peers block, or take the duties block out",
+            LeaseTasksFault::Rules(fault) => fault.help(),
+            LeaseTasksFault::Fanout(fault) => fault.help(),
+            LeaseTasksFault::NoFile { .. } => {
                 "set `duties.file` to a path on a disk that outlives the process"
             }
-            TermsFault::Watch { .. } => "set `duties.watch_ms` within the range, or leave it out",
-            TermsFault::Budget { .. } => "lower it, or raise the budget of `peers`",
+            LeaseTasksFault::Watch { .. } => {
+                "set `duties.watch_ms` within the range, or leave it out"
+            }
+            LeaseTasksFault::Budget { .. } => "lower it, or raise the budget of `peers`",
             #[cfg(feature = "mutations")]
-            TermsFault::NoGuard(_) => "tests only: take the variable out of the environment",
+            LeaseTasksFault::NoGuard(_) => "tests only: take the variable out of the environment",
         }
     }
 }
@@ -120,7 +122,7 @@
         folder: &Path,
         address: SocketAddr,
         peers: &plovercove_gossip::Rules,
-    ) -> Result<LeaseTasksConfig, TermsFault> {
+    ) -> Result<LeaseTasksConfig, LeaseTasksFault> {
         let mut rules = self.rules.clone();
         rules.installation.clone_from(&peers.installation);
         #[cfg_attr(
@@ -130,7 +132,7 @@
         let mut fanout = self.fanout.clone();
         #[cfg(feature = "mutations")]
         if let Ok(guard) = std::env::var("PLOVERCOVE_WITHOUT") {
-            let unknown = || TermsFault::NoGuard(guard.clone());
+            let unknown = || LeaseTasksFault::NoGuard(guard.clone());
             match guard.split_once('/') {
                 Some(("duties", name)) => {
                     rules.disabled_guard =
@@ -146,7 +148,7 @@
         rules.check(peers.routers)?;
         fanout.check()?;
         if !(MIN_WATCH_MS..=MAX_WATCH_MS).contains(&self.watch_ms) {
-            return Err(TermsFault::Watch {
+            return Err(LeaseTasksFault::Watch {
                 least: MIN_WATCH_MS,
                 most: MAX_WATCH_MS,
                 got: self.watch_ms,
@@ -157,7 +159,7 @@
             ("fanout.datagrams_per_s", fanout.datagrams_per_s),
         ] {
             if got > peers.datagrams_per_s {
-                return Err(TermsFault::Budget {
+                return Err(LeaseTasksFault::Budget {
                     key,
                     most: peers.datagrams_per_s,
                     got,
@@ -170,7 +172,7 @@
                 .map(|voter| voter.address)
                 .any(|voter| voter == address)
         {
-            return Err(TermsFault::NoFile { address });
+            return Err(LeaseTasksFault::NoFile { address });
         }
         let file = self.file.as_ref().map(|file| folder.join(file));
         Ok(LeaseTasksConfig {
--- a/router/src/lease_tasks/file.rs
+++ b/router/src/lease_tasks/file.rs
@@ -12,7 +12,7 @@
 
 /// A fault of the file.
 #[derive(Debug, thiserror::Error)]
-pub enum FileFault {
+pub enum StateFileFault {
     /// The system refused to read it.
     #[error("{}: the decider's file cannot be read: {source}", path.display())]
     Read {
@@ -39,15 +39,15 @@
     },
 }
 
-impl FileFault {
+impl StateFileFault {
     /// Returns advice for the operator.
     pub fn help(&self) -> &'static str {
         match self {
-            FileFault::Read { .. } => {
+            StateFileFault::Read { .. } => {
                 "give the router's user the right to read the file, or set `duties.file` to one that does not exist yet"
             }
-            FileFault::Kept { source, .. } => source.help(),
-            FileFault::Write { .. } => {
+            StateFileFault::Kept { source, .. } => source.help(),
+            StateFileFault::Write { .. } => {
                 "make room on the disk, or give the router's user the right to write the folder; until then this decider does not vote"
             }
         }
@@ -58,7 +58,7 @@
     fn forbids_writing(&self) -> bool {
         !matches!(
             self,
-            FileFault::Kept {
+            StateFileFault::Kept {
                 source: PersistedStateFault::Torn { .. } | PersistedStateFault::Damaged,
                 ..
             }
@@ -94,22 +94,22 @@
         path: &Path,
         rules: &Rules,
         name: &str,
-    ) -> (Self, Result<Option<PersistedState>, FileFault>) {
+    ) -> (Self, Result<Option<PersistedState>, StateFileFault>) {
         let path = path.to_path_buf();
         let state = match fs::read(&path) {
             Ok(bytes) => PersistedState::decode(&bytes, rules, name)
                 .map(Some)
-                .map_err(|source| FileFault::Kept {
+                .map_err(|source| StateFileFault::Kept {
                     path: path.clone(),
                     source,
                 }),
             Err(e) if e.kind() == ErrorKind::NotFound => Ok(None),
-            Err(source) => Err(FileFault::Read {
+            Err(source) => Err(StateFileFault::Read {
                 path: path.clone(),
                 source,
             }),
         };
-        let must_not_write = state.as_ref().is_err_and(FileFault::forbids_writing);
+        let must_not_write = state.as_ref().is_err_and(StateFileFault::forbids_writing);
         (
             StateFile {
                 path,
@@ -131,7 +131,11 @@
     ///
     /// # Errors
     /// The system refused the write. It is retried.
-    pub fn persist(&mut self, now: Time, new_state: Option<Vec<u8>>) -> Result<bool, FileFault> {
+    pub fn persist(
+        &mut self,
+        now: Time,
+        new_state: Option<Vec<u8>>,
+    ) -> Result<bool, StateFileFault> {
         if new_state.is_some() {
             self.unwritten = new_state;
         }
@@ -144,7 +148,7 @@
         let started = Instant::now();
         if let Err(source) = replace_file(&self.path, bytes) {
             self.next_attempt = now + WRITE_RETRY_AFTER_US;
-            return Err(FileFault::Write {
+            return Err(StateFileFault::Write {
                 path: self.path.clone(),
                 source,
             });
--- a/router/src/lease_tasks/log.rs
+++ b/router/src/lease_tasks/log.rs
@@ -1,13 +1,13 @@
 //! Log lines of the lease tasks. Each has a `reason`; warnings and lease events also have a `help` for operators.
 
-use super::{Counts, FileFault, WriteCounts};
+use super::{Counts, StateFileFault, WriteCounts};
 use plovercove_fanout::{self as fanout, ClientCounts, Fault, GatewayCounts};
 use plovercove_fencing::{FenceError, LeaseName, Token};
 use plovercove_leases::{Counts as LeaseCounts, LeaseEvent, VoterStage};
 use tracing::{info, warn};
 
 /// Logs a fault of the voter's state file.
-pub fn state_file_fault(fault: &FileFault) {
+pub fn state_file_fault(fault: &StateFileFault) {
     warn!(reason = "decider's file", help = fault.help(), "{fault}");
 }
 
--- a/router/src/lease_tasks/mod.rs
+++ b/router/src/lease_tasks/mod.rs
@@ -12,8 +12,8 @@
 mod nodes;
 mod watch;
 
-pub use config::{LeaseTasksBlock, LeaseTasksConfig, TermsFault};
-pub use file::{FileFault, StateFile, WriteCounts};
+pub use config::{LeaseTasksBlock, LeaseTasksConfig, LeaseTasksFault};
+pub use file::{StateFile, StateFileFault, WriteCounts};
 
 use crate::clock::Clock;
 use crate::upstream::{LeaseCheck, NodeQuery, QueryOutcome};
--- a/router/src/operators.rs
+++ b/router/src/operators.rs
@@ -4,7 +4,7 @@
 use crate::error::{Error, KeyFault, KeyFaultCause};
 use crate::front::{DefaultClass, DefaultLabels, ListenerConfig};
 use crate::gossip;
-use crate::lease_tasks::{self, TermsFault};
+use crate::lease_tasks::{self, LeaseTasksFault};
 use crate::upstream::ConnectOptions;
 use plovercove::{Access, Settings};
 use plovercove_gossip::{Keys, Rules as PeerRules};
@@ -307,7 +307,7 @@
 }
 
 /// Converts a fault of the `duties` block, whose text begins with the key.
-fn lease_tasks_fault(fault: TermsFault) -> KeyFault {
+fn lease_tasks_fault(fault: LeaseTasksFault) -> KeyFault {
     let text = fault.to_string();
     KeyFault::new(
         text.split_once(": ").map_or("duties", |(key, _)| key),
@@ -393,7 +393,7 @@
     ) -> Result<Option<gossip::GossipConfig>, KeyFault> {
         let Some(peers) = &self.peers else {
             return match &self.duties {
-                Some(_) => Err(lease_tasks_fault(TermsFault::NoPeers)),
+                Some(_) => Err(lease_tasks_fault(LeaseTasksFault::NoPeers)),
                 None => Ok(None),
             };
         };
