--- a/emulator/src/links.rs
+++ b/emulator/src/links.rs
@@ -65,7 +65,7 @@
     addresses: Vec<Option<SocketAddr>>,
     conditions: HashMap<(usize, usize), LinkConditions>,
     traffic: Traffic,
-    dice: plovercove_simulation::Dice,
+    dice: plovercove_simulation::SimRng,
 }
 
 /// Time of delivery, sequence number, receiving router, its address and the bytes of a datagram.
@@ -115,7 +115,7 @@
                     sent: vec![Vec::new(); routers],
                     ..Traffic::default()
                 },
-                dice: plovercove_simulation::Dice::seed_from_u64(seed),
+                dice: plovercove_simulation::SimRng::seed_from_u64(seed),
             }),
             queue: Mutex::default(),
             queued: Condvar::new(),
--- a/emulator/src/node.rs
+++ b/emulator/src/node.rs
@@ -3,7 +3,7 @@
 use crate::shared::Shared;
 use crate::wire;
 use plovercove::Time;
-use plovercove_simulation::node::{Machine, Offer};
+use plovercove_simulation::node::{NodeModel, Offer};
 use std::collections::HashMap;
 use std::io::{self, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -14,7 +14,7 @@
 const MAX_QUEUE_TIME: Duration = Duration::from_secs(10);
 
 pub(crate) struct State {
-    pub(crate) machine: Machine<u64>,
+    pub(crate) machine: NodeModel<u64>,
     /// Queued requests whose work has begun since, with the time at which it ends.
     begun: HashMap<u64, Time>,
     last_ticket: u64,
@@ -48,7 +48,7 @@
     pub(crate) fn new(
         name: String,
         place: (usize, usize, usize),
-        machine: Machine<u64>,
+        machine: NodeModel<u64>,
         address: SocketAddr,
     ) -> Self {
         let (zone, group, member) = place;
@@ -96,7 +96,7 @@
     /// Starts the node again at the same address, with cold caches.
     pub(crate) fn start_again(self: &Arc<Self>, shared: &Arc<Shared>) -> io::Result<()> {
         let mut state = self.state();
-        if state.up || state.machine.fallen() {
+        if state.up || state.machine.has_crashed() {
             return Ok(());
         }
         let listener = TcpListener::bind(self.address)?;
@@ -210,13 +210,13 @@
         let ticket = state.last_ticket;
         let until = match state.machine.offer(crate::now(), ticket, work) {
             Offer::Runs(until) => until,
-            Offer::Full => return WorkResult::Full,
-            Offer::Falls => {
+            Offer::Rejected => return WorkResult::Full,
+            Offer::Crashes => {
                 drop(state);
                 self.stop();
                 return WorkResult::Lost;
             }
-            Offer::Waits => loop {
+            Offer::Queued => loop {
                 let (guard, wait) = self
                     .work_begun
                     .wait_timeout(state, MAX_QUEUE_TIME)
@@ -237,7 +237,7 @@
         if state.epoch != epoch {
             return WorkResult::Lost;
         }
-        if let Some((next, until)) = state.machine.done(crate::now()) {
+        if let Some((next, until)) = state.machine.finish_request(crate::now()) {
             state.begun.insert(next, until);
             self.work_begun.notify_all();
         }
--- a/experiments/src/faults/random_faults.rs
+++ b/experiments/src/faults/random_faults.rs
@@ -2,7 +2,7 @@
 
 use super::{Fault, Scenario, What};
 use plovercove_emulator::links::LinkConditions;
-use plovercove_simulation::Dice;
+use plovercove_simulation::SimRng;
 use rand::{RngExt, SeedableRng};
 
 /// Latest beginning of a random fault (s).
@@ -13,7 +13,7 @@
 const MAX_DURATION_S: f64 = 4.0;
 
 /// Draws between one and `max_count` different names of `count` routers or nodes, such as `n0`.
-fn draw_names(dice: &mut Dice, letter: char, count: usize, max_count: usize) -> Vec<String> {
+fn draw_names(dice: &mut SimRng, letter: char, count: usize, max_count: usize) -> Vec<String> {
     let drawn = dice.random_range(1..=max_count.min(count).max(1));
     let mut numbers: Vec<usize> = (0..count).collect();
     for n in 0..drawn {
@@ -28,16 +28,16 @@
 
 /// Draws the random faults of a scenario from a seed.
 pub fn draw_faults(scenario: &Scenario, seed: u64) -> Vec<Fault> {
-    let mut dice = Dice::seed_from_u64(seed ^ 0x5eed_fa17);
+    let mut dice = SimRng::seed_from_u64(seed ^ 0x5eed_fa17);
     let (routers, nodes) = (scenario.routers().len(), scenario.nodes().len());
     let peers = scenario.peers.is_some();
     let mut drawn: Vec<Fault> = Vec::new();
     while drawn.len() < scenario.random {
         let at = dice.random::<f64>() * MAX_START_S;
         let until = at + MIN_DURATION_S + dice.random::<f64>() * (MAX_DURATION_S - MIN_DURATION_S);
-        let few_routers = |dice: &mut Dice| draw_names(dice, 'n', routers, routers / 3);
+        let few_routers = |dice: &mut SimRng| draw_names(dice, 'n', routers, routers / 3);
         // Only replicas are drawn: a group whose primary fails needs a new one, and the emulated nodes do not elect one.
-        let one_replica = |dice: &mut Dice| loop {
+        let one_replica = |dice: &mut SimRng| loop {
             let n = dice.random_range(0..nodes);
             if n % scenario.members != 0 {
                 return vec![format!("s{n}")];
--- a/experiments/src/sockets.rs
+++ b/experiments/src/sockets.rs
@@ -3,7 +3,7 @@
 use crate::error::Error;
 use plovercove_emulator::process::{Folder, Process, ProcessSignal};
 use plovercove_emulator::{Clients, Fleet, FleetCounts, RequestOutcome, Sample};
-use plovercove_simulation::{Reads, Spec, Trouble, Variant};
+use plovercove_simulation::{FaultKind, Reads, Spec, Variant};
 use serde::Serialize;
 use serde_json::json;
 use std::fmt::Write as _;
@@ -93,7 +93,7 @@
                    "LateWorth": c.late, "Effect": effect})
         })
         .collect();
-    let settings = spec.settings(index, zone);
+    let settings = spec.router_settings(index, zone);
     json!({
         "name": format!("n{index}"), "listen": "127.0.0.1:0", "discovery": agent.to_string(),
         "seed": format!("{:x}", index + 17), "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
@@ -117,7 +117,7 @@
 /// Returns the operators' file with the rules of the specification. The rules are written as JSON, which is valid Starlark
 /// here, because they do not contain `true`, `false` or `null`.
 fn operators_file(spec: &Spec) -> Result<String, Error> {
-    let rules = serde_json::to_string(&spec.rules())?;
+    let rules = serde_json::to_string(&spec.locality_rules())?;
     Ok(format!("tiers = {rules}\n"))
 }
 
@@ -170,7 +170,7 @@
     }
     let mut steps = Vec::new();
     for fault in &spec.faults {
-        let Trouble::ZoneDown { zone, part } = &fault.what else {
+        let FaultKind::ZoneDown { zone, part } = &fault.what else {
             return Err(Error::OnlyZoneDown);
         };
         if *part < 1.0 {
