--- a/emulator/src/client.rs
+++ b/emulator/src/client.rs
@@ -62,7 +62,7 @@
             Arc::new(AtomicBool::new(false)),
             Arc::new(Mutex::new(Vec::new())),
         );
-        let rate = spec.rate() / routers.len() as f64 / THREADS_PER_ROUTER as f64;
+        let rate = spec.request_rate() / routers.len() as f64 / THREADS_PER_ROUTER as f64;
         let started = Instant::now();
         let mut threads = Vec::new();
         for (n, (zone, address)) in routers.iter().enumerate() {
@@ -71,7 +71,7 @@
                 let (zone, address) = (*zone, *address);
                 let name = (n * THREADS_PER_ROUTER + thread) as u64;
                 let client = move || {
-                    let dice = plovercove_simulation::Dice::seed_from_u64(seed ^ (name << 32));
+                    let dice = plovercove_simulation::SimRng::seed_from_u64(seed ^ (name << 32));
                     let mut client = ClientThread {
                         spec,
                         zone,
@@ -199,7 +199,7 @@
     zone: usize,
     connection: RequestClient,
     name: u64,
-    dice: plovercove_simulation::Dice,
+    dice: plovercove_simulation::SimRng,
     sent: u64,
 }
 
@@ -242,7 +242,7 @@
     fn send_request(&mut self, class: usize) -> RequestOutcome {
         self.sent += 1;
         let id = format!("{:x}{:08x}", self.name + 16, self.sent);
-        let group = self.dice.random_range(0..self.spec.groups()) + 1;
+        let group = self.dice.random_range(0..self.spec.group_count()) + 1;
         let class = &self.spec.classes[class];
         let (name, d, t) = (
             &class.name,
--- a/experiments/src/error/tests.rs
+++ b/experiments/src/error/tests.rs
@@ -52,7 +52,7 @@
         sockets_error(drain),
         sockets_error(""),
         // These errors need a faulty machine or a router of another build, so they are constructed.
-        Error::Model(SpecFault("clients.load: expected more".into())),
+        Error::Model(SpecError("clients.load: expected more".into())),
         Error::NoCase {
             file: "a.star".into(),
             case: "b".into(),
