--- a/experiments/src/error.rs
+++ b/experiments/src/error.rs
@@ -1,6 +1,6 @@
 //! Errors of the program, each with a help text.
 
-use plovercove_simulation::SpecFault;
+use plovercove_simulation::SpecError;
 use std::io;
 
 /// An error in the command line, in a script or during a run.
@@ -8,7 +8,7 @@
 pub enum Error {
     /// The script has an error.
     #[error(transparent)]
-    Script(#[from] plovercove_starlark_config::Fault),
+    Script(#[from] plovercove_starlark_config::ScriptError),
     /// A case of the script has an error.
     #[error("case {case}: {fault}")]
     Case {
@@ -20,7 +20,7 @@
     },
     /// The simulation cannot run the case.
     #[error("the model cannot play it: {0}")]
-    Model(#[source] SpecFault),
+    Model(#[source] SpecError),
     /// The script has no such case.
     #[error("{file}: there is no case {case:?}")]
     NoCase {
