--- a/router/src/front/mod.rs
+++ b/router/src/front/mod.rs
@@ -143,7 +143,7 @@
         if hung_up || peer != PeerState::Open {
             debug!(
                 client = key.number(),
-                ?peer,
+                peer = %peer.label(),
                 hung_up,
                 "client connection closed"
             );
--- a/router/src/net/stream.rs
+++ b/router/src/net/stream.rs
@@ -26,6 +26,18 @@
     OverBudget,
 }
 
+impl PeerState {
+    /// Returns the name of the state in log lines.
+    pub fn label(self) -> &'static str {
+        match self {
+            PeerState::Open => "Open",
+            PeerState::Closed => "Gone",
+            PeerState::Reset => "Reset",
+            PeerState::OverBudget => "TooMuch",
+        }
+    }
+}
+
 /// A socket with its input and output buffers.
 pub struct Stream {
     socket: Registered<TcpStream>,
