--- a/fanout/src/client.rs
+++ b/fanout/src/client.rs
@@ -86,6 +86,7 @@
 pub struct Client {
     rules: Rules,
     identity: Subscriber,
+    /// Counter that rises with each change of the subscriptions.
     counter: u64,
     trackers: BTreeMap<Topic, SequenceTracker>,
     /// Topics that the subscriber left, latest last, with the last item delivered of each.
@@ -101,12 +102,14 @@
     confirmed: bool,
     renewal_interval: Micros,
     renew_at: Time,
+    /// Number of renewals sent since the last confirmation, change or new gateway.
     attempts: u32,
     /// When the gateway answered last.
     answered_at: Option<Time>,
     /// Since when an answer of the gateway is due.
     waiting_since: Option<Time>,
     gateway_silent: bool,
+    /// Time from which on a former gateway may be notified again that the subscriber has moved.
     moved_notice_at: Time,
     fence: Fence,
     events: VecDeque<SubscriptionEvent>,
@@ -329,6 +332,7 @@
         let mut result = Ok(());
         for message in messages {
             match message {
+                // The `boot` is 0 if the gateway has no entry of the subscriber.
                 Message::RenewalReply {
                     boot,
                     subscriptions_digest,
@@ -530,6 +534,7 @@
                 self.attempts = 0;
                 self.renew_at = now + self.jittered(self.renewal_interval);
             }
+            // The reply belongs to an earlier renewal. The next one reports the changes since then.
             RenewalStatus::Confirmed => (),
             RenewalStatus::Differs => {
                 if self.confirmed || self.attempts > 0 {
--- a/fanout/src/gateway.rs
+++ b/fanout/src/gateway.rs
@@ -125,7 +125,7 @@
             bytes: self.outbox.bytes,
             lists: self.outbox.list_bytes,
             dropped: self.outbox.dropped,
-            held: self.retained.values().map(|h| h.len() as u64).sum(),
+            held: self.retained.values().map(|items| items.len() as u64).sum(),
             subscriptions: self.table.len() as u64,
             subscribers: self.subscriber_count as u64,
             ..self.counts
@@ -397,7 +397,7 @@
             .enqueue(Lane::Control, to, Recipient::Subscriber(name), &message);
     }
 
-    /// Requests a subscriber to declare all its subscriptions again.
+    /// Requests that a subscriber declares all its subscriptions again.
     pub(crate) fn request_declaration(&mut self, now: Time, to: SocketAddr, name: Name) {
         let boot = self.table.subscriptions_digest(&name).1;
         self.reply_to_renewal(now, to, name, boot, 0, RenewalStatus::Differs);
@@ -411,11 +411,11 @@
         let own = record
             .topics
             .iter()
-            .filter(|(_, k)| self.table.is_local(&k.entry));
+            .filter(|(_, stored)| self.table.is_local(&stored.entry));
         own.filter_map(|(topic, _)| {
             self.retained
                 .get(topic)
-                .map(|h| h.topic_number(topic, h.latest))
+                .map(|items| items.topic_number(topic, items.latest))
         })
         .collect()
     }
@@ -480,6 +480,7 @@
         Ok(())
     }
 
+    /// Returns the tracker of a topic, and notes where its items come from. Returns `None` if there are too many topics.
     fn tracker(&mut self, topic: &Topic, from: Option<SocketAddr>) -> Option<&mut SequenceTracker> {
         if self.trackers.len() >= MAX_TRACKED_LEASES && !self.trackers.contains_key(topic) {
             return None;
@@ -509,14 +510,14 @@
         // A subscriber that subscribed before this item and was not sent any yet starts with it.
         if let Some(Delivery::Item { token, number, .. }) = deliveries
             .iter()
-            .find(|c| matches!(c, Delivery::Item { .. }))
+            .find(|delivery| matches!(delivery, Delivery::Item { .. }))
         {
             for name in &names {
                 if let Some(stored) = self
                     .table
                     .subscribers
                     .get_mut(name)
-                    .and_then(|p| p.topics.get_mut(topic))
+                    .and_then(|record| record.topics.get_mut(topic))
                 {
                     stored.delivered.get_or_insert((*token, number - 1));
                 }
--- a/fanout/src/outbox.rs
+++ b/fanout/src/outbox.rs
@@ -92,6 +92,7 @@
 #[derive(Debug, Default)]
 struct Queue {
     messages: BTreeMap<Destination, VecDeque<Vec<u8>>>,
+    /// Destinations with waiting messages, served in turns.
     ready: VecDeque<Destination>,
 }
 
@@ -140,8 +141,11 @@
     waiting: usize,
     next_lane: usize,
     bodies: Vec<(SocketAddr, Vec<u8>)>,
+    /// Messages dropped because too many were waiting.
     pub dropped: u64,
+    /// Datagrams sent.
     pub datagrams: u64,
+    /// Bytes sent.
     pub bytes: u64,
     /// Bytes sent to compare lists.
     pub list_bytes: u64,
@@ -222,7 +226,8 @@
         }
     }
 
-    /// Returns when the next body may be sent, or `Time::MAX` if nothing waits.
+    /// Returns when the next body may be sent, or `Time::MAX` if nothing waits. `has_more` says whether the owner of the outbox
+    /// has items to add.
     pub fn next_send(&self, has_more: bool) -> Time {
         if self.waiting == 0 && !has_more {
             Time::MAX
--- a/fanout/src/publisher.rs
+++ b/fanout/src/publisher.rs
@@ -17,7 +17,9 @@
 struct GatewayState {
     /// Token and number of the last item that was sent of each topic.
     sent: BTreeMap<Topic, (Token, u64)>,
+    /// Whether the gateway waits in the queue for delivery.
     queued: bool,
+    /// When the newest numbers are announced to the gateway next.
     announce_at: Time,
 }
 
--- a/fanout/src/reconciliation.rs
+++ b/fanout/src/reconciliation.rs
@@ -43,7 +43,7 @@
 }
 
 impl OtherGateways {
-    /// Schedules a comparison with each of them soon.
+    /// Schedules a comparison with each gateway within `answer_ms`.
     pub fn schedule_comparisons(&mut self, now: Time, rng: &mut Pcg64Mcg, rules: &Rules) {
         for other in self.by_zone.values_mut() {
             other.compare_at = now + jittered(rng, crate::us_from_ms(rules.answer_ms));
@@ -156,7 +156,7 @@
             .map(|other| other.address)
             .collect();
         for key in changed {
-            let Some(entry) = self.table.stored(key).map(|k| k.entry.clone()) else {
+            let Some(entry) = self.table.stored(key).map(|stored| stored.entry.clone()) else {
                 continue;
             };
             for to in &to {
@@ -481,7 +481,8 @@
                 self.outbox
                     .enqueue(Lane::Lists, from, Recipient::Gateway, &fetch);
             }
-            // An empty subrange here may consist of ended entries; the comparison of the leaves finds them.
+            // Of a subrange without live entries here, all entries have been requested: merging them finds those that have
+            // ended here. Other subranges are compared further, down to their leaves.
             if level + 1 < RANGE_LEVELS {
                 if mine != 0 {
                     self.send_range_digests(from, zone, round, level + 1, child);
@@ -489,13 +490,12 @@
                 continue;
             }
             if mine != 0 {
-                let entries = self
-                    .table
-                    .entries_in_leaf(child)
-                    .filter(|k| k.entry.state == State::Live && k.entry.subscriber.zone == *zone);
+                let entries = self.table.entries_in_leaf(child).filter(|stored| {
+                    stored.entry.state == State::Live && stored.entry.subscriber.zone == *zone
+                });
                 let entries = entries
                     .take(MAX_LEAF_ENTRIES)
-                    .map(|k| table::entry_digest(k.key, &k.entry))
+                    .map(|stored| table::entry_digest(stored.key, &stored.entry))
                     .collect();
                 let message = Message::LeafContents {
                     zone: zone.clone(),
--- a/fanout/src/sequence_tracker.rs
+++ b/fanout/src/sequence_tracker.rs
@@ -275,8 +275,8 @@
         }
     }
 
-    /// Reports a gap that was not filled in time as missed, and continues after it. A position is requested further,
-    /// because only the newest one counts.
+    /// Reports a gap that was not filled in time as missed, and continues after it. A gap in positions is reported too, but
+    /// stays open, so that the newest position is requested until it arrives.
     fn give_up_gap(&mut self) {
         if self.collapses {
             if let (Some((token, _)), Some(lease)) = (self.last, self.lease.clone()) {
--- a/fanout/src/table.rs
+++ b/fanout/src/table.rs
@@ -119,6 +119,7 @@
     wire::hash_parts(&[name.as_bytes(), topic.name().as_bytes()])
 }
 
+/// Returns the leaf to which a key belongs: its upper 12 bits.
 pub(crate) fn leaf_of_key(key: u64) -> usize {
     (key >> 52) as usize
 }
@@ -174,8 +175,8 @@
     pub fn entries(&self) -> impl Iterator<Item = &Entry> {
         self.subscribers
             .values()
-            .flat_map(|p| p.topics.values())
-            .map(|k| &k.entry)
+            .flat_map(|record| record.topics.values())
+            .map(|stored| &stored.entry)
     }
 
     pub(crate) fn zone(&self) -> &Name {
@@ -184,10 +185,13 @@
 
     /// Returns the entries that this zone's subscribers declared here themselves: live ones, and those that they ended.
     pub(crate) fn locally_renewed_entries(&self) -> Vec<Entry> {
-        let subscribers = self.subscribers.values().filter(|p| p.renewed_here);
+        let subscribers = self
+            .subscribers
+            .values()
+            .filter(|record| record.renewed_here);
         let entries = subscribers
-            .flat_map(|p| p.topics.values())
-            .map(|k| &k.entry);
+            .flat_map(|record| record.topics.values())
+            .map(|stored| &stored.entry);
         entries
             .filter(|e| e.subscriber.zone == self.zone && e.state != State::Expired)
             .cloned()
@@ -204,7 +208,12 @@
     pub fn own_subscriber_count(&self) -> usize {
         self.subscribers
             .values()
-            .filter(|p| p.topics.values().any(|k| self.is_local(&k.entry)))
+            .filter(|record| {
+                record
+                    .topics
+                    .values()
+                    .any(|stored| self.is_local(&stored.entry))
+            })
             .count()
     }
 
@@ -237,7 +246,7 @@
             .flat_map(|leaf| {
                 self.entries_in_leaf(leaf)
                     .filter(is_listed)
-                    .map(|k| k.entry.clone())
+                    .map(|stored| stored.entry.clone())
                     .collect::<Vec<_>>()
             })
             .collect()
@@ -289,7 +298,7 @@
         let known = self
             .subscribers
             .get(&name)
-            .and_then(|p| p.topics.get(&topic))
+            .and_then(|record| record.topics.get(&topic))
             .cloned();
         let zone = &entry.subscriber.zone;
         let exceeds_zones = !self.leaf_digests.contains_key(zone)
@@ -298,7 +307,9 @@
         if exceeds_zones || (known.is_none() && self.keys.len() >= self.rules.subscriptions) {
             return false;
         }
-        let is_same_incarnation = known.as_ref().is_some_and(|b| b.entry.boot == entry.boot);
+        let is_same_incarnation = known
+            .as_ref()
+            .is_some_and(|known| known.entry.boot == entry.boot);
         if let Some(known) = &known {
             self.toggle_live(key, &known.entry);
         }
@@ -309,7 +320,7 @@
             key,
             changed_at: now,
             delivered: known
-                .and_then(|b| b.delivered)
+                .and_then(|known| known.delivered)
                 .filter(|_| !is_ended && is_same_incarnation),
             entry,
         };
@@ -348,7 +359,7 @@
             .get(name)?
             .topics
             .values()
-            .map(|k| &k.entry)
+            .map(|stored| &stored.entry)
             .max_by_key(|e| e.boot)
     }
 
@@ -404,7 +415,7 @@
             let removed = record
                 .topics
                 .range::<Topic, _>(range)
-                .map(|(_, k)| &k.entry);
+                .map(|(_, stored)| &stored.entry);
             let removed = removed
                 .filter(|e| e.state == State::Live && !declaration.topics.contains(&e.topic));
             changes.extend(
@@ -421,15 +432,20 @@
             declaration.last,
             declaration.topics.is_empty(),
         ) && first == last
-            && record.and_then(|p| p.topics.get(first)).is_none_or(|k| {
-                k.entry.state != State::Live && (!checks_order || !is_not_older(&k.entry))
-            })
+            && record
+                .and_then(|record| record.topics.get(first))
+                .is_none_or(|stored| {
+                    stored.entry.state != State::Live
+                        && (!checks_order || !is_not_older(&stored.entry))
+                })
         {
             changes.push(entry(first, State::Left));
         }
         for topic in declaration.topics.iter().take(self.rules.topics) {
-            let known = record.and_then(|p| p.topics.get(topic)).map(|k| &k.entry);
-            if known.is_none_or(|k| !checks_order || !is_not_older(k)) {
+            let known = record
+                .and_then(|record| record.topics.get(topic))
+                .map(|stored| &stored.entry);
+            if known.is_none_or(|known| !checks_order || !is_not_older(known)) {
                 changes.push(entry(topic, State::Live));
             }
         }
@@ -439,7 +455,7 @@
             let is_full = self
                 .subscribers
                 .get(&subscriber.name)
-                .is_some_and(|p| p.topics.len() >= 2 * self.rules.topics);
+                .is_some_and(|record| record.topics.len() >= 2 * self.rules.topics);
             let fits = (!is_full || self.keys.contains_key(&key)) && self.store(now, entry);
             all_fit &= fits;
             if fits {
@@ -466,15 +482,18 @@
         let boot = record
             .topics
             .values()
-            .map(|k| k.entry.boot)
+            .map(|stored| stored.entry.boot)
             .max()
             .unwrap_or(0);
         let own = record
             .topics
             .values()
-            .filter(|k| self.is_local(&k.entry) && k.entry.boot == boot);
+            .filter(|stored| self.is_local(&stored.entry) && stored.entry.boot == boot);
         (
-            wire::subscriptions_digest(boot, own.map(|k| (&k.entry.topic, k.entry.counter))),
+            wire::subscriptions_digest(
+                boot,
+                own.map(|stored| (&stored.entry.topic, stored.entry.counter)),
+            ),
             boot,
         )
     }
@@ -484,11 +503,11 @@
         let known = self
             .subscribers
             .get(&entry.subscriber.name)
-            .and_then(|p| p.topics.get(&entry.topic));
+            .and_then(|record| record.topics.get(&entry.topic));
         let renewed_here = self
             .subscribers
             .get(&entry.subscriber.name)
-            .is_some_and(|p| p.renewed_here);
+            .is_some_and(|record| record.renewed_here);
         if let Some(known) = known {
             let known = &known.entry;
             if known == entry {
--- a/gossip/src/datagram.rs
+++ b/gossip/src/datagram.rs
@@ -182,7 +182,8 @@
 
     /// Returns how many bytes the parts of a datagram of this sender may have.
     pub fn max_parts_bytes(from: &Incarnation) -> usize {
-        // Numbers and lengths take at most ten bytes each.
+        // The subtracted bounds are, in this order: the header, the tag, the sender (address, start, renewals, and both names
+        // with their lengths), the sequence number, the clock, and the number of parts. A number takes at most ten bytes.
         MAX_DATAGRAM_BYTES
             - HEADER_BYTES
             - TAG_BYTES
@@ -192,7 +193,7 @@
             - 2
     }
 
-    /// Verifies and decodes a datagram.
+    /// Verifies and decodes a datagram. `check_tag` is false only in tests that switch off the guard of the tag.
     ///
     /// # Errors
     /// Returns the reason for which the datagram has to be dropped.
--- a/gossip/src/gossip.rs
+++ b/gossip/src/gossip.rs
@@ -22,7 +22,7 @@
 const IGNORE_FAILURES_AFTER_STALL_US: Micros = 2_000_000;
 /// Minimum time between two events about datagrams that are dropped for the same reason.
 const DROPPED_LOG_INTERVAL_US: Micros = 10_000_000;
-/// Maximum number of events that wait to be taken.
+/// Maximum number of events that wait to be taken. Further ones are dropped.
 const MAX_EVENTS: usize = 256;
 /// Maximum number of parts for other crates that wait to be taken, several times the number that one turn of the event loop
 /// reads.
--- a/gossip/src/incarnation.rs
+++ b/gossip/src/incarnation.rs
@@ -5,6 +5,11 @@
 use std::fmt;
 use std::net::SocketAddr;
 
+/// Maximum length of a router's name.
+const MAX_NAME_BYTES: usize = 48;
+/// Maximum length of the name of a router's zone.
+const MAX_ZONE_BYTES: usize = 32;
+
 /// Identity of a router among the members. A restart begins a new incarnation, and the records of the old one become void.
 #[derive(Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Incarnation {
@@ -34,7 +39,7 @@
 
     /// Returns whether the names are short enough to be part of every datagram.
     pub fn has_valid_names(&self) -> bool {
-        self.name.len() <= 48 && self.zone.len() <= 32
+        self.name.len() <= MAX_NAME_BYTES && self.zone.len() <= MAX_ZONE_BYTES
     }
 }
 
--- a/gossip/src/members.rs
+++ b/gossip/src/members.rs
@@ -15,7 +15,7 @@
 use std::num::{NonZeroU8, NonZeroUsize};
 use std::time::Duration;
 
-/// Lateness of a timer from which on this router was stalled: a turn of the event loop is far shorter.
+/// Lateness of a timer from which on this router counts as stalled. A turn of the event loop is far shorter.
 const STALL_THRESHOLD_US: Micros = 250_000;
 /// Maximum number of former members whose addresses are remembered because they may come back.
 const MAX_FORMER_MEMBERS: usize = 1_024;
--- a/gossip/src/observations.rs
+++ b/gossip/src/observations.rs
@@ -17,8 +17,8 @@
 /// datagrams.
 const ENOUGH_ACCUSERS: usize = 12;
 /// Number of routers that report that a node serves, from which on further ones do not. It is higher than
-/// [`ENOUGH_ACCUSERS`], because of a node that is only busy some of hundreds of routers always know nothing but a time-out,
-/// and the routers that it serves have to be able to outvote them.
+/// [`ENOUGH_ACCUSERS`]: if a node is only busy, some of hundreds of routers always get nothing but a time-out from it, and
+/// the routers that it serves have to be able to outvote them.
 const ENOUGH_SUPPORTERS: usize = 24;
 /// Maximum age of the failure behind a new accusation, and of the answer behind a report that the node serves. Older ones
 /// say nothing about the present, but would be reported as if they were new.
@@ -116,6 +116,7 @@
 
 #[derive(Default)]
 struct Node {
+    /// Start of the node's process, from the endpoint list.
     started: Option<Time>,
     decayed_at: Time,
     /// Answers, errors, attempts without a reply, failed connections and misdirected writes, decayed up to `decayed_at`.
@@ -147,8 +148,8 @@
         self.decayed_at = now;
     }
 
-    /// Returns whether the node failed since the last report. An accusation that is repeated without a new failure would outlive
-    /// its evidence.
+    /// Returns whether the node failed since the last report. An accusation that is repeated without a new failure would
+    /// outlive its evidence.
     fn has_failed_since_report(&self) -> bool {
         self.reported
             .is_none_or(|(reported_at, _)| self.failed_at > reported_at)
@@ -213,6 +214,7 @@
     nodes: BTreeMap<NodeId, Node>,
     /// Running mean of the logarithm of the latency (us) by class. A single slow node hardly changes it.
     mean_log_latencies: Vec<f64>,
+    /// Time in which the counts decay by half (us).
     half_life: f64,
     /// Time until which failures do not count, since a stall of this router may have caused them.
     ignores_failures_until: Time,
--- a/gossip/src/outlier_vote.rs
+++ b/gossip/src/outlier_vote.rs
@@ -88,13 +88,14 @@
 
 /// Returns these opinions without the accusations that were outvoted by later opinions.
 ///
-/// A router that a node serves reports that once, and this report counts for a shorter time than an accusation. Without this
-/// step, an accusation that all other routers contradicted would win as soon as their reports stop counting.
+/// A router that a node serves stops repeating this report once the accusations are outvoted and old, and the report counts
+/// for a shorter time than an accusation. Without this step, an accusation that all other routers contradicted would win as
+/// soon as their reports stop counting.
 pub(crate) fn without_outvoted<'a>(
     opinions: impl Iterator<Item = &'a Opinion>,
 ) -> Vec<&'a Opinion> {
     let mut opinions: Vec<&Opinion> = opinions.collect();
-    // The latest opinions come first, and of the same age those that the node serves.
+    // The latest opinions come first. Among opinions of the same age, accusations come last.
     opinions.sort_by_key(|opinion| (opinion.age, opinion.accuses(), opinion.observer));
     let (mut accusing, mut serving) = (0, 0);
     opinions.retain(|opinion| {
@@ -230,9 +231,10 @@
     cases: &[(Subject, Vec<Opinion>)],
     zones: usize,
 ) -> BTreeMap<NodeId, Verdict> {
-    // Finds the observers that see many nodes fail, whose own links may be at fault. Their greatest reported numbers count: the first reports are too early to
-    // include all failures, and the last ones come when the router has stopped trying. The number of nodes that an observer
-    // accuses counts as well, since it may not have seen all of them fail at the same time.
+    // Finds the observers that see many nodes fail, whose own links may be at fault. Their greatest reported numbers count:
+    // the first reports are too early to include all failures, and the last ones come when the router has stopped trying.
+    // The number of nodes that an observer accuses counts as well, since it may not have seen all of them fail at the same
+    // time.
     let mut nodes_by_observer: BTreeMap<u32, (u16, u16, u16)> = BTreeMap::new();
     for opinion in cases
         .iter()
--- a/gossip/src/records.rs
+++ b/gossip/src/records.rs
@@ -481,20 +481,22 @@
         }
         let their_versions: BTreeMap<u64, u64> = theirs.entries.iter().copied().collect();
         let missing_there = self.records.range(theirs.from..=theirs.to);
-        let missing_there = missing_there.filter(|(n, h)| {
+        let missing_there = missing_there.filter(|(name, stored)| {
             their_versions
-                .get(n)
-                .is_none_or(|v| *v < h.record.version())
+                .get(name)
+                .is_none_or(|version| *version < stored.record.version())
         });
-        let (part, _) = self.pack(now, missing_there.map(|(n, _)| *n), max_bytes);
-        let is_missing_here =
-            |(n, v): &(u64, u64)| self.records.get(n).is_none_or(|h| h.record.version() < *v);
+        let (part, _) = self.pack(now, missing_there.map(|(name, _)| *name), max_bytes);
+        let is_missing_here = |(name, version): &(u64, u64)| {
+            let stored = self.records.get(name);
+            stored.is_none_or(|stored| stored.record.version() < *version)
+        };
         (
             part,
             their_versions
                 .into_iter()
                 .filter(is_missing_here)
-                .map(|(n, _)| n)
+                .map(|(name, _)| name)
                 .take(MAX_DIGEST_ENTRIES)
                 .collect(),
         )
--- a/gossip/src/replay.rs
+++ b/gossip/src/replay.rs
@@ -6,7 +6,7 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// Maximum number of senders that are remembered. The one that was received from least recently is removed first.
+/// Maximum number of senders that are remembered. Beyond it, the sender whose last datagram is the oldest is removed.
 const MAX_SENDERS: usize = 2_048;
 /// Number of the latest datagrams of a sender among which the order may vary.
 const WINDOW: u64 = 128;
--- a/gossip/src/rules.rs
+++ b/gossip/src/rules.rs
@@ -138,7 +138,8 @@
         f64::from(self.failures) / 2.0
     }
 
-    /// Returns for how long an observation counts that a node serves. Observers repeat it while the node serves.
+    /// Returns for how long an observation counts that a node serves. Observers repeat it while the node serves them and other
+    /// routers accuse it.
     pub(crate) fn support_lifetime(&self) -> Micros {
         self.evidence_lifetime() * 2 / 5
     }
--- a/pgwire/src/login_rate_limit.rs
+++ b/pgwire/src/login_rate_limit.rs
@@ -10,7 +10,7 @@
 use std::hash::Hash;
 use std::net::IpAddr;
 
-/// Microseconds, as everywhere in the router.
+/// A time or a duration in microseconds, on the same clock as the router's.
 pub type Time = u64;
 
 /// How many failures are allowed, and how fast they are forgiven.
--- a/pgwire/src/startup.rs
+++ b/pgwire/src/startup.rs
@@ -299,7 +299,8 @@
         Ok(Step::UserNamed)
     }
 
-    /// Reads pairs of name and value up to an empty name. With `lenient`, parameters that cannot be read are ignored.
+    /// Reads pairs of name and value up to an empty name. With `lenient`, the first parameter that cannot be read and all that
+    /// follow it are ignored, instead of returning an error.
     fn read_parameters(&mut self, mut fields: Fields<'_>, lenient: bool) -> Result<(), Malformed> {
         loop {
             let name = match fields.utf8() {
--- a/pgwire/src/values.rs
+++ b/pgwire/src/values.rs
@@ -87,7 +87,7 @@
 pub struct ValueFormats {
     /// The format of bytea.
     pub bytea: Bytea,
-    /// DateFormat and times.
+    /// The format of dates and timestamps.
     pub dates: DateFormat,
 }
 
--- a/pgwire/src/verifier.rs
+++ b/pgwire/src/verifier.rs
@@ -15,7 +15,7 @@
 /// Allowed numbers of iterations of a verifier. Fewer protect too little; more cost the router too much, since it computes
 /// one hash for each iteration when a client sends its password in clear text.
 const ALLOWED_ITERATIONS: std::ops::RangeInclusive<u32> = 1_024..=100_000;
-/// Number of iterations that a user who does not exist appears to have.
+/// Number of iterations that a user who does not exist appears to have: the default of PostgreSQL.
 const UNKNOWN_USER_ITERATIONS: u32 = 4_096;
 /// Maximum number of users in one credentials file.
 pub const MAX_USERS: usize = 100_000;
@@ -130,8 +130,8 @@
         })
     }
 
-    /// Returns a verifier for a user who does not exist. No password matches it. It is the same at each attempt, so that
-    /// clients cannot find out which users exist.
+    /// Returns a verifier for a user who does not exist: a SCRAM verifier if `scram` is true, an MD5 verifier otherwise. No
+    /// password matches it. It is the same at each attempt, so that clients cannot find out which users exist.
     pub fn for_unknown_user(user: &str, secret: &[u8], scram: bool) -> Self {
         let user_hash = hmac(secret, &[b"nobody", user.as_bytes()]);
         if scram {
--- a/router/src/front/client.rs
+++ b/router/src/front/client.rs
@@ -18,8 +18,8 @@
 const MAX_PIPELINED_QUERIES: usize = 16;
 /// Maximum number of unsent bytes to a client; above it, no further queries of the client are begun.
 pub(super) const MAX_UNSENT_BYTES: usize = 256 * 1024;
-/// Maximum number of bytes that are read ahead from one connection while no further queries may be begun; this is some
-/// thousand queries. Reading ahead detects that the client has closed the connection, so that its waiting queries are not
+/// Maximum number of bytes that are read ahead from one connection while no further queries may be begun: a few thousand
+/// queries of usual length. Reading ahead detects that the client has closed the connection, so that its waiting queries are not
 /// sent to nodes in vain. If a client sends more, its close is detected only once answers have made room.
 pub(super) const MAX_READ_AHEAD_BYTES: usize = 256 * 1024;
 /// Time for which answers may stay unread, in the router or in the system's socket buffer.
@@ -114,7 +114,7 @@
     /// Time from the first byte of a message to its last.
     pub(super) message_timeout: Micros,
     pub(super) linger: Option<Linger>,
-    /// Whether a request of the client has been accepted.
+    /// Whether a request of the client has been accepted. On a listener with default labels, it is true from the login on.
     pub(super) has_requested: bool,
     /// Time by which the first request must be complete.
     pub(super) first_request_deadline: Time,
--- a/router/src/front/eviction.rs
+++ b/router/src/front/eviction.rs
@@ -18,8 +18,8 @@
 /// close their side would delay the shutdown until the router is killed.
 pub(super) const IDLE_LINGER_TIMEOUT: Micros = 300_000;
 /// Time for which a client beyond the limit keeps its descriptor without having sent anything, although other connections
-/// wait at the listener. It is short because one of those may be a cancel request, and the request that it cancels may be
-/// sent on to nodes for no longer than 100 ms.
+/// wait at the listener. It is short because one of those may be a cancel request: no later than 100 ms after the client
+/// has sent it, the router has to stop sending the cancelled request to nodes.
 pub(super) const MIN_TIME_BEYOND_LIMIT: Micros = 40_000;
 
 /// Why a client may be evicted. The order of the variants is the order of eviction.
--- a/router/src/front/exchange.rs
+++ b/router/src/front/exchange.rs
@@ -39,8 +39,8 @@
         peer
     }
 
-    /// Reads ahead as well. If the detection of a close were left to the next turn, requests would be begun for a client that
-    /// closed the connection while the event loop was busy.
+    /// Reads the bytes that have arrived, also those behind the messages that may be processed now. If a close were detected
+    /// only in the next turn, requests would be begun for a client that closed the connection while the event loop was busy.
     fn fill(&mut self) -> PeerState {
         // The bytes of a lingering client are dropped in `advance_linger`.
         if self.is_lingering() {
--- a/router/src/front/mod.rs
+++ b/router/src/front/mod.rs
@@ -55,7 +55,8 @@
     id_generator: IdGenerator,
     budget: Budget,
     listeners: Vec<Listener>,
-    /// A secret of the router, from which the verifiers of unknown users are derived: their logins look like any other.
+    /// A secret of the router, from which the verifiers of unknown users are derived. Because of these verifiers, a login
+    /// with an unknown user looks to the client like a login with a wrong password.
     secret: [u8; 32],
     /// Cancel requests that have been received and not processed yet.
     cancel_requests: Vec<CancelRequest>,
--- a/router/src/front/query.rs
+++ b/router/src/front/query.rs
@@ -15,7 +15,8 @@
 /// Maximum timeout that a client may set, as a multiple of the deadline of its class; a higher one is rejected.
 pub(super) const MAX_TIMEOUT_DEADLINES: u64 = 4;
 
-/// Commands that drivers send by themselves. They have no effect here, as at the nodes.
+/// Commands that drivers send without the application's request. On a listener without default labels the router answers
+/// them itself, without any effect; they would have none at the nodes either.
 const COMMANDS_WITHOUT_EFFECT: [&str; 3] = ["SET", "RESET", "DISCARD"];
 
 /// Why a query is not handed to the engine.
@@ -193,8 +194,8 @@
         })
     }
 
-    /// Returns the time since the session's last write. A client without labels sends no position; it has to see the writes
-    /// that this router answered last.
+    /// Returns the time since the session's last write, as the position in the labels states it. A client without labels sends
+    /// no position; for its reads of its own writes, it is the time since this router answered the client's last write.
     fn last_write_age(
         &self,
         labels: &Labels<'_>,
@@ -206,8 +207,8 @@
         if let Some(at_ms) = label_position {
             return Some(clock::age(now, clock::from_ms(at_ms)));
         }
-        let uses_own_memory = !wants_labels && access == Access::OwnWrites;
-        let last_write_at = self.last_write_at.filter(|_| uses_own_memory)?;
+        let reads_own_writes = !wants_labels && access == Access::OwnWrites;
+        let last_write_at = self.last_write_at.filter(|_| reads_own_writes)?;
         Some(now.saturating_sub(last_write_at))
     }
 }
