--- a/router/src/front/client.rs
+++ b/router/src/front/client.rs
@@ -19,8 +19,8 @@
 /// Maximum number of unsent bytes to a client; above it, no further queries of the client are begun.
 pub(super) const MAX_UNSENT_BYTES: usize = 256 * 1024;
 /// Maximum number of bytes that are read ahead from one connection while no further queries may be begun: a few thousand
-/// queries of usual length. Reading ahead detects that the client has closed the connection, so that its waiting queries are not
-/// sent to nodes in vain. If a client sends more, its close is detected only once answers have made room.
+/// queries of usual length. Reading ahead detects that the client has closed the connection, so that its waiting queries
+/// are not sent to nodes in vain. If a client sends more, its close is detected only once answers have made room.
 pub(super) const MAX_READ_AHEAD_BYTES: usize = 256 * 1024;
 /// Time for which answers may stay unread, in the router or in the system's socket buffer.
 const UNREAD_ANSWER_TIMEOUT: Micros = 2_500_000;
