--- a/simulation/src/world.rs
+++ b/simulation/src/world.rs
@@ -3,14 +3,14 @@
 
 mod clients;
 mod faults;
+mod gossip;
 mod links;
 mod list;
 mod nodes;
 mod routers;
 mod summary;
-mod talk;
 
-pub use talk::GossipStats;
+pub use gossip::GossipStats;
 
 use crate::SimRng;
 use crate::node::NodeModel;
@@ -30,93 +30,93 @@
 use std::sync::Arc;
 
 /// Virtual time begins here, so that nothing of a run lies before the clock's zero.
-const BEGIN: Time = 1_000_000_000;
+const START_TIME: Time = 1_000_000_000;
 /// Runs go on for so long after the last arrival.
-const AFTER: Time = 8_000_000;
+const TAIL_US: Time = 8_000_000;
 /// Pauses of a router whose call of the list failed, as the router's own: the first and the longest (us).
 const CALL_PAUSES: (Micros, Micros) = (1_000_000, 8_000_000);
 /// Sessions of each group.
 const SESSIONS: usize = 64;
 
-fn us(seconds: f64) -> Time {
+fn us_from_s(seconds: f64) -> Time {
     (seconds * 1e6) as Time
 }
 
 #[derive(Clone, Copy, Debug)]
 enum Event {
     /// A client of this router asks something new.
-    Arrive(u32),
+    RequestArrived(u32),
     /// A client tries again.
-    Retry(u32),
+    ClientRetry(u32),
     /// A connection is up, and what is sent on it arrives.
-    Up(u32),
-    AtNode(u32),
+    ConnectionUp(u32),
+    AttemptAtNode(u32),
     /// A node is done with a request.
-    Done {
+    WorkDone {
         node: u32,
         epoch: u32,
-        run: u32,
+        sent_attempt: u32,
     },
     /// What came of an attempt reaches its router.
-    Back {
-        run: u32,
+    ReplyArrived {
+        sent_attempt: u32,
         ending: AttemptEnd,
     },
-    Wake(u32),
-    ProbeAt {
+    WakeRouter(u32),
+    HealthCheckAtNode {
         router: u32,
         epoch: u32,
         node: u32,
     },
-    ProbeBack {
+    HealthCheckEnded {
         router: u32,
         epoch: u32,
         node: u32,
         told: Option<NodeReport>,
     },
     /// The list changes; a router hears of it.
-    Change(u32),
-    Tell {
+    ListChanged(u32),
+    DeliverList {
         router: u32,
         version: u32,
     },
     /// A router asks the list for what it has missed.
-    Call {
+    CallListService {
         router: u32,
         epoch: u32,
     },
-    Begin(u32),
-    End(u32),
-    Elect(u32),
-    Stop(u32),
-    Start(u32),
+    BeginFault(u32),
+    EndFault(u32),
+    ElectPrimary(u32),
+    StopRouter(u32),
+    StartRouter(u32),
     /// Something of a router's talk with others is due, or a datagram arrives.
-    Talk {
+    GossipDue {
         router: u32,
         epoch: u32,
     },
-    Datagram {
+    DatagramArrived {
         router: u32,
         epoch: u32,
         slot: u32,
     },
-    Tick,
+    RecordCapacity,
 }
 
-struct Item(Time, u64, Event);
+struct QueuedEvent(Time, u64, Event);
 
-impl PartialEq for Item {
+impl PartialEq for QueuedEvent {
     fn eq(&self, other: &Self) -> bool {
         (self.0, self.1) == (other.0, other.1)
     }
 }
-impl Eq for Item {}
-impl PartialOrd for Item {
+impl Eq for QueuedEvent {}
+impl PartialOrd for QueuedEvent {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
-impl Ord for Item {
+impl Ord for QueuedEvent {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         (self.0, self.1).cmp(&(other.0, other.1))
     }
@@ -132,7 +132,7 @@
     epoch: u32,
     up: bool,
     connections: u32,
-    headed: bool,
+    was_primary: bool,
 }
 
 struct Router {
@@ -145,23 +145,23 @@
     /// The version of the list that it has heard.
     told: u32,
     /// It hears of each change so much later than the first.
-    hears_after: Micros,
-    silent: u32,
+    list_delay: Micros,
+    list_silenced: u32,
     /// Idle connections to each node, and the epoch of the node they were made in.
     pools: Vec<(u32, u32)>,
     /// When it was told that a node drains or is gone.
-    closed: HashMap<NodeId, Time>,
+    out_of_service_since: HashMap<NodeId, Time>,
     /// Its pauses after calls of the list that failed.
-    pauses: Backoff,
+    list_backoff: Backoff,
     /// When each node started, as far as it was told.
-    starts: HashMap<u32, Time>,
+    known_starts: HashMap<u32, Time>,
     attempts: HashMap<AttemptId, u32>,
-    talk: Option<talk::Talk>,
+    gossip: Option<gossip::GossipState>,
     /// When it was last stopped or started.
-    struck: Option<Time>,
+    last_restart: Option<Time>,
 }
 
-struct Run {
+struct SentAttempt {
     router: u32,
     router_epoch: u32,
     attempt: AttemptId,
@@ -171,10 +171,10 @@
     class: u32,
     work: f64,
     sent: Time,
-    given_up: bool,
+    is_cancelled: bool,
     /// The position of the data it was answered from, and whether by a primary, present or past.
     position: Time,
-    by_head: bool,
+    by_primary: bool,
     at_node: bool,
 }
 
@@ -184,20 +184,20 @@
     tenant: Option<usize>,
     group: u32,
     session: u32,
-    born: Time,
-    need: Option<Time>,
+    arrived_at: Time,
+    required_position: Option<Time>,
     tries: u32,
     /// The try that is under way: its final answer is owed by then.
-    awaiting: Option<Time>,
+    answer_due: Option<Time>,
     key: Option<Key>,
-    ran: u32,
+    executions: u32,
     over: bool,
     /// Runs and scheduled retries that still name it.
-    holds: u32,
+    references: u32,
 }
 
 /// Up to which draw from 0 to 1 each group is asked for; empty where all are alike.
-fn popular(groups: usize, skew: f64) -> Vec<f64> {
+fn group_draw_bounds(groups: usize, skew: f64) -> Vec<f64> {
     if skew == 0.0 {
         return Vec::new();
     }
@@ -215,41 +215,41 @@
     rng: SimRng,
     now: Time,
     end: Time,
-    heap: BinaryHeap<Reverse<Item>>,
+    heap: BinaryHeap<Reverse<QueuedEvent>>,
     order: u64,
     nodes: Vec<Node>,
-    names: HashMap<NodeId, u32>,
+    node_by_id: HashMap<NodeId, u32>,
     groups: Vec<(Group, Vec<usize>)>,
     routers: Vec<Router>,
-    runs: Slab<Run>,
+    sent_attempts: Slab<SentAttempt>,
     requests: Slab<Request>,
     /// Messages from routers of a zone to nodes of another are lost, and the other way.
-    to_node: Vec<Vec<u32>>,
-    to_router: Vec<Vec<u32>>,
-    trips: Vec<Vec<f64>>,
-    initial: Vec<Endpoint>,
+    lost_to_node: Vec<Vec<u32>>,
+    lost_to_router: Vec<Vec<u32>>,
+    mean_delays_us: Vec<Vec<f64>>,
+    initial_list: Vec<Endpoint>,
     /// Changes that the list has made, by version, and those it has yet to hear of.
     changes: Vec<Vec<Endpoint>>,
-    pending: Vec<Vec<Endpoint>>,
+    pending_changes: Vec<Vec<Endpoint>>,
     version: u32,
     /// When the list's service is through with the calls that wait.
-    calls_until: Time,
-    picked: Vec<Vec<u32>>,
+    list_busy_until: Time,
+    nodes_of_fault: Vec<Vec<u32>>,
     sessions: Vec<Vec<Arc<str>>>,
     settings: Vec<Settings>,
     shares: Vec<f64>,
     /// Up to which draw each group is asked for, where they are not alike.
-    popular: Vec<f64>,
-    works: Vec<LogNormal<f64>>,
+    group_draw_bounds: Vec<f64>,
+    class_work: Vec<LogNormal<f64>>,
     /// Datagrams between routers that are under way.
     datagrams: Slab<Vec<u8>>,
     /// From and until when each node has a fault.
-    faulty: Vec<Option<(Time, Time)>>,
+    fault_periods: Vec<Option<(Time, Time)>>,
     /// Which nodes are silent, or which share of their answers are errors.
-    bad: Vec<Option<Option<f64>>>,
+    failing_nodes: Vec<Option<Option<f64>>>,
     /// When links between zones were last cut.
     cut_at: Option<Time>,
-    talked: GossipStats,
+    gossip_stats: GossipStats,
     /// Links between routers draw from dice of their own: the rest of a run is the same with talk and without.
     gossip_rng: SimRng,
     spill_limit: f64,
@@ -260,11 +260,11 @@
     breaches: Breaches,
     pressure: Pressure,
     first_fault: Time,
-    counted: Counts,
+    totals: Totals,
 }
 
 #[derive(Default)]
-struct Counts {
+struct Totals {
     requests: u64,
     attempts: u64,
     asked: f64,
@@ -288,20 +288,20 @@
 pub fn run(spec: &Spec, seed: u64) -> Result<Report, SpecError> {
     spec.check()?;
     let mut world = World::new(spec, seed)?;
-    world.play();
+    world.run_to_end();
     Ok(world.report())
 }
 
 impl<'a> World<'a> {
     fn new(spec: &'a Spec, seed: u64) -> Result<Self, SpecError> {
         let mut rng = SimRng::seed_from_u64(seed);
-        let dealt = layout(spec);
+        let layout = layout(spec);
         let rate = spec.request_rate();
         let shares: f64 = spec.classes.iter().map(|c| c.share).sum();
         let apply = spec.replication.apply_use
-            / (rate * spec.write_share() / dealt.groups.len() as f64).max(1e-9);
+            / (rate * spec.write_share() / layout.groups.len() as f64).max(1e-9);
         let speed = Normal::new(1.0, spec.node.speed_spread.max(1e-9)).expect("finite");
-        let mut nodes: Vec<Node> = dealt
+        let mut nodes: Vec<Node> = layout
             .placements
             .iter()
             .enumerate()
@@ -318,34 +318,34 @@
                 epoch: 0,
                 up: true,
                 connections: 0,
-                headed: false,
+                was_primary: false,
             })
             .collect();
-        let ship = us(spec.replication.ship_ms / 1e3);
-        let heads = dealt.primaries;
-        let groups: Vec<(Group, Vec<usize>)> = dealt
+        let ship = us_from_s(spec.replication.ship_ms / 1e3);
+        let heads = layout.primaries;
+        let groups: Vec<(Group, Vec<usize>)> = layout
             .groups
             .into_iter()
             .zip(&heads)
-            .map(|(m, head)| (Group::new(m.len(), *head, ship, us(apply)), m))
+            .map(|(m, head)| (Group::new(m.len(), *head, ship, us_from_s(apply)), m))
             .collect();
         for ((_, members), head) in groups.iter().zip(&heads) {
-            nodes[members[*head]].headed = true;
+            nodes[members[*head]].was_primary = true;
         }
         let entry = |node: &Node| Endpoint {
             node: node.id.clone(),
             zone: spec.zones[node.zone].name.clone(),
             machine_kind: "std".into(),
-            listed_as_primary: node.headed,
+            listed_as_primary: node.was_primary,
             group: node.group as u64 + 1,
             state: EndpointState::Serving,
             weight: 1.0,
             started_at: None,
         };
-        let initial: Vec<Endpoint> = nodes.iter().map(entry).collect();
+        let initial_list: Vec<Endpoint> = nodes.iter().map(entry).collect();
         let zones = spec.zones.len();
-        let mut trips = vec![vec![spec.net.cross_ms * 1e3; zones]; zones];
-        for (zone, row) in trips.iter_mut().enumerate() {
+        let mut mean_delays_us = vec![vec![spec.net.cross_ms * 1e3; zones]; zones];
+        for (zone, row) in mean_delays_us.iter_mut().enumerate() {
             row[zone] = spec.net.same_ms * 1e3;
         }
         let place = |name: &String| spec.zones.iter().position(|z| &z.name == name);
@@ -353,9 +353,9 @@
             let (Some(a), Some(b)) = (place(a), place(b)) else {
                 return Err(SpecError(format!("net.pairs: {a:?} or {b:?} is no zone")));
             };
-            (trips[a][b], trips[b][a]) = (ms * 1e3, ms * 1e3);
+            (mean_delays_us[a][b], mean_delays_us[b][a]) = (ms * 1e3, ms * 1e3);
         }
-        let names = nodes
+        let node_by_id = nodes
             .iter()
             .zip(0..)
             .map(|(n, at)| (n.id.clone(), at))
@@ -381,15 +381,19 @@
                     wake: None,
                     rate: part * weight(n) / sum,
                     told: 0,
-                    hears_after: us(rng.random::<f64>() * spec.list.spread_s),
-                    silent: 0,
+                    list_delay: us_from_s(rng.random::<f64>() * spec.list.spread_s),
+                    list_silenced: 0,
                     pools: vec![(0, 0); all_nodes],
-                    closed: HashMap::new(),
-                    pauses: Backoff::new(CALL_PAUSES.0, CALL_PAUSES.1, seed ^ routers.len() as u64),
-                    starts: HashMap::new(),
+                    out_of_service_since: HashMap::new(),
+                    list_backoff: Backoff::new(
+                        CALL_PAUSES.0,
+                        CALL_PAUSES.1,
+                        seed ^ routers.len() as u64,
+                    ),
+                    known_starts: HashMap::new(),
                     attempts: HashMap::new(),
-                    talk: None,
-                    struck: None,
+                    gossip: None,
+                    last_restart: None,
                 });
             }
         }
@@ -408,39 +412,39 @@
         };
         let session = |g: usize, s: usize| Arc::from(format!("u{g}-{s}"));
         let seconds = spec.seconds.ceil() as usize + 1;
-        let popular = popular(groups.len(), spec.clients.group_skew);
+        let group_draw_bounds = group_draw_bounds(groups.len(), spec.clients.group_skew);
         let mut world = World {
             settings: settings.collect(),
             rng,
-            now: BEGIN,
-            end: BEGIN + us(spec.seconds),
+            now: START_TIME,
+            end: START_TIME + us_from_s(spec.seconds),
             heap: BinaryHeap::new(),
             order: 0,
-            names,
+            node_by_id,
             sessions: (0..groups.len())
                 .map(|g| (0..SESSIONS).map(|s| session(g, s)).collect())
                 .collect(),
             groups,
             routers,
-            runs: Slab::new(),
+            sent_attempts: Slab::new(),
             requests: Slab::new(),
-            to_node: vec![vec![0; zones]; zones],
-            to_router: vec![vec![0; zones]; zones],
-            trips,
-            initial,
+            lost_to_node: vec![vec![0; zones]; zones],
+            lost_to_router: vec![vec![0; zones]; zones],
+            mean_delays_us,
+            initial_list,
             changes: vec![Vec::new()],
-            pending: Vec::new(),
+            pending_changes: Vec::new(),
             version: 0,
-            calls_until: BEGIN,
-            picked: vec![Vec::new(); spec.faults.len()],
-            popular,
+            list_busy_until: START_TIME,
+            nodes_of_fault: vec![Vec::new(); spec.faults.len()],
+            group_draw_bounds,
             shares: spec.classes.iter().map(|c| c.share / shares).collect(),
-            works: spec.classes.iter().map(work).collect(),
+            class_work: spec.classes.iter().map(work).collect(),
             datagrams: Slab::new(),
-            faulty: vec![None; all_nodes],
-            bad: vec![None; all_nodes],
+            fault_periods: vec![None; all_nodes],
+            failing_nodes: vec![None; all_nodes],
             cut_at: None,
-            talked: GossipStats::default(),
+            gossip_stats: GossipStats::default(),
             gossip_rng: SimRng::seed_from_u64(seed ^ 0x7a1c),
             spill_limit: spec.locality_rules().max_spill_share,
             seed,
@@ -454,54 +458,61 @@
             ],
             latencies: Histogram::new_with_max(60_000_000, 3).expect("a range"),
             breaches: Breaches::default(),
-            pressure: Pressure::new(us(spec.node.fall_s)),
-            first_fault: BEGIN
-                + us(spec
-                    .faults
-                    .iter()
-                    .map(|f| f.at)
-                    .fold(spec.seconds, f64::min)),
-            counted: Counts {
+            pressure: Pressure::new(us_from_s(spec.node.fall_s)),
+            first_fault: START_TIME
+                + us_from_s(
+                    spec.faults
+                        .iter()
+                        .map(|f| f.at)
+                        .fold(spec.seconds, f64::min),
+                ),
+            totals: Totals {
                 classes: spec.classes.iter().map(|c| part(&c.name)).collect(),
                 tenants: spec.clients.tenants.iter().map(|t| part(&t.name)).collect(),
-                ..Counts::default()
+                ..Totals::default()
             },
             nodes,
             spec,
         };
         for router in 0..world.routers.len() {
-            world.boot(router)?;
-            world.next_arrival(router as u32);
+            world.start_router(router)?;
+            world.schedule_arrival(router as u32);
         }
         for (n, fault) in spec.faults.iter().enumerate() {
-            world.at(BEGIN + us(fault.at), Event::Begin(n as u32));
-            world.at(BEGIN + us(fault.until), Event::End(n as u32));
+            world.schedule(
+                START_TIME + us_from_s(fault.at),
+                Event::BeginFault(n as u32),
+            );
+            world.schedule(
+                START_TIME + us_from_s(fault.until),
+                Event::EndFault(n as u32),
+            );
         }
-        world.at(BEGIN + 1_000_000 - 1, Event::Tick);
+        world.schedule(START_TIME + 1_000_000 - 1, Event::RecordCapacity);
         Ok(world)
     }
 
-    fn at(&mut self, at: Time, event: Event) {
+    fn schedule(&mut self, at: Time, event: Event) {
         self.order += 1;
         self.heap
-            .push(Reverse(Item(at.max(self.now), self.order, event)));
+            .push(Reverse(QueuedEvent(at.max(self.now), self.order, event)));
     }
 
-    fn play(&mut self) {
-        while let Some(Reverse(Item(at, _, event))) = self.heap.pop() {
-            if at > self.end + AFTER {
+    fn run_to_end(&mut self) {
+        while let Some(Reverse(QueuedEvent(at, _, event))) = self.heap.pop() {
+            if at > self.end + TAIL_US {
                 break;
             }
             self.now = at;
-            self.counted.events += 1;
-            self.handle(event);
+            self.totals.events += 1;
+            self.handle_event(event);
         }
         // Whatever is owed by now was never answered.
         let now = self.now;
         let late = self
             .requests
             .iter()
-            .filter(|(_, r)| r.awaiting.is_some_and(|due| due + 100_000 < now))
+            .filter(|(_, r)| r.answer_due.is_some_and(|due| due + 100_000 < now))
             .count();
         for _ in 0..late {
             self.breaches.add(Rule::NoAnswer, self.spec.seconds, || {
@@ -510,78 +521,85 @@
         }
     }
 
-    fn second(&self) -> f64 {
-        (self.now - BEGIN) as f64 / 1e6
+    fn now_s(&self) -> f64 {
+        (self.now - START_TIME) as f64 / 1e6
     }
 
     fn uniform(&mut self, (low, high): (f64, f64)) -> f64 {
         low + (high - low) * self.rng.random::<f64>()
     }
 
-    fn handle(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
-            Event::Arrive(router) => self.arrive(router),
-            Event::Retry(request) => {
-                self.requests[request as usize].holds -= 1;
-                self.attempt(request);
+            Event::RequestArrived(router) => self.request_arrived(router),
+            Event::ClientRetry(request) => {
+                self.requests[request as usize].references -= 1;
+                self.client_try(request);
             }
-            Event::Up(run) => self.up(run),
-            Event::AtNode(run) => self.at_node(run),
-            Event::Done { node, epoch, run } => self.done(node, epoch, run),
-            Event::Back { run, ending } => self.back(run, ending),
-            Event::Wake(router) => self.wake(router),
-            Event::ProbeAt {
+            Event::ConnectionUp(sent_attempt) => self.connection_up(sent_attempt),
+            Event::AttemptAtNode(sent_attempt) => self.attempt_at_node(sent_attempt),
+            Event::WorkDone {
+                node,
+                epoch,
+                sent_attempt,
+            } => self.work_done(node, epoch, sent_attempt),
+            Event::ReplyArrived {
+                sent_attempt,
+                ending,
+            } => self.reply_arrived(sent_attempt, ending),
+            Event::WakeRouter(router) => self.wake_router(router),
+            Event::HealthCheckAtNode {
                 router,
                 epoch,
                 node,
-            } => self.probe_at(router, epoch, node),
-            Event::ProbeBack {
+            } => self.health_check_at_node(router, epoch, node),
+            Event::HealthCheckEnded {
                 router,
                 epoch,
                 node,
                 told,
             } => {
                 let id = self.nodes[node as usize].id.clone();
-                if let Some(engine) = self.live(router, epoch) {
+                if let Some(engine) = self.engine_of_epoch(router, epoch) {
                     engine.health_check_ended(id, told);
-                    self.settle(router);
+                    self.drive_engine(router);
                 }
             }
-            Event::Change(version) => self.change(version),
-            Event::Tell { router, version } => self.tell(router, version),
-            Event::Call { router, epoch } => {
+            Event::ListChanged(version) => self.apply_list_change(version),
+            Event::DeliverList { router, version } => self.deliver_list(router, version),
+            Event::CallListService { router, epoch } => {
                 if self.routers[router as usize].epoch == epoch {
-                    self.call(router);
+                    self.call_list_service(router);
                 }
             }
-            Event::Begin(fault) => self.begin(fault as usize),
-            Event::End(fault) => self.finish(fault as usize),
-            Event::Elect(group) => self.elect(group as usize),
-            Event::Stop(router) => self.stop(router),
-            Event::Start(router) => {
+            Event::BeginFault(fault) => self.begin_fault(fault as usize),
+            Event::EndFault(fault) => self.end_fault(fault as usize),
+            Event::ElectPrimary(group) => self.elect_primary(group as usize),
+            Event::StopRouter(router) => self.stop_router(router),
+            Event::StartRouter(router) => {
                 // The rules were good when the run began.
-                let _ = self.boot(router as usize);
+                let _ = self.start_router(router as usize);
             }
-            Event::Talk { router, epoch } => self.talk(router, epoch),
-            Event::Datagram {
+            Event::GossipDue { router, epoch } => self.gossip_due(router, epoch),
+            Event::DatagramArrived {
                 router,
                 epoch,
                 slot,
-            } => self.datagram(router, epoch, slot),
-            Event::Tick => self.tick(),
+            } => self.datagram_arrived(router, epoch, slot),
+            Event::RecordCapacity => self.record_capacity(),
         }
     }
 
-    fn tick(&mut self) {
-        let second = ((self.now - BEGIN) / 1_000_000) as usize;
+    fn record_capacity(&mut self) {
+        let second = ((self.now - START_TIME) / 1_000_000) as usize;
         let cut: Vec<bool> = (0..self.spec.zones.len())
-            .map(|z| self.to_node[z][z] > 0)
+            .map(|z| self.lost_to_node[z][z] > 0)
             .collect();
         if let Some(told) = self.seconds.get_mut(second) {
             for node in self.nodes.iter().filter(|n| n.up && !cut[n.zone]) {
                 told.capacity[node.zone] += node.machine.capacity(self.now);
             }
-            self.at(self.now + 1_000_000, Event::Tick);
+            self.schedule(self.now + 1_000_000, Event::RecordCapacity);
         }
     }
 }
--- a/simulation/src/world/clients.rs
+++ b/simulation/src/world/clients.rs
@@ -1,6 +1,6 @@
 //! The clients: what they ask, when they come back, and what each try must get.
 
-use super::{BEGIN, Event, Request, SESSIONS, World, us};
+use super::{Event, Request, SESSIONS, START_TIME, World, us_from_s};
 use crate::rules::Rule;
 use crate::spec::Reads;
 use plovercove::{Micros, RequestInfo, Time};
@@ -9,8 +9,8 @@
 use rand_distr::{Distribution, Exp};
 
 impl World<'_> {
-    pub(super) fn next_arrival(&mut self, router: u32) {
-        let second = self.second();
+    pub(super) fn schedule_arrival(&mut self, router: u32) {
+        let second = self.now_s();
         let bursts = self
             .spec
             .clients
@@ -24,30 +24,30 @@
             return;
         }
         let gap = Exp::new(rate).expect("positive").sample(&mut self.rng);
-        if self.now + us(gap) < self.end {
-            self.at(self.now + us(gap), Event::Arrive(router));
+        if self.now + us_from_s(gap) < self.end {
+            self.schedule(self.now + us_from_s(gap), Event::RequestArrived(router));
         }
     }
 
-    pub(super) fn arrive(&mut self, router: u32) {
-        self.next_arrival(router);
+    pub(super) fn request_arrived(&mut self, router: u32) {
+        self.schedule_arrival(router);
         let mut draw = self.rng.random::<f64>();
         let class = self.shares.iter().position(|share| {
             draw -= share;
             draw < 0.0
         });
         let class = class.unwrap_or(self.shares.len() - 1);
-        let group = if self.popular.is_empty() {
+        let group = if self.group_draw_bounds.is_empty() {
             self.rng.random_range(0..self.groups.len())
         } else {
             let draw = self.rng.random::<f64>();
-            self.popular
+            self.group_draw_bounds
                 .iter()
                 .position(|up_to| draw < *up_to)
                 .unwrap_or(self.groups.len() - 1)
         };
         let session = self.rng.random_range(0..SESSIONS) as u32;
-        let tenant = self.tenant();
+        let tenant = self.draw_tenant();
         let follows = self.spec.classes[class].reads == Reads::Session
             && self.rng.random::<f64>() < self.spec.clients.follows_write;
         let need = follows.then(|| {
@@ -56,25 +56,25 @@
                 .sample(&mut self.rng);
             self.groups[group]
                 .0
-                .last_commit_until(self.now.saturating_sub(us(gap)))
+                .last_commit_until(self.now.saturating_sub(us_from_s(gap)))
         });
         let worth = self.spec.classes[class].worth;
-        let second = self.second();
+        let second = self.now_s();
         self.seconds[second as usize].asked += worth;
-        self.counted.requests += 1;
-        self.counted.asked += worth;
-        if self.counts(second) {
-            self.counted.classes[class].asked += 1;
+        self.totals.requests += 1;
+        self.totals.asked += worth;
+        if self.is_counted(second) {
+            self.totals.classes[class].asked += 1;
             tenant
                 .into_iter()
-                .for_each(|t| self.counted.tenants[t].asked += 1);
+                .for_each(|t| self.totals.tenants[t].asked += 1);
         }
         if self
             .spec
             .window
             .is_some_and(|(from, to)| (from..to).contains(&second))
         {
-            self.counted.window.0 += worth;
+            self.totals.window.0 += worth;
         }
         let request = self.requests.insert(Request {
             router,
@@ -82,28 +82,28 @@
             tenant,
             group: group as u32,
             session,
-            born: self.now,
-            need: need.flatten(),
+            arrived_at: self.now,
+            required_position: need.flatten(),
             tries: 0,
-            awaiting: None,
+            answer_due: None,
             key: None,
-            ran: 0,
+            executions: 0,
             over: false,
-            holds: 0,
+            references: 0,
         });
-        self.attempt(request as u32);
+        self.client_try(request as u32);
     }
 
     /// Whether a request of this second counts for its class and tenant: all do where no window is given.
-    fn counts(&self, second: f64) -> bool {
+    fn is_counted(&self, second: f64) -> bool {
         self.spec
             .window
             .is_none_or(|(from, to)| (from..to).contains(&second))
     }
 
     /// Whose the next request is; no dice are thrown where there are no tenants.
-    fn tenant(&mut self) -> Option<usize> {
-        let (second, tenants) = (self.second(), &self.spec.clients.tenants);
+    fn draw_tenant(&mut self) -> Option<usize> {
+        let (second, tenants) = (self.now_s(), &self.spec.clients.tenants);
         let all: f64 = tenants.iter().map(|t| t.weight_at(second)).sum();
         let mut draw = if tenants.is_empty() {
             return None;
@@ -118,30 +118,30 @@
     }
 
     /// A client's try. Where its router is down, it goes to another.
-    pub(super) fn attempt(&mut self, id: u32) {
+    pub(super) fn client_try(&mut self, id: u32) {
         let class = self.requests[id as usize].class as usize;
         let told = &self.spec.classes[class];
         let patience = self.uniform((self.spec.clients.patience, 1.0));
         let deadline = told.deadline_ms * 1_000;
         let r = &self.requests[id as usize];
         let left = ((deadline as f64 * patience) as Micros)
-            .min((r.born + deadline).saturating_sub(self.now));
+            .min((r.arrived_at + deadline).saturating_sub(self.now));
         let mut router = r.router;
         if self.routers[router as usize].engine.is_none() {
             let up: Vec<u32> = (0..self.routers.len() as u32)
                 .filter(|n| self.routers[*n as usize].engine.is_some())
                 .collect();
             if up.is_empty() || left < 20_000 {
-                return self.lose(id);
+                return self.give_up(id);
             }
             router = up[self.rng.random_range(0..up.len())];
         }
         if left < 20_000 {
-            return self.lose(id);
+            return self.give_up(id);
         }
         let r = &mut self.requests[id as usize];
         r.tries += 1;
-        r.awaiting = Some(self.now + left);
+        r.answer_due = Some(self.now + left);
         r.router = router;
         let reads = told.reads;
         let keyed = matches!(reads, Reads::Session | Reads::Write);
@@ -151,7 +151,7 @@
             session: keyed.then(|| self.sessions[r.group as usize][r.session as usize].clone()),
             time_left: left,
             group: u64::from(r.group) + 1,
-            last_write_age: r.need.map(|at| self.now - at),
+            last_write_age: r.required_position.map(|at| self.now - at),
             ..RequestInfo::default()
         };
         let engine = self.routers[router as usize]
@@ -160,15 +160,15 @@
             .expect("chosen among those that run");
         let key = engine.begin_request(Key::from_number(u64::from(id)), info);
         self.requests[id as usize].key = Some(key);
-        self.settle(router);
+        self.drive_engine(router);
     }
 
     /// A client was answered without a value, or lost its router.
-    pub(super) fn unserved(&mut self, id: u32, harmless: bool, told: Option<Micros>) {
+    pub(super) fn retry_or_give_up(&mut self, id: u32, harmless: bool, told: Option<Micros>) {
         let r = &self.requests[id as usize];
         let safe = harmless || self.spec.classes[r.class as usize].reads != Reads::Write;
         if !safe || r.tries > self.spec.clients.retries {
-            return self.lose(id);
+            return self.give_up(id);
         }
         let usual = self.spec.clients.backoff_ms * 1e3;
         let spread = self.uniform((0.5, 1.5));
@@ -177,33 +177,33 @@
             Some(told) if follows => told as f64,
             _ => usual * spread,
         };
-        self.requests[id as usize].holds += 1;
-        self.at(self.now + wait as Time, Event::Retry(id));
+        self.requests[id as usize].references += 1;
+        self.schedule(self.now + wait as Time, Event::ClientRetry(id));
     }
 
-    pub(super) fn lose(&mut self, id: u32) {
+    pub(super) fn give_up(&mut self, id: u32) {
         self.requests[id as usize].over = true;
-        self.release(id);
+        self.release_request(id);
     }
 
     /// The one place where a request's slot is given back.
-    pub(super) fn release(&mut self, id: u32) {
+    pub(super) fn release_request(&mut self, id: u32) {
         let r = &self.requests[id as usize];
-        if r.over && r.holds == 0 {
+        if r.over && r.references == 0 {
             self.requests.remove(id as usize);
         }
     }
 
     /// A final answer: exactly one, in time.
-    pub(super) fn answered(&mut self, id: u32, what: &'static str) -> bool {
-        let second = self.second();
+    pub(super) fn take_final_answer(&mut self, id: u32, what: &'static str) -> bool {
+        let second = self.now_s();
         let Some(r) = self.requests.get_mut(id as usize) else {
             self.breaches.add(Rule::SecondAnswer, second, || {
                 format!("{what} for a request that is over")
             });
             return false;
         };
-        let Some(due) = r.awaiting.take() else {
+        let Some(due) = r.answer_due.take() else {
             self.breaches
                 .add(Rule::SecondAnswer, second, || format!("{what} once more"));
             return false;
@@ -217,20 +217,20 @@
         true
     }
 
-    pub(super) fn served(&mut self, id: u32) {
-        if !self.answered(id, "served") {
+    pub(super) fn request_served(&mut self, id: u32) {
+        if !self.take_final_answer(id, "served") {
             return;
         }
         self.requests[id as usize].over = true;
         let r = &self.requests[id as usize];
         let class = &self.spec.classes[r.class as usize];
-        let took = self.now - r.born;
-        let born = (r.born - BEGIN) as f64 / 1e6;
-        if took <= class.aim_ms * 1_000 && self.counts(born) {
-            self.counted.classes[r.class as usize].in_time += 1;
+        let took = self.now - r.arrived_at;
+        let born = (r.arrived_at - START_TIME) as f64 / 1e6;
+        if took <= class.aim_ms * 1_000 && self.is_counted(born) {
+            self.totals.classes[r.class as usize].in_time += 1;
             r.tenant
                 .into_iter()
-                .for_each(|t| self.counted.tenants[t].in_time += 1);
+                .for_each(|t| self.totals.tenants[t].in_time += 1);
         }
         let worth = class.worth
             * if took <= class.aim_ms * 1_000 {
@@ -239,15 +239,15 @@
                 class.late
             };
         let _ = self.latencies.record(took.max(1));
-        self.counted.in_time += worth;
+        self.totals.in_time += worth;
         self.seconds[born as usize].in_time += worth;
         if self
             .spec
             .window
             .is_some_and(|(from, to)| (from..to).contains(&born))
         {
-            self.counted.window.1 += worth;
+            self.totals.window.1 += worth;
         }
-        self.release(id);
+        self.release_request(id);
     }
 }
--- a/simulation/src/world/faults.rs
+++ b/simulation/src/world/faults.rs
@@ -1,12 +1,12 @@
 //! What goes wrong, by script: where it begins and where it ends.
 
-use super::{Event, World, us};
+use super::{Event, World, us_from_s};
 use crate::spec::FaultKind;
 use plovercove::EndpointState;
 use rand::RngExt;
 
 impl World<'_> {
-    pub(super) fn pick(&mut self, zone: Option<usize>, part: f64) -> Vec<u32> {
+    pub(super) fn pick_nodes(&mut self, zone: Option<usize>, part: f64) -> Vec<u32> {
         let mut nodes: Vec<u32> = (0..self.nodes.len() as u32)
             .filter(|n| zone.is_none_or(|z| self.nodes[*n as usize].zone == z))
             .collect();
@@ -17,7 +17,7 @@
         nodes
     }
 
-    pub(super) fn place(&self, name: &str) -> usize {
+    pub(super) fn zone_index(&self, name: &str) -> usize {
         self.spec
             .zones
             .iter()
@@ -25,18 +25,18 @@
             .expect("checked")
     }
 
-    pub(super) fn begin(&mut self, n: usize) {
-        self.cut_now(n);
+    pub(super) fn begin_fault(&mut self, n: usize) {
+        self.record_link_change(n);
         match self.spec.faults[n].what.clone() {
             FaultKind::ZoneDown { zone, part } => {
-                let nodes = self.pick(Some(self.place(&zone)), part);
+                let nodes = self.pick_nodes(Some(self.zone_index(&zone)), part);
                 nodes.iter().for_each(|node| self.node_down(*node));
-                self.list_nodes(&nodes, EndpointState::Removed, self.spec.list.notice_s);
-                self.picked[n] = nodes;
+                self.announce_nodes(&nodes, EndpointState::Removed, self.spec.list.notice_s);
+                self.nodes_of_fault[n] = nodes;
             }
             FaultKind::Drain { zone, part } | FaultKind::Replace { zone, part } => {
-                let nodes = self.pick(Some(self.place(&zone)), part);
-                self.list_nodes(&nodes, EndpointState::Draining, (0.0, 0.1));
+                let nodes = self.pick_nodes(Some(self.zone_index(&zone)), part);
+                self.announce_nodes(&nodes, EndpointState::Draining, (0.0, 0.1));
                 for node in &nodes {
                     let (group, member) = (
                         self.nodes[*node as usize].group,
@@ -46,110 +46,110 @@
                     if self.groups[group].0.primary() == Some(member) {
                         self.groups[group].0.lose_primary(now);
                         let wait = self.uniform((0.31, 0.91));
-                        self.at(now + us(wait), Event::Elect(group as u32));
+                        self.schedule(now + us_from_s(wait), Event::ElectPrimary(group as u32));
                     }
                     self.groups[group].0.disconnect(member, now);
                 }
-                self.picked[n] = nodes;
+                self.nodes_of_fault[n] = nodes;
             }
             FaultKind::BlackHole { zone, .. } => {
-                let zone = self.place(&zone);
-                self.cut_zone(zone, true);
+                let zone = self.zone_index(&zone);
+                self.set_zone_cut(zone, true);
                 for node in 0..self.nodes.len() {
                     if self.nodes[node].zone == zone {
-                        self.leaves(self.nodes[node].group, self.nodes[node].member);
+                        self.leave_group(self.nodes[node].group, self.nodes[node].member);
                     }
                 }
             }
             FaultKind::Cut { from, to } => {
-                let (from, to) = (self.place(&from), self.place(&to));
-                self.to_node[from][to] += 1;
+                let (from, to) = (self.zone_index(&from), self.zone_index(&to));
+                self.lost_to_node[from][to] += 1;
             }
-            FaultKind::ListSilent { zone } => self.silence(&zone, true),
+            FaultKind::ListSilent { zone } => self.set_list_silence(&zone, true),
             FaultKind::RoutersDown { zone } => {
-                let zone = self.place(&zone);
+                let zone = self.zone_index(&zone);
                 for router in self.routers_of(zone) {
-                    self.stop(router);
+                    self.stop_router(router);
                 }
             }
             FaultKind::Rollout { down_s } => {
                 let (at, until) = (self.spec.faults[n].at, self.spec.faults[n].until);
                 let gap = (until - at) / self.routers.len() as f64;
                 for router in 0..self.routers.len() as u32 {
-                    let stop = self.now + us(gap * f64::from(router));
-                    self.at(stop, Event::Stop(router));
-                    self.at(stop + us(down_s), Event::Start(router));
+                    let stop = self.now + us_from_s(gap * f64::from(router));
+                    self.schedule(stop, Event::StopRouter(router));
+                    self.schedule(stop + us_from_s(down_s), Event::StartRouter(router));
                 }
             }
             FaultKind::Bad { part, errors } => {
-                let nodes = self.pick(None, part);
-                self.fault(&nodes, self.spec.faults[n].until);
+                let nodes = self.pick_nodes(None, part);
+                self.set_fault_period(&nodes, self.spec.faults[n].until);
                 nodes
                     .iter()
-                    .for_each(|node| self.bad[*node as usize] = Some(errors));
-                self.picked[n] = nodes;
+                    .for_each(|node| self.failing_nodes[*node as usize] = Some(errors));
+                self.nodes_of_fault[n] = nodes;
             }
             FaultKind::Slow { part, times } => {
-                let nodes = self.pick(None, part);
-                self.fault(&nodes, self.spec.faults[n].until);
+                let nodes = self.pick_nodes(None, part);
+                self.set_fault_period(&nodes, self.spec.faults[n].until);
                 nodes
                     .iter()
                     .for_each(|node| self.nodes[*node as usize].machine.set_slowdown(times));
-                self.picked[n] = nodes;
+                self.nodes_of_fault[n] = nodes;
             }
         }
     }
 
     /// Where links are cut or healed, nobody is blamed for whom it misses for a while; nor are nodes behind them well.
-    fn cut_now(&mut self, n: usize) {
+    fn record_link_change(&mut self, n: usize) {
         let zone = match &self.spec.faults[n].what {
             FaultKind::BlackHole { zone, .. } => zone,
             FaultKind::Cut { to, .. } => to,
             _ => return,
         };
-        let zone = self.place(zone);
+        let zone = self.zone_index(zone);
         let nodes: Vec<u32> = (0..self.nodes.len() as u32)
             .filter(|n| self.nodes[*n as usize].zone == zone)
             .collect();
         let until = self.spec.faults[n].until;
-        self.fault(&nodes, until);
+        self.set_fault_period(&nodes, until);
         self.cut_at = Some(self.now);
     }
 
-    pub(super) fn finish(&mut self, n: usize) {
-        self.cut_now(n);
+    pub(super) fn end_fault(&mut self, n: usize) {
+        self.record_link_change(n);
         match self.spec.faults[n].what.clone() {
             FaultKind::ZoneDown { .. } => {
-                let nodes = std::mem::take(&mut self.picked[n]);
+                let nodes = std::mem::take(&mut self.nodes_of_fault[n]);
                 nodes.iter().for_each(|node| self.node_up(*node));
                 let up: Vec<u32> = nodes
                     .into_iter()
                     .filter(|n| self.nodes[*n as usize].up)
                     .collect();
-                self.list_nodes(&up, EndpointState::Serving, self.spec.list.add_s);
+                self.announce_nodes(&up, EndpointState::Serving, self.spec.list.add_s);
             }
             FaultKind::Drain { .. } => {
-                let nodes = std::mem::take(&mut self.picked[n]);
+                let nodes = std::mem::take(&mut self.nodes_of_fault[n]);
                 for node in &nodes {
                     self.node_down(*node);
                     self.node_up(*node);
                 }
-                self.list_nodes(&nodes, EndpointState::Serving, self.spec.list.add_s);
+                self.announce_nodes(&nodes, EndpointState::Serving, self.spec.list.add_s);
             }
             FaultKind::Replace { .. } => {
-                for node in std::mem::take(&mut self.picked[n]) {
+                for node in std::mem::take(&mut self.nodes_of_fault[n]) {
                     self.node_down(node);
-                    let gone = self.entry(node, EndpointState::Removed);
-                    self.rename(node);
+                    let gone = self.list_entry(node, EndpointState::Removed);
+                    self.replace_node_id(node);
                     self.node_up(node);
                     let after = self.uniform(self.spec.list.add_s);
-                    let came = self.entry(node, EndpointState::Serving);
-                    self.will_change(after, vec![gone, came]);
+                    let came = self.list_entry(node, EndpointState::Serving);
+                    self.schedule_list_change(after, vec![gone, came]);
                 }
             }
             FaultKind::BlackHole { zone, cold } => {
-                let zone = self.place(&zone);
-                self.cut_zone(zone, false);
+                let zone = self.zone_index(&zone);
+                self.set_zone_cut(zone, false);
                 let nodes: Vec<u32> = (0..self.nodes.len() as u32)
                     .filter(|n| self.nodes[*n as usize].zone == zone)
                     .collect();
@@ -163,29 +163,29 @@
                     }
                 }
                 if cold {
-                    self.list_nodes(&nodes, EndpointState::Serving, self.spec.list.add_s);
+                    self.announce_nodes(&nodes, EndpointState::Serving, self.spec.list.add_s);
                 }
             }
             FaultKind::Cut { from, to } => {
-                let (from, to) = (self.place(&from), self.place(&to));
-                self.to_node[from][to] -= 1;
+                let (from, to) = (self.zone_index(&from), self.zone_index(&to));
+                self.lost_to_node[from][to] -= 1;
             }
-            FaultKind::ListSilent { zone } => self.silence(&zone, false),
+            FaultKind::ListSilent { zone } => self.set_list_silence(&zone, false),
             FaultKind::RoutersDown { zone } => {
-                let zone = self.place(&zone);
+                let zone = self.zone_index(&zone);
                 for router in self.routers_of(zone) {
-                    self.at(self.now, Event::Start(router));
+                    self.schedule(self.now, Event::StartRouter(router));
                 }
             }
             FaultKind::Rollout { .. } => {}
             FaultKind::Bad { .. } => {
-                let nodes = std::mem::take(&mut self.picked[n]);
+                let nodes = std::mem::take(&mut self.nodes_of_fault[n]);
                 nodes
                     .iter()
-                    .for_each(|node| self.bad[*node as usize] = None);
+                    .for_each(|node| self.failing_nodes[*node as usize] = None);
             }
             FaultKind::Slow { .. } => {
-                let nodes = std::mem::take(&mut self.picked[n]);
+                let nodes = std::mem::take(&mut self.nodes_of_fault[n]);
                 nodes
                     .iter()
                     .for_each(|node| self.nodes[*node as usize].machine.set_slowdown(1.0));
--- a/simulation/src/world/talk.rs
+++ b/simulation/src/world/gossip.rs
@@ -1,6 +1,6 @@
 //! Routers that talk with each other: the same crate as in the router, its datagrams on links that lose and delay.
 
-use super::{BEGIN, Event, World, us};
+use super::{Event, START_TIME, World, us_from_s};
 use crate::spec::{PeerSpec, SpecError};
 use plovercove::{LocalityPolicy, Micros, NodeId};
 use plovercove_engine::Engine;
@@ -10,12 +10,12 @@
 use std::net::{Ipv4Addr, SocketAddr};
 
 /// Routers that are asked by those who know nobody.
-const SEEDS: usize = 3;
+const SEED_ROUTERS: usize = 3;
 /// After a node's fault is over, or a router was struck, what is said of it is excused for so long beyond the evidence's life.
-const AFTER: Micros = 2_000_000;
+const TAIL_US: Micros = 2_000_000;
 
 /// One router's talk.
-pub(super) struct Talk {
+pub(super) struct GossipState {
     pub(super) peers: Gossip,
     /// When it is to be woken next.
     due: Option<plovercove::Time>,
@@ -56,7 +56,7 @@
 
 impl World<'_> {
     /// Puts a router among its peers.
-    pub(super) fn join(
+    pub(super) fn start_gossip(
         &mut self,
         spec: &PeerSpec,
         router: usize,
@@ -65,7 +65,9 @@
         let mut rules = spec.rules.clone();
         rules.installation = "model".into();
         rules.routers = self.routers.len() as u32;
-        rules.seeds = (0..self.routers.len().min(SEEDS)).map(address).collect();
+        rules.seeds = (0..self.routers.len().min(SEED_ROUTERS))
+            .map(address)
+            .collect();
         rules
             .check()
             .map_err(|e| SpecError(format!("peers.rules.{e}")))?;
@@ -87,15 +89,15 @@
             self.now,
             self.seed ^ ((router as u64) << 12),
         );
-        self.routers[router].talk = Some(Talk { peers, due: None });
+        self.routers[router].gossip = Some(GossipState { peers, due: None });
         Ok(Box::new(observer))
     }
 
     /// Something of a router's talk is due.
-    pub(super) fn talk(&mut self, router: u32, epoch: u32) {
+    pub(super) fn gossip_due(&mut self, router: u32, epoch: u32) {
         let now = self.now;
         let r = &mut self.routers[router as usize];
-        let (Some(talk), Some(engine)) = (&mut r.talk, &mut r.engine) else {
+        let (Some(talk), Some(engine)) = (&mut r.gossip, &mut r.engine) else {
             return;
         };
         if r.epoch != epoch || talk.due.is_none_or(|at| at > now) {
@@ -105,57 +107,57 @@
         if let Some(observer) = observer(engine) {
             talk.peers.turn(now, observer);
         }
-        self.say(router);
+        self.flush_gossip(router);
     }
 
     /// A datagram arrives.
-    pub(super) fn datagram(&mut self, router: u32, epoch: u32, slot: u32) {
+    pub(super) fn datagram_arrived(&mut self, router: u32, epoch: u32, slot: u32) {
         let bytes = self.datagrams.remove(slot as usize);
         let now = self.now;
         let r = &mut self.routers[router as usize];
         let Some(talk) = r
-            .talk
+            .gossip
             .as_mut()
             .filter(|_| r.epoch == epoch && r.engine.is_some())
         else {
             return;
         };
         talk.peers.receive(now, &bytes);
-        self.say(router);
+        self.flush_gossip(router);
     }
 
     /// Sends what a router wants sent, and writes down what it tells.
-    pub(super) fn say(&mut self, router: u32) {
+    pub(super) fn flush_gossip(&mut self, router: u32) {
         let now = self.now;
         let r = &mut self.routers[router as usize];
         let epoch = r.epoch;
-        let Some(talk) = &mut r.talk else { return };
+        let Some(talk) = &mut r.gossip else { return };
         let out = talk.peers.take_outgoing();
         let news: Vec<GossipEvent> = std::iter::from_fn(|| talk.peers.next_event()).collect();
         let next = talk.peers.next_deadline().max(now + 1);
         if next < plovercove::Time::MAX && talk.due.is_none_or(|at| next < at) {
             talk.due = Some(next);
-            self.at(next, Event::Talk { router, epoch });
+            self.schedule(next, Event::GossipDue { router, epoch });
         }
         let loss = self.spec.peers.as_ref().map_or(0.0, |p| p.loss);
         for (to, bytes) in out {
             let Some(to) = router_of(to).filter(|n| *n < self.routers.len()) else {
                 continue;
             };
-            self.talked.sent.0 += 1;
-            self.talked.sent.1 += bytes.len() as u64;
+            self.gossip_stats.sent.0 += 1;
+            self.gossip_stats.sent.1 += bytes.len() as u64;
             let (a, b) = (self.routers[router as usize].zone, self.routers[to].zone);
-            let cut = self.to_router[a][b] > 0 || self.to_node[a][b] > 0;
+            let cut = self.lost_to_router[a][b] > 0 || self.lost_to_node[a][b] > 0;
             if cut || self.gossip_rng.random::<f64>() < loss {
-                self.talked.lost += 1;
+                self.gossip_stats.lost += 1;
                 continue;
             }
-            let wait =
-                (self.trips[a][b] * (0.85 + 0.4 * self.gossip_rng.random::<f64>())) as Micros;
+            let wait = (self.mean_delays_us[a][b] * (0.85 + 0.4 * self.gossip_rng.random::<f64>()))
+                as Micros;
             let (slot, epoch) = (self.datagrams.insert(bytes) as u32, self.routers[to].epoch);
-            self.at(
+            self.schedule(
                 now + wait,
-                Event::Datagram {
+                Event::DatagramArrived {
                     router: to as u32,
                     epoch,
                     slot,
@@ -165,33 +167,33 @@
         let mut changed = false;
         for news in news {
             changed |= matches!(news, GossipEvent::Verdict { .. });
-            self.heard(router, news);
+            self.record_gossip_event(router, news);
         }
         if changed {
             if let Some(engine) = &mut self.routers[router as usize].engine {
                 engine.wake();
             }
-            self.settle(router);
+            self.drive_engine(router);
         }
     }
 
-    fn heard(&mut self, router: u32, news: GossipEvent) {
+    fn record_gossip_event(&mut self, router: u32, news: GossipEvent) {
         let now = self.now;
         match news {
             GossipEvent::Verdict { node, verdict, .. } if verdict.level == Level::Ejected => {
-                self.talked.outs += 1;
+                self.gossip_stats.outs += 1;
                 let evidence = self
                     .spec
                     .peers
                     .as_ref()
                     .map_or(0, |p| p.rules.max_evidence_age());
-                let number = self.names.get(&node).copied();
-                let fault = number.and_then(|n| self.faulty[n as usize]);
+                let number = self.node_by_id.get(&node).copied();
+                let fault = number.and_then(|n| self.fault_periods[n as usize]);
                 let excused =
-                    fault.is_some_and(|(_, until)| now <= until.saturating_add(evidence + AFTER));
-                self.talked.wrong_outs += u64::from(!excused);
+                    fault.is_some_and(|(_, until)| now <= until.saturating_add(evidence + TAIL_US));
+                self.gossip_stats.wrong_outs += u64::from(!excused);
                 if let Some(n) = number.filter(|_| excused) {
-                    self.all_out(n, &node);
+                    self.record_ejection_by_all(n, &node);
                 }
             }
             GossipEvent::MemberDown(life) => {
@@ -209,8 +211,8 @@
                     .map_or(0, |p| p.rules.max_convergence_delay());
                 let calm = |at: Option<plovercove::Time>| at.is_none_or(|at| now > at + window);
                 let (a, b) = (&self.routers[there], &self.routers[router as usize]);
-                if calm(a.struck) && calm(b.struck) && calm(self.cut_at) {
-                    self.talked.false_downs += 1;
+                if calm(a.last_restart) && calm(b.last_restart) && calm(self.cut_at) {
+                    self.gossip_stats.false_downs += 1;
                 }
             }
             _ => {}
@@ -218,8 +220,8 @@
     }
 
     /// Whether all routers that are up have taken a node out by now, which counts from the beginning of its fault.
-    fn all_out(&mut self, number: u32, node: &NodeId) {
-        if self.talked.all_out.is_some() {
+    fn record_ejection_by_all(&mut self, number: u32, node: &NodeId) {
+        if self.gossip_stats.all_out.is_some() {
             return;
         }
         let out =
@@ -228,16 +230,16 @@
             .routers
             .iter_mut()
             .all(|r| r.engine.as_mut().is_none_or(out))
-            && let Some((from, _)) = self.faulty[number as usize]
+            && let Some((from, _)) = self.fault_periods[number as usize]
         {
-            self.talked.all_out = Some((self.now - from) as f64 / 1e6);
+            self.gossip_stats.all_out = Some((self.now - from) as f64 / 1e6);
         }
     }
 
     /// A node has a fault until then, or for ever.
-    pub(super) fn fault(&mut self, nodes: &[u32], until: f64) {
+    pub(super) fn set_fault_period(&mut self, nodes: &[u32], until: f64) {
         for node in nodes {
-            self.faulty[*node as usize] = Some((self.now, BEGIN + us(until)));
+            self.fault_periods[*node as usize] = Some((self.now, START_TIME + us_from_s(until)));
         }
     }
 }
--- a/simulation/src/world/links.rs
+++ b/simulation/src/world/links.rs
@@ -1,6 +1,6 @@
 //! The links between routers and nodes: connections, attempts under way, and what is lost.
 
-use super::{Event, Run, World, us};
+use super::{Event, SentAttempt, World, us_from_s};
 use crate::rules::Rule;
 use crate::spec::Reads;
 use plovercove::{AttemptEnd, Micros, NodeId, NodeReport, Role};
@@ -9,55 +9,61 @@
 use rand_distr::Distribution;
 
 /// A message that was lost comes again after so long.
-const RESEND: Micros = 200_000;
+const RETRANSMIT_DELAY_US: Micros = 200_000;
 
 impl World<'_> {
     /// The time of one message between these zones; none where it is lost for good.
-    pub(super) fn trip(&mut self, from: usize, to: usize, lost: bool) -> Option<Micros> {
+    pub(super) fn message_delay(&mut self, from: usize, to: usize, lost: bool) -> Option<Micros> {
         if lost {
             return None;
         }
-        let base = self.trips[from][to] * self.uniform((0.85, 1.25));
+        let base = self.mean_delays_us[from][to] * self.uniform((0.85, 1.25));
         let again = if self.spec.net.loss > 0.0 && self.rng.random::<f64>() < self.spec.net.loss {
-            RESEND
+            RETRANSMIT_DELAY_US
         } else {
             0
         };
         Some(base as Micros + again)
     }
 
-    pub(super) fn out(&mut self, router: u32, node: u32) -> Option<Micros> {
+    pub(super) fn delay_to_node(&mut self, router: u32, node: u32) -> Option<Micros> {
         let (from, to) = (
             self.routers[router as usize].zone,
             self.nodes[node as usize].zone,
         );
-        let lost = self.to_node[from][to] > 0;
-        self.trip(from, to, lost)
+        let lost = self.lost_to_node[from][to] > 0;
+        self.message_delay(from, to, lost)
     }
 
-    pub(super) fn home(&mut self, router: u32, node: u32) -> Option<Micros> {
+    pub(super) fn delay_to_router(&mut self, router: u32, node: u32) -> Option<Micros> {
         let (to, from) = (
             self.routers[router as usize].zone,
             self.nodes[node as usize].zone,
         );
-        let lost = self.to_router[from][to] > 0;
-        self.trip(from, to, lost)
+        let lost = self.lost_to_router[from][to] > 0;
+        self.message_delay(from, to, lost)
     }
 
-    pub(super) fn send(&mut self, router: u32, attempt: AttemptId, origin: Key, node: &NodeId) {
-        let (name, node) = (node, self.names[node]);
+    pub(super) fn send_attempt(
+        &mut self,
+        router: u32,
+        attempt: AttemptId,
+        origin: Key,
+        node: &NodeId,
+    ) {
+        let (name, node) = (node, self.node_by_id[node]);
         let id = origin.number() as u32;
-        let second = self.second();
+        let second = self.now_s();
         let class = self.requests[id as usize].class;
         let (from, to) = (
             self.routers[router as usize].zone,
             self.nodes[node as usize].zone,
         );
-        self.counted.attempts += 1;
-        self.counted.to_bad += u64::from(self.bad[node as usize].is_some());
+        self.totals.attempts += 1;
+        self.totals.to_bad += u64::from(self.failing_nodes[node as usize].is_some());
         let grace = self.settings[router as usize].drain_grace;
         if self.routers[router as usize]
-            .closed
+            .out_of_service_since
             .get(name)
             .is_some_and(|told| self.now > told + grace)
         {
@@ -80,17 +86,17 @@
             let known = &self.nodes[node as usize];
             let replica = self.groups[known.group].0.primary() != Some(known.member);
             if replica && self.now < self.first_fault && second >= 2.0 {
-                self.counted.local.0 += u64::from(from == to);
-                self.counted.local.1 += 1;
+                self.totals.local.0 += u64::from(from == to);
+                self.totals.local.1 += 1;
             }
         }
-        let work = self.works[class as usize].sample(&mut self.rng);
-        self.requests[id as usize].holds += 1;
+        let work = self.class_work[class as usize].sample(&mut self.rng);
+        self.requests[id as usize].references += 1;
         let (router_epoch, node_epoch) = (
             self.routers[router as usize].epoch,
             self.nodes[node as usize].epoch,
         );
-        let run = self.runs.insert(Run {
+        let sent_attempt = self.sent_attempts.insert(SentAttempt {
             router,
             router_epoch,
             attempt,
@@ -100,19 +106,21 @@
             class,
             work,
             sent: self.now,
-            given_up: false,
+            is_cancelled: false,
             position: 0,
-            by_head: false,
+            by_primary: false,
             at_node: false,
         }) as u32;
-        self.routers[router as usize].attempts.insert(attempt, run);
+        self.routers[router as usize]
+            .attempts
+            .insert(attempt, sent_attempt);
         let pool = &mut self.routers[router as usize].pools[node as usize];
         if pool.0 != node_epoch {
             *pool = (node_epoch, 0);
         }
         if pool.1 > 0 && self.nodes[node as usize].id == *name {
             pool.1 -= 1;
-            return self.write(run);
+            return self.write_attempt(sent_attempt);
         }
         // A connection must come up first: there and back, and there.
         let known = &self.nodes[node as usize];
@@ -121,125 +129,138 @@
             known.up && known.id == *name,
             known.connections >= self.spec.node.connections,
         );
-        let wait = match (self.out(router, node), self.home(router, node)) {
+        let wait = match (
+            self.delay_to_node(router, node),
+            self.delay_to_router(router, node),
+        ) {
             (Some(out), Some(home)) => Some(out + home),
             _ => None,
         };
         match wait {
             None => {
                 let timeout = self.settings[router as usize].connect_timeout;
-                self.at(
+                self.schedule(
                     self.now + timeout,
-                    Event::Back {
-                        run,
+                    Event::ReplyArrived {
+                        sent_attempt,
                         ending: AttemptEnd::Unreachable,
                     },
                 );
             }
             Some(wait) if !up || full => {
-                self.at(
+                self.schedule(
                     self.now + wait,
-                    Event::Back {
-                        run,
+                    Event::ReplyArrived {
+                        sent_attempt,
                         ending: AttemptEnd::Unreachable,
                     },
                 );
             }
             Some(wait) => {
                 self.nodes[node as usize].connections += 1;
-                self.at(
-                    self.now + wait + us(self.spec.net.handshake_ms / 1e3),
-                    Event::Up(run),
+                self.schedule(
+                    self.now + wait + us_from_s(self.spec.net.handshake_ms / 1e3),
+                    Event::ConnectionUp(sent_attempt),
                 );
             }
         }
     }
 
     /// The last byte of an attempt is written.
-    pub(super) fn write(&mut self, run: u32) {
-        let r = &mut self.runs[run as usize];
+    pub(super) fn write_attempt(&mut self, sent_attempt: u32) {
+        let r = &mut self.sent_attempts[sent_attempt as usize];
         r.sent = self.now;
         let (router, node, attempt) = (r.router, r.node, r.attempt);
         if let Some(engine) = &mut self.routers[router as usize].engine {
             engine.attempt_written(attempt);
         }
-        match self.out(router, node) {
-            Some(wait) => self.at(self.now + wait, Event::AtNode(run)),
-            None => self.vanish(run),
+        match self.delay_to_node(router, node) {
+            Some(wait) => self.schedule(self.now + wait, Event::AttemptAtNode(sent_attempt)),
+            None => self.lose_silently(sent_attempt),
         }
     }
 
-    pub(super) fn up(&mut self, run: u32) {
-        let r = &self.runs[run as usize];
+    pub(super) fn connection_up(&mut self, sent_attempt: u32) {
+        let r = &self.sent_attempts[sent_attempt as usize];
         let (router, epoch, node, attempt) = (r.router, r.router_epoch, r.node, r.attempt);
-        if r.given_up {
-            return self.forget(run);
+        if r.is_cancelled {
+            return self.remove_attempt(sent_attempt);
         }
         if self.nodes[node as usize].epoch != r.node_epoch {
-            return self.back(run, AttemptEnd::Unreachable);
+            return self.reply_arrived(sent_attempt, AttemptEnd::Unreachable);
         }
         let now = self.now;
-        let Some(engine) = self.live(router, epoch) else {
-            return self.forget(run);
+        let Some(engine) = self.engine_of_epoch(router, epoch) else {
+            return self.remove_attempt(sent_attempt);
         };
         if engine.may_still_send(attempt, now) {
-            self.write(run);
+            self.write_attempt(sent_attempt);
         } else {
-            self.back(run, AttemptEnd::NeverSent);
+            self.reply_arrived(sent_attempt, AttemptEnd::NeverSent);
         }
     }
 
     /// What was written never arrives, or its answer does not; nothing tells the router.
-    pub(super) fn vanish(&mut self, run: u32) {
-        let r = &self.runs[run as usize];
-        let (router, attempt, given_up) = (r.router, r.attempt, r.given_up);
+    pub(super) fn lose_silently(&mut self, sent_attempt: u32) {
+        let r = &self.sent_attempts[sent_attempt as usize];
+        let (router, attempt, given_up) = (r.router, r.attempt, r.is_cancelled);
         if !given_up {
             self.routers[router as usize].attempts.remove(&attempt);
         }
-        self.forget(run);
+        self.remove_attempt(sent_attempt);
     }
 
     /// The one place where a run's slot is given back.
-    pub(super) fn forget(&mut self, run: u32) {
-        let run = self.runs.remove(run as usize);
-        self.requests[run.request as usize].holds -= 1;
-        self.release(run.request);
+    pub(super) fn remove_attempt(&mut self, sent_attempt: u32) {
+        let sent_attempt = self.sent_attempts.remove(sent_attempt as usize);
+        self.requests[sent_attempt.request as usize].references -= 1;
+        self.release_request(sent_attempt.request);
     }
 
     /// Its router closes its connection: the answer reaches nobody. What the node does goes on.
-    pub(super) fn abandon(&mut self, run: u32) {
-        let r = &mut self.runs[run as usize];
-        r.given_up = true;
+    pub(super) fn cancel_attempt(&mut self, sent_attempt: u32) {
+        let r = &mut self.sent_attempts[sent_attempt as usize];
+        r.is_cancelled = true;
         let node = &mut self.nodes[r.node as usize];
         if node.epoch == r.node_epoch {
             node.connections = node.connections.saturating_sub(1);
         }
     }
 
-    pub(super) fn reply(&mut self, run: u32, ending: AttemptEnd) {
-        let r = &mut self.runs[run as usize];
+    pub(super) fn send_reply(&mut self, sent_attempt: u32, ending: AttemptEnd) {
+        let r = &mut self.sent_attempts[sent_attempt as usize];
         r.at_node = false;
         let (router, node) = (r.router, r.node);
-        match self.home(router, node) {
-            Some(wait) => self.at(self.now + wait, Event::Back { run, ending }),
-            None => self.vanish(run),
+        match self.delay_to_router(router, node) {
+            Some(wait) => self.schedule(
+                self.now + wait,
+                Event::ReplyArrived {
+                    sent_attempt,
+                    ending,
+                },
+            ),
+            None => self.lose_silently(sent_attempt),
         }
     }
 
-    pub(super) fn back(&mut self, id: u32, ending: AttemptEnd) {
-        let run = &self.runs[id as usize];
-        if run.given_up {
-            return self.forget(id);
+    pub(super) fn reply_arrived(&mut self, id: u32, ending: AttemptEnd) {
+        let sent_attempt = &self.sent_attempts[id as usize];
+        if sent_attempt.is_cancelled {
+            return self.remove_attempt(id);
         }
         let (router, epoch, node, attempt, request) = (
-            run.router,
-            run.router_epoch,
-            run.node,
-            run.attempt,
-            run.request,
+            sent_attempt.router,
+            sent_attempt.router_epoch,
+            sent_attempt.node,
+            sent_attempt.attempt,
+            sent_attempt.request,
+        );
+        let (position, by_head, sent, class) = (
+            sent_attempt.position,
+            sent_attempt.by_primary,
+            sent_attempt.sent,
+            sent_attempt.class as usize,
         );
-        let (position, by_head, sent, class) =
-            (run.position, run.by_head, run.sent, run.class as usize);
         let known = &mut self.nodes[node as usize];
         let (group, member) = (known.group, known.member);
         let kept = matches!(
@@ -250,7 +271,7 @@
                 | AttemptEnd::Overloaded
                 | AttemptEnd::NeverSent
         );
-        if known.epoch == run.node_epoch {
+        if known.epoch == sent_attempt.node_epoch {
             let pool = &mut self.routers[router as usize].pools[node as usize];
             if kept {
                 *pool = (
@@ -274,33 +295,35 @@
         };
         self.routers[router as usize].attempts.remove(&attempt);
         let now = self.now;
-        let Some(engine) = self.live(router, epoch) else {
-            return self.forget(id);
+        let Some(engine) = self.engine_of_epoch(router, epoch) else {
+            return self.remove_attempt(id);
         };
         let served = engine.attempt_ended(now, attempt, ending, note, NodeReport::default());
         if served.is_some() {
             let need = match self.spec.classes[class].reads {
                 Reads::Bounded(ms) => sent.saturating_sub(ms * 1_000),
-                Reads::Session => self.requests[request as usize].need.unwrap_or(0),
+                Reads::Session => self.requests[request as usize]
+                    .required_position
+                    .unwrap_or(0),
                 Reads::Any | Reads::Write => 0,
             };
             if position < need && !by_head && !write {
-                let (second, old) = (self.second(), (need - position) / 1_000);
+                let (second, old) = (self.now_s(), (need - position) / 1_000);
                 self.breaches.add(Rule::Stale, second, || {
                     format!("{old} ms too old, node {node}")
                 });
             }
-            self.served(request);
+            self.request_served(request);
         }
-        self.forget(id);
-        self.settle(router);
+        self.remove_attempt(id);
+        self.drive_engine(router);
     }
 
-    pub(super) fn cut_zone(&mut self, zone: usize, on: bool) {
+    pub(super) fn set_zone_cut(&mut self, zone: usize, on: bool) {
         for other in 0..self.spec.zones.len() {
             for lost in [
-                &mut self.to_node[other][zone],
-                &mut self.to_router[zone][other],
+                &mut self.lost_to_node[other][zone],
+                &mut self.lost_to_router[zone][other],
             ] {
                 *lost = if on {
                     *lost + 1
--- a/simulation/src/world/routers.rs
+++ b/simulation/src/world/routers.rs
@@ -1,6 +1,6 @@
 //! The routers: each is the real core, told the time, its commands carried out.
 
-use super::{BEGIN, Event, World, us};
+use super::{Event, START_TIME, World, us_from_s};
 use crate::spec::{SpecError, Variant};
 use crate::strict::Strict;
 use plovercove::{EndpointUpdate, LocalityPolicy, NodeId, NodeReport, Role};
@@ -8,10 +8,10 @@
 use plovercove_locality::ZoneFailover;
 
 /// Rounds of decisions on one event.
-const ROUNDS: usize = 16;
+const MAX_DECISION_ROUNDS: usize = 16;
 
 impl World<'_> {
-    pub(super) fn boot(&mut self, router: usize) -> Result<(), SpecError> {
+    pub(super) fn start_router(&mut self, router: usize) -> Result<(), SpecError> {
         let zone = self.routers[router].zone;
         let name = &self.spec.zones[zone].name;
         let (settings, epoch) = (self.settings[router].clone(), self.routers[router].epoch);
@@ -27,7 +27,7 @@
             }
         };
         let zoning = match &self.spec.peers {
-            Some(peers) => Some(self.join(peers, router, zoning)?),
+            Some(peers) => Some(self.start_gossip(peers, router, zoning)?),
             None => zoning,
         };
         let engine = Engine::new(settings, seed);
@@ -35,36 +35,36 @@
             Some(zoning) => engine.with_locality_policy(zoning),
             None => engine,
         };
-        if self.now > BEGIN {
-            self.routers[router].struck = Some(self.now);
+        if self.now > START_TIME {
+            self.routers[router].last_restart = Some(self.now);
         }
         // What it had last. It may be old.
         let told = self.routers[router].told;
-        let known = self.list_at(told);
+        let known = self.list_at_version(told);
         let starts = known
             .iter()
-            .filter_map(|e| Some((self.names[&e.node], e.started_at?)))
+            .filter_map(|e| Some((self.node_by_id[&e.node], e.started_at?)))
             .collect();
         engine.update_endpoints(EndpointUpdate::Restored(known));
         self.routers[router].engine = Some(engine);
-        self.routers[router].closed.clear();
-        self.routers[router].starts = starts;
-        if self.now > BEGIN {
-            self.call(router as u32);
+        self.routers[router].out_of_service_since.clear();
+        self.routers[router].known_starts = starts;
+        if self.now > START_TIME {
+            self.call_list_service(router as u32);
         } else {
-            let list = self.list_at(0);
+            let list = self.list_at_version(0);
             self.routers[router]
                 .engine
                 .as_mut()
                 .expect("just made")
                 .update_endpoints(EndpointUpdate::Full(list));
         }
-        self.settle(router as u32);
-        self.say(router as u32);
+        self.drive_engine(router as u32);
+        self.flush_gossip(router as u32);
         Ok(())
     }
 
-    pub(super) fn stop(&mut self, router: u32) {
+    pub(super) fn stop_router(&mut self, router: u32) {
         let now = self.now;
         let r = &mut self.routers[router as usize];
         if r.engine.take().is_none() {
@@ -72,7 +72,7 @@
         }
         r.epoch += 1;
         r.wake = None;
-        (r.talk, r.struck) = (None, Some(now));
+        (r.gossip, r.last_restart) = (None, Some(now));
         let pools = std::mem::replace(&mut r.pools, vec![(0, 0); self.nodes.len()]);
         let attempts = std::mem::take(&mut r.attempts);
         for (node, (epoch, idle)) in self.nodes.iter_mut().zip(pools) {
@@ -82,28 +82,28 @@
         }
         let mut runs: Vec<u32> = attempts.into_values().collect();
         runs.sort_unstable();
-        for run in runs {
-            self.abandon(run);
+        for sent_attempt in runs {
+            self.cancel_attempt(sent_attempt);
         }
         let held: Vec<u32> = self
             .requests
             .iter()
-            .filter(|(_, r)| r.awaiting.is_some() && r.router == router)
+            .filter(|(_, r)| r.answer_due.is_some() && r.router == router)
             .map(|(id, _)| id as u32)
             .collect();
         for id in held {
             let r = &mut self.requests[id as usize];
-            (r.awaiting, r.key) = (None, None);
-            self.unserved(id, false, None);
+            (r.answer_due, r.key) = (None, None);
+            self.retry_or_give_up(id, false, None);
         }
     }
 
-    pub(super) fn live(&mut self, router: u32, epoch: u32) -> Option<&mut Engine> {
+    pub(super) fn engine_of_epoch(&mut self, router: u32, epoch: u32) -> Option<&mut Engine> {
         let r = &mut self.routers[router as usize];
         r.engine.as_mut().filter(|_| r.epoch == epoch)
     }
 
-    pub(super) fn wake(&mut self, router: u32) {
+    pub(super) fn wake_router(&mut self, router: u32) {
         let now = self.now;
         let r = &mut self.routers[router as usize];
         if r.wake.is_none_or(|at| at > now) {
@@ -118,12 +118,12 @@
                 _ => {}
             }
         }
-        self.settle(router);
+        self.drive_engine(router);
     }
 
     /// Lets a router decide on what has come, and carries that out.
-    pub(super) fn settle(&mut self, router: u32) {
-        for _ in 0..ROUNDS {
+    pub(super) fn drive_engine(&mut self, router: u32) {
+        for _ in 0..MAX_DECISION_ROUNDS {
             let now = self.now;
             let Some(engine) = &mut self.routers[router as usize].engine else {
                 return;
@@ -133,7 +133,7 @@
                 break;
             }
             for command in commands {
-                self.carry_out(router, command);
+                self.execute_command(router, command);
             }
         }
         let r = &mut self.routers[router as usize];
@@ -142,25 +142,26 @@
         };
         if r.wake.is_none_or(|at| next < at) {
             r.wake = Some(next);
-            self.at(next, Event::Wake(router));
+            self.schedule(next, Event::WakeRouter(router));
         }
     }
 
-    pub(super) fn carry_out(&mut self, router: u32, command: Command) {
+    pub(super) fn execute_command(&mut self, router: u32, command: Command) {
         match command {
             Command::Send {
                 attempt,
                 origin,
                 node,
-            } => self.send(router, attempt, origin, &node),
+            } => self.send_attempt(router, attempt, origin, &node),
             Command::CancelAttempt { attempt, .. } => {
-                if let Some(run) = self.routers[router as usize].attempts.remove(&attempt) {
-                    self.abandon(run);
+                if let Some(sent_attempt) = self.routers[router as usize].attempts.remove(&attempt)
+                {
+                    self.cancel_attempt(sent_attempt);
                 }
             }
-            Command::HealthCheck(node) => self.probe(router, &node),
+            Command::HealthCheck(node) => self.start_health_check(router, &node),
             Command::CloseIdle(node) => {
-                let Some(&node) = self.names.get(&node) else {
+                let Some(&node) = self.node_by_id.get(&node) else {
                     return;
                 };
                 let pool = &mut self.routers[router as usize].pools[node as usize];
@@ -172,18 +173,18 @@
             }
             Command::Answer { origin, answer, .. } => {
                 let id = origin.number() as u32;
-                let second = (self.second() as usize).min(self.seconds.len() - 1);
+                let second = (self.now_s() as usize).min(self.seconds.len() - 1);
                 match answer {
                     FinalAnswer::Rejected(told) => {
                         self.seconds[second].refused += 1;
-                        if self.answered(id, "refused") {
-                            self.unserved(id, true, told);
+                        if self.take_final_answer(id, "refused") {
+                            self.retry_or_give_up(id, true, told);
                         }
                     }
                     FinalAnswer::Failed => {
                         self.seconds[second].failed += 1;
-                        if self.answered(id, "failed") {
-                            self.unserved(id, false, None);
+                        if self.take_final_answer(id, "failed") {
+                            self.retry_or_give_up(id, false, None);
                         }
                     }
                 }
@@ -197,16 +198,16 @@
             .collect()
     }
 
-    pub(super) fn probe(&mut self, router: u32, node: &NodeId) {
-        self.counted.probes += 1;
-        let Some(&node) = self.names.get(node) else {
+    pub(super) fn start_health_check(&mut self, router: u32, node: &NodeId) {
+        self.totals.probes += 1;
+        let Some(&node) = self.node_by_id.get(node) else {
             return;
         };
         let epoch = self.routers[router as usize].epoch;
-        match self.out(router, node) {
-            Some(wait) => self.at(
+        match self.delay_to_node(router, node) {
+            Some(wait) => self.schedule(
                 self.now + wait,
-                Event::ProbeAt {
+                Event::HealthCheckAtNode {
                     router,
                     epoch,
                     node,
@@ -214,9 +215,9 @@
             ),
             None => {
                 let timeout = self.settings[router as usize].connect_timeout;
-                self.at(
+                self.schedule(
                     self.now + timeout,
-                    Event::ProbeBack {
+                    Event::HealthCheckEnded {
                         router,
                         epoch,
                         node,
@@ -227,11 +228,11 @@
         }
     }
 
-    pub(super) fn probe_at(&mut self, router: u32, epoch: u32, node: u32) {
+    pub(super) fn health_check_at_node(&mut self, router: u32, epoch: u32, node: u32) {
         let known = &self.nodes[node as usize];
         let (group, member, up) = (known.group, known.member, known.up);
         // A report is as old as its last refresh.
-        let old = us(self.uniform((0.0, 0.15)));
+        let old = us_from_s(self.uniform((0.0, 0.15)));
         let log = &mut self.groups[group].0;
         let role = if log.primary() == Some(member) {
             Role::Primary
@@ -251,10 +252,10 @@
             utilization_permille: Some(busy),
             age: 0,
         });
-        if let Some(wait) = self.home(router, node) {
-            self.at(
+        if let Some(wait) = self.delay_to_router(router, node) {
+            self.schedule(
                 self.now + wait,
-                Event::ProbeBack {
+                Event::HealthCheckEnded {
                     router,
                     epoch,
                     node,
