--- a/simulation/src/lib.rs
+++ b/simulation/src/lib.rs
@@ -1,8 +1,8 @@
-//! A model of what plovercove balances: db nodes, replication, zones, the node list and clients, in virtual time. It
-//! drives the real `plovercove-engine`, tiers and decision module, hundreds of routers at a time, and checks the rules as
-//! it goes. The same [`Spec`] and seed give the same [`Report`] to the byte.
+//! A discrete-event simulation of routers, database nodes, replication, zones, the endpoint list and clients. It
+//! runs hundreds of instances of the real `plovercove-engine`, zone failover and decision module, and checks rules such
+//! as "a write runs at most once" during the run. The same [`Spec`] and seed give the same [`Report`] byte for byte.
 //!
-//! [`node`] and [`replication`] are plain state machines that are told the time; the stand-ins on sockets use them too.
+//! [`node`] and [`replication`] are state machines that receive the time as an argument; the emulator uses them too.
 
 pub mod node;
 mod pressure;
@@ -20,5 +20,5 @@
 pub use strict::Strict;
 pub use world::{GossipStats, run};
 
-/// The generator of all random numbers here.
+/// The random number generator of the simulation.
 pub type SimRng = rand_pcg::Pcg64Mcg;
--- a/simulation/src/node.rs
+++ b/simulation/src/node.rs
@@ -1,45 +1,46 @@
-//! A db node: cores, a queue, warmth, and what pushes it over. It is told the time and keeps none of its own.
+//! The model of a database node: cores, a queue, warm-up after a start, and a crash by overload while it is cold.
+//! Its methods receive the current time; the model reads no clock.
 
 use crate::spec::NodeSpec;
 use plovercove::Time;
 use std::collections::VecDeque;
 
-/// What became of a request that was offered.
+/// The outcome of offering a request to a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Offer {
-    /// It runs and will be done then.
+    /// The request runs and is finished at this time.
     Runs(Time),
-    /// It waits.
+    /// The request is queued.
     Queued,
-    /// It was turned away unseen.
+    /// The queue is full; the node rejects the request.
     Rejected,
-    /// It was one too many: the node falls over and stays down.
+    /// The request overloads a cold node: the node crashes and stays down.
     Crashes,
 }
 
-/// A db node's machine.
+/// The state of a node. `J` identifies a request for the caller.
 #[derive(Clone, Debug)]
 pub struct NodeModel<J> {
     spec: NodeSpec,
     speed: f64,
-    /// So many times slower than usual, 1 for not.
+    /// Factor by which requests take longer, 1 without a fault.
     slowdown: f64,
     started_at: Option<Time>,
     running: u32,
     queue: VecDeque<(J, f64)>,
     /// Mean work of a request (s).
     mean_work_s: f64,
-    /// Work offered of late while cold, with its sum (s).
+    /// Work offered within the window of `fall_s` while the node is cold, with its sum (s).
     offered: VecDeque<(Time, f64)>,
     offered_s: f64,
-    /// That as a share of what a cold node surely bears, and the most of it so far.
+    /// This sum as a share of what a cold node certainly withstands, and its maximum so far.
     cold_load_share: f64,
     cold_peak: f64,
     crashed: bool,
 }
 
 impl<J> NodeModel<J> {
-    /// A warm node of this speed, before requests of this mean work (s).
+    /// Creates a warm node of this speed for requests of this mean work (s).
     pub fn new(spec: NodeSpec, speed: f64, mean_work_s: f64) -> Self {
         NodeModel {
             spec,
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Its process starts anew, cold. What it held is lost.
+    /// Restarts the process. The node is cold, and its running and queued requests are lost.
     pub fn restart(&mut self, now: Time) {
         self.started_at = Some(now);
         self.running = 0;
@@ -66,7 +67,7 @@
         self.offered_s = 0.0;
     }
 
-    /// Its process is gone. Returns what waited; what ran is lost with it.
+    /// Stops the process and returns the queued requests. Running requests are lost.
     pub fn stop(&mut self) -> impl Iterator<Item = J> + use<J> {
         self.running = 0;
         std::mem::take(&mut self.queue)
@@ -74,42 +75,43 @@
             .map(|(job, _)| job)
     }
 
-    /// It runs so many times slower from now on.
+    /// Sets the factor by which requests take longer.
     pub fn set_slowdown(&mut self, times: f64) {
         self.slowdown = times.max(0.01);
     }
 
-    /// When it started, if it is not warm for long.
+    /// Returns the time of the last restart, or `None` if the node has run since before the simulation.
     pub fn started_at(&self) -> Option<Time> {
         self.started_at
     }
 
-    /// Whether it fell over.
+    /// Returns whether the node crashed by overload.
     pub fn has_crashed(&self) -> bool {
         self.crashed
     }
 
-    /// The most work that came within a window while it was cold, over N + 2 roots of N + 2 requests of mean work.
+    /// Returns the largest work offered within a window while the node was cold, as a share of N + 2 sqrt(N) + 2 requests
+    /// of mean work, where N is the number of requests that `fall_factor` allows.
     pub fn cold_peak(&self) -> f64 {
         self.cold_peak
     }
 
-    /// What had come within the window with the last request while it was cold, by the same measure.
+    /// Returns the same share for the window that ended with the last request while the node was cold.
     pub fn cold_load_share(&self) -> f64 {
         self.cold_load_share
     }
 
-    /// Requests that it holds.
+    /// Returns the number of running and queued requests.
     pub fn in_flight(&self) -> usize {
         self.running as usize + self.queue.len()
     }
 
-    /// The share of its cores that work.
+    /// Returns the share of its cores that are busy.
     pub fn utilization(&self) -> f64 {
         f64::from(self.running) / f64::from(self.spec.cores)
     }
 
-    /// The share of its capacity that it has now.
+    /// Returns the share of its full capacity that the node has now.
     pub fn warmth(&self, now: Time) -> f64 {
         let Some(started_at) = self.started_at else {
             return 1.0;
@@ -118,7 +120,7 @@
         (self.spec.cold_from + (1.0 - self.spec.cold_from) * age).min(1.0)
     }
 
-    /// Seconds of work that it does in a second now.
+    /// Returns the work (s) that the node does per second now.
     pub fn capacity(&self, now: Time) -> f64 {
         f64::from(self.spec.cores) * self.speed * self.warmth(now) / self.slowdown
     }
@@ -130,7 +132,7 @@
         ((work / rate) * 1e6).max(1.0) as Time
     }
 
-    /// Offers a request of so many seconds of work.
+    /// Offers a request with this work (s).
     pub fn offer(&mut self, now: Time, job: J, work: f64) -> Offer {
         if self.is_overloaded_while_cold(now, work) {
             self.crashed = true;
@@ -147,7 +149,7 @@
         }
     }
 
-    /// Whether this is more than a cold node bears. All that reaches it counts, also what it turns away.
+    /// Records a request and returns whether it overloads a cold node. Requests that the node rejects count as well.
     fn is_overloaded_while_cold(&mut self, now: Time, work: f64) -> bool {
         let warmth = self.warmth(now);
         if warmth >= 1.0 {
@@ -163,7 +165,7 @@
         }
         self.offered.push_back((now, work));
         self.offered_s += work;
-        // Requests of mean work that the settings allow it now; two roots of them and two more are put down to chance.
+        // The number N of requests of mean work that the settings allow now. Random variation may add 2 sqrt(N) + 2.
         let allowed =
             self.spec.fall_factor * self.capacity(now) * self.spec.fall_s / self.mean_work_s;
         self.cold_load_share =
@@ -172,7 +174,7 @@
         self.cold_load_share > 1.0
     }
 
-    /// A request is done. Returns the next and when that will be done, which the caller may turn away in turn.
+    /// Finishes a running request. Returns the next queued request, which runs now, and the time at which it is finished.
     pub fn finish_request(&mut self, now: Time) -> Option<(J, Time)> {
         self.running = self.running.saturating_sub(1);
         let (job, work) = self.queue.pop_front()?;
--- a/simulation/src/pressure.rs
+++ b/simulation/src/pressure.rs
@@ -1,53 +1,54 @@
-//! Who presses the cold nodes: what came to each of late, from whom. A node that falls over is told with it.
+//! The recent load of each cold node and the kinds of requests that caused it. A report of a crash contains these shares.
 
 use plovercove::{Micros, Time};
 use serde::Serialize;
 use std::collections::{HashMap, VecDeque};
 use std::fmt;
 
-/// More than this part of the pressure must come from routers that knew of the start for the rule to be theirs.
+/// Share of the load above which the load counts as caused by routers that knew of the node's start. Only then does a
+/// crash break the rule `PushedOver`, since a router that does not know of a start cannot limit its requests.
 const THEIRS: f64 = 2.0 / 3.0;
 
-/// One request that reached a cold node.
+/// A request that reached a cold node.
 pub(crate) struct Press {
     pub(crate) at: Time,
     /// Its work (s).
     pub(crate) work: f64,
-    /// Its router had been told that the node started.
+    /// Whether its router knew that the node had started.
     pub(crate) told: bool,
     pub(crate) write: bool,
-    /// It was not its request's first attempt.
+    /// Whether it was a further attempt of its request.
     pub(crate) again: bool,
 }
 
-/// What reached the cold nodes within the window that the rule names.
+/// The requests that reached cold nodes within the last window.
 pub(crate) struct Pressure {
     window: Micros,
     nodes: HashMap<u32, VecDeque<Press>>,
 }
 
-/// Shares of the work that pressed a node.
+/// Shares of the work that a node received, by cause.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct LoadShares {
-    /// From routers that had been told of its start.
+    /// From routers that knew of the node's start.
     pub told: f64,
-    /// Writes.
+    /// From writes.
     pub writes: f64,
-    /// Of attempts that were not their requests' first.
+    /// From attempts after the first of a request.
     pub again: f64,
 }
 
-/// The most that came to any cold node within a window.
+/// The largest load of any cold node within a window.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct LoadPeak {
-    /// As a share of what it surely bears.
+    /// The load as a share of what the node certainly withstands.
     pub pressure: f64,
-    /// Whose it was.
+    /// Causes of the load.
     pub shares: LoadShares,
 }
 
 impl LoadShares {
-    /// Whether the routers knew what they did.
+    /// Returns whether most of the load came from routers that knew of the node's start.
     pub fn are_mostly_informed(&self) -> bool {
         self.told > THEIRS
     }
@@ -87,7 +88,7 @@
         seen.push_back(press);
     }
 
-    /// A new process has not been pressed yet.
+    /// Forgets the load of a node whose process restarts.
     pub(crate) fn clear(&mut self, node: u32) {
         self.nodes.remove(&node);
     }
--- a/simulation/src/spec.rs
+++ b/simulation/src/spec.rs
@@ -1,46 +1,48 @@
-//! What an experiment describes. Every part has a default, so that scripts name only what matters to them.
+//! The description of an experiment. Every section has defaults, so that a script names only what it changes.
+//!
+//! Fields have the names of the keys in experiment scripts.
 
 use plovercove::{Access, Class, DedupScope, Idempotency, Settings, Tenant};
 use plovercove_locality::Rules;
 use serde::{Deserialize, Serialize};
 
-/// One zone.
+/// A zone and the number of its nodes and routers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ZoneSpec {
     /// Its name.
     pub name: String,
-    /// Its db nodes.
+    /// Number of database nodes.
     pub nodes: usize,
-    /// Its routers.
+    /// Number of routers.
     pub routers: usize,
 }
 
-/// The db nodes, all of one kind.
+/// The model of a database node. All nodes of an experiment are of the same kind.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct NodeSpec {
-    /// Cores; as many requests are in work at once.
+    /// Number of cores, which is also the number of requests that run concurrently.
     pub cores: u32,
-    /// Requests that may wait, beyond which they are turned away.
+    /// Maximum number of queued requests. The node rejects further requests.
     pub queue: u32,
-    /// Connections that one takes.
+    /// Maximum number of connections that a node accepts.
     pub connections: u32,
-    /// Spread of speeds, as a share.
+    /// Standard deviation of the nodes' speeds, as a share of the mean speed.
     pub speed_spread: f64,
-    /// The share of its capacity with which one starts.
+    /// Share of its full capacity that a node has immediately after a start.
     pub cold_from: f64,
-    /// Seconds until it is warm.
+    /// Seconds from a start until the node has its full capacity.
     pub cold_s: f64,
-    /// Sent more than so many times what it can do ...
+    /// A cold node crashes if it receives more than this multiple of its current capacity ...
     pub fall_factor: f64,
-    /// ... for so many seconds, a cold one falls over and stays down.
+    /// ... within a window of this length in seconds. It does not come back during the run.
     pub fall_s: f64,
-    /// From so many requests held a core on ...
+    /// Requests per core (running and queued) above which the node thrashes: ...
     pub thrash_at: f64,
-    /// ... each further one a core costs this share of its speed.
+    /// ... each further request per core slows the node down by this share.
     pub thrash: f64,
-    /// The share of requests that end in an error.
+    /// Share of requests that end in an error.
     pub errors: f64,
 }
 
@@ -62,19 +64,19 @@
     }
 }
 
-/// Replication within groups.
+/// Replication within the groups.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ReplicationSpec {
-    /// Members of a group.
+    /// Number of members of a group.
     pub members: usize,
-    /// Milliseconds in which the log comes to a replica.
+    /// Delay (ms) until a log record reaches a replica.
     pub ship_ms: f64,
-    /// The share of the time for which the applying thread is busy at the load given.
+    /// Share of the time for which a replica's apply thread is busy at the configured load.
     pub apply_use: f64,
-    /// Seconds until a primary that does not answer is given up: least and most.
+    /// Minimum and maximum time (s) until a primary that does not answer is considered lost.
     pub detect_s: (f64, f64),
-    /// Seconds until another takes over after that: least and most.
+    /// Minimum and maximum time (s) from then until another member is primary.
     pub elect_s: (f64, f64),
 }
 
@@ -94,15 +96,15 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct NetSpec {
-    /// One way within a zone (ms).
+    /// One-way delay within a zone (ms).
     pub same_ms: f64,
-    /// One way between zones (ms).
+    /// One-way delay between zones (ms).
     pub cross_ms: f64,
-    /// Pairs of zones that are farther apart: their names and one way between them (ms).
+    /// Pairs of zones with a different one-way delay: both names and the delay (ms).
     pub pairs: Vec<(String, String, f64)>,
-    /// The share of messages that are lost and come again after 200 ms.
+    /// Share of messages that are lost and retransmitted after 200 ms.
     pub loss: f64,
-    /// What opening a connection adds (ms).
+    /// Additional time for opening a connection (ms).
     pub handshake_ms: f64,
 }
 
@@ -118,23 +120,23 @@
     }
 }
 
-/// The node list.
+/// The service that publishes the endpoint list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ListSpec {
-    /// Seconds until it knows that a process has died: least and most.
+    /// Minimum and maximum time (s) until the list shows that a process has died.
     pub notice_s: (f64, f64),
-    /// Seconds until it knows that one has started.
+    /// Minimum and maximum time (s) until the list shows that a process has started.
     pub add_s: (f64, f64),
-    /// Seconds until it knows of a new primary.
+    /// Minimum and maximum time (s) until the list shows a new primary.
     pub role_s: (f64, f64),
-    /// Seconds by which routers hear it apart from each other, at the most.
+    /// Maximum difference (s) between the times at which two routers receive the same change.
     pub spread_s: f64,
-    /// Calls that the service answers in a second, of all routers; 0 for any number. A call that would have to wait for
-    /// longer than `call_wait_s` fails, and is made again after a pause that grows.
+    /// Calls per second that the service answers for all routers together; 0 means no limit. A call that would wait for
+    /// longer than `call_wait_s` fails, and the router retries it with an exponential backoff.
     #[serde(skip_serializing_if = "is_zero")]
     pub calls_per_s: f64,
-    /// How long a call waits in turn (s).
+    /// Maximum time (s) for which a call is queued at the service.
     #[serde(skip_serializing_if = "is_zero")]
     pub call_wait_s: f64,
 }
@@ -156,23 +158,23 @@
     }
 }
 
-/// A tenant: whom a part of the requests belongs to.
+/// A tenant and its share of the requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TenantSpec {
     /// Its name.
     pub name: String,
-    /// Its part of the usual requests, by weight.
+    /// Weight of its requests among the requests of all tenants.
     pub share: f64,
-    /// Requests a second, over all routers, that are inside its share.
+    /// Quota: requests per second, over all routers.
     pub quota_per_s: f64,
-    /// Times of its usual requests from one second to another: (from, to, times).
+    /// Periods with a higher request rate: (start second, end second, multiple of the usual rate).
     #[serde(default)]
     pub flood: Vec<(f64, f64, f64)>,
 }
 
 impl TenantSpec {
-    /// Its weight at this second.
+    /// Returns the weight of its requests at this second, including floods.
     pub(crate) fn weight_at(&self, second: f64) -> f64 {
         let floods = self.flood.iter().filter(|f| (f.0..f.1).contains(&second));
         self.share * floods.map(|f| f.2).product::<f64>()
@@ -183,36 +185,37 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ClientSpec {
-    /// The work that is asked for, as a share of what all nodes can do.
+    /// Offered work as a share of the capacity of all nodes.
     pub load: f64,
-    /// Times of the usual load from one second to another: (from, to, times).
+    /// Periods with a higher load: (start second, end second, multiple of the usual load).
     pub bursts: Vec<(f64, f64, f64)>,
-    /// Tries after the first, at the most.
+    /// Maximum number of retries by the client.
     pub retries: u32,
-    /// Milliseconds between tries.
+    /// Mean backoff between a client's tries (ms).
     pub backoff_ms: f64,
-    /// The share of clients that follow the time to come back.
+    /// Share of clients that follow the retry-after time of a rejection.
     pub follow: f64,
-    /// The least share of the class's deadline that a try is waited for.
+    /// Minimum share of the class's deadline for which a client waits for one try.
     pub patience: f64,
-    /// The share of session reads that follow a write of theirs ...
+    /// Share of session reads that follow a write of the same session ...
     pub follows_write: f64,
-    /// ... by so many milliseconds in the mean.
+    /// ... after this mean time (ms).
     pub gap_ms: f64,
-    /// The spread of the routers' traffic: the ratio of the busiest to the mean, 1 for all alike.
+    /// Weight of the traffic of every fifth router relative to the other routers; 1 means equal traffic.
     pub skew: f64,
-    /// How uneven the groups' traffic is: the n-th of them is asked for n to the power of minus this; 0 for all alike.
+    /// Zipf exponent of the groups' traffic: the n-th group has the weight n^-skew; 0 means equal traffic.
     #[serde(skip_serializing_if = "is_zero")]
     pub group_skew: f64,
-    /// The tenants, if requests belong to any.
+    /// The tenants. Without tenants, requests belong to no tenant.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub tenants: Vec<TenantSpec>,
-    /// What a request beyond its tenant's share is worth, as a fraction: routers are told.
+    /// Priority weight of a request over its tenant's quota, as a share of its usual weight. Routers have this setting.
     #[serde(skip_serializing_if = "is_default_over_share")]
     pub over_share_worth: f64,
 }
 
-/// Half of the worth of what is inside: it earns something, and never as much as what it would take the place of.
+/// Half the weight of a request within the quota: serving it is worth something, but less than a request within a quota
+/// that it would displace.
 const DEFAULT_OVER_SHARE_WORTH: f64 = 0.5;
 
 fn is_default_over_share(worth: &f64) -> bool {
@@ -220,7 +223,7 @@
 }
 
 impl ClientSpec {
-    /// How many times the usual requests of all tenants come at this second.
+    /// Returns the request rate of all tenants at this second as a multiple of the usual rate.
     pub(crate) fn tenant_rate_factor(&self, second: f64) -> f64 {
         let usual: f64 = self.tenants.iter().map(|t| t.share).sum();
         if usual > 0.0 {
@@ -254,17 +257,17 @@
     }
 }
 
-/// What a class may read.
+/// The data that the reads of a class require.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Reads {
-    /// Whatever any member has.
+    /// Data of any age.
     Any,
-    /// Data no older than so many milliseconds.
+    /// Data not older than this number of milliseconds.
     Bounded(u64),
-    /// All that its session wrote.
+    /// Data that includes all writes of the same session.
     Session,
-    /// It writes.
+    /// Requests of this class are writes.
     Write,
 }
 
@@ -274,25 +277,25 @@
 pub struct ClassSpec {
     /// Its name.
     pub name: String,
-    /// Its share of the requests.
+    /// Share of the requests, as a weight.
     pub share: f64,
-    /// Its mean work (ms on one core).
+    /// Mean work of a request (ms on one core).
     pub work_ms: f64,
-    /// The spread of its work, as a coefficient of variation.
+    /// Coefficient of variation of the work.
     #[serde(default = "one")]
     pub spread: f64,
-    /// Wanted within so many milliseconds.
+    /// Latency objective (ms).
     pub aim_ms: u64,
-    /// Given up after so many milliseconds.
+    /// Deadline (ms).
     pub deadline_ms: u64,
-    /// What one is worth in time.
+    /// Priority weight of a request that is answered within the latency objective.
     pub worth: f64,
-    /// The share of that which a late one still earns.
+    /// Share of this weight that counts if the answer is late.
     #[serde(default)]
     pub late: f64,
-    /// What it may read.
+    /// The data that its requests require.
     pub reads: Reads,
-    /// Whether nothing is applied where it runs.
+    /// Whether a replica applies no log records while it runs such a request.
     #[serde(default)]
     pub blocks: bool,
 }
@@ -301,7 +304,8 @@
     1.0
 }
 
-/// The mix of a trip database: searches, own bookings, counts, reports and bookings.
+/// Returns the default classes, those of a travel booking database: searches, a user's own bookings, seat counts,
+/// reports and writes of bookings.
 pub fn default_classes() -> Vec<ClassSpec> {
     let class = |name: &str, share, work_ms, aim_ms, deadline_ms, worth, late, reads| ClassSpec {
         name: name.to_string(),
@@ -351,65 +355,66 @@
     ]
 }
 
-/// What goes wrong.
+/// A kind of injected fault.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum FaultKind {
-    /// The processes of a share of a zone's nodes die; they start again, cold, at the end.
+    /// The processes of a share of a zone's nodes die. They restart cold at the end of the fault.
     ZoneDown {
         /// The zone.
         zone: String,
-        /// Which share of its nodes.
+        /// Share of the zone's nodes.
         #[serde(default = "one")]
         part: f64,
     },
-    /// The nodes of a zone are cut off from everyone, silently; their processes and the list's word go on.
+    /// All messages between a zone's nodes and the routers are lost. The processes keep running and stay listed.
     BlackHole {
         /// The zone.
         zone: String,
-        /// Its nodes start again at the end, cold.
+        /// Whether the nodes restart cold at the end of the fault.
         #[serde(default)]
         cold: bool,
     },
-    /// What goes from one zone to another is lost, silently; the other way stays open.
+    /// Messages from one zone to another are lost. The opposite direction works.
     Cut {
-        /// From here.
+        /// The zone of the senders.
         from: String,
-        /// To there.
+        /// The zone of the receivers.
         to: String,
     },
-    /// The list says nothing to the routers of a zone, or of all where none is named.
+    /// The routers of a zone receive no changes of the endpoint list; an empty name means all zones.
     ListSilent {
         /// The zone.
         #[serde(default)]
         zone: String,
     },
-    /// The routers of a zone are down; their clients go to others.
+    /// The routers of a zone are down. Their clients use other routers.
     RoutersDown {
         /// The zone.
         zone: String,
     },
-    /// All routers are restarted one after another.
+    /// All routers restart one after another.
     Rollout {
-        /// Seconds that each is down.
+        /// Seconds for which each router is down.
         down_s: f64,
     },
-    /// A share of all nodes takes requests in and answers none, or answers this share of them with errors.
+    /// A share of all nodes accepts requests and does not answer, or answers some of them with errors.
     Bad {
         /// Which share.
         part: f64,
-        /// The share that ends in errors; none: they are silent.
+        /// Share of the answers that are errors. Without it, the nodes do not answer.
         #[serde(default)]
         errors: Option<f64>,
     },
-    /// A share of all nodes runs so many times slower.
+    /// A share of all nodes runs slower.
     Slow {
         /// Which share.
         part: f64,
-        /// How many times.
+        /// Factor by which their requests take longer.
         times: f64,
     },
-    /// A share of a zone's nodes is drained and handed over; other machines take their places, cold and under new names.
+    /// A share of a zone's nodes is drained, with a handover of their primaries. At the end other nodes replace them, cold
+    /// and with new names.
     Replace {
         /// The zone.
         zone: String,
@@ -417,7 +422,7 @@
         #[serde(default = "one")]
         part: f64,
     },
-    /// A share of a zone's nodes is drained, handed over, and taken out; they come back cold.
+    /// A share of a zone's nodes is drained, with a handover of their primaries. At the end the nodes restart cold.
     Drain {
         /// The zone.
         zone: String,
@@ -427,29 +432,29 @@
     },
 }
 
-/// One trouble and when.
+/// An injected fault and its time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// It begins at this second.
+    /// Second of its start.
     pub at: f64,
-    /// It ends at this second.
+    /// Second of its end.
     pub until: f64,
-    /// What it is.
+    /// Kind of fault.
     pub what: FaultKind,
 }
 
-/// How routers treat zones.
+/// How routers choose between zones.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Variant {
-    /// Tiers with limits and ramps.
+    /// Zone failover by tiers, with spill limits and recovery ramps.
     #[default]
     #[serde(rename = "tiers")]
     ZoneFailover,
-    /// As without tiers: crossing a zone is a small cost.
+    /// No locality policy: the engine only counts a small cost for another zone.
     Flat,
-    /// Home first, others where home has no room; no limit and no ramp.
+    /// The router's own zone first, other zones if it has no capacity left. No limit and no ramp.
     Strict,
 }
 
@@ -460,7 +465,7 @@
     /// Its name.
     #[serde(default)]
     pub name: String,
-    /// How many seconds clients ask.
+    /// Seconds for which clients send requests.
     pub seconds: f64,
     /// The zones.
     pub zones: Vec<ZoneSpec>,
@@ -485,31 +490,31 @@
     /// What goes wrong.
     #[serde(default)]
     pub faults: Vec<Fault>,
-    /// What is counted apart, from one second to another: the loss and the return.
+    /// First and last second of a period that is also reported separately, usually from a zone's loss to its recovery.
     #[serde(default)]
     pub window: Option<(f64, f64)>,
     /// How routers treat zones.
     #[serde(default)]
     pub variant: Variant,
-    /// Rules for tiers; where left out, one tier of all other zones and the usual limits.
+    /// Rules of zone failover. The default is one tier with all other zones, and a spill limit of 0.5.
     #[serde(default)]
     pub tiers: Option<Rules>,
-    /// Routers talk with each other; none: they share nothing.
+    /// Gossip between routers. Without it, routers exchange nothing.
     #[serde(default)]
     pub peers: Option<PeerSpec>,
 }
 
-/// Talk between routers.
+/// Gossip between routers.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PeerSpec {
-    /// The rules of the operators' file.
+    /// The gossip rules, as in the operators' file.
     pub rules: plovercove_gossip::Rules,
-    /// The share of datagrams that is lost.
+    /// Share of datagrams that are lost.
     pub loss: f64,
 }
 
-/// What is wrong with an experiment: the key and why.
+/// An invalid experiment. The text names the key and the reason.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SpecError(pub String);
 
@@ -522,7 +527,7 @@
 impl std::error::Error for SpecError {}
 
 impl Spec {
-    /// Checks what the types alone do not.
+    /// Checks the ranges of values and the names of zones.
     ///
     /// # Errors
     /// Names the key at fault.
@@ -612,7 +617,7 @@
         Ok(())
     }
 
-    /// Mean work of a request (s on one core).
+    /// Returns the mean work of a request (s on one core).
     pub fn mean_work_s(&self) -> f64 {
         let shares: f64 = self.classes.iter().map(|c| c.share).sum();
         self.classes
@@ -621,13 +626,13 @@
             .sum()
     }
 
-    /// First tries a second, of all clients.
+    /// Returns the rate of new requests per second of all clients.
     pub fn request_rate(&self) -> f64 {
         let nodes: usize = self.zones.iter().map(|z| z.nodes).sum();
         self.clients.load * nodes as f64 * f64::from(self.node.cores) / self.mean_work_s()
     }
 
-    /// The share of requests that write.
+    /// Returns the share of requests that are writes.
     pub fn write_share(&self) -> f64 {
         let share = |c: &&ClassSpec| c.reads == Reads::Write;
         let all: f64 = self.classes.iter().map(|c| c.share).sum();
@@ -639,13 +644,13 @@
             / all
     }
 
-    /// How many groups there are; nodes left over belong to the last ones.
+    /// Returns the number of groups. Nodes that are left over belong to the last group.
     pub fn group_count(&self) -> usize {
         let nodes: usize = self.zones.iter().map(|z| z.nodes).sum();
         (nodes / self.replication.members).max(1)
     }
 
-    /// The rules of tiers that hold for it.
+    /// Returns the rules of zone failover: those of the experiment, or the default.
     pub fn locality_rules(&self) -> Rules {
         self.tiers.clone().unwrap_or_else(|| {
             let zone = |z: &ZoneSpec| plovercove_locality::Zone {
@@ -665,7 +670,7 @@
         })
     }
 
-    /// What one router is told at its start.
+    /// Returns the settings of a router.
     pub fn router_settings(&self, index: usize, zone: &str) -> Settings {
         let class = |c: &ClassSpec| Class {
             name: c.name.clone(),
@@ -711,7 +716,7 @@
             connection_idle: 30_000_000,
             tick: 5_000,
             answer_grace: 50_000,
-            // Routers are told bounds, not what the nodes have.
+            // Routers know only conservative bounds of the nodes' warm-up, not its exact figures.
             slow_start_min_share: self.node.cold_from * 0.75,
             slow_start_duration: (self.node.cold_s * 1.4e6) as u64,
             overload_factor: self.node.fall_factor,
@@ -721,18 +726,18 @@
     }
 }
 
-/// Where each node stands.
+/// The assignment of nodes to zones and groups.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Layout {
-    /// Zone, group and member of each node, by number.
+    /// Zone, group and member number of each node, by node number.
     pub placements: Vec<(usize, usize, usize)>,
-    /// The nodes of each group.
+    /// Node numbers of each group's members.
     pub groups: Vec<Vec<usize>>,
-    /// The member of each group that begins as its primary.
+    /// Member number of each group's first primary.
     pub primaries: Vec<usize>,
 }
 
-/// Deals the nodes out to groups, so that the members of each are spread over the zones.
+/// Assigns nodes to groups so that the members of each group are spread over the zones.
 pub fn layout(spec: &Spec) -> Layout {
     let zones = spec.zones.iter().enumerate();
     let zone_of: Vec<usize> = zones
@@ -753,7 +758,7 @@
         primaries: Vec::new(),
     };
     for turn in 0..zone_of.len() {
-        // The zone that has dealt the least share of its nodes so far goes next.
+        // The next node comes from the zone of whose nodes the smallest share has been assigned.
         let open = (0..dealt.len()).filter(|z| dealt[*z] < spec.zones[*z].nodes);
         let share = |z: &usize| (dealt[*z] as f64 + 0.5) / spec.zones[*z].nodes as f64;
         let Some(zone) = open.min_by(|a, b| share(a).total_cmp(&share(b))) else {
