--- a/simulation/src/pressure.rs
+++ b/simulation/src/pressure.rs
@@ -7,10 +7,10 @@
 
 /// Share of the load above which the load counts as caused by routers that knew of the node's start. Only then does a
 /// crash break the rule `PushedOver`, since a router that does not know of a start cannot limit its requests.
-const THEIRS: f64 = 2.0 / 3.0;
+const RESPONSIBLE_SHARE: f64 = 2.0 / 3.0;
 
 /// A request that reached a cold node.
-pub(crate) struct Press {
+pub(crate) struct ColdRequest {
     pub(crate) at: Time,
     /// Its work (s).
     pub(crate) work: f64,
@@ -24,7 +24,7 @@
 /// The requests that reached cold nodes within the last window.
 pub(crate) struct Pressure {
     window: Micros,
-    nodes: HashMap<u32, VecDeque<Press>>,
+    nodes: HashMap<u32, VecDeque<ColdRequest>>,
 }
 
 /// Shares of the work that a node received, by cause.
@@ -50,7 +50,7 @@
 impl LoadShares {
     /// Returns whether most of the load came from routers that knew of the node's start.
     pub fn are_mostly_informed(&self) -> bool {
-        self.told > THEIRS
+        self.told > RESPONSIBLE_SHARE
     }
 }
 
@@ -77,15 +77,15 @@
         }
     }
 
-    pub(crate) fn add(&mut self, node: u32, press: Press) {
-        let seen = self.nodes.entry(node).or_default();
-        while seen
+    pub(crate) fn add(&mut self, node: u32, request: ColdRequest) {
+        let requests = self.nodes.entry(node).or_default();
+        while requests
             .front()
-            .is_some_and(|old| old.at + self.window < press.at)
+            .is_some_and(|old| old.at + self.window < request.at)
         {
-            seen.pop_front();
+            requests.pop_front();
         }
-        seen.push_back(press);
+        requests.push_back(request);
     }
 
     /// Forgets the load of a node whose process restarts.
@@ -94,9 +94,10 @@
     }
 
     pub(crate) fn shares(&self, node: u32) -> LoadShares {
-        let seen = self.nodes.get(&node);
-        let sum = |which: fn(&Press) -> bool| -> f64 {
-            seen.iter()
+        let requests = self.nodes.get(&node);
+        let sum = |which: fn(&ColdRequest) -> bool| -> f64 {
+            requests
+                .iter()
                 .flat_map(|s| s.iter())
                 .filter(|p| which(p))
                 .map(|p| p.work)
--- a/simulation/src/pressure/tests.rs
+++ b/simulation/src/pressure/tests.rs
@@ -5,16 +5,16 @@
 #[test]
 fn only_the_window_counts_and_shares_are_of_work() {
     let mut pressure = Pressure::new(2_000_000);
-    let press = |at, work, told| Press {
+    let request = |at, work, told| ColdRequest {
         at,
         work,
         told,
         write: false,
         again: !told,
     };
-    pressure.add(7, press(0, 9.0, false));
-    pressure.add(7, press(2_500_000, 3.0, true));
-    pressure.add(7, press(2_600_000, 1.0, false));
+    pressure.add(7, request(0, 9.0, false));
+    pressure.add(7, request(2_500_000, 3.0, true));
+    pressure.add(7, request(2_600_000, 1.0, false));
     let shares = pressure.shares(7);
     assert_eq!(
         shares,
@@ -25,7 +25,7 @@
         }
     );
     assert!(shares.are_mostly_informed());
-    pressure.add(7, press(2_700_000, 1.0, false));
+    pressure.add(7, request(2_700_000, 1.0, false));
     assert!(
         !pressure.shares(7).are_mostly_informed(),
         "three of five is under two thirds"
--- a/simulation/src/replication.rs
+++ b/simulation/src/replication.rs
@@ -1,36 +1,36 @@
-//! A replication group: one log, a primary that writes it, replicas that apply it with one thread each.
+//! A replication group: one log, a primary that writes it, and replicas that each apply it with one thread.
 
 use plovercove::Time;
 
-/// One replica's progress.
+/// The replication progress of a member.
 #[derive(Clone, Debug, Default)]
 pub struct Replica {
-    /// Commits applied.
+    /// Number of applied commits.
     applied: usize,
-    /// The applying thread is busy until then.
+    /// The apply thread is busy until this time.
     free_at: Time,
-    /// Nothing is applied before then: a long read holds the replica.
+    /// The apply thread pauses until this time because of a long read.
     blocked: Time,
-    /// It gets no log written later than this: its process is down or it is cut off.
+    /// Log records after this time do not reach the member, since it is down or disconnected.
     severed: Option<Time>,
-    /// The newest position that it ever told.
+    /// The highest position that it has reported.
     told: Time,
 }
 
-/// A group's log. Members are numbered by the caller.
+/// A group's log and its members, which the caller identifies by number.
 #[derive(Clone, Debug)]
 pub struct Group {
     log: Vec<Time>,
     members: Vec<Replica>,
     primary: Option<usize>,
-    /// Since the last primary was lost, positions stand still here.
+    /// The time at which the last primary was lost. Positions do not grow beyond it until the next election.
     ended: Option<Time>,
     ship: Time,
     apply: Time,
 }
 
 impl Group {
-    /// A group of so many members, the first its primary. The log takes `ship` us to a replica; a commit, `apply`.
+    /// Creates a group. A log record reaches a replica after `ship` us, and applying it takes `apply` us.
     pub fn new(members: usize, primary: usize, ship: Time, apply: Time) -> Self {
         let members = vec![Replica::default(); members];
         Group {
@@ -43,24 +43,24 @@
         }
     }
 
-    /// The member that takes writes.
+    /// Returns the member that accepts writes.
     pub fn primary(&self) -> Option<usize> {
         self.primary
     }
 
-    /// A write is committed now.
+    /// Appends a commit to the log.
     pub fn commit(&mut self, now: Time) {
         let last = self.log.last().copied().unwrap_or(0);
         self.log.push(now.max(last));
     }
 
-    /// The newest commit no later than this.
+    /// Returns the time of the last commit at or before this time.
     pub fn last_commit_until(&self, at: Time) -> Option<Time> {
         let after = self.log.partition_point(|t| *t <= at);
         after.checked_sub(1).map(|n| self.log[n])
     }
 
-    /// Brings a replica's progress up to a moment.
+    /// Applies the log records that a replica has finished by this time.
     fn advance(&mut self, member: usize, now: Time) {
         let replica = &mut self.members[member];
         while let Some(commit) = self.log.get(replica.applied) {
@@ -78,7 +78,7 @@
         }
     }
 
-    /// The moment up to which a member has applied every commit. It never goes back.
+    /// Returns a member's position: the time up to which it has applied every commit. Positions never decrease.
     pub fn position(&mut self, member: usize, now: Time) -> Time {
         if self.primary == Some(member) {
             return now;
@@ -95,20 +95,20 @@
         replica.told
     }
 
-    /// A long read holds a replica from now until then.
+    /// Pauses a replica's apply thread until this time, as a long read does.
     pub fn pause_apply(&mut self, member: usize, now: Time, until: Time) {
         self.advance(member, now);
         let replica = &mut self.members[member];
         replica.blocked = replica.blocked.max(until);
     }
 
-    /// A member gets no more of the log.
+    /// Disconnects a member from the log.
     pub fn disconnect(&mut self, member: usize, now: Time) {
         self.advance(member, now);
         self.members[member].severed.get_or_insert(now);
     }
 
-    /// It does again. The thread goes on from where it stood.
+    /// Reconnects a member. Its apply thread continues after the last applied commit.
     pub fn reconnect(&mut self, member: usize, now: Time) {
         self.advance(member, now);
         let replica = &mut self.members[member];
@@ -117,23 +117,23 @@
         }
     }
 
-    /// The primary is lost: no more commits until another takes over.
+    /// Removes the primary. There are no commits until the next election.
     pub fn lose_primary(&mut self, now: Time) {
         if let Some(old) = self.primary.take() {
             self.ended = Some(now);
-            // It had all of its own log.
+            // The primary has applied its whole log.
             self.members[old].applied = self.log.len();
             self.members[old].told = self.members[old].told.max(now);
         }
     }
 
-    /// The member among these that has most of the log takes over. What none of them has is lost with the old primary.
+    /// Elects the member with the longest log among `able`. Commits that none of these members received are lost.
     pub fn elect(&mut self, able: &[usize], now: Time) -> Option<usize> {
         if self.primary.is_some() {
             return self.primary;
         }
         for member in able {
-            // It applies what it has before it takes writes.
+            // A member applies all received log records before it can become primary.
             let replica = &mut self.members[*member];
             let (ship, severed) = (self.ship, replica.severed);
             let has = self
--- a/simulation/src/report.rs
+++ b/simulation/src/report.rs
@@ -1,40 +1,40 @@
-//! What a run tells.
+//! The report of a run.
 
 use crate::pressure::LoadPeak;
 use crate::rules::Breach;
 use crate::spec::Variant;
 use serde::Serialize;
 
-/// One second of a run.
+/// The figures of one second of a run.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Second {
-    /// Worth that was asked for, by the second in which its first try came, and what of it was answered in time.
+    /// Weight of the requests whose first try arrived in this second, and the weight that was earned by answers to them.
     pub asked: f64,
     /// See `asked`.
     pub in_time: f64,
-    /// Refusals and failures given in this second.
+    /// Numbers of rejections and failures that routers answered in this second.
     pub refused: u32,
     /// See `refused`.
     pub failed: u32,
-    /// Capacity of each zone (s of work a second) at its end: of nodes that run and can be reached.
+    /// Capacity of each zone (s of work per second) at the end of this second, from nodes that are up and reachable.
     pub capacity: Vec<f64>,
-    /// Work that routers of other zones sent to each zone's nodes (s), at its classes' means; writes left out.
+    /// Work (s) that routers of other zones sent to each zone's nodes, without writes, at the mean work of its classes.
     pub spilled: Vec<f64>,
 }
 
-/// What came of the requests of one class or tenant.
+/// How many requests of a class or tenant were answered within the latency objective.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct ServedShare {
     /// Its name.
     pub name: String,
-    /// Its first tries in the window, if there is one, and those of them that earned full worth, as counts.
+    /// Number of its requests (within `Spec::window` if it is set), and number of those answered within the objective.
     pub asked: u64,
     /// See `asked`.
     pub in_time: u64,
 }
 
 impl ServedShare {
-    /// The share that was answered in time.
+    /// Returns the share of requests that were answered within the latency objective.
     pub fn share(&self) -> f64 {
         if self.asked > 0 {
             self.in_time as f64 / self.asked as f64
@@ -44,68 +44,71 @@
     }
 }
 
-/// What a run tells. Shares are from 0 to 1.
+/// The report of a run. Shares are from 0 to 1.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Report {
-    /// The experiment.
+    /// Name of the experiment.
     pub name: String,
-    /// How routers treated zones.
+    /// How routers chose between zones.
     pub variant: Variant,
-    /// Its seed.
+    /// Seed of the run.
     pub seed: u64,
-    /// First tries, and attempts sent to nodes.
+    /// Number of requests, and number of attempts that routers sent to nodes.
     pub requests: u64,
     /// See `requests`.
     pub attempts: u64,
-    /// Worth in time over worth asked for, in the whole run.
+    /// Earned weight as a share of the weight of all requests, in the whole run ...
     pub in_time: f64,
-    /// ... and from the loss to the end of the way back.
+    /// ... and within `Spec::window`.
     pub window: f64,
-    /// Replica reads that stayed in their router's zone before the first trouble.
+    /// Share of replica reads before the first fault that a node of the router's own zone received.
     pub local: f64,
-    /// The most that spill was over the limit in any second, in shares of the zone's capacity; under 0: never reached.
+    /// Largest difference between the spill into a zone in a second and the limit, as a share of the zone's capacity.
+    /// A negative value means that spill was always under the limit.
     pub spill_over: f64,
-    /// The most that was spilled to a zone in any second, as a share of its capacity.
+    /// Largest spill into a zone in a second, as a share of the zone's capacity.
     pub spill_most: f64,
-    /// Probes sent.
+    /// Number of health checks that routers sent.
     pub probes: u64,
-    /// Attempts sent to nodes that were silent or answered with errors just then.
+    /// Number of attempts that were sent to nodes during a `Bad` fault of these nodes.
     pub to_bad: u64,
-    /// What came of the talk between routers.
+    /// Figures of the gossip between routers, if there is any.
     pub talked: Option<crate::world::GossipStats>,
-    /// Nodes that fell over.
+    /// Number of nodes that crashed by overload.
     pub fallen: u32,
-    /// The most that came to a cold node within a window, as a share of what one surely bears; 1 breaks the promise.
+    /// Largest load of a cold node within a window, as a share of what the node certainly withstands. Routers must keep it
+    /// under 1.
     pub cold_peak: f64,
-    /// Whose the most was, and the most of which over two thirds came from routers that had been told of the start:
-    /// for more than that the rule blames them.
+    /// The causes of the largest load, and the largest load of which more than two thirds came from routers that knew of
+    /// the node's start. The rule `PushedOver` holds the routers responsible only for the latter.
     pub cold: (LoadPeak, LoadPeak),
-    /// Seconds after the loss until service is back to 95 % of what is left.
+    /// Seconds from the first fault until service has recovered to 95 % of what the remaining capacity allows.
     pub after_loss: Option<f64>,
-    /// Seconds after the return until it is back to 95 % of what it was before the loss.
+    /// Seconds from the end of the last fault until service has recovered to 95 % of its share before the first fault.
     pub after_return: Option<f64>,
-    /// Latency of answers in ms: median, p99.
+    /// Median and p99 latency of answers (ms).
     pub p50_ms: f64,
     /// See `p50_ms`.
     pub p99_ms: f64,
-    /// Class by class.
+    /// Figures of each class.
     pub classes: Vec<ServedShare>,
-    /// Tenant by tenant, where there are any.
+    /// Figures of each tenant.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub tenants: Vec<ServedShare>,
-    /// Rules that were broken.
+    /// Violated rules.
     pub breaches: Vec<Breach>,
-    /// Events handled, a measure of the run's size.
+    /// Number of simulated events, a measure of the run's size.
     pub events: u64,
-    /// Second by second.
+    /// Figures of each second.
     pub seconds: Vec<Second>,
 }
 
-/// How many seconds in a row must be good for service to be back.
-const STEADY: usize = 2;
+/// Number of consecutive good seconds after which service counts as recovered.
+const RECOVERED_SECONDS: usize = 2;
 
-/// Seconds from `from` on until `STEADY` seconds in a row reach `goal(second)` of in-time service.
-pub(crate) fn back(
+/// Returns the seconds after `from` until the share of earned weight reaches `goal(second)` for `RECOVERED_SECONDS`
+/// consecutive seconds.
+pub(crate) fn time_to_recovery(
     seconds: &[Second],
     from: f64,
     until: f64,
@@ -117,7 +120,7 @@
         let s = &seconds[n];
         s.asked == 0.0 || s.in_time / s.asked >= goal(n)
     };
-    (first..last.saturating_sub(STEADY - 1))
-        .find(|n| (*n..n + STEADY).all(good))
+    (first..last.saturating_sub(RECOVERED_SECONDS - 1))
+        .find(|n| (*n..n + RECOVERED_SECONDS).all(good))
         .map(|n| n as f64 - from)
 }
--- a/simulation/src/rules.rs
+++ b/simulation/src/rules.rs
@@ -1,4 +1,4 @@
-//! The rules that no run may break, checked while it goes.
+//! The rules that a run checks.
 
 use serde::Serialize;
 
@@ -6,34 +6,35 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Rule {
-    /// Each try gets a final answer in time, unless its router was killed.
+    /// Each try of a client gets a final answer by its deadline, unless its router was stopped.
     NoAnswer,
-    /// ... and only one.
+    /// Each try gets only one final answer.
     SecondAnswer,
-    /// A write runs once at the most, over all tries of its client.
+    /// A write runs at most once, over all tries of its client.
     RanTwice,
-    /// Nothing new goes to a node later than the grace after its router was told that it drains or is gone.
+    /// A router sends no new attempt to a node later than the drain grace after it received that the node is draining or
+    /// removed.
     Drain,
-    /// No cold node is pushed over.
+    /// Routers that know of a node's start do not overload it while it is cold.
     PushedOver,
-    /// No read is answered from data older than its class allows.
+    /// No read is answered with data older than its class allows.
     Stale,
-    /// Attempts of one request stay within the limit.
+    /// The number of attempts of a request stays within the limit.
     Attempts,
 }
 
-/// How often a rule was broken, and when first.
+/// The violations of a rule.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Breach {
     /// The rule.
     pub rule: Rule,
-    /// How often.
+    /// Number of violations.
     pub times: u64,
-    /// When first (s), and what was seen.
+    /// Time of the first violation (s), and what happened.
     pub first: (f64, String),
 }
 
-/// All breaches of a run.
+/// The violated rules of a run.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Breaches(pub(crate) Vec<Breach>);
 
--- a/simulation/src/spec.rs
+++ b/simulation/src/spec.rs
@@ -367,7 +367,8 @@
         #[serde(default = "one")]
         part: f64,
     },
-    /// All messages between a zone's nodes and the routers are lost. The processes keep running and stay listed.
+    /// All messages between a zone's nodes and the routers are lost, and the nodes receive no log records. The processes
+    /// keep running and stay listed.
     BlackHole {
         /// The zone.
         zone: String,
@@ -472,13 +473,13 @@
     /// The nodes.
     #[serde(default)]
     pub node: NodeSpec,
-    /// The groups.
+    /// Replication within the groups.
     #[serde(default)]
     pub replication: ReplicationSpec,
     /// The network.
     #[serde(default)]
     pub net: NetSpec,
-    /// The node list.
+    /// The endpoint list.
     #[serde(default)]
     pub list: ListSpec,
     /// The clients.
@@ -487,13 +488,13 @@
     /// The classes of requests.
     #[serde(default = "default_classes")]
     pub classes: Vec<ClassSpec>,
-    /// What goes wrong.
+    /// The injected faults.
     #[serde(default)]
     pub faults: Vec<Fault>,
     /// First and last second of a period that is also reported separately, usually from a zone's loss to its recovery.
     #[serde(default)]
     pub window: Option<(f64, f64)>,
-    /// How routers treat zones.
+    /// How routers choose between zones.
     #[serde(default)]
     pub variant: Variant,
     /// Rules of zone failover. The default is one tier with all other zones, and a spill limit of 0.5.
--- a/simulation/src/strict.rs
+++ b/simulation/src/strict.rs
@@ -1,4 +1,5 @@
-//! The baseline `strict`: the home zone first, others where home has no room or no fresh replica. No limit, no ramp.
+//! The baseline policy `strict`: a router uses its own zone first, and other zones if its own has no capacity left or no
+//! replica that is fresh enough. There is no spill limit and no recovery ramp.
 
 use plovercove::{
     AttemptEnd, EndpointState, EndpointUpdate, LocalityPolicy, LogEvent, Micros, NodeId,
@@ -6,21 +7,21 @@
 };
 use std::collections::BTreeSet;
 
-/// So little counts a node of another zone: whatever the load at home, it goes first while it has room.
-const FAR: f64 = 1e-6;
+/// Weight of a node in another zone. It is so small that any node of the own zone with capacity left is preferred.
+const OTHER_ZONE_WEIGHT: f64 = 1e-6;
 
-/// Preference without limit or ramp.
+/// A locality policy that prefers the own zone, without limit or ramp.
 pub struct Strict {
     zone: String,
-    home: BTreeSet<NodeId>,
+    own_zone_nodes: BTreeSet<NodeId>,
 }
 
 impl Strict {
-    /// For a router of this zone.
+    /// Creates the policy for a router of this zone.
     pub fn new(zone: &str) -> Self {
         Strict {
             zone: zone.to_string(),
-            home: BTreeSet::new(),
+            own_zone_nodes: BTreeSet::new(),
         }
     }
 }
@@ -34,19 +35,23 @@
             return;
         };
         if !matches!(update, EndpointUpdate::Changes(_)) {
-            self.home.clear();
+            self.own_zone_nodes.clear();
         }
         for entry in all {
             if entry.zone == self.zone && entry.state != EndpointState::Removed {
-                self.home.insert(entry.node.clone());
+                self.own_zone_nodes.insert(entry.node.clone());
             } else {
-                self.home.remove(&entry.node);
+                self.own_zone_nodes.remove(&entry.node);
             }
         }
     }
 
     fn weight_share(&mut self, _: Time, _: &RoutingQuery, node: &NodeId) -> Option<f64> {
-        Some(if self.home.contains(node) { 1.0 } else { FAR })
+        Some(if self.own_zone_nodes.contains(node) {
+            1.0
+        } else {
+            OTHER_ZONE_WEIGHT
+        })
     }
 
     fn attempt_sent(&mut self, _: Time, _: &RoutingQuery, _: &NodeId) {}
--- a/simulation/src/world/nodes.rs
+++ b/simulation/src/world/nodes.rs
@@ -2,7 +2,7 @@
 
 use super::{Event, World, us_from_s};
 use crate::node::Offer;
-use crate::pressure::{LoadPeak, Press};
+use crate::pressure::{ColdRequest, LoadPeak};
 use crate::rules::Rule;
 use crate::spec::Reads;
 use plovercove::{AttemptEnd, EndpointState, Micros, Time};
@@ -39,14 +39,14 @@
                 == started
                 || started.is_some_and(|at| self.now > at + LIST_DELIVERY_BOUND_US);
             let write = self.spec.classes[class as usize].reads == Reads::Write;
-            let press = Press {
+            let request = ColdRequest {
                 at: self.now,
                 work,
                 told,
                 write,
                 again: sent_attempt.attempt.number > 0,
             };
-            self.pressure.add(node, press);
+            self.pressure.add(node, request);
         }
         if self.failing_nodes[node as usize] == Some(None) {
             return self.lose_silently(id);
--- a/simulation/src/world/summary.rs
+++ b/simulation/src/world/summary.rs
@@ -1,7 +1,7 @@
-//! What a run is summed up to.
+//! Computes the report at the end of a run.
 
 use super::World;
-use crate::report::{Report, back};
+use crate::report::{Report, time_to_recovery};
 
 impl World<'_> {
     pub(super) fn report(mut self) -> Report {
@@ -10,7 +10,7 @@
         let mut most = 0.0_f64;
         for s in &self.seconds[..self.spec.seconds as usize] {
             for (spilled, capacity) in s.spilled.iter().zip(&s.capacity) {
-                // What is sent to a zone that has nothing left reaches nobody.
+                // Requests to a zone without capacity reach no node and do not count as spill.
                 if *capacity > 0.0 {
                     most = most.max(spilled / capacity);
                 }
@@ -32,10 +32,11 @@
             let calm_share = share(calm);
             let capacity = |n: usize| seconds[n].capacity.iter().sum::<f64>();
             let full = capacity(first as usize - 1);
-            // What is left can do so much of what is asked for.
+            // The share of the offered work that the remaining capacity allows.
             let allows = |n: usize| (capacity(n) / full / self.spec.clients.load).min(1.0);
-            after_loss = back(&seconds, first, last, |n| 0.95 * calm_share * allows(n));
-            after_return = back(&seconds, last, self.spec.seconds, |_| 0.95 * calm_share);
+            after_loss = time_to_recovery(&seconds, first, last, |n| 0.95 * calm_share * allows(n));
+            after_return =
+                time_to_recovery(&seconds, last, self.spec.seconds, |_| 0.95 * calm_share);
         }
         Report {
             name: self.spec.name.clone(),
