--- a/simulation/src/world.rs
+++ b/simulation/src/world.rs
@@ -1,5 +1,5 @@
-//! The world in virtual time: one ordered heap of events, routers with the real core, nodes, the network, the list and
-//! the clients.
+//! The simulated world in virtual time: a queue of events ordered by time, routers with the real engine, nodes, the
+//! network, the endpoint list and the clients.
 
 mod clients;
 mod faults;
@@ -29,13 +29,13 @@
 use std::collections::{BinaryHeap, HashMap};
 use std::sync::Arc;
 
-/// Virtual time begins here, so that nothing of a run lies before the clock's zero.
+/// Virtual time starts at this value, so that no computed time is before zero.
 const START_TIME: Time = 1_000_000_000;
-/// Runs go on for so long after the last arrival.
+/// Time (us) for which a run continues after the last arrival, so that open requests can end.
 const TAIL_US: Time = 8_000_000;
-/// Pauses of a router whose call of the list failed, as the router's own: the first and the longest (us).
+/// Minimum and maximum backoff (us) after a failed call of the list service, the same as in the router.
 const CALL_PAUSES: (Micros, Micros) = (1_000_000, 8_000_000);
-/// Sessions of each group.
+/// Number of client sessions of each group.
 const SESSIONS: usize = 64;
 
 fn us_from_s(seconds: f64) -> Time {
@@ -44,20 +44,20 @@
 
 #[derive(Clone, Copy, Debug)]
 enum Event {
-    /// A client of this router asks something new.
+    /// A client of this router sends a new request.
     RequestArrived(u32),
-    /// A client tries again.
+    /// A client retries a request.
     ClientRetry(u32),
-    /// A connection is up, and what is sent on it arrives.
+    /// A new connection is established.
     ConnectionUp(u32),
     AttemptAtNode(u32),
-    /// A node is done with a request.
+    /// A node has finished a request.
     WorkDone {
         node: u32,
         epoch: u32,
         sent_attempt: u32,
     },
-    /// What came of an attempt reaches its router.
+    /// The reply to an attempt, or its failure, reaches the router.
     ReplyArrived {
         sent_attempt: u32,
         ending: AttemptEnd,
@@ -74,13 +74,13 @@
         node: u32,
         told: Option<NodeReport>,
     },
-    /// The list changes; a router hears of it.
+    /// The endpoint list changes.
     ListChanged(u32),
     DeliverList {
         router: u32,
         version: u32,
     },
-    /// A router asks the list for what it has missed.
+    /// A router calls the list service for the current list.
     CallListService {
         router: u32,
         epoch: u32,
@@ -90,7 +90,7 @@
     ElectPrimary(u32),
     StopRouter(u32),
     StartRouter(u32),
-    /// Something of a router's talk with others is due, or a datagram arrives.
+    /// A timer of a router's gossip expires.
     GossipDue {
         router: u32,
         epoch: u32,
@@ -128,7 +128,7 @@
     zone: usize,
     group: usize,
     member: usize,
-    /// It counts process starts and ends.
+    /// Number of starts and ends of its process.
     epoch: u32,
     up: bool,
     connections: u32,
@@ -140,24 +140,24 @@
     zone: usize,
     epoch: u32,
     wake: Option<Time>,
-    /// First tries a second.
+    /// New requests per second.
     rate: f64,
-    /// The version of the list that it has heard.
+    /// The version of the endpoint list that it has.
     told: u32,
-    /// It hears of each change so much later than the first.
+    /// Delay (us) until it receives a change of the list.
     list_delay: Micros,
     list_silenced: u32,
-    /// Idle connections to each node, and the epoch of the node they were made in.
+    /// For each node, the epoch in which its connections were opened, and the number of idle connections.
     pools: Vec<(u32, u32)>,
-    /// When it was told that a node drains or is gone.
+    /// When it received that a node is draining or removed.
     out_of_service_since: HashMap<NodeId, Time>,
-    /// Its pauses after calls of the list that failed.
+    /// Its backoff after failed calls of the list service.
     list_backoff: Backoff,
-    /// When each node started, as far as it was told.
+    /// The start times of nodes that it knows from the list.
     known_starts: HashMap<u32, Time>,
     attempts: HashMap<AttemptId, u32>,
     gossip: Option<gossip::GossipState>,
-    /// When it was last stopped or started.
+    /// When it was last stopped or restarted.
     last_restart: Option<Time>,
 }
 
@@ -172,7 +172,7 @@
     work: f64,
     sent: Time,
     is_cancelled: bool,
-    /// The position of the data it was answered from, and whether by a primary, present or past.
+    /// The position of the data that the node read, and whether the node is or was a primary.
     position: Time,
     by_primary: bool,
     at_node: bool,
@@ -187,16 +187,17 @@
     arrived_at: Time,
     required_position: Option<Time>,
     tries: u32,
-    /// The try that is under way: its final answer is owed by then.
+    /// The deadline for the final answer to the current try.
     answer_due: Option<Time>,
     key: Option<Key>,
     executions: u32,
     over: bool,
-    /// Runs and scheduled retries that still name it.
+    /// Number of attempts and scheduled retries that refer to this request.
     references: u32,
 }
 
-/// Up to which draw from 0 to 1 each group is asked for; empty where all are alike.
+/// Returns the cumulative traffic shares of the groups: a random draw from 0 to 1 selects the first group with a larger
+/// value. Empty if all groups have the same traffic.
 fn group_draw_bounds(groups: usize, skew: f64) -> Vec<f64> {
     if skew == 0.0 {
         return Vec::new();
@@ -223,38 +224,38 @@
     routers: Vec<Router>,
     sent_attempts: Slab<SentAttempt>,
     requests: Slab<Request>,
-    /// Messages from routers of a zone to nodes of another are lost, and the other way.
+    /// `[router zone][node zone]`: number of active faults that drop messages from routers to nodes, and the other way.
     lost_to_node: Vec<Vec<u32>>,
     lost_to_router: Vec<Vec<u32>>,
     mean_delays_us: Vec<Vec<f64>>,
     initial_list: Vec<Endpoint>,
-    /// Changes that the list has made, by version, and those it has yet to hear of.
+    /// Changes of the list by version, and changes that will be made later.
     changes: Vec<Vec<Endpoint>>,
     pending_changes: Vec<Vec<Endpoint>>,
     version: u32,
-    /// When the list's service is through with the calls that wait.
+    /// When the list service has answered all queued calls.
     list_busy_until: Time,
     nodes_of_fault: Vec<Vec<u32>>,
     sessions: Vec<Vec<Arc<str>>>,
     settings: Vec<Settings>,
     shares: Vec<f64>,
-    /// Up to which draw each group is asked for, where they are not alike.
+    /// Cumulative traffic shares of the groups, see [`group_draw_bounds`].
     group_draw_bounds: Vec<f64>,
     class_work: Vec<LogNormal<f64>>,
-    /// Datagrams between routers that are under way.
+    /// Gossip datagrams in flight.
     datagrams: Slab<Vec<u8>>,
-    /// From and until when each node has a fault.
+    /// Start and end of each node's last fault.
     fault_periods: Vec<Option<(Time, Time)>>,
-    /// Which nodes are silent, or which share of their answers are errors.
+    /// Nodes with a `Bad` fault: `Some(None)` does not answer, `Some(Some(share))` answers this share with errors.
     failing_nodes: Vec<Option<Option<f64>>>,
-    /// When links between zones were last cut.
+    /// When links between zones were last cut or restored.
     cut_at: Option<Time>,
     gossip_stats: GossipStats,
-    /// Links between routers draw from dice of their own: the rest of a run is the same with talk and without.
+    /// Separate generator for the links between routers, so that gossip does not change the other random draws of a run.
     gossip_rng: SimRng,
     spill_limit: f64,
     seed: u64,
-    // what is counted
+    // Figures for the report.
     seconds: Vec<Second>,
     latencies: Histogram<u64>,
     breaches: Breaches,
@@ -272,7 +273,7 @@
     window: (f64, f64),
     local: (u64, u64),
     fallen: u32,
-    /// The most that came to a cold node, and the most that came from routers that knew.
+    /// The largest load of a cold node, and the largest load that came mostly from routers that knew of its start.
     cold: (LoadPeak, LoadPeak),
     probes: u64,
     to_bad: u64,
@@ -281,10 +282,10 @@
     tenants: Vec<ServedShare>,
 }
 
-/// Plays an experiment.
+/// Runs an experiment.
 ///
 /// # Errors
-/// Names the key that makes it impossible.
+/// Names the invalid key.
 pub fn run(spec: &Spec, seed: u64) -> Result<Report, SpecError> {
     spec.check()?;
     let mut world = World::new(spec, seed)?;
@@ -364,7 +365,7 @@
         let mut routers = Vec::new();
         for (zone, told) in spec.zones.iter().enumerate() {
             let part = rate * told.nodes as f64 / all_nodes as f64;
-            // One router in five carries more where traffic is uneven.
+            // Every fifth router gets more traffic if `skew` is over 1.
             let weight = |n: usize| {
                 if n.is_multiple_of(5) {
                     spec.clients.skew.max(1e-3)
@@ -507,7 +508,7 @@
             self.totals.events += 1;
             self.handle_event(event);
         }
-        // Whatever is owed by now was never answered.
+        // Requests whose answer is overdue at the end were never answered.
         let now = self.now;
         let late = self
             .requests
@@ -577,7 +578,7 @@
             Event::ElectPrimary(group) => self.elect_primary(group as usize),
             Event::StopRouter(router) => self.stop_router(router),
             Event::StartRouter(router) => {
-                // The rules were good when the run began.
+                // The same rules were valid at the start of the run.
                 let _ = self.start_router(router as usize);
             }
             Event::GossipDue { router, epoch } => self.gossip_due(router, epoch),
--- a/simulation/src/world/clients.rs
+++ b/simulation/src/world/clients.rs
@@ -1,4 +1,4 @@
-//! The clients: what they ask, when they come back, and what each try must get.
+//! The clients: their requests and retries, and the checks of the final answers.
 
 use super::{Event, Request, SESSIONS, START_TIME, World, us_from_s};
 use crate::rules::Rule;
@@ -94,14 +94,14 @@
         self.client_try(request as u32);
     }
 
-    /// Whether a request of this second counts for its class and tenant: all do where no window is given.
+    /// Returns whether a request of this second counts for its class and tenant. Without a window, all requests count.
     fn is_counted(&self, second: f64) -> bool {
         self.spec
             .window
             .is_none_or(|(from, to)| (from..to).contains(&second))
     }
 
-    /// Whose the next request is; no dice are thrown where there are no tenants.
+    /// Draws the tenant of the next request. Without tenants, it draws no random number.
     fn draw_tenant(&mut self) -> Option<usize> {
         let (second, tenants) = (self.now_s(), &self.spec.clients.tenants);
         let all: f64 = tenants.iter().map(|t| t.weight_at(second)).sum();
@@ -117,7 +117,7 @@
         Some(found.unwrap_or(tenants.len() - 1))
     }
 
-    /// A client's try. Where its router is down, it goes to another.
+    /// Sends a client's try to its router, or to another router if that one is down.
     pub(super) fn client_try(&mut self, id: u32) {
         let class = self.requests[id as usize].class as usize;
         let told = &self.spec.classes[class];
@@ -163,7 +163,7 @@
         self.drive_engine(router);
     }
 
-    /// A client was answered without a value, or lost its router.
+    /// Handles a rejection, a failure or the loss of the router: the client retries or gives up.
     pub(super) fn retry_or_give_up(&mut self, id: u32, harmless: bool, told: Option<Micros>) {
         let r = &self.requests[id as usize];
         let safe = harmless || self.spec.classes[r.class as usize].reads != Reads::Write;
@@ -186,7 +186,7 @@
         self.release_request(id);
     }
 
-    /// The one place where a request's slot is given back.
+    /// Removes a request that is over and has no references. No other function removes requests.
     pub(super) fn release_request(&mut self, id: u32) {
         let r = &self.requests[id as usize];
         if r.over && r.references == 0 {
@@ -194,7 +194,7 @@
         }
     }
 
-    /// A final answer: exactly one, in time.
+    /// Checks that a final answer is the only one and in time. Returns false for a second answer.
     pub(super) fn take_final_answer(&mut self, id: u32, what: &'static str) -> bool {
         let second = self.now_s();
         let Some(r) = self.requests.get_mut(id as usize) else {
--- a/simulation/src/world/faults.rs
+++ b/simulation/src/world/faults.rs
@@ -1,4 +1,4 @@
-//! What goes wrong, by script: where it begins and where it ends.
+//! The start and end of the injected faults.
 
 use super::{Event, World, us_from_s};
 use crate::spec::FaultKind;
@@ -100,7 +100,8 @@
         }
     }
 
-    /// Where links are cut or healed, nobody is blamed for whom it misses for a while; nor are nodes behind them well.
+    /// Records that links of a zone are cut or restored: for a while, routers may declare each other down, and the nodes of
+    /// the zone count as faulty.
     fn record_link_change(&mut self, n: usize) {
         let zone = match &self.spec.faults[n].what {
             FaultKind::BlackHole { zone, .. } => zone,
--- a/simulation/src/world/gossip.rs
+++ b/simulation/src/world/gossip.rs
@@ -1,4 +1,4 @@
-//! Routers that talk with each other: the same crate as in the router, its datagrams on links that lose and delay.
+//! Gossip between routers: the real gossip crate, with datagrams on simulated links that lose and delay them.
 
 use super::{Event, START_TIME, World, us_from_s};
 use crate::spec::{PeerSpec, SpecError};
@@ -9,32 +9,34 @@
 use std::any::Any;
 use std::net::{Ipv4Addr, SocketAddr};
 
-/// Routers that are asked by those who know nobody.
+/// Number of seed routers, which a router without known members contacts.
 const SEED_ROUTERS: usize = 3;
-/// After a node's fault is over, or a router was struck, what is said of it is excused for so long beyond the evidence's life.
-const TAIL_US: Micros = 2_000_000;
+/// Additional time (us) after the end of a node's fault and the maximum age of evidence in which an ejection of the node
+/// does not count as wrong.
+const EJECTION_GRACE_US: Micros = 2_000_000;
 
-/// One router's talk.
+/// The gossip state of a router.
 pub(super) struct GossipState {
     pub(super) peers: Gossip,
-    /// When it is to be woken next.
+    /// When its next timer expires.
     due: Option<plovercove::Time>,
 }
 
-/// What came of it, over all routers.
+/// Figures of the gossip, over all routers.
 #[derive(Clone, Debug, Default, PartialEq, serde::Serialize)]
 pub struct GossipStats {
-    /// Datagrams and bytes that were sent.
+    /// Numbers of sent datagrams and bytes.
     pub sent: (u64, u64),
-    /// Datagrams that were lost.
+    /// Number of lost datagrams.
     pub lost: u64,
-    /// Times that a router took a node out.
+    /// Number of times that a router ejected a node ...
     pub outs: u64,
-    /// ... of which the node had no fault.
+    /// ... and how many of these nodes had no fault.
     pub wrong_outs: u64,
-    /// Times that a router took another for gone that was there and could be reached.
+    /// Number of times that a router declared a running and reachable member down.
     pub false_downs: u64,
-    /// Seconds from the first fault of a node until every router that was up then had taken that node out; none: never.
+    /// Seconds from the start of a node's fault until all running routers have ejected this node, for the first such node.
+    /// `None` if this did not happen.
     pub all_out: Option<f64>,
 }
 
@@ -55,7 +57,7 @@
 }
 
 impl World<'_> {
-    /// Puts a router among its peers.
+    /// Starts a router's gossip.
     pub(super) fn start_gossip(
         &mut self,
         spec: &PeerSpec,
@@ -93,7 +95,7 @@
         Ok(Box::new(observer))
     }
 
-    /// Something of a router's talk is due.
+    /// Handles an expired gossip timer.
     pub(super) fn gossip_due(&mut self, router: u32, epoch: u32) {
         let now = self.now;
         let r = &mut self.routers[router as usize];
@@ -110,7 +112,7 @@
         self.flush_gossip(router);
     }
 
-    /// A datagram arrives.
+    /// Delivers a datagram.
     pub(super) fn datagram_arrived(&mut self, router: u32, epoch: u32, slot: u32) {
         let bytes = self.datagrams.remove(slot as usize);
         let now = self.now;
@@ -126,7 +128,7 @@
         self.flush_gossip(router);
     }
 
-    /// Sends what a router wants sent, and writes down what it tells.
+    /// Sends a router's outgoing datagrams and records its gossip events.
     pub(super) fn flush_gossip(&mut self, router: u32) {
         let now = self.now;
         let r = &mut self.routers[router as usize];
@@ -189,8 +191,9 @@
                     .map_or(0, |p| p.rules.max_evidence_age());
                 let number = self.node_by_id.get(&node).copied();
                 let fault = number.and_then(|n| self.fault_periods[n as usize]);
-                let excused =
-                    fault.is_some_and(|(_, until)| now <= until.saturating_add(evidence + TAIL_US));
+                let excused = fault.is_some_and(|(_, until)| {
+                    now <= until.saturating_add(evidence + EJECTION_GRACE_US)
+                });
                 self.gossip_stats.wrong_outs += u64::from(!excused);
                 if let Some(n) = number.filter(|_| excused) {
                     self.record_ejection_by_all(n, &node);
@@ -219,7 +222,7 @@
         }
     }
 
-    /// Whether all routers that are up have taken a node out by now, which counts from the beginning of its fault.
+    /// Records the time since the start of a node's fault if all running routers have ejected the node.
     fn record_ejection_by_all(&mut self, number: u32, node: &NodeId) {
         if self.gossip_stats.all_out.is_some() {
             return;
@@ -236,7 +239,7 @@
         }
     }
 
-    /// A node has a fault until then, or for ever.
+    /// Records that nodes have a fault until this second.
     pub(super) fn set_fault_period(&mut self, nodes: &[u32], until: f64) {
         for node in nodes {
             self.fault_periods[*node as usize] = Some((self.now, START_TIME + us_from_s(until)));
@@ -244,7 +247,7 @@
     }
 }
 
-/// The witness beside a router's module.
+/// Returns the gossip observer that wraps a router's locality policy.
 fn observer(engine: &mut Engine) -> Option<&mut Observer> {
     engine
         .locality_policy()
--- a/simulation/src/world/links.rs
+++ b/simulation/src/world/links.rs
@@ -1,4 +1,4 @@
-//! The links between routers and nodes: connections, attempts under way, and what is lost.
+//! The links between routers and nodes: connections, attempts in flight and lost messages.
 
 use super::{Event, SentAttempt, World, us_from_s};
 use crate::rules::Rule;
@@ -8,11 +8,11 @@
 use rand::RngExt;
 use rand_distr::Distribution;
 
-/// A message that was lost comes again after so long.
+/// Additional delay (us) of a message that is lost once and retransmitted.
 const RETRANSMIT_DELAY_US: Micros = 200_000;
 
 impl World<'_> {
-    /// The time of one message between these zones; none where it is lost for good.
+    /// Returns the delay of a message between these zones, or `None` if the link is cut.
     pub(super) fn message_delay(&mut self, from: usize, to: usize, lost: bool) -> Option<Micros> {
         if lost {
             return None;
@@ -122,9 +122,9 @@
             pool.1 -= 1;
             return self.write_attempt(sent_attempt);
         }
-        // A connection must come up first: there and back, and there.
+        // Opening a connection takes a round trip and the handshake.
         let known = &self.nodes[node as usize];
-        // At the address of a machine that was replaced nobody is.
+        // A node that was replaced no longer listens at its address.
         let (up, full) = (
             known.up && known.id == *name,
             known.connections >= self.spec.node.connections,
@@ -166,7 +166,7 @@
         }
     }
 
-    /// The last byte of an attempt is written.
+    /// Marks an attempt as completely written and sends it to the node.
     pub(super) fn write_attempt(&mut self, sent_attempt: u32) {
         let r = &mut self.sent_attempts[sent_attempt as usize];
         r.sent = self.now;
@@ -200,7 +200,7 @@
         }
     }
 
-    /// What was written never arrives, or its answer does not; nothing tells the router.
+    /// Loses an attempt or its reply. The router receives no event.
     pub(super) fn lose_silently(&mut self, sent_attempt: u32) {
         let r = &self.sent_attempts[sent_attempt as usize];
         let (router, attempt, given_up) = (r.router, r.attempt, r.is_cancelled);
@@ -210,14 +210,14 @@
         self.remove_attempt(sent_attempt);
     }
 
-    /// The one place where a run's slot is given back.
+    /// Removes an attempt. No other function removes attempts.
     pub(super) fn remove_attempt(&mut self, sent_attempt: u32) {
         let sent_attempt = self.sent_attempts.remove(sent_attempt as usize);
         self.requests[sent_attempt.request as usize].references -= 1;
         self.release_request(sent_attempt.request);
     }
 
-    /// Its router closes its connection: the answer reaches nobody. What the node does goes on.
+    /// Closes the connection of an attempt: the router ignores its reply, and the node continues the work.
     pub(super) fn cancel_attempt(&mut self, sent_attempt: u32) {
         let r = &mut self.sent_attempts[sent_attempt as usize];
         r.is_cancelled = true;
--- a/simulation/src/world/list.rs
+++ b/simulation/src/world/list.rs
@@ -1,13 +1,13 @@
-//! The node list: what it hears of, when it changes, and when each router hears of that.
+//! The endpoint list: when it changes, and when each router receives the changes.
 
 use super::{Event, World, us_from_s};
 use plovercove::{Endpoint, EndpointState, EndpointUpdate, NodeId};
 use rand::RngExt;
 use std::collections::HashSet;
 
-/// A router that restarts hears of the list in so long: least and most.
+/// Minimum and maximum time (s) until a call of the list service is answered.
 const LIST_CALL_DELAY_S: (f64, f64) = (0.05, 0.3);
-/// Different delays with which the list hears of the nodes of one trouble.
+/// Maximum number of batches in which the list notices the nodes of one fault, each after a delay that is drawn for it.
 const MAX_NOTICE_BATCHES: usize = 4;
 
 impl World<'_> {
@@ -20,14 +20,14 @@
         list
     }
 
-    /// The list will hear of this after so long.
+    /// Schedules a change of the list after this time (s).
     pub(super) fn schedule_list_change(&mut self, after: f64, entries: Vec<Endpoint>) {
         self.pending_changes.push(entries);
         let number = self.pending_changes.len() as u32 - 1;
         self.schedule(self.now + us_from_s(after), Event::ListChanged(number));
     }
 
-    /// A router asks for all that it has missed. The service takes its calls in turn.
+    /// Calls the list service for the current list. The service answers calls one after another.
     pub(super) fn call_list_service(&mut self, router: u32) {
         let (rate, most) = (
             self.spec.list.calls_per_s,
@@ -59,10 +59,10 @@
         self.version = self.changes.len() as u32 - 1;
         let version = self.version;
         for router in 0..self.routers.len() as u32 {
-            // Each hears all changes as much later, so that they come in order.
+            // A router receives all changes with the same delay, so that they arrive in order.
             let wait = self.routers[router as usize].list_delay;
             if self.spec.list.calls_per_s > 0.0 {
-                // Its watch is answered in turn, as a call of all that it has missed.
+                // With a limited service, the answer to a watch is queued like a call for the current list.
                 let epoch = self.routers[router as usize].epoch;
                 self.schedule(self.now + wait, Event::CallListService { router, epoch });
             } else {
@@ -145,7 +145,7 @@
         }
     }
 
-    /// Tells the list of these nodes, in a few portions.
+    /// Schedules list changes of these nodes in up to `MAX_NOTICE_BATCHES` batches.
     pub(super) fn announce_nodes(
         &mut self,
         nodes: &[u32],
--- a/simulation/src/world/nodes.rs
+++ b/simulation/src/world/nodes.rs
@@ -1,4 +1,4 @@
-//! The nodes: what they run, how they fall and come back, and who is their group's primary.
+//! The nodes: how they run requests, crash and restart, and how their groups elect primaries.
 
 use super::{Event, World, us_from_s};
 use crate::node::Offer;
@@ -8,7 +8,7 @@
 use plovercove::{AttemptEnd, EndpointState, Micros, Time};
 use rand::RngExt;
 
-/// What the list has to tell counts as told after so long, whether it arrived or not.
+/// After this time (us), routers are considered to know of a node's start even if the list has not reached them.
 const LIST_DELIVERY_BOUND_US: Micros = 6_000_000;
 
 impl World<'_> {
@@ -74,7 +74,7 @@
                 self.totals.fallen += 1;
                 let (name, second) = (known.id.clone(), self.now_s());
                 let shares = self.pressure.shares(node);
-                // Where most of it came from routers that could not know, the rule is not theirs; the node is counted.
+                // If most of the load came from routers that could not know of the start, only the crash is counted.
                 if shares.are_mostly_informed() {
                     self.breaches.add(Rule::PushedOver, second, || {
                         format!("node {name}: {shares}")
@@ -86,7 +86,7 @@
         }
     }
 
-    /// A node begins with a request: this is the data it is answered from.
+    /// A node starts to run a request. The answer has the position that the node has at this time.
     pub(super) fn start_work(&mut self, id: u32, until: Time) {
         let sent_attempt = &self.sent_attempts[id as usize];
         let (node, class) = (sent_attempt.node as usize, sent_attempt.class as usize);
@@ -181,14 +181,14 @@
         self.leave_group(group, member);
     }
 
-    /// Another machine has a node's place, under a name of its own.
+    /// Replaces a node by another one with a new name.
     pub(super) fn replace_node_id(&mut self, node: u32) {
         let known = &mut self.nodes[node as usize];
         known.id = format!("s-{node:04}-{}", known.epoch).into();
         self.node_by_id.insert(known.id.clone(), node);
     }
 
-    /// A member is out of its group: a primary is replaced in time, a replica gets no log.
+    /// Disconnects a member from its group. If it is the primary, an election follows after the detection time.
     pub(super) fn leave_group(&mut self, group: usize, member: usize) {
         let now = self.now;
         let log = &mut self.groups[group].0;
@@ -213,7 +213,7 @@
         (known.up, known.epoch) = (true, known.epoch + 1);
         known.machine.restart(now);
         self.pressure.clear(node);
-        // Until all have heard that it is another start.
+        // Routers may eject the node until all of them know of the restart.
         self.fault_periods[node as usize] = Some((now, now + LIST_DELIVERY_BOUND_US));
         let (group, member) = (known.group, known.member);
         self.groups[group].0.reconnect(member, now);
--- a/simulation/src/world/routers.rs
+++ b/simulation/src/world/routers.rs
@@ -1,4 +1,4 @@
-//! The routers: each is the real core, told the time, its commands carried out.
+//! The routers: each runs the real engine with the virtual time, and the simulation executes its commands.
 
 use super::{Event, START_TIME, World, us_from_s};
 use crate::spec::{SpecError, Variant};
@@ -7,7 +7,7 @@
 use plovercove_engine::{Command, Deadline, Engine, FinalAnswer};
 use plovercove_locality::ZoneFailover;
 
-/// Rounds of decisions on one event.
+/// Maximum number of decision rounds after one event.
 const MAX_DECISION_ROUNDS: usize = 16;
 
 impl World<'_> {
@@ -38,7 +38,7 @@
         if self.now > START_TIME {
             self.routers[router].last_restart = Some(self.now);
         }
-        // What it had last. It may be old.
+        // The last list that the router had before the restart, as from its disk. It may be outdated.
         let told = self.routers[router].told;
         let known = self.list_at_version(told);
         let starts = known
@@ -121,7 +121,7 @@
         self.drive_engine(router);
     }
 
-    /// Lets a router decide on what has come, and carries that out.
+    /// Lets a router decide on its new inputs and executes the commands.
     pub(super) fn drive_engine(&mut self, router: u32) {
         for _ in 0..MAX_DECISION_ROUNDS {
             let now = self.now;
@@ -231,7 +231,7 @@
     pub(super) fn health_check_at_node(&mut self, router: u32, epoch: u32, node: u32) {
         let known = &self.nodes[node as usize];
         let (group, member, up) = (known.group, known.member, known.up);
-        // A report is as old as its last refresh.
+        // A node's report was refreshed up to 0.15 s ago.
         let old = us_from_s(self.uniform((0.0, 0.15)));
         let log = &mut self.groups[group].0;
         let role = if log.primary() == Some(member) {
