--- a/simulator-adapter/src/main.rs
+++ b/simulator-adapter/src/main.rs
@@ -1,5 +1,5 @@
-//! Carries the wire to and from any number of plovercove instances: it parses, translates and flushes.
-//! Every decision is the library's.
+//! Adapter between a simulator's line protocol and any number of plovercove instances. It parses input lines, translates
+//! messages and writes replies; the library makes all decisions.
 
 mod read;
 mod write;
@@ -12,58 +12,58 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::process::ExitCode;
 
-/// One router of this process: its decisions and the names that its numbers stand for.
+/// A router of this process: its decision module, and the names of classes, tenants and report columns.
 struct Instance {
     balancer: Balancer,
     names: read::Names,
 }
 
-/// All that this process holds. Instances share only the numbered node lists, which belong to the wire.
+/// The routers of this process and the endpoint lists. Instances share only the numbered endpoint lists of the protocol.
 #[derive(Default)]
-struct Host {
+struct Adapter {
     pools: BTreeMap<u64, Vec<Endpoint>>,
     instances: BTreeMap<String, Instance>,
 }
 
-impl Host {
-    /// Answers one line of input with one line of output.
-    fn answer(&mut self, line: &str, reply: &mut String) -> Result<(), Fault> {
-        let batch = read::batch(line)?;
+impl Adapter {
+    /// Handles a line of input and writes a line of output to `reply`.
+    fn handle_line(&mut self, line: &str, reply: &mut String) -> Result<(), Fault> {
+        let batch = read::parse_batch(line)?;
         reply.push_str("{\"routers\":[");
-        for (who, input) in read::routers(&batch)? {
-            let mut orders = Vec::new();
-            let mut broken = None;
+        for (router_name, messages) in read::routers(&batch)? {
+            let mut actions = Vec::new();
+            let mut panic_text = None;
             let mut events = Vec::new();
-            for (place, message) in input.iter().enumerate() {
-                let names = self.instances.get(who).map(|i| &i.names);
-                let incoming = read::message(message, names, &self.pools)
-                    .map_err(|fault| fault.within(&format!("event {place} of {who}")))?;
+            for (position, message) in messages.iter().enumerate() {
+                let names = self.instances.get(router_name).map(|i| &i.names);
+                let incoming = read::read_message(message, names, &self.pools)
+                    .map_err(|fault| fault.within(&format!("event {position} of {router_name}")))?;
                 match incoming {
                     Incoming::Pool(number, entries) => {
                         self.pools.insert(number, entries);
                     }
                     Incoming::Spawn(seed, settings) => {
                         self.decide(
-                            who,
+                            router_name,
                             read::clock(&batch)?,
                             &mut events,
-                            &mut orders,
-                            &mut broken,
+                            &mut actions,
+                            &mut panic_text,
                         );
                         let names = read::Names::of(&settings);
                         let balancer = Balancer::new(settings.settings, seed);
                         self.instances
-                            .insert(who.to_string(), Instance { balancer, names });
+                            .insert(router_name.to_string(), Instance { balancer, names });
                     }
                     Incoming::Exit => {
                         events.clear();
-                        orders.clear();
-                        self.instances.remove(who);
+                        actions.clear();
+                        self.instances.remove(router_name);
                     }
                     Incoming::Event(event) => {
-                        if !self.instances.contains_key(who) {
+                        if !self.instances.contains_key(router_name) {
                             return Err(Fault::new(format!(
-                                "event {place} of {who}: no Spawn came before it"
+                                "event {position} of {router_name}: no Spawn came before it"
                             )));
                         }
                         events.push(event);
@@ -71,72 +71,73 @@
                 }
             }
             self.decide(
-                who,
+                router_name,
                 read::clock(&batch)?,
                 &mut events,
-                &mut orders,
-                &mut broken,
+                &mut actions,
+                &mut panic_text,
             );
-            write::orders(reply, who, &orders, broken.as_deref());
+            write::write_actions(reply, router_name, &actions, panic_text.as_deref());
         }
         reply.push_str("]}\n");
         Ok(())
     }
 
-    /// Hands the gathered events to the instance; a panic in it is kept for the reply.
+    /// Passes the collected events to the instance. A panic is caught and its message stored in `panic_text`.
     fn decide(
         &mut self,
-        who: &str,
+        router_name: &str,
         now: u64,
         events: &mut Vec<Event>,
-        orders: &mut Vec<Action>,
-        broken: &mut Option<String>,
+        actions: &mut Vec<Action>,
+        panic_text: &mut Option<String>,
     ) {
-        let Some(instance) = self.instances.get_mut(who) else {
+        let Some(instance) = self.instances.get_mut(router_name) else {
             return;
         };
-        let taken = std::mem::take(events);
-        if taken.is_empty() {
+        let pending = std::mem::take(events);
+        if pending.is_empty() {
             return;
         }
-        let run = catch_unwind(AssertUnwindSafe(|| {
-            instance.balancer.handle(now, taken, orders)
+        let outcome = catch_unwind(AssertUnwindSafe(|| {
+            instance.balancer.handle(now, pending, actions)
         }));
-        if let Err(cause) = run {
-            let text = cause.downcast_ref::<String>().map(String::as_str);
-            let text = text.or_else(|| cause.downcast_ref::<&str>().copied());
-            *broken = Some(text.unwrap_or("panic in the decision module").to_string());
+        if let Err(payload) = outcome {
+            let text = payload.downcast_ref::<String>().map(String::as_str);
+            let text = text.or_else(|| payload.downcast_ref::<&str>().copied());
+            *panic_text = Some(text.unwrap_or("panic in the decision module").to_string());
         }
     }
 }
 
-fn serve() -> Result<(), Fault> {
-    let mut host = Host::default();
+fn serve_lines() -> Result<(), Fault> {
+    let mut adapter = Adapter::default();
     let mut input = io::stdin().lock();
     let mut output = BufWriter::new(io::stdout().lock());
     let (mut line, mut reply) = (String::new(), String::new());
     for number in 1u64.. {
         line.clear();
         reply.clear();
-        let at = format!("line {number}");
-        let got = input
+        let location = format!("line {number}");
+        let bytes_read = input
             .read_line(&mut line)
-            .map_err(|e| Fault::new(e.to_string()).within(&at))?;
-        if got == 0 {
+            .map_err(|e| Fault::new(e.to_string()).within(&location))?;
+        if bytes_read == 0 {
             break;
         }
-        host.answer(&line, &mut reply)
-            .map_err(|fault| fault.within(&at))?;
-        let sent = output
+        adapter
+            .handle_line(&line, &mut reply)
+            .map_err(|fault| fault.within(&location))?;
+        let written = output
             .write_all(reply.as_bytes())
             .and_then(|()| output.flush());
-        sent.map_err(|e| Fault::new(format!("cannot write the reply: {e}")))?;
+        written.map_err(|e| Fault::new(format!("cannot write the reply: {e}")))?;
     }
     Ok(())
 }
 
 fn main() -> ExitCode {
-    match serve() {
+    match serve_lines() {
         Ok(()) => ExitCode::SUCCESS,
         Err(fault) => {
             eprintln!("plovercove-simulator-adapter: {fault}");
--- a/simulator-adapter/src/read.rs
+++ b/simulator-adapter/src/read.rs
@@ -1,4 +1,4 @@
-//! The words of the wire as settings and events, and plain complaints about what is malformed.
+//! Reads the messages of the line protocol as settings and events. Errors name the malformed field.
 
 use plovercove::*;
 use plovercove_settings::{
@@ -10,29 +10,29 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// What stands where nothing was given.
-const NOTHING: Value = Value::Static(StaticNode::Null);
+/// The value of a field that is missing.
+const MISSING: Value = Value::Static(StaticNode::Null);
 
-/// What the wire's names of classes and tenants, and its report columns, stand for at one instance.
+/// The names of classes, tenants and report columns of an instance, and the time from which its positions count.
 pub struct Names {
-    known: settings::Names,
-    zero: u64,
+    by_name: settings::Names,
+    position_epoch: u64,
     report: Vec<String>,
 }
 
 impl Names {
-    /// The names that the settings bring.
-    pub fn of(spawned: &ParsedSettings) -> Self {
-        let known = settings::Names::new(&spawned.settings);
+    /// Returns the names of the settings.
+    pub fn of(parsed: &ParsedSettings) -> Self {
+        let by_name = settings::Names::new(&parsed.settings);
         Names {
-            known,
-            zero: spawned.position_epoch,
-            report: spawned.report_columns.clone(),
+            by_name,
+            position_epoch: parsed.position_epoch,
+            report: parsed.report_columns.clone(),
         }
     }
 }
 
-/// One message of a batch.
+/// A message of a batch.
 pub enum Incoming {
     Pool(u64, Vec<Endpoint>),
     Spawn(u64, Box<ParsedSettings>),
@@ -40,8 +40,8 @@
     Event(Event),
 }
 
-/// Reads one batch line.
-pub fn batch(line: &str) -> ReadResult<Value> {
+/// Parses a line as a batch.
+pub fn parse_batch(line: &str) -> ReadResult<Value> {
     let value =
         settings::parse(line.as_bytes().to_vec()).map_err(|fault| fault.within("not a batch"))?;
     if !value.is_object() {
@@ -50,71 +50,75 @@
     Ok(value)
 }
 
-/// The clock of a batch.
+/// Returns the clock of a batch.
 pub fn clock(batch: &Value) -> ReadResult<u64> {
-    unsigned(batch.get("Wall").unwrap_or(&NOTHING), "Wall")
+    unsigned(batch.get("Wall").unwrap_or(&MISSING), "Wall")
 }
 
-/// The instances of a batch with their input.
+/// Returns the names of a batch's instances with their messages.
 pub fn routers(batch: &Value) -> ReadResult<Vec<(&str, &Vec<Value>)>> {
     clock(batch)?;
-    let groups = list(batch.get("routers").unwrap_or(&NOTHING), "routers")?;
+    let groups = list(batch.get("routers").unwrap_or(&MISSING), "routers")?;
     let mut found = Vec::with_capacity(groups.len());
     for group in groups {
-        let who = text(group.get("Who").unwrap_or(&NOTHING), "Who")?;
+        let router_name = text(group.get("Who").unwrap_or(&MISSING), "Who")?;
         found.push((
-            who,
-            list(group.get("input").unwrap_or(&NOTHING), "input")
-                .map_err(|fault| fault.within(who))?,
+            router_name,
+            list(group.get("input").unwrap_or(&MISSING), "input")
+                .map_err(|fault| fault.within(router_name))?,
         ));
     }
     Ok(found)
 }
 
-/// The fields of one message, by place.
+/// The fields of a message, by position.
 struct Fields<'a> {
     kind: &'a str,
     values: &'a [Value],
 }
 
 impl<'a> Fields<'a> {
-    fn at(&self, place: usize, name: &str) -> ReadResult<&'a Value> {
+    fn value_at(&self, position: usize, name: &str) -> ReadResult<&'a Value> {
         self.values
-            .get(place)
+            .get(position)
             .ok_or_else(|| Fault::new(format!("{}: {name} is missing", self.kind)))
     }
 
+    /// Returns a required field.
     fn get<T>(
         &self,
-        place: usize,
+        position: usize,
         name: &str,
         as_kind: impl Fn(&'a Value, &str) -> ReadResult<T>,
     ) -> ReadResult<T> {
-        as_kind(self.at(place, name)?, &format!("{} {name}", self.kind))
+        as_kind(
+            self.value_at(position, name)?,
+            &format!("{} {name}", self.kind),
+        )
     }
 
-    /// A field that may be null or left out.
-    fn maybe<T>(
+    /// Returns a field that may be null or missing.
+    fn optional<T>(
         &self,
-        place: usize,
+        position: usize,
         name: &str,
         as_kind: impl Fn(&'a Value, &str) -> ReadResult<T>,
     ) -> ReadResult<Option<T>> {
-        match self.values.get(place) {
+        match self.values.get(position) {
             None | Some(Value::Static(StaticNode::Null)) => Ok(None),
             Some(value) => as_kind(value, &format!("{} {name}", self.kind)).map(Some),
         }
     }
 }
 
-/// Reads one message of an instance.
-pub fn message(
+/// Reads a message of an instance.
+pub fn read_message(
     value: &Value,
     names: Option<&Names>,
     pools: &BTreeMap<u64, Vec<Endpoint>>,
 ) -> ReadResult<Incoming> {
     let values = list(value, "message")?;
-    let kind = text(values.first().unwrap_or(&NOTHING), "message name")?;
+    let kind = text(values.first().unwrap_or(&MISSING), "message name")?;
     let f = Fields {
         kind,
         values: &values[1..],
@@ -124,7 +128,7 @@
             let entries = f
                 .get(1, "MembersList", list)?
                 .iter()
-                .map(entry)
+                .map(read_endpoint)
                 .collect::<ReadResult<_>>()?;
             Incoming::Pool(f.get(0, "SetId", unsigned)?, entries)
         }
@@ -134,16 +138,16 @@
                     .then_some(v)
                     .ok_or_else(|| wrong_kind(what, "an object", v))
             })?;
-            let spawned =
+            let parsed =
                 settings::read_settings(facts, "").map_err(|fault| fault.within("Spawn Facts"))?;
-            Incoming::Spawn(f.get(0, "InitSeed", unsigned)?, Box::new(spawned))
+            Incoming::Spawn(f.get(0, "InitSeed", unsigned)?, Box::new(parsed))
         }
         "Exit" => Incoming::Exit,
-        _ => Incoming::Event(event(&f, names, pools)?),
+        _ => Incoming::Event(read_event(&f, names, pools)?),
     })
 }
 
-fn event(
+fn read_event(
     f: &Fields<'_>,
     names: Option<&Names>,
     pools: &BTreeMap<u64, Vec<Endpoint>>,
@@ -151,7 +155,7 @@
     let Some(names) = names else {
         return Err(Fault::new(format!("{}: no Spawn came before it", f.kind)));
     };
-    let stranger = |name: &str, what: &str| {
+    let unknown_name = |name: &str, what: &str| {
         Fault::new(format!(
             "{} {what}: {name:?} is not in the settings",
             f.kind
@@ -175,34 +179,36 @@
             })
         }
         "Demand" => {
-            let tenant = f.maybe(2, "Party", |v, what| match v {
+            let tenant = f.optional(2, "Party", |v, what| match v {
                 v if v.cast_f64() == Some(0.0) => Ok(""),
                 _ => text(v, what),
             })?;
             let class = f.get(1, "Qos", text)?;
-            let bits = f.maybe(8, "Bitmap", unsigned)?.unwrap_or(0);
-            let age = f.maybe(7, "TokenMs", number)?.unwrap_or(0.0);
+            let bits = f.optional(8, "Bitmap", unsigned)?.unwrap_or(0);
+            let age = f.optional(7, "TokenMs", number)?.unwrap_or(0.0);
             Event::RequestArrived(RequestInfo {
                 id: f.get(0, "Xid", unsigned)?,
                 class: names
-                    .known
+                    .by_name
                     .class(class)
-                    .ok_or_else(|| stranger(class, "Qos"))?,
+                    .ok_or_else(|| unknown_name(class, "Qos"))?,
                 tenant: match tenant {
                     None | Some("") => None,
                     Some(name) => Some(
                         names
-                            .known
+                            .by_name
                             .tenant(name)
-                            .ok_or_else(|| stranger(name, "Party"))?,
+                            .ok_or_else(|| unknown_name(name, "Party"))?,
                     ),
                 },
                 session: f
-                    .maybe(3, "Sess", text)?
+                    .optional(3, "Sess", text)?
                     .filter(|s| !s.is_empty())
                     .map(Arc::from),
                 time_left: f.get(4, "Left", unsigned)?,
-                cost_hint: f.maybe(5, "Expected", unsigned)?.filter(|_| bits & 1 != 0),
+                cost_hint: f
+                    .optional(5, "Expected", unsigned)?
+                    .filter(|_| bits & 1 != 0),
                 group: f.get(6, "DbNo", unsigned)?,
                 last_write_age: (age > 0.0).then_some((age * 1000.0).floor() as u64),
                 is_retry: bits & 2 != 0,
@@ -214,11 +220,14 @@
         "Verdict" => Event::AttemptEnded {
             request: f.get(0, "Xid", unsigned)?,
             attempt: f.get(1, "Hop", unsigned)? as u32,
-            end: ending(f.get(3, "Status", text)?)?,
-            elapsed: f.maybe(4, "DelaySeen", unsigned)?.unwrap_or(0),
+            end: read_attempt_end(f.get(3, "Status", text)?)?,
+            elapsed: f.optional(4, "DelaySeen", unsigned)?.unwrap_or(0),
             request_over: f.get(5, "Terminal", boolean)?,
-            answer_report: note(f.maybe(6, "Stand", unsigned)?.unwrap_or(0), names.zero),
-            load_report: report(f.maybe(7, "Gauge", list)?, names)?,
+            answer_report: read_answer_report(
+                f.optional(6, "Stand", unsigned)?.unwrap_or(0),
+                names.position_epoch,
+            ),
+            load_report: read_load_report(f.optional(7, "Gauge", list)?, names)?,
         },
         "Abandoned" => Event::ClientGone {
             request: f.get(0, "Xid", unsigned)?,
@@ -230,17 +239,17 @@
         "Pong" => Event::HealthChecked {
             node: Arc::from(f.get(0, "Node", text)?),
             answered: f.get(1, "Status", text)? == "success",
-            load_report: report(f.maybe(3, "Gauge", list)?, names)?,
+            load_report: read_load_report(f.optional(3, "Gauge", list)?, names)?,
         },
         "FromPeer" => Event::Peer {
             from: f.get(0, "SrcPeer", unsigned)? as u32,
-            payload: f.get(1, "Payload", hex)?,
+            payload: f.get(1, "Payload", read_hex)?,
         },
         other => return Err(Fault::new(format!("message {other:?} is unknown"))),
     })
 }
 
-fn hex(value: &Value, what: &str) -> ReadResult<Vec<u8>> {
+fn read_hex(value: &Value, what: &str) -> ReadResult<Vec<u8>> {
     let digits = text(value, what)?.as_bytes();
     let pair = |two: &[u8]| {
         std::str::from_utf8(two)
@@ -254,8 +263,8 @@
     bytes.ok_or_else(|| wrong_kind(what, "pairs of hex digits", value))
 }
 
-fn ending(word: &str) -> ReadResult<AttemptEnd> {
-    Ok(match word {
+fn read_attempt_end(name: &str) -> ReadResult<AttemptEnd> {
+    Ok(match name {
         "success" => AttemptEnd::Success,
         "failure" => AttemptEnd::Failure,
         "overloaded" => AttemptEnd::Overloaded,
@@ -269,7 +278,7 @@
     })
 }
 
-fn role(code: u64) -> Option<Role> {
+fn role_from_code(code: u64) -> Option<Role> {
     match code {
         1 => Some(Role::Primary),
         2 => Some(Role::Replica),
@@ -277,60 +286,61 @@
     }
 }
 
-fn note(stand: u64, zero: u64) -> NodeReport {
-    let position = (stand / 4 > 0).then(|| zero + stand / 4 * 1000);
+/// Reads a `Stand`: the position (ms after the epoch) times 4, plus the code of the role.
+fn read_answer_report(packed: u64, position_epoch: u64) -> NodeReport {
+    let position = (packed / 4 > 0).then(|| position_epoch + packed / 4 * 1000);
     NodeReport {
         position,
-        role: role(stand % 4),
+        role: role_from_code(packed % 4),
         in_flight: None,
         utilization_permille: None,
         age: 0,
     }
 }
 
-fn report(row: Option<&Vec<Value>>, names: &Names) -> ReadResult<NodeReport> {
+fn read_load_report(row: Option<&Vec<Value>>, names: &Names) -> ReadResult<NodeReport> {
     let Some(row) = row else {
         return Ok(NodeReport::default());
     };
-    let mut standing = NodeReport::default();
+    let mut node_report = NodeReport::default();
     for (value, name) in row.iter().zip(&names.report) {
         match name.as_str() {
             "x0" if !value.is_null() => {
                 let seconds = number(value, "Gauge x0")?;
-                standing.position =
-                    (seconds > 0.0).then_some(names.zero + (seconds * 1e6).floor() as u64);
+                node_report.position = (seconds > 0.0)
+                    .then_some(names.position_epoch + (seconds * 1e6).floor() as u64);
             }
             "x1" if !value.is_null() => {
                 let primary = number(value, "Gauge x1")? == 1.0;
-                standing.role = Some(if primary {
+                node_report.role = Some(if primary {
                     Role::Primary
                 } else {
                     Role::Replica
                 });
             }
             "outstanding" if !value.is_null() => {
-                standing.in_flight = Some(number(value, "Gauge outstanding")?.max(0.0) as u32)
+                node_report.in_flight = Some(number(value, "Gauge outstanding")?.max(0.0) as u32)
             }
             "utilization" if !value.is_null() => {
-                standing.utilization_permille =
+                node_report.utilization_permille =
                     Some((number(value, "Gauge utilization")?.max(0.0) * 1e3) as u32)
             }
             _ => {}
         }
     }
-    Ok(standing)
+    Ok(node_report)
 }
 
-fn entry(value: &Value) -> ReadResult<Endpoint> {
+fn read_endpoint(value: &Value) -> ReadResult<Endpoint> {
     let f = Fields {
         kind: "Pool entry",
         values: list(value, "Pool entry")?,
     };
     Ok(Endpoint {
         node: Arc::from(f.get(0, "Node", text)?),
-        zone: f.maybe(1, "RackZone", text)?.unwrap_or("").to_string(),
-        machine_kind: f.maybe(2, "Flavor", text)?.unwrap_or("").to_string(),
-        listed_as_primary: f.maybe(3, "Head", number)? == Some(1.0),
+        zone: f.optional(1, "RackZone", text)?.unwrap_or("").to_string(),
+        machine_kind: f.optional(2, "Flavor", text)?.unwrap_or("").to_string(),
+        listed_as_primary: f.optional(3, "Head", number)? == Some(1.0),
         group: f.get(4, "Cell", unsigned)?,
         state: match f.get(5, "Status", text)? {
             "SERVING" => EndpointState::Serving,
@@ -342,7 +352,7 @@
                 )));
             }
         },
-        weight: f.maybe(6, "Size", number)?.unwrap_or(1.0),
-        started_at: f.maybe(7, "BootTime", unsigned)?.filter(|t| *t > 0),
+        weight: f.optional(6, "Size", number)?.unwrap_or(1.0),
+        started_at: f.optional(7, "BootTime", unsigned)?.filter(|t| *t > 0),
     })
 }
--- a/simulator-adapter/src/write.rs
+++ b/simulator-adapter/src/write.rs
@@ -1,43 +1,52 @@
-//! Actions in the words of the wire.
+//! Writes actions as messages of the line protocol.
 
 use plovercove::Action;
 use simd_json::prelude::*;
 use std::fmt::Write;
 
-/// Appends one instance's part of a reply; nothing where it has nothing to say.
-pub fn orders(reply: &mut String, who: &str, actions: &[Action], broken: Option<&str>) {
-    if actions.is_empty() && broken.is_none() {
+/// Appends the actions of an instance to a reply, and a message for a panic. Appends nothing if there is neither.
+pub fn write_actions(
+    reply: &mut String,
+    router_name: &str,
+    actions: &[Action],
+    panic_text: Option<&str>,
+) {
+    if actions.is_empty() && panic_text.is_none() {
         return;
     }
     if reply.ends_with('}') {
         reply.push(',');
     }
-    let _ = write!(reply, "{{\"Who\":{},\"orders\":[", quoted(who));
-    for (place, action) in actions.iter().enumerate() {
-        if place > 0 {
+    let _ = write!(reply, "{{\"Who\":{},\"orders\":[", json_string(router_name));
+    for (position, action) in actions.iter().enumerate() {
+        if position > 0 {
             reply.push(',');
         }
-        order(reply, action);
+        write_action(reply, action);
     }
-    if let Some(text) = broken {
+    if let Some(text) = panic_text {
         let comma = if actions.is_empty() { "" } else { "," };
-        let _ = write!(reply, "{comma}[\"GiveIn\",{}]", quoted(text));
+        let _ = write!(reply, "{comma}[\"GiveIn\",{}]", json_string(text));
     }
     reply.push_str("]}");
 }
 
-fn quoted(text: &str) -> String {
+fn json_string(text: &str) -> String {
     simd_json::OwnedValue::from(text).encode()
 }
 
-fn order(reply: &mut String, action: &Action) {
-    let done = match action {
+fn write_action(reply: &mut String, action: &Action) {
+    let written = match action {
         Action::Send {
             request,
             node,
             timeout,
         } => {
-            write!(reply, "[\"Send\",{request},{},{timeout}]", quoted(node))
+            write!(
+                reply,
+                "[\"Send\",{request},{},{timeout}]",
+                json_string(node)
+            )
         }
         Action::Cancel { request, attempt } => write!(reply, "[\"Retract\",{request},{attempt}]"),
         Action::Reject {
@@ -52,10 +61,10 @@
         } => write!(reply, "[\"OverloadReply\",{request},null]"),
         Action::Fail { request } => write!(reply, "[\"DropRequest\",{request}]"),
         Action::Wake(delay) => write!(reply, "[\"WakeAt\",{delay},\"wake\"]"),
-        Action::HealthCheck(node) => write!(reply, "[\"Check\",{}]", quoted(node)),
-        Action::CloseIdle(node) => write!(reply, "[\"HangUp\",{}]", quoted(node)),
+        Action::HealthCheck(node) => write!(reply, "[\"Check\",{}]", json_string(node)),
+        Action::CloseIdle(node) => write!(reply, "[\"HangUp\",{}]", json_string(node)),
         Action::Subscribe => write!(reply, "[\"Track\",true]"),
-        Action::Log(news) => write!(reply, "[\"Record\",{}]", quoted(&news.text)),
+        Action::Log(event) => write!(reply, "[\"Record\",{}]", json_string(&event.text)),
     };
-    debug_assert!(done.is_ok(), "a string takes every write");
+    debug_assert!(written.is_ok(), "writing to a string cannot fail");
 }
--- a/simulator-adapter/tests/wire.rs
+++ b/simulator-adapter/tests/wire.rs
@@ -1,4 +1,5 @@
-//! The adapter as a process: malformed lines end it with one plain complaint, and standard output carries replies only.
+//! Tests of the adapter as a process: a malformed line ends it with one line of error text, and standard output contains
+//! replies only.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -15,7 +16,7 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    // It may stop reading at the first bad line.
+    // The write may fail, since the adapter stops reading at the first malformed line.
     let _ = child
         .stdin
         .take()
@@ -46,7 +47,7 @@
 }
 
 #[test]
-fn malformed_input_is_named_and_ends_the_run() {
+fn malformed_input_ends_the_adapter_with_an_error_that_names_it() {
     let spawn = SPAWN.replace('\n', "");
     let after = |message: &str| batch(&format!("{spawn},{message}"));
     let cases = [
@@ -80,12 +81,15 @@
             "Tick: expected a whole number, got true",
         ),
     ];
-    for (lines, complaint) in cases {
+    for (lines, expected) in cases {
         let out = run(&lines);
-        let said = String::from_utf8(out.stderr).expect("text");
+        let error_text = String::from_utf8(out.stderr).expect("text");
         assert!(!out.status.success(), "{lines}");
-        assert!(said.contains(complaint), "{said} does not say {complaint}");
-        assert_eq!(said.lines().count(), 1, "{said}");
+        assert!(
+            error_text.contains(expected),
+            "{error_text} does not contain {expected}"
+        );
+        assert_eq!(error_text.lines().count(), 1, "{error_text}");
         assert!(out.stdout.is_empty());
     }
 }
