--- a/starlark-config/src/lib.rs
+++ b/starlark-config/src/lib.rs
@@ -1,6 +1,6 @@
-//! Starlark scripts as files of settings. A script is evaluated once; its global variables are the settings, but for
-//! functions and for names that begin with an underscore. It can read nothing and do nothing, and its steps, memory and
-//! depth are bounded, so that a mistake ends with a message and not with a router that hangs.
+//! Settings files written in Starlark. A script is evaluated once, and its global variables are the settings, except
+//! functions and names that begin with an underscore. A script has no access to files or the network. Its steps, memory
+//! and call depth are bounded, so that a faulty script leads to an error message and not to a router that hangs.
 
 use serde::de::DeserializeOwned;
 use serde_json::{Map, Value};
@@ -12,49 +12,49 @@
 use std::panic::{self, AssertUnwindSafe};
 use std::path::Path;
 
-/// Steps that a script may take.
-const STEPS: u64 = 1_000_000;
-/// Bytes that its values may hold.
-const MEMORY: usize = 64 * 1024 * 1024;
-/// Calls within calls.
-const DEPTH: usize = 64;
-/// A script is no longer than this.
-const LONGEST: u64 = 1024 * 1024;
+/// Maximum number of evaluation steps of a script.
+const MAX_STEPS: u64 = 1_000_000;
+/// Maximum size of a script's values.
+const MAX_MEMORY_BYTES: usize = 64 * 1024 * 1024;
+/// Maximum depth of nested calls.
+const MAX_CALL_DEPTH: usize = 64;
+/// Maximum length of a script.
+const MAX_SCRIPT_BYTES: u64 = 1024 * 1024;
 
-/// The script holds more than it may.
-struct TooMuch;
+/// Panic payload that ends a script whose values are larger than `MAX_MEMORY_BYTES`.
+struct MemoryExceeded;
 
-/// What is wrong.
+/// The cause of an error in a script.
 #[derive(Debug, thiserror::Error, strum::IntoStaticStr, strum::VariantNames)]
 pub enum Cause {
     /// The file cannot be read.
     #[error("cannot be read: {0}")]
     Unreadable(#[source] std::io::Error),
     /// The file is longer than a script may be.
-    #[error("is longer than {LONGEST} bytes")]
+    #[error("is longer than {MAX_SCRIPT_BYTES} bytes")]
     TooLong,
-    /// The script is none, or fails where it is evaluated, in the evaluator's words.
+    /// The script has a syntax error or fails during evaluation. The text comes from the evaluator.
     #[error("{0}")]
     Script(String),
-    /// It holds more than it may.
-    #[error("holds more than the limit of {MEMORY} bytes")]
+    /// The script's values are larger than the limit.
+    #[error("holds more than the limit of {MAX_MEMORY_BYTES} bytes")]
     TooMuch,
-    /// The evaluator itself gave up.
+    /// The evaluator panicked.
     #[error("cannot be evaluated: a value is beyond every limit")]
     BeyondLimits,
-    /// A setting that is no plain value.
+    /// A setting whose value cannot be converted to JSON.
     #[error("{0}")]
     NoValue(String),
     /// A key that is unknown, is missing, or has a value of the wrong kind.
     #[error("{0}")]
     Key(#[source] serde_json::Error),
-    /// A value that cannot be meant, in the words of whoever reads it.
+    /// A value that the reader of the settings rejects. The text comes from the reader.
     #[error("{0}")]
     Meaning(String),
 }
 
 impl Cause {
-    /// What an operator can do.
+    /// Returns advice for the operator.
     pub fn help(&self) -> &'static str {
         match self {
             Cause::Unreadable(_) => "name a file that is there and that the router's user may read",
@@ -83,14 +83,14 @@
     }
 }
 
-/// A place in a script. Without a line the whole file is meant, without a key the script itself.
+/// A location in a script. Without a line it is the whole file, and without a key the script itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Location {
     /// The file.
     pub file: String,
     /// The line, from 1.
     pub line: Option<usize>,
-    /// The path of the key.
+    /// The path of the key, such as `zones[1].routers`.
     pub key: String,
 }
 
@@ -107,24 +107,24 @@
     }
 }
 
-/// What is wrong with a script, and where.
+/// An error in a script and its location.
 #[derive(Debug, thiserror::Error)]
 #[error("{location}: {cause}")]
 pub struct ScriptError {
-    /// Where.
+    /// The location.
     pub location: Location,
-    /// What.
+    /// The cause.
     pub cause: Cause,
 }
 
 impl ScriptError {
-    /// What an operator can do.
+    /// Returns advice for the operator.
     pub fn help(&self) -> &'static str {
         self.cause.help()
     }
 }
 
-/// A script that has been evaluated.
+/// An evaluated script.
 #[derive(Clone, Debug)]
 pub struct Script {
     file: String,
@@ -137,65 +137,68 @@
     /// Reads and evaluates a file.
     ///
     /// # Errors
-    /// Names the file, the line where there is one, and what is wrong.
+    /// Names the file, the line if it is known, and the cause.
     pub fn read(path: &Path) -> Result<Self, ScriptError> {
         let file = path.display().to_string();
-        let fault = |cause| ScriptError {
+        let file_error = |cause| ScriptError {
             location: whole_file(&file),
             cause,
         };
         let length = std::fs::metadata(path)
-            .map_err(|e| fault(Cause::Unreadable(e)))?
+            .map_err(|e| file_error(Cause::Unreadable(e)))?
             .len();
-        if length > LONGEST {
-            return Err(fault(Cause::TooLong));
+        if length > MAX_SCRIPT_BYTES {
+            return Err(file_error(Cause::TooLong));
         }
-        let text = std::fs::read_to_string(path).map_err(|e| fault(Cause::Unreadable(e)))?;
+        let text = std::fs::read_to_string(path).map_err(|e| file_error(Cause::Unreadable(e)))?;
         Self::evaluate(&file, &text)
     }
 
-    /// Evaluates a script; `file` is what it is called in messages.
+    /// Evaluates a script. Messages call it `file`.
     ///
     /// # Errors
     /// As [`Script::read`].
     pub fn evaluate(file: &str, text: &str) -> Result<Self, ScriptError> {
-        let fault = |e: starlark::Error| ScriptError {
+        let script_error = |e: starlark::Error| ScriptError {
             location: Location {
                 line: e.span().map(|span| span.resolve_span().begin.line + 1),
                 ..whole_file(file)
             },
             cause: Cause::Script(e.without_diagnostic().to_string().trim().to_string()),
         };
-        let broken = |cause| ScriptError {
+        let file_error = |cause| ScriptError {
             location: whole_file(file),
             cause,
         };
-        let ast = AstModule::parse(file, text.to_string(), &Dialect::Standard).map_err(fault)?;
+        let ast =
+            AstModule::parse(file, text.to_string(), &Dialect::Standard).map_err(script_error)?;
         let globals = Globals::standard();
         Module::with_temp_heap(|module| {
             {
-                let watch = |_: FileSpanRef<'_>, _: bool, evaluator: &mut Evaluator<'_, '_, '_>| {
-                    if evaluator.heap().allocated_bytes() > MEMORY {
-                        panic::resume_unwind(Box::new(TooMuch));
-                    }
-                };
+                let check_memory =
+                    |_: FileSpanRef<'_>, _: bool, evaluator: &mut Evaluator<'_, '_, '_>| {
+                        if evaluator.heap().allocated_bytes() > MAX_MEMORY_BYTES {
+                            panic::resume_unwind(Box::new(MemoryExceeded));
+                        }
+                    };
                 let mut evaluator = Evaluator::new(&module);
-                // The evaluator looks at its memory every thousand steps; a value that doubles needs thirty.
-                evaluator.before_stmt_for_dap(BeforeStmtFunc::Fn(&watch));
+                // The evaluator checks its memory only every thousand steps, and a value that doubles in each step exceeds
+                // every limit after thirty. This hook checks the memory before each statement.
+                evaluator.before_stmt_for_dap(BeforeStmtFunc::Fn(&check_memory));
                 let bounded = evaluator
-                    .set_max_callstack_size(DEPTH)
-                    .and_then(|()| evaluator.set_max_heap_size(MEMORY))
-                    .and_then(|()| evaluator.set_max_tick_count(STEPS));
-                bounded.map_err(|e| broken(Cause::Script(e.to_string())))?;
-                let ended = panic::catch_unwind(AssertUnwindSafe(|| {
+                    .set_max_callstack_size(MAX_CALL_DEPTH)
+                    .and_then(|()| evaluator.set_max_heap_size(MAX_MEMORY_BYTES))
+                    .and_then(|()| evaluator.set_max_tick_count(MAX_STEPS));
+                bounded.map_err(|e| file_error(Cause::Script(e.to_string())))?;
+                let outcome = panic::catch_unwind(AssertUnwindSafe(|| {
                     evaluator.eval_module(ast, &globals).map(drop)
                 }));
-                match ended {
-                    Ok(result) => result.map_err(fault)?,
-                    Err(cause) if cause.is::<TooMuch>() => {
-                        return Err(broken(Cause::TooMuch));
+                match outcome {
+                    Ok(result) => result.map_err(script_error)?,
+                    Err(cause) if cause.is::<MemoryExceeded>() => {
+                        return Err(file_error(Cause::TooMuch));
                     }
-                    Err(_) => return Err(broken(Cause::BeyondLimits)),
+                    Err(_) => return Err(file_error(Cause::BeyondLimits)),
                 }
             }
             let mut values = Map::new();
@@ -225,15 +228,15 @@
         })
     }
 
-    /// The settings as a type.
+    /// Deserializes the settings.
     ///
     /// # Errors
-    /// Names the line and the key at fault.
+    /// Names the line and the invalid key.
     pub fn deserialize<T: DeserializeOwned>(&self) -> Result<T, ScriptError> {
         self.deserialize_value(Value::Object(self.values.clone()), "")
     }
 
-    /// A value that came of this script as a type; `within` is the key that it stood under.
+    /// Deserializes a value of this script. `within` is the key under which the script has it.
     ///
     /// # Errors
     /// As [`Script::deserialize`].
@@ -245,9 +248,9 @@
         serde_path_to_error::deserialize(value).map_err(|e| {
             let path = e.path().to_string();
             let inner = e.into_inner();
-            let why = inner.to_string();
-            // An unknown key is named by the message and not by the path.
-            let unknown = why
+            let message = inner.to_string();
+            // For an unknown key, serde names the key in the message and not in the path.
+            let unknown = message
                 .strip_prefix("unknown field `")
                 .and_then(|rest| rest.split('`').next());
             let path = match (path.as_str(), unknown) {
@@ -268,15 +271,15 @@
         })
     }
 
-    /// A complaint about a key of this script, with its line.
-    pub fn error_at(&self, key: &str, why: impl Into<String>) -> ScriptError {
+    /// Returns an error about a key of this script, with the key's line.
+    pub fn error_at(&self, key: &str, reason: impl Into<String>) -> ScriptError {
         ScriptError {
             location: self.location(key),
-            cause: Cause::Meaning(why.into()),
+            cause: Cause::Meaning(reason.into()),
         }
     }
 
-    /// Where a key of this script stands.
+    /// Returns the location of a key in this script.
     pub fn location(&self, key: &str) -> Location {
         Location {
             file: self.file.clone(),
@@ -286,7 +289,7 @@
     }
 }
 
-/// A file as a whole.
+/// Returns the location that stands for a whole file.
 fn whole_file(file: &str) -> Location {
     Location {
         file: file.to_string(),
@@ -295,7 +298,7 @@
     }
 }
 
-/// The line on which a key stands: that of its variable, and within it of the first mention of each further part.
+/// Returns the line of a key: that of its variable, and from there the first line that mentions each further part.
 fn line_of(text: &str, key: &str) -> Option<usize> {
     let mut parts = key
         .split(['.', '[', ']'])
@@ -306,17 +309,17 @@
         line.strip_prefix(first)
             .is_some_and(|rest| rest.trim_start().starts_with('='))
     };
-    let mut at = lines.iter().position(assigns)?;
+    let mut index = lines.iter().position(assigns)?;
     for part in parts {
         let quoted = format!("\"{part}\"");
-        let named = format!("{part} =");
-        let close = format!("{part}=");
-        let found = lines[at..]
-            .iter()
-            .position(|l| l.contains(&quoted) || l.contains(&named) || l.contains(&close));
-        at += found.unwrap_or(0);
+        let assigned = format!("{part} =");
+        let assigned_unspaced = format!("{part}=");
+        let found = lines[index..].iter().position(|l| {
+            l.contains(&quoted) || l.contains(&assigned) || l.contains(&assigned_unspaced)
+        });
+        index += found.unwrap_or(0);
     }
-    Some(at + 1)
+    Some(index + 1)
 }
 
 #[cfg(test)]
