--- a/simulation/src/node.rs
+++ b/simulation/src/node.rs
@@ -134,7 +134,7 @@
 
     /// Offers a request with this work (s).
     pub fn offer(&mut self, now: Time, job: J, work: f64) -> Offer {
-        if self.is_overloaded_while_cold(now, work) {
+        if self.record_cold_load(now, work) {
             self.crashed = true;
             return Offer::Crashes;
         }
@@ -149,8 +149,8 @@
         }
     }
 
-    /// Records a request and returns whether it overloads a cold node. Requests that the node rejects count as well.
-    fn is_overloaded_while_cold(&mut self, now: Time, work: f64) -> bool {
+    /// Records a request at a cold node and returns whether it overloads the node. Requests that the node rejects count as well.
+    fn record_cold_load(&mut self, now: Time, work: f64) -> bool {
         let warmth = self.warmth(now);
         if warmth >= 1.0 {
             return false;
--- a/simulation/src/world.rs
+++ b/simulation/src/world.rs
@@ -33,10 +33,12 @@
 const START_TIME: Time = 1_000_000_000;
 /// Time (us) for which a run continues after the last arrival, so that open requests can end.
 const TAIL_US: Time = 8_000_000;
-/// Minimum and maximum backoff (us) after a failed call of the list service, the same as in the router.
-const CALL_PAUSES: (Micros, Micros) = (1_000_000, 8_000_000);
+/// First backoff (us) after a failed call of the list service, the same as in the router.
+const MIN_CALL_BACKOFF_US: Micros = 1_000_000;
+/// Maximum backoff (us) after a failed call of the list service, the same as in the router.
+const MAX_CALL_BACKOFF_US: Micros = 8_000_000;
 /// Number of client sessions of each group.
-const SESSIONS: usize = 64;
+const SESSIONS_PER_GROUP: usize = 64;
 
 fn us_from_s(seconds: f64) -> Time {
     (seconds * 1e6) as Time
@@ -50,6 +52,7 @@
     ClientRetry(u32),
     /// A new connection is established.
     ConnectionUp(u32),
+    /// An attempt reaches its node.
     AttemptAtNode(u32),
     /// A node has finished a request.
     WorkDone {
@@ -62,20 +65,24 @@
         sent_attempt: u32,
         ending: AttemptEnd,
     },
+    /// A deadline of a router expires.
     WakeRouter(u32),
+    /// A health check reaches its node.
     HealthCheckAtNode {
         router: u32,
         epoch: u32,
         node: u32,
     },
+    /// The answer to a health check, or its timeout, reaches the router.
     HealthCheckEnded {
         router: u32,
         epoch: u32,
         node: u32,
-        told: Option<NodeReport>,
+        load_report: Option<NodeReport>,
     },
     /// The endpoint list changes.
     ListChanged(u32),
+    /// A router receives a version of the list; `u32::MAX` stands for the current list.
     DeliverList {
         router: u32,
         version: u32,
@@ -95,14 +102,17 @@
         router: u32,
         epoch: u32,
     },
+    /// A gossip datagram reaches a router.
     DatagramArrived {
         router: u32,
         epoch: u32,
         slot: u32,
     },
+    /// The end of a second, at which the capacity of each zone is recorded.
     RecordCapacity,
 }
 
+/// An event with its time and its sequence number, which orders events of the same time.
 struct QueuedEvent(Time, u64, Event);
 
 impl PartialEq for QueuedEvent {
@@ -143,7 +153,7 @@
     /// New requests per second.
     rate: f64,
     /// The version of the endpoint list that it has.
-    told: u32,
+    list_version: u32,
     /// Delay (us) until it receives a change of the list.
     list_delay: Micros,
     list_silenced: u32,
@@ -161,6 +171,7 @@
     last_restart: Option<Time>,
 }
 
+/// An attempt from its sending until the router or the network has dropped it.
 struct SentAttempt {
     router: u32,
     router_epoch: u32,
@@ -264,6 +275,7 @@
     totals: Totals,
 }
 
+/// Sums over the whole run, for the report.
 #[derive(Default)]
 struct Totals {
     requests: u64,
@@ -349,9 +361,9 @@
         for (zone, row) in mean_delays_us.iter_mut().enumerate() {
             row[zone] = spec.net.same_ms * 1e3;
         }
-        let place = |name: &String| spec.zones.iter().position(|z| &z.name == name);
+        let zone_index = |name: &String| spec.zones.iter().position(|z| &z.name == name);
         for (a, b, ms) in &spec.net.pairs {
-            let (Some(a), Some(b)) = (place(a), place(b)) else {
+            let (Some(a), Some(b)) = (zone_index(a), zone_index(b)) else {
                 return Err(SpecError(format!("net.pairs: {a:?} or {b:?} is no zone")));
             };
             (mean_delays_us[a][b], mean_delays_us[b][a]) = (ms * 1e3, ms * 1e3);
@@ -363,8 +375,8 @@
             .collect();
         let all_nodes = nodes.len();
         let mut routers = Vec::new();
-        for (zone, told) in spec.zones.iter().enumerate() {
-            let part = rate * told.nodes as f64 / all_nodes as f64;
+        for (zone, zone_spec) in spec.zones.iter().enumerate() {
+            let part = rate * zone_spec.nodes as f64 / all_nodes as f64;
             // Every fifth router gets more traffic if `skew` is over 1.
             let weight = |n: usize| {
                 if n.is_multiple_of(5) {
@@ -373,22 +385,22 @@
                     1.0
                 }
             };
-            let sum: f64 = (0..told.routers).map(weight).sum();
-            for n in 0..told.routers {
+            let sum: f64 = (0..zone_spec.routers).map(weight).sum();
+            for n in 0..zone_spec.routers {
                 routers.push(Router {
                     engine: None,
                     zone,
                     epoch: 0,
                     wake: None,
                     rate: part * weight(n) / sum,
-                    told: 0,
+                    list_version: 0,
                     list_delay: us_from_s(rng.random::<f64>() * spec.list.spread_s),
                     list_silenced: 0,
                     pools: vec![(0, 0); all_nodes],
                     out_of_service_since: HashMap::new(),
                     list_backoff: Backoff::new(
-                        CALL_PAUSES.0,
-                        CALL_PAUSES.1,
+                        MIN_CALL_BACKOFF_US,
+                        MAX_CALL_BACKOFF_US,
                         seed ^ routers.len() as u64,
                     ),
                     known_starts: HashMap::new(),
@@ -423,7 +435,7 @@
             order: 0,
             node_by_id,
             sessions: (0..groups.len())
-                .map(|g| (0..SESSIONS).map(|s| session(g, s)).collect())
+                .map(|g| (0..SESSIONS_PER_GROUP).map(|s| session(g, s)).collect())
                 .collect(),
             groups,
             routers,
@@ -558,11 +570,11 @@
                 router,
                 epoch,
                 node,
-                told,
+                load_report,
             } => {
                 let id = self.nodes[node as usize].id.clone();
                 if let Some(engine) = self.engine_of_epoch(router, epoch) {
-                    engine.health_check_ended(id, told);
+                    engine.health_check_ended(id, load_report);
                     self.drive_engine(router);
                 }
             }
@@ -596,9 +608,9 @@
         let cut: Vec<bool> = (0..self.spec.zones.len())
             .map(|z| self.lost_to_node[z][z] > 0)
             .collect();
-        if let Some(told) = self.seconds.get_mut(second) {
+        if let Some(figures) = self.seconds.get_mut(second) {
             for node in self.nodes.iter().filter(|n| n.up && !cut[n.zone]) {
-                told.capacity[node.zone] += node.machine.capacity(self.now);
+                figures.capacity[node.zone] += node.machine.capacity(self.now);
             }
             self.schedule(self.now + 1_000_000, Event::RecordCapacity);
         }
--- a/simulation/src/world/clients.rs
+++ b/simulation/src/world/clients.rs
@@ -1,6 +1,6 @@
 //! The clients: their requests and retries, and the checks of the final answers.
 
-use super::{Event, Request, SESSIONS, START_TIME, World, us_from_s};
+use super::{Event, Request, SESSIONS_PER_GROUP, START_TIME, World, us_from_s};
 use crate::rules::Rule;
 use crate::spec::Reads;
 use plovercove::{Micros, RequestInfo, Time};
@@ -46,7 +46,7 @@
                 .position(|up_to| draw < *up_to)
                 .unwrap_or(self.groups.len() - 1)
         };
-        let session = self.rng.random_range(0..SESSIONS) as u32;
+        let session = self.rng.random_range(0..SESSIONS_PER_GROUP) as u32;
         let tenant = self.draw_tenant();
         let follows = self.spec.classes[class].reads == Reads::Session
             && self.rng.random::<f64>() < self.spec.clients.follows_write;
@@ -120,9 +120,9 @@
     /// Sends a client's try to its router, or to another router if that one is down.
     pub(super) fn client_try(&mut self, id: u32) {
         let class = self.requests[id as usize].class as usize;
-        let told = &self.spec.classes[class];
+        let class_spec = &self.spec.classes[class];
         let patience = self.uniform((self.spec.clients.patience, 1.0));
-        let deadline = told.deadline_ms * 1_000;
+        let deadline = class_spec.deadline_ms * 1_000;
         let r = &self.requests[id as usize];
         let left = ((deadline as f64 * patience) as Micros)
             .min((r.arrived_at + deadline).saturating_sub(self.now));
@@ -143,7 +143,7 @@
         r.tries += 1;
         r.answer_due = Some(self.now + left);
         r.router = router;
-        let reads = told.reads;
+        let reads = class_spec.reads;
         let keyed = matches!(reads, Reads::Session | Reads::Write);
         let info = RequestInfo {
             class,
@@ -163,18 +163,24 @@
         self.drive_engine(router);
     }
 
-    /// Handles a rejection, a failure or the loss of the router: the client retries or gives up.
-    pub(super) fn retry_or_give_up(&mut self, id: u32, harmless: bool, told: Option<Micros>) {
+    /// Handles a rejection, a failure or the loss of the router: the client retries or gives up. A write is retried only if
+    /// it did not run.
+    pub(super) fn retry_or_give_up(
+        &mut self,
+        id: u32,
+        did_not_run: bool,
+        retry_after: Option<Micros>,
+    ) {
         let r = &self.requests[id as usize];
-        let safe = harmless || self.spec.classes[r.class as usize].reads != Reads::Write;
+        let safe = did_not_run || self.spec.classes[r.class as usize].reads != Reads::Write;
         if !safe || r.tries > self.spec.clients.retries {
             return self.give_up(id);
         }
         let usual = self.spec.clients.backoff_ms * 1e3;
         let spread = self.uniform((0.5, 1.5));
         let follows = self.rng.random::<f64>() < self.spec.clients.follow;
-        let wait = match told {
-            Some(told) if follows => told as f64,
+        let wait = match retry_after {
+            Some(retry_after) if follows => retry_after as f64,
             _ => usual * spread,
         };
         self.requests[id as usize].references += 1;
--- a/simulation/src/world/gossip.rs
+++ b/simulation/src/world/gossip.rs
@@ -2,7 +2,7 @@
 
 use super::{Event, START_TIME, World, us_from_s};
 use crate::spec::{PeerSpec, SpecError};
-use plovercove::{LocalityPolicy, Micros, NodeId};
+use plovercove::{LocalityPolicy, Micros, NodeId, Time};
 use plovercove_engine::Engine;
 use plovercove_gossip::{Gossip, GossipEvent, Incarnation, Keys, Level, Observer};
 use rand::RngExt;
@@ -17,9 +17,9 @@
 
 /// The gossip state of a router.
 pub(super) struct GossipState {
-    pub(super) peers: Gossip,
+    gossip: Gossip,
     /// When its next timer expires.
-    due: Option<plovercove::Time>,
+    due: Option<Time>,
 }
 
 /// Figures of the gossip, over all routers.
@@ -84,14 +84,14 @@
             zone,
         };
         let observer = Observer::new(&rules, &self.settings[router], inner);
-        let peers = Gossip::new(
+        let gossip = Gossip::new(
             rules,
             keys,
             me,
             self.now,
             self.seed ^ ((router as u64) << 12),
         );
-        self.routers[router].gossip = Some(GossipState { peers, due: None });
+        self.routers[router].gossip = Some(GossipState { gossip, due: None });
         Ok(Box::new(observer))
     }
 
@@ -99,15 +99,15 @@
     pub(super) fn gossip_due(&mut self, router: u32, epoch: u32) {
         let now = self.now;
         let r = &mut self.routers[router as usize];
-        let (Some(talk), Some(engine)) = (&mut r.gossip, &mut r.engine) else {
+        let (Some(state), Some(engine)) = (&mut r.gossip, &mut r.engine) else {
             return;
         };
-        if r.epoch != epoch || talk.due.is_none_or(|at| at > now) {
+        if r.epoch != epoch || state.due.is_none_or(|at| at > now) {
             return;
         }
-        talk.due = None;
+        state.due = None;
         if let Some(observer) = observer(engine) {
-            talk.peers.turn(now, observer);
+            state.gossip.turn(now, observer);
         }
         self.flush_gossip(router);
     }
@@ -117,14 +117,14 @@
         let bytes = self.datagrams.remove(slot as usize);
         let now = self.now;
         let r = &mut self.routers[router as usize];
-        let Some(talk) = r
+        let Some(state) = r
             .gossip
             .as_mut()
             .filter(|_| r.epoch == epoch && r.engine.is_some())
         else {
             return;
         };
-        talk.peers.receive(now, &bytes);
+        state.gossip.receive(now, &bytes);
         self.flush_gossip(router);
     }
 
@@ -133,16 +133,16 @@
         let now = self.now;
         let r = &mut self.routers[router as usize];
         let epoch = r.epoch;
-        let Some(talk) = &mut r.gossip else { return };
-        let out = talk.peers.take_outgoing();
-        let news: Vec<GossipEvent> = std::iter::from_fn(|| talk.peers.next_event()).collect();
-        let next = talk.peers.next_deadline().max(now + 1);
-        if next < plovercove::Time::MAX && talk.due.is_none_or(|at| next < at) {
-            talk.due = Some(next);
+        let Some(state) = &mut r.gossip else { return };
+        let outgoing = state.gossip.take_outgoing();
+        let events: Vec<GossipEvent> = std::iter::from_fn(|| state.gossip.next_event()).collect();
+        let next = state.gossip.next_deadline().max(now + 1);
+        if next < Time::MAX && state.due.is_none_or(|at| next < at) {
+            state.due = Some(next);
             self.schedule(next, Event::GossipDue { router, epoch });
         }
         let loss = self.spec.peers.as_ref().map_or(0.0, |p| p.loss);
-        for (to, bytes) in out {
+        for (to, bytes) in outgoing {
             let Some(to) = router_of(to).filter(|n| *n < self.routers.len()) else {
                 continue;
             };
@@ -167,9 +167,9 @@
             );
         }
         let mut changed = false;
-        for news in news {
-            changed |= matches!(news, GossipEvent::Verdict { .. });
-            self.record_gossip_event(router, news);
+        for event in events {
+            changed |= matches!(event, GossipEvent::Verdict { .. });
+            self.record_gossip_event(router, event);
         }
         if changed {
             if let Some(engine) = &mut self.routers[router as usize].engine {
@@ -179,9 +179,9 @@
         }
     }
 
-    fn record_gossip_event(&mut self, router: u32, news: GossipEvent) {
+    fn record_gossip_event(&mut self, router: u32, event: GossipEvent) {
         let now = self.now;
-        match news {
+        match event {
             GossipEvent::Verdict { node, verdict, .. } if verdict.level == Level::Ejected => {
                 self.gossip_stats.outs += 1;
                 let evidence = self
@@ -199,12 +199,12 @@
                     self.record_ejection_by_all(n, &node);
                 }
             }
-            GossipEvent::MemberDown(life) => {
-                let there = life
+            GossipEvent::MemberDown(member) => {
+                let member_number = member
                     .name
                     .strip_prefix('n')
                     .and_then(|n| n.parse::<usize>().ok());
-                let Some(there) = there.filter(|n| *n < self.routers.len()) else {
+                let Some(member_number) = member_number.filter(|n| *n < self.routers.len()) else {
                     return;
                 };
                 let window = self
@@ -212,8 +212,8 @@
                     .peers
                     .as_ref()
                     .map_or(0, |p| p.rules.max_convergence_delay());
-                let calm = |at: Option<plovercove::Time>| at.is_none_or(|at| now > at + window);
-                let (a, b) = (&self.routers[there], &self.routers[router as usize]);
+                let calm = |at: Option<Time>| at.is_none_or(|at| now > at + window);
+                let (a, b) = (&self.routers[member_number], &self.routers[router as usize]);
                 if calm(a.last_restart) && calm(b.last_restart) && calm(self.cut_at) {
                     self.gossip_stats.false_downs += 1;
                 }
@@ -227,12 +227,13 @@
         if self.gossip_stats.all_out.is_some() {
             return;
         }
-        let out =
-            |engine: &mut Engine| observer(engine).is_some_and(|w| w.level(node) == Level::Ejected);
+        let has_ejected = |engine: &mut Engine| {
+            observer(engine).is_some_and(|observer| observer.level(node) == Level::Ejected)
+        };
         if self
             .routers
             .iter_mut()
-            .all(|r| r.engine.as_mut().is_none_or(out))
+            .all(|r| r.engine.as_mut().is_none_or(has_ejected))
             && let Some((from, _)) = self.fault_periods[number as usize]
         {
             self.gossip_stats.all_out = Some((self.now - from) as f64 / 1e6);
@@ -251,6 +252,6 @@
 fn observer(engine: &mut Engine) -> Option<&mut Observer> {
     engine
         .locality_policy()
-        .map(|zoning| zoning as &mut dyn Any)
+        .map(|policy| policy as &mut dyn Any)
         .and_then(<dyn Any>::downcast_mut)
 }
--- a/simulation/src/world/links.rs
+++ b/simulation/src/world/links.rs
@@ -65,7 +65,7 @@
         if self.routers[router as usize]
             .out_of_service_since
             .get(name)
-            .is_some_and(|told| self.now > told + grace)
+            .is_some_and(|since| self.now > since + grace)
         {
             self.breaches.add(Rule::Drain, second, || {
                 format!("router {router} to node {name}")
@@ -83,8 +83,8 @@
             {
                 s.spilled[to] += spec.work_ms / 1e3;
             }
-            let known = &self.nodes[node as usize];
-            let replica = self.groups[known.group].0.primary() != Some(known.member);
+            let node_state = &self.nodes[node as usize];
+            let replica = self.groups[node_state.group].0.primary() != Some(node_state.member);
             if replica && self.now < self.first_fault && second >= 2.0 {
                 self.totals.local.0 += u64::from(from == to);
                 self.totals.local.1 += 1;
@@ -123,11 +123,11 @@
             return self.write_attempt(sent_attempt);
         }
         // Opening a connection takes a round trip and the handshake.
-        let known = &self.nodes[node as usize];
+        let node_state = &self.nodes[node as usize];
         // A node that was replaced no longer listens at its address.
         let (up, full) = (
-            known.up && known.id == *name,
-            known.connections >= self.spec.node.connections,
+            node_state.up && node_state.id == *name,
+            node_state.connections >= self.spec.node.connections,
         );
         let wait = match (
             self.delay_to_node(router, node),
@@ -261,9 +261,9 @@
             sent_attempt.sent,
             sent_attempt.class as usize,
         );
-        let known = &mut self.nodes[node as usize];
-        let (group, member) = (known.group, known.member);
-        let kept = matches!(
+        let node_state = &mut self.nodes[node as usize];
+        let (group, member) = (node_state.group, node_state.member);
+        let keeps_connection = matches!(
             ending,
             AttemptEnd::Success
                 | AttemptEnd::Failure
@@ -271,25 +271,33 @@
                 | AttemptEnd::Overloaded
                 | AttemptEnd::NeverSent
         );
-        if known.epoch == sent_attempt.node_epoch {
+        if node_state.epoch == sent_attempt.node_epoch {
             let pool = &mut self.routers[router as usize].pools[node as usize];
-            if kept {
+            if keeps_connection {
                 *pool = (
-                    known.epoch,
-                    if pool.0 == known.epoch { pool.1 + 1 } else { 1 },
+                    node_state.epoch,
+                    if pool.0 == node_state.epoch {
+                        pool.1 + 1
+                    } else {
+                        1
+                    },
                 );
             } else if ending == AttemptEnd::Reset {
-                known.connections = known.connections.saturating_sub(1);
+                node_state.connections = node_state.connections.saturating_sub(1);
             }
         }
-        let head = self.groups[group].0.primary() == Some(member);
+        let is_primary = self.groups[group].0.primary() == Some(member);
         let write = self.spec.classes[class].reads == Reads::Write;
         let answers = matches!(
             ending,
             AttemptEnd::Success | AttemptEnd::Misdirected | AttemptEnd::Failure
         );
-        let note = NodeReport {
-            role: answers.then_some(if head { Role::Primary } else { Role::Replica }),
+        let answer_report = NodeReport {
+            role: answers.then_some(if is_primary {
+                Role::Primary
+            } else {
+                Role::Replica
+            }),
             position: (write && ending == AttemptEnd::Success).then_some(self.now),
             ..NodeReport::default()
         };
@@ -298,7 +306,8 @@
         let Some(engine) = self.engine_of_epoch(router, epoch) else {
             return self.remove_attempt(id);
         };
-        let served = engine.attempt_ended(now, attempt, ending, note, NodeReport::default());
+        let served =
+            engine.attempt_ended(now, attempt, ending, answer_report, NodeReport::default());
         if served.is_some() {
             let need = match self.spec.classes[class].reads {
                 Reads::Bounded(ms) => sent.saturating_sub(ms * 1_000),
--- a/simulation/src/world/list.rs
+++ b/simulation/src/world/list.rs
@@ -72,24 +72,24 @@
     }
 
     pub(super) fn deliver_list(&mut self, router: u32, version: u32) {
-        let whole = version == u32::MAX;
+        let is_full = version == u32::MAX;
         let r = &self.routers[router as usize];
-        if r.list_silenced > 0 || r.engine.is_none() || (!whole && version <= r.told) {
+        if r.list_silenced > 0 || r.engine.is_none() || (!is_full && version <= r.list_version) {
             return;
         }
-        let update = if !whole && version == r.told + 1 {
+        let update = if !is_full && version == r.list_version + 1 {
             EndpointUpdate::Changes(self.changes[version as usize].clone())
         } else {
             EndpointUpdate::Full(self.list_at_version(self.version))
         };
-        let told = if matches!(update, EndpointUpdate::Full(_)) {
+        let new_version = if matches!(update, EndpointUpdate::Full(_)) {
             self.version
         } else {
             version
         };
         let now = self.now;
         let r = &mut self.routers[router as usize];
-        r.told = told;
+        r.list_version = new_version;
         if let EndpointUpdate::Changes(all)
         | EndpointUpdate::Full(all)
         | EndpointUpdate::Restored(all) = &update
@@ -134,13 +134,13 @@
     }
 
     pub(super) fn list_entry(&self, node: u32, state: EndpointState) -> Endpoint {
-        let known = &self.nodes[node as usize];
-        let primary = self.groups[known.group].0.primary() == Some(known.member);
+        let node_state = &self.nodes[node as usize];
+        let primary = self.groups[node_state.group].0.primary() == Some(node_state.member);
         Endpoint {
-            node: known.id.clone(),
+            node: node_state.id.clone(),
             state,
             listed_as_primary: primary,
-            started_at: known.machine.started_at(),
+            started_at: node_state.machine.started_at(),
             ..self.initial_list[node as usize].clone()
         }
     }
--- a/simulation/src/world/nodes.rs
+++ b/simulation/src/world/nodes.rs
@@ -20,18 +20,18 @@
             sent_attempt.class,
             sent_attempt.work,
         );
-        let known = &mut self.nodes[node as usize];
-        if !known.up || known.epoch != epoch {
+        let node_state = &mut self.nodes[node as usize];
+        if !node_state.up || node_state.epoch != epoch {
             return self.send_reply(id, AttemptEnd::Reset);
         }
-        let (group, member) = (known.group, known.member);
-        let head = self.groups[group].0.primary() == Some(member);
-        if self.spec.classes[class as usize].reads == Reads::Write && !head {
+        let (group, member) = (node_state.group, node_state.member);
+        let is_primary = self.groups[group].0.primary() == Some(member);
+        if self.spec.classes[class as usize].reads == Reads::Write && !is_primary {
             return self.send_reply(id, AttemptEnd::Misdirected);
         }
-        let cold = known.machine.warmth(self.now) < 1.0;
+        let cold = node_state.machine.warmth(self.now) < 1.0;
         if cold {
-            let started = known.machine.started_at();
+            let started = node_state.machine.started_at();
             let told = self.routers[sent_attempt.router as usize]
                 .known_starts
                 .get(&node)
@@ -51,19 +51,19 @@
         if self.failing_nodes[node as usize] == Some(None) {
             return self.lose_silently(id);
         }
-        let offered = known.machine.offer(self.now, id, work);
-        let pressure = known.machine.cold_load_share();
-        let (most, theirs) = &mut self.totals.cold;
-        if cold && pressure > theirs.pressure {
+        let offered = node_state.machine.offer(self.now, id, work);
+        let pressure = node_state.machine.cold_load_share();
+        let (largest, informed) = &mut self.totals.cold;
+        if cold && pressure > informed.pressure {
             let peak = LoadPeak {
                 pressure,
                 shares: self.pressure.shares(node),
             };
             if peak.shares.are_mostly_informed() {
-                *theirs = peak;
+                *informed = peak;
             }
-            if pressure > most.pressure {
-                *most = peak;
+            if pressure > largest.pressure {
+                *largest = peak;
             }
         }
         match offered {
@@ -72,7 +72,7 @@
             Offer::Rejected => self.send_reply(id, AttemptEnd::Overloaded),
             Offer::Crashes => {
                 self.totals.fallen += 1;
-                let (name, second) = (known.id.clone(), self.now_s());
+                let (name, second) = (node_state.id.clone(), self.now_s());
                 let shares = self.pressure.shares(node);
                 // If most of the load came from routers that could not know of the start, only the crash is counted.
                 if shares.are_mostly_informed() {
@@ -93,17 +93,17 @@
         let (group, member) = (self.nodes[node].group, self.nodes[node].member);
         let log = &mut self.groups[group].0;
         let position = log.position(member, self.now);
-        let head = log.primary() == Some(member);
-        if self.spec.classes[class].blocks && !head {
+        let is_primary = log.primary() == Some(member);
+        if self.spec.classes[class].blocks && !is_primary {
             log.pause_apply(member, self.now, until);
         }
-        let by_head = head || self.nodes[node].was_primary;
+        let by_primary = is_primary || self.nodes[node].was_primary;
         let sent_attempt = &mut self.sent_attempts[id as usize];
         (
             sent_attempt.position,
             sent_attempt.by_primary,
             sent_attempt.at_node,
-        ) = (position, by_head, true);
+        ) = (position, by_primary, true);
         let (node, epoch) = (sent_attempt.node, sent_attempt.node_epoch);
         self.schedule(
             until,
@@ -116,11 +116,11 @@
     }
 
     pub(super) fn work_done(&mut self, node: u32, epoch: u32, id: u32) {
-        let known = &mut self.nodes[node as usize];
-        if known.epoch != epoch {
+        let node_state = &mut self.nodes[node as usize];
+        if node_state.epoch != epoch {
             return;
         }
-        if let Some((next, until)) = known.machine.finish_request(self.now) {
+        if let Some((next, until)) = node_state.machine.finish_request(self.now) {
             self.start_work(next, until);
         }
         let (group, member) = (
@@ -161,14 +161,15 @@
     }
 
     pub(super) fn node_down(&mut self, node: u32) {
-        let known = &mut self.nodes[node as usize];
-        if !known.up {
+        let node_state = &mut self.nodes[node as usize];
+        if !node_state.up {
             return;
         }
-        (known.up, known.epoch, known.connections) = (false, known.epoch + 1, 0);
+        (node_state.up, node_state.epoch, node_state.connections) =
+            (false, node_state.epoch + 1, 0);
         self.fault_periods[node as usize] = Some((self.now, Time::MAX / 2));
-        drop(known.machine.stop());
-        let (group, member) = (known.group, known.member);
+        drop(node_state.machine.stop());
+        let (group, member) = (node_state.group, node_state.member);
         let lost: Vec<u32> = self
             .sent_attempts
             .iter()
@@ -183,9 +184,9 @@
 
     /// Replaces a node by another one with a new name.
     pub(super) fn replace_node_id(&mut self, node: u32) {
-        let known = &mut self.nodes[node as usize];
-        known.id = format!("s-{node:04}-{}", known.epoch).into();
-        self.node_by_id.insert(known.id.clone(), node);
+        let node_state = &mut self.nodes[node as usize];
+        node_state.id = format!("s-{node:04}-{}", node_state.epoch).into();
+        self.node_by_id.insert(node_state.id.clone(), node);
     }
 
     /// Disconnects a member from its group. If it is the primary, an election follows after the detection time.
@@ -206,16 +207,16 @@
 
     pub(super) fn node_up(&mut self, node: u32) {
         let now = self.now;
-        let known = &mut self.nodes[node as usize];
-        if known.up || known.machine.has_crashed() {
+        let node_state = &mut self.nodes[node as usize];
+        if node_state.up || node_state.machine.has_crashed() {
             return;
         }
-        (known.up, known.epoch) = (true, known.epoch + 1);
-        known.machine.restart(now);
+        (node_state.up, node_state.epoch) = (true, node_state.epoch + 1);
+        node_state.machine.restart(now);
         self.pressure.clear(node);
         // Routers may eject the node until all of them know of the restart.
         self.fault_periods[node as usize] = Some((now, now + LIST_DELIVERY_BOUND_US));
-        let (group, member) = (known.group, known.member);
+        let (group, member) = (node_state.group, node_state.member);
         self.groups[group].0.reconnect(member, now);
         if self.groups[group].0.primary().is_none() {
             self.schedule(now + us_from_s(1.0), Event::ElectPrimary(group as u32));
--- a/simulation/src/world/routers.rs
+++ b/simulation/src/world/routers.rs
@@ -16,7 +16,7 @@
         let name = &self.spec.zones[zone].name;
         let (settings, epoch) = (self.settings[router].clone(), self.routers[router].epoch);
         let seed = self.seed ^ ((router as u64 + 1) << 20) ^ (u64::from(epoch) << 50);
-        let zoning: Option<Box<dyn LocalityPolicy>> = match self.spec.variant {
+        let locality_policy: Option<Box<dyn LocalityPolicy>> = match self.spec.variant {
             Variant::Flat => None,
             Variant::Strict => Some(Box::new(Strict::new(name))),
             Variant::ZoneFailover => {
@@ -26,26 +26,26 @@
                 ))
             }
         };
-        let zoning = match &self.spec.peers {
-            Some(peers) => Some(self.start_gossip(peers, router, zoning)?),
-            None => zoning,
+        let locality_policy = match &self.spec.peers {
+            Some(peers) => Some(self.start_gossip(peers, router, locality_policy)?),
+            None => locality_policy,
         };
         let engine = Engine::new(settings, seed);
-        let mut engine = match zoning {
-            Some(zoning) => engine.with_locality_policy(zoning),
+        let mut engine = match locality_policy {
+            Some(locality_policy) => engine.with_locality_policy(locality_policy),
             None => engine,
         };
         if self.now > START_TIME {
             self.routers[router].last_restart = Some(self.now);
         }
         // The last list that the router had before the restart. It may be outdated.
-        let told = self.routers[router].told;
-        let known = self.list_at_version(told);
-        let starts = known
+        let version = self.routers[router].list_version;
+        let restored = self.list_at_version(version);
+        let starts = restored
             .iter()
             .filter_map(|e| Some((self.node_by_id[&e.node], e.started_at?)))
             .collect();
-        engine.update_endpoints(EndpointUpdate::Restored(known));
+        engine.update_endpoints(EndpointUpdate::Restored(restored));
         self.routers[router].engine = Some(engine);
         self.routers[router].out_of_service_since.clear();
         self.routers[router].known_starts = starts;
@@ -66,51 +66,53 @@
 
     pub(super) fn stop_router(&mut self, router: u32) {
         let now = self.now;
-        let r = &mut self.routers[router as usize];
-        if r.engine.take().is_none() {
+        let state = &mut self.routers[router as usize];
+        if state.engine.take().is_none() {
             return;
         }
-        r.epoch += 1;
-        r.wake = None;
-        (r.gossip, r.last_restart) = (None, Some(now));
-        let pools = std::mem::replace(&mut r.pools, vec![(0, 0); self.nodes.len()]);
-        let attempts = std::mem::take(&mut r.attempts);
+        state.epoch += 1;
+        state.wake = None;
+        (state.gossip, state.last_restart) = (None, Some(now));
+        let pools = std::mem::replace(&mut state.pools, vec![(0, 0); self.nodes.len()]);
+        let attempts = std::mem::take(&mut state.attempts);
         for (node, (epoch, idle)) in self.nodes.iter_mut().zip(pools) {
             if node.epoch == epoch {
                 node.connections = node.connections.saturating_sub(idle);
             }
         }
-        let mut runs: Vec<u32> = attempts.into_values().collect();
-        runs.sort_unstable();
-        for sent_attempt in runs {
+        let mut sent_attempts: Vec<u32> = attempts.into_values().collect();
+        sent_attempts.sort_unstable();
+        for sent_attempt in sent_attempts {
             self.cancel_attempt(sent_attempt);
         }
-        let held: Vec<u32> = self
+        let open_requests: Vec<u32> = self
             .requests
             .iter()
-            .filter(|(_, r)| r.answer_due.is_some() && r.router == router)
+            .filter(|(_, state)| state.answer_due.is_some() && state.router == router)
             .map(|(id, _)| id as u32)
             .collect();
-        for id in held {
-            let r = &mut self.requests[id as usize];
-            (r.answer_due, r.key) = (None, None);
+        for id in open_requests {
+            let state = &mut self.requests[id as usize];
+            (state.answer_due, state.key) = (None, None);
             self.retry_or_give_up(id, false, None);
         }
     }
 
     pub(super) fn engine_of_epoch(&mut self, router: u32, epoch: u32) -> Option<&mut Engine> {
-        let r = &mut self.routers[router as usize];
-        r.engine.as_mut().filter(|_| r.epoch == epoch)
+        let state = &mut self.routers[router as usize];
+        state.engine.as_mut().filter(|_| state.epoch == epoch)
     }
 
     pub(super) fn wake_router(&mut self, router: u32) {
         let now = self.now;
-        let r = &mut self.routers[router as usize];
-        if r.wake.is_none_or(|at| at > now) {
+        let state = &mut self.routers[router as usize];
+        if state.wake.is_none_or(|at| at > now) {
             return;
         }
-        r.wake = None;
-        let Some(engine) = &mut r.engine else { return };
+        state.wake = None;
+        let Some(engine) = &mut state.engine else {
+            return;
+        };
         while let Some(due) = engine.deadlines.pop(now) {
             match due {
                 Deadline::Wake => engine.wake(),
@@ -136,12 +138,12 @@
                 self.execute_command(router, command);
             }
         }
-        let r = &mut self.routers[router as usize];
-        let Some(next) = r.engine.as_ref().and_then(|c| c.deadlines.next()) else {
+        let state = &mut self.routers[router as usize];
+        let Some(next) = state.engine.as_ref().and_then(|c| c.deadlines.next()) else {
             return;
         };
-        if r.wake.is_none_or(|at| next < at) {
-            r.wake = Some(next);
+        if state.wake.is_none_or(|at| next < at) {
+            state.wake = Some(next);
             self.schedule(next, Event::WakeRouter(router));
         }
     }
@@ -165,9 +167,9 @@
                     return;
                 };
                 let pool = &mut self.routers[router as usize].pools[node as usize];
-                let known = &mut self.nodes[node as usize];
-                if pool.0 == known.epoch {
-                    known.connections = known.connections.saturating_sub(pool.1);
+                let node_state = &mut self.nodes[node as usize];
+                if pool.0 == node_state.epoch {
+                    node_state.connections = node_state.connections.saturating_sub(pool.1);
                 }
                 pool.1 = 0;
             }
@@ -175,10 +177,10 @@
                 let id = origin.number() as u32;
                 let second = (self.now_s() as usize).min(self.seconds.len() - 1);
                 match answer {
-                    FinalAnswer::Rejected(told) => {
+                    FinalAnswer::Rejected(retry_after) => {
                         self.seconds[second].refused += 1;
                         if self.take_final_answer(id, "refused") {
-                            self.retry_or_give_up(id, true, told);
+                            self.retry_or_give_up(id, true, retry_after);
                         }
                     }
                     FinalAnswer::Failed => {
@@ -194,7 +196,7 @@
 
     pub(super) fn routers_of(&self, zone: usize) -> Vec<u32> {
         (0..self.routers.len() as u32)
-            .filter(|r| self.routers[*r as usize].zone == zone)
+            .filter(|state| self.routers[*state as usize].zone == zone)
             .collect()
     }
 
@@ -221,7 +223,7 @@
                         router,
                         epoch,
                         node,
-                        told: None,
+                        load_report: None,
                     },
                 );
             }
@@ -229,27 +231,27 @@
     }
 
     pub(super) fn health_check_at_node(&mut self, router: u32, epoch: u32, node: u32) {
-        let known = &self.nodes[node as usize];
-        let (group, member, up) = (known.group, known.member, known.up);
+        let node_state = &self.nodes[node as usize];
+        let (group, member, up) = (node_state.group, node_state.member, node_state.up);
         // A node's report was refreshed up to 0.15 s ago.
-        let old = us_from_s(self.uniform((0.0, 0.15)));
+        let report_age = us_from_s(self.uniform((0.0, 0.15)));
         let log = &mut self.groups[group].0;
         let role = if log.primary() == Some(member) {
             Role::Primary
         } else {
             Role::Replica
         };
-        let position = Some(log.position(member, self.now).saturating_sub(old));
+        let position = Some(log.position(member, self.now).saturating_sub(report_age));
         let machine = &self.nodes[node as usize].machine;
-        let (held, busy) = (
+        let (in_flight, utilization_permille) = (
             machine.in_flight() as u32,
             (machine.utilization() * 1e3) as u32,
         );
-        let told = up.then_some(NodeReport {
+        let load_report = up.then_some(NodeReport {
             position,
             role: Some(role),
-            in_flight: Some(held),
-            utilization_permille: Some(busy),
+            in_flight: Some(in_flight),
+            utilization_permille: Some(utilization_permille),
             age: 0,
         });
         if let Some(wait) = self.delay_to_router(router, node) {
@@ -259,7 +261,7 @@
                     router,
                     epoch,
                     node,
-                    told,
+                    load_report,
                 },
             );
         }
