--- a/simulation/src/pressure.rs
+++ b/simulation/src/cold_load.rs
@@ -15,14 +15,14 @@
     /// Its work (s).
     pub(crate) work: f64,
     /// Whether its router knew that the node had started.
-    pub(crate) told: bool,
-    pub(crate) write: bool,
+    pub(crate) from_informed: bool,
+    pub(crate) is_write: bool,
     /// Whether it was a further attempt of its request.
-    pub(crate) again: bool,
+    pub(crate) is_further_attempt: bool,
 }
 
 /// The requests that reached cold nodes within the last window.
-pub(crate) struct Pressure {
+pub(crate) struct ColdLoads {
     window: Micros,
     nodes: HashMap<u32, VecDeque<ColdRequest>>,
 }
@@ -69,9 +69,9 @@
     }
 }
 
-impl Pressure {
+impl ColdLoads {
     pub(crate) fn new(window: Micros) -> Self {
-        Pressure {
+        ColdLoads {
             window,
             nodes: HashMap::new(),
         }
@@ -105,9 +105,9 @@
         };
         let all = sum(|_| true).max(1e-9);
         LoadShares {
-            told: sum(|p| p.told) / all,
-            writes: sum(|p| p.write) / all,
-            again: sum(|p| p.again) / all,
+            told: sum(|p| p.from_informed) / all,
+            writes: sum(|p| p.is_write) / all,
+            again: sum(|p| p.is_further_attempt) / all,
         }
     }
 }
--- a/simulation/src/lib.rs
+++ b/simulation/src/lib.rs
@@ -4,8 +4,8 @@
 //!
 //! [`node`] and [`replication`] are state machines that receive the time as an argument; the emulator uses them too.
 
+mod cold_load;
 pub mod node;
-mod pressure;
 pub mod replication;
 mod report;
 mod rules;
@@ -13,7 +13,7 @@
 mod strict;
 mod world;
 
-pub use pressure::{LoadPeak, LoadShares};
+pub use cold_load::{LoadPeak, LoadShares};
 pub use report::*;
 pub use rules::{Breach, Rule};
 pub use spec::*;
--- a/simulation/src/report.rs
+++ b/simulation/src/report.rs
@@ -1,6 +1,6 @@
 //! The report of a run.
 
-use crate::pressure::LoadPeak;
+use crate::cold_load::LoadPeak;
 use crate::rules::Breach;
 use crate::spec::Variant;
 use serde::Serialize;
--- a/simulation/src/world.rs
+++ b/simulation/src/world.rs
@@ -13,8 +13,8 @@
 pub use gossip::GossipStats;
 
 use crate::SimRng;
+use crate::cold_load::{ColdLoads, LoadPeak};
 use crate::node::NodeModel;
-use crate::pressure::{LoadPeak, Pressure};
 use crate::replication::Group;
 use crate::report::{Report, Second, ServedShare};
 use crate::rules::{Breaches, Rule};
@@ -270,7 +270,7 @@
     seconds: Vec<Second>,
     latencies: Histogram<u64>,
     breaches: Breaches,
-    pressure: Pressure,
+    cold_loads: ColdLoads,
     first_fault: Time,
     totals: Totals,
 }
@@ -471,7 +471,7 @@
             ],
             latencies: Histogram::new_with_max(60_000_000, 3).expect("a range"),
             breaches: Breaches::default(),
-            pressure: Pressure::new(us_from_s(spec.node.fall_s)),
+            cold_loads: ColdLoads::new(us_from_s(spec.node.fall_s)),
             first_fault: START_TIME
                 + us_from_s(
                     spec.faults
--- a/simulation/src/world/nodes.rs
+++ b/simulation/src/world/nodes.rs
@@ -1,8 +1,8 @@
 //! The nodes: how they run requests, crash and restart, and how their groups elect primaries.
 
 use super::{Event, World, us_from_s};
+use crate::cold_load::{ColdRequest, LoadPeak};
 use crate::node::Offer;
-use crate::pressure::{ColdRequest, LoadPeak};
 use crate::rules::Rule;
 use crate::spec::Reads;
 use plovercove::{AttemptEnd, EndpointState, Micros, Time};
@@ -32,21 +32,21 @@
         let cold = node_state.machine.warmth(self.now) < 1.0;
         if cold {
             let started = node_state.machine.started_at();
-            let told = self.routers[sent_attempt.router as usize]
+            let from_informed = self.routers[sent_attempt.router as usize]
                 .known_starts
                 .get(&node)
                 .copied()
                 == started
                 || started.is_some_and(|at| self.now > at + LIST_DELIVERY_BOUND_US);
-            let write = self.spec.classes[class as usize].reads == Reads::Write;
+            let is_write = self.spec.classes[class as usize].reads == Reads::Write;
             let request = ColdRequest {
                 at: self.now,
                 work,
-                told,
-                write,
-                again: sent_attempt.attempt.number > 0,
+                from_informed,
+                is_write,
+                is_further_attempt: sent_attempt.attempt.number > 0,
             };
-            self.pressure.add(node, request);
+            self.cold_loads.add(node, request);
         }
         if self.failing_nodes[node as usize] == Some(None) {
             return self.lose_silently(id);
@@ -57,7 +57,7 @@
         if cold && pressure > informed.pressure {
             let peak = LoadPeak {
                 pressure,
-                shares: self.pressure.shares(node),
+                shares: self.cold_loads.shares(node),
             };
             if peak.shares.are_mostly_informed() {
                 *informed = peak;
@@ -73,7 +73,7 @@
             Offer::Crashes => {
                 self.totals.fallen += 1;
                 let (name, second) = (node_state.id.clone(), self.now_s());
-                let shares = self.pressure.shares(node);
+                let shares = self.cold_loads.shares(node);
                 // If most of the load came from routers that could not know of the start, only the crash is counted.
                 if shares.are_mostly_informed() {
                     self.breaches.add(Rule::PushedOver, second, || {
@@ -213,7 +213,7 @@
         }
         (node_state.up, node_state.epoch) = (true, node_state.epoch + 1);
         node_state.machine.restart(now);
-        self.pressure.clear(node);
+        self.cold_loads.clear(node);
         // Routers may eject the node until all of them know of the restart.
         self.fault_periods[node as usize] = Some((now, now + LIST_DELIVERY_BOUND_US));
         let (group, member) = (node_state.group, node_state.member);
--- a/simulation/tests/drawn/mod.rs
+++ b/simulation/tests/drawn/mod.rs
@@ -77,7 +77,7 @@
     let (zone, node) = (&spec.zones[0], &spec.node);
     let (largest, informed) = &report.cold;
     format!(
-        "seed {seed}: {:.2} of what is borne ({:.2} from routers that were told), {} fell; {} routers, {} members, load {:.2}, skew {:.1}, bursts {:?}, \
+        "seed {seed}: load {:.2} of what a cold node withstands ({:.2} for loads from informed routers), {} crashed; {} routers, {} members, load {:.2}, skew {:.1}, bursts {:?}, \
          {} cores from {:.2}, {:.1} x {:.1} s; in time {:.3}; {} faults; the peak: {}",
         report.cold_peak,
         informed.pressure,
--- a/simulator-adapter/src/read.rs
+++ b/simulator-adapter/src/read.rs
@@ -15,7 +15,7 @@
 
 /// The names of classes, tenants and report columns of an instance, and the time from which its positions count.
 pub struct Names {
-    by_name: settings::Names,
+    settings_names: settings::Names,
     position_epoch: u64,
     report: Vec<String>,
 }
@@ -23,9 +23,9 @@
 impl Names {
     /// Returns the names of the settings.
     pub fn of(parsed: &ParsedSettings) -> Self {
-        let by_name = settings::Names::new(&parsed.settings);
+        let settings_names = settings::Names::new(&parsed.settings);
         Names {
-            by_name,
+            settings_names,
             position_epoch: parsed.position_epoch,
             report: parsed.report_columns.clone(),
         }
@@ -189,14 +189,14 @@
             Event::RequestArrived(RequestInfo {
                 id: f.get(0, "Xid", unsigned)?,
                 class: names
-                    .by_name
+                    .settings_names
                     .class(class)
                     .ok_or_else(|| unknown_name(class, "Qos"))?,
                 tenant: match tenant {
                     None | Some("") => None,
                     Some(name) => Some(
                         names
-                            .by_name
+                            .settings_names
                             .tenant(name)
                             .ok_or_else(|| unknown_name(name, "Party"))?,
                     ),
