--- a/emulator/src/faulty_peers.rs
+++ b/emulator/src/faulty_peers.rs
@@ -202,10 +202,10 @@
                         serde_json::json!({"index": version, "snapshot": false, "endpoints": []});
                     break AgentReply::Body(nothing.to_string());
                 }
-                let over = until.map_or(POLL_INTERVAL, |until| {
+                let time_left = until.map_or(POLL_INTERVAL, |until| {
                     until.saturating_duration_since(Instant::now())
                 });
-                let waited = script.1.wait_timeout(replies, over.min(POLL_INTERVAL));
+                let waited = script.1.wait_timeout(replies, time_left.min(POLL_INTERVAL));
                 replies = waited.unwrap_or_else(PoisonError::into_inner).0;
             };
             drop(replies);
--- a/emulator/src/process/tests.rs
+++ b/emulator/src/process/tests.rs
@@ -38,13 +38,13 @@
     let mut process = Process::start(Path::new("/bin/sh"), &path, |c| {
         c.args(["-c", script]).stdin(Stdio::piped())
     })
-    .expect("it says where it listens");
+    .expect("it logs where it listens");
     process.send_signal(ProcessSignal::Stop);
     drop(process.child.stdin.take());
     assert_eq!(
         process.wait_for_exit(Duration::from_millis(50)),
         None,
-        "it stands still"
+        "it is stopped"
     );
     process.send_signal(ProcessSignal::Continue);
     let status = process
@@ -56,6 +56,6 @@
         process
             .wait_for_line("never said", MAX_START_TIME)
             .is_none(),
-        "its log is over, so nobody waits"
+        "its log has ended, so there is no wait"
     );
 }
--- a/emulator/src/server.rs
+++ b/emulator/src/server.rs
@@ -176,13 +176,13 @@
             cancelled: AtomicBool::new(false),
             is_stopped: AtomicBool::new(false),
         });
-        let mine = Arc::clone(&shared);
+        let thread_shared = Arc::clone(&shared);
         let thread = std::thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                if mine.is_stopped.load(Ordering::SeqCst) {
+                if thread_shared.is_stopped.load(Ordering::SeqCst) {
                     return;
                 }
-                let shared = Arc::clone(&mine);
+                let shared = Arc::clone(&thread_shared);
                 // An error on a connection ends its thread. The log keeps what was received before.
                 std::thread::spawn(move || drop(serve(stream, &shared)));
             }
--- a/experiments/src/faults/checker.rs
+++ b/experiments/src/faults/checker.rs
@@ -101,7 +101,7 @@
 }
 
 fn compute_figures(record: &RunRecord) -> Figures {
-    let whole = |sent: &Vec<(u64, u64)>| {
+    let total = |sent: &Vec<(u64, u64)>| {
         sent.iter()
             .fold((0, 0), |sum, s| (sum.0 + s.0, sum.1 + s.1))
     };
@@ -110,17 +110,17 @@
         .traffic
         .sent
         .iter()
-        .map(whole)
+        .map(total)
         .fold((0, 0), |sum, s| (sum.0 + s.0, sum.1 + s.1));
     let each = || record.traffic.sent.iter().flatten();
     let mean = |sum: u64| sum as f64 / seconds.max(1) as f64;
-    let uses: Vec<f64> = record
+    let cpu_shares: Vec<f64> = record
         .processes
         .iter()
-        .filter(|l| l.until - l.from > 3.0)
-        .map(|l| l.cpu / (l.until - l.from))
+        .filter(|p| p.until - p.from > 3.0)
+        .map(|p| p.cpu / (p.until - p.from))
         .collect();
-    let out = |process: &ProcessRun| {
+    let count_ejections = |process: &ProcessRun| {
         process
             .log
             .iter()
@@ -135,7 +135,7 @@
         served: record
             .requests
             .iter()
-            .filter(|a| a.outcome == RequestOutcome::Served)
+            .filter(|r| r.outcome == RequestOutcome::Served)
             .count(),
         joined: record.joined_after,
         agreed: record
@@ -144,10 +144,10 @@
         datagrams: (mean(sums.0), each().map(|s| s.0).max().unwrap_or(0)),
         bytes: (mean(sums.1), each().map(|s| s.1).max().unwrap_or(0)),
         cpu: (
-            uses.iter().sum::<f64>() / uses.len().max(1) as f64,
-            uses.iter().copied().fold(0.0, f64::max),
+            cpu_shares.iter().sum::<f64>() / cpu_shares.len().max(1) as f64,
+            cpu_shares.iter().copied().fold(0.0, f64::max),
         ),
-        outs: record.processes.iter().map(out).sum(),
+        outs: record.processes.iter().map(count_ejections).sum(),
     }
 }
 
@@ -163,10 +163,10 @@
 
     /// Returns whether a fault was injected into a process of this router at some time in this interval.
     fn was_disrupted(&self, router: usize, from: f64, until: f64) -> bool {
-        self.record.process_faults.iter().any(|b| {
-            b.target == router
-                && b.from - TIME_TOLERANCE_S <= until
-                && b.until + TIME_TOLERANCE_S >= from
+        self.record.process_faults.iter().any(|f| {
+            f.target == router
+                && f.from - TIME_TOLERANCE_S <= until
+                && f.until + TIME_TOLERANCE_S >= from
         })
     }
 
@@ -211,16 +211,16 @@
             id,
             outcome,
             ..
-        } in self.record.requests.iter().filter(|a| a.is_write)
+        } in self.record.requests.iter().filter(|r| r.is_write)
         {
             let ran = self.record.write_counts.get(id).copied().unwrap_or(0);
-            let wrong = match outcome {
+            let is_wrong = match outcome {
                 _ if ran > 1 => true,
                 RequestOutcome::Served => ran != 1,
                 RequestOutcome::Refused => ran != 0,
                 _ => false,
             };
-            if wrong {
+            if is_wrong {
                 self.add(
                     "writes",
                     *at,
@@ -255,18 +255,18 @@
             }
             for node in nodes {
                 let number = parse_node_name(node).map_or(0, |n| n.0);
-                let came = self
+                let late_statements = self
                     .record
                     .statements_after_drain
                     .get(number)
                     .copied()
                     .unwrap_or(0);
-                if came > 0 {
+                if late_statements > 0 {
                     self.add(
                         "drains",
                         fault.at,
                         node.clone(),
-                        format!("{came} statements after the drain grace"),
+                        format!("{late_statements} statements after the drain grace"),
                     );
                 }
             }
@@ -303,27 +303,27 @@
     fn check_agreement(&mut self) {
         let bound = self.rules().max_convergence_delay() as f64 / 1e6 + TIME_TOLERANCE_S;
         let last = self.record.faults_end;
-        let closing = self.record.shutdown_start;
-        let up: Vec<&ProcessRun> = self
+        let shutdown_start = self.record.shutdown_start;
+        let running: Vec<&ProcessRun> = self
             .record
             .processes
             .iter()
-            .filter(|l| l.until >= closing && !l.is_twin)
+            .filter(|p| p.until >= shutdown_start && !p.is_twin)
             .collect();
-        for process in &up {
+        for process in &running {
             let seen: Vec<(f64, u64)> = process
                 .log
                 .iter()
                 .filter_map(|l| Some((l.at, l.fields["seen"].as_u64()?)))
                 .collect();
-            let late = seen
+            let last_wrong = seen
                 .iter()
                 .rev()
-                .find(|(at, n)| *at < closing && *n != up.len() as u64);
-            let right = seen.iter().rev().find(|(at, _)| *at < closing);
-            let still = right.is_none_or(|(_, n)| *n != up.len() as u64);
+                .find(|(at, n)| *at < shutdown_start && *n != running.len() as u64);
+            let last_seen = seen.iter().rev().find(|(at, _)| *at < shutdown_start);
+            let is_still_wrong = last_seen.is_none_or(|(_, n)| *n != running.len() as u64);
             // The router saw a wrong number of members until it logged the next number.
-            let until = match (late, still) {
+            let until = match (last_wrong, is_still_wrong) {
                 (_, true) => f64::INFINITY,
                 (Some((at, _)), _) => seen
                     .iter()
@@ -363,8 +363,10 @@
                 .iter()
                 .filter(|l| text_field(&l.fields, "reason") == "peer down")
             {
-                let (at, gone) = (line.at, text_field(&line.fields, "router"));
-                let number = gone.strip_prefix('n').and_then(|n| n.parse::<usize>().ok());
+                let (at, down_router) = (line.at, text_field(&line.fields, "router"));
+                let number = down_router
+                    .strip_prefix('n')
+                    .and_then(|n| n.parse::<usize>().ok());
                 let is_excused = at < 0.0
                     || number.is_none_or(|n| self.was_disrupted(n, at - window, at))
                     || self.was_disrupted(process.router, at - window, at)
@@ -384,7 +386,9 @@
                         "downs",
                         at,
                         process_name(process),
-                        format!("reports {gone} as down although it is running and reachable"),
+                        format!(
+                            "reports {down_router} as down although it is running and reachable"
+                        ),
                     );
                 }
             }
@@ -393,21 +397,22 @@
 
     /// Returns whether a fault of this node was in force at this time, or evidence of it may still be valid.
     fn is_faulty_at(&self, number: usize, at: f64) -> bool {
-        let oldest = self.rules().max_evidence_age() as f64 / 1e6;
-        let of = self
+        let max_evidence_age = self.rules().max_evidence_age() as f64 / 1e6;
+        let mut faults = self
             .record
             .node_faults
             .iter()
             .filter(|n| n.target == number);
-        of.into_iter()
-            .any(|n| n.from - TIME_TOLERANCE_S <= at && at <= n.until + oldest + TIME_TOLERANCE_S)
+        faults.any(|n| {
+            n.from - TIME_TOLERANCE_S <= at && at <= n.until + max_evidence_age + TIME_TOLERANCE_S
+        })
     }
 
     /// Returns the faults that affect a node.
     fn faults_of_node(&self, number: usize) -> Vec<&What> {
-        let placed: Vec<usize> = self.record.node_placement.iter().map(|p| p.0).collect();
+        let node_zones: Vec<usize> = self.record.node_placement.iter().map(|p| p.0).collect();
         let names = |n: &String| {
-            super::runner::select(n, 's', &placed, &self.scenario.zones)
+            super::runner::select(n, 's', &node_zones, &self.scenario.zones)
                 .is_ok_and(|all| all.contains(&number))
         };
         let all = self.scenario.faults.iter().map(|f| &f.what);
@@ -420,10 +425,10 @@
     /// nodes.
     fn has_only_link_faults(&self, number: usize) -> bool {
         let zones = self.scenario.routers();
-        let placed: Vec<usize> = self.record.node_placement.iter().map(|p| p.0).collect();
-        let pick = |names: &[String], letter: char, zoned: &[usize]| {
+        let node_zones: Vec<usize> = self.record.node_placement.iter().map(|p| p.0).collect();
+        let select_all = |names: &[String], letter: char, zone_of: &[usize]| {
             let each = |n: &String| {
-                super::runner::select(n, letter, zoned, &self.scenario.zones).unwrap_or_default()
+                super::runner::select(n, letter, zone_of, &self.scenario.zones).unwrap_or_default()
             };
             names.iter().flat_map(each).collect::<BTreeSet<usize>>()
         };
@@ -432,20 +437,20 @@
             let What::Wires { routers, nodes, .. } = what else {
                 return false;
             };
-            affected_routers.extend(pick(routers, 'n', &zones));
-            affects_many_nodes &= pick(nodes, 's', &placed).len() * 3 > placed.len();
+            affected_routers.extend(select_all(routers, 'n', &zones));
+            affects_many_nodes &= select_all(nodes, 's', &node_zones).len() * 3 > node_zones.len();
         }
-        let from: BTreeSet<usize> = affected_routers.iter().map(|r| zones[*r]).collect();
+        let affected_zones: BTreeSet<usize> = affected_routers.iter().map(|r| zones[*r]).collect();
         !affected_routers.is_empty()
             && (affected_routers.len() == 1
                 || affects_many_nodes
-                || (from.len() == 1 && self.scenario.zones.len() > 1))
+                || (affected_zones.len() == 1 && self.scenario.zones.len() > 1))
     }
 
     /// Checks that no node is ejected without a fault, or for longer than the evidence is valid, and that at most a third of a
     /// group is ejected.
     fn check_ejections(&mut self) {
-        let oldest = self.rules().max_evidence_age() as f64 / 1e6;
+        let max_evidence_age = self.rules().max_evidence_age() as f64 / 1e6;
         let mut found = Vec::new();
         for process in &self.record.processes {
             let mut levels: BTreeMap<&str, &str> = BTreeMap::new();
@@ -494,7 +499,7 @@
                         format!("{node} is a primary and ejected for being slow"),
                     ));
                 }
-                if level == "out" && age > oldest {
+                if level == "out" && age > max_evidence_age {
                     found.push((
                         "evidence",
                         at,
@@ -569,8 +574,8 @@
     /// Returns the zones with a router that sent a node enough statements between the beginning of its fault and the time at
     /// which the evidence has to be complete.
     fn zones_with_observers(&self, number: usize, from: f64) -> BTreeSet<usize> {
-        let asked = self.record.requests.iter();
-        let router_of: HashMap<&str, usize> = asked.map(|a| (a.id.as_str(), a.router)).collect();
+        let requests = self.record.requests.iter();
+        let router_of: HashMap<&str, usize> = requests.map(|r| (r.id.as_str(), r.router)).collect();
         let mut statement_counts: HashMap<usize, usize> = HashMap::new();
         for statement in self.record.unserved.get(number).into_iter().flatten() {
             if let Some(router) = router_of.get(statement.id.as_str())
@@ -709,7 +714,7 @@
 
     /// Checks that events of which operators have to know are logged, and not too often.
     fn check_log_lines(&mut self) {
-        let says = |reason: &str| {
+        let count_lines = |reason: &str| {
             let of = move |l: &super::runner::LogLine| text_field(&l.fields, "reason") == reason;
             self.record
                 .processes
@@ -727,7 +732,7 @@
             .faults
             .iter()
             .any(|f| matches!(f.what, What::Flood { .. }));
-        let (twin_lines, dropped) = (says("twins"), says("dropped"));
+        let (twin_lines, dropped) = (count_lines("twins"), count_lines("dropped"));
         if twins && twin_lines.iter().sum::<usize>() == 0 {
             self.add(
                 "told",
--- a/experiments/src/faults/mod.rs
+++ b/experiments/src/faults/mod.rs
@@ -390,6 +390,7 @@
     pub wall: f64,
 }
 
+/// Runs one case with one seed, and checks the record.
 fn run_one(
     options: &RunOptions,
     program: &Path,
--- a/experiments/src/faults/runner.rs
+++ b/experiments/src/faults/runner.rs
@@ -142,33 +142,33 @@
     pub node_placement: Vec<(usize, usize)>,
 }
 
-/// Returns the routers or nodes that a name of a scenario stands for.
+/// Returns the routers or nodes that a name of a scenario stands for. `letter` is that of their names, and `zone_of` has the
+/// index of the zone of each.
 ///
 /// # Errors
 /// The name stands for no router and no node.
 pub fn select(
     name: &str,
     letter: char,
-    router_zones: &[usize],
+    zone_of: &[usize],
     zones: &[Zone],
 ) -> Result<Vec<usize>, String> {
     if name == "*" {
-        return Ok((0..router_zones.len()).collect());
+        return Ok((0..zone_of.len()).collect());
     }
     if let Some(zone) = zones.iter().position(|z| z.name == name) {
-        return Ok((0..router_zones.len())
-            .filter(|n| router_zones[*n] == zone)
-            .collect());
+        return Ok((0..zone_of.len()).filter(|n| zone_of[*n] == zone).collect());
     }
     let number = name
         .strip_prefix(letter)
         .and_then(|n| n.parse::<usize>().ok())
-        .filter(|n| *n < router_zones.len());
+        .filter(|n| *n < zone_of.len());
     number
         .map(|n| vec![n])
         .ok_or_else(|| format!("there is no {name:?}"))
 }
 
+/// Returns the specification from which the configuration of the routers follows.
 fn spec(scenario: &Scenario) -> Result<Spec, String> {
     let class = |name: &str, reads: Reads| ClassSpec {
         name: name.into(),
@@ -203,6 +203,7 @@
     agent: Agent,
     /// Relay to the agent, followed by one to each node. It is empty if the scenario has no relays.
     relays: Vec<TcpRelay>,
+    /// Current process, with the time of its start.
     process: Option<(Process, f64)>,
     /// Number of log lines that were already evaluated.
     lines_read: usize,
@@ -220,10 +221,12 @@
     draining: bool,
 }
 
+/// The running fleet of a scenario.
 struct Testbed<'a> {
     scenario: &'a Scenario,
     program: &'a Path,
-    without: Option<&'a str>,
+    /// Guard that the routers disable.
+    disabled_guard: Option<&'a str>,
     seed: u64,
     folder: Folder,
     spec: Spec,
@@ -232,11 +235,16 @@
     nodes: Vec<Node>,
     listings: Vec<Listing>,
     links: Links,
+    /// Second processes with the name of a router: number of the router, process and time of its start.
     twins: Vec<(usize, Process, f64)>,
-    listens: Arc<Vec<Mutex<Option<SocketAddr>>>>,
+    /// Address of each router for clients, while it accepts them.
+    listen_addresses: Arc<Vec<Mutex<Option<SocketAddr>>>>,
+    /// Stop flags of the threads that flood routers, by number of the fault.
     floods: Vec<(usize, Arc<AtomicBool>)>,
-    zero: SystemTime,
+    /// Time from which the times of the record count.
+    time_zero: SystemTime,
     record: RunRecord,
+    /// Link conditions of each fault in force, by number of the fault: sender, receiver and conditions.
     link_conditions: BTreeMap<usize, Vec<(usize, usize, LinkConditions)>>,
 }
 
@@ -244,7 +252,8 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-fn cpu(id: u32) -> f64 {
+/// Returns the CPU time that a process has used (s).
+fn cpu_time(id: u32) -> f64 {
     let stat = std::fs::read_to_string(format!("/proc/{id}/stat")).unwrap_or_default();
     let fields = stat
         .rsplit_once(')')
@@ -257,7 +266,7 @@
 
 impl Testbed<'_> {
     fn now(&self) -> f64 {
-        seconds_since(self.zero, SystemTime::now())
+        seconds_since(self.time_zero, SystemTime::now())
     }
 
     fn operators_file(&self, advertise: Option<SocketAddr>) -> Result<String, String> {
@@ -306,12 +315,12 @@
             .folder
             .write(&format!("{name}.star"), &self.operators_file(advertise)?)
             .map_err(to_text)?;
-        let without = self.without;
+        let disabled_guard = self.disabled_guard;
         let process = Process::start(self.program, &file, |command| {
             command
                 .args(["--log-format", "json", "--operators"])
                 .arg(&rules);
-            match without {
+            match disabled_guard {
                 Some(guard) => command.env("PLOVERCOVE_WITHOUT", guard),
                 None => command,
             }
@@ -332,7 +341,7 @@
         if let Some(at) = peers {
             self.links.set_router_address(n, at);
         }
-        *lock(&self.listens[n]) = Some(process.listen());
+        *lock(&self.listen_addresses[n]) = Some(process.listen());
         let slot = &mut self.slots[n];
         slot.process = Some((process, from));
         (slot.lines_read, slot.seen) = (0, None);
@@ -350,7 +359,7 @@
         from: f64,
         terminated: Option<bool>,
     ) {
-        let used = cpu(process.id());
+        let used = cpu_time(process.id());
         let exit = match terminated {
             Some(true) => {
                 let status = process.wait_for_exit(MAX_EXIT_TIME);
@@ -386,7 +395,7 @@
         let fields: Value = serde_json::from_str(line).ok()?;
         let at = humantime::parse_rfc3339(fields["timestamp"].as_str()?).ok()?;
         Some(LogLine {
-            at: seconds_since(self.zero, at),
+            at: seconds_since(self.time_zero, at),
             fields,
         })
     }
@@ -397,7 +406,7 @@
                 process.send_signal(ProcessSignal::Continue);
                 process.send_signal(ProcessSignal::Term);
             }
-            *lock(&self.listens[n]) = None;
+            *lock(&self.listen_addresses[n]) = None;
             self.record_exit(n, false, process, from, Some(terminate));
         }
     }
@@ -448,13 +457,13 @@
             };
             for line in process.since(slot.lines_read) {
                 slot.lines_read += 1;
-                let Ok(said) = serde_json::from_str::<Value>(&line) else {
+                let Ok(fields) = serde_json::from_str::<Value>(&line) else {
                     continue;
                 };
-                slot.seen = said["seen"].as_u64().or(slot.seen);
-                if said["reason"] == "verdict"
+                slot.seen = fields["seen"].as_u64().or(slot.seen);
+                if fields["reason"] == "verdict"
                     && let (Some(node), Some(level)) =
-                        (said["node"].as_str(), said["level"].as_str())
+                        (fields["node"].as_str(), fields["level"].as_str())
                 {
                     slot.levels.insert(node.into(), level.into());
                 }
@@ -555,7 +564,7 @@
             What::Term { routers } => {
                 for n in self.routers(routers) {
                     self.send_signal(n, ProcessSignal::Term);
-                    *lock(&self.listens[n]) = None;
+                    *lock(&self.listen_addresses[n]) = None;
                 }
             }
             What::Stop { routers } => {
@@ -598,10 +607,10 @@
             What::Flood { routers, rate } => {
                 for n in self.routers(routers) {
                     let to = self.links.address(n).map_err(|e| e.to_string())?;
-                    let over = Arc::new(AtomicBool::new(false));
-                    self.floods.push((key, over.clone()));
+                    let stop = Arc::new(AtomicBool::new(false));
+                    self.floods.push((key, stop.clone()));
                     let gap = Duration::from_secs_f64(1.0 / f64::from((*rate).max(1)));
-                    std::thread::spawn(move || flood(to, gap, &over));
+                    std::thread::spawn(move || flood(to, gap, &stop));
                 }
             }
             What::NodeDown { nodes } => {
@@ -705,8 +714,8 @@
                 self.apply_link_conditions();
             }
             What::Flood { .. } => {
-                let mine = self.floods.iter().filter(|(k, _)| *k == key);
-                mine.for_each(|(_, over)| over.store(true, Ordering::Relaxed));
+                let floods = self.floods.iter().filter(|(k, _)| *k == key);
+                floods.for_each(|(_, stop)| stop.store(true, Ordering::Relaxed));
             }
             What::NodeDown { nodes } => {
                 let nodes = self.nodes(nodes);
@@ -848,8 +857,8 @@
     gap: f64,
     groups: usize,
     zone: String,
-    zero: SystemTime,
-    listens: Arc<Vec<Mutex<Option<SocketAddr>>>>,
+    time_zero: SystemTime,
+    listen_addresses: Arc<Vec<Mutex<Option<SocketAddr>>>>,
     stop: Arc<AtomicBool>,
 }
 
@@ -860,8 +869,8 @@
         gap,
         groups,
         zone,
-        zero,
-        listens,
+        time_zero,
+        listen_addresses,
         stop,
     } = client;
     let mut requests = Vec::new();
@@ -873,7 +882,7 @@
         std::thread::sleep(
             Duration::from_secs_f64(gap * count as f64).saturating_sub(started.elapsed()),
         );
-        let Some(listen) = *lock(&listens[router]) else {
+        let Some(listen) = *lock(&listen_addresses[router]) else {
             connection = None;
             continue;
         };
@@ -890,7 +899,7 @@
         let statement = format!(
             "/* id={id},c={class},t={zone},d={CLIENT_TIMEOUT_MS},cluster={group} */ {what} 'k'"
         );
-        let (at, from) = (seconds_since(zero, SystemTime::now()), Instant::now());
+        let (at, from) = (seconds_since(time_zero, SystemTime::now()), Instant::now());
         let outcome = client.ask(&statement, &id, Duration::from_millis(CLIENT_TIMEOUT_MS));
         let took = from.elapsed().as_secs_f64();
         requests.push(RequestRecord {
@@ -914,7 +923,7 @@
     scenario: &Scenario,
     program: &Path,
     seed: u64,
-    without: Option<&str>,
+    disabled_guard: Option<&str>,
 ) -> Result<RunRecord, String> {
     static RUNS: AtomicU64 = AtomicU64::new(0);
     let to_text = |e: std::io::Error| e.to_string();
@@ -956,11 +965,11 @@
     let mut testbed = Testbed {
         scenario,
         program,
-        without,
+        disabled_guard,
         seed,
         spec: spec(scenario)?,
         links: Links::start(router_zones.len(), seed).map_err(to_text)?,
-        listens: Arc::new(router_zones.iter().map(|_| Mutex::new(None)).collect()),
+        listen_addresses: Arc::new(router_zones.iter().map(|_| Mutex::new(None)).collect()),
         listings: (0..nodes.len()).map(listing).collect(),
         folder,
         router_zones,
@@ -968,7 +977,7 @@
         nodes,
         twins: Vec::new(),
         floods: Vec::new(),
-        zero: SystemTime::now(),
+        time_zero: SystemTime::now(),
         record: RunRecord {
             node_placement: placed,
             ..RunRecord::default()
@@ -985,7 +994,7 @@
         return Err(format!("the routers do not find each other: {seen:?}"));
     }
     testbed.record.joined_after = testbed.now();
-    testbed.zero = SystemTime::now();
+    testbed.time_zero = SystemTime::now();
     let joined = testbed.record.joined_after;
     testbed
         .slots
@@ -1000,12 +1009,16 @@
         .max()
         .unwrap_or(0)
         + 1;
-    let asked = testbed.routers(&scenario.clients);
-    let gap = asked.len() as f64 * scenario.each as f64 / scenario.rate;
-    let clients: Vec<_> = (0..asked.len() as u64 * scenario.each)
+    let loaded_routers = testbed.routers(&scenario.clients);
+    let gap = loaded_routers.len() as f64 * scenario.each as f64 / scenario.rate;
+    let clients: Vec<_> = (0..loaded_routers.len() as u64 * scenario.each)
         .map(|name| {
-            let (listens, stop, zero) = (testbed.listens.clone(), stop.clone(), testbed.zero);
-            let router = asked[(name / scenario.each) as usize];
+            let (listen_addresses, stop, time_zero) = (
+                testbed.listen_addresses.clone(),
+                stop.clone(),
+                testbed.time_zero,
+            );
+            let router = loaded_routers[(name / scenario.each) as usize];
             let zone = scenario.zones[testbed.router_zones[router]].name.clone();
             let config = Client {
                 router,
@@ -1013,8 +1026,8 @@
                 gap,
                 groups,
                 zone,
-                zero,
-                listens,
+                time_zero,
+                listen_addresses,
                 stop,
             };
             std::thread::spawn(move || run_client(config))
@@ -1044,8 +1057,8 @@
             .requests
             .extend(client.join().map_err(|_| "a client panicked")?);
     }
-    for (_, over) in &testbed.floods {
-        over.store(true, Ordering::Relaxed);
+    for (_, stop) in &testbed.floods {
+        stop.store(true, Ordering::Relaxed);
     }
     // All processes get the signal before the first exit is awaited.
     for n in 0..testbed.router_zones.len() {
@@ -1074,7 +1087,7 @@
             .record
             .statements_after_drain
             .push(node.statements_after_drain());
-        let now = seconds_since(testbed.zero, SystemTime::now());
+        let now = seconds_since(testbed.time_zero, SystemTime::now());
         let met = node
             .unserved()
             .into_iter()
--- a/experiments/src/faults/tests.rs
+++ b/experiments/src/faults/tests.rs
@@ -106,7 +106,7 @@
 
 #[test]
 fn a_dead_node_has_to_be_ejected_only_if_two_zones_sent_it_two_statements_each() {
-    // Routers 0 to 2 stand in the first zone, 3 to 5 in the second.
+    // Routers 0 to 2 are in the first zone, 3 to 5 in the second.
     assert!(reports_missing_ejection(&[(0, 2), (3, 2)]));
     assert!(
         !reports_missing_ejection(&[(3, 5), (4, 5), (5, 5)]),
--- a/experiments/src/main.rs
+++ b/experiments/src/main.rs
@@ -1,4 +1,5 @@
-//! `plovercove-experiments`: tries designs and faults on a model of the fleet that drives plovercove's own decisions.
+//! `plovercove-experiments` runs experiments with load, faults and designs: in a simulation that uses plovercove's own
+//! decision code, and with real router processes on loopback sockets.
 
 mod error;
 mod experiment;
@@ -14,7 +15,7 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// Experiments on plovercove: load, faults and designs, on a model that drives the router's own decisions.
+/// Experiments with load, faults and designs of plovercove, in a simulation that uses the router's own decision code.
 #[derive(Parser)]
 #[command(name = "plovercove-experiments", version)]
 struct Arguments {
@@ -24,108 +25,108 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Play an experiment in virtual time, and print a table.
+    /// Simulate an experiment in virtual time, and print a table.
     Run {
-        /// The script that describes it.
+        /// Script that describes the experiment.
         file: PathBuf,
-        /// The seed; with more than one seed, the first.
+        /// Seed of the run.
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Seeds from A up to B, as A..B.
+        /// Run with each seed from A to B, inclusive, written as A..B.
         #[arg(long, value_parser = seeds, conflicts_with = "seed")]
         seeds: Option<(u64, u64)>,
-        /// Another value for a setting of the script: clients.load=0.7. More than one may be given.
+        /// Override a setting of the script, as in clients.load=0.7. May be given more than once.
         #[arg(long, value_name = "KEY=VALUE")]
         set: Vec<String>,
-        /// Only this case; more than one may be given.
+        /// Run only this case. May be given more than once.
         #[arg(long)]
         case: Vec<String>,
-        /// Only this way of treating zones: tiers, flat or strict; more than one may be given.
+        /// Run only this variant of the zone policy: tiers, flat or strict. May be given more than once.
         #[arg(long, value_parser = variant)]
         variant: Vec<Variant>,
-        /// Write all reports as JSON.
+        /// Write all reports to a JSON file.
         #[arg(long, value_name = "FILE")]
         json: Option<PathBuf>,
-        /// Print what happened second by second.
+        /// Print the figures of each second.
         #[arg(long)]
         seconds: bool,
-        /// End with an error where a rule was broken or a node fell.
+        /// Exit with an error if a rule was violated or a node failed because of overload.
         #[arg(long)]
         strict: bool,
     },
-    /// Play a small experiment on loopback sockets, with stand-ins and real routers.
+    /// Run a small experiment on loopback sockets, with emulated nodes and real routers.
     Sockets {
-        /// The script that describes it.
+        /// Script that describes the experiment.
         file: PathBuf,
-        /// The case, where it has more than one.
+        /// Case to run, if the script has more than one.
         #[arg(long)]
         case: Option<String>,
-        /// The seed of works and arrivals.
+        /// Seed of the work and the arrival times of requests.
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// The router's program; else the one beside this.
+        /// Path of the router's program. The default is the one in the folder of this program.
         #[arg(long, value_name = "FILE")]
         router: Option<PathBuf>,
-        /// Write the outcome as JSON.
+        /// Write the result to a JSON file.
         #[arg(long, value_name = "FILE")]
         json: Option<PathBuf>,
     },
-    /// Twenty seconds for newcomers: a zone is lost and comes back, on loopback sockets.
+    /// Run a demonstration of twenty seconds on loopback sockets, in which a zone fails and returns.
     Demo {
-        /// The router's program; else the one beside this.
+        /// Path of the router's program. The default is the one in the folder of this program.
         #[arg(long, value_name = "FILE")]
         router: Option<PathBuf>,
     },
-    /// Measure what translation costs: fronts against the platform's listener of one router, on loopback sockets.
+    /// Measure the cost of protocol translation: compare further listeners of a router with its main listener.
     Translate {
-        /// Clients at once.
+        /// Number of concurrent clients.
         #[arg(long, default_value_t = 8)]
         clients: usize,
-        /// Seconds of each way in each round.
+        /// Duration of each measurement in each round, in seconds.
         #[arg(long, default_value_t = 2.0)]
         seconds: f64,
-        /// Rounds that count.
+        /// Number of rounds, without the first one, which is a warm-up.
         #[arg(long, default_value_t = 5)]
         rounds: usize,
-        /// The router's program; else the one beside this.
+        /// Path of the router's program. The default is the one in the folder of this program.
         #[arg(long, value_name = "FILE")]
         router: Option<PathBuf>,
     },
-    /// Try many router processes with faults between them, on loopback sockets, and check what they did.
+    /// Run many router processes on loopback sockets, inject faults, and check the invariants.
     Faults {
-        /// The script that describes it.
+        /// Script that describes the experiment.
         file: PathBuf,
-        /// Only this case; more than one may be given.
+        /// Run only this case. May be given more than once.
         #[arg(long)]
         case: Vec<String>,
-        /// The seed of what is drawn.
+        /// Seed of the random faults.
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Seeds from A up to B, as A..B.
+        /// Run with each seed from A to B, inclusive, written as A..B.
         #[arg(long, value_parser = seeds, conflicts_with = "seed")]
         seeds: Option<(u64, u64)>,
-        /// Trials at once.
+        /// Number of concurrent runs.
         #[arg(long, default_value_t = 2)]
         at_once: usize,
-        /// Write all outcomes as JSON.
+        /// Write all results to a JSON file.
         #[arg(long, value_name = "FILE")]
         json: Option<PathBuf>,
-        /// Keep the logs of trials in which something was broken.
+        /// Keep the logs of runs with violations in this folder.
         #[arg(long, value_name = "DIR")]
         keep: Option<PathBuf>,
-        /// Where something was broken, drop faults while it still is.
+        /// After a violation, remove faults from the schedule while the check still fails.
         #[arg(long)]
         shrink: bool,
-        /// Switch a guard off; only a router that was built for tests does that.
+        /// Disable a guard of the routers. Only a router that was built with the feature `mutations` supports this.
         #[arg(long, value_name = "GUARD")]
         without: Option<String>,
-        /// The router's program; else the one beside this.
+        /// Path of the router's program. The default is the one in the folder of this program.
         #[arg(long, value_name = "FILE")]
         router: Option<PathBuf>,
     },
     /// Check a script, and print its cases.
     Check {
-        /// The script.
+        /// Script to check.
         file: PathBuf,
     },
 }
--- a/experiments/src/sockets.rs
+++ b/experiments/src/sockets.rs
@@ -258,7 +258,13 @@
         fallen: counts.fallen,
         in_time: worth
             .into_iter()
-            .map(|(asked, good)| if asked > 0.0 { good / asked } else { 1.0 })
+            .map(|(requested, in_time)| {
+                if requested > 0.0 {
+                    in_time / requested
+                } else {
+                    1.0
+                }
+            })
             .collect(),
         spill_most: spilled.fold(0.0, f64::max),
     }
@@ -266,10 +272,11 @@
 
 /// Returns the path of the router's program, which is in the folder of this program or in the folder above.
 pub fn router_beside() -> Result<PathBuf, Error> {
-    let mine = std::env::current_exe()?;
+    let program = std::env::current_exe()?;
     let beside =
         |folder: Option<&Path>| folder.map(|f| f.join("plovercove")).filter(|p| p.is_file());
-    let found = beside(mine.parent()).or_else(|| beside(mine.parent().and_then(Path::parent)));
+    let found =
+        beside(program.parent()).or_else(|| beside(program.parent().and_then(Path::parent)));
     found.ok_or(Error::NoRouter)
 }
 
--- a/experiments/src/table.rs
+++ b/experiments/src/table.rs
@@ -134,15 +134,15 @@
             );
         }
     }
-    let (wall, asked): (f64, u64) = outcomes.iter().fold((0.0, 0), |sum, o| {
+    let (wall, requests): (f64, u64) = outcomes.iter().fold((0.0, 0), |sum, o| {
         (sum.0 + o.wall, sum.1 + o.report.requests)
     });
     let events: u64 = outcomes.iter().map(|o| o.report.events).sum();
     let _ = writeln!(
         out,
-        "{} runs, {asked} requests, {events} events; {:.0} requests a second of one core's time",
+        "{} runs, {requests} requests, {events} events; {:.0} requests a second of one core's time",
         outcomes.len(),
-        asked as f64 / wall.max(1e-9)
+        requests as f64 / wall.max(1e-9)
     );
     out
 }
