--- a/simulation/src/world/talk.rs
+++ b/simulation/src/world/gossip.rs
@@ -1,6 +1,6 @@
-//! Routers that talk with each other: the same crate as in the router, its datagrams on links that lose and delay.
+//! Gossip between routers: the real gossip crate, with datagrams on simulated links that lose and delay them.
 
-use super::{BEGIN, Event, World, us};
+use super::{Event, START_TIME, World, us_from_s};
 use crate::spec::{PeerSpec, SpecError};
 use plovercove::{LocalityPolicy, Micros, NodeId};
 use plovercove_engine::Engine;
@@ -9,32 +9,34 @@
 use std::any::Any;
 use std::net::{Ipv4Addr, SocketAddr};
 
-/// Routers that are asked by those who know nobody.
-const SEEDS: usize = 3;
-/// After a node's fault is over, or a router was struck, what is said of it is excused for so long beyond the evidence's life.
-const AFTER: Micros = 2_000_000;
+/// Number of seed routers, which a router without known members contacts.
+const SEED_ROUTERS: usize = 3;
+/// Additional time (us) after the end of a node's fault and the maximum age of evidence in which an ejection of the node
+/// does not count as wrong.
+const EJECTION_GRACE_US: Micros = 2_000_000;
 
-/// One router's talk.
-pub(super) struct Talk {
+/// The gossip state of a router.
+pub(super) struct GossipState {
     pub(super) peers: Gossip,
-    /// When it is to be woken next.
+    /// When its next timer expires.
     due: Option<plovercove::Time>,
 }
 
-/// What came of it, over all routers.
+/// Figures of the gossip, over all routers.
 #[derive(Clone, Debug, Default, PartialEq, serde::Serialize)]
 pub struct GossipStats {
-    /// Datagrams and bytes that were sent.
+    /// Numbers of sent datagrams and bytes.
     pub sent: (u64, u64),
-    /// Datagrams that were lost.
+    /// Number of lost datagrams.
     pub lost: u64,
-    /// Times that a router took a node out.
+    /// Number of times that a router ejected a node ...
     pub outs: u64,
-    /// ... of which the node had no fault.
+    /// ... and how many of these nodes had no fault.
     pub wrong_outs: u64,
-    /// Times that a router took another for gone that was there and could be reached.
+    /// Number of times that a router declared a running and reachable member down.
     pub false_downs: u64,
-    /// Seconds from the first fault of a node until every router that was up then had taken that node out; none: never.
+    /// Seconds from the start of a node's fault until all running routers have ejected this node, for the first such node.
+    /// `None` if this did not happen.
     pub all_out: Option<f64>,
 }
 
@@ -55,8 +57,8 @@
 }
 
 impl World<'_> {
-    /// Puts a router among its peers.
-    pub(super) fn join(
+    /// Starts a router's gossip.
+    pub(super) fn start_gossip(
         &mut self,
         spec: &PeerSpec,
         router: usize,
@@ -65,7 +67,9 @@
         let mut rules = spec.rules.clone();
         rules.installation = "model".into();
         rules.routers = self.routers.len() as u32;
-        rules.seeds = (0..self.routers.len().min(SEEDS)).map(address).collect();
+        rules.seeds = (0..self.routers.len().min(SEED_ROUTERS))
+            .map(address)
+            .collect();
         rules
             .check()
             .map_err(|e| SpecError(format!("peers.rules.{e}")))?;
@@ -87,15 +91,15 @@
             self.now,
             self.seed ^ ((router as u64) << 12),
         );
-        self.routers[router].talk = Some(Talk { peers, due: None });
+        self.routers[router].gossip = Some(GossipState { peers, due: None });
         Ok(Box::new(observer))
     }
 
-    /// Something of a router's talk is due.
-    pub(super) fn talk(&mut self, router: u32, epoch: u32) {
+    /// Handles an expired gossip timer.
+    pub(super) fn gossip_due(&mut self, router: u32, epoch: u32) {
         let now = self.now;
         let r = &mut self.routers[router as usize];
-        let (Some(talk), Some(engine)) = (&mut r.talk, &mut r.engine) else {
+        let (Some(talk), Some(engine)) = (&mut r.gossip, &mut r.engine) else {
             return;
         };
         if r.epoch != epoch || talk.due.is_none_or(|at| at > now) {
@@ -105,57 +109,57 @@
         if let Some(observer) = observer(engine) {
             talk.peers.turn(now, observer);
         }
-        self.say(router);
+        self.flush_gossip(router);
     }
 
-    /// A datagram arrives.
-    pub(super) fn datagram(&mut self, router: u32, epoch: u32, slot: u32) {
+    /// Delivers a datagram.
+    pub(super) fn datagram_arrived(&mut self, router: u32, epoch: u32, slot: u32) {
         let bytes = self.datagrams.remove(slot as usize);
         let now = self.now;
         let r = &mut self.routers[router as usize];
         let Some(talk) = r
-            .talk
+            .gossip
             .as_mut()
             .filter(|_| r.epoch == epoch && r.engine.is_some())
         else {
             return;
         };
         talk.peers.receive(now, &bytes);
-        self.say(router);
+        self.flush_gossip(router);
     }
 
-    /// Sends what a router wants sent, and writes down what it tells.
-    pub(super) fn say(&mut self, router: u32) {
+    /// Sends a router's outgoing datagrams and records its gossip events.
+    pub(super) fn flush_gossip(&mut self, router: u32) {
         let now = self.now;
         let r = &mut self.routers[router as usize];
         let epoch = r.epoch;
-        let Some(talk) = &mut r.talk else { return };
+        let Some(talk) = &mut r.gossip else { return };
         let out = talk.peers.take_outgoing();
         let news: Vec<GossipEvent> = std::iter::from_fn(|| talk.peers.next_event()).collect();
         let next = talk.peers.next_deadline().max(now + 1);
         if next < plovercove::Time::MAX && talk.due.is_none_or(|at| next < at) {
             talk.due = Some(next);
-            self.at(next, Event::Talk { router, epoch });
+            self.schedule(next, Event::GossipDue { router, epoch });
         }
         let loss = self.spec.peers.as_ref().map_or(0.0, |p| p.loss);
         for (to, bytes) in out {
             let Some(to) = router_of(to).filter(|n| *n < self.routers.len()) else {
                 continue;
             };
-            self.talked.sent.0 += 1;
-            self.talked.sent.1 += bytes.len() as u64;
+            self.gossip_stats.sent.0 += 1;
+            self.gossip_stats.sent.1 += bytes.len() as u64;
             let (a, b) = (self.routers[router as usize].zone, self.routers[to].zone);
-            let cut = self.to_router[a][b] > 0 || self.to_node[a][b] > 0;
+            let cut = self.lost_to_router[a][b] > 0 || self.lost_to_node[a][b] > 0;
             if cut || self.gossip_rng.random::<f64>() < loss {
-                self.talked.lost += 1;
+                self.gossip_stats.lost += 1;
                 continue;
             }
-            let wait =
-                (self.trips[a][b] * (0.85 + 0.4 * self.gossip_rng.random::<f64>())) as Micros;
+            let wait = (self.mean_delays_us[a][b] * (0.85 + 0.4 * self.gossip_rng.random::<f64>()))
+                as Micros;
             let (slot, epoch) = (self.datagrams.insert(bytes) as u32, self.routers[to].epoch);
-            self.at(
+            self.schedule(
                 now + wait,
-                Event::Datagram {
+                Event::DatagramArrived {
                     router: to as u32,
                     epoch,
                     slot,
@@ -165,33 +169,34 @@
         let mut changed = false;
         for news in news {
             changed |= matches!(news, GossipEvent::Verdict { .. });
-            self.heard(router, news);
+            self.record_gossip_event(router, news);
         }
         if changed {
             if let Some(engine) = &mut self.routers[router as usize].engine {
                 engine.wake();
             }
-            self.settle(router);
+            self.drive_engine(router);
         }
     }
 
-    fn heard(&mut self, router: u32, news: GossipEvent) {
+    fn record_gossip_event(&mut self, router: u32, news: GossipEvent) {
         let now = self.now;
         match news {
             GossipEvent::Verdict { node, verdict, .. } if verdict.level == Level::Ejected => {
-                self.talked.outs += 1;
+                self.gossip_stats.outs += 1;
                 let evidence = self
                     .spec
                     .peers
                     .as_ref()
                     .map_or(0, |p| p.rules.max_evidence_age());
-                let number = self.names.get(&node).copied();
-                let fault = number.and_then(|n| self.faulty[n as usize]);
-                let excused =
-                    fault.is_some_and(|(_, until)| now <= until.saturating_add(evidence + AFTER));
-                self.talked.wrong_outs += u64::from(!excused);
+                let number = self.node_by_id.get(&node).copied();
+                let fault = number.and_then(|n| self.fault_periods[n as usize]);
+                let excused = fault.is_some_and(|(_, until)| {
+                    now <= until.saturating_add(evidence + EJECTION_GRACE_US)
+                });
+                self.gossip_stats.wrong_outs += u64::from(!excused);
                 if let Some(n) = number.filter(|_| excused) {
-                    self.all_out(n, &node);
+                    self.record_ejection_by_all(n, &node);
                 }
             }
             GossipEvent::MemberDown(life) => {
@@ -209,17 +214,17 @@
                     .map_or(0, |p| p.rules.max_convergence_delay());
                 let calm = |at: Option<plovercove::Time>| at.is_none_or(|at| now > at + window);
                 let (a, b) = (&self.routers[there], &self.routers[router as usize]);
-                if calm(a.struck) && calm(b.struck) && calm(self.cut_at) {
-                    self.talked.false_downs += 1;
+                if calm(a.last_restart) && calm(b.last_restart) && calm(self.cut_at) {
+                    self.gossip_stats.false_downs += 1;
                 }
             }
             _ => {}
         }
     }
 
-    /// Whether all routers that are up have taken a node out by now, which counts from the beginning of its fault.
-    fn all_out(&mut self, number: u32, node: &NodeId) {
-        if self.talked.all_out.is_some() {
+    /// Records the time since the start of a node's fault if all running routers have ejected the node.
+    fn record_ejection_by_all(&mut self, number: u32, node: &NodeId) {
+        if self.gossip_stats.all_out.is_some() {
             return;
         }
         let out =
@@ -228,21 +233,21 @@
             .routers
             .iter_mut()
             .all(|r| r.engine.as_mut().is_none_or(out))
-            && let Some((from, _)) = self.faulty[number as usize]
+            && let Some((from, _)) = self.fault_periods[number as usize]
         {
-            self.talked.all_out = Some((self.now - from) as f64 / 1e6);
+            self.gossip_stats.all_out = Some((self.now - from) as f64 / 1e6);
         }
     }
 
-    /// A node has a fault until then, or for ever.
-    pub(super) fn fault(&mut self, nodes: &[u32], until: f64) {
+    /// Records that nodes have a fault until this second.
+    pub(super) fn set_fault_period(&mut self, nodes: &[u32], until: f64) {
         for node in nodes {
-            self.faulty[*node as usize] = Some((self.now, BEGIN + us(until)));
+            self.fault_periods[*node as usize] = Some((self.now, START_TIME + us_from_s(until)));
         }
     }
 }
 
-/// The witness beside a router's module.
+/// Returns the gossip observer that wraps a router's locality policy.
 fn observer(engine: &mut Engine) -> Option<&mut Observer> {
     engine
         .locality_policy()
