--- a/simulation/src/world/routers.rs
+++ b/simulation/src/world/routers.rs
@@ -1,22 +1,22 @@
-//! The routers: each is the real core, told the time, its commands carried out.
+//! The routers: each runs the real engine with the virtual time, and the simulation executes its commands.
 
-use super::{BEGIN, Event, World, us};
+use super::{Event, START_TIME, World, us_from_s};
 use crate::spec::{SpecError, Variant};
 use crate::strict::Strict;
 use plovercove::{EndpointUpdate, LocalityPolicy, NodeId, NodeReport, Role};
 use plovercove_engine::{Command, Deadline, Engine, FinalAnswer};
 use plovercove_locality::ZoneFailover;
 
-/// Rounds of decisions on one event.
-const ROUNDS: usize = 16;
+/// Maximum number of decision rounds after one event.
+const MAX_DECISION_ROUNDS: usize = 16;
 
 impl World<'_> {
-    pub(super) fn boot(&mut self, router: usize) -> Result<(), SpecError> {
+    pub(super) fn start_router(&mut self, router: usize) -> Result<(), SpecError> {
         let zone = self.routers[router].zone;
         let name = &self.spec.zones[zone].name;
         let (settings, epoch) = (self.settings[router].clone(), self.routers[router].epoch);
         let seed = self.seed ^ ((router as u64 + 1) << 20) ^ (u64::from(epoch) << 50);
-        let zoning: Option<Box<dyn LocalityPolicy>> = match self.spec.variant {
+        let locality_policy: Option<Box<dyn LocalityPolicy>> = match self.spec.variant {
             Variant::Flat => None,
             Variant::Strict => Some(Box::new(Strict::new(name))),
             Variant::ZoneFailover => {
@@ -26,91 +26,93 @@
                 ))
             }
         };
-        let zoning = match &self.spec.peers {
-            Some(peers) => Some(self.join(peers, router, zoning)?),
-            None => zoning,
+        let locality_policy = match &self.spec.peers {
+            Some(peers) => Some(self.start_gossip(peers, router, locality_policy)?),
+            None => locality_policy,
         };
         let engine = Engine::new(settings, seed);
-        let mut engine = match zoning {
-            Some(zoning) => engine.with_locality_policy(zoning),
+        let mut engine = match locality_policy {
+            Some(locality_policy) => engine.with_locality_policy(locality_policy),
             None => engine,
         };
-        if self.now > BEGIN {
-            self.routers[router].struck = Some(self.now);
+        if self.now > START_TIME {
+            self.routers[router].last_restart = Some(self.now);
         }
-        // What it had last. It may be old.
-        let told = self.routers[router].told;
-        let known = self.list_at(told);
-        let starts = known
+        // The last list that the router had before the restart. It may be outdated.
+        let version = self.routers[router].list_version;
+        let restored = self.list_at_version(version);
+        let starts = restored
             .iter()
-            .filter_map(|e| Some((self.names[&e.node], e.started_at?)))
+            .filter_map(|e| Some((self.node_by_id[&e.node], e.started_at?)))
             .collect();
-        engine.update_endpoints(EndpointUpdate::Restored(known));
+        engine.update_endpoints(EndpointUpdate::Restored(restored));
         self.routers[router].engine = Some(engine);
-        self.routers[router].closed.clear();
-        self.routers[router].starts = starts;
-        if self.now > BEGIN {
-            self.call(router as u32);
+        self.routers[router].out_of_service_since.clear();
+        self.routers[router].known_starts = starts;
+        if self.now > START_TIME {
+            self.call_list_service(router as u32);
         } else {
-            let list = self.list_at(0);
+            let list = self.list_at_version(0);
             self.routers[router]
                 .engine
                 .as_mut()
                 .expect("just made")
                 .update_endpoints(EndpointUpdate::Full(list));
         }
-        self.settle(router as u32);
-        self.say(router as u32);
+        self.drive_engine(router as u32);
+        self.flush_gossip(router as u32);
         Ok(())
     }
 
-    pub(super) fn stop(&mut self, router: u32) {
+    pub(super) fn stop_router(&mut self, router: u32) {
         let now = self.now;
-        let r = &mut self.routers[router as usize];
-        if r.engine.take().is_none() {
+        let state = &mut self.routers[router as usize];
+        if state.engine.take().is_none() {
             return;
         }
-        r.epoch += 1;
-        r.wake = None;
-        (r.talk, r.struck) = (None, Some(now));
-        let pools = std::mem::replace(&mut r.pools, vec![(0, 0); self.nodes.len()]);
-        let attempts = std::mem::take(&mut r.attempts);
+        state.epoch += 1;
+        state.wake = None;
+        (state.gossip, state.last_restart) = (None, Some(now));
+        let pools = std::mem::replace(&mut state.pools, vec![(0, 0); self.nodes.len()]);
+        let attempts = std::mem::take(&mut state.attempts);
         for (node, (epoch, idle)) in self.nodes.iter_mut().zip(pools) {
             if node.epoch == epoch {
                 node.connections = node.connections.saturating_sub(idle);
             }
         }
-        let mut runs: Vec<u32> = attempts.into_values().collect();
-        runs.sort_unstable();
-        for run in runs {
-            self.abandon(run);
+        let mut sent_attempts: Vec<u32> = attempts.into_values().collect();
+        sent_attempts.sort_unstable();
+        for sent_attempt in sent_attempts {
+            self.cancel_attempt(sent_attempt);
         }
-        let held: Vec<u32> = self
+        let open_requests: Vec<u32> = self
             .requests
             .iter()
-            .filter(|(_, r)| r.awaiting.is_some() && r.router == router)
+            .filter(|(_, state)| state.answer_due.is_some() && state.router == router)
             .map(|(id, _)| id as u32)
             .collect();
-        for id in held {
-            let r = &mut self.requests[id as usize];
-            (r.awaiting, r.key) = (None, None);
-            self.unserved(id, false, None);
+        for id in open_requests {
+            let state = &mut self.requests[id as usize];
+            (state.answer_due, state.key) = (None, None);
+            self.retry_or_give_up(id, false, None);
         }
     }
 
-    pub(super) fn live(&mut self, router: u32, epoch: u32) -> Option<&mut Engine> {
-        let r = &mut self.routers[router as usize];
-        r.engine.as_mut().filter(|_| r.epoch == epoch)
+    pub(super) fn engine_of_epoch(&mut self, router: u32, epoch: u32) -> Option<&mut Engine> {
+        let state = &mut self.routers[router as usize];
+        state.engine.as_mut().filter(|_| state.epoch == epoch)
     }
 
-    pub(super) fn wake(&mut self, router: u32) {
+    pub(super) fn wake_router(&mut self, router: u32) {
         let now = self.now;
-        let r = &mut self.routers[router as usize];
-        if r.wake.is_none_or(|at| at > now) {
+        let state = &mut self.routers[router as usize];
+        if state.wake.is_none_or(|at| at > now) {
             return;
         }
-        r.wake = None;
-        let Some(engine) = &mut r.engine else { return };
+        state.wake = None;
+        let Some(engine) = &mut state.engine else {
+            return;
+        };
         while let Some(due) = engine.deadlines.pop(now) {
             match due {
                 Deadline::Wake => engine.wake(),
@@ -118,12 +120,12 @@
                 _ => {}
             }
         }
-        self.settle(router);
+        self.drive_engine(router);
     }
 
-    /// Lets a router decide on what has come, and carries that out.
-    pub(super) fn settle(&mut self, router: u32) {
-        for _ in 0..ROUNDS {
+    /// Lets a router decide on its new inputs and executes the commands.
+    pub(super) fn drive_engine(&mut self, router: u32) {
+        for _ in 0..MAX_DECISION_ROUNDS {
             let now = self.now;
             let Some(engine) = &mut self.routers[router as usize].engine else {
                 return;
@@ -133,57 +135,58 @@
                 break;
             }
             for command in commands {
-                self.carry_out(router, command);
+                self.execute_command(router, command);
             }
         }
-        let r = &mut self.routers[router as usize];
-        let Some(next) = r.engine.as_ref().and_then(|c| c.deadlines.next()) else {
+        let state = &mut self.routers[router as usize];
+        let Some(next) = state.engine.as_ref().and_then(|c| c.deadlines.next()) else {
             return;
         };
-        if r.wake.is_none_or(|at| next < at) {
-            r.wake = Some(next);
-            self.at(next, Event::Wake(router));
+        if state.wake.is_none_or(|at| next < at) {
+            state.wake = Some(next);
+            self.schedule(next, Event::WakeRouter(router));
         }
     }
 
-    pub(super) fn carry_out(&mut self, router: u32, command: Command) {
+    pub(super) fn execute_command(&mut self, router: u32, command: Command) {
         match command {
             Command::Send {
                 attempt,
                 origin,
                 node,
-            } => self.send(router, attempt, origin, &node),
+            } => self.send_attempt(router, attempt, origin, &node),
             Command::CancelAttempt { attempt, .. } => {
-                if let Some(run) = self.routers[router as usize].attempts.remove(&attempt) {
-                    self.abandon(run);
+                if let Some(sent_attempt) = self.routers[router as usize].attempts.remove(&attempt)
+                {
+                    self.cancel_attempt(sent_attempt);
                 }
             }
-            Command::HealthCheck(node) => self.probe(router, &node),
+            Command::HealthCheck(node) => self.start_health_check(router, &node),
             Command::CloseIdle(node) => {
-                let Some(&node) = self.names.get(&node) else {
+                let Some(&node) = self.node_by_id.get(&node) else {
                     return;
                 };
                 let pool = &mut self.routers[router as usize].pools[node as usize];
-                let known = &mut self.nodes[node as usize];
-                if pool.0 == known.epoch {
-                    known.connections = known.connections.saturating_sub(pool.1);
+                let node_state = &mut self.nodes[node as usize];
+                if pool.0 == node_state.epoch {
+                    node_state.connections = node_state.connections.saturating_sub(pool.1);
                 }
                 pool.1 = 0;
             }
             Command::Answer { origin, answer, .. } => {
                 let id = origin.number() as u32;
-                let second = (self.second() as usize).min(self.seconds.len() - 1);
+                let second = (self.now_s() as usize).min(self.seconds.len() - 1);
                 match answer {
-                    FinalAnswer::Rejected(told) => {
+                    FinalAnswer::Rejected(retry_after) => {
                         self.seconds[second].refused += 1;
-                        if self.answered(id, "refused") {
-                            self.unserved(id, true, told);
+                        if self.take_final_answer(id, "refused") {
+                            self.retry_or_give_up(id, true, retry_after);
                         }
                     }
                     FinalAnswer::Failed => {
                         self.seconds[second].failed += 1;
-                        if self.answered(id, "failed") {
-                            self.unserved(id, false, None);
+                        if self.take_final_answer(id, "failed") {
+                            self.retry_or_give_up(id, false, None);
                         }
                     }
                 }
@@ -193,20 +196,20 @@
 
     pub(super) fn routers_of(&self, zone: usize) -> Vec<u32> {
         (0..self.routers.len() as u32)
-            .filter(|r| self.routers[*r as usize].zone == zone)
+            .filter(|state| self.routers[*state as usize].zone == zone)
             .collect()
     }
 
-    pub(super) fn probe(&mut self, router: u32, node: &NodeId) {
-        self.counted.probes += 1;
-        let Some(&node) = self.names.get(node) else {
+    pub(super) fn start_health_check(&mut self, router: u32, node: &NodeId) {
+        self.totals.probes += 1;
+        let Some(&node) = self.node_by_id.get(node) else {
             return;
         };
         let epoch = self.routers[router as usize].epoch;
-        match self.out(router, node) {
-            Some(wait) => self.at(
+        match self.delay_to_node(router, node) {
+            Some(wait) => self.schedule(
                 self.now + wait,
-                Event::ProbeAt {
+                Event::HealthCheckAtNode {
                     router,
                     epoch,
                     node,
@@ -214,51 +217,51 @@
             ),
             None => {
                 let timeout = self.settings[router as usize].connect_timeout;
-                self.at(
+                self.schedule(
                     self.now + timeout,
-                    Event::ProbeBack {
+                    Event::HealthCheckEnded {
                         router,
                         epoch,
                         node,
-                        told: None,
+                        load_report: None,
                     },
                 );
             }
         }
     }
 
-    pub(super) fn probe_at(&mut self, router: u32, epoch: u32, node: u32) {
-        let known = &self.nodes[node as usize];
-        let (group, member, up) = (known.group, known.member, known.up);
-        // A report is as old as its last refresh.
-        let old = us(self.uniform((0.0, 0.15)));
+    pub(super) fn health_check_at_node(&mut self, router: u32, epoch: u32, node: u32) {
+        let node_state = &self.nodes[node as usize];
+        let (group, member, up) = (node_state.group, node_state.member, node_state.up);
+        // A node's report was refreshed up to 0.15 s ago.
+        let report_age = us_from_s(self.uniform((0.0, 0.15)));
         let log = &mut self.groups[group].0;
         let role = if log.primary() == Some(member) {
             Role::Primary
         } else {
             Role::Replica
         };
-        let position = Some(log.position(member, self.now).saturating_sub(old));
+        let position = Some(log.position(member, self.now).saturating_sub(report_age));
         let machine = &self.nodes[node as usize].machine;
-        let (held, busy) = (
+        let (in_flight, utilization_permille) = (
             machine.in_flight() as u32,
             (machine.utilization() * 1e3) as u32,
         );
-        let told = up.then_some(NodeReport {
+        let load_report = up.then_some(NodeReport {
             position,
             role: Some(role),
-            in_flight: Some(held),
-            utilization_permille: Some(busy),
+            in_flight: Some(in_flight),
+            utilization_permille: Some(utilization_permille),
             age: 0,
         });
-        if let Some(wait) = self.home(router, node) {
-            self.at(
+        if let Some(wait) = self.delay_to_router(router, node) {
+            self.schedule(
                 self.now + wait,
-                Event::ProbeBack {
+                Event::HealthCheckEnded {
                     router,
                     epoch,
                     node,
-                    told,
+                    load_report,
                 },
             );
         }
--- a/simulation/src/world/summary.rs
+++ b/simulation/src/world/summary.rs
@@ -1,7 +1,7 @@
-//! What a run is summed up to.
+//! Computes the report at the end of a run.
 
 use super::World;
-use crate::report::{Report, back};
+use crate::report::{Report, time_to_recovery};
 
 impl World<'_> {
     pub(super) fn report(mut self) -> Report {
@@ -10,7 +10,7 @@
         let mut most = 0.0_f64;
         for s in &self.seconds[..self.spec.seconds as usize] {
             for (spilled, capacity) in s.spilled.iter().zip(&s.capacity) {
-                // What is sent to a zone that has nothing left reaches nobody.
+                // Requests to a zone without capacity reach no node and do not count as spill.
                 if *capacity > 0.0 {
                     most = most.max(spilled / capacity);
                 }
@@ -32,40 +32,41 @@
             let calm_share = share(calm);
             let capacity = |n: usize| seconds[n].capacity.iter().sum::<f64>();
             let full = capacity(first as usize - 1);
-            // What is left can do so much of what is asked for.
+            // The share of the offered work that the remaining capacity allows.
             let allows = |n: usize| (capacity(n) / full / self.spec.clients.load).min(1.0);
-            after_loss = back(&seconds, first, last, |n| 0.95 * calm_share * allows(n));
-            after_return = back(&seconds, last, self.spec.seconds, |_| 0.95 * calm_share);
+            after_loss = time_to_recovery(&seconds, first, last, |n| 0.95 * calm_share * allows(n));
+            after_return =
+                time_to_recovery(&seconds, last, self.spec.seconds, |_| 0.95 * calm_share);
         }
         Report {
             name: self.spec.name.clone(),
             variant: self.spec.variant,
             seed: self.seed,
-            requests: self.counted.requests,
-            attempts: self.counted.attempts,
-            in_time: share((self.counted.asked, self.counted.in_time)),
-            window: share(self.counted.window),
-            local: share((self.counted.local.1 as f64, self.counted.local.0 as f64)),
+            requests: self.totals.requests,
+            attempts: self.totals.attempts,
+            in_time: share((self.totals.asked, self.totals.in_time)),
+            window: share(self.totals.window),
+            local: share((self.totals.local.1 as f64, self.totals.local.0 as f64)),
             spill_over: most - limit,
             spill_most: most,
-            probes: self.counted.probes,
-            to_bad: self.counted.to_bad,
-            talked: self.spec.peers.is_some().then(|| self.talked.clone()),
-            fallen: self.counted.fallen,
+            probes: self.totals.probes,
+            to_bad: self.totals.to_bad,
+            talked: self.spec.peers.is_some().then(|| self.gossip_stats.clone()),
+            fallen: self.totals.fallen,
             cold_peak: self
                 .nodes
                 .iter()
                 .map(|n| n.machine.cold_peak())
                 .fold(0.0, f64::max),
-            cold: self.counted.cold,
+            cold: self.totals.cold,
             after_loss,
             after_return,
             p50_ms: self.latencies.value_at_quantile(0.5) as f64 / 1e3,
             p99_ms: self.latencies.value_at_quantile(0.99) as f64 / 1e3,
-            classes: self.counted.classes,
-            tenants: self.counted.tenants,
+            classes: self.totals.classes,
+            tenants: self.totals.tenants,
             breaches: self.breaches.0,
-            events: self.counted.events,
+            events: self.totals.events,
             seconds,
         }
     }
